--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -8,7 +8,7 @@
 
 import hashlib
 import json
-from collections.abc import Iterable
+from collections.abc import Mapping
 from dataclasses import asdict, replace
 from typing import Any
 
@@ -20,40 +20,59 @@
 KEPT = 0.1  # of each store, by the process that leaves
 NOTHING = 1e-9  # a rate of refill that gives nothing, where 0 would mean that there is no limit
 ACCOUNTS = 20_000  # in one snapshot; the longest idle are left out, and start as after a restart
-GATE = ("sum", "u", "reading", "mean", "_tokens", "_arrivals", "_filled")
-SERVER = (
-    "rate", "slow", "fails", "out_until", "out_for", "budget", "budget_at", "trial", "lost", "told", "told_at", "since",
-    "row", "broke", "cold_at",
-)  # fmt: skip
-ACCOUNT = (
-    "at", "asked", "synced", "level", "floor", "ceiling", "drawn", "total", "others", "pending", "guessed", "mine",
-    "heard", "debt",
-)  # fmt: skip
-STORES = ("level", "floor", "ceiling")  # of an account, that are split
-WINDOW = ("_seen", "_ends_after", "_ends_by", "_ask_at", "_retry_by")
-CALLS = ("rate", "room", "silent_until", "misses")
-SIZES = ("mean", "slope", "_spread", "_common", "_latency", "_seen")
+# Each mapping below goes from the name of a field in the snapshot to the name of the attribute that holds it. The
+# reader may be a process of another build: an attribute may be renamed, the name in the snapshot must stay.
+GATE: Mapping[str, str] = {
+    "sum": "sum", "u": "u", "reading": "reading", "mean": "mean", "_tokens": "_tokens", "_arrivals": "_arrivals",
+    "_filled": "_filled",
+}  # fmt: skip
+SERVER: Mapping[str, str] = {
+    "rate": "rate", "slow": "slow", "fails": "fails", "out_until": "out_until", "out_for": "out_for",
+    "budget": "budget", "budget_at": "budget_at", "trial": "trial", "lost": "lost", "told": "told",
+    "told_at": "told_at", "since": "since", "row": "row", "broke": "broke", "cold_at": "cold_at",
+}  # fmt: skip
+ACCOUNT: Mapping[str, str] = {
+    "at": "at", "asked": "asked", "synced": "synced", "level": "level", "floor": "floor", "ceiling": "ceiling",
+    "drawn": "drawn", "total": "total", "others": "others", "pending": "pending", "guessed": "guessed",
+    "mine": "mine", "heard": "heard", "debt": "debt",
+}  # fmt: skip
+# Attributes of an account, used only with getattr and setattr: the stores that are split between the processes.
+STORES = ("level", "floor", "ceiling")
+WINDOW: Mapping[str, str] = {
+    "_seen": "_seen", "_ends_after": "_ends_after", "_ends_by": "_ends_by", "_ask_at": "_ask_at",
+    "_retry_by": "_retry_by",
+}  # fmt: skip
+CALLS: Mapping[str, str] = {
+    "rate": "rate",
+    "room": "room",
+    "silent_until": "silent_until",
+    "misses": "misses",
+}
+SIZES: Mapping[str, str] = {
+    "mean": "mean", "slope": "slope", "_spread": "_spread", "_common": "_common", "_latency": "_latency",
+    "_seen": "_seen",
+}  # fmt: skip
 
 
 class SnapshotError(ValueError):
     """A snapshot that cannot be used."""
 
 
-def _carry(owner: object, names: Iterable[str]) -> dict[str, Any]:
-    return {name: getattr(owner, name) for name in names}
+def _read_attributes(owner: object, names: Mapping[str, str]) -> dict[str, Any]:
+    return {written: getattr(owner, attribute) for written, attribute in names.items()}
 
 
-def _lay(owner: object, values: dict[str, Any], names: Iterable[str]) -> None:
-    for name in names:
-        value = values[name]
+def _write_attributes(owner: object, values: dict[str, Any], names: Mapping[str, str]) -> None:
+    for written, attribute in names.items():
+        value = values[written]
         if value is not None and not isinstance(value, int | float):
-            raise SnapshotError(f"snapshot: {name}: expected a number, got {value!r:.40}")
-        setattr(owner, name, value)
+            raise SnapshotError(f"snapshot: {written}: expected a number, got {value!r:.40}")
+        setattr(owner, attribute, value)
 
 
 def _window(account: Account) -> dict[str, Any] | None:
     window = account.window
-    return _carry(window, WINDOW) if window is not None and window.known else None
+    return _read_attributes(window, WINDOW) if window is not None and window.known else None
 
 
 def take(gateway: Gateway) -> dict[str, Any]:
@@ -64,24 +83,24 @@
     return {
         "retries": gateway._retries,
         "seen": list(gateway._seen),
-        "gate": _carry(gateway.gate, GATE),
+        "gate": _read_attributes(gateway.gate, GATE),
         "base": fleet.base,
-        "sizes": _carry(fleet.sizes, SIZES),
+        "sizes": _read_attributes(fleet.sizes, SIZES),
         "done_rate": fleet._done_rate,
         "bans": sorted(fleet.bans),
         "known": list(fleet.known),
         "births": fleet.known,
         "servers": [
-            {"entry": asdict(s.entry) | {"health": s.entry.health.value}, "up": s.up, **_carry(s, SERVER)}
+            {"entry": asdict(s.entry) | {"health": s.entry.health.value}, "up": s.up, **_read_attributes(s, SERVER)}
             for s in fleet.servers.values()
             if not s.gone
         ],
         "born": quotas._born,
-        "calls": _carry(quotas.calls, CALLS),
+        "calls": _read_attributes(quotas.calls, CALLS),
         "first": incarnation.first,
         "tells": None if usage is None else [usage.born, usage.late, list(usage.strange.items())],
         "accounts": [
-            [*key, a.share, a.open, _carry(a, ACCOUNT), _window(a)]
+            [*key, a.share, a.open, _read_attributes(a, ACCOUNT), _window(a)]
             for key, a in accounts
         ],
     }  # fmt: skip
@@ -107,9 +126,9 @@
     gateway._retries = float(state["retries"])
     gateway._seen.extend(map(float, state["seen"]))
     gateway._ranks = sorted(gateway._seen)
-    _lay(gateway.gate, state["gate"], GATE)
+    _write_attributes(gateway.gate, state["gate"], GATE)
     fleet.base.update({str(name): float(value) for name, value in state["base"].items()})
-    _lay(fleet.sizes, state["sizes"], SIZES)
+    _write_attributes(fleet.sizes, state["sizes"], SIZES)
     fleet._done_rate = float(state["done_rate"])
     fleet.bans.update(map(str, state["bans"]))
     births = state.get("births", {})  # a predecessor of an older version tells none
@@ -118,12 +137,12 @@
     fleet.listed(now, api.ServerList(tuple(entry for entry, _ in rows), True))
     for entry, row in rows:
         server = fleet.servers[entry.name]
-        _lay(server, row, SERVER)
+        _write_attributes(server, row, SERVER)
         server.up = bool(row["up"])
         server.budget *= 1 - KEPT if server.budget > 0 else 1
     fleet._arrange(now)
     quotas._born = float(state["born"])
-    _lay(quotas.calls, state["calls"], CALLS)
+    _write_attributes(quotas.calls, state["calls"], CALLS)
     # A predecessor of an older version tells it as "life".
     quotas.incarnation.resume(now, bool(state["first"] if "first" in state else state["life"]["vouched"]))
     if state["tells"] is not None and quotas.usage is not None:
@@ -133,12 +152,12 @@
         if plan not in quotas._plans:
             continue  # the plan was dropped meanwhile
         a = quotas.account(now, api.Request(0, "", plan, 1.0, name, gateways=int(share)))
-        _lay(a, values, ACCOUNT)
+        _write_attributes(a, values, ACCOUNT)
         for store in STORES:
             setattr(a, store, (1 - KEPT) * getattr(a, store) if getattr(a, store) > 0 else getattr(a, store))
         # One of an older version tells of windows with other names: the counter has what it needs to be known of them.
         if a.window is not None and window is not None and set(WINDOW) <= set(window):
-            _lay(a.window, window, WINDOW)
+            _write_attributes(a.window, window, WINDOW)
 
 
 class Split:
