--- a/benchmarks/quota_calm.py
+++ b/benchmarks/quota_calm.py
@@ -310,7 +310,7 @@
             elif isinstance(action, api.Tell):
                 for other in range(self.limiters):
                     if other != index and rng.random() >= self.loss:
-                        heard = api.Heard(index, action.text)
+                        heard = api.PeerMessage(index, action.text)
                         put(now + 0.002, partial(feed, other, event=heard))
             elif isinstance(action, api.Send):
                 account, request, _ = tried.pop(action.id)
--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -357,7 +357,7 @@
         peers = Peers(
             list(addresses.peers),
             addresses.everyone,
-            lambda sender, text: self._node.feed(api.Heard(sender, text)),
+            lambda sender, text: self._node.feed(api.PeerMessage(sender, text)),
         )
         try:
             await peers.listen(*addresses.listen)
--- a/cypresspulley/benchlink.py
+++ b/cypresspulley/benchlink.py
@@ -129,7 +129,7 @@
     if message == "count_result":
         return api.Counted(v[1], _word(STATUS, message, v[3]), v[2] or 0.0)
     if message == "peer":
-        return api.Heard(v[0], v[1] or "")
+        return api.PeerMessage(v[0], v[1] or "")
     if message == "timeout_fired":
         return api.TimerFired(v[0])
     if message == "left":
--- a/cypresspulley/interface.py
+++ b/cypresspulley/interface.py
@@ -208,7 +208,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class PeerMessage:
     """A message of another gateway; whoever can write to the address may have sent it."""
 
     sender: int
@@ -320,7 +320,7 @@
     | Departed
     | Counted
     | Probed
-    | Heard
+    | PeerMessage
     | Suspend
     | Retune
     | WallClock
--- a/cypresspulley/policy/quota.py
+++ b/cypresspulley/policy/quota.py
@@ -337,7 +337,7 @@
         if self.usage is not None and self.usage.due(now):
             self._emit(api.Tell(self.usage.write(now)))
 
-    def heard(self, now: float, ev: api.Heard) -> None:
+    def heard(self, now: float, ev: api.PeerMessage) -> None:
         """Another gateway's message."""
         if self.usage is None or ev.sender == self._set.index:
             return
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -76,7 +76,7 @@
         for index, world in enumerate(self.worlds):
             if index != at and self.rng.random() >= self.loss:
                 world.advance(now)
-                world.feed(api.Heard(at, text))
+                world.feed(api.PeerMessage(at, text))
 
 
 def play(fleet: Fleet, seconds: float, shares: tuple[float, ...], every: float = 0.05) -> float:
@@ -132,7 +132,7 @@
 def test_any_text_may_come_as_a_message(text: str) -> None:
     fleet = Fleet()
     fleet.ask(0, 100.0, 1)
-    fleet.worlds[0].feed(api.Heard(1, text))
+    fleet.worlds[0].feed(api.PeerMessage(1, text))
     account = next(iter(fleet.worlds[0].gateway.quotas.accounts.values()))
     assert -2 * PLAN.burst <= account.level <= PLAN.burst
 
@@ -149,7 +149,7 @@
         world.advance(now + 1.1)
         for text in world.take():
             fleet.worlds[0].advance(now + 1.1)
-            fleet.worlds[0].feed(api.Heard(1, text))
+            fleet.worlds[0].feed(api.PeerMessage(1, text))
     sent = sum(fleet.ask(0, now + 1.2 + 0.01 * n, 200 + n) for n in range(8))
     assert sent <= PLAN.burst / 3 + PLAN.rate * 1.3
 
