--- a/benchmarks/quota_calm.py
+++ b/benchmarks/quota_calm.py
@@ -307,7 +307,7 @@
                 put(now + action.delay, lambda t: feed(index, t, fired))
             elif isinstance(action, api.Count):
                 count(index, now, action)
-            elif isinstance(action, api.Tell):
+            elif isinstance(action, api.Broadcast):
                 for other in range(self.limiters):
                     if other != index and rng.random() >= self.loss:
                         heard = api.PeerMessage(index, action.text)
--- a/cypresspulley/benchlink.py
+++ b/cypresspulley/benchlink.py
@@ -151,7 +151,7 @@
     api.Fail: lambda a: ["give_up", a.id],
     api.Cancel: lambda a: ["call_off", a.id, a.attempt],
     api.Count: lambda a: ["bump", a.name, a.lifetime, a.amount],
-    api.Tell: lambda a: ["write_peer", "all", a.text],
+    api.Broadcast: lambda a: ["write_peer", "all", a.text],
     api.Probe: lambda a: ["check", a.server],
     api.SetTimer: lambda a: ["sleep", a.delay, a.token],
     api.Log: lambda a: ["journal_line", a.text],
--- a/cypresspulley/interface.py
+++ b/cypresspulley/interface.py
@@ -281,7 +281,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class Broadcast:
     """Send a message of at most 256 bytes to all other gateways; it may be lost."""
 
     text: str
@@ -326,4 +326,4 @@
     | WallClock
     | TimerFired
 )
-Action = Send | Refuse | Fail | Cancel | Count | Tell | Probe | Ban | SetTimer | Log
+Action = Send | Refuse | Fail | Cancel | Count | Broadcast | Probe | Ban | SetTimer | Log
--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -90,7 +90,7 @@
         self._word_at: float | None = None  # when discovery spoke last
         self._actions: dict[type, Callable[[Any], None]] = {
             api.Send: self._send, api.Refuse: self._refuse, api.Fail: self._fail, api.Cancel: self._cancel,
-            api.Count: self._count, api.Tell: self._tell, api.Probe: self._probe, api.Ban: self._ban,
+            api.Count: self._count, api.Broadcast: self._tell, api.Probe: self._probe, api.Ban: self._ban,
             api.SetTimer: self._set_timer, api.Log: self._log,
         }  # fmt: skip
 
@@ -321,7 +321,7 @@
                 lambda status, total: self.feed(api.Counted(name, status, total)),
             )
 
-    def _tell(self, action: api.Tell) -> None:
+    def _tell(self, action: api.Broadcast) -> None:
         if self.tell is not None:
             self.tell(action.text)
 
--- a/cypresspulley/policy/quota.py
+++ b/cypresspulley/policy/quota.py
@@ -335,7 +335,7 @@
     def tell(self, now: float) -> None:
         """A message to the others, where one is due."""
         if self.usage is not None and self.usage.due(now):
-            self._emit(api.Tell(self.usage.write(now)))
+            self._emit(api.Broadcast(self.usage.write(now)))
 
     def heard(self, now: float, ev: api.PeerMessage) -> None:
         """Another gateway's message."""
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -41,7 +41,7 @@
         return texts
 
     def _check(self, action: api.Action) -> None:
-        if isinstance(action, api.Tell):
+        if isinstance(action, api.Broadcast):
             self.texts.append(action.text)
         super()._check(action)
 
@@ -227,7 +227,7 @@
 def test_a_limiter_sends_what_the_decisions_tell() -> None:
     async def main() -> None:
         sent = list[str]()
-        script = Script(lambda event: [api.Tell("AAAAAAgg")] if isinstance(event, api.Request) else [])
+        script = Script(lambda event: [api.Broadcast("AAAAAAgg")] if isinstance(event, api.Request) else [])
         async with Limiter(script, {}) as limiter:
             await limiter.fetch(ask(ttl=50))  # with no way to the others it is dropped
             limiter.node.tell = sent.append
