--- a/cypresspulley/explore/lifecycle.py
+++ b/cypresspulley/explore/lifecycle.py
@@ -164,7 +164,7 @@
             self._met(f"counted {event.status.value}")
         elif isinstance(event, api.Probed):
             self._met(f"probed {event.status.value}")
-        elif isinstance(event, api.Retune):
+        elif isinstance(event, api.SettingsChanged):
             self._classes |= {c.name: c for c in event.settings.classes}
         elif isinstance(event, api.Body | api.Began):
             self._flows(now, event)
--- a/cypresspulley/interface.py
+++ b/cypresspulley/interface.py
@@ -225,7 +225,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Retune:
+class SettingsChanged:
     """Other settings hold from now on, as a whole."""
 
     settings: Settings
@@ -322,7 +322,7 @@
     | Probed
     | PeerMessage
     | Suspend
-    | Retune
+    | SettingsChanged
     | WallClock
     | TimerFired
 )
--- a/cypresspulley/lanes/way.py
+++ b/cypresspulley/lanes/way.py
@@ -37,7 +37,7 @@
                 return [refusal]
         elif isinstance(event, api.Departed):
             self._meter.departed(event.id)
-        elif isinstance(event, api.Retune):
+        elif isinstance(event, api.SettingsChanged):
             self._most_wait = event.settings.max_retry_after
             self._stores.retune(event.settings)
         actions = self.decide.handle(now, event)
--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -187,7 +187,7 @@
         """Other settings hold from now on. Attempts: those of open requests are the decisions' affair."""
         self._most_attempts = max(self._settings.max_attempts, settings.max_attempts)
         self._settings = settings
-        self.feed(api.Retune(settings))
+        self.feed(api.SettingsChanged(settings))
 
     def suspend(self, server: str, out: bool, sure: bool = False) -> bool:
         """Operators take a server out or call it back. Whether the call is in force: not for an unknown id."""
--- a/cypresspulley/plans/limiter.py
+++ b/cypresspulley/plans/limiter.py
@@ -76,15 +76,15 @@
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         actions = list[api.Action]()
-        if isinstance(event, api.Retune):
+        if isinstance(event, api.SettingsChanged):
             self._base, self._seen = event.settings, None
         for at in self._instants(int(now * 1000)):
             # Each at its own instant, however late it is looked at: stores fill by the old terms until then.
             self._now = max(self._now, min(now, at / 1000))
-            if self._look(at) or isinstance(event, api.Retune):
-                actions += self._decide.handle(self._now, api.Retune(self._settings()))
+            if self._look(at) or isinstance(event, api.SettingsChanged):
+                actions += self._decide.handle(self._now, api.SettingsChanged(self._settings()))
         self._now = max(self._now, now)
-        if isinstance(event, api.Retune):
+        if isinstance(event, api.SettingsChanged):
             return actions
         if isinstance(event, api.Request):
             event = self._bound(now, event)
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -35,7 +35,7 @@
         self._seen, self._ranks = deque[float](maxlen=300), list[float]()  # worth per work of the recent
         self._handlers: dict[type, Callable[[float, Any], None]] = {
             api.Request: self._arrive, api.Body: self._body, api.Began: self._began, api.Outcome: self._outcome,
-            api.ServerList: self.fleet.listed, api.Suspend: self._suspend, api.Retune: self._retune,
+            api.ServerList: self.fleet.listed, api.Suspend: self._suspend, api.SettingsChanged: self._retune,
             api.Probed: self.fleet.probed, api.PeerMessage: self.quotas.heard, api.Counted: self.quotas.calls.answered,
             api.WallClock: lambda _now, ev: self.quotas.wall.step(ev.shift), api.TimerFired: lambda _now, _ev: None,
             api.Departed: lambda now, ev: self._forget(now, ev.id),
@@ -94,7 +94,7 @@
         if self.fleet.suspended(now, ev):
             self._out.append(api.Ban(ev.server, ev.out))
 
-    def _retune(self, now: float, ev: api.Retune) -> None:
+    def _retune(self, now: float, ev: api.SettingsChanged) -> None:
         """Levels, loads and what is out go on; open requests keep the records that they were let in under."""
         self._set = ev.settings
         self._classes.change(now, ev.settings)
--- a/tests/plans/test_limiter.py
+++ b/tests/plans/test_limiter.py
@@ -80,7 +80,7 @@
 def test_without_a_book_the_settings_hold() -> None:
     day = Day()
     assert day.burst(0, 1) == 1 and ("small", "hotel") in day.gateway.quotas.accounts
-    day.world.feed(api.Retune(replace(day.config, plans=(api.Plan("small", rate=9.0, burst=9.0),))))
+    day.world.feed(api.SettingsChanged(replace(day.config, plans=(api.Plan("small", rate=9.0, burst=9.0),))))
     day.burst(1, 1)
     assert day.gateway.quotas.accounts["small", "hotel"].plan.rate == 9.0
 
@@ -88,7 +88,7 @@
 def test_other_settings_in_service_keep_the_book_s_terms() -> None:
     day = Day(version("small", 1, LARGE))
     day.burst(0, 1)
-    day.world.feed(api.Retune(replace(day.config, max_attempts=2)))
+    day.world.feed(api.SettingsChanged(replace(day.config, max_attempts=2)))
     day.burst(1, 1)
     assert day.gateway.quotas.accounts["small", "hotel"].plan.rate == 10.0
 
--- a/tests/test_classes.py
+++ b/tests/test_classes.py
@@ -45,7 +45,7 @@
     """Attempts of a request whose answers all break, with settings that change while the first is out."""
     world.feed(replace(w.request(id), effect=effect))
     if change is not None:
-        world.feed(api.Retune(change))
+        world.feed(api.SettingsChanged(change))
     while (key := next((key for key in world.out if key[0] == id), None)) is not None:
         world.feed(w.outcome(*key, world.out[key][0], api.Status.BROKEN))
     return len(world.attempts[id])
@@ -61,7 +61,7 @@
     assert lost_and_again(started(), 1, SAFE, None) == 3
     assert lost_and_again(started(), 1, SAFE, OTHER) == 3, "safe and three attempts, as it was let in"
     world = started()
-    world.feed(api.Retune(OTHER))
+    world.feed(api.SettingsChanged(OTHER))
     assert lost_and_again(world, 1, UNSAFE, BASE) == 1, "unsafe, though safe again meanwhile"
     assert lost_and_again(world, 2, SAFE, None) == 2, "the fewer of both"
 
@@ -69,7 +69,7 @@
 def test_a_request_of_a_class_that_is_dropped_while_it_waits_is_tried_again() -> None:
     world = started()
     world.feed(replace(w.request(1), effect=SAFE))
-    world.feed(api.Retune(replace(OTHER, classes=OTHER.classes[1:])))
+    world.feed(api.SettingsChanged(replace(OTHER, classes=OTHER.classes[1:])))
     (key,) = world.out
     world.feed(w.outcome(*key, world.out[key][0], api.Status.BROKEN))
     assert len(world.attempts[1]) == 2
@@ -83,7 +83,7 @@
         world.feed(w.request(id, plan="capped"))
     account = world.gateway.quotas.accounts["capped", "x"]
     before = account.level, account.open, left_of(world.gateway)["work"]
-    world.feed(api.Retune(replace(OTHER, plans=(replace(plan, rate=5.0),))))
+    world.feed(api.SettingsChanged(replace(OTHER, plans=(replace(plan, rate=5.0),))))
     assert (account.level, account.open, left_of(world.gateway)["work"]) == before
     assert account.plan.rate == 5.0
 
@@ -94,7 +94,7 @@
     world.feed(w.request(1, plan="capped"))
     split = Split(world.gateway)
     changed = replace(plan, ceiling_rate=6.0)
-    world.feed(api.Retune(replace(OTHER, plans=(changed,))))
+    world.feed(api.SettingsChanged(replace(OTHER, plans=(changed,))))
     split.replan()
     account = world.gateway.quotas.accounts["capped", "x"]
     account.refill(world.now + 100.0)
--- a/tests/test_endings_policy.py
+++ b/tests/test_endings_policy.py
@@ -319,7 +319,9 @@
         effects = list(api.Effect)
         classes = tuple(replace(c, effect=effects[(a + n) % 3]) for n, c in enumerate(CLASSES))
         plans = tuple(replace(p, open_limit=(0, 2, p.open_limit)[b % 3]) for p in PLANS[: 3 + a % 3])
-        self.feed(api.Retune(replace(self.config, classes=classes, plans=plans, max_attempts=1 + b % 3)))
+        self.feed(
+            api.SettingsChanged(replace(self.config, classes=classes, plans=plans, max_attempts=1 + b % 3))
+        )
 
     def time_passes(self, a: int, _b: int) -> None:
         self.move((0.0, 0.01, 0.1, 0.4, 1.1)[a % 5])
@@ -381,7 +383,7 @@
     world.feed(w.request(1, plan="small"))
     place = next(c for c in world.counts if c.amount == 1.0)
     world.totals[place.name] = 9.0
-    world.feed(api.Retune(replace(config, plans=(replace(plan, open_limit=0),))))
+    world.feed(api.SettingsChanged(replace(config, plans=(replace(plan, open_limit=0),))))
     answer(world, place, status)
     assert len(world.sends) == 1
     world.serve()
@@ -411,9 +413,9 @@
 
     ask(0)
     assert ask(100) > 30, "5 s of the old one"
-    world.feed(api.Retune(replace(config, plans=(new,))))
+    world.feed(api.SettingsChanged(replace(config, plans=(new,))))
     ask(200)  # what stood in the stores is used up
     assert ask(300) <= new.ceiling_burst + 5 * new.ceiling_rate + 1, "5 s of the new one"
-    world.feed(api.Retune(config))
+    world.feed(api.SettingsChanged(config))
     ask(400)
     assert ask(500) > 30, "and of the old one again"
--- a/tests/test_reload_overlap.py
+++ b/tests/test_reload_overlap.py
@@ -54,7 +54,7 @@
     world = w.World(w.settings(plans=(plan,), gateways=1, has_counter=False), now=100.0)
     world.feed(w.servers("s0", "s1", "s2"))
     world.advance(110.0)
-    world.feed(api.Retune(w.settings(plans=(api.Plan("free"),), gateways=1, has_counter=False)))
+    world.feed(api.SettingsChanged(w.settings(plans=(api.Plan("free"),), gateways=1, has_counter=False)))
     for id in range(30):
         asked = w.request(id, plan="small", account="new")
         world.feed(replace(asked, gateways=1))
--- a/tests/test_reload_plans.py
+++ b/tests/test_reload_plans.py
@@ -53,7 +53,7 @@
 def test_an_account_goes_by_the_new_plan_in_all_that_follows_from_it(old: api.Plan, new: api.Plan) -> None:
     gateway, fresh = started(old), started(new)
     ask(gateway, 20.0, 1)
-    gateway.handle(20.5, api.Retune(settings(new)))
+    gateway.handle(20.5, api.SettingsChanged(settings(new)))
     for each in (gateway, fresh):
         ask(each, 21.0, 2)
     key = "p", "acc"
@@ -64,7 +64,7 @@
 def test_the_count_of_what_is_out_answers_behind_a_plan_that_no_longer_limits_it() -> None:
     gateway = started(LIMITED)
     (count,) = [each for each in ask(gateway, 20.0, 1) if isinstance(each, api.Count)]
-    gateway.handle(20.01, api.Retune(settings(PLAIN)))
+    gateway.handle(20.01, api.SettingsChanged(settings(PLAIN)))
     actions = gateway.handle(20.02, api.Counted(count.name, api.Status.OK, 1.0))
     assert any(isinstance(each, api.Send | api.Count) for each in actions)
 
@@ -74,7 +74,7 @@
     ask(gateway, 1.0, 1)
     assert gateway.fleet.base == {"look": 0.1}
     slow = replace(LOOK, aim=10.0)
-    gateway.handle(2.0, api.Retune(settings(PLAIN, slow)))
+    gateway.handle(2.0, api.SettingsChanged(settings(PLAIN, slow)))
     ask(gateway, 2.1, 2)
     assert gateway.fleet.base == {"look": 1.0}
     gateway.handle(2.2, api.Outcome(1, 0, "s1", api.Status.OK, 0.2, True, {}))  # one of before is answered
--- a/tests/test_reload_shared.py
+++ b/tests/test_reload_shared.py
@@ -33,18 +33,18 @@
     quotas = world.gateway.quotas
     (account,) = quotas.accounts.values()
     rate = quotas.calls.rate
-    world.feed(api.Retune(settings(gateways=200, has_counter=True)))
+    world.feed(api.SettingsChanged(settings(gateways=200, has_counter=True)))
     assert quotas.calls.rate == pytest.approx(rate * 3 / 200)
     assert quotas.calls.least == w.World(settings(gateways=200)).gateway.quotas.calls.least
     assert account.slots is not None, "what is out is counted"
-    world.feed(api.Retune(settings(gateways=200)))
+    world.feed(api.SettingsChanged(settings(gateways=200)))
     assert account.slots is None
-    world.feed(api.Retune(settings(gateways=200, may_tell=True, inbox=40.0)))
+    world.feed(api.SettingsChanged(settings(gateways=200, may_tell=True, inbox=40.0)))
     assert quotas.usage is not None
     every = quotas.usage.every
-    world.feed(api.Retune(settings(gateways=400, may_tell=True, inbox=40.0)))
+    world.feed(api.SettingsChanged(settings(gateways=400, may_tell=True, inbox=40.0)))
     assert quotas.usage.every == pytest.approx(every * 399 / 199)
-    world.feed(api.Retune(settings(gateways=400)))
+    world.feed(api.SettingsChanged(settings(gateways=400)))
     assert quotas.usage is None
 
 
