--- a/cypresspulley/interface.py
+++ b/cypresspulley/interface.py
@@ -175,7 +175,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Began:
+class ResponseStarted:
     """A large answer has begun to reach the client: no other attempt, and the rest takes what it takes."""
 
     id: int
@@ -315,7 +315,7 @@
     ServerList
     | Request
     | Body
-    | Began
+    | ResponseStarted
     | Outcome
     | Departed
     | Counted
--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -177,7 +177,7 @@
         if opened.timer is not None:
             opened.timer.cancel()
         opened.request.begin(download)
-        self.feed(api.Began(id, number, attempt.server, attempt.elapsed, attempt.report))
+        self.feed(api.ResponseStarted(id, number, attempt.server, attempt.elapsed, attempt.report))
 
     def departed(self, request: ClientRequest) -> None:
         if request.event is not None and self._close(request.event.id) is not None:
--- a/tests/test_endings_gone.py
+++ b/tests/test_endings_gone.py
@@ -214,7 +214,7 @@
             for sock in (first, second):
                 await server.request(sock)
             first.send(b"HTTP/1.1 200 OK\r\nContent-Length: 12000000\r\n\r\n" + b"x" * 100_000)
-            await script.until(api.Began)
+            await script.until(api.ResponseStarted)
             await turns()
             second.send(FULL)
             leaves(peer)
--- a/tests/test_endings_leaving.py
+++ b/tests/test_endings_leaving.py
@@ -254,7 +254,7 @@
         async with listening(talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             peer = Peer(limiter)
             peer.send(ask("/lookup?account=00000000b4d65521&y=1") + ask())
-            await script.until(api.Began)
+            await script.until(api.ResponseStarted)
             broken.set()
             await script.until(api.Outcome)  # nothing of the second has been said
             gate.set()
--- a/tests/test_endings_policy.py
+++ b/tests/test_endings_policy.py
@@ -285,7 +285,7 @@
             send, _ = self.out[key]
             self.out[key] = send, math.inf
             self.deadlines[key[0]] = math.inf
-            self.feed(api.Began(*key, send.server, 0.02, {}))
+            self.feed(api.ResponseStarted(*key, send.server, 0.02, {}))
 
     def attempt_ends(self, a: int, b: int) -> None:
         if self.out:
