--- a/benchmarks/quota_audit.py
+++ b/benchmarks/quota_audit.py
@@ -54,7 +54,7 @@
     def handle(self, now: float, event: Any) -> list[api.Action]:
         if isinstance(event, api.Request):
             self._open[event.id] = event
-        elif isinstance(event, api.Departed):
+        elif isinstance(event, api.ClientDisconnected):
             self._open.pop(event.id, None)
         actions = self._gateway.handle(now, event)
         for action in actions:
--- a/cypresspulley/benchlink.py
+++ b/cypresspulley/benchlink.py
@@ -133,7 +133,7 @@
     if message == "timeout_fired":
         return api.TimerFired(v[0])
     if message == "left":
-        return api.Departed(v[0])
+        return api.ClientDisconnected(v[0])
     if message == "probe_result":
         return api.Probed(v[0], _word(STATUS, message, v[1]), v[2] or 0.0, _report(v[3]))
     if message == "membership" and v[0] != "FAILED":
--- a/cypresspulley/explore/lifecycle.py
+++ b/cypresspulley/explore/lifecycle.py
@@ -156,7 +156,7 @@
             self._take(now, event)
         elif isinstance(event, api.Outcome):
             self._outcome(event)
-        elif isinstance(event, api.Departed):
+        elif isinstance(event, api.ClientDisconnected):
             self._gone(event.id)
         elif isinstance(event, api.ServerList):
             self._listed(now, event)
--- a/cypresspulley/interface.py
+++ b/cypresspulley/interface.py
@@ -186,7 +186,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Departed:
+class ClientDisconnected:
     """The client left: nothing is owed any more."""
 
     id: int
@@ -317,7 +317,7 @@
     | Body
     | ResponseStarted
     | Outcome
-    | Departed
+    | ClientDisconnected
     | Counted
     | Probed
     | PeerMessage
--- a/cypresspulley/lanes/way.py
+++ b/cypresspulley/lanes/way.py
@@ -35,7 +35,7 @@
         if isinstance(event, api.Request):
             if (refusal := self._judge(now, event)) is not None:
                 return [refusal]
-        elif isinstance(event, api.Departed):
+        elif isinstance(event, api.ClientDisconnected):
             self._meter.departed(event.id)
         elif isinstance(event, api.SettingsChanged):
             self._most_wait = event.settings.max_retry_after
--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -181,7 +181,7 @@
 
     def departed(self, request: ClientRequest) -> None:
         if request.event is not None and self._close(request.event.id) is not None:
-            self.feed(api.Departed(request.event.id))
+            self.feed(api.ClientDisconnected(request.event.id))
 
     def retune(self, settings: api.Settings) -> None:
         """Other settings hold from now on. Attempts: those of open requests are the decisions' affair."""
@@ -244,7 +244,7 @@
                 opened.request.ended(False)
             else:
                 opened.request.respond(status)
-            self.feed(api.Departed(id))
+            self.feed(api.ClientDisconnected(id))
 
     # Actions.
 
--- a/cypresspulley/plans/limiter.py
+++ b/cypresspulley/plans/limiter.py
@@ -90,7 +90,7 @@
             event = self._bound(now, event)
         elif isinstance(event, api.Outcome):
             self._ended(event)
-        elif isinstance(event, api.Departed):
+        elif isinstance(event, api.ClientDisconnected):
             self._over(event.id)
         more: list[api.Action] = self._decide.handle(now, event)
         for action in more:
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -38,7 +38,7 @@
             api.ServerList: self.fleet.listed, api.Suspend: self._suspend, api.SettingsChanged: self._retune,
             api.Probed: self.fleet.probed, api.PeerMessage: self.quotas.heard, api.Counted: self.quotas.calls.answered,
             api.WallClock: lambda _now, ev: self.quotas.wall.step(ev.shift), api.TimerFired: lambda _now, _ev: None,
-            api.Departed: lambda now, ev: self._forget(now, ev.id),
+            api.ClientDisconnected: lambda now, ev: self._forget(now, ev.id),
         }  # fmt: skip
 
     def handle(self, now: float, event: api.Event) -> list[Action]:
--- a/cypresspulley/tally.py
+++ b/cypresspulley/tally.py
@@ -78,7 +78,7 @@
                     self._add(f"bad {event.server} {event.status.value}")
                 if event.finished:
                     self._plans.pop(event.id, None)
-            case api.Departed():
+            case api.ClientDisconnected():
                 self._plans.pop(event.id, None)
             case api.Counted():
                 self._add(f"counter {event.status.value}")
--- a/tests/explore/test_lifecycle.py
+++ b/tests/explore/test_lifecycle.py
@@ -66,7 +66,7 @@
             stand.said.clear()  # for some that was forbidden already
     elif state is State.ENDED:
         stand.send()  # the attempt is still out: an ended request without one is forgotten
-        stand.watch.step(0.1, api.Departed(1), [])
+        stand.watch.step(0.1, api.ClientDisconnected(1), [])
 
 
 ACTIONS: dict[str, api.Action] = {
--- a/tests/lanes/day.py
+++ b/tests/lanes/day.py
@@ -315,7 +315,7 @@
     def _leaves(self, limiter: Limiter, id: int) -> None:
         if limiter.open.pop(id, None) is not None:
             self._call_off(limiter, id)
-            limiter.feed(api.Departed(id))
+            limiter.feed(api.ClientDisconnected(id))
 
     def _refused(self, limiter: Limiter, action: api.Refuse | api.Fail) -> None:
         ask = limiter.open.pop(action.id, None)
--- a/tests/lanes/test_limiter.py
+++ b/tests/lanes/test_limiter.py
@@ -311,7 +311,11 @@
     seen = {event.id: event for event in servers.seen if isinstance(event, api.Request)}
     assert {id for id, turned in tries.items() if not turned} == set(seen)
     assert seen[min(seen)] == api.Request(min(seen), "read", "guest", 3.0, seen[min(seen)].account, 1.0, 4)
-    others: list[api.Event] = [api.TimerFired(3), api.Departed(team.count), api.SettingsChanged(SETTINGS)]
+    others: list[api.Event] = [
+        api.TimerFired(3),
+        api.ClientDisconnected(team.count),
+        api.SettingsChanged(SETTINGS),
+    ]
     for event in others:
         team.lanes["a"].way.handle(team.now, event)
     assert servers.seen[-3:] == others
--- a/tests/plans/test_limiter.py
+++ b/tests/plans/test_limiter.py
@@ -172,7 +172,7 @@
     day.world.advance(110.0)
     day.world.feed(w.request(3, "read", "small", "hotel"))
     assert day.world.out
-    day.world.feed(api.Departed(3))
+    day.world.feed(api.ClientDisconnected(3))
     assert day.gatherer.gathered == MICRO and not day.planned._open and not day.planned._out
 
 
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -537,7 +537,7 @@
             open_now = limiter.node.open_requests
             assert open_now
             leaves(peer)
-            await script.until(api.Departed, open_now)
+            await script.until(api.ClientDisconnected, open_now)
             assert limiter.node.open_requests == 0 and not limiter.frontend.open_ids
             if leaves is Peer.fin:
                 peer.socket.close()
@@ -565,7 +565,7 @@
             peer = await pipelined(limiter, script)
             await turns(20)
             leaves(peer)
-            await script.until(api.Departed, MAX_PIPELINE)
+            await script.until(api.ClientDisconnected, MAX_PIPELINE)
 
     run(main())
 
--- a/tests/test_endings_gone.py
+++ b/tests/test_endings_gone.py
@@ -97,10 +97,10 @@
 
 async def gone(limiter: Limiter, script: Script, requests: int = 1) -> None:
     """All that was open has departed, once, and nothing is owed."""
-    await script.until(api.Departed, requests)
+    await script.until(api.ClientDisconnected, requests)
     await until(lambda: not limiter.frontend._clients)
     await turns(20)
-    assert len(await script.until(api.Departed)) == requests
+    assert len(await script.until(api.ClientDisconnected)) == requests
     assert not limiter.node.open_requests and not limiter.frontend.open_ids
 
 
--- a/tests/test_endings_policy.py
+++ b/tests/test_endings_policy.py
@@ -83,12 +83,12 @@
     (place,) = world.counts
     assert place.amount == 1.0 and not world.sends
     if leaves == "before the answer":
-        world.feed(api.Departed(1))
+        world.feed(api.ClientDisconnected(1))
         answer(world, place, status)
     else:
         answer(world, place, status)
         assert len(world.sends) == 1, "it was sent on: its units are spent"
-        world.feed(api.Departed(1))
+        world.feed(api.ClientDisconnected(1))
         del world.out[1, 0]
     account = quotas.accounts["small", "x"]
     back = [c.amount for c in world.counts if c.name == account.name]
@@ -114,7 +114,7 @@
     answer(world, grant)
     place = next(c for c in world.counts if c.amount == 1.0)
     assert not world.sends
-    world.feed(api.Departed(1))
+    world.feed(api.ClientDisconnected(1))
     answer(world, place)
     assert not world.gateway._requests
     asked_for_three(world, 2)
@@ -135,7 +135,7 @@
     world.feed(w.servers("s0", "s1"))
     asked_for_three(world, 1)
     grant = next(c for c in world.counts if c.amount == 3.0)
-    world.feed(api.Departed(1))
+    world.feed(api.ClientDisconnected(1))
     answer(world, grant, status)
     assert not world.sends
     asked_for_three(world, 2)
@@ -247,7 +247,7 @@
                 self.counter_answers(0, 7)
             else:
                 self.final(first, "abandoned")
-                self.feed_later(api.Departed(first))
+                self.feed_later(api.ClientDisconnected(first))
             self.settle()
         self.now = end
 
@@ -296,7 +296,7 @@
         if self.open:
             id = list(self.open)[a % len(self.open)]
             self.final(id, "left")
-            self.feed_later(api.Departed(id))
+            self.feed_later(api.ClientDisconnected(id))
 
     def counter_answers(self, a: int, b: int) -> None:
         for _ in range(min(len(self.calls), 1 + a % 4)):
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -176,7 +176,7 @@
             head = request.replace(b"Content-Length: 1\r\n", b"")[:-1]
             first, _, _ = await limiter.fetch(head + b"10001\r\n" + b"x" * 0x10001 + b"\r\n1\r\nx\r\n")
             assert " 413 " in first
-            await script.until(api.Departed)  # nothing waits for the rest
+            await script.until(api.ClientDisconnected)  # nothing waits for the rest
 
     run(main())
 
@@ -189,7 +189,7 @@
             writer.write(ask())
             await origin.got.wait()
             writer.close()
-            await script.until(api.Departed)
+            await script.until(api.ClientDisconnected)
             (outcome,) = await script.until(api.Outcome)
             assert outcome.status is api.Status.CANCELLED and outcome.finished
             await origin.left.wait()  # giving up closes the connection
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -58,7 +58,7 @@
             began = time.monotonic()
             assert " 504 " in (await limiter.fetch(ask(ttl=300)))[0]
             assert time.monotonic() - began > 0.2
-            await script.until(api.Departed)  # so that the decisions forget it
+            await script.until(api.ClientDisconnected)  # so that the decisions forget it
 
     run(main())
 
@@ -217,7 +217,7 @@
             writer.write(ask())
             (event,) = await script.until(api.Request)
             writer.write_eof()
-            await script.until(api.Departed)
+            await script.until(api.ClientDisconnected)
             script.answer = lambda _event: [api.Refuse(event.id, 0.1)]
             limiter.node.feed(api.TimerFired(1))
             assert await reader.read() == b""
@@ -238,7 +238,7 @@
             await limiter.frontend.close(0.01)
             limiter.node.abandon_all()
             assert " 504 " in (await read_message(reader))[0]
-            await script.until(api.Departed)
+            await script.until(api.ClientDisconnected)
             await limiter.frontend.close(10)
 
     run(main())
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -152,7 +152,7 @@
     fleet = Fleet(exact=False)
     world = fleet.worlds[0]
     world.feed(w.request(1, "read", "chain", "hotel"))
-    world.feed(api.Departed(1))
+    world.feed(api.ClientDisconnected(1))
     world.answer_counts()
     assert not world.out and not any(fleet.totals.values())
 
--- a/tests/test_symptoms.py
+++ b/tests/test_symptoms.py
@@ -215,7 +215,7 @@
     world.feed(w.request(2, "unknown class", "unknown plan", ttl=0.0))
     assert world.answered[2] == "refused"
     assert gateway.handle(world.now, api.Counted(123, api.Status.OK, 5.0)) == []
-    assert gateway.handle(world.now, api.Departed(77)) == []
+    assert gateway.handle(world.now, api.ClientDisconnected(77)) == []
     assert gateway.handle(world.now, api.TimerFired(10**9)) == []
     assert gateway.handle(world.now, api.Probed("nobody", api.Status.OK, 0.1, {})) == []
     assert gateway.handle(world.now, api.Outcome(5, 3, "nobody", api.Status.OK, 0.1, True, {})) == []
@@ -279,7 +279,7 @@
     world = w.World(w.settings())
     world.feed(w.servers(*"abcdef"))
     sent = [a for a in world.feed(w.request(1)) if isinstance(a, api.Send)]
-    world.feed(api.Departed(1))
+    world.feed(api.ClientDisconnected(1))
     world.out.clear()  # the node cancels it; what a request that has ended comes to is passed over
     again = set[str]()
     for id in range(2, 200):
--- a/tests/world.py
+++ b/tests/world.py
@@ -90,7 +90,7 @@
                 self.ran.setdefault(event.id, (server, sent))
             if event.finished:
                 self.answered[event.id] = "served"
-        if isinstance(event, api.Departed):
+        if isinstance(event, api.ClientDisconnected):
             self.answered.setdefault(event.id, "left")
         actions = self.gateway.handle(self.now, event)
         for action in actions:
@@ -202,7 +202,7 @@
         elif world.requests:
             gone = rng.choice(list(world.requests))
             if gone not in world.answered and not any(key[0] == gone for key in world.out):
-                log.append(world.feed(api.Departed(gone)))
+                log.append(world.feed(api.ClientDisconnected(gone)))
     world.answer_counts(api.Status.UNREACHABLE)
     world.advance(world.now + 10)
     assert set(world.requests) == set(world.answered), "a request was lost"
