--- a/cypresspulley/interface.py
+++ b/cypresspulley/interface.py
@@ -232,7 +232,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WallClock:
+class WallClockStep:
     """The wall clock has stepped: it is ``shift`` seconds ahead of the decisions' clock from now on."""
 
     shift: float
@@ -323,7 +323,7 @@
     | PeerMessage
     | Suspend
     | SettingsChanged
-    | WallClock
+    | WallClockStep
     | TimerFired
 )
 Action = Send | Refuse | Fail | Cancel | Count | Broadcast | Probe | Ban | SetTimer | Log
--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -207,7 +207,7 @@
         if abs(shift - self._shift) > WALL_STEP:
             log.warning("the wall clock has stepped by %.3f s", shift - self._shift)
             self._shift = shift
-            self.feed(api.WallClock(shift))
+            self.feed(api.WallClockStep(shift))
 
     def _step(self, event: api.Event) -> None:
         try:
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -37,7 +37,7 @@
             api.Request: self._arrive, api.Body: self._body, api.ResponseStarted: self._began, api.Outcome: self._outcome,
             api.ServerList: self.fleet.listed, api.Suspend: self._suspend, api.SettingsChanged: self._retune,
             api.Probed: self.fleet.probed, api.PeerMessage: self.quotas.heard, api.Counted: self.quotas.calls.answered,
-            api.WallClock: lambda _now, ev: self.quotas.wall.step(ev.shift), api.TimerFired: lambda _now, _ev: None,
+            api.WallClockStep: lambda _now, ev: self.quotas.wall.step(ev.shift), api.TimerFired: lambda _now, _ev: None,
             api.ClientDisconnected: lambda now, ev: self._forget(now, ev.id),
         }  # fmt: skip
 
--- a/tests/stepped_clock.py
+++ b/tests/stepped_clock.py
@@ -121,7 +121,7 @@
         shift = self.wall - self._ahead[place]
         if life == self._lives[place] and shift != self._told[place]:
             self._told[place] = shift
-            self._feed(place, api.WallClock(shift))
+            self._feed(place, api.WallClockStep(shift))
 
     def _restart(self) -> None:
         for place in self.rng.sample(
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -194,7 +194,7 @@
     fleet.ask(1, ttl=1.0)  # the first spell's count begins
     fleet.advance(14.0)  # into the next spell
     for world in fleet.worlds:
-        world.feed(api.WallClock(-11.0))  # back into the first one
+        world.feed(api.WallClockStep(-11.0))  # back into the first one
     for _ in range(LIMIT):
         fleet.ask(0, ttl=40.0)
     fleet.advance(1.0)
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -182,11 +182,11 @@
             limiter.frontend.on_sweep = lambda: limiter.node.look_at(lambda: limiter.node._clock() + ahead[0])
             await limiter.fetch(ask())
             ahead[0] = step
-            await script.until(api.WallClock)
+            await script.until(api.WallClockStep)
             await limiter.fetch(ask())
             kinds = [type(event) for event in script.events if not isinstance(event, api.ServerList)]
-            assert kinds == [api.Request, api.WallClock, api.Request]
-            (told,) = [event for event in script.events if isinstance(event, api.WallClock)]
+            assert kinds == [api.Request, api.WallClockStep, api.Request]
+            (told,) = [event for event in script.events if isinstance(event, api.WallClockStep)]
             assert told.shift == pytest.approx(step, abs=0.01)
 
     run(main())
--- a/tests/test_wall_clock_ceilings.py
+++ b/tests/test_wall_clock_ceilings.py
@@ -49,7 +49,7 @@
     def step(self, shift: float) -> None:
         """The wall clock steps, and all notice it."""
         for index in range(GATEWAYS if shift else 0):
-            self.feed(index, api.WallClock(shift))
+            self.feed(index, api.WallClockStep(shift))
 
     def restart(self, shift: float) -> None:
         """Every second gateway restarts by the clock as it is now."""
