--- a/cypresspulley/explore/lifecycle.py
+++ b/cypresspulley/explore/lifecycle.py
@@ -344,9 +344,9 @@
 # What coverage counts: every symbol above that a limiter can meet.
 MET = (
     "taken", "taken again", "sent", "split", "retried", "answered", "client gone",
-    *(f"attempt {status.value}" for status in Status if status is not Status.SPOILT),
+    *(f"attempt {status.value}" for status in Status if status is not Status.MALFORMED),
     *(f"counted {s.value}" for s in (Status.OK, Status.FULL, Status.TIMEOUT, Status.UNREACHABLE)),
-    *(f"counted {s.value}" for s in (Status.BROKEN, Status.SPOILT)),
+    *(f"counted {s.value}" for s in (Status.BROKEN, Status.MALFORMED)),
     *(f"probed {s.value}" for s in (Status.OK, Status.ERROR, Status.TIMEOUT, Status.UNREACHABLE)),
     *(f"listed {health.value}" for health in api.Health),
     "refused ceiling", "refused gate", "refused quota", "refused no server", "refused attempts",
--- a/cypresspulley/interface.py
+++ b/cypresspulley/interface.py
@@ -38,7 +38,7 @@
     UNREACHABLE = "unreachable"  # no connection: refused, or it never came up
     DROPPED = "dropped"  # a connection that came up and broke before the request was whole: it never ran
     BROKEN = "broken"  # the connection ended after it: it may have run, or been added
-    SPOILT = "spoilt"  # the counter answered what cannot be read: it was added, or may have been
+    MALFORMED = "spoilt"  # the counter answered what cannot be read: it was added, or may have been
     CANCELLED = "cancelled"
     NOT_SENT = "not sent"
     REJECTED = "rejected"  # the server has no use for the request: the client is to blame
--- a/cypresspulley/net/counter.py
+++ b/cypresspulley/net/counter.py
@@ -105,7 +105,7 @@
         """What cannot be read says nothing of the count, and what follows may belong to any call."""
         log.warning("an unreadable counter line: connecting anew: %.80r", line)
         self.abort()  # first: the results may bring new calls, and none must be written here
-        self._fail(Status.SPOILT)
+        self._fail(Status.MALFORMED)
 
     def _fail(self, status: Status) -> None:
         written, self.written = self.written, deque()
--- a/cypresspulley/policy/account.py
+++ b/cypresspulley/policy/account.py
@@ -66,11 +66,11 @@
             self.rate = min(CALLS, self.rate * self._growth)
         elif status is Status.BROKEN:
             self.misses, self.broke = self.misses + (made >= self.broke), now
-        elif status is not Status.SPOILT:
+        elif status is not Status.MALFORMED:
             if status is Status.FULL or self.misses < 2:
                 self.rate, self._growth = max(self.least, self.rate * 0.9), 1.01
             self.misses += status is not Status.FULL
-        if status not in (Status.OK, Status.FULL, Status.SPOILT) and self.misses > 1:
+        if status not in (Status.OK, Status.FULL, Status.MALFORMED) and self.misses > 1:
             self.silent_until = now + SILENT
 
 
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -130,7 +130,7 @@
             for _ in range(2):
                 await tally.lines.get()
             writer.write(answer + b"ok 5\r\n" * answer.endswith(b"\n"))  # not to be taken for the second's
-            assert [await first, await second] == [(Status.SPOILT, 0.0)] * 2
+            assert [await first, await second] == [(Status.MALFORMED, 0.0)] * 2
             third = call(client, 3)  # waits for the new connection
             writer = await tally.connections.get()
             assert (await tally.lines.get()).startswith(b"tally 3 ")
--- a/tests/test_endings_counter.py
+++ b/tests/test_endings_counter.py
@@ -198,7 +198,7 @@
                 old.send(b"ok 1\r\nwhat\r\nok 2\r\n")
             second = {"answered": (1, Status.OK, 2.0), "broken": (1, Status.BROKEN, 0.0)}
             assert await calls.until(3) == [
-                (0, Status.OK, 1.0), second.get(owed, (1, Status.SPOILT, 0.0)), (2, Status.OK, 30.0),
+                (0, Status.OK, 1.0), second.get(owed, (1, Status.MALFORMED, 0.0)), (2, Status.OK, 30.0),
             ]  # fmt: skip
             calls.at_rest()
             while calls.client._left:
