--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -345,7 +345,7 @@
 
     async def follow(self, config: Config) -> None:
         """Go on by a configuration; ``ConfigError`` where its address cannot be had."""
-        addresses = config.peers if config.settings.may_tell else None
+        addresses = config.peers if config.settings.may_message_peers else None
         if addresses is None or addresses.listen != self._listen:
             self._leave()
         if addresses is None:
--- a/cypresspulley/interface.py
+++ b/cypresspulley/interface.py
@@ -100,7 +100,7 @@
     warm_after: float = 0.0
     fall_multiple: float = 1.0
     fall_window: float = 1.0
-    may_tell: bool = False  # gateways may send each other messages
+    may_message_peers: bool = False  # gateways may send each other messages
     inbox: float = 0.0  # messages a second that one gateway takes in
     meter: float = 0.0  # seconds of the periods over which a customer's use is told; 0: it is not
 
--- a/cypresspulley/policy/quota.py
+++ b/cypresspulley/policy/quota.py
@@ -56,7 +56,12 @@
 
     def _follow_usage(self, now: float, settings: api.Settings) -> None:
         """Messages between gateways, where there is a way for them and no counter."""
-        if not settings.may_tell or settings.inbox <= 0 or settings.gateways < 2 or settings.has_counter:
+        if (
+            not settings.may_message_peers
+            or settings.inbox <= 0
+            or settings.gateways < 2
+            or settings.has_counter
+        ):
             self.usage = None
         elif self.usage is None:
             self.usage = UsageBroadcast(now, settings.gateways, settings.inbox)
--- a/cypresspulley/settings.py
+++ b/cypresspulley/settings.py
@@ -236,7 +236,7 @@
         warm_after=_number(contract, "warm_after_s"),
         fall_multiple=_number(contract, "fall_multiple", 1.0),
         fall_window=_number(contract, "fall_s", 1.0, above=True),
-        may_tell=_flag(limits, "peers"),
+        may_message_peers=_flag(limits, "peers"),
         inbox=_number(specifics, "inbox_per_s", 60.0),
         meter=_number(specifics, "meter_s"),
     )
