--- a/benchmarks/quota_calm.py
+++ b/benchmarks/quota_calm.py
@@ -202,7 +202,7 @@
         self.settings = api.Settings(
             0, limiters, "a", classes, plans, max_attempts=site["allow"]["max_attempts"], has_counter=counter,
             counter_timeout=self.timeout, max_retry_after=1.0, may_message_peers=bool(site["allow"].get("peers")),
-            inbox=float(fam.get("peer_in_per_s", 60.0)),
+            inbox_rate=float(fam.get("peer_in_per_s", 60.0)),
         )  # fmt: skip
         self.loss = middle(fam.get("peer_loss", 0.0))
         self.skew, self.shift = middle(fam.get("skew", 0.5)), middle(fam.get("shift_s", 1e9))
--- a/cypresspulley/policy/quota.py
+++ b/cypresspulley/policy/quota.py
@@ -58,16 +58,16 @@
         """Messages between gateways, where there is a way for them and no counter."""
         if (
             not settings.may_message_peers
-            or settings.inbox <= 0
+            or settings.inbox_rate <= 0
             or settings.gateways < 2
             or settings.has_counter
         ):
             self.usage = None
         elif self.usage is None:
-            self.usage = UsageBroadcast(now, settings.gateways, settings.inbox)
+            self.usage = UsageBroadcast(now, settings.gateways, settings.inbox_rate)
             self._keys = {a.name % KEYS: a for a in self.accounts.values()}
         else:
-            self.usage.follow(settings.gateways, settings.inbox)
+            self.usage.follow(settings.gateways, settings.inbox_rate)
 
     def retune(self, now: float, settings: api.Settings) -> None:
         """Other settings. Levels go on, under the new plans' bounds; an account of a dropped plan keeps its own."""
--- a/cypresspulley/settings.py
+++ b/cypresspulley/settings.py
@@ -237,7 +237,7 @@
         fall_multiple=_number(contract, "fall_multiple", 1.0),
         fall_window=_number(contract, "fall_s", 1.0, above=True),
         may_message_peers=_flag(limits, "peers"),
-        inbox=_number(specifics, "inbox_per_s", 60.0),
+        inbox_rate=_number(specifics, "inbox_per_s", 60.0),
         meter=_number(specifics, "meter_s"),
     )
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -25,7 +25,7 @@
 
 
 def told(**changes: object) -> api.Settings:
-    settings = w.settings(plans=(PLAN,), has_counter=False, may_message_peers=True, inbox=40.0)
+    settings = w.settings(plans=(PLAN,), has_counter=False, may_message_peers=True, inbox_rate=40.0)
     return replace(settings, **changes)  # type: ignore[arg-type]
 
 
--- a/tests/test_reload_shared.py
+++ b/tests/test_reload_shared.py
@@ -39,10 +39,10 @@
     assert account.slots is not None, "what is out is counted"
     world.feed(api.SettingsChanged(settings(gateways=200)))
     assert account.slots is None
-    world.feed(api.SettingsChanged(settings(gateways=200, may_message_peers=True, inbox=40.0)))
+    world.feed(api.SettingsChanged(settings(gateways=200, may_message_peers=True, inbox_rate=40.0)))
     assert quotas.usage is not None
     every = quotas.usage.every
-    world.feed(api.SettingsChanged(settings(gateways=400, may_message_peers=True, inbox=40.0)))
+    world.feed(api.SettingsChanged(settings(gateways=400, may_message_peers=True, inbox_rate=40.0)))
     assert quotas.usage.every == pytest.approx(every * 399 / 199)
     world.feed(api.SettingsChanged(settings(gateways=400)))
     assert quotas.usage is None
