--- a/cypresspulley/interface.py
+++ b/cypresspulley/interface.py
@@ -102,7 +102,7 @@
     fall_window: float = 1.0
     may_message_peers: bool = False  # gateways may send each other messages
     inbox_rate: float = 0.0  # messages a second that one gateway takes in
-    meter: float = 0.0  # seconds of the periods over which a customer's use is told; 0: it is not
+    usage_period: float = 0.0  # seconds of the periods over which a customer's use is told; 0: it is not
 
     def __post_init__(self) -> None:
         """``ValueError`` names a setting that no gateway could go by."""
--- a/cypresspulley/settings.py
+++ b/cypresspulley/settings.py
@@ -238,7 +238,7 @@
         fall_window=_number(contract, "fall_s", 1.0, above=True),
         may_message_peers=_flag(limits, "peers"),
         inbox_rate=_number(specifics, "inbox_per_s", 60.0),
-        meter=_number(specifics, "meter_s"),
+        usage_period=_number(specifics, "meter_s"),
     )
 
 
