--- a/cypresspulley/interface.py
+++ b/cypresspulley/interface.py
@@ -221,7 +221,7 @@
 
     server: str
     out: bool = True
-    sure: bool = False  # another process of this limiter knows the id
+    server_known: bool = False  # another process of this limiter knows the id
 
 
 @dataclass(frozen=True, slots=True)
--- a/cypresspulley/policy/fleet.py
+++ b/cypresspulley/policy/fleet.py
@@ -227,7 +227,7 @@
 
         A ban goes by the name and lies over the list, so that it outlasts a server that leaves and returns.
         """
-        if not (ev.sure or ev.server in self.known or ev.server in self.bans):
+        if not (ev.server_known or ev.server in self.known or ev.server in self.bans):
             return False
         back, s = ev.server in self.bans and not ev.out, self.servers.get(ev.server)
         (self.bans.add if ev.out else self.bans.discard)(ev.server)
