--- a/cypresspulley/interface.py
+++ b/cypresspulley/interface.py
@@ -248,7 +248,7 @@
     id: int
     server: str
     timeout: float
-    latest: float = math.inf  # instant by which its first byte goes out; else it ends as not sent
+    latest_start: float = math.inf  # instant by which its first byte goes out; else it ends as not sent
 
 
 @dataclass(frozen=True, slots=True)
--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -259,7 +259,7 @@
         expires = float("inf") if coming else min(opened.deadline, self._clock() + wait)
         told = self._attempted if request.dialect is None else self._answered
         done = partial(told, action.id, number)
-        attempt = Exchange(action.server, request.head, request.body, expires, done, action.latest)
+        attempt = Exchange(action.server, request.head, request.body, expires, done, action.latest_start)
         attempt.present = request.present
         if (upload := request.upload) is not None:
             assert request.event is not None
--- a/tests/test_endings_policy.py
+++ b/tests/test_endings_policy.py
@@ -29,9 +29,9 @@
     world = w.World(w.settings())
     world.feed(w.servers("s0", "s1", "s2", "s3"))
     first = sent(world.feed(w.request(1, kind)))
-    assert first.latest == math.inf
+    assert first.latest_start == math.inf
     world.advance(world.now + 0.5)
-    assert sent(world.feed(w.outcome(1, 0, first.server, api.Status.UNREACHABLE))).latest == math.inf
+    assert sent(world.feed(w.outcome(1, 0, first.server, api.Status.UNREACHABLE))).latest_start == math.inf
 
 
 def test_a_repeat_of_a_keyed_request_leaves_inside_the_window_of_the_first_that_may_have_run() -> None:
@@ -45,9 +45,9 @@
     for attempt, later in ((1, 0.2), (2, 0.4)):
         world.advance(world.now + later)
         send = sent(world.feed(w.outcome(1, attempt, send.server, api.Status.BROKEN)))
-        assert began + 0.5 * WINDOW < send.latest < began + WINDOW
+        assert began + 0.5 * WINDOW < send.latest_start < began + WINDOW
     # It comes back unsent when its latest instant has passed: no further attempt, and an answer at once.
-    world.now = send.latest
+    world.now = send.latest_start
     actions = world.feed(w.outcome(1, 3, send.server, api.Status.NOT_SENT))
     assert [type(a) for a in actions if isinstance(a, api.Send | api.Fail | api.Refuse)] == [api.Fail]
 
@@ -56,7 +56,7 @@
     world = w.World(w.settings())
     world.feed(w.servers("s0", "s1"))
     send = sent(world.feed(w.request(1, "read")))
-    assert sent(world.feed(w.outcome(1, 0, send.server, api.Status.BROKEN))).latest == math.inf
+    assert sent(world.feed(w.outcome(1, 0, send.server, api.Status.BROKEN))).latest_start == math.inf
 
 
 # A client that leaves while its request waits for the counter: what was taken for it is given back.
