--- a/cypresspulley/interface.py
+++ b/cypresspulley/interface.py
@@ -161,7 +161,9 @@
     elapsed: float
     finished: bool
     report: Mapping[str, float]
-    used: float | None = None  # the customer's use over all gateways, a share of its rate, in a period past
+    usage_share: float | None = (
+        None  # the customer's use over all gateways, a share of its rate, in a period past
+    )
     units: float | None = None  # the true units of the request, where a guess came with it
 
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -255,7 +255,7 @@
         async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             assert (await limiter.fetch(ask()))[2] == b"hi"
             (outcome,) = await script.until(api.Outcome)
-            assert (outcome.used, outcome.units) == (used, units)
+            assert (outcome.usage_share, outcome.units) == (used, units)
 
     run(main())
 
