--- a/cypresspulley/interface.py
+++ b/cypresspulley/interface.py
@@ -258,7 +258,7 @@
     id: int
     retry_after: float
     why: str = ""
-    left: float = -1.0  # units of the quota that seem to be left; below 0: it has none
+    quota_left: float = -1.0  # units of the quota that seem to be left; below 0: it has none
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/graphql/test_charging.py
+++ b/tests/graphql/test_charging.py
@@ -205,7 +205,7 @@
     assert [a.why for a in refused] == ["too dear"]
     world.answer_counts()
     refused = [a for n in range(9) for a in world.feed(asked(3 + n, 7.0, 7.0)) if isinstance(a, api.Refuse)]
-    assert refused and all(a.left == pytest.approx(6.0) for a in refused)  # two of 20 were let in
+    assert refused and all(a.quota_left == pytest.approx(6.0) for a in refused)  # two of 20 were let in
 
 
 def test_a_plain_request_is_never_too_dear() -> None:
