--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -34,7 +34,8 @@
         self._timer, self._retries = 0, 10.0  # further attempts that may be made
         self._seen, self._ranks = deque[float](maxlen=300), list[float]()  # worth per work of the recent
         self._handlers: dict[type, Callable[[float, Any], None]] = {
-            api.Request: self._arrive, api.Body: self._body, api.ResponseStarted: self._began, api.Outcome: self._outcome,
+            api.Request: self._arrive, api.Body: self._body, api.ResponseStarted: self._began,
+            api.Outcome: self._outcome,
             api.ServerList: self.fleet.listed, api.Suspend: self._suspend, api.SettingsChanged: self._retune,
             api.Probed: self.fleet.probed, api.PeerMessage: self.quotas.heard, api.Counted: self.quotas.calls.answered,
             api.WallClockStep: lambda _now, ev: self.quotas.wall.step(ev.shift), api.TimerFired: lambda _now, _ev: None,
--- a/tests/stepped_clock.py
+++ b/tests/stepped_clock.py
@@ -1,7 +1,8 @@
 """One account at many gateways while the wall clock steps, gateways restart and the counter has trouble.
 
 ``Play`` drives real gateways in virtual time. Each process reads the wall clock once, at its start, and goes on by
-real time from there; what ``api.WallClockStep`` tells it of a step comes within ``NOTICED`` seconds. The counter forgets
+real time from there; what ``api.WallClockStep`` tells it of a step comes within ``NOTICED`` seconds. The counter
+forgets
 by real time. The account's ceiling is kept beside it as it truly is, and its lowest level is what a play is judged by.
 """
 
