--- a/cypresspulley/explore/lifecycle.py
+++ b/cypresspulley/explore/lifecycle.py
@@ -220,7 +220,7 @@
         if (old := self.lives.get(event.id)) is not None and not old.ended:
             self._check(now, event.id, old, "take")
         kind = Kind.KEYED_PART if part else kind
-        due = float("inf") if event.coming else now + event.ttl
+        due = float("inf") if event.body_pending else now + event.ttl
         self.lives[event.id] = Life(event, kind, due, cls.window)
 
     def _send(self, now: float, action: api.Send) -> None:
--- a/cypresspulley/interface.py
+++ b/cypresspulley/interface.py
@@ -148,7 +148,7 @@
     gateways: int = 1
     repeat: bool = False
     bound: float = 0.0  # most units that it can come to, where units are a guess; 0: what units says
-    coming: bool = False  # its body is still on its way; ``Body`` tells how that goes
+    body_pending: bool = False  # its body is still on its way; ``Body`` tells how that goes
     effect: Effect | None = None  # the form in which it came; None: that of its class
 
 
--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -146,7 +146,7 @@
         if request.upload is None or request.upload.whole:
             self._time(opened, event, margin)
         else:
-            event = replace(event, coming=True)
+            event = replace(event, body_pending=True)
             request.upload.told = partial(self._body, event, margin)
         self.feed(replace(event, ttl=left - margin))
 
@@ -255,8 +255,8 @@
             return
         number = len(opened.attempts)
         request, wait = opened.request, action.timeout or float("inf")
-        coming = request.upload is not None and not request.upload.whole
-        expires = float("inf") if coming else min(opened.deadline, self._clock() + wait)
+        body_pending = request.upload is not None and not request.upload.whole
+        expires = float("inf") if body_pending else min(opened.deadline, self._clock() + wait)
         told = self._attempted if request.dialect is None else self._answered
         done = partial(told, action.id, number)
         attempt = Exchange(action.server, request.head, request.body, expires, done, action.latest_start)
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -131,7 +131,7 @@
         r.tries.append((s, now))
         s.since += 1
         s.budget -= r.work if s.cold_at is not None else 0.0  # warm, it owes nothing when unsure again
-        if not r.coming:
+        if not r.body_pending:
             self._busy(now, r, s)
         self._out.append(api.Send(r.id, s.entry.name, wait, latest))
         return True
@@ -146,8 +146,8 @@
         if (r := self._requests.get(ev.id)) is None:
             return
         r.kept = ev.kept
-        if ev.whole and r.coming:
-            r.coming = False
+        if ev.whole and r.body_pending:
+            r.body_pending = False
             r.begin(now)
             self.quotas.whole(now, r)
             for s in r.out.values():
@@ -174,10 +174,10 @@
         if s is None or r is None:
             return
         if r.out.pop(ev.attempt, None) is not None:
-            r.account.open -= not r.coming
+            r.account.open -= not r.body_pending
             if r.busy:
                 self._learn(now, r, s, ev)
-            elif r.coming or ev.status is not Status.OK:
+            elif r.body_pending or ev.status is not Status.OK:
                 self.fleet.learn(now, r, s, ev)  # it ended while its body or its answer flowed
             self.quotas.settle(now, r, ev)
             if s.open <= 1e-9:
@@ -193,7 +193,7 @@
             self._again(now, r, ev.status)
 
     def _again(self, now: float, r: Request, status: Status) -> None:
-        if r.coming:
+        if r.body_pending:
             r.begin(now)
         allowed, latest = r.kept and len(r.tries) < r.attempts and r.due - now > r.work, inf
         if r.ran is not None and r.cls.effect is not Effect.SAFE:
@@ -220,5 +220,5 @@
             self.quotas.free(now, r)
             for s in r.out.values():
                 s.ended(r.work if r.busy else 0.0)
-                r.account.open -= not r.coming
+                r.account.open -= not r.body_pending
                 s.quiet = s.quiet if s.open > 1e-9 else None  # nobody waits: it owes nothing any more
--- a/cypresspulley/policy/request.py
+++ b/cypresspulley/policy/request.py
@@ -9,7 +9,7 @@
     """Times are of the gateway's clock; ``work`` in seconds of an idle server."""
 
     __slots__ = (
-        "account", "attempts", "born", "bound", "busy", "cls", "coming", "deadline", "due", "granted", "id", "inside",
+        "account", "attempts", "body_pending", "born", "bound", "busy", "cls", "deadline", "due", "granted", "id", "inside",
         "kept", "most", "out", "ran", "rank", "repeat", "slot", "tries", "ttl", "units", "work", "worth",
     )  # fmt: skip
 
@@ -20,7 +20,11 @@
         self.attempts = attempts  # that it may have in all
         self.bound, self.most = ev.bound, max(ev.units, ev.bound)  # a ceiling is held against the most
         self.repeat, self.inside, self.ttl = ev.repeat, False, ev.ttl
-        self.coming, self.kept, self.busy = ev.coming, True, False  # busy: its work counts at its server
+        self.body_pending, self.kept, self.busy = (
+            ev.body_pending,
+            True,
+            False,
+        )  # busy: its work counts at its server
         self.begin(now)
         self.slot = False  # it counts among what its customer has out over all gateways
         self.granted: int | None = (
--- a/tests/test_endings_policy.py
+++ b/tests/test_endings_policy.py
@@ -166,7 +166,7 @@
         self.gateway = Gateway(config, 3, self.now)
         self.waiting = deque[api.Event]()
         self.open = dict[int, api.Request]()  # no final answer yet
-        self.deadlines, self.coming = dict[int, float](), set[int]()
+        self.deadlines, self.body_pending = dict[int, float](), set[int]()
         self.answers = dict[int, list[str]]()
         self.out = dict[tuple[int, int], tuple[api.Send, float]]()
         self.tries = dict[int, int]()
@@ -188,7 +188,7 @@
             number = self.tries.get(action.id, 0)
             self.tries[action.id] = number + 1
             until = min(self.now + action.timeout, self.deadlines[action.id])
-            self.out[action.id, number] = (action, math.inf if action.id in self.coming else until)
+            self.out[action.id, number] = (action, math.inf if action.id in self.body_pending else until)
         elif isinstance(action, api.Refuse | api.Fail):
             self.final(action.id, type(action).__name__)
         elif isinstance(action, api.Count):
@@ -200,7 +200,7 @@
         """Off the node's table; attempts that are out are cancelled, and told as ended."""
         assert id in self.open, f"answered twice: {self.answers[id]}, {how}"
         del self.open[id]
-        self.coming.discard(id)
+        self.body_pending.discard(id)
         self.answers[id].append(how)
         for key in [key for key in self.out if key[0] == id]:
             self.ended(key, api.Status.CANCELLED)
@@ -231,7 +231,7 @@
         while True:
             due = [(at, 0, token, 0) for at, token in self.timers]
             due += [(until, 1, *key) for key, (_, until) in self.out.items()]
-            due += [(self.deadlines[id] + 0.01, 2, id, 0) for id in self.open if id not in self.coming]
+            due += [(self.deadlines[id] + 0.01, 2, id, 0) for id in self.open if id not in self.body_pending]
             due += [(until, 3, 0, 0) for _, until in list(self.calls)[:1]]
             due = [each for each in due if each[0] <= end]
             if not due:
@@ -258,20 +258,20 @@
         ttl = (0.02, 0.2, 1.0, 3.0)[a % 4]
         event = api.Request(
             self.next, ("read", "entry", "post", "odd")[b % 4], (*PLANS, api.Plan("odd"))[a % 6].name, ttl, "xy"[b % 2],
-            (1.0, 3.0)[a % 2], (3, 40)[b // 4 % 2], coming=b % 5 == 0, bound=4.0 * (b % 7 == 0),
+            (1.0, 3.0)[a % 2], (3, 40)[b // 4 % 2], body_pending=b % 5 == 0, bound=4.0 * (b % 7 == 0),
         )  # fmt: skip
         self.open[event.id], self.answers[event.id] = event, []
         self.deadlines[event.id] = self.now + ttl
-        if event.coming:
-            self.coming.add(event.id)
+        if event.body_pending:
+            self.body_pending.add(event.id)
         self.feed(event)
 
     def body(self, a: int, b: int) -> None:
-        if self.coming:
-            id = sorted(self.coming)[a % len(self.coming)]
+        if self.body_pending:
+            id = sorted(self.body_pending)[a % len(self.body_pending)]
             whole = b % 3 > 0
             if whole:
-                self.coming.discard(id)
+                self.body_pending.discard(id)
                 self.deadlines[id] = self.now + self.open[id].ttl
                 for key, (send, _) in self.out.items():
                     if key[0] == id:
@@ -279,7 +279,7 @@
             self.feed(api.Body(id, whole, b % 2 == 0))
 
     def began(self, a: int, _b: int) -> None:
-        keys = [key for key in self.out if key[0] in self.open and key[0] not in self.coming]
+        keys = [key for key in self.out if key[0] in self.open and key[0] not in self.body_pending]
         if keys:
             key = keys[a % len(keys)]
             send, _ = self.out[key]
@@ -328,7 +328,7 @@
 
     def finish(self) -> None:
         """All bodies come, all time runs out, all calls are answered."""
-        while self.coming:
+        while self.body_pending:
             self.body(0, 2)
             self.settle()
         for key, (send, until) in list(self.out.items()):
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -258,7 +258,7 @@
             assert [hashlib.sha256(body).digest() for _, body in seen] == [hashlib.sha256(LARGE).digest()] * 2
             assert all("x-trailer" not in head for head, _ in seen)
             requests = await script.until(api.Request)
-            assert all(r.coming for r in requests) and limiter.upstream.relay.active == 0
+            assert all(r.body_pending for r in requests) and limiter.upstream.relay.active == 0
             (first, *_) = await script.until(api.Body)
             assert first == api.Body(requests[0].id, whole=False, kept=False)
 
@@ -644,7 +644,7 @@
 def test_a_body_on_its_way_is_no_work_of_its_server_and_no_silence() -> None:
     world = w.World(w.settings(plans=(api.Plan("free"),), has_counter=False))
     world.feed(w.servers("s0"))
-    world.feed(replace(w.request(1, "post"), coming=True))
+    world.feed(replace(w.request(1, "post"), body_pending=True))
     server = world.gateway.fleet.servers["s0"]
     assert world.out and server.open == 0.0 and server.quiet is None
     assert world.gateway._requests[1].account.open == 0, "an attempt is out from its last byte on"
@@ -662,7 +662,7 @@
     for kept, attempts in ((True, 2), (False, 1)):
         world = w.World(w.settings(plans=(api.Plan("free"),), has_counter=False))
         world.feed(w.servers("s0", "s1"))
-        world.feed(replace(w.request(1, "post"), coming=True))
+        world.feed(replace(w.request(1, "post"), body_pending=True))
         world.gateway.handle(world.now, api.Body(1, whole=False, kept=kept))
         (key,) = world.out
         world.feed(w.outcome(*key, world.out[key][0], api.Status.UNREACHABLE))
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -159,7 +159,7 @@
 
 def test_a_body_on_its_way_is_not_out_until_its_last_byte() -> None:
     fleet = Fleet()
-    id = fleet.ask(0, "post", coming=True)
+    id = fleet.ask(0, "post", body_pending=True)
     fleet.advance(1.1)
     assert len(fleet.out) == 1 and not any(fleet.totals.values())
     fleet.worlds[0].feed(api.Body(id, whole=True, kept=False))
