--- a/cypresspulley/policy/request.py
+++ b/cypresspulley/policy/request.py
@@ -9,7 +9,8 @@
     """Times are of the gateway's clock; ``work`` in seconds of an idle server."""
 
     __slots__ = (
-        "account", "attempts", "body_pending", "born", "bound", "busy", "cls", "deadline", "due", "granted", "id", "inside",
+        "account", "attempts", "body_pending", "born", "bound", "busy", "cls", "deadline", "due", "granted", "id",
+        "inside",
         "kept", "most", "out", "ran", "rank", "repeat", "slot", "tries", "ttl", "units", "work", "worth",
     )  # fmt: skip
 
