--- a/cypresspulley/benchlink.py
+++ b/cypresspulley/benchlink.py
@@ -10,7 +10,7 @@
 
 from cypresspulley import interface as api
 from cypresspulley.policy.gateway import Gateway
-from cypresspulley.settings import SettingsError, settings_from
+from cypresspulley.settings import SettingsError, parse_settings
 
 STATUS = {
     "OK": api.Status.OK,
@@ -200,7 +200,7 @@
             self._lists[values[0]] = tuple(_entry(row) for row in values[1])
         elif name == "begin":
             try:
-                settings = settings_from(values[1])
+                settings = parse_settings(values[1])
             except SettingsError as error:
                 raise WireError(str(error)) from None
             self._gateways[instance] = Gateway(settings, values[0], now)
--- a/cypresspulley/config.py
+++ b/cypresspulley/config.py
@@ -10,7 +10,7 @@
 from cypresspulley import interface as api
 from cypresspulley.net.discovery import Listing, listing_from
 from cypresspulley.net.http import split_address
-from cypresspulley.settings import MOST, Timing, check_sound, settings_from, timing_from
+from cypresspulley.settings import MOST, Timing, check_sound, parse_settings, timing_from
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
             known=listing_from(raw["known"]) if raw.get("known") else None,
             peers=_peers_from(raw),
             operator=_address(raw, "operator") if raw.get("operator") else None,
-            settings=settings_from(raw["settings"]),
+            settings=parse_settings(raw["settings"]),
             timing=timing_from(raw["settings"]),
             raw=raw,
         )
--- a/cypresspulley/explore/examine.py
+++ b/cypresspulley/explore/examine.py
@@ -20,7 +20,7 @@
 from cypresspulley.rehearsal.virtual.loop import NothingLeftError, StuckError, VirtualLoop
 from cypresspulley.rehearsal.virtual.owner import Owner, VirtualHandle
 from cypresspulley.rehearsal.virtual.play import Observer, digest, play_virtual
-from cypresspulley.settings import settings_from
+from cypresspulley.settings import parse_settings
 
 AFTERMATH = 2.0  # seconds past its end for which a fault counts as met
 MOST_TURNS = 3_000_000  # of the loop in one play: one that goes on and on is stuck
@@ -97,7 +97,7 @@
     _ceilings: Ceilings | None = None
 
     def watched(self, name: str, gateway: Gateway) -> _Between:
-        settings = settings_from(wire_settings(self.scenario, 0, self.scenario.fleet.halls[0]))
+        settings = parse_settings(wire_settings(self.scenario, 0, self.scenario.fleet.halls[0]))
         if self._ceilings is None:
             self._ceilings = Ceilings(settings.plans, settings.max_units)
         fleet = self.scenario.fleet
--- a/cypresspulley/settings.py
+++ b/cypresspulley/settings.py
@@ -186,7 +186,7 @@
                 _need(row, where, rate)
 
 
-def settings_from(raw: dict[str, Any]) -> api.Settings:
+def parse_settings(raw: dict[str, Any]) -> api.Settings:
     """The settings object as the module's settings."""
     limits, contract = _section(raw, "limits"), _section(raw, "contract")
     specifics, report = _section(raw, "specifics"), _section(raw, "report")
--- a/tests/rehearsal/virtual/test_settings_read_wrong.py
+++ b/tests/rehearsal/virtual/test_settings_read_wrong.py
@@ -18,7 +18,7 @@
 from cypresspulley.rehearsal.judge import Verdict, judge
 from cypresspulley.rehearsal.scenario import Scenario
 from cypresspulley.rehearsal.virtual.play import play_virtual
-from cypresspulley.settings import settings_from
+from cypresspulley.settings import parse_settings
 from tests.rehearsal.small import small
 
 SEEDS = range(3)
@@ -58,9 +58,9 @@
 
 def verdict(monkeypatch: pytest.MonkeyPatch, day: Scenario, seed: int, read: Read | None) -> Verdict:
     def wrong(raw: dict[str, Any]) -> api.Settings:
-        return read(settings_from(raw)) if read is not None else settings_from(raw)
+        return read(parse_settings(raw)) if read is not None else parse_settings(raw)
 
-    monkeypatch.setattr("cypresspulley.config.settings_from", wrong)
+    monkeypatch.setattr("cypresspulley.config.parse_settings", wrong)
     found = judge(play_virtual(day, seed))
     assert not found.void and not found.crash, found.void or found.crash
     return found
--- a/tests/test_settings_keys.py
+++ b/tests/test_settings_keys.py
@@ -13,7 +13,7 @@
 from cypresspulley import interface as api
 from cypresspulley.config import Config, ConfigError, config_from
 from cypresspulley.reload import Reload
-from cypresspulley.settings import SettingsError, check_whole, settings_from, timing_from
+from cypresspulley.settings import SettingsError, check_whole, parse_settings, timing_from
 from tests.test_reload import Counted
 
 # The object of the wire's page, with a keyed class, a plan that limits what is out, and messages between limiters.
@@ -112,7 +112,7 @@
 
 
 def read(raw: dict[str, Any]) -> tuple[object, ...]:
-    settings, timing = settings_from(raw), timing_from(raw)
+    settings, timing = parse_settings(raw), timing_from(raw)
     return settings, timing
 
 
@@ -138,10 +138,10 @@
 def test_a_key_that_is_absent_has_its_default_or_is_named(path: Path, absent: str) -> None:
     raw, default = changed(path) if absent == "taken away" else changed(path, None), default_of(path)
     if named(path)[0] in UNREAD_THERE:
-        settings_from(raw)
+        parse_settings(raw)
     elif default is ERROR:
         with pytest.raises(SettingsError, match=rf"\b{path[-1]}\b"):
-            settings_from(raw)
+            parse_settings(raw)
     elif default is None:
         assert read(raw) == read(WHOLE), "the program does not read it"
     else:
@@ -271,13 +271,13 @@
 ) -> None:
     raw = copy.deepcopy(WHOLE)
     raw["classes"] = [raw["classes"][1] | {"effect": word, "group": group, "window_s": 0.25}]
-    assert settings_from(raw).classes == (api.RequestClass("hold", 0.8, 3.0, effect, 0.5, scope, 0.25),)
+    assert parse_settings(raw).classes == (api.RequestClass("hold", 0.8, 3.0, effect, 0.5, scope, 0.25),)
 
 
 @pytest.mark.parametrize("path", [("classes", 0, "effect"), ("classes", 1, "group")])
 def test_a_word_that_is_none_is_named_not_taken_for_another(path: Path) -> None:
     with pytest.raises(SettingsError, match=str(path[-1])):
-        settings_from(changed(path, "safe-ish"))
+        parse_settings(changed(path, "safe-ish"))
 
 
 def test_two_rows_of_one_name_are_named() -> None:
@@ -285,7 +285,7 @@
         raw = copy.deepcopy(WHOLE)
         raw[section].append(raw[section][0])
         with pytest.raises(SettingsError, match=section):
-            settings_from(raw)
+            parse_settings(raw)
 
 
 def test_every_key_that_goes_missing_in_service_is_named_but_the_one_that_may() -> None:
--- a/tests/test_together_off.py
+++ b/tests/test_together_off.py
@@ -14,7 +14,7 @@
 from cypresspulley.operators import OperatorsError, load_operators
 from cypresspulley.rehearsal.limiters import wire_settings
 from cypresspulley.rehearsal.scenario import load_scenario
-from cypresspulley.settings import settings_from
+from cypresspulley.settings import parse_settings
 
 ROOMS = ("fleet", "lanes", "closing", "histories", "together")
 # What the rooms alone want: none of it may come with a start that has them off.
@@ -49,7 +49,7 @@
     shipped = Path(__file__).parent.parent / "deploy" / "together.toml"
     operators = load_operators(str(shipped))
     scenario = load_scenario("wedding-weekend")
-    settings = settings_from(wire_settings(scenario, 0, scenario.fleet.halls[0]))
+    settings = parse_settings(wire_settings(scenario, 0, scenario.fleet.halls[0]))
     assert operators.fleet and operators.lanes and operators.closing and operators.history
     assert fleet_options(operators.fleet[1], str(shipped), "k" * 16).installation == "vadodara"
     lanes = lanes_options(operators.lanes[1], str(shipped), settings).lanes
