--- a/tests/stepped_clock.py
+++ b/tests/stepped_clock.py
@@ -2,8 +2,8 @@
 
 ``Play`` drives real gateways in virtual time. Each process reads the wall clock once, at its start, and goes on by
 real time from there; what ``api.WallClockStep`` tells it of a step comes within ``NOTICED`` seconds. The counter
-forgets by real time. The account's ceiling is kept beside it as it truly is, and its lowest level is what a play is judged
-by.
+forgets by real time. The account's ceiling is kept beside it as it truly is, and its lowest level is what a play
+is judged by.
 """
 
 from __future__ import annotations
