--- a/cypresspulley/config.py
+++ b/cypresspulley/config.py
@@ -10,7 +10,7 @@
 from cypresspulley import interface as api
 from cypresspulley.net.discovery import Listing, listing_from
 from cypresspulley.net.http import split_address
-from cypresspulley.settings import MOST, Timing, check_sound, parse_settings, timing_from
+from cypresspulley.settings import MOST, Timing, check_sound, parse_settings, parse_socket_settings
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +57,7 @@
             peers=_peers_from(raw),
             operator=_address(raw, "operator") if raw.get("operator") else None,
             settings=parse_settings(raw["settings"]),
-            timing=timing_from(raw["settings"]),
+            timing=parse_socket_settings(raw["settings"]),
             raw=raw,
         )
     except (ValueError, TypeError, AttributeError) as error:
--- a/cypresspulley/settings.py
+++ b/cypresspulley/settings.py
@@ -242,7 +242,7 @@
     )
 
 
-def timing_from(raw: dict[str, Any]) -> Timing:
+def parse_socket_settings(raw: dict[str, Any]) -> Timing:
     """The connection times of the settings object."""
     limits = _section(raw, "limits")
     return Timing(
--- a/tests/test_earliest_kill.py
+++ b/tests/test_earliest_kill.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from cypresspulley.settings import timing_from
+from cypresspulley.settings import parse_socket_settings
 from tests.loopback import Origin, ask, listening, run
 from tests.test_program import WIRE_SETTINGS, config, started
 
@@ -61,5 +61,5 @@
     for limits, longest in (((0.25,), 0.25), ((1.0, 2.0), 2.0), ((4.0, 1.0), 3.0), ((), 3.0)):
         row = WIRE_SETTINGS["classes"][0]
         rows = [row | {"name": f"class-{at}", "hard_limit_s": limit} for at, limit in enumerate(limits)]
-        timing = timing_from(WIRE_SETTINGS | {"classes": rows or WIRE_SETTINGS["classes"]})
+        timing = parse_socket_settings(WIRE_SETTINGS | {"classes": rows or WIRE_SETTINGS["classes"]})
         assert getattr(timing, "longest_deadline", None) == longest
--- a/tests/test_settings_keys.py
+++ b/tests/test_settings_keys.py
@@ -13,7 +13,7 @@
 from cypresspulley import interface as api
 from cypresspulley.config import Config, ConfigError, config_from
 from cypresspulley.reload import Reload
-from cypresspulley.settings import SettingsError, check_whole, parse_settings, timing_from
+from cypresspulley.settings import SettingsError, check_whole, parse_settings, parse_socket_settings
 from tests.test_reload import Counted
 
 # The object of the wire's page, with a keyed class, a plan that limits what is out, and messages between limiters.
@@ -112,7 +112,7 @@
 
 
 def read(raw: dict[str, Any]) -> tuple[object, ...]:
-    settings, timing = parse_settings(raw), timing_from(raw)
+    settings, timing = parse_settings(raw), parse_socket_settings(raw)
     return settings, timing
 
 
