--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -31,7 +31,7 @@
 from cypresspulley.policy.gateway import Gateway
 from cypresspulley.reload import Hangup, Reload
 from cypresspulley.service import Service
-from cypresspulley.settings import Timing
+from cypresspulley.settings import SocketSettings
 from cypresspulley.takeover.channel import Folder
 
 if TYPE_CHECKING:
@@ -174,7 +174,7 @@
         except OSError as error:
             raise ConfigError(f"fleet: cannot listen: {error}") from None
 
-    def retune(settings: api.Settings, newest: Timing) -> None:
+    def retune(settings: api.Settings, newest: SocketSettings) -> None:
         nonlocal timing
         timing = newest
         upstream.retune(timing.dial_timeout, timing.conn_idle)
--- a/cypresspulley/config.py
+++ b/cypresspulley/config.py
@@ -10,7 +10,7 @@
 from cypresspulley import interface as api
 from cypresspulley.net.discovery import Listing, listing_from
 from cypresspulley.net.http import split_address
-from cypresspulley.settings import MOST, Timing, check_sound, parse_settings, parse_socket_settings
+from cypresspulley.settings import MOST, SocketSettings, check_sound, parse_settings, parse_socket_settings
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,7 @@
     peers: PeerAddresses | None
     operator: tuple[str, int] | None  # where operators call; None: there is no door
     settings: api.Settings
-    timing: Timing
+    timing: SocketSettings
     raw: dict[str, Any] = field(repr=False, compare=False, default_factory=dict)  # the file, as it was read
 
 
--- a/cypresspulley/reload.py
+++ b/cypresspulley/reload.py
@@ -11,7 +11,7 @@
 from cypresspulley import interface as api
 from cypresspulley.config import Config, ConfigError
 from cypresspulley.net.discovery import Follower
-from cypresspulley.settings import Timing, check_whole
+from cypresspulley.settings import SocketSettings, check_whole
 
 log = logging.getLogger("cypresspulley")
 
@@ -31,7 +31,7 @@
 
     def __init__(
         self, config: Config, follower: Follower, reread: Callable[[], Config],
-        retune: Callable[[api.Settings, Timing], None], rewire: Callable[[Config], None] = lambda _new: None,
+        retune: Callable[[api.Settings, SocketSettings], None], rewire: Callable[[Config], None] = lambda _new: None,
     ) -> None:  # fmt: skip
         """``rewire`` gets each file that was taken, for the counter and the other limiters."""
         self._config, self._follower, self._reread = config, follower, reread
--- a/cypresspulley/settings.py
+++ b/cypresspulley/settings.py
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Timing:
+class SocketSettings:
     """What the sockets need of the settings and the decisions do not."""
 
     dial_timeout: float
@@ -242,10 +242,10 @@
     )
 
 
-def parse_socket_settings(raw: dict[str, Any]) -> Timing:
+def parse_socket_settings(raw: dict[str, Any]) -> SocketSettings:
     """The connection times of the settings object."""
     limits = _section(raw, "limits")
-    return Timing(
+    return SocketSettings(
         _number(limits, "dial_timeout_s", 0.25, above=True),
         _number(limits, "conn_idle_s", 15.0, above=True),
         _text(raw, "discovery") != "ask",
