--- a/cypresspulley/reload.py
+++ b/cypresspulley/reload.py
@@ -11,7 +11,7 @@
 from cypresspulley import interface as api
 from cypresspulley.config import Config, ConfigError
 from cypresspulley.net.discovery import Follower
-from cypresspulley.settings import SocketSettings, check_whole
+from cypresspulley.settings import SocketSettings, check_no_missing_keys
 
 log = logging.getLogger("cypresspulley")
 
@@ -46,7 +46,7 @@
             kept = (key for key in KEPT_KEYS if key != "counter" or new.settings.has_counter)
             if missing := [key for key in kept if old.raw.get(key) and not new.raw.get(key)]:
                 raise ConfigError(f"{missing[0]} is missing")
-            check_whole(new.raw.get("settings") or {}, old.raw.get("settings") or {})
+            check_no_missing_keys(new.raw.get("settings") or {}, old.raw.get("settings") or {})
         except (ConfigError, ValueError) as error:
             # A half-written or wrong file must not end a limiter that serves.
             if (said := str(error)) != self._said:
--- a/cypresspulley/settings.py
+++ b/cypresspulley/settings.py
@@ -63,7 +63,7 @@
     longest_deadline: float = LONGEST_DEADLINE  # seconds, of all classes; for the time that an end may take
 
 
-def check_whole(raw: dict[str, Any], before: dict[str, Any]) -> None:
+def check_no_missing_keys(raw: dict[str, Any], before: dict[str, Any]) -> None:
     """A settings object that is to replace ``before`` in service: no key may have gone missing.
 
     A file that was cut short or written by hand parses all too well, and each key that it lacks would silently fall
--- a/tests/test_classes.py
+++ b/tests/test_classes.py
@@ -10,7 +10,7 @@
 from cypresspulley.explore.examine import left_of
 from cypresspulley.net.requests import BadRequestError, RequestReader
 from cypresspulley.policy.classes import HEARD, OLD, Classes
-from cypresspulley.settings import SettingsError, check_sound, check_whole
+from cypresspulley.settings import SettingsError, check_sound, check_no_missing_keys
 from cypresspulley.takeover.snapshot import KEPT, Split
 from tests import world as w
 
@@ -133,7 +133,7 @@
 
 def test_whole_and_sound_settings_pass() -> None:
     more = SETTINGS | {"classes": [*SETTINGS["classes"], SETTINGS["classes"][0] | {"name": "b", "more": 1}]}  # type: ignore
-    check_whole(more, SETTINGS)
+    check_no_missing_keys(more, SETTINGS)
     check_sound(more)
 
 
@@ -150,7 +150,7 @@
 def test_a_key_that_is_missing_is_named(change: dict[str, object], named: str) -> None:
     raw = {key: value for key, value in (SETTINGS | change).items() if value is not None}
     with pytest.raises(SettingsError, match=named):
-        check_whole(raw, SETTINGS)
+        check_no_missing_keys(raw, SETTINGS)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_settings_keys.py
+++ b/tests/test_settings_keys.py
@@ -13,7 +13,7 @@
 from cypresspulley import interface as api
 from cypresspulley.config import Config, ConfigError, config_from
 from cypresspulley.reload import Reload
-from cypresspulley.settings import SettingsError, check_whole, parse_settings, parse_socket_settings
+from cypresspulley.settings import SettingsError, check_no_missing_keys, parse_settings, parse_socket_settings
 from tests.test_reload import Counted
 
 # The object of the wire's page, with a keyed class, a plan that limits what is out, and messages between limiters.
@@ -293,11 +293,11 @@
         if path[-1] == "aim_stretch" or (path[-1] == "name" and len(path) == 3):
             continue
         with pytest.raises(SettingsError, match=str(path[-1])):
-            check_whole(changed(path), WHOLE)
+            check_no_missing_keys(changed(path), WHOLE)
     raw = json.loads(json.dumps(WHOLE))
     for row in raw["classes"]:
         del row["aim_stretch"]
-    check_whole(raw, WHOLE)
+    check_no_missing_keys(raw, WHOLE)
 
 
 def test_a_cut_object_never_passes() -> None:
