--- a/cypresspulley/config.py
+++ b/cypresspulley/config.py
@@ -10,7 +10,13 @@
 from cypresspulley import interface as api
 from cypresspulley.net.discovery import Listing, listing_from
 from cypresspulley.net.http import split_address
-from cypresspulley.settings import MOST, SocketSettings, check_sound, parse_settings, parse_socket_settings
+from cypresspulley.settings import (
+    MOST,
+    SocketSettings,
+    check_positive_figures,
+    parse_settings,
+    parse_socket_settings,
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,7 +52,7 @@
     if not isinstance(raw, dict) or not isinstance(raw.get("settings"), dict):
         raise ConfigError("the configuration is not an object with settings")
     try:
-        check_sound(raw["settings"])
+        check_positive_figures(raw["settings"])
         return Config(
             listen=_address(raw, "listen"),
             discovery=_address(raw, "discovery"),
--- a/cypresspulley/settings.py
+++ b/cypresspulley/settings.py
@@ -86,7 +86,7 @@
                 raise SettingsError(f"settings: {key}: {row['name']!r:.40}: {min(missing)} is missing")
 
 
-def check_sound(raw: dict[str, Any]) -> None:
+def check_positive_figures(raw: dict[str, Any]) -> None:
     """Figures that no limiter can serve by: deadlines, aims, attempts and a number of limiters that are not above 0."""
     for row in _rows(raw, "classes"):
         for key in ("hard_limit_s", "aim_s"):
--- a/tests/test_classes.py
+++ b/tests/test_classes.py
@@ -10,7 +10,7 @@
 from cypresspulley.explore.examine import left_of
 from cypresspulley.net.requests import BadRequestError, RequestReader
 from cypresspulley.policy.classes import HEARD, OLD, Classes
-from cypresspulley.settings import SettingsError, check_sound, check_no_missing_keys
+from cypresspulley.settings import SettingsError, check_positive_figures, check_no_missing_keys
 from cypresspulley.takeover.snapshot import KEPT, Split
 from tests import world as w
 
@@ -134,7 +134,7 @@
 def test_whole_and_sound_settings_pass() -> None:
     more = SETTINGS | {"classes": [*SETTINGS["classes"], SETTINGS["classes"][0] | {"name": "b", "more": 1}]}  # type: ignore
     check_no_missing_keys(more, SETTINGS)
-    check_sound(more)
+    check_positive_figures(more)
 
 
 @pytest.mark.parametrize(
@@ -167,4 +167,4 @@
 )
 def test_figures_that_cannot_be_served_by_are_named(change: dict[str, object], named: str) -> None:
     with pytest.raises(SettingsError, match=named):
-        check_sound(SETTINGS | change)
+        check_positive_figures(SETTINGS | change)
