--- a/cypresspulley/config.py
+++ b/cypresspulley/config.py
@@ -11,7 +11,7 @@
 from cypresspulley.net.discovery import Listing, listing_from
 from cypresspulley.net.http import split_address
 from cypresspulley.settings import (
-    MOST,
+    MAX_NUMBER,
     SocketSettings,
     check_positive_figures,
     parse_settings,
@@ -76,9 +76,11 @@
     if not isinstance(limits, dict):
         raise ConfigError(f"limits: expected an object, got {limits!r:.40}")
     sockets = 1024 if limits.get("sockets") is None else limits["sockets"]
-    number = isinstance(sockets, int | float) and not isinstance(sockets, bool) and 0 < sockets <= MOST
+    number = isinstance(sockets, int | float) and not isinstance(sockets, bool) and 0 < sockets <= MAX_NUMBER
     if not number or sockets != int(sockets):
-        raise ConfigError(f"limits.sockets: expected a whole number from 1 to {MOST}, got {sockets!r:.40}")
+        raise ConfigError(
+            f"limits.sockets: expected a whole number from 1 to {MAX_NUMBER}, got {sockets!r:.40}"
+        )
     return int(sockets)
 
 
--- a/cypresspulley/settings.py
+++ b/cypresspulley/settings.py
@@ -38,7 +38,7 @@
 EFFECT = {"idempotent": api.Effect.SAFE, "deduplicated": api.Effect.KEYED, "at_most_once": api.Effect.UNSAFE}
 SCOPE = {scope.value: scope for scope in api.Scope}
 MAY_GO = frozenset({"aim_stretch"})  # the page says that this key may be absent
-MOST = (
+MAX_NUMBER = (
     2**53
 )  # beyond it floats leave whole numbers out: a store of that size would not notice a unit that is taken
 T = TypeVar("T")
@@ -118,9 +118,9 @@
     if value is None:
         return missing
     # A whole number may be too large for a float, and is compared as it is; no comparison holds for NaN.
-    fits = isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value <= MOST
+    fits = isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value <= MAX_NUMBER
     if not fits or (above and not value) or (whole and value != int(value)):
-        bounds = f"above 0, at most {MOST}" if above else f"from 0 to {MOST}"
+        bounds = f"above 0, at most {MAX_NUMBER}" if above else f"from 0 to {MAX_NUMBER}"
         raise _unfit(owner, key, f"a {'whole ' * whole}number {bounds}")
     return float(value)
 
