--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -125,7 +125,7 @@
         opened(service)
     door = await _door(config, service)
     timing = config.timing
-    upstream = Upstream(clock, timing.dial_timeout, timing.conn_idle, servers)
+    upstream = Upstream(clock, timing.dial_timeout, timing.idle_timeout, servers)
     counter = _counter(config, operators)
     offer = await service.offered(clock)
     gateway = _gateway(config, clock)
@@ -162,7 +162,7 @@
     except OSError as error:
         raise ConfigError(f"cannot listen: {error}") from None
     since = config.known.version if config.known else None
-    follower = Follower(node.listed, Random(config.seed).random, timing.pushed, node.confirmed)
+    follower = Follower(node.listed, Random(config.seed).random, timing.discovery_pushes, node.confirmed)
     follower.follow(*config.discovery, since)
     if counter is not None:
         counter.start()
@@ -177,8 +177,8 @@
     def retune(settings: api.Settings, newest: SocketSettings) -> None:
         nonlocal timing
         timing = newest
-        upstream.retune(timing.dial_timeout, timing.conn_idle)
-        follower.retune(timing.pushed)
+        upstream.retune(timing.dial_timeout, timing.idle_timeout)
+        follower.retune(timing.discovery_pushes)
         if counter is not None and settings.counter_timeout > 0:
             counter.retune(settings.counter_timeout)
         node.retune(settings)
--- a/cypresspulley/settings.py
+++ b/cypresspulley/settings.py
@@ -56,8 +56,8 @@
     """What the sockets need of the settings and the decisions do not."""
 
     dial_timeout: float
-    conn_idle: float
-    pushed: bool = (
+    idle_timeout: float
+    discovery_pushes: bool = (
         True  # lists are pushed to an agent on this machine; else each call for one is work for others
     )
     longest_deadline: float = LONGEST_DEADLINE  # seconds, of all classes; for the time that an end may take
