--- a/tests/test_classes.py
+++ b/tests/test_classes.py
@@ -10,7 +10,7 @@
 from cypresspulley.explore.examine import left_of
 from cypresspulley.net.requests import BadRequestError, RequestReader
 from cypresspulley.policy.classes import HEARD, OLD, Classes
-from cypresspulley.settings import SettingsError, check_positive_figures, check_no_missing_keys
+from cypresspulley.settings import SettingsError, check_no_missing_keys, check_positive_figures
 from cypresspulley.takeover.snapshot import KEPT, Split
 from tests import world as w
 
