--- a/cypresspulley/lifecycle.py
+++ b/cypresspulley/lifecycle.py
@@ -40,7 +40,8 @@
     TERM = "term"
 
 
-S, E = State, Step
+S = State
+E = Step
 TABLE: dict[tuple[State, Step], State] = {
     (S.STARTING, E.SERVE): S.READY,
     (S.STARTING, E.SUCCEED): S.SUCCEEDING,
@@ -138,7 +139,9 @@
     REFUSE = "refuse"  # answer 503 and half-close
 
 
-P, C, D = Phase, Place, Do
+P = Phase
+C = Place
+D = Do
 LEAVING: dict[tuple[Phase, Place], Do] = {
     (P.TAKING, C.QUEUED): D.TAKE,
     **{(P.TAKING, place): D.KEEP for place in C if place is not C.QUEUED},
