--- a/cypresspulley/lifecycle.py
+++ b/cypresspulley/lifecycle.py
@@ -14,7 +14,7 @@
 from enum import Enum
 
 
-class State(Enum):
+class LifecycleState(Enum):
     """Of a process: whether it serves, whether operators emptied it, and which side of an upgrade it is on."""
 
     STARTING = "starting"
@@ -40,9 +40,9 @@
     TERM = "term"
 
 
-S = State
+S = LifecycleState
 E = Step
-TABLE: dict[tuple[State, Step], State] = {
+TABLE: dict[tuple[LifecycleState, Step], LifecycleState] = {
     (S.STARTING, E.SERVE): S.READY,
     (S.STARTING, E.SUCCEED): S.SUCCEEDING,
     (S.READY, E.DRAIN): S.DRAINING,
@@ -79,7 +79,7 @@
     """Where a process stands. A step without a row in the table changes nothing and is told so."""
 
     def __init__(self) -> None:
-        self.state = State.STARTING
+        self.state = LifecycleState.STARTING
 
     def __repr__(self) -> str:
         return f"<Lifecycle {self.state.value}>"
@@ -100,7 +100,7 @@
     @property
     def drained(self) -> bool:
         """Whether operators have emptied the limiter, or the process leaves: fronts are told no."""
-        return self.state in DRAINED or self.state is State.LEAVING
+        return self.state in DRAINED or self.state is LifecycleState.LEAVING
 
     @property
     def handed(self) -> bool:
--- a/tests/takeover/test_handover.py
+++ b/tests/takeover/test_handover.py
@@ -11,7 +11,7 @@
 import pytest
 
 from cypresspulley import interface as api
-from cypresspulley.lifecycle import Lifecycle, State
+from cypresspulley.lifecycle import Lifecycle, LifecycleState
 from cypresspulley.net.discovery import Listing
 from cypresspulley.net.frontend import Frontend
 from cypresspulley.net.listener import SocketListener
@@ -120,7 +120,7 @@
             await until(lambda: not old.frontend._clients)
             assert len(new.frontend._clients) == 8
             await old.end()  # and survive the old one's end
-            await until(lambda: new.service.life.state is State.READY)
+            await until(lambda: new.service.life.state is LifecycleState.READY)
             for reader, writer in kept:
                 writer.write(ask())
                 assert " 200 " in (await read_message(reader))[0]
@@ -247,7 +247,7 @@
             assert (await old.service.call("resume", "s2")).status == 200
             assert (await old.service.call("suspend", "s1")).status == 200
             old.die()
-            await until(lambda: new.service.life.state is State.READY)
+            await until(lambda: new.service.life.state is LifecycleState.READY)
             third = await Process(tmp_path, new.dial).start()
             assert third.inherited and third.gateway.fleet.bans == {"s1"}
             assert not third.upstream._servers["s1"].usable and third.upstream._servers["s2"].usable
@@ -271,7 +271,7 @@
             assert not old.service.life.drained and not new.frontend.draining
             assert (await old.service.call("drain", "")).status == 200
             await old.end()
-            await until(lambda: new.service.life.state is State.DRAINING)
+            await until(lambda: new.service.life.state is LifecycleState.DRAINING)
             reader, writer = await asyncio.open_connection(*new.address)
             writer.write(HEALTH)
             assert " 503 " in (await read_message(reader))[0]
@@ -304,7 +304,7 @@
             writer.write(ask())
             assert " 200 " in (await read_message(reader))[0]
             writer.close()
-            assert old.service.life.state is State.READY and old.service._split is None
+            assert old.service.life.state is LifecycleState.READY and old.service._split is None
             new = await Process(tmp_path, dial).start()  # and the next one finds it
             assert new.inherited
             await old.end()
@@ -319,7 +319,7 @@
         async with upgraded(tmp_path, origin) as (old, new):
             await until(lambda: old.service.life.handed)
             new.die()
-            await until(lambda: old.service.life.state is State.READY and accepting(old))
+            await until(lambda: old.service.life.state is LifecycleState.READY and accepting(old))
             reader, writer = await asyncio.open_connection(*old.address)
             writer.write(ask())
             assert " 200 " in (await read_message(reader))[0]
@@ -336,7 +336,7 @@
         stalled = folder.listen()  # the kernel takes the connection, nobody reads
         async with listening(origin.talk) as dial:
             new = await Process(tmp_path, dial).start()
-            assert not new.inherited and new.service.life.state is State.READY
+            assert not new.inherited and new.service.life.state is LifecycleState.READY
             reader, writer = await asyncio.open_connection(*new.address)
             writer.write(ask())
             assert " 200 " in (await read_message(reader))[0]
@@ -381,7 +381,7 @@
         task = loop.create_task(talk())
         async with listening(origin.talk) as dial:
             new = await Process(tmp_path, dial).start()
-            assert not new.inherited and new.service.life.state is State.READY
+            assert not new.inherited and new.service.life.state is LifecycleState.READY
             await new.end()
         await task
         sock.close()
@@ -400,7 +400,7 @@
             new = await Process(tmp_path, dial).start(old.address[1])  # beside it, by SO_REUSEPORT
             assert not new.inherited
             await until(lambda: accepting(old))
-            assert old.service.life.state is State.READY and old.service._split is None
+            assert old.service.life.state is LifecycleState.READY and old.service._split is None
             await old.end()
             await new.end()
 
