--- a/cypresspulley/lifecycle.py
+++ b/cypresspulley/lifecycle.py
@@ -27,7 +27,7 @@
     LEAVING = "leaving"
 
 
-class Step(Enum):
+class LifecycleEvent(Enum):
     """What happens to a process."""
 
     SERVE = "serve"  # clients' connections are taken from now on
@@ -41,8 +41,8 @@
 
 
 State = LifecycleState
-E = Step
-TABLE: dict[tuple[LifecycleState, Step], LifecycleState] = {
+E = LifecycleEvent
+TABLE: dict[tuple[LifecycleState, LifecycleEvent], LifecycleState] = {
     (State.STARTING, E.SERVE): State.READY,
     (State.STARTING, E.SUCCEED): State.SUCCEEDING,
     (State.READY, E.DRAIN): State.DRAINING,
@@ -84,7 +84,7 @@
     def __repr__(self) -> str:
         return f"<Lifecycle {self.state.value}>"
 
-    def step(self, step: Step) -> bool:
+    def step(self, step: LifecycleEvent) -> bool:
         """Whether the step has a row from the present state; it is taken then."""
         after = TABLE.get((self.state, step))
         if after is None:
--- a/cypresspulley/service.py
+++ b/cypresspulley/service.py
@@ -10,7 +10,7 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any
 
-from cypresspulley.lifecycle import Lifecycle, Step
+from cypresspulley.lifecycle import Lifecycle, LifecycleEvent
 from cypresspulley.net.door import Reply
 from cypresspulley.net.frontend import Frontend
 from cypresspulley.net.node import Node, UnixClock
@@ -88,11 +88,11 @@
         """Clients' connections are taken from now on."""
         self._node, self._frontend, self._gateway, self._upstream = node, frontend, gateway, upstream
         self._clock = clock or self._clock
-        self.life.step(Step.SUCCEED if inherited else Step.SERVE)
+        self.life.step(LifecycleEvent.SUCCEED if inherited else LifecycleEvent.SERVE)
         if not inherited:
             self._recall()
         if self._drained:
-            self.life.step(Step.DRAIN)
+            self.life.step(LifecycleEvent.DRAIN)
         self._heed()
         if gateway is not None:
             self._ghosts = Ghosts(gateway)
@@ -161,7 +161,7 @@
     def _apply(self, name: str, id: str, sure: bool = False) -> Reply:
         if name in ("suspend", "resume"):
             return self._ban(id, name == "suspend", sure)
-        if not self.life.step(Step.DRAIN if name == "drain" else Step.ACTIVATE):
+        if not self.life.step(LifecycleEvent.DRAIN if name == "drain" else LifecycleEvent.ACTIVATE):
             return Reply(409, {"state": self.life.state.value, "error": f"cannot {name} now"})
         self._heed()
         return self._recorded(Reply(200, {"state": self.life.state.value}))
@@ -184,7 +184,7 @@
     def leave(self) -> bool:
         """The process was told to end; whether a successor takes what comes."""
         handed = self.life.handed
-        self.life.step(Step.TERM)
+        self.life.step(LifecycleEvent.TERM)
         self._heed()
         return handed
 
@@ -220,7 +220,7 @@
         self._frontend.pause()
 
     def resume(self) -> None:
-        self.life.step(Step.BACK)
+        self.life.step(LifecycleEvent.BACK)
         self._heed()
         if self._frontend is not None and not self._frontend.closed:
             self._frontend.resume()
@@ -247,7 +247,7 @@
     def handed(self, to: Peer | None) -> None:
         assert self._frontend is not None
         if isinstance(to, Predecessor):
-            self.life.step(Step.HAND)
+            self.life.step(LifecycleEvent.HAND)
             self._frontend.hand(to.pass_client)
         else:
             self._frontend.hand(None)
@@ -268,5 +268,5 @@
         self._later(self._tell(name, id, source))  # to a third process, where there is one
 
     def alone(self) -> None:
-        self.life.step(Step.ALONE)
+        self.life.step(LifecycleEvent.ALONE)
         self._heed()
