--- a/cypresspulley/lifecycle.py
+++ b/cypresspulley/lifecycle.py
@@ -108,7 +108,7 @@
         return self.state in HANDED
 
 
-class Phase(Enum):
+class ShutdownPhase(Enum):
     """Of a process that was told to end, and that no successor takes over from."""
 
     TAKING = "taking"  # clients have not heard: what they open and send is taken, and each answer closes its connection
@@ -139,10 +139,10 @@
     REFUSE = "refuse"  # answer 503 and half-close
 
 
-P = Phase
+P = ShutdownPhase
 C = Place
 D = Do
-LEAVING: dict[tuple[Phase, Place], Do] = {
+LEAVING: dict[tuple[ShutdownPhase, Place], Do] = {
     (P.TAKING, C.QUEUED): D.TAKE,
     **{(P.TAKING, place): D.KEEP for place in C if place is not C.QUEUED},
     (P.FINISHING, C.QUEUED): D.TAKE,  # once more, before the listener goes: it resets what waits there
--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -21,7 +21,7 @@
 import httptools
 
 from cypresspulley import interface as api
-from cypresspulley.lifecycle import LEAVING, Do, Phase, Place
+from cypresspulley.lifecycle import LEAVING, Do, ShutdownPhase, Place
 from cypresspulley.net.arrival import ArrivalClock
 from cypresspulley.net.http import MAX_BODY, MAX_HEAD, NOT_FORWARDED
 from cypresspulley.net.listener import Listener, SocketListener, bind, open_listener
@@ -896,7 +896,7 @@
         self.on_sweep: Callable[[], None] | None = None  # called by the sweep, five times a second
         # Takes the descriptors of connections at rest to another process; None: there is none.
         self.passing: Callable[[int], bool] | None = None
-        self.phase = Phase.TAKING
+        self.phase = ShutdownPhase.TAKING
         self.relay = Relay()  # the bound on large transfers: of the servers' side, where that is known
         self._empty = asyncio.Event()
 
@@ -1040,7 +1040,7 @@
     @property
     def closed(self) -> bool:
         """Whether no new connections are taken any more."""
-        return self.phase is not Phase.TAKING
+        return self.phase is not ShutdownPhase.TAKING
 
     def _leave_each(self) -> None:
         now = self.clock()
@@ -1063,16 +1063,16 @@
         """
         deadline = self.clock() + grace
         if self.closed:
-            self.phase = Phase.LAST
+            self.phase = ShutdownPhase.LAST
             self.reader = RefusingReader(self._settings, self.clock)
         else:
             await self._stop_listening(deadline)
-            self.phase = Phase.FINISHING
+            self.phase = ShutdownPhase.FINISHING
         self.hand_over()
         self._leave_each()
         self._empty.clear()
         if self._clients:
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._empty.wait(), max(0.0, deadline - self.clock()))
-        if self._sweep_at is not None and (self.phase is Phase.LAST or not self._clients):
+        if self._sweep_at is not None and (self.phase is ShutdownPhase.LAST or not self._clients):
             self._sweep_at.cancel()
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -8,7 +8,7 @@
 import pytest
 
 from cypresspulley import interface as api
-from cypresspulley.lifecycle import LEAVING, Do, Phase, Place
+from cypresspulley.lifecycle import LEAVING, Do, ShutdownPhase, Place
 from cypresspulley.net import frontend
 from tests.loopback import Limiter, Script, ask, listening, read_message, run, send_on
 
@@ -63,9 +63,9 @@
 
 
 def test_each_place_has_a_row_in_each_phase_and_no_request_is_met_by_an_end() -> None:
-    assert set(LEAVING) == {(phase, place) for phase in Phase for place in Place}
+    assert set(LEAVING) == {(phase, place) for phase in ShutdownPhase for place in Place}
     asked = (Place.UNREAD, Place.UPLOAD, Place.ASKED, Place.ANSWERING)
-    assert {LEAVING[phase, place] for phase in Phase for place in asked} == {Do.KEEP}
+    assert {LEAVING[phase, place] for phase in ShutdownPhase for place in asked} == {Do.KEEP}
     assert all(do is not Do.HALF_CLOSE for (_, place), do in LEAVING.items() if place is Place.PART)
 
 
