--- a/cypresspulley/lifecycle.py
+++ b/cypresspulley/lifecycle.py
@@ -139,28 +139,31 @@
     REFUSE = "refuse"  # answer 503 and half-close
 
 
-P = ShutdownPhase
+Phase = ShutdownPhase
 C = Place
 D = Do
 LEAVING: dict[tuple[ShutdownPhase, Place], Do] = {
-    (P.TAKING, C.QUEUED): D.TAKE,
-    **{(P.TAKING, place): D.KEEP for place in C if place is not C.QUEUED},
-    (P.FINISHING, C.QUEUED): D.TAKE,  # once more, before the listener goes: it resets what waits there
-    (P.FINISHING, C.NEW): D.KEEP,  # a request that crosses the end of a connection's first would be priced
-    (P.FINISHING, C.IDLE): D.HALF_CLOSE,
-    (P.FINISHING, C.UNREAD): D.KEEP,
-    (P.FINISHING, C.PART): D.KEEP,
-    (P.FINISHING, C.UPLOAD): D.KEEP,
-    (P.FINISHING, C.ASKED): D.KEEP,
-    (P.FINISHING, C.ANSWERING): D.KEEP,
-    (P.FINISHING, C.LINGERING): D.KEEP,
-    (P.LAST, C.QUEUED): D.KEEP,  # there is no listener left
-    (P.LAST, C.NEW): D.HALF_CLOSE,
-    (P.LAST, C.IDLE): D.HALF_CLOSE,
-    (P.LAST, C.UNREAD): D.KEEP,  # it is read in the next turn, and refused
-    (P.LAST, C.PART): D.REFUSE,  # not taken yet: nobody has it, and trying again is harmless
-    (P.LAST, C.UPLOAD): D.KEEP,  # these have been answered in the decisions' place, or flow
-    (P.LAST, C.ASKED): D.KEEP,
-    (P.LAST, C.ANSWERING): D.KEEP,
-    (P.LAST, C.LINGERING): D.KEEP,
+    (Phase.TAKING, C.QUEUED): D.TAKE,
+    **{(Phase.TAKING, place): D.KEEP for place in C if place is not C.QUEUED},
+    (Phase.FINISHING, C.QUEUED): D.TAKE,  # once more, before the listener goes: it resets what waits there
+    (
+        Phase.FINISHING,
+        C.NEW,
+    ): D.KEEP,  # a request that crosses the end of a connection's first would be priced
+    (Phase.FINISHING, C.IDLE): D.HALF_CLOSE,
+    (Phase.FINISHING, C.UNREAD): D.KEEP,
+    (Phase.FINISHING, C.PART): D.KEEP,
+    (Phase.FINISHING, C.UPLOAD): D.KEEP,
+    (Phase.FINISHING, C.ASKED): D.KEEP,
+    (Phase.FINISHING, C.ANSWERING): D.KEEP,
+    (Phase.FINISHING, C.LINGERING): D.KEEP,
+    (Phase.LAST, C.QUEUED): D.KEEP,  # there is no listener left
+    (Phase.LAST, C.NEW): D.HALF_CLOSE,
+    (Phase.LAST, C.IDLE): D.HALF_CLOSE,
+    (Phase.LAST, C.UNREAD): D.KEEP,  # it is read in the next turn, and refused
+    (Phase.LAST, C.PART): D.REFUSE,  # not taken yet: nobody has it, and trying again is harmless
+    (Phase.LAST, C.UPLOAD): D.KEEP,  # these have been answered in the decisions' place, or flow
+    (Phase.LAST, C.ASKED): D.KEEP,
+    (Phase.LAST, C.ANSWERING): D.KEEP,
+    (Phase.LAST, C.LINGERING): D.KEEP,
 }
