--- a/cypresspulley/lifecycle.py
+++ b/cypresspulley/lifecycle.py
@@ -116,7 +116,7 @@
     LAST = "last"  # SIGKILL is near: what is open has been failed, and what still comes is refused at once
 
 
-class Place(Enum):
+class ConnectionState(Enum):
     """Where a client's connection stands."""
 
     QUEUED = "queued"  # taken by the machine, not yet by the process
@@ -140,9 +140,9 @@
 
 
 Phase = ShutdownPhase
-C = Place
+C = ConnectionState
 D = Do
-LEAVING: dict[tuple[ShutdownPhase, Place], Do] = {
+LEAVING: dict[tuple[ShutdownPhase, ConnectionState], Do] = {
     (Phase.TAKING, C.QUEUED): D.TAKE,
     **{(Phase.TAKING, place): D.KEEP for place in C if place is not C.QUEUED},
     (Phase.FINISHING, C.QUEUED): D.TAKE,  # once more, before the listener goes: it resets what waits there
--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -21,7 +21,7 @@
 import httptools
 
 from cypresspulley import interface as api
-from cypresspulley.lifecycle import LEAVING, Do, ShutdownPhase, Place
+from cypresspulley.lifecycle import LEAVING, Do, ShutdownPhase, ConnectionState
 from cypresspulley.net.arrival import ArrivalClock
 from cypresspulley.net.http import MAX_BODY, MAX_HEAD, NOT_FORWARDED
 from cypresspulley.net.listener import Listener, SocketListener, bind, open_listener
@@ -313,19 +313,21 @@
             self._left()
         return False
 
-    def place(self, now: float) -> Place:
+    def place(self, now: float) -> ConnectionState:
         """Where the connection stands for a process that leaves."""
         if self._transport is None or self._rejected:
-            return Place.LINGERING
+            return ConnectionState.LINGERING
         if self._waiting:
             if self._upload is not None:
-                return Place.UPLOAD
-            return Place.ASKED if self._waiting[0].stream is None else Place.ANSWERING
+                return ConnectionState.UPLOAD
+            return ConnectionState.ASKED if self._waiting[0].stream is None else ConnectionState.ANSWERING
         if self._reading:
-            return Place.PART
+            return ConnectionState.PART
         if self.unread:
-            return Place.UNREAD
-        return Place.NEW if not self.spoke and now - self.since < DRAIN_IDLE else Place.IDLE
+            return ConnectionState.UNREAD
+        return (
+            ConnectionState.NEW if not self.spoke and now - self.since < DRAIN_IDLE else ConnectionState.IDLE
+        )
 
     @property
     def rank(self) -> tuple[int, float] | None:
