--- a/cypresspulley/lifecycle.py
+++ b/cypresspulley/lifecycle.py
@@ -140,30 +140,33 @@
 
 
 Phase = ShutdownPhase
-C = ConnectionState
+Connection = ConnectionState
 D = Do
 LEAVING: dict[tuple[ShutdownPhase, ConnectionState], Do] = {
-    (Phase.TAKING, C.QUEUED): D.TAKE,
-    **{(Phase.TAKING, place): D.KEEP for place in C if place is not C.QUEUED},
-    (Phase.FINISHING, C.QUEUED): D.TAKE,  # once more, before the listener goes: it resets what waits there
+    (Phase.TAKING, Connection.QUEUED): D.TAKE,
+    **{(Phase.TAKING, place): D.KEEP for place in Connection if place is not Connection.QUEUED},
     (
         Phase.FINISHING,
-        C.NEW,
+        Connection.QUEUED,
+    ): D.TAKE,  # once more, before the listener goes: it resets what waits there
+    (
+        Phase.FINISHING,
+        Connection.NEW,
     ): D.KEEP,  # a request that crosses the end of a connection's first would be priced
-    (Phase.FINISHING, C.IDLE): D.HALF_CLOSE,
-    (Phase.FINISHING, C.UNREAD): D.KEEP,
-    (Phase.FINISHING, C.PART): D.KEEP,
-    (Phase.FINISHING, C.UPLOAD): D.KEEP,
-    (Phase.FINISHING, C.ASKED): D.KEEP,
-    (Phase.FINISHING, C.ANSWERING): D.KEEP,
-    (Phase.FINISHING, C.LINGERING): D.KEEP,
-    (Phase.LAST, C.QUEUED): D.KEEP,  # there is no listener left
-    (Phase.LAST, C.NEW): D.HALF_CLOSE,
-    (Phase.LAST, C.IDLE): D.HALF_CLOSE,
-    (Phase.LAST, C.UNREAD): D.KEEP,  # it is read in the next turn, and refused
-    (Phase.LAST, C.PART): D.REFUSE,  # not taken yet: nobody has it, and trying again is harmless
-    (Phase.LAST, C.UPLOAD): D.KEEP,  # these have been answered in the decisions' place, or flow
-    (Phase.LAST, C.ASKED): D.KEEP,
-    (Phase.LAST, C.ANSWERING): D.KEEP,
-    (Phase.LAST, C.LINGERING): D.KEEP,
+    (Phase.FINISHING, Connection.IDLE): D.HALF_CLOSE,
+    (Phase.FINISHING, Connection.UNREAD): D.KEEP,
+    (Phase.FINISHING, Connection.PART): D.KEEP,
+    (Phase.FINISHING, Connection.UPLOAD): D.KEEP,
+    (Phase.FINISHING, Connection.ASKED): D.KEEP,
+    (Phase.FINISHING, Connection.ANSWERING): D.KEEP,
+    (Phase.FINISHING, Connection.LINGERING): D.KEEP,
+    (Phase.LAST, Connection.QUEUED): D.KEEP,  # there is no listener left
+    (Phase.LAST, Connection.NEW): D.HALF_CLOSE,
+    (Phase.LAST, Connection.IDLE): D.HALF_CLOSE,
+    (Phase.LAST, Connection.UNREAD): D.KEEP,  # it is read in the next turn, and refused
+    (Phase.LAST, Connection.PART): D.REFUSE,  # not taken yet: nobody has it, and trying again is harmless
+    (Phase.LAST, Connection.UPLOAD): D.KEEP,  # these have been answered in the decisions' place, or flow
+    (Phase.LAST, Connection.ASKED): D.KEEP,
+    (Phase.LAST, Connection.ANSWERING): D.KEEP,
+    (Phase.LAST, Connection.LINGERING): D.KEEP,
 }
