--- a/cypresspulley/lifecycle.py
+++ b/cypresspulley/lifecycle.py
@@ -130,7 +130,7 @@
     LINGERING = "lingering"  # its last answer is written and its sending ended: it is read to the end
 
 
-class Do(Enum):
+class ConnectionAction(Enum):
     """What is done with a connection."""
 
     KEEP = "keep"
@@ -141,8 +141,8 @@
 
 Phase = ShutdownPhase
 Connection = ConnectionState
-D = Do
-LEAVING: dict[tuple[ShutdownPhase, ConnectionState], Do] = {
+D = ConnectionAction
+LEAVING: dict[tuple[ShutdownPhase, ConnectionState], ConnectionAction] = {
     (Phase.TAKING, Connection.QUEUED): D.TAKE,
     **{(Phase.TAKING, place): D.KEEP for place in Connection if place is not Connection.QUEUED},
     (
--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -21,7 +21,7 @@
 import httptools
 
 from cypresspulley import interface as api
-from cypresspulley.lifecycle import LEAVING, Do, ShutdownPhase, ConnectionState
+from cypresspulley.lifecycle import LEAVING, ConnectionAction, ShutdownPhase, ConnectionState
 from cypresspulley.net.arrival import ArrivalClock
 from cypresspulley.net.http import MAX_BODY, MAX_HEAD, NOT_FORWARDED
 from cypresspulley.net.listener import Listener, SocketListener, bind, open_listener
@@ -784,11 +784,11 @@
                 transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
         self.abort()
 
-    def leave(self, do: Do) -> None:
+    def leave(self, do: ConnectionAction) -> None:
         """Do what the table of a process that leaves says of this connection."""
-        if do is Do.HALF_CLOSE:
+        if do is ConnectionAction.HALF_CLOSE:
             self._close()
-        elif do is Do.REFUSE:
+        elif do is ConnectionAction.REFUSE:
             self._reject(503)
 
     def check(self, now: float, patience: float) -> None:
