--- a/cypresspulley/lifecycle.py
+++ b/cypresspulley/lifecycle.py
@@ -141,32 +141,35 @@
 
 Phase = ShutdownPhase
 Connection = ConnectionState
-D = ConnectionAction
+Action = ConnectionAction
 LEAVING: dict[tuple[ShutdownPhase, ConnectionState], ConnectionAction] = {
-    (Phase.TAKING, Connection.QUEUED): D.TAKE,
-    **{(Phase.TAKING, place): D.KEEP for place in Connection if place is not Connection.QUEUED},
+    (Phase.TAKING, Connection.QUEUED): Action.TAKE,
+    **{(Phase.TAKING, place): Action.KEEP for place in Connection if place is not Connection.QUEUED},
     (
         Phase.FINISHING,
         Connection.QUEUED,
-    ): D.TAKE,  # once more, before the listener goes: it resets what waits there
+    ): Action.TAKE,  # once more, before the listener goes: it resets what waits there
     (
         Phase.FINISHING,
         Connection.NEW,
-    ): D.KEEP,  # a request that crosses the end of a connection's first would be priced
-    (Phase.FINISHING, Connection.IDLE): D.HALF_CLOSE,
-    (Phase.FINISHING, Connection.UNREAD): D.KEEP,
-    (Phase.FINISHING, Connection.PART): D.KEEP,
-    (Phase.FINISHING, Connection.UPLOAD): D.KEEP,
-    (Phase.FINISHING, Connection.ASKED): D.KEEP,
-    (Phase.FINISHING, Connection.ANSWERING): D.KEEP,
-    (Phase.FINISHING, Connection.LINGERING): D.KEEP,
-    (Phase.LAST, Connection.QUEUED): D.KEEP,  # there is no listener left
-    (Phase.LAST, Connection.NEW): D.HALF_CLOSE,
-    (Phase.LAST, Connection.IDLE): D.HALF_CLOSE,
-    (Phase.LAST, Connection.UNREAD): D.KEEP,  # it is read in the next turn, and refused
-    (Phase.LAST, Connection.PART): D.REFUSE,  # not taken yet: nobody has it, and trying again is harmless
-    (Phase.LAST, Connection.UPLOAD): D.KEEP,  # these have been answered in the decisions' place, or flow
-    (Phase.LAST, Connection.ASKED): D.KEEP,
-    (Phase.LAST, Connection.ANSWERING): D.KEEP,
-    (Phase.LAST, Connection.LINGERING): D.KEEP,
+    ): Action.KEEP,  # a request that crosses the end of a connection's first would be priced
+    (Phase.FINISHING, Connection.IDLE): Action.HALF_CLOSE,
+    (Phase.FINISHING, Connection.UNREAD): Action.KEEP,
+    (Phase.FINISHING, Connection.PART): Action.KEEP,
+    (Phase.FINISHING, Connection.UPLOAD): Action.KEEP,
+    (Phase.FINISHING, Connection.ASKED): Action.KEEP,
+    (Phase.FINISHING, Connection.ANSWERING): Action.KEEP,
+    (Phase.FINISHING, Connection.LINGERING): Action.KEEP,
+    (Phase.LAST, Connection.QUEUED): Action.KEEP,  # there is no listener left
+    (Phase.LAST, Connection.NEW): Action.HALF_CLOSE,
+    (Phase.LAST, Connection.IDLE): Action.HALF_CLOSE,
+    (Phase.LAST, Connection.UNREAD): Action.KEEP,  # it is read in the next turn, and refused
+    (
+        Phase.LAST,
+        Connection.PART,
+    ): Action.REFUSE,  # not taken yet: nobody has it, and trying again is harmless
+    (Phase.LAST, Connection.UPLOAD): Action.KEEP,  # these have been answered in the decisions' place, or flow
+    (Phase.LAST, Connection.ASKED): Action.KEEP,
+    (Phase.LAST, Connection.ANSWERING): Action.KEEP,
+    (Phase.LAST, Connection.LINGERING): Action.KEEP,
 }
