--- a/cypresspulley/lifecycle.py
+++ b/cypresspulley/lifecycle.py
@@ -22,8 +22,8 @@
     DRAINING = "draining"
     SUCCEEDING = "succeeding"  # it serves, and its predecessor is still there
     SUCCEEDING_DRAINED = "succeeding, drained"
-    HANDING = "handing over"  # a successor serves; this process finishes what it has
-    HANDING_DRAINED = "handing over, drained"
+    HANDING_OVER = "handing over"  # a successor serves; this process finishes what it has
+    HANDING_OVER_DRAINED = "handing over, drained"
     LEAVING = "leaving"
 
 
@@ -47,10 +47,10 @@
     (State.STARTING, Event.SUCCEED): State.SUCCEEDING,
     (State.READY, Event.DRAIN): State.DRAINING,
     (State.READY, Event.ACTIVATE): State.READY,
-    (State.READY, Event.HAND): State.HANDING,
+    (State.READY, Event.HAND): State.HANDING_OVER,
     (State.DRAINING, Event.DRAIN): State.DRAINING,
     (State.DRAINING, Event.ACTIVATE): State.READY,
-    (State.DRAINING, Event.HAND): State.HANDING_DRAINED,
+    (State.DRAINING, Event.HAND): State.HANDING_OVER_DRAINED,
     (State.SUCCEEDING, Event.ALONE): State.READY,
     (State.SUCCEEDING, Event.DRAIN): State.SUCCEEDING_DRAINED,
     (State.SUCCEEDING, Event.ACTIVATE): State.SUCCEEDING,
@@ -58,21 +58,21 @@
     (State.SUCCEEDING_DRAINED, Event.DRAIN): State.SUCCEEDING_DRAINED,
     (State.SUCCEEDING_DRAINED, Event.ACTIVATE): State.SUCCEEDING,
     # A third process while the first has not ended: the one in the middle hands over like any other.
-    (State.SUCCEEDING, Event.HAND): State.HANDING,
-    (State.SUCCEEDING_DRAINED, Event.HAND): State.HANDING_DRAINED,
-    (State.HANDING, Event.DRAIN): State.HANDING_DRAINED,
-    (State.HANDING, Event.ACTIVATE): State.HANDING,
-    (State.HANDING, Event.BACK): State.READY,
-    (State.HANDING, Event.ALONE): State.HANDING,
-    (State.HANDING_DRAINED, Event.DRAIN): State.HANDING_DRAINED,
-    (State.HANDING_DRAINED, Event.ACTIVATE): State.HANDING,
-    (State.HANDING_DRAINED, Event.BACK): State.DRAINING,
-    (State.HANDING_DRAINED, Event.ALONE): State.HANDING_DRAINED,
+    (State.SUCCEEDING, Event.HAND): State.HANDING_OVER,
+    (State.SUCCEEDING_DRAINED, Event.HAND): State.HANDING_OVER_DRAINED,
+    (State.HANDING_OVER, Event.DRAIN): State.HANDING_OVER_DRAINED,
+    (State.HANDING_OVER, Event.ACTIVATE): State.HANDING_OVER,
+    (State.HANDING_OVER, Event.BACK): State.READY,
+    (State.HANDING_OVER, Event.ALONE): State.HANDING_OVER,
+    (State.HANDING_OVER_DRAINED, Event.DRAIN): State.HANDING_OVER_DRAINED,
+    (State.HANDING_OVER_DRAINED, Event.ACTIVATE): State.HANDING_OVER,
+    (State.HANDING_OVER_DRAINED, Event.BACK): State.DRAINING,
+    (State.HANDING_OVER_DRAINED, Event.ALONE): State.HANDING_OVER_DRAINED,
     **{(state, Event.TERM): State.LEAVING for state in State},
 }
-DRAINED = frozenset({State.DRAINING, State.SUCCEEDING_DRAINED, State.HANDING_DRAINED})
-HANDED = frozenset({State.HANDING, State.HANDING_DRAINED})
-SAYS_READY = frozenset({State.READY, State.SUCCEEDING, State.SUCCEEDING_DRAINED, State.HANDING})
+DRAINED = frozenset({State.DRAINING, State.SUCCEEDING_DRAINED, State.HANDING_OVER_DRAINED})
+HANDED = frozenset({State.HANDING_OVER, State.HANDING_OVER_DRAINED})
+SAYS_READY = frozenset({State.READY, State.SUCCEEDING, State.SUCCEEDING_DRAINED, State.HANDING_OVER})
 
 
 class Lifecycle:
