--- a/cypresspulley/lifecycle.py
+++ b/cypresspulley/lifecycle.py
@@ -31,44 +31,44 @@
     """What happens to a process."""
 
     SERVE = "serve"  # clients' connections are taken from now on
-    SUCCEED = "succeed"  # the same, beside a predecessor that is still there
-    ALONE = "alone"  # the predecessor has ended
+    SERVE_AS_SUCCESSOR = "succeed"  # the same, beside a predecessor that is still there
+    PREDECESSOR_ENDED = "alone"  # the predecessor has ended
     DRAIN = "drain"
     ACTIVATE = "activate"
-    HAND = "hand over"  # a successor says that it serves
-    BACK = "take back"  # the successor has ended, and this process has not been told to
-    TERM = "term"
+    HAND_OVER = "hand over"  # a successor says that it serves
+    TAKE_BACK = "take back"  # the successor has ended, and this process has not been told to
+    TERMINATE = "term"
 
 
 State = LifecycleState
 Event = LifecycleEvent
 TABLE: dict[tuple[LifecycleState, LifecycleEvent], LifecycleState] = {
     (State.STARTING, Event.SERVE): State.READY,
-    (State.STARTING, Event.SUCCEED): State.SUCCEEDING,
+    (State.STARTING, Event.SERVE_AS_SUCCESSOR): State.SUCCEEDING,
     (State.READY, Event.DRAIN): State.DRAINING,
     (State.READY, Event.ACTIVATE): State.READY,
-    (State.READY, Event.HAND): State.HANDING_OVER,
+    (State.READY, Event.HAND_OVER): State.HANDING_OVER,
     (State.DRAINING, Event.DRAIN): State.DRAINING,
     (State.DRAINING, Event.ACTIVATE): State.READY,
-    (State.DRAINING, Event.HAND): State.HANDING_OVER_DRAINED,
-    (State.SUCCEEDING, Event.ALONE): State.READY,
+    (State.DRAINING, Event.HAND_OVER): State.HANDING_OVER_DRAINED,
+    (State.SUCCEEDING, Event.PREDECESSOR_ENDED): State.READY,
     (State.SUCCEEDING, Event.DRAIN): State.SUCCEEDING_DRAINED,
     (State.SUCCEEDING, Event.ACTIVATE): State.SUCCEEDING,
-    (State.SUCCEEDING_DRAINED, Event.ALONE): State.DRAINING,
+    (State.SUCCEEDING_DRAINED, Event.PREDECESSOR_ENDED): State.DRAINING,
     (State.SUCCEEDING_DRAINED, Event.DRAIN): State.SUCCEEDING_DRAINED,
     (State.SUCCEEDING_DRAINED, Event.ACTIVATE): State.SUCCEEDING,
     # A third process while the first has not ended: the one in the middle hands over like any other.
-    (State.SUCCEEDING, Event.HAND): State.HANDING_OVER,
-    (State.SUCCEEDING_DRAINED, Event.HAND): State.HANDING_OVER_DRAINED,
+    (State.SUCCEEDING, Event.HAND_OVER): State.HANDING_OVER,
+    (State.SUCCEEDING_DRAINED, Event.HAND_OVER): State.HANDING_OVER_DRAINED,
     (State.HANDING_OVER, Event.DRAIN): State.HANDING_OVER_DRAINED,
     (State.HANDING_OVER, Event.ACTIVATE): State.HANDING_OVER,
-    (State.HANDING_OVER, Event.BACK): State.READY,
-    (State.HANDING_OVER, Event.ALONE): State.HANDING_OVER,
+    (State.HANDING_OVER, Event.TAKE_BACK): State.READY,
+    (State.HANDING_OVER, Event.PREDECESSOR_ENDED): State.HANDING_OVER,
     (State.HANDING_OVER_DRAINED, Event.DRAIN): State.HANDING_OVER_DRAINED,
     (State.HANDING_OVER_DRAINED, Event.ACTIVATE): State.HANDING_OVER,
-    (State.HANDING_OVER_DRAINED, Event.BACK): State.DRAINING,
-    (State.HANDING_OVER_DRAINED, Event.ALONE): State.HANDING_OVER_DRAINED,
-    **{(state, Event.TERM): State.LEAVING for state in State},
+    (State.HANDING_OVER_DRAINED, Event.TAKE_BACK): State.DRAINING,
+    (State.HANDING_OVER_DRAINED, Event.PREDECESSOR_ENDED): State.HANDING_OVER_DRAINED,
+    **{(state, Event.TERMINATE): State.LEAVING for state in State},
 }
 DRAINED = frozenset({State.DRAINING, State.SUCCEEDING_DRAINED, State.HANDING_OVER_DRAINED})
 HANDED = frozenset({State.HANDING_OVER, State.HANDING_OVER_DRAINED})
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -20,7 +20,7 @@
     for (state, step), target in TABLE.items():
         assert state is not LifecycleState.LEAVING or target is LifecycleState.LEAVING, (state, step)
         assert target is not LifecycleState.STARTING
-    assert {TABLE[state, LifecycleEvent.TERM] for state in LifecycleState} == {LifecycleState.LEAVING}
+    assert {TABLE[state, LifecycleEvent.TERMINATE] for state in LifecycleState} == {LifecycleState.LEAVING}
 
 
 @pytest.mark.parametrize(
@@ -38,18 +38,20 @@
 
 
 def test_a_drain_outlasts_an_upgrade_on_both_sides() -> None:
-    old = after(LifecycleEvent.SERVE, LifecycleEvent.DRAIN, LifecycleEvent.HAND)
+    old = after(LifecycleEvent.SERVE, LifecycleEvent.DRAIN, LifecycleEvent.HAND_OVER)
     assert old.handed and old.drained and not old.ready
-    assert old.step(LifecycleEvent.BACK) and old.state is LifecycleState.DRAINING
-    new = after(LifecycleEvent.SUCCEED, LifecycleEvent.DRAIN)
+    assert old.step(LifecycleEvent.TAKE_BACK) and old.state is LifecycleState.DRAINING
+    new = after(LifecycleEvent.SERVE_AS_SUCCESSOR, LifecycleEvent.DRAIN)
     assert new.ready, "the platform waits for this yes"
-    assert new.step(LifecycleEvent.ALONE) and new.state is LifecycleState.DRAINING and not new.ready
+    assert (
+        new.step(LifecycleEvent.PREDECESSOR_ENDED) and new.state is LifecycleState.DRAINING and not new.ready
+    )
 
 
 def test_a_successor_that_ends_leaves_its_predecessor_whole() -> None:
-    life = after(LifecycleEvent.SERVE, LifecycleEvent.HAND)
+    life = after(LifecycleEvent.SERVE, LifecycleEvent.HAND_OVER)
     assert life.handed and life.ready
-    assert life.step(LifecycleEvent.BACK) and life.state is LifecycleState.READY and not life.handed
+    assert life.step(LifecycleEvent.TAKE_BACK) and life.state is LifecycleState.READY and not life.handed
 
 
 def test_what_has_no_row_changes_nothing() -> None:
@@ -58,4 +60,4 @@
         life.state = state
         assert life.step(step) is ((state, step) in TABLE)
         assert life.state is TABLE.get((state, step), state)
-    assert not after(LifecycleEvent.TERM).step(LifecycleEvent.DRAIN)
+    assert not after(LifecycleEvent.TERMINATE).step(LifecycleEvent.DRAIN)
