--- a/cypresspulley/lifecycle.py
+++ b/cypresspulley/lifecycle.py
@@ -111,9 +111,9 @@
 class ShutdownPhase(Enum):
     """Of a process that was told to end, and that no successor takes over from."""
 
-    TAKING = "taking"  # clients have not heard: what they open and send is taken, and each answer closes its connection
+    ACCEPTING = "taking"  # clients have not heard: what they open and send is taken, and each answer closes its connection
     FINISHING = "finishing"  # no new connections; what was taken is answered
-    LAST = "last"  # SIGKILL is near: what is open has been failed, and what still comes is refused at once
+    FINAL = "last"  # SIGKILL is near: what is open has been failed, and what still comes is refused at once
 
 
 class ConnectionState(Enum):
@@ -143,8 +143,8 @@
 Connection = ConnectionState
 Action = ConnectionAction
 LEAVING: dict[tuple[ShutdownPhase, ConnectionState], ConnectionAction] = {
-    (Phase.TAKING, Connection.QUEUED): Action.TAKE,
-    **{(Phase.TAKING, place): Action.KEEP for place in Connection if place is not Connection.QUEUED},
+    (Phase.ACCEPTING, Connection.QUEUED): Action.TAKE,
+    **{(Phase.ACCEPTING, place): Action.KEEP for place in Connection if place is not Connection.QUEUED},
     (
         Phase.FINISHING,
         Connection.QUEUED,
@@ -160,16 +160,19 @@
     (Phase.FINISHING, Connection.ASKED): Action.KEEP,
     (Phase.FINISHING, Connection.ANSWERING): Action.KEEP,
     (Phase.FINISHING, Connection.LINGERING): Action.KEEP,
-    (Phase.LAST, Connection.QUEUED): Action.KEEP,  # there is no listener left
-    (Phase.LAST, Connection.NEW): Action.HALF_CLOSE,
-    (Phase.LAST, Connection.IDLE): Action.HALF_CLOSE,
-    (Phase.LAST, Connection.UNREAD): Action.KEEP,  # it is read in the next turn, and refused
+    (Phase.FINAL, Connection.QUEUED): Action.KEEP,  # there is no listener left
+    (Phase.FINAL, Connection.NEW): Action.HALF_CLOSE,
+    (Phase.FINAL, Connection.IDLE): Action.HALF_CLOSE,
+    (Phase.FINAL, Connection.UNREAD): Action.KEEP,  # it is read in the next turn, and refused
     (
-        Phase.LAST,
+        Phase.FINAL,
         Connection.PART,
     ): Action.REFUSE,  # not taken yet: nobody has it, and trying again is harmless
-    (Phase.LAST, Connection.UPLOAD): Action.KEEP,  # these have been answered in the decisions' place, or flow
-    (Phase.LAST, Connection.ASKED): Action.KEEP,
-    (Phase.LAST, Connection.ANSWERING): Action.KEEP,
-    (Phase.LAST, Connection.LINGERING): Action.KEEP,
+    (
+        Phase.FINAL,
+        Connection.UPLOAD,
+    ): Action.KEEP,  # these have been answered in the decisions' place, or flow
+    (Phase.FINAL, Connection.ASKED): Action.KEEP,
+    (Phase.FINAL, Connection.ANSWERING): Action.KEEP,
+    (Phase.FINAL, Connection.LINGERING): Action.KEEP,
 }
--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -898,7 +898,7 @@
         self.on_sweep: Callable[[], None] | None = None  # called by the sweep, five times a second
         # Takes the descriptors of connections at rest to another process; None: there is none.
         self.passing: Callable[[int], bool] | None = None
-        self.phase = ShutdownPhase.TAKING
+        self.phase = ShutdownPhase.ACCEPTING
         self.relay = Relay()  # the bound on large transfers: of the servers' side, where that is known
         self._empty = asyncio.Event()
 
@@ -1042,7 +1042,7 @@
     @property
     def closed(self) -> bool:
         """Whether no new connections are taken any more."""
-        return self.phase is not ShutdownPhase.TAKING
+        return self.phase is not ShutdownPhase.ACCEPTING
 
     def _leave_each(self) -> None:
         now = self.clock()
@@ -1065,7 +1065,7 @@
         """
         deadline = self.clock() + grace
         if self.closed:
-            self.phase = ShutdownPhase.LAST
+            self.phase = ShutdownPhase.FINAL
             self.reader = RefusingReader(self._settings, self.clock)
         else:
             await self._stop_listening(deadline)
@@ -1076,5 +1076,5 @@
         if self._clients:
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._empty.wait(), max(0.0, deadline - self.clock()))
-        if self._sweep_at is not None and (self.phase is ShutdownPhase.LAST or not self._clients):
+        if self._sweep_at is not None and (self.phase is ShutdownPhase.FINAL or not self._clients):
             self._sweep_at.cancel()
