--- a/cypresspulley/lifecycle.py
+++ b/cypresspulley/lifecycle.py
@@ -123,9 +123,9 @@
     NEW = "new"  # it has sent nothing yet, and came a moment ago
     IDLE = "idle"  # at rest between two requests, or it came long ago and said nothing
     UNREAD = "unread"  # it looks idle, but bytes of it lie in the machine
-    PART = "part"  # part of a request has come
+    PARTIAL = "part"  # part of a request has come
     UPLOAD = "upload"  # a large body is under way, and passed on as it comes
-    ASKED = "asked"  # one request or several were taken, and the first has no answer yet
+    AWAITING_ANSWER = "asked"  # one request or several were taken, and the first has no answer yet
     ANSWERING = "answering"  # an answer flows
     LINGERING = "lingering"  # its last answer is written and its sending ended: it is read to the end
 
@@ -155,9 +155,9 @@
     ): Action.KEEP,  # a request that crosses the end of a connection's first would be priced
     (Phase.FINISHING, Connection.IDLE): Action.HALF_CLOSE,
     (Phase.FINISHING, Connection.UNREAD): Action.KEEP,
-    (Phase.FINISHING, Connection.PART): Action.KEEP,
+    (Phase.FINISHING, Connection.PARTIAL): Action.KEEP,
     (Phase.FINISHING, Connection.UPLOAD): Action.KEEP,
-    (Phase.FINISHING, Connection.ASKED): Action.KEEP,
+    (Phase.FINISHING, Connection.AWAITING_ANSWER): Action.KEEP,
     (Phase.FINISHING, Connection.ANSWERING): Action.KEEP,
     (Phase.FINISHING, Connection.LINGERING): Action.KEEP,
     (Phase.FINAL, Connection.QUEUED): Action.KEEP,  # there is no listener left
@@ -166,13 +166,13 @@
     (Phase.FINAL, Connection.UNREAD): Action.KEEP,  # it is read in the next turn, and refused
     (
         Phase.FINAL,
-        Connection.PART,
+        Connection.PARTIAL,
     ): Action.REFUSE,  # not taken yet: nobody has it, and trying again is harmless
     (
         Phase.FINAL,
         Connection.UPLOAD,
     ): Action.KEEP,  # these have been answered in the decisions' place, or flow
-    (Phase.FINAL, Connection.ASKED): Action.KEEP,
+    (Phase.FINAL, Connection.AWAITING_ANSWER): Action.KEEP,
     (Phase.FINAL, Connection.ANSWERING): Action.KEEP,
     (Phase.FINAL, Connection.LINGERING): Action.KEEP,
 }
--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -320,9 +320,13 @@
         if self._waiting:
             if self._upload is not None:
                 return ConnectionState.UPLOAD
-            return ConnectionState.ASKED if self._waiting[0].stream is None else ConnectionState.ANSWERING
+            return (
+                ConnectionState.AWAITING_ANSWER
+                if self._waiting[0].stream is None
+                else ConnectionState.ANSWERING
+            )
         if self._reading:
-            return ConnectionState.PART
+            return ConnectionState.PARTIAL
         if self.unread:
             return ConnectionState.UNREAD
         return (
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -64,12 +64,17 @@
 
 def test_each_place_has_a_row_in_each_phase_and_no_request_is_met_by_an_end() -> None:
     assert set(LEAVING) == {(phase, place) for phase in ShutdownPhase for place in ConnectionState}
-    asked = (ConnectionState.UNREAD, ConnectionState.UPLOAD, ConnectionState.ASKED, ConnectionState.ANSWERING)
+    asked = (
+        ConnectionState.UNREAD,
+        ConnectionState.UPLOAD,
+        ConnectionState.AWAITING_ANSWER,
+        ConnectionState.ANSWERING,
+    )
     assert {LEAVING[phase, place] for phase in ShutdownPhase for place in asked} == {ConnectionAction.KEEP}
     assert all(
         do is not ConnectionAction.HALF_CLOSE
         for (_, place), do in LEAVING.items()
-        if place is ConnectionState.PART
+        if place is ConnectionState.PARTIAL
     )
 
 
