--- a/cypresspulley/lifecycle.py
+++ b/cypresspulley/lifecycle.py
@@ -134,7 +134,7 @@
     """What is done with a connection."""
 
     KEEP = "keep"
-    TAKE = "take"
+    ACCEPT = "take"
     HALF_CLOSE = "half-close"  # end the sending, read to the end: what crosses is not met by a reset
     REFUSE = "refuse"  # answer 503 and half-close
 
@@ -143,12 +143,12 @@
 Connection = ConnectionState
 Action = ConnectionAction
 LEAVING: dict[tuple[ShutdownPhase, ConnectionState], ConnectionAction] = {
-    (Phase.ACCEPTING, Connection.QUEUED): Action.TAKE,
+    (Phase.ACCEPTING, Connection.QUEUED): Action.ACCEPT,
     **{(Phase.ACCEPTING, place): Action.KEEP for place in Connection if place is not Connection.QUEUED},
     (
         Phase.FINISHING,
         Connection.QUEUED,
-    ): Action.TAKE,  # once more, before the listener goes: it resets what waits there
+    ): Action.ACCEPT,  # once more, before the listener goes: it resets what waits there
     (
         Phase.FINISHING,
         Connection.NEW,
