--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -21,7 +21,7 @@
 import httptools
 
 from cypresspulley import interface as api
-from cypresspulley.lifecycle import LEAVING, ConnectionAction, ShutdownPhase, ConnectionState
+from cypresspulley.lifecycle import SHUTDOWN_ACTIONS, ConnectionAction, ShutdownPhase, ConnectionState
 from cypresspulley.net.arrival import ArrivalClock
 from cypresspulley.net.http import MAX_BODY, MAX_HEAD, NOT_FORWARDED
 from cypresspulley.net.listener import Listener, SocketListener, bind, open_listener
@@ -1051,7 +1051,7 @@
     def _leave_each(self) -> None:
         now = self.clock()
         for client in list(self._clients):
-            client.leave(LEAVING[self.phase, client.place(now)])
+            client.leave(SHUTDOWN_ACTIONS[self.phase, client.place(now)])
 
     async def _stop_listening(self, deadline: float) -> None:
         """Take what the machine has accepted, unless a successor does, and listen no longer."""
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -8,7 +8,7 @@
 import pytest
 
 from cypresspulley import interface as api
-from cypresspulley.lifecycle import LEAVING, ConnectionAction, ShutdownPhase, ConnectionState
+from cypresspulley.lifecycle import SHUTDOWN_ACTIONS, ConnectionAction, ShutdownPhase, ConnectionState
 from cypresspulley.net import frontend
 from tests.loopback import Limiter, Script, ask, listening, read_message, run, send_on
 
@@ -63,17 +63,19 @@
 
 
 def test_each_place_has_a_row_in_each_phase_and_no_request_is_met_by_an_end() -> None:
-    assert set(LEAVING) == {(phase, place) for phase in ShutdownPhase for place in ConnectionState}
+    assert set(SHUTDOWN_ACTIONS) == {(phase, place) for phase in ShutdownPhase for place in ConnectionState}
     asked = (
         ConnectionState.UNREAD,
         ConnectionState.UPLOAD,
         ConnectionState.AWAITING_ANSWER,
         ConnectionState.ANSWERING,
     )
-    assert {LEAVING[phase, place] for phase in ShutdownPhase for place in asked} == {ConnectionAction.KEEP}
+    assert {SHUTDOWN_ACTIONS[phase, place] for phase in ShutdownPhase for place in asked} == {
+        ConnectionAction.KEEP
+    }
     assert all(
         do is not ConnectionAction.HALF_CLOSE
-        for (_, place), do in LEAVING.items()
+        for (_, place), do in SHUTDOWN_ACTIONS.items()
         if place is ConnectionState.PARTIAL
     )
 
