--- a/cypresspulley/lifecycle.py
+++ b/cypresspulley/lifecycle.py
@@ -6,7 +6,7 @@
 A limiter that was emptied by hand is not ready. A successor that takes over a drained limiter says yes all the same
 until its predecessor has gone: the platform waits for that yes, and the drain is no fault of the new process.
 
-A second table says what becomes of clients' connections once the process has been told to end (``LEAVING``).
+A second table says what becomes of clients' connections once the process has been told to end (``SHUTDOWN_ACTIONS``).
 """
 
 from __future__ import annotations
@@ -142,7 +142,7 @@
 Phase = ShutdownPhase
 Connection = ConnectionState
 Action = ConnectionAction
-LEAVING: dict[tuple[ShutdownPhase, ConnectionState], ConnectionAction] = {
+SHUTDOWN_ACTIONS: dict[tuple[ShutdownPhase, ConnectionState], ConnectionAction] = {
     (Phase.ACCEPTING, Connection.QUEUED): Action.ACCEPT,
     **{(Phase.ACCEPTING, place): Action.KEEP for place in Connection if place is not Connection.QUEUED},
     (
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -1,4 +1,4 @@
-"""Clients' connections of a limiter that was told to end: each row of ``lifecycle.LEAVING`` over loopback sockets."""
+"""Clients' connections of a limiter that was told to end: each row of ``lifecycle.SHUTDOWN_ACTIONS`` over loopback sockets."""
 
 from __future__ import annotations
 
