--- a/cypresspulley/lifecycle.py
+++ b/cypresspulley/lifecycle.py
@@ -42,7 +42,7 @@
 
 State = LifecycleState
 Event = LifecycleEvent
-TABLE: dict[tuple[LifecycleState, LifecycleEvent], LifecycleState] = {
+TRANSITIONS: dict[tuple[LifecycleState, LifecycleEvent], LifecycleState] = {
     (State.STARTING, Event.SERVE): State.READY,
     (State.STARTING, Event.SERVE_AS_SUCCESSOR): State.SUCCEEDING,
     (State.READY, Event.DRAIN): State.DRAINING,
@@ -86,7 +86,7 @@
 
     def step(self, step: LifecycleEvent) -> bool:
         """Whether the step has a row from the present state; it is taken then."""
-        after = TABLE.get((self.state, step))
+        after = TRANSITIONS.get((self.state, step))
         if after is None:
             return False
         self.state = after
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from cypresspulley.lifecycle import TABLE, Lifecycle, LifecycleState, LifecycleEvent
+from cypresspulley.lifecycle import TRANSITIONS, Lifecycle, LifecycleState, LifecycleEvent
 
 
 def after(*steps: LifecycleEvent) -> Lifecycle:
@@ -17,10 +17,12 @@
 
 
 def test_each_row_leads_on_and_nothing_leads_out_of_leaving() -> None:
-    for (state, step), target in TABLE.items():
+    for (state, step), target in TRANSITIONS.items():
         assert state is not LifecycleState.LEAVING or target is LifecycleState.LEAVING, (state, step)
         assert target is not LifecycleState.STARTING
-    assert {TABLE[state, LifecycleEvent.TERMINATE] for state in LifecycleState} == {LifecycleState.LEAVING}
+    assert {TRANSITIONS[state, LifecycleEvent.TERMINATE] for state in LifecycleState} == {
+        LifecycleState.LEAVING
+    }
 
 
 @pytest.mark.parametrize(
@@ -58,6 +60,6 @@
     for state, step in product(LifecycleState, LifecycleEvent):
         life = Lifecycle()
         life.state = state
-        assert life.step(step) is ((state, step) in TABLE)
-        assert life.state is TABLE.get((state, step), state)
+        assert life.step(step) is ((state, step) in TRANSITIONS)
+        assert life.state is TRANSITIONS.get((state, step), state)
     assert not after(LifecycleEvent.TERMINATE).step(LifecycleEvent.DRAIN)
