--- a/cypresspulley/lifecycle.py
+++ b/cypresspulley/lifecycle.py
@@ -70,9 +70,9 @@
     (State.HANDING_OVER_DRAINED, Event.PREDECESSOR_ENDED): State.HANDING_OVER_DRAINED,
     **{(state, Event.TERMINATE): State.LEAVING for state in State},
 }
-DRAINED = frozenset({State.DRAINING, State.SUCCEEDING_DRAINED, State.HANDING_OVER_DRAINED})
-HANDED = frozenset({State.HANDING_OVER, State.HANDING_OVER_DRAINED})
-SAYS_READY = frozenset({State.READY, State.SUCCEEDING, State.SUCCEEDING_DRAINED, State.HANDING_OVER})
+DRAINED_STATES = frozenset({State.DRAINING, State.SUCCEEDING_DRAINED, State.HANDING_OVER_DRAINED})
+HANDED_OVER_STATES = frozenset({State.HANDING_OVER, State.HANDING_OVER_DRAINED})
+READY_STATES = frozenset({State.READY, State.SUCCEEDING, State.SUCCEEDING_DRAINED, State.HANDING_OVER})
 
 
 class Lifecycle:
@@ -95,17 +95,17 @@
     @property
     def ready(self) -> bool:
         """What ``readyz`` says."""
-        return self.state in SAYS_READY
+        return self.state in READY_STATES
 
     @property
     def drained(self) -> bool:
         """Whether operators have emptied the limiter, or the process leaves: fronts are told no."""
-        return self.state in DRAINED or self.state is LifecycleState.LEAVING
+        return self.state in DRAINED_STATES or self.state is LifecycleState.LEAVING
 
     @property
     def handed(self) -> bool:
         """Whether a successor takes what comes."""
-        return self.state in HANDED
+        return self.state in HANDED_OVER_STATES
 
 
 class ShutdownPhase(Enum):
