--- a/cypresspulley/lifecycle.py
+++ b/cypresspulley/lifecycle.py
@@ -84,9 +84,9 @@
     def __repr__(self) -> str:
         return f"<Lifecycle {self.state.value}>"
 
-    def step(self, step: LifecycleEvent) -> bool:
+    def apply(self, event: LifecycleEvent) -> bool:
         """Whether the step has a row from the present state; it is taken then."""
-        after = TRANSITIONS.get((self.state, step))
+        after = TRANSITIONS.get((self.state, event))
         if after is None:
             return False
         self.state = after
@@ -103,7 +103,7 @@
         return self.state in DRAINED_STATES or self.state is LifecycleState.LEAVING
 
     @property
-    def handed(self) -> bool:
+    def handed_over(self) -> bool:
         """Whether a successor takes what comes."""
         return self.state in HANDED_OVER_STATES
 
--- a/cypresspulley/service.py
+++ b/cypresspulley/service.py
@@ -88,11 +88,11 @@
         """Clients' connections are taken from now on."""
         self._node, self._frontend, self._gateway, self._upstream = node, frontend, gateway, upstream
         self._clock = clock or self._clock
-        self.life.step(LifecycleEvent.SERVE_AS_SUCCESSOR if inherited else LifecycleEvent.SERVE)
+        self.life.apply(LifecycleEvent.SERVE_AS_SUCCESSOR if inherited else LifecycleEvent.SERVE)
         if not inherited:
             self._recall()
         if self._drained:
-            self.life.step(LifecycleEvent.DRAIN)
+            self.life.apply(LifecycleEvent.DRAIN)
         self._heed()
         if gateway is not None:
             self._ghosts = Ghosts(gateway)
@@ -161,7 +161,7 @@
     def _apply(self, name: str, id: str, sure: bool = False) -> Reply:
         if name in ("suspend", "resume"):
             return self._ban(id, name == "suspend", sure)
-        if not self.life.step(LifecycleEvent.DRAIN if name == "drain" else LifecycleEvent.ACTIVATE):
+        if not self.life.apply(LifecycleEvent.DRAIN if name == "drain" else LifecycleEvent.ACTIVATE):
             return Reply(409, {"state": self.life.state.value, "error": f"cannot {name} now"})
         self._heed()
         return self._recorded(Reply(200, {"state": self.life.state.value}))
@@ -183,8 +183,8 @@
 
     def leave(self) -> bool:
         """The process was told to end; whether a successor takes what comes."""
-        handed = self.life.handed
-        self.life.step(LifecycleEvent.TERMINATE)
+        handed = self.life.handed_over
+        self.life.apply(LifecycleEvent.TERMINATE)
         self._heed()
         return handed
 
@@ -220,7 +220,7 @@
         self._frontend.pause()
 
     def resume(self) -> None:
-        self.life.step(LifecycleEvent.TAKE_BACK)
+        self.life.apply(LifecycleEvent.TAKE_BACK)
         self._heed()
         if self._frontend is not None and not self._frontend.closed:
             self._frontend.resume()
@@ -247,7 +247,7 @@
     def handed(self, to: Peer | None) -> None:
         assert self._frontend is not None
         if isinstance(to, Predecessor):
-            self.life.step(LifecycleEvent.HAND_OVER)
+            self.life.apply(LifecycleEvent.HAND_OVER)
             self._frontend.hand(to.pass_client)
         else:
             self._frontend.hand(None)
@@ -268,5 +268,5 @@
         self._later(self._tell(name, id, source))  # to a third process, where there is one
 
     def alone(self) -> None:
-        self.life.step(LifecycleEvent.PREDECESSOR_ENDED)
+        self.life.apply(LifecycleEvent.PREDECESSOR_ENDED)
         self._heed()
--- a/tests/takeover/test_handover.py
+++ b/tests/takeover/test_handover.py
@@ -112,7 +112,7 @@
                 writer.write(ask())
                 assert " 200 " in (await read_message(reader))[0]
             new = await Process(tmp_path, dial).start()
-            await until(lambda: old.service.life.handed)
+            await until(lambda: old.service.life.handed_over)
             for reader, writer in kept:  # each connection answers, whichever process holds it
                 writer.write(ask())
                 status, headers, _ = await read_message(reader)
@@ -216,7 +216,7 @@
             writer.write(ask())
             await taken.wait()
             new = await Process(tmp_path, dial).start()
-            await until(lambda: old.service.life.handed)
+            await until(lambda: old.service.life.handed_over)
             ghost = [a.open for a in new.gateway.quotas.accounts.values()]
             await until(lambda: sum(a.open for a in new.gateway.quotas.accounts.values()) == 1)
             assert sum(ghost) <= 1
@@ -265,7 +265,7 @@
             old = await Process(tmp_path, dial).start()
             assert (await old.service.call("drain", "")).status == 200
             new = await Process(tmp_path, dial).start()
-            await until(lambda: old.service.life.handed)
+            await until(lambda: old.service.life.handed_over)
             assert new.frontend.draining and (await new.service.call("readyz", "")).status == 200
             assert (await new.service.call("activate", "")).status == 200
             assert not old.service.life.drained and not new.frontend.draining
@@ -317,7 +317,7 @@
     async def main() -> None:
         origin = Origin()
         async with upgraded(tmp_path, origin) as (old, new):
-            await until(lambda: old.service.life.handed)
+            await until(lambda: old.service.life.handed_over)
             new.die()
             await until(lambda: old.service.life.state is LifecycleState.READY and accepting(old))
             reader, writer = await asyncio.open_connection(*old.address)
