--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -21,7 +21,7 @@
 import httptools
 
 from cypresspulley import interface as api
-from cypresspulley.lifecycle import SHUTDOWN_ACTIONS, ConnectionAction, ShutdownPhase, ConnectionState
+from cypresspulley.lifecycle import SHUTDOWN_ACTIONS, ConnectionAction, ConnectionState, ShutdownPhase
 from cypresspulley.net.arrival import ArrivalClock
 from cypresspulley.net.http import MAX_BODY, MAX_HEAD, NOT_FORWARDED
 from cypresspulley.net.listener import Listener, SocketListener, bind, open_listener
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from cypresspulley.lifecycle import TRANSITIONS, Lifecycle, LifecycleState, LifecycleEvent
+from cypresspulley.lifecycle import TRANSITIONS, Lifecycle, LifecycleEvent, LifecycleState
 
 
 def after(*steps: LifecycleEvent) -> Lifecycle:
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -1,4 +1,4 @@
-"""Clients' connections of a limiter that was told to end: each row of ``lifecycle.SHUTDOWN_ACTIONS`` over loopback sockets."""
+"""Client connections of a limiter that was told to stop: each row of ``lifecycle.SHUTDOWN_ACTIONS`` on real sockets."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 from cypresspulley import interface as api
-from cypresspulley.lifecycle import SHUTDOWN_ACTIONS, ConnectionAction, ShutdownPhase, ConnectionState
+from cypresspulley.lifecycle import SHUTDOWN_ACTIONS, ConnectionAction, ConnectionState, ShutdownPhase
 from cypresspulley.net import frontend
 from tests.loopback import Limiter, Script, ask, listening, read_message, run, send_on
 
