--- a/cypresspulley/lifecycle.py
+++ b/cypresspulley/lifecycle.py
@@ -1,12 +1,14 @@
-"""The states of one limiter process from its start to its end: one table, no I/O and no clock.
+"""State machines of a limiter process, as two transition tables without I/O or clock.
 
-A drain is an operator's word and is kept apart from the upgrade: either may come first, and each is taken back by
-itself. ``ready`` is what the door's ``readyz`` says, ``healthy`` what clients' fronts are told at ``/healthz``.
+``TRANSITIONS`` covers the process from start to exit. A drain ordered by operators and an upgrade are independent:
+either may come first, and each is undone on its own. ``ready`` is the answer to ``readyz`` on the operators' interface;
+``drained`` is what load balancers in front of the limiter learn from ``/healthz``.
 
-A limiter that was emptied by hand is not ready. A successor that takes over a drained limiter says yes all the same
-until its predecessor has gone: the platform waits for that yes, and the drain is no fault of the new process.
+A limiter that operators drained is not ready. A successor that takes over from a drained limiter reports ready
+nevertheless until its predecessor has exited: the platform waits for a ready successor, and the drain says nothing
+about the health of the new process.
 
-A second table says what becomes of clients' connections once the process has been told to end (``SHUTDOWN_ACTIONS``).
+``SHUTDOWN_ACTIONS`` says what happens to each client connection after the process was told to stop.
 """
 
 from __future__ import annotations
@@ -15,31 +17,32 @@
 
 
 class LifecycleState(Enum):
-    """Of a process: whether it serves, whether operators emptied it, and which side of an upgrade it is on."""
+    """State of a process: whether it serves, whether it is drained, and which side of an upgrade it is on."""
 
     STARTING = "starting"
     READY = "ready"
     DRAINING = "draining"
-    SUCCEEDING = "succeeding"  # it serves, and its predecessor is still there
+    SUCCEEDING = "succeeding"  # serves while its predecessor is still running
     SUCCEEDING_DRAINED = "succeeding, drained"
-    HANDING_OVER = "handing over"  # a successor serves; this process finishes what it has
+    HANDING_OVER = "handing over"  # a successor serves; this process finishes its open requests
     HANDING_OVER_DRAINED = "handing over, drained"
     LEAVING = "leaving"
 
 
 class LifecycleEvent(Enum):
-    """What happens to a process."""
+    """Event that may change the state of a process."""
 
-    SERVE = "serve"  # clients' connections are taken from now on
-    SERVE_AS_SUCCESSOR = "succeed"  # the same, beside a predecessor that is still there
-    PREDECESSOR_ENDED = "alone"  # the predecessor has ended
+    SERVE = "serve"  # client connections are accepted from now on
+    SERVE_AS_SUCCESSOR = "succeed"  # the same, while a predecessor is still running
+    PREDECESSOR_ENDED = "alone"
     DRAIN = "drain"
     ACTIVATE = "activate"
-    HAND_OVER = "hand over"  # a successor says that it serves
-    TAKE_BACK = "take back"  # the successor has ended, and this process has not been told to
+    HAND_OVER = "hand over"  # a successor reports that it serves
+    TAKE_BACK = "take back"  # the successor ended, and this process was not told to stop
     TERMINATE = "term"
 
 
+# Short names for the table below.
 State = LifecycleState
 Event = LifecycleEvent
 TRANSITIONS: dict[tuple[LifecycleState, LifecycleEvent], LifecycleState] = {
@@ -57,7 +60,7 @@
     (State.SUCCEEDING_DRAINED, Event.PREDECESSOR_ENDED): State.DRAINING,
     (State.SUCCEEDING_DRAINED, Event.DRAIN): State.SUCCEEDING_DRAINED,
     (State.SUCCEEDING_DRAINED, Event.ACTIVATE): State.SUCCEEDING,
-    # A third process while the first has not ended: the one in the middle hands over like any other.
+    # A third process may start before the first has ended: the one between them hands over like any other.
     (State.SUCCEEDING, Event.HAND_OVER): State.HANDING_OVER,
     (State.SUCCEEDING_DRAINED, Event.HAND_OVER): State.HANDING_OVER_DRAINED,
     (State.HANDING_OVER, Event.DRAIN): State.HANDING_OVER_DRAINED,
@@ -76,7 +79,7 @@
 
 
 class Lifecycle:
-    """Where a process stands. A step without a row in the table changes nothing and is told so."""
+    """Current state of a process; ``apply`` moves it along ``TRANSITIONS``."""
 
     def __init__(self) -> None:
         self.state = LifecycleState.STARTING
@@ -85,74 +88,74 @@
         return f"<Lifecycle {self.state.value}>"
 
     def apply(self, event: LifecycleEvent) -> bool:
-        """Whether the step has a row from the present state; it is taken then."""
-        after = TRANSITIONS.get((self.state, event))
-        if after is None:
+        """Apply an event and return True; return False and change nothing if the state has no transition for it."""
+        next_state = TRANSITIONS.get((self.state, event))
+        if next_state is None:
             return False
-        self.state = after
+        self.state = next_state
         return True
 
     @property
     def ready(self) -> bool:
-        """What ``readyz`` says."""
+        """Whether ``readyz`` answers that the process is ready."""
         return self.state in READY_STATES
 
     @property
     def drained(self) -> bool:
-        """Whether operators have emptied the limiter, or the process leaves: fronts are told no."""
+        """Whether ``/healthz`` turns clients away: operators drained the limiter, or the process is leaving."""
         return self.state in DRAINED_STATES or self.state is LifecycleState.LEAVING
 
     @property
     def handed_over(self) -> bool:
-        """Whether a successor takes what comes."""
+        """Whether a successor accepts new connections instead of this process."""
         return self.state in HANDED_OVER_STATES
 
 
 class ShutdownPhase(Enum):
-    """Of a process that was told to end, and that no successor takes over from."""
+    """Phase of a process that was told to stop and has no successor."""
 
-    ACCEPTING = "taking"  # clients have not heard: what they open and send is taken, and each answer closes its connection
-    FINISHING = "finishing"  # no new connections; what was taken is answered
-    FINAL = "last"  # SIGKILL is near: what is open has been failed, and what still comes is refused at once
+    # Clients do not know yet: their connections and requests are accepted, and each answer closes its connection.
+    ACCEPTING = "taking"
+    FINISHING = "finishing"  # no new connections; accepted requests are answered
+    FINAL = "last"  # SIGKILL is near: open requests have been failed, and new ones are refused at once
 
 
 class ConnectionState(Enum):
-    """Where a client's connection stands."""
+    """State of a client connection."""
 
-    QUEUED = "queued"  # taken by the machine, not yet by the process
-    NEW = "new"  # it has sent nothing yet, and came a moment ago
-    IDLE = "idle"  # at rest between two requests, or it came long ago and said nothing
-    UNREAD = "unread"  # it looks idle, but bytes of it lie in the machine
-    PARTIAL = "part"  # part of a request has come
-    UPLOAD = "upload"  # a large body is under way, and passed on as it comes
-    AWAITING_ANSWER = "asked"  # one request or several were taken, and the first has no answer yet
-    ANSWERING = "answering"  # an answer flows
-    LINGERING = "lingering"  # its last answer is written and its sending ended: it is read to the end
+    QUEUED = "queued"  # in the kernel's accept queue, not accepted by the process yet
+    NEW = "new"  # accepted a moment ago, and nothing received on it
+    IDLE = "idle"  # between two requests, or accepted long ago with nothing received
+    UNREAD = "unread"  # looks idle, but the kernel holds received bytes
+    PARTIAL = "part"  # part of a request was received
+    UPLOAD = "upload"  # a large body is being received and forwarded as it arrives
+    AWAITING_ANSWER = "asked"  # one or more requests were accepted, and the first has no answer yet
+    ANSWERING = "answering"  # an answer is being sent
+    LINGERING = "lingering"  # the last answer was sent and the write side shut down; input is read to its end
 
 
 class ConnectionAction(Enum):
-    """What is done with a connection."""
+    """What the process does with a client connection."""
 
     KEEP = "keep"
     ACCEPT = "take"
-    HALF_CLOSE = "half-close"  # end the sending, read to the end: what crosses is not met by a reset
+    HALF_CLOSE = (
+        "half-close"  # shut down the write side and read to the end, so that bytes in flight cause no reset
+    )
     REFUSE = "refuse"  # answer 503 and half-close
 
 
+# Short names for the table below.
 Phase = ShutdownPhase
 Connection = ConnectionState
 Action = ConnectionAction
 SHUTDOWN_ACTIONS: dict[tuple[ShutdownPhase, ConnectionState], ConnectionAction] = {
     (Phase.ACCEPTING, Connection.QUEUED): Action.ACCEPT,
-    **{(Phase.ACCEPTING, place): Action.KEEP for place in Connection if place is not Connection.QUEUED},
-    (
-        Phase.FINISHING,
-        Connection.QUEUED,
-    ): Action.ACCEPT,  # once more, before the listener goes: it resets what waits there
-    (
-        Phase.FINISHING,
-        Connection.NEW,
-    ): Action.KEEP,  # a request that crosses the end of a connection's first would be priced
+    **{(Phase.ACCEPTING, state): Action.KEEP for state in Connection if state is not Connection.QUEUED},
+    # Accepts once more before the listener closes: closing it resets the connections that are still queued.
+    (Phase.FINISHING, Connection.QUEUED): Action.ACCEPT,
+    # The first request of a connection may be in flight, and would count as failed if the connection were closed.
+    (Phase.FINISHING, Connection.NEW): Action.KEEP,
     (Phase.FINISHING, Connection.IDLE): Action.HALF_CLOSE,
     (Phase.FINISHING, Connection.UNREAD): Action.KEEP,
     (Phase.FINISHING, Connection.PARTIAL): Action.KEEP,
@@ -160,18 +163,13 @@
     (Phase.FINISHING, Connection.AWAITING_ANSWER): Action.KEEP,
     (Phase.FINISHING, Connection.ANSWERING): Action.KEEP,
     (Phase.FINISHING, Connection.LINGERING): Action.KEEP,
-    (Phase.FINAL, Connection.QUEUED): Action.KEEP,  # there is no listener left
+    (Phase.FINAL, Connection.QUEUED): Action.KEEP,  # the listener is closed already
     (Phase.FINAL, Connection.NEW): Action.HALF_CLOSE,
     (Phase.FINAL, Connection.IDLE): Action.HALF_CLOSE,
-    (Phase.FINAL, Connection.UNREAD): Action.KEEP,  # it is read in the next turn, and refused
-    (
-        Phase.FINAL,
-        Connection.PARTIAL,
-    ): Action.REFUSE,  # not taken yet: nobody has it, and trying again is harmless
-    (
-        Phase.FINAL,
-        Connection.UPLOAD,
-    ): Action.KEEP,  # these have been answered in the decisions' place, or flow
+    (Phase.FINAL, Connection.UNREAD): Action.KEEP,  # read and refused in the next iteration of the loop
+    (Phase.FINAL, Connection.PARTIAL): Action.REFUSE,  # not passed on yet, so that a retry is harmless
+    # The requests of the next three were failed on behalf of the decisions, or their answers are being sent.
+    (Phase.FINAL, Connection.UPLOAD): Action.KEEP,
     (Phase.FINAL, Connection.AWAITING_ANSWER): Action.KEEP,
     (Phase.FINAL, Connection.ANSWERING): Action.KEEP,
     (Phase.FINAL, Connection.LINGERING): Action.KEEP,
