--- a/cypresspulley/explore/lifecycle.py
+++ b/cypresspulley/explore/lifecycle.py
@@ -166,7 +166,7 @@
             self._met(f"probed {event.status.value}")
         elif isinstance(event, api.SettingsChanged):
             self._classes |= {c.name: c for c in event.settings.classes}
-        elif isinstance(event, api.Body | api.ResponseStarted):
+        elif isinstance(event, api.BodyProgress | api.ResponseStarted):
             self._flows(now, event)
         for action in actions:
             if isinstance(action, api.Send):
@@ -186,7 +186,7 @@
         elif self._bans.pop(action.server, None) is not None:
             self._back[action.server] = now
 
-    def _flows(self, now: float, event: api.Body | api.ResponseStarted) -> None:
+    def _flows(self, now: float, event: api.BodyProgress | api.ResponseStarted) -> None:
         """A body's time counts from its last byte; an answer that has begun takes what it takes."""
         if (life := self.lives.get(event.id)) is None:
             return
--- a/cypresspulley/interface.py
+++ b/cypresspulley/interface.py
@@ -168,7 +168,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Body:
+class BodyProgress:
     """Of a request that came before its body was whole: whether it is now, and can still be sent again."""
 
     id: int
@@ -316,7 +316,7 @@
 Event = (
     ServerList
     | Request
-    | Body
+    | BodyProgress
     | ResponseStarted
     | Outcome
     | ClientDisconnected
--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -166,7 +166,7 @@
             self._time(opened, event, margin)
             for attempt in opened.attempts:
                 self._upstream.whole(attempt)  # one that waits for its dial still
-        self.feed(api.Body(event.id, whole, kept))
+        self.feed(api.BodyProgress(event.id, whole, kept))
 
     def _began(self, id: int, number: int, attempt: Exchange, download: Download) -> None:
         """A large answer comes: the client gets it as it does."""
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -34,7 +34,7 @@
         self._timer, self._retries = 0, 10.0  # further attempts that may be made
         self._seen, self._ranks = deque[float](maxlen=300), list[float]()  # worth per work of the recent
         self._handlers: dict[type, Callable[[float, Any], None]] = {
-            api.Request: self._arrive, api.Body: self._body, api.ResponseStarted: self._began,
+            api.Request: self._arrive, api.BodyProgress: self._body, api.ResponseStarted: self._began,
             api.Outcome: self._outcome,
             api.ServerList: self.fleet.listed, api.Suspend: self._suspend, api.SettingsChanged: self._retune,
             api.Probed: self.fleet.probed, api.PeerMessage: self.quotas.heard, api.Counted: self.quotas.calls.answered,
@@ -141,7 +141,7 @@
         r.busy, r.account.open = True, r.account.open + 1
         self.fleet.begin(now, s, r.work)
 
-    def _body(self, now: float, ev: api.Body) -> None:
+    def _body(self, now: float, ev: api.BodyProgress) -> None:
         """A body that flows: a server begins with its last byte, and so do the client's time and the work."""
         if (r := self._requests.get(ev.id)) is None:
             return
--- a/tests/test_endings_policy.py
+++ b/tests/test_endings_policy.py
@@ -276,7 +276,7 @@
                 for key, (send, _) in self.out.items():
                     if key[0] == id:
                         self.out[key] = send, min(self.now + send.timeout, self.deadlines[id])
-            self.feed(api.Body(id, whole, b % 2 == 0))
+            self.feed(api.BodyProgress(id, whole, b % 2 == 0))
 
     def began(self, a: int, _b: int) -> None:
         keys = [key for key in self.out if key[0] in self.open and key[0] not in self.body_pending]
--- a/tests/test_endings_times.py
+++ b/tests/test_endings_times.py
@@ -50,7 +50,7 @@
             if self._held:
                 self._clock.jump()  # it has decided, and is held before its actions
             return [send]
-        if isinstance(event, api.Body) and event.whole:
+        if isinstance(event, api.BodyProgress) and event.whole:
             self._due = self._clock() + TTL
         if isinstance(event, api.Outcome) and not event.finished and event.attempt == 0:
             return [api.Send(event.id, "s2", self._due - self._clock())]
@@ -151,8 +151,8 @@
             assert TTL - 0.5 < told(await server.request(sock)) <= TTL
             clock.jump(3.0)
             peer.send(request[2000:])
-            await script.until(api.Body)
-            await until(lambda: script.events[-1] == api.Body(1, True, False))
+            await script.until(api.BodyProgress)
+            await until(lambda: script.events[-1] == api.BodyProgress(1, True, False))
             (opened,) = limiter.node._open.values()
             (attempt,) = opened.attempts
             assert attempt.timer is not None
--- a/tests/test_quota_audit.py
+++ b/tests/test_quota_audit.py
@@ -37,6 +37,6 @@
     audited = Audited(Scripted(), lambda _now, request, became: told.append((request.id, became)))  # type: ignore[arg-type]
     for id in (1, 2, 3):
         audited.handle(0.0, w.request(id))
-    audited.handle(0.0, api.Body(1, True, True))  # sent once more
+    audited.handle(0.0, api.BodyProgress(1, True, True))  # sent once more
     audited.handle(0.0, api.ClientDisconnected(3))
     assert told == [(1, "sent"), (2, "refused: quota")] and not audited._open
