--- a/cypresspulley/explore/lifecycle.py
+++ b/cypresspulley/explore/lifecycle.py
@@ -192,7 +192,7 @@
             return
         if isinstance(event, api.ResponseStarted):
             life.due = float("inf")
-        elif event.whole:
+        elif event.complete:
             life.due = now + life.request.ttl
 
     def woke(self, now: float) -> None:
--- a/cypresspulley/interface.py
+++ b/cypresspulley/interface.py
@@ -172,8 +172,8 @@
     """Of a request that came before its body was whole: whether it is now, and can still be sent again."""
 
     id: int
-    whole: bool
-    kept: bool
+    complete: bool
+    replayable: bool
 
 
 @dataclass(frozen=True, slots=True)
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -145,8 +145,8 @@
         """A body that flows: a server begins with its last byte, and so do the client's time and the work."""
         if (r := self._requests.get(ev.id)) is None:
             return
-        r.kept = ev.kept
-        if ev.whole and r.body_pending:
+        r.kept = ev.replayable
+        if ev.complete and r.body_pending:
             r.body_pending = False
             r.begin(now)
             self.quotas.whole(now, r)
--- a/tests/test_endings_times.py
+++ b/tests/test_endings_times.py
@@ -50,7 +50,7 @@
             if self._held:
                 self._clock.jump()  # it has decided, and is held before its actions
             return [send]
-        if isinstance(event, api.BodyProgress) and event.whole:
+        if isinstance(event, api.BodyProgress) and event.complete:
             self._due = self._clock() + TTL
         if isinstance(event, api.Outcome) and not event.finished and event.attempt == 0:
             return [api.Send(event.id, "s2", self._due - self._clock())]
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -260,7 +260,7 @@
             requests = await script.until(api.Request)
             assert all(r.body_pending for r in requests) and limiter.upstream.relay.active == 0
             (first, *_) = await script.until(api.BodyProgress)
-            assert first == api.BodyProgress(requests[0].id, whole=False, kept=False)
+            assert first == api.BodyProgress(requests[0].id, complete=False, replayable=False)
 
     run(main())
 
@@ -648,7 +648,7 @@
     server = world.gateway.fleet.servers["s0"]
     assert world.out and server.open == 0.0 and server.quiet is None
     assert world.gateway._requests[1].account.open == 0, "an attempt is out from its last byte on"
-    world.gateway.handle(world.now + 60.0, api.BodyProgress(1, whole=True, kept=False))
+    world.gateway.handle(world.now + 60.0, api.BodyProgress(1, complete=True, replayable=False))
     assert server.open > 0.0 and server.quiet == world.now + 60.0
     request = world.gateway._requests[1]
     assert request.deadline == world.now + 63.0, "its time counts from its last byte"
@@ -663,7 +663,7 @@
         world = w.World(w.settings(plans=(api.Plan("free"),), has_counter=False))
         world.feed(w.servers("s0", "s1"))
         world.feed(replace(w.request(1, "post"), body_pending=True))
-        world.gateway.handle(world.now, api.BodyProgress(1, whole=False, kept=kept))
+        world.gateway.handle(world.now, api.BodyProgress(1, complete=False, replayable=kept))
         (key,) = world.out
         world.feed(w.outcome(*key, world.out[key][0], api.Status.UNREACHABLE))
         assert len(world.attempts[1]) == attempts
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -162,7 +162,7 @@
     id = fleet.ask(0, "post", body_pending=True)
     fleet.advance(1.1)
     assert len(fleet.out) == 1 and not any(fleet.totals.values())
-    fleet.worlds[0].feed(api.BodyProgress(id, whole=True, kept=False))
+    fleet.worlds[0].feed(api.BodyProgress(id, complete=True, replayable=False))
     fleet.advance(1.1)
     assert sum(fleet.totals.values()) == 1
     assert fleet.ends_clean()
