--- a/cypresspulley/messages.py
+++ b/cypresspulley/messages.py
@@ -10,7 +10,10 @@
 
 DIGITS = "0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz-_"
 VALUES = {digit: value for value, digit in enumerate(DIGITS)}
-MOST_BYTES, AGE, KEY, AMOUNT = 256, 2, 6, 2  # of a message; digits of an age, of a key, of an amount
+MOST_BYTES = 256  # of a message
+AGE = 2  # digits
+KEY = 6  # digits
+AMOUNT = 2  # digits
 KEYS: int = 64**KEY  # keys there are
 STEP = 1 / 16  # of a unit
 ZERO: int = 64**AMOUNT // 2
