--- a/cypresspulley/messages.py
+++ b/cypresspulley/messages.py
@@ -15,7 +15,7 @@
 KEY_DIGITS = 6  # digits
 AMOUNT_DIGITS = 2  # digits
 KEYS: int = 64**KEY_DIGITS  # keys there are
-STEP = 1 / 16  # of a unit
+UNITS_PER_STEP = 1 / 16  # of a unit
 AMOUNT_OFFSET: int = 64**AMOUNT_DIGITS // 2
 ROWS = (MAX_MESSAGE_BYTES - AGE_DIGITS) // (KEY_DIGITS + AMOUNT_DIGITS)  # that a message holds
 
@@ -35,7 +35,7 @@
 
 def steps(units: float) -> int:
     """How many steps a message tells of so many units: what exceeds its digits is told the next time."""
-    return max(-AMOUNT_OFFSET, min(AMOUNT_OFFSET - 1, round(units / STEP)))
+    return max(-AMOUNT_OFFSET, min(AMOUNT_OFFSET - 1, round(units / UNITS_PER_STEP)))
 
 
 def compose(age: float, rows: Iterable[tuple[int, int]]) -> str:
@@ -52,5 +52,5 @@
         return None
     cut = (rows[at : at + size] for at in range(0, len(rows), size))
     return read(text[:AGE_DIGITS]), [
-        (read(row[:KEY_DIGITS]), (read(row[KEY_DIGITS:]) - AMOUNT_OFFSET) * STEP) for row in cut
+        (read(row[:KEY_DIGITS]), (read(row[KEY_DIGITS:]) - AMOUNT_OFFSET) * UNITS_PER_STEP) for row in cut
     ]
--- a/cypresspulley/policy/usage.py
+++ b/cypresspulley/policy/usage.py
@@ -1,6 +1,6 @@
 """Messages between gateways: what they tell each other of their customers' use."""
 
-from cypresspulley.messages import KEYS, ROWS, STEP, compose, parse, steps
+from cypresspulley.messages import KEYS, ROWS, UNITS_PER_STEP, compose, parse, steps
 from cypresspulley.policy.account import Account
 
 TELL_SHARE, IDLE_TELL = 0.6, 1.0  # of what an inbox takes; seconds between two messages with nothing to tell
@@ -30,12 +30,12 @@
     def write(self, now: float) -> str:
         """The largest parts of their quotas first; what finds no room is told the next time."""
         self.at = now
-        used = [a for a in self.owed.values() if abs(a.pending) >= STEP and a.share > 1]
-        used.sort(key=lambda a: (-abs(a.pending) / max(a.plan.burst, STEP), a.name))
+        used = [a for a in self.owed.values() if abs(a.pending) >= UNITS_PER_STEP and a.share > 1]
+        used.sort(key=lambda a: (-abs(a.pending) / max(a.plan.burst, UNITS_PER_STEP), a.name))
         rows = [(a, steps(a.pending)) for a in used[:ROWS]]
         for a, told in rows:
-            a.pending -= told * STEP
-        self.owed = {a.name: a for a in used if abs(a.pending) >= STEP}
+            a.pending -= told * UNITS_PER_STEP
+        self.owed = {a.name: a for a in used if abs(a.pending) >= UNITS_PER_STEP}
         return compose(now - self.born, ((a.name, told) for a, told in rows))
 
     def read(self, now: float, text: str) -> list[tuple[int, float]]:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -13,7 +13,7 @@
 
 from cypresspulley import interface as api
 from cypresspulley.config import ConfigError, config_from
-from cypresspulley.messages import DIGITS, STEP
+from cypresspulley.messages import DIGITS, UNITS_PER_STEP
 from cypresspulley.net.peers import MAX_MESSAGE, Peers
 from cypresspulley.policy.account import Account
 from cypresspulley.policy.usage import HEARD_AT_MOST, UsageBroadcast
@@ -178,7 +178,7 @@
             heard[key] = heard.get(key, 0.0) + units
     for account, amount in zip(accounts, amounts, strict=True):
         assert heard.get(account.name % 64**6, 0.0) + account.pending == pytest.approx(amount)
-        assert abs(account.pending) <= STEP
+        assert abs(account.pending) <= UNITS_PER_STEP
 
 
 def test_messages_are_no_more_than_an_inbox_takes() -> None:
