--- a/cypresspulley/policy/quota.py
+++ b/cypresspulley/policy/quota.py
@@ -7,7 +7,7 @@
 
 from cypresspulley import interface as api
 from cypresspulley.interface import Action, Status
-from cypresspulley.messages import KEYS
+from cypresspulley.messages import KEY_COUNT
 from cypresspulley.policy.account import Account, Answered, Calls
 from cypresspulley.policy.classes import Plans
 from cypresspulley.policy.incarnation import Incarnation
@@ -65,7 +65,7 @@
             self.usage = None
         elif self.usage is None:
             self.usage = UsageBroadcast(now, settings.gateways, settings.inbox_rate)
-            self._keys = {a.name % KEYS: a for a in self.accounts.values()}
+            self._keys = {a.name % KEY_COUNT: a for a in self.accounts.values()}
         else:
             self.usage.follow(settings.gateways, settings.inbox_rate)
 
@@ -91,7 +91,7 @@
             if self.incarnation.first:
                 a.begin_full()
             if self.usage is not None:
-                self._keys[a.name % KEYS] = a
+                self._keys[a.name % KEY_COUNT] = a
                 self.usage.met(now, a)
                 a.heard = now
         a.refill(now)
@@ -116,7 +116,7 @@
             full = grown >= a.keep * a.plan.ceiling_burst
             if now - a.at > FORGET and not a.open and full:
                 del self.accounts[key]
-                self._keys.pop(a.name % KEYS, None)
+                self._keys.pop(a.name % KEY_COUNT, None)
                 continue
             if a.slots is not None and a.slots.late(self.wall.at(now)) and self.calls.left(now) >= 1:
                 self._tell_out(now, a.slots)
--- a/cypresspulley/policy/usage.py
+++ b/cypresspulley/policy/usage.py
@@ -1,6 +1,6 @@
 """Messages between gateways: what they tell each other of their customers' use."""
 
-from cypresspulley.messages import KEYS, ROWS, UNITS_PER_STEP, compose, parse, steps
+from cypresspulley.messages import KEY_COUNT, ROWS, UNITS_PER_STEP, compose, parse, steps
 from cypresspulley.policy.account import Account
 
 TELL_SHARE, IDLE_TELL = 0.6, 1.0  # of what an inbox takes; seconds between two messages with nothing to tell
@@ -55,7 +55,7 @@
 
     def met(self, now: float, a: Account) -> None:
         """A customer comes here for the first time: what others told of it counts."""
-        used, since = self.strange.pop(a.name % KEYS, (0.0, now))
+        used, since = self.strange.pop(a.name % KEY_COUNT, (0.0, now))
         a.level = min(a.level, a.plan.burst) - max(0.0, used - a.plan.rate * (now - since))
         if self.late:
             self.doubt(now, a)
