--- a/cypresspulley/messages.py
+++ b/cypresspulley/messages.py
@@ -17,7 +17,7 @@
 KEY_COUNT: int = 64**KEY_DIGITS  # keys there are
 UNITS_PER_STEP = 1 / 16  # of a unit
 AMOUNT_OFFSET: int = 64**AMOUNT_DIGITS // 2
-ROWS = (MAX_MESSAGE_BYTES - AGE_DIGITS) // (KEY_DIGITS + AMOUNT_DIGITS)  # that a message holds
+MAX_ROWS = (MAX_MESSAGE_BYTES - AGE_DIGITS) // (KEY_DIGITS + AMOUNT_DIGITS)  # that a message holds
 
 
 def written(value: int, count: int) -> str:
