--- a/cypresspulley/messages.py
+++ b/cypresspulley/messages.py
@@ -38,13 +38,13 @@
     return max(-AMOUNT_OFFSET, min(AMOUNT_OFFSET - 1, round(units / UNITS_PER_STEP)))
 
 
-def compose(age: float, rows: Iterable[tuple[int, int]]) -> str:
+def encode_message(age: float, rows: Iterable[tuple[int, int]]) -> str:
     """A message; ``rows`` are keys and steps."""
     told = (written(key, KEY_DIGITS) + written(amount + AMOUNT_OFFSET, AMOUNT_DIGITS) for key, amount in rows)
     return written(min(64**AGE_DIGITS - 1, int(age)), AGE_DIGITS) + "".join(told)
 
 
-def parse(text: str) -> tuple[int, list[tuple[int, float]]] | None:
+def decode_message(text: str) -> tuple[int, list[tuple[int, float]]] | None:
     """Age in seconds, and rows of key and units; None for what is no message."""
     size, rows = KEY_DIGITS + AMOUNT_DIGITS, text[AGE_DIGITS:]
     whole = AGE_DIGITS <= len(text) <= MAX_MESSAGE_BYTES and len(rows) % size == 0
--- a/cypresspulley/policy/usage.py
+++ b/cypresspulley/policy/usage.py
@@ -1,6 +1,6 @@
 """Messages between gateways: what they tell each other of their customers' use."""
 
-from cypresspulley.messages import KEY_COUNT, MAX_ROWS, UNITS_PER_STEP, compose, parse, steps
+from cypresspulley.messages import KEY_COUNT, MAX_ROWS, UNITS_PER_STEP, encode_message, decode_message, steps
 from cypresspulley.policy.account import Account
 
 TELL_SHARE, IDLE_TELL = 0.6, 1.0  # of what an inbox takes; seconds between two messages with nothing to tell
@@ -36,11 +36,11 @@
         for a, told in rows:
             a.pending -= told * UNITS_PER_STEP
         self.owed = {a.name: a for a in used if abs(a.pending) >= UNITS_PER_STEP}
-        return compose(now - self.born, ((a.name, told) for a, told in rows))
+        return encode_message(now - self.born, ((a.name, told) for a, told in rows))
 
     def read(self, now: float, text: str) -> list[tuple[int, float]]:
         """Keys and units of a message; empty where it is none."""
-        if (told := parse(text)) is None:
+        if (told := decode_message(text)) is None:
             return []
         self.heard_at = now
         self.late = self.late or told[0] > now - self.born + RECENT_BIRTH
