--- a/cypresspulley/messages.py
+++ b/cypresspulley/messages.py
@@ -33,7 +33,7 @@
     return value
 
 
-def steps(units: float) -> int:
+def units_to_steps(units: float) -> int:
     """How many steps a message tells of so many units: what exceeds its digits is told the next time."""
     return max(-AMOUNT_OFFSET, min(AMOUNT_OFFSET - 1, round(units / UNITS_PER_STEP)))
 
--- a/cypresspulley/policy/usage.py
+++ b/cypresspulley/policy/usage.py
@@ -1,6 +1,13 @@
 """Messages between gateways: what they tell each other of their customers' use."""
 
-from cypresspulley.messages import KEY_COUNT, MAX_ROWS, UNITS_PER_STEP, encode_message, decode_message, steps
+from cypresspulley.messages import (
+    KEY_COUNT,
+    MAX_ROWS,
+    UNITS_PER_STEP,
+    encode_message,
+    decode_message,
+    units_to_steps,
+)
 from cypresspulley.policy.account import Account
 
 TELL_SHARE, IDLE_TELL = 0.6, 1.0  # of what an inbox takes; seconds between two messages with nothing to tell
@@ -32,7 +39,7 @@
         self.at = now
         used = [a for a in self.owed.values() if abs(a.pending) >= UNITS_PER_STEP and a.share > 1]
         used.sort(key=lambda a: (-abs(a.pending) / max(a.plan.burst, UNITS_PER_STEP), a.name))
-        rows = [(a, steps(a.pending)) for a in used[:MAX_ROWS]]
+        rows = [(a, units_to_steps(a.pending)) for a in used[:MAX_ROWS]]
         for a, told in rows:
             a.pending -= told * UNITS_PER_STEP
         self.owed = {a.name: a for a in used if abs(a.pending) >= UNITS_PER_STEP}
