--- a/cypresspulley/messages.py
+++ b/cypresspulley/messages.py
@@ -20,12 +20,12 @@
 MAX_ROWS = (MAX_MESSAGE_BYTES - AGE_DIGITS) // (KEY_DIGITS + AMOUNT_DIGITS)  # that a message holds
 
 
-def written(value: int, count: int) -> str:
+def encode_digits(value: int, count: int) -> str:
     """The last ``count`` digits of a number that is not below 0."""
     return "".join(DIGITS[value >> 6 * place & 63] for place in reversed(range(count)))
 
 
-def read(digits: str) -> int:
+def decode_digits(digits: str) -> int:
     """The number that digits stand for; ``KeyError`` for what is no digit."""
     value = 0
     for digit in digits:
@@ -40,8 +40,11 @@
 
 def encode_message(age: float, rows: Iterable[tuple[int, int]]) -> str:
     """A message; ``rows`` are keys and steps."""
-    told = (written(key, KEY_DIGITS) + written(amount + AMOUNT_OFFSET, AMOUNT_DIGITS) for key, amount in rows)
-    return written(min(64**AGE_DIGITS - 1, int(age)), AGE_DIGITS) + "".join(told)
+    told = (
+        encode_digits(key, KEY_DIGITS) + encode_digits(amount + AMOUNT_OFFSET, AMOUNT_DIGITS)
+        for key, amount in rows
+    )
+    return encode_digits(min(64**AGE_DIGITS - 1, int(age)), AGE_DIGITS) + "".join(told)
 
 
 def decode_message(text: str) -> tuple[int, list[tuple[int, float]]] | None:
@@ -51,6 +54,7 @@
     if not whole or not all(c in DIGIT_VALUES for c in text):
         return None
     cut = (rows[at : at + size] for at in range(0, len(rows), size))
-    return read(text[:AGE_DIGITS]), [
-        (read(row[:KEY_DIGITS]), (read(row[KEY_DIGITS:]) - AMOUNT_OFFSET) * UNITS_PER_STEP) for row in cut
+    return decode_digits(text[:AGE_DIGITS]), [
+        (decode_digits(row[:KEY_DIGITS]), (decode_digits(row[KEY_DIGITS:]) - AMOUNT_OFFSET) * UNITS_PER_STEP)
+        for row in cut
     ]
