--- a/cypresspulley/policy/usage.py
+++ b/cypresspulley/policy/usage.py
@@ -4,8 +4,8 @@
     KEY_COUNT,
     MAX_ROWS,
     UNITS_PER_STEP,
-    encode_message,
     decode_message,
+    encode_message,
     units_to_steps,
 )
 from cypresspulley.policy.account import Account
