--- a/cypresspulley/benchlink.py
+++ b/cypresspulley/benchlink.py
@@ -1,4 +1,8 @@
-"""Adapter between the bench's wire and ``policy.gateway.Gateway``: translation only."""
+"""Adapter between the benchmark simulator's protocol and ``policy.gateway.Gateway``.
+
+It reads one batch of messages per line of standard input, as JSON, and writes one reply per line to standard output. It
+only translates: all decisions are the gateway's.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +16,7 @@
 from cypresspulley.policy.gateway import Gateway
 from cypresspulley.settings import SettingsError, parse_settings
 
-STATUS = {
+STATUSES = {
     "OK": api.Status.OK,
     "INTERNAL": api.Status.ERROR,
     "RESOURCE_EXHAUSTED": api.Status.FULL,
@@ -22,12 +26,12 @@
     "CANCELLED": api.Status.CANCELLED,
     "TOO_LATE": api.Status.NOT_SENT,
 }
-HEALTH = {"healthy": api.Health.UP, "cordoned": api.Health.DRAINING, "deregistered": api.Health.GONE}
-REPEAT_BIT = 2
+HEALTH_STATES = {"healthy": api.Health.UP, "cordoned": api.Health.DRAINING, "deregistered": api.Health.GONE}
+RETRY_FLAG = 2  # bit of ``opts`` that marks a client's retry
 T = TypeVar("T")
 
-# The fields of each message, in order; '?' marks one that may be null or left out at the end.
-FIELDS = {
+# Fields of each message, in order. '?' marks a field that may be null, or absent at the end of the message.
+MESSAGE_FIELDS = {
     "begin": ("salt:int", "settings:dict"),
     "register": ("list:int", "lines:list"),
     "membership": ("how:str", "list:int?", "index:int?"),
@@ -47,56 +51,66 @@
     ),
     "peer": ("sender:int", "msg:str?"),
 }  # fmt: skip
-ENTRY = ("born_s:num?", "size:num?", "group:int?", "machine:str?", "server:str", "health:str", "dc:str?")
-KINDS: dict[str, tuple[type, ...]] = {
+SERVER_FIELDS = (
+    "born_s:num?",
+    "size:num?",
+    "group:int?",
+    "machine:str?",
+    "server:str",
+    "health:str",
+    "dc:str?",
+)
+FIELD_TYPES: dict[str, tuple[type, ...]] = {
     "int": (int,), "num": (int, float), "str": (str,), "bool": (bool,), "dict": (dict,), "list": (list,),
 }  # fmt: skip
 
 
 class WireError(Exception):
-    """A message that the wire does not allow."""
+    """The input violates the protocol; the message says where."""
 
 
 def _compile(spec: Iterable[str]) -> list[tuple[str, tuple[type, ...], bool]]:
+    """Return the layout of a message: for each field its name, its types and whether it is optional."""
     fields = []
     for field in spec:
         name, kind = field.rstrip("?").split(":")
-        fields.append((name, KINDS[kind], field.endswith("?")))
+        fields.append((name, FIELD_TYPES[kind], field.endswith("?")))
     return fields
 
 
-LAYOUT = {message: _compile(spec) for message, spec in FIELDS.items()}
-ENTRY_LAYOUT = _compile(ENTRY)
+MESSAGE_LAYOUTS = {message: _compile(spec) for message, spec in MESSAGE_FIELDS.items()}
+SERVER_LAYOUT = _compile(SERVER_FIELDS)
 
 
-def _unpack(what: str, layout: list[tuple[str, tuple[type, ...], bool]], values: list[Any]) -> list[Any]:
-    """Check one message's values against its layout; nulls and missing optional ones become None."""
+def _unpack(message: str, layout: list[tuple[str, tuple[type, ...], bool]], values: list[Any]) -> list[Any]:
+    """Return the values of a message padded with None to its layout; raise ``WireError`` if they do not match it."""
     if len(values) > len(layout):
-        raise WireError(f"{what}: {len(values)} values, {len(layout)} expected")
+        raise WireError(f"{message}: {len(values)} values, {len(layout)} expected")
     padded = list(values) + [None] * (len(layout) - len(values))
     for value, (name, kinds, optional) in zip(padded, layout, strict=True):
         if value is None:
             if not optional:
-                raise WireError(f"{what}: {name} is missing")
+                raise WireError(f"{message}: {name} is missing")
         elif not isinstance(value, kinds) or (isinstance(value, bool) and bool not in kinds):
-            raise WireError(f"{what}: {name} has the wrong type: {value!r:.60}")
+            raise WireError(f"{message}: {name} has the wrong type: {value!r:.60}")
     return padded
 
 
-def _word(table: dict[str, T], what: str, word: str) -> T:
+def _lookup(table: dict[str, T], message: str, word: str) -> T:
     try:
         return table[word]
     except KeyError:
-        raise WireError(f"{what}: unknown word {word!r:.60}") from None
+        raise WireError(f"{message}: unknown word {word!r:.60}") from None
 
 
-def _entry(row: Any) -> api.ServerEntry:
+def _server_entry(row: Any) -> api.ServerEntry:
+    """Return the entry of one server in a ``register`` message; raise ``WireError`` if it is malformed."""
     if not isinstance(row, list):
         raise WireError("register: an entry is not an array")
-    born, size, group, _machine, server, health, zone = _unpack("register", ENTRY_LAYOUT, row)
+    born, size, group, _machine, server, health, zone = _unpack("register", SERVER_LAYOUT, row)
     return api.ServerEntry(
         server,
-        _word(HEALTH, "register", health),
+        _lookup(HEALTH_STATES, "register", health),
         zone or "",
         group or 0,
         1.0 if size is None else size,
@@ -104,68 +118,87 @@
     )
 
 
-def _report(pairs: dict[str, Any] | None) -> dict[str, float]:
-    found = pairs or {}
-    for name, value in found.items():
+def _load_report(stats: dict[str, Any] | None) -> dict[str, float]:
+    """Return the figures of a server's load report without nulls; raise ``WireError`` for a value that is no number."""
+    figures = stats or {}
+    for name, value in figures.items():
         if value is not None and (isinstance(value, bool) or not isinstance(value, int | float)):
             raise WireError(f"server_stats: {name} has the wrong type: {value!r:.60}")
-    return {name: value for name, value in found.items() if value is not None}
+    return {name: value for name, value in figures.items() if value is not None}
+
 
+def decode_event(
+    name: str, values: list[Any], lists: dict[int, tuple[api.ServerEntry, ...]]
+) -> api.Event | None:
+    """Return the event of an unpacked message, or None if the gateway does not use the message.
 
-def event_from(message: str, v: list[Any], lists: dict[int, tuple[api.ServerEntry, ...]]) -> api.Event | None:
-    """One unpacked message as an event; None for what the module has no use for."""
-    if message == "incoming":
+    Raises ``WireError`` for an unknown word or server list.
+    """
+    if name == "incoming":
         return api.Request(
-            id=v[0], request_class=v[1] or "", plan=v[2] or "", ttl=v[3] or 0.0, account=v[7] or "",
-            units=1.0 if v[8] is None else v[8], gateways=int(v[5] or 1),
-            repeat=bool((v[4] or 0) & REPEAT_BIT),
+            id=values[0], request_class=values[1] or "", plan=values[2] or "", ttl=values[3] or 0.0,
+            account=values[7] or "",
+            units=1.0 if values[8] is None else values[8], gateways=int(values[5] or 1),
+            repeat=bool((values[4] or 0) & RETRY_FLAG),
         )  # fmt: skip
-    if message == "resolved":
-        status = _word(STATUS, message, v[3])
-        used = (v[6] - 1) / 100 if v[6] else None
+    if name == "resolved":
+        status = _lookup(STATUSES, name, values[3])
+        # The usage is sent as a percentage plus 1; 0 or null: not known.
+        usage_share = (values[6] - 1) / 100 if values[6] else None
         return api.Outcome(
-            v[0], v[1], v[2], status, v[4] or 0.0, bool(v[5]), _report(v[8]), used, v[7] or None
+            values[0],
+            values[1],
+            values[2],
+            status,
+            values[4] or 0.0,
+            bool(values[5]),
+            _load_report(values[8]),
+            usage_share,
+            values[7] or None,
+        )
+    if name == "count_result":
+        return api.Counted(values[1], _lookup(STATUSES, name, values[3]), values[2] or 0.0)
+    if name == "peer":
+        return api.PeerMessage(values[0], values[1] or "")
+    if name == "timeout_fired":
+        return api.TimerFired(values[0])
+    if name == "left":
+        return api.ClientDisconnected(values[0])
+    if name == "probe_result":
+        return api.Probed(
+            values[0], _lookup(STATUSES, name, values[1]), values[2] or 0.0, _load_report(values[3])
         )
-    if message == "count_result":
-        return api.Counted(v[1], _word(STATUS, message, v[3]), v[2] or 0.0)
-    if message == "peer":
-        return api.PeerMessage(v[0], v[1] or "")
-    if message == "timeout_fired":
-        return api.TimerFired(v[0])
-    if message == "left":
-        return api.ClientDisconnected(v[0])
-    if message == "probe_result":
-        return api.Probed(v[0], _word(STATUS, message, v[1]), v[2] or 0.0, _report(v[3]))
-    if message == "membership" and v[0] != "FAILED":
-        if v[0] not in ("INCREMENTAL", "FULL", "SAVED"):
-            raise WireError(f"membership: unknown word {v[0]!r:.60}")
-        if v[1] not in lists:
-            raise WireError(f"membership: list {v[1]} was never registered")
-        return api.ServerList(lists[v[1]], v[0] != "INCREMENTAL")
+    if name == "membership" and values[0] != "FAILED":
+        if values[0] not in ("INCREMENTAL", "FULL", "SAVED"):
+            raise WireError(f"membership: unknown word {values[0]!r:.60}")
+        if values[1] not in lists:
+            raise WireError(f"membership: list {values[1]} was never registered")
+        return api.ServerList(lists[values[1]], values[0] != "INCREMENTAL")
     return None
 
 
-ENCODE: dict[type, Callable[[Any], list[Any]]] = {
-    api.Send: lambda a: ["pass_on", a.id, a.timeout, a.server],
-    api.Refuse: lambda a: ["deny", a.id, a.retry_after],
-    api.Fail: lambda a: ["give_up", a.id],
-    api.Cancel: lambda a: ["call_off", a.id, a.attempt],
-    api.Count: lambda a: ["bump", a.name, a.lifetime, a.amount],
-    api.Broadcast: lambda a: ["write_peer", "all", a.text],
-    api.Probe: lambda a: ["check", a.server],
-    api.SetTimer: lambda a: ["sleep", a.delay, a.token],
-    api.Log: lambda a: ["journal_line", a.text],
+ENCODERS: dict[type, Callable[[Any], list[Any]]] = {
+    api.Send: lambda action: ["pass_on", action.id, action.timeout, action.server],
+    api.Refuse: lambda action: ["deny", action.id, action.retry_after],
+    api.Fail: lambda action: ["give_up", action.id],
+    api.Cancel: lambda action: ["call_off", action.id, action.attempt],
+    api.Count: lambda action: ["bump", action.name, action.lifetime, action.amount],
+    api.Broadcast: lambda action: ["write_peer", "all", action.text],
+    api.Probe: lambda action: ["check", action.server],
+    api.SetTimer: lambda action: ["sleep", action.delay, action.token],
+    api.Log: lambda action: ["journal_line", action.text],
 }
 
 
-class Link:
-    """The instances of one process; each batch goes in, its reply comes out."""
+class BenchAdapter:
+    """The gateways that one adapter process simulates, by instance; ``handle_batch`` answers one batch."""
 
     def __init__(self) -> None:
         self._gateways: dict[str, Gateway] = {}
         self._lists: dict[int, tuple[api.ServerEntry, ...]] = {}
 
-    def batch(self, line: str) -> str:
+    def handle_batch(self, line: str) -> str:
+        """Return the reply to one line of input; raise ``WireError`` if the line violates the protocol."""
         try:
             batch = json.loads(line)
         except ValueError as error:
@@ -185,19 +218,20 @@
                 raise WireError("batch: news is missing or has the wrong type")
             actions: list[api.Action] = []
             for message in part["news"]:
-                self._take(now, part["limiter_id"], message, actions)
+                self._handle_message(now, part["limiter_id"], message, actions)
             if actions:
-                commands = [ENCODE[type(action)](action) for action in actions]
+                commands = [ENCODERS[type(action)](action) for action in actions]
                 replies.append({"limiter_id": part["limiter_id"], "cmds": commands})
         return json.dumps({"n": batch.get("n"), "parts": replies}, separators=(",", ":"))
 
-    def _take(self, now: float, instance: str, message: Any, actions: list[api.Action]) -> None:
+    def _handle_message(self, now: float, instance: str, message: Any, actions: list[api.Action]) -> None:
+        """Handle one message to an instance and append the gateway's actions to ``actions``."""
         if not isinstance(message, list) or not message or not isinstance(message[0], str):
             raise WireError("a message is not an array that starts with its name")
         name = message[0]
-        values = _unpack(name, _word(LAYOUT, "message", name), message[1:])
+        values = _unpack(name, _lookup(MESSAGE_LAYOUTS, "message", name), message[1:])
         if name == "register":
-            self._lists[values[0]] = tuple(_entry(row) for row in values[1])
+            self._lists[values[0]] = tuple(_server_entry(row) for row in values[1])
         elif name == "begin":
             try:
                 settings = parse_settings(values[1])
@@ -208,7 +242,7 @@
             self._gateways.pop(instance, None)
             actions.clear()
         else:
-            event = event_from(name, values, self._lists)
+            event = decode_event(name, values, self._lists)
             gateway = self._gateways.get(instance)
             if event is not None and gateway is not None:
                 actions.extend(gateway.handle(now, event))
@@ -216,21 +250,22 @@
                 raise WireError(f"{name}: {instance} has not begun")
 
 
-def _stop(text: str) -> NoReturn:
+def _exit_with_error(text: str) -> NoReturn:
     print(f"benchlink: {text}", file=sys.stderr)
     raise SystemExit(2)
 
 
 def main(source: TextIO = sys.stdin, sink: TextIO = sys.stdout) -> None:
-    link = Link()
+    """Answer batches until the input ends; a protocol violation ends the process with exit code 2."""
+    adapter = BenchAdapter()
     gc.freeze()
     for line in source:
         if not line.strip():
             continue
         try:
-            reply = link.batch(line)
+            reply = adapter.handle_batch(line)
         except (WireError, ValueError) as error:
-            _stop(str(error))
+            _exit_with_error(str(error))
         sink.write(reply + "\n")
         sink.flush()
 
--- a/cypresspulley/settings.py
+++ b/cypresspulley/settings.py
@@ -39,7 +39,7 @@
 EFFECTS = {"idempotent": api.Effect.SAFE, "deduplicated": api.Effect.KEYED, "at_most_once": api.Effect.UNSAFE}
 SCOPES = {scope.value: scope for scope in api.Scope}
 OPTIONAL_KEYS = frozenset({"aim_stretch"})  # the specification says that this key may be absent
-# Floats above it do not represent all integers: a store of that size would not change when a unit is taken from it.
+# Floats above it do not represent all integers: a token bucket of that size would not shrink by one unit.
 MAX_NUMBER = 2**53
 T = TypeVar("T")
 
@@ -58,7 +58,7 @@
 
     dial_timeout: float
     idle_timeout: float
-    # Server lists are pushed to an agent on this machine; otherwise each request for a list is work for another one.
+    # Server lists are pushed to an agent on this machine; otherwise each request for a list burdens a remote one.
     discovery_pushes: bool = True
     longest_deadline: float = LONGEST_DEADLINE  # of all classes; bounds the time that a shutdown may take
 
