--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""No circle of imports among the package's modules, those for types and inside functions counted too."""
+"""The package has no import cycles; imports for type checking and within functions count as well."""
 
 from __future__ import annotations
 
@@ -19,36 +19,36 @@
 
 
 def imports_of(source: str, known: set[str]) -> set[str]:
-    """The modules of the package that a text names in any import."""
-    found = set[str]()
+    """Return the package's modules that a source text imports, by any form of import."""
+    imported = set[str]()
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.Import):
-            found |= {alias.name for alias in node.names}
+            imported |= {alias.name for alias in node.names}
         elif isinstance(node, ast.ImportFrom) and node.module and node.level == 0:
             names = {f"{node.module}.{alias.name}" for alias in node.names}
-            found |= names & known or {node.module}
-    return found & known
+            imported |= names & known or {node.module}
+    return imported & known
 
 
-def circles(graph: Graph) -> list[tuple[str, ...]]:
-    """Groups of modules of which each reaches each other one, sorted."""
-    reach: Graph = {}
+def import_cycles(graph: Graph) -> list[tuple[str, ...]]:
+    """Return the sorted groups of modules in which each module reaches every other one."""
+    reachable: Graph = {}
     for start in graph:
-        seen, todo = set[str](), list(graph[start])
-        while todo:
-            if (name := todo.pop()) not in seen:
+        seen, pending = set[str](), list(graph[start])
+        while pending:
+            if (name := pending.pop()) not in seen:
                 seen.add(name)
-                todo += graph[name]
-        reach[start] = seen
+                pending += graph[name]
+        reachable[start] = seen
     groups = {
-        tuple(sorted({other for other in reach[name] if name in reach[other]}))
+        tuple(sorted({other for other in reachable[name] if name in reachable[other]}))
         for name in graph
-        if name in reach[name]
+        if name in reachable[name]
     }
     return sorted(groups)
 
 
-def package() -> Graph:
+def package_imports() -> Graph:
     paths = {module_of(path): path for path in ROOT.rglob("*.py")}
     return {
         name: imports_of(path.read_text(encoding="utf-8"), set(paths)) - {name}
@@ -57,7 +57,7 @@
 
 
 def test_no_module_of_the_package_imports_itself_through_others() -> None:
-    assert circles(package()) == []
+    assert import_cycles(package_imports()) == []
 
 
 @pytest.mark.parametrize(
@@ -73,8 +73,8 @@
 def test_a_circle_is_seen_in_every_form_of_import(source: str) -> None:
     known = {"pack", "pack.a", "pack.b"}
     graph: Graph = {"pack": set(), "pack.a": imports_of(source, known), "pack.b": {"pack.a"}}
-    assert circles(graph) == [("pack.a", "pack.b")]
+    assert import_cycles(graph) == [("pack.a", "pack.b")]
 
 
 def test_a_way_that_comes_back_over_three_is_one_circle() -> None:
-    assert circles({"a": {"b"}, "b": {"c"}, "c": {"a"}, "d": {"a"}}) == [("a", "b", "c")]
+    assert import_cycles({"a": {"b"}, "b": {"c"}, "c": {"a"}, "d": {"a"}}) == [("a", "b", "c")]
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as printed and sends its request on."""
+"""The README's example runs as printed, and its request is sent to a server."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 def test_the_example_runs() -> None:
     text = (Path(__file__).parent.parent / "README.md").read_text()
-    found = re.search(r"```python\n(.*?)```", text, re.S)
-    assert found
-    names: dict[str, Any] = {}
-    exec(found.group(1), names)
-    assert any(isinstance(action, api.Send) for action in names["actions"])
+    example = re.search(r"```python\n(.*?)```", text, re.S)
+    assert example
+    namespace: dict[str, Any] = {}
+    exec(example.group(1), namespace)
+    assert any(isinstance(action, api.Send) for action in namespace["actions"])
--- a/tests/test_settings_keys.py
+++ b/tests/test_settings_keys.py
@@ -1,4 +1,4 @@
-"""Every key of the settings taken away in turn: the documented default holds, or an error names the key."""
+"""Removes each key of the settings in turn: the documented default applies, or an error names the key."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from cypresspulley.settings import SettingsError, check_no_missing_keys, parse_settings, parse_socket_settings
 from tests.test_reload import Counted
 
-# The object of the wire's page, with a keyed class, a plan that limits what is out, and messages between limiters.
-WHOLE: dict[str, Any] = {
+# The specification's example, with a keyed class, a plan with a limit on open attempts, and peer messages.
+COMPLETE_SETTINGS: dict[str, Any] = {
     "classes": [
         {"aim_s": 1.2, "aim_stretch": 2.0, "effect": "idempotent", "group": "all", "hard_limit_s": 2.5,
          "late_worth": 0.25, "name": "look", "streaming": False, "window_s": 5.0, "worth": 2.0},
@@ -57,32 +57,33 @@
     "tier": 0,
     "weights": "off",
 }  # fmt: skip
-ERROR = object()
-# What the program reads, and what holds without it. Rows: "classes.*" is each class, "classes.hold" the one.
+REQUIRED = object()
+# The keys that the program reads and their defaults. "classes.*" is each class, "classes.hold" the class of that name.
 DEFAULTS: dict[str, object] = {
-    "classes": ERROR, "tariffs": ERROR, "me": ERROR, "n_instances": ERROR, "my_zone": "", "discovery": "push",
-    "classes.*.name": ERROR, "classes.*.aim_s": ERROR, "classes.*.effect": ERROR, "classes.*.worth": 1.0,
+    "classes": REQUIRED, "tariffs": REQUIRED, "me": REQUIRED, "n_instances": REQUIRED, "my_zone": "",
+    "discovery": "push",
+    "classes.*.name": REQUIRED, "classes.*.aim_s": REQUIRED, "classes.*.effect": REQUIRED, "classes.*.worth": 1.0,
     "classes.*.late_worth": 0.0, "classes.*.hard_limit_s": 3.0,
-    "classes.hold.group": ERROR, "classes.hold.window_s": ERROR,
-    "tariffs.*.name": ERROR, "tariffs.*.quota_rate": ERROR, "tariffs.*.store_size": ERROR,
+    "classes.hold.group": REQUIRED, "classes.hold.window_s": REQUIRED,
+    "tariffs.*.name": REQUIRED, "tariffs.*.quota_rate": REQUIRED, "tariffs.*.store_size": REQUIRED,
     "tariffs.*.price": 1.0, "tariffs.*.over_worth": 0.0, "tariffs.*.over_cost": 0.5, "tariffs.*.parallel": 0,
-    "tariffs.*.never_over_rate": 0.0, "tariffs.*.hard_burst": 0.0, "tariffs.middle.never_over_rate": ERROR,
-    "tariffs.middle.hard_burst": ERROR,
-    "contract": ERROR, "contract.cold_from": ERROR, "contract.warm_after_s": ERROR,
-    "contract.fall_multiple": ERROR, "contract.fall_s": ERROR,
+    "tariffs.*.never_over_rate": 0.0, "tariffs.*.hard_burst": 0.0, "tariffs.middle.never_over_rate": REQUIRED,
+    "tariffs.middle.hard_burst": REQUIRED,
+    "contract": REQUIRED, "contract.cold_from": REQUIRED, "contract.warm_after_s": REQUIRED,
+    "contract.fall_multiple": REQUIRED, "contract.fall_s": REQUIRED,
     "limits.may_duplicate": False, "limits.cancel": False, "limits.probes": False, "limits.peers": False,
     "limits.retry_after": False, "limits.max_attempts": 1, "limits.max_retry_after_s": 1.0,
     "limits.dial_timeout_s": 0.25, "limits.conn_idle_s": 15.0,
-    "specifics.has_counter": False, "specifics.count_wait_s": ERROR, "specifics.max_units": 6.0,
+    "specifics.has_counter": False, "specifics.count_wait_s": REQUIRED, "specifics.max_units": 6.0,
     "specifics.inbox_per_s": 60.0, "specifics.meter_s": 0.0, "report.how": "inline",
 }  # fmt: skip
-# A class that is not keyed needs neither, and what binds it then is nothing that the decisions look at.
-UNREAD_THERE = {f"classes.{name}.{key}" for name in ("look", "pay") for key in ("group", "window_s")}
+# Keys that only matter for keyed classes: the decisions do not use them for the others.
+UNUSED_KEYS = {f"classes.{name}.{key}" for name in ("look", "pay") for key in ("group", "window_s")}
 Path = tuple[str | int, ...]
 
 
 def paths(value: Any, at: Path = ()) -> Iterator[Path]:
-    """Every key, nested and in the rows."""
+    """Yield the path of every key, nested ones and those of rows included."""
     items = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
     for key, inner in items:
         if isinstance(value, dict):
@@ -90,17 +91,17 @@
         yield from paths(inner, (*at, key))
 
 
-def named(path: Path) -> tuple[str, str]:
-    """A path as the table has it: for the one row, and for each."""
+def path_names(path: Path) -> tuple[str, str]:
+    """Return a path as written in ``DEFAULTS``: for the row of that name, and for each row."""
     if len(path) < 3:
         return ".".join(map(str, path)), ""
     section, row, key = path
-    return f"{section}.{WHOLE[str(section)][row]['name']}.{key}", f"{section}.*.{key}"
+    return f"{section}.{COMPLETE_SETTINGS[str(section)][row]['name']}.{key}", f"{section}.*.{key}"
 
 
 def changed(path: Path, *value: object) -> dict[str, Any]:
-    """The object with a key set to something else, or taken away."""
-    raw = copy.deepcopy(WHOLE)
+    """Return the settings with a key set to the value, or without the key."""
+    raw = copy.deepcopy(COMPLETE_SETTINGS)
     owner: Any = raw
     for key in path[:-1]:
         owner = owner[key]
@@ -111,120 +112,124 @@
     return raw
 
 
-def read(raw: dict[str, Any]) -> tuple[object, ...]:
-    settings, timing = parse_settings(raw), parse_socket_settings(raw)
-    return settings, timing
+def parse_both(raw: dict[str, Any]) -> tuple[object, ...]:
+    settings, socket_settings = parse_settings(raw), parse_socket_settings(raw)
+    return settings, socket_settings
 
 
 def value_at(path: Path) -> Any:
-    value: Any = WHOLE
+    value: Any = COMPLETE_SETTINGS
     for key in path:
         value = value[key]
     return value
 
 
 def default_of(path: Path) -> object:
-    """What holds without a key; None where the program does not read it."""
-    one, each = named(path)
-    if one in DEFAULTS or len(path) > 1:
-        return DEFAULTS.get(one, DEFAULTS.get(each))
-    # A section goes with all that it holds.
-    below = {key.partition(".")[2]: value for key, value in DEFAULTS.items() if key.startswith(f"{one}.")}
-    return {key: value for key, value in below.items() if value is not ERROR} or None
+    """Return the value that applies without a key; None if the program does not read the key."""
+    name, row_name = path_names(path)
+    if name in DEFAULTS or len(path) > 1:
+        return DEFAULTS.get(name, DEFAULTS.get(row_name))
+    # The default of a section consists of the defaults of its keys.
+    subkeys = {key.partition(".")[2]: value for key, value in DEFAULTS.items() if key.startswith(f"{name}.")}
+    return {key: value for key, value in subkeys.items() if value is not REQUIRED} or None
 
 
 @pytest.mark.parametrize("absent", ["taken away", "null"])
-@pytest.mark.parametrize("path", paths(WHOLE), ids=lambda path: ".".join(map(str, path)))
+@pytest.mark.parametrize("path", paths(COMPLETE_SETTINGS), ids=lambda path: ".".join(map(str, path)))
 def test_a_key_that_is_absent_has_its_default_or_is_named(path: Path, absent: str) -> None:
     raw, default = changed(path) if absent == "taken away" else changed(path, None), default_of(path)
-    if named(path)[0] in UNREAD_THERE:
+    if path_names(path)[0] in UNUSED_KEYS:
         parse_settings(raw)
-    elif default is ERROR:
+    elif default is REQUIRED:
         with pytest.raises(SettingsError, match=rf"\b{path[-1]}\b"):
             parse_settings(raw)
     elif default is None:
-        assert read(raw) == read(WHOLE), "the program does not read it"
+        assert parse_both(raw) == parse_both(COMPLETE_SETTINGS), "the program does not read it"
     else:
-        assert read(raw) == read(changed(path, default))
+        assert parse_both(raw) == parse_both(changed(path, default))
 
 
 def test_each_key_of_the_table_stands_in_the_object_and_matters() -> None:
-    """A default that is what the object holds would prove nothing."""
-    for path in paths(WHOLE):
+    """A default that equals the value in the example would not show that the key is read."""
+    for path in paths(COMPLETE_SETTINGS):
         default = default_of(path)
-        if default not in (None, ERROR) and value_at(path) != default:
-            assert read(changed(path, default)) != read(WHOLE), path
-    spoken = {name for path in paths(WHOLE) for name in named(path)}
-    assert set(DEFAULTS) <= spoken
-    same = {named(path)[0] for path in paths(WHOLE) if value_at(path) == default_of(path)}
-    assert all(key.startswith("tariffs.") for key in same), "a plan may lack a quota of a kind"
+        if default not in (None, REQUIRED) and value_at(path) != default:
+            assert parse_both(changed(path, default)) != parse_both(COMPLETE_SETTINGS), path
+    known_names = {name for path in paths(COMPLETE_SETTINGS) for name in path_names(path)}
+    assert set(DEFAULTS) <= known_names
+    unchanged = {
+        path_names(path)[0] for path in paths(COMPLETE_SETTINGS) if value_at(path) == default_of(path)
+    }
+    assert all(key.startswith("tariffs.") for key in unchanged), "a plan may have no quota of one kind"
 
 
-@pytest.mark.parametrize("path", paths(WHOLE), ids=lambda path: ".".join(map(str, path)))
+@pytest.mark.parametrize("path", paths(COMPLETE_SETTINGS), ids=lambda path: ".".join(map(str, path)))
 @pytest.mark.parametrize("value", ["yes", {"x": 1}, [3]], ids=str)
 def test_a_value_of_another_kind_is_named_or_was_not_read(path: Path, value: object) -> None:
-    """Above all no text passes for a yes."""
+    """In particular, a string is not accepted as true."""
     if isinstance(value, type(value_at(path))):
-        return  # a section with none of its keys, a list of what are no rows, another word: see the other tests
-    if default_of(path) is None and named(path)[0] not in UNREAD_THERE:
-        assert read(changed(path, value)) == read(WHOLE), "the program does not read it"
+        return  # an empty section, a list without rows or an unknown word: covered by other tests
+    if default_of(path) is None and path_names(path)[0] not in UNUSED_KEYS:
+        assert parse_both(changed(path, value)) == parse_both(COMPLETE_SETTINGS), (
+            "the program does not read it"
+        )
         return
     with pytest.raises(SettingsError, match=rf"\b({path[-1]}|{path[0]})\b"):
-        read(changed(path, value))
+        parse_both(changed(path, value))
 
 
-ABOVE = {
+POSITIVE = {
     "n_instances", "classes.*.aim_s", "classes.*.hard_limit_s", "contract.cold_from", "contract.fall_s",
     "limits.max_attempts", "limits.dial_timeout_s", "limits.conn_idle_s",
 }  # fmt: skip
-COUNTS = {"n_instances", "me", "limits.max_attempts", "tariffs.*.parallel"}
-ABSURD = {
+INTEGERS = {"n_instances", "me", "limits.max_attempts", "tariffs.*.parallel"}
+INVALID_NUMBERS = {
     "negative": -1, "a little below 0": -1e-9, "too large to count by": 2**53 + 1, "a larger one": 1e308,
     "too large for a float": 10**400, "infinite": float("inf"), "not a number": float("nan"),
 }  # fmt: skip
 
 
-def figures() -> Iterator[Path]:
-    """Every figure that the program reads."""
-    for path in paths(WHOLE):
+def number_paths() -> Iterator[Path]:
+    """Yield the path of every number that the program reads."""
+    for path in paths(COMPLETE_SETTINGS):
         value = value_at(path)
         if isinstance(value, int | float) and not isinstance(value, bool) and default_of(path) is not None:
             yield path
 
 
-@pytest.mark.parametrize("value", ABSURD.values(), ids=ABSURD)
-@pytest.mark.parametrize("path", figures(), ids=lambda path: ".".join(map(str, path)))
+@pytest.mark.parametrize("value", INVALID_NUMBERS.values(), ids=INVALID_NUMBERS)
+@pytest.mark.parametrize("path", number_paths(), ids=lambda path: ".".join(map(str, path)))
 def test_a_figure_that_is_absurd_is_named_with_what_was_expected(path: Path, value: float) -> None:
-    """Of a limit above all: a negative one would be none, and by a huge one no store counts."""
-    kind = "whole number" if COUNTS & set(named(path)) else "number"
-    bounds = r"above 0, at most \d+" if ABOVE & set(named(path)) else r"from 0 to \d+"
-    row = f"'{WHOLE[str(path[0])][path[1]]['name']}': " if len(path) == 3 else ""
+    """A negative limit would mean no limit, and a token bucket of a huge size would not shrink by one unit."""
+    kind = "whole number" if INTEGERS & set(path_names(path)) else "number"
+    bounds = r"above 0, at most \d+" if POSITIVE & set(path_names(path)) else r"from 0 to \d+"
+    row = f"'{COMPLETE_SETTINGS[str(path[0])][path[1]]['name']}': " if len(path) == 3 else ""
     with pytest.raises(ConfigError, match=rf"^settings: {row}{path[-1]}: expected a {kind} {bounds}, got "):
         config_from(configuration(changed(path, value)))
 
 
-@pytest.mark.parametrize("path", figures(), ids=lambda path: ".".join(map(str, path)))
+@pytest.mark.parametrize("path", number_paths(), ids=lambda path: ".".join(map(str, path)))
 def test_nothing_and_a_half_are_taken_but_where_they_make_no_sense(path: Path) -> None:
-    for value, wrong in ((0, ABOVE), (0.5, COUNTS)):
+    for value, wrong in ((0, POSITIVE), (0.5, INTEGERS)):
         raw = configuration(changed(path, value))
-        if wrong & set(named(path)):
+        if wrong & set(path_names(path)):
             with pytest.raises(ConfigError, match=rf"\b{path[-1]}: expected a (whole )?number "):
                 config_from(raw)
         else:
             config_from(raw)
 
 
-@pytest.mark.parametrize("path", figures(), ids=lambda path: ".".join(map(str, path)))
+@pytest.mark.parametrize("path", number_paths(), ids=lambda path: ".".join(map(str, path)))
 def test_a_figure_that_is_absurd_leaves_a_limiter_in_service_as_it_is(
     path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    whole = config_from(configuration(WHOLE))
+    config = config_from(configuration(COMPLETE_SETTINGS))
     files = [configuration(changed(path, value)) for value in (10**400, -1, "many")]
-    moved: Any = Counted()
-    reload = Reload(whole, moved, lambda: config_from(files.pop()), moved.retune)
+    counted: Any = Counted()
+    reload = Reload(config, counted, lambda: config_from(files.pop()), counted.retune)
     for _ in range(len(files)):
         assert not reload()
-    assert moved.calls == [] and caplog.text.count(f"{path[-1]}: expected ") == 3
+    assert counted.calls == [] and caplog.text.count(f"{path[-1]}: expected ") == 3
 
 
 def configuration(settings: dict[str, Any]) -> dict[str, Any]:
@@ -236,19 +241,19 @@
     }  # fmt: skip
 
 
-# Of the file: what holds without a key, by the field that has it.
-FILE: dict[str, tuple[str, object] | None] = {
+# Keys of the configuration file: the field of ``Config`` and its default; None for a required key.
+FILE_DEFAULTS: dict[str, tuple[str, object] | None] = {
     "listen": None, "discovery": None, "settings": None, "counter": ("counter", None), "seed": ("seed", 0),
     "limits": ("sockets", 1024), "known": ("known", None), "name": ("seed", 0x8C1F30D27A5BE964),
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("key", FILE)
+@pytest.mark.parametrize("key", FILE_DEFAULTS)
 def test_a_key_of_the_file_too(key: str) -> None:
-    raw = configuration(WHOLE)
-    assert set(FILE) == set(raw)
+    raw = configuration(COMPLETE_SETTINGS)
+    assert set(FILE_DEFAULTS) == set(raw)
     del raw[key]
-    expected = FILE[key]
+    expected = FILE_DEFAULTS[key]
     if expected is None:
         with pytest.raises(ConfigError, match=key):
             config_from(raw)
@@ -269,7 +274,7 @@
 def test_the_words_of_another_customer_are_read(
     word: str, effect: api.Effect, group: str, scope: api.Scope
 ) -> None:
-    raw = copy.deepcopy(WHOLE)
+    raw = copy.deepcopy(COMPLETE_SETTINGS)
     raw["classes"] = [raw["classes"][1] | {"effect": word, "group": group, "window_s": 0.25}]
     assert parse_settings(raw).classes == (api.RequestClass("hold", 0.8, 3.0, effect, 0.5, scope, 0.25),)
 
@@ -282,28 +287,28 @@
 
 def test_two_rows_of_one_name_are_named() -> None:
     for section in ("classes", "tariffs"):
-        raw = copy.deepcopy(WHOLE)
+        raw = copy.deepcopy(COMPLETE_SETTINGS)
         raw[section].append(raw[section][0])
         with pytest.raises(SettingsError, match=section):
             parse_settings(raw)
 
 
 def test_every_key_that_goes_missing_in_service_is_named_but_the_one_that_may() -> None:
-    for path in paths(WHOLE):
+    for path in paths(COMPLETE_SETTINGS):
         if path[-1] == "aim_stretch" or (path[-1] == "name" and len(path) == 3):
             continue
         with pytest.raises(SettingsError, match=str(path[-1])):
-            check_no_missing_keys(changed(path), WHOLE)
-    raw = json.loads(json.dumps(WHOLE))
+            check_no_missing_keys(changed(path), COMPLETE_SETTINGS)
+    raw = json.loads(json.dumps(COMPLETE_SETTINGS))
     for row in raw["classes"]:
         del row["aim_stretch"]
-    check_no_missing_keys(raw, WHOLE)
+    check_no_missing_keys(raw, COMPLETE_SETTINGS)
 
 
 def test_a_cut_object_never_passes() -> None:
-    """Whatever byte a file ends at, it is no configuration."""
-    text, read_ = json.dumps(configuration(WHOLE)), list[Config]()
+    """A configuration file that was truncated at any byte is rejected."""
+    text, accepted = json.dumps(configuration(COMPLETE_SETTINGS)), list[Config]()
     for end in range(len(text)):
         with suppress(ValueError, ConfigError):
-            read_.append(config_from(json.loads(text[:end])))
-    assert not read_
+            accepted.append(config_from(json.loads(text[:end])))
+    assert not accepted
