--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -27,7 +27,7 @@
 
 @pytest.mark.parametrize(
     "state",
-    [state for state in LifecycleState if state not in (LifecycleState.STARTING, LifecycleState.LEAVING)],
+    [s for s in LifecycleState if s not in (LifecycleState.STARTING, LifecycleState.LEAVING)],
 )
 def test_a_drain_and_its_end_undo_each_other_in_every_serving_state(state: LifecycleState) -> None:
     lifecycle = Lifecycle()
