--- a/cypresspulley/net/arrival.py
+++ b/cypresspulley/net/arrival.py
@@ -19,7 +19,8 @@
 REQUEST_LINE_END = b" HTTP/1."  # what each request has once
 AFTER_HOLD = 0.1  # seconds behind a late beat in which what is read may have come before it
 # struct tcp_info (linux/tcp.h): tcpi_state, a byte at 0; tcpi_last_data_recv, milliseconds, 32 bits at 52.
-TCP_INFO_SIZE, LAST_DATA_AT = 56, 52
+TCP_INFO_SIZE = 56
+LAST_DATA_AT = 52
 CONNECTED = (1, 8)  # TCP_ESTABLISHED, TCP_CLOSE_WAIT
 LONGEST = 60.0  # seconds, more than any request may take: what a socket says beyond is no answer
 
--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -58,13 +58,14 @@
 BACKLOG = 1024
 SWEEP = 0.2  # seconds between two looks for silent and slow clients: one timer for all of them
 IDLE = 2.05  # seconds without an open request: a keep-alive may be closed after 2, a bad client must be by 3
-# Seconds of a drain in which clients have not heard of it yet, and for which a connection may be idle after them.
-DRAIN_NOTICE, DRAIN_IDLE = 0.6, 0.3
+DRAIN_NOTICE = 0.6  # seconds of a drain in which clients have not heard of it yet
+DRAIN_IDLE = 0.3  # seconds for which a connection may be idle after them
 ELSEWHERE = 0.5  # seconds until a client that is refused at the very end has heard of other limiters
 SLOW = 2.5  # seconds that a head may take to come: clients take 2, and this process may be late
 FLOW_WINDOW = 2.0  # seconds over which a small body must come at ``RATE``
 LINGER = 0.5  # seconds for which a connection is read on behind our half-close, or a reset might eat its last answer
-LINGER_UPLOAD, LINGER_UPLOAD_BYTES = 2.0, 8 * 1024 * 1024  # the same where a large body was under way
+LINGER_UPLOAD = 2.0  # seconds: the same where a large body was under way
+LINGER_UPLOAD_BYTES = 8 * 1024 * 1024  # and how much is read then
 MAX_TRAILERS = 32
 UNREAD_LOOKS = 4  # connections at most that are looked at before one of them makes room
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
@@ -121,7 +122,8 @@
         self.answer: tuple[bytes, bytes] | None = None
         self.upload: Upload | None = None  # a body that is on its way still
         self.stream: Download | None = None  # an answer that flows
-        self.closes, self.chunks = False, True  # its connection ends behind it; it may come in chunks
+        self.closes = False  # its connection ends behind it
+        self.chunks = True  # it may come in chunks
         self.waited = 0.0  # seconds for which its last byte may have lain in the machine
 
     def begin(self, stream: Download) -> None:
@@ -249,11 +251,15 @@
         self._waiting = deque[ClientRequest]()
         self._target, self._fields = b"", dict[bytes, bytes]()
         self._head, self._body = list[bytes](), list[bytes]()
-        self._size, self._trailers, self._head_read, self._reading = 0, 0, False, False
+        self._size = 0
+        self._trailers = 0
+        self._head_read = False
+        self._reading = False
         self._length: int | None = None
         self._chunked = self._expects = False
         self._upload: Upload | None = None  # the body that is being read and passed on
-        self._seen, self._seen_at = 0, 0.0  # of a transfer, when it last got on
+        self._seen = 0  # of a transfer, when it last got on
+        self._seen_at = 0.0
         self._linger, self._linger_bytes = LINGER, LINGER_BYTES
         self._buffered = 0  # bytes that wait for it, when it last moved
         self._input = b""  # what is being parsed
--- a/cypresspulley/net/requests.py
+++ b/cypresspulley/net/requests.py
@@ -13,8 +13,13 @@
 from cypresspulley.policy.classes import Classes, Plans
 
 MAX_TIMEOUT_MS = 60_000
-REQUEST_ID, CLASS, PLAN = b"x-request-id", b"x-priority-class", b"x-plan"
-TIMEOUT, QUOTA, RETRIED, KEY = b"x-timeout-ms", b"x-quota", b"x-retried", b"idempotency-key"
+REQUEST_ID = b"x-request-id"
+CLASS = b"x-priority-class"
+PLAN = b"x-plan"
+TIMEOUT = b"x-timeout-ms"
+QUOTA = b"x-quota"
+RETRIED = b"x-retried"
+KEY = b"idempotency-key"
 READ = frozenset((REQUEST_ID, CLASS, PLAN, TIMEOUT, QUOTA, RETRIED, KEY))
 ID = re.compile(rb"[0-9a-fA-F]{16}")
 ACCOUNT = re.compile(r"account=([0-9a-fA-F]{16})")
