--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -23,7 +23,7 @@
 from cypresspulley.net.counter import Counter, CounterClient
 from cypresspulley.net.discovery import Follower
 from cypresspulley.net.door import Door
-from cypresspulley.net.frontend import Frontend, OtherFront
+from cypresspulley.net.frontend import Frontend, PathHandler
 from cypresspulley.net.http import split_address
 from cypresspulley.net.node import Decisions, Node, UnixClock
 from cypresspulley.net.upstream import Upstream
@@ -315,7 +315,7 @@
 
 def _other_front(
     settings: api.Settings, operators: Operators, clock: Callable[[], float]
-) -> OtherFront | None:
+) -> PathHandler | None:
     """GraphQL's way in, where the operators want it; what is off is not even imported."""
     if operators.graphql is None:
         return None
--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -216,7 +216,7 @@
         self.frontend.handler.arrived(request)
 
 
-class OtherFront(Protocol):
+class PathHandler(Protocol):
     """Takes requests at a path of its own."""
 
     path: str
@@ -881,7 +881,7 @@
     """The listener and its connections."""
 
     def __init__(
-        self, handler: Handler, settings: api.Settings, max_connections: int, other: OtherFront | None = None,
+        self, handler: Handler, settings: api.Settings, max_connections: int, other: PathHandler | None = None,
         now: Callable[[], float] = time.monotonic,
     ) -> None:  # fmt: skip
         """``now`` moves on within a turn of the loop, as the loop's own time need not."""
