--- a/cypresspulley/graphql/front.py
+++ b/cypresspulley/graphql/front.py
@@ -19,7 +19,7 @@
 from cypresspulley.graphql.errors import Code, GraphQLRefusedError
 from cypresspulley.graphql.options import Options, OptionsError
 from cypresspulley.graphql.request import RESPONSE, Asked, error_body, read_get, read_post
-from cypresspulley.net.frontend import Came, ClientRequest
+from cypresspulley.net.frontend import ClientRequest, ParsedRequest
 from cypresspulley.net.requests import Customer
 from cypresspulley.net.upstream import Exchange
 
@@ -109,7 +109,7 @@
     request: ClientRequest
     dialect: Dialect
     customer: Customer
-    came: Came
+    came: ParsedRequest
     asked: Asked
     steps: Generator[None, None, Priced]
     since: float
@@ -131,7 +131,7 @@
         self.longest = 0.0  # seconds that one turn of reading held the loop
         _warm(documents)
 
-    def take(self, request: ClientRequest, came: Came) -> None:
+    def take(self, request: ClientRequest, came: ParsedRequest) -> None:
         """A request has come whole. It gets its answer here, or goes on to the decisions, maybe some turns later."""
         request.dialect = dialect = Dialect(self._options)
         customer = came.reader.customer(came.query, came.fields)
@@ -145,7 +145,7 @@
         steps = priced_request(self._documents, list(asked.asks), self._options.introspection)
         self._go_on(_Reading(request, dialect, customer, came, asked, steps, self._clock()))
 
-    def _asked(self, came: Came, request: ClientRequest) -> Asked:
+    def _asked(self, came: ParsedRequest, request: ClientRequest) -> Asked:
         accept = came.fields.get(ACCEPT, b"").decode("latin-1")
         if came.method == b"GET":
             asked = read_get(came.query, accept)
--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -185,7 +185,7 @@
     def departed(self, request: ClientRequest) -> None: ...
 
 
-class Came(NamedTuple):
+class ParsedRequest(NamedTuple):
     """A whole request at another front's path, and what that front may do with it."""
 
     frontend: Frontend
@@ -222,7 +222,7 @@
     path: str
     headers: frozenset[bytes]  # that it reads beside the protocol's
 
-    def take(self, request: ClientRequest, came: Came) -> None: ...
+    def take(self, request: ClientRequest, came: ParsedRequest) -> None: ...
 
 
 @contextlib.contextmanager
@@ -581,7 +581,7 @@
             raise BadRequestError(400, "a body where none belongs")
         if other is not None and target.partition("?")[0] == other.path:
             query = target.partition("?")[2]
-            came = Came(self.frontend, method, self._target, query, self._fields, self._head)
+            came = ParsedRequest(self.frontend, method, self._target, query, self._fields, self._head)
             return other.take(request, came)
         event = self.frontend.reader.read(method, target, self._fields)
         self.frontend.claim(request, self._fields[REQUEST_ID].lower())
