--- a/cypresspulley/graphql/front.py
+++ b/cypresspulley/graphql/front.py
@@ -20,7 +20,7 @@
 from cypresspulley.graphql.options import Options, OptionsError
 from cypresspulley.graphql.request import RESPONSE, Asked, error_body, read_get, read_post
 from cypresspulley.net.frontend import ClientRequest, ParsedRequest
-from cypresspulley.net.requests import Customer
+from cypresspulley.net.requests import RequestMetadata
 from cypresspulley.net.upstream import Exchange
 
 log = logging.getLogger(__name__)
@@ -108,7 +108,7 @@
 class _Reading:
     request: ClientRequest
     dialect: Dialect
-    customer: Customer
+    customer: RequestMetadata
     came: ParsedRequest
     asked: Asked
     steps: Generator[None, None, Priced]
@@ -155,7 +155,7 @@
             raise GraphQLRefusedError(Code.BATCH_OFF, "one operation a request")
         return asked
 
-    def _afford(self, customer: Customer, asked: Asked) -> None:
+    def _afford(self, customer: RequestMetadata, asked: Asked) -> None:
         """Time for the documents that are not known yet."""
         if len(asked.asks) > self._options.bounds.batch:
             raise GraphQLRefusedError(
@@ -208,7 +208,7 @@
         came.arrived(request)
         return None
 
-    def _key(self, priced: Priced, customer: Customer) -> bytes | None:
+    def _key(self, priced: Priced, customer: RequestMetadata) -> bytes | None:
         """Of a keyed mutation: the same for the same key of the same account, whichever limiter it comes through."""
         if priced.effect is not Effect.KEYED or not self._options.keyed:
             return None
--- a/cypresspulley/net/requests.py
+++ b/cypresspulley/net/requests.py
@@ -36,7 +36,7 @@
         self.status = status
 
 
-class Customer(NamedTuple):
+class RequestMetadata(NamedTuple):
     """Whose request it is, for how long its client waits, and its share of the quota's limiters."""
 
     account: str
@@ -90,7 +90,7 @@
         self._last_id += 1
         return self._last_id
 
-    def customer(self, query: str, fields: dict[bytes, bytes]) -> Customer:
+    def customer(self, query: str, fields: dict[bytes, bytes]) -> RequestMetadata:
         """What each request tells of its customer; BadRequestError where it does not."""
         for header in (REQUEST_ID, PLAN, TIMEOUT, QUOTA):
             if not fields.get(header):
@@ -109,7 +109,7 @@
             raise BadRequestError(400, "x-timeout-ms is wrong")
         units, spread = self._quota(fields[QUOTA])
         ttl = int(fields[TIMEOUT]) / 1000
-        return Customer(account[1].lower(), plan, ttl, units, spread, fields.get(RETRIED) == b"1")
+        return RequestMetadata(account[1].lower(), plan, ttl, units, spread, fields.get(RETRIED) == b"1")
 
     def _quota(self, text: bytes) -> tuple[float, int]:
         form = QUOTA_FORM.fullmatch(text)
@@ -128,5 +128,5 @@
     def read(self, method: bytes, target: str, fields: dict[bytes, bytes]) -> api.Request:
         raise BadRequestError(503, "the limiter ends")
 
-    def customer(self, query: str, fields: dict[bytes, bytes]) -> Customer:
+    def customer(self, query: str, fields: dict[bytes, bytes]) -> RequestMetadata:
         raise BadRequestError(503, "the limiter ends")
