--- a/cypresspulley/graphql/front.py
+++ b/cypresspulley/graphql/front.py
@@ -134,7 +134,7 @@
     def take(self, request: ClientRequest, came: ParsedRequest) -> None:
         """A request has come whole. It gets its answer here, or goes on to the decisions, maybe some turns later."""
         request.dialect = dialect = Dialect(self._options)
-        customer = came.reader.customer(came.query, came.fields)
+        customer = came.reader.read_metadata(came.query, came.fields)
         came.claim(request)
         try:
             asked = self._asked(came, request)
--- a/cypresspulley/net/requests.py
+++ b/cypresspulley/net/requests.py
@@ -82,7 +82,7 @@
             raise BadRequestError(400, "idempotency-key is missing, or stands where none belongs")
         if fields[CLASS].decode("latin-1") != name:
             raise BadRequestError(400, "the class is not the path's")
-        account, plan, ttl, units, spread, repeat = self.customer(query, fields)
+        account, plan, ttl, units, spread, repeat = self.read_metadata(query, fields)
         return api.Request(self.next_id(), name, plan, ttl, account, units, spread, repeat, effect=effect)
 
     def next_id(self) -> int:
@@ -90,7 +90,7 @@
         self._last_id += 1
         return self._last_id
 
-    def customer(self, query: str, fields: dict[bytes, bytes]) -> RequestMetadata:
+    def read_metadata(self, query: str, fields: dict[bytes, bytes]) -> RequestMetadata:
         """What each request tells of its customer; BadRequestError where it does not."""
         for header in (REQUEST_ID, PLAN, TIMEOUT, QUOTA):
             if not fields.get(header):
@@ -128,5 +128,5 @@
     def read(self, method: bytes, target: str, fields: dict[bytes, bytes]) -> api.Request:
         raise BadRequestError(503, "the limiter ends")
 
-    def customer(self, query: str, fields: dict[bytes, bytes]) -> RequestMetadata:
+    def read_metadata(self, query: str, fields: dict[bytes, bytes]) -> RequestMetadata:
         raise BadRequestError(503, "the limiter ends")
