--- a/cypresspulley/accesslog.py
+++ b/cypresspulley/accesslog.py
@@ -119,14 +119,14 @@
     def arrived(self, request: ClientRequest) -> None:
         assert request.event is not None
         now = self._clock()
-        self._born[request.event.id] = (now - request.took, now)
+        self._born[request.event.id] = (now - request.seconds_since_first_byte, now)
         super().arrived(request)
 
     def kept(self, request: ClientRequest, size: int) -> None:
         """A kept answer was given in place of a server's (``closing/node.py``)."""
         assert request.event is not None
         now = self._clock()
-        self._born[request.event.id] = (now - request.took, now)
+        self._born[request.event.id] = (now - request.seconds_since_first_byte, now)
         self._told(request, 0, "served", 200, "kept", size)
 
     def departed(self, request: ClientRequest) -> None:
--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -110,7 +110,7 @@
     )  # fmt: skip
 
     @property
-    def took(self) -> float:
+    def seconds_since_first_byte(self) -> float:
         """Seconds from the request's first byte to now, for one that has just come whole."""
         return max(0.0, self._client.frontend.clock() - self._client.since)
 
