--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -106,7 +106,7 @@
 
     __slots__ = (
         "_client", "answer", "body", "chunks", "closes", "dialect", "event", "head", "id", "keep_alive", "stream",
-        "upload", "waited",
+        "upload", "receive_delay",
     )  # fmt: skip
 
     @property
@@ -124,7 +124,7 @@
         self.stream: Download | None = None  # an answer that flows
         self.closes = False  # its connection ends behind it
         self.chunks = True  # it may come in chunks
-        self.waited = 0.0  # seconds for which its last byte may have lain in the machine
+        self.receive_delay = 0.0  # seconds for which its last byte may have lain in the machine
 
     def begin(self, stream: Download) -> None:
         """The one final answer, as it comes."""
@@ -533,7 +533,7 @@
         for request in self._waiting:
             if request.upload is upload:
                 request.keep_alive = self._parser.should_keep_alive()
-                request.waited = self._age()
+                request.receive_delay = self._age()
         upload.finish()
         self._apply_backpressure()
 
@@ -561,7 +561,7 @@
         return self.frontend.arrivals.age(self._transport, self._input)
 
     def _dispatch(self, request: ClientRequest) -> None:
-        request.waited = self._age()
+        request.receive_delay = self._age()
         method = self._parser.get_method()
         if method not in (b"GET", b"POST"):
             raise BadRequestError(405, "method")
--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -140,7 +140,7 @@
     def arrived(self, request: ClientRequest) -> None:
         event = request.event
         assert event is not None
-        left = max(LEAST_LEFT, event.ttl - request.waited)
+        left = max(LEAST_LEFT, event.ttl - request.receive_delay)
         margin = min(MARGIN, MARGIN_SHARE * left)
         opened = self._open[event.id] = _Open(request, float("inf"))
         if request.upload is None or request.upload.whole:
@@ -152,7 +152,7 @@
 
     def _time(self, opened: _Open, event: api.Request, margin: float) -> None:
         """A request's time counts from when its last byte came to the machine."""
-        left = max(LEAST_LEFT, event.ttl - opened.request.waited)
+        left = max(LEAST_LEFT, event.ttl - opened.request.receive_delay)
         opened.deadline = self._clock() + left - margin
         last = left - SILENT_SHARE * margin
         opened.timer = self._loop.call_later(last, self._abandon, event.id, 504)
@@ -265,7 +265,7 @@
             assert request.event is not None
             attempt.upload, attempt.wait = (
                 upload,
-                min(wait, max(LEAST_LEFT, request.event.ttl - request.waited)),
+                min(wait, max(LEAST_LEFT, request.event.ttl - request.receive_delay)),
             )
         if request.dialect is None:
             attempt.begun = partial(self._began, action.id, number)
