--- a/cypresspulley/graphql/front.py
+++ b/cypresspulley/graphql/front.py
@@ -172,7 +172,7 @@
     def _go_on(self, reading: _Reading) -> None:
         """Some steps of reading; then others' turn."""
         request = reading.request
-        if request.left:
+        if request.client_gone:
             return reading.steps.close()
         began = self._loop.time()
         try:
--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -145,7 +145,7 @@
         self._client.flush()
 
     @property
-    def left(self) -> bool:
+    def client_gone(self) -> bool:
         """Whether its client has gone away."""
         return self._client.gone
 
