--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -149,9 +149,9 @@
         """Whether its client has gone away."""
         return self._client.gone
 
-    def present(self) -> bool:
+    def check_client_present(self) -> bool:
         """Whether its client is still there, by a look at the socket; if not, all its requests depart here."""
-        return self._client.present()
+        return self._client.check_client_present()
 
     def respond(
         self, status: int, body: bytes = b"", headers: bytes = b"", retry_after: float | None = None,
@@ -309,7 +309,7 @@
         except OSError:  # nothing lies there
             return False
 
-    def present(self) -> bool:
+    def check_client_present(self) -> bool:
         """Whether the client is still there, by a look at its socket. One that has closed departs here, however late
         the loop is to read its end."""
         transport = self._transport
@@ -389,7 +389,7 @@
             if self._drained > self._linger_bytes:
                 self._flooded()
             return
-        if self._upload is not None and not self.present():
+        if self._upload is not None and not self.check_client_present():
             return  # its last bytes would begin an attempt
         self.frontend.spoken += not self.spoke
         self.spoke, self._begun = True, 0
--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -260,7 +260,7 @@
         told = self._attempted if request.dialect is None else self._answered
         done = partial(told, action.id, number)
         attempt = Exchange(action.server, request.head, request.body, expires, done, action.latest)
-        attempt.present = request.present
+        attempt.present = request.check_client_present
         if (upload := request.upload) is not None:
             assert request.event is not None
             attempt.upload, attempt.wait = (
