--- a/cypresspulley/graphql/front.py
+++ b/cypresspulley/graphql/front.py
@@ -141,7 +141,7 @@
             dialect.media = asked.media
             self._afford(customer, asked)
         except GraphQLRefusedError as error:
-            return request.answer_with(*dialect.refused(error))
+            return request.send_response(*dialect.refused(error))
         steps = priced_request(self._documents, list(asked.asks), self._options.introspection)
         self._go_on(_Reading(request, dialect, customer, came, asked, steps, self._clock()))
 
@@ -181,7 +181,7 @@
         except StopIteration as done:
             self._priced(reading, done.value)
         except GraphQLRefusedError as error:
-            request.answer_with(*reading.dialect.refused(error))
+            request.send_response(*reading.dialect.refused(error))
         except Exception:
             log.exception("a GraphQL request could not be read")
             request.respond(500)
--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -160,13 +160,13 @@
         """Give the one final answer; the connection writes it when its turn has come."""
         if self.dialect is not None and status != 200:
             status, headers, body, retry_after = self.dialect.error(status, retry_after, why, left)
-        self.answer_with(status, headers, body, retry_after)
+        self.send_response(status, headers, body, retry_after)
 
     def turn_away(self, status: int) -> None:
         """Answer one that is not passed on; only a limiter that ends says 503, and others are a moment away."""
         self.respond(status, retry_after=ELSEWHERE if status == 503 else None)
 
-    def answer_with(self, status: int, headers: bytes, body: bytes, retry_after: float | None) -> None:
+    def send_response(self, status: int, headers: bytes, body: bytes, retry_after: float | None) -> None:
         """The one final answer, as it is."""
         if self.answer is not None or self.stream is not None:
             raise RuntimeError("a request was answered twice")
