--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -126,7 +126,7 @@
         self.chunks = True  # it may come in chunks
         self.receive_delay = 0.0  # seconds for which its last byte may have lain in the machine
 
-    def begin(self, stream: Download) -> None:
+    def begin_stream(self, stream: Download) -> None:
         """The one final answer, as it comes."""
         if self.answer is not None or self.stream is not None:
             raise RuntimeError("a request was answered twice")
--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -176,7 +176,7 @@
         opened.begun = True
         if opened.timer is not None:
             opened.timer.cancel()
-        opened.request.begin(download)
+        opened.request.begin_stream(download)
         self.feed(api.Began(id, number, attempt.server, attempt.elapsed, attempt.report))
 
     def departed(self, request: ClientRequest) -> None:
