--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -133,7 +133,7 @@
         self.stream = stream
         self._client.flush()
 
-    def ended(self, whole: bool) -> None:
+    def end_stream(self, whole: bool) -> None:
         """The answer that flows has come to its end, or broke off: then its client must see that."""
         assert self.stream is not None
         if not whole and self.stream.write is None:
--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -241,7 +241,7 @@
         if (opened := self._close(id)) is not None:
             log.warning("a request was answered %d in place of the decisions", status)
             if opened.begun:
-                opened.request.ended(False)
+                opened.request.end_stream(False)
             else:
                 opened.request.respond(status)
             self.feed(api.Departed(id))
@@ -288,7 +288,7 @@
     def _attempted(self, id: int, number: int, attempt: Exchange) -> None:
         if attempt.download is not None:
             if (opened := self._close(id)) is not None:
-                opened.request.ended(attempt.status is api.Status.OK)
+                opened.request.end_stream(attempt.status is api.Status.OK)
         elif attempt.status is api.Status.OK and (opened := self._close(id)) is not None:
             opened.request.respond(200, attempt.answer, attempt.answer_headers)
         finished = id not in self._open
