--- a/cypresspulley/graphql/front.py
+++ b/cypresspulley/graphql/front.py
@@ -131,7 +131,7 @@
         self.longest = 0.0  # seconds that one turn of reading held the loop
         _warm(documents)
 
-    def take(self, request: ClientRequest, came: ParsedRequest) -> None:
+    def handle_request(self, request: ClientRequest, came: ParsedRequest) -> None:
         """A request has come whole. It gets its answer here, or goes on to the decisions, maybe some turns later."""
         request.dialect = dialect = Dialect(self._options)
         customer = came.reader.read_metadata(came.query, came.fields)
--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -222,7 +222,7 @@
     path: str
     headers: frozenset[bytes]  # that it reads beside the protocol's
 
-    def take(self, request: ClientRequest, came: ParsedRequest) -> None: ...
+    def handle_request(self, request: ClientRequest, came: ParsedRequest) -> None: ...
 
 
 @contextlib.contextmanager
@@ -582,7 +582,7 @@
         if other is not None and target.partition("?")[0] == other.path:
             query = target.partition("?")[2]
             came = ParsedRequest(self.frontend, method, self._target, query, self._fields, self._head)
-            return other.take(request, came)
+            return other.handle_request(request, came)
         event = self.frontend.reader.read(method, target, self._fields)
         self.frontend.claim(request, self._fields[REQUEST_ID].lower())
         request.event = event
