--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -960,7 +960,7 @@
             for client in list(self._clients):
                 client.hand_over()
 
-    async def take(self, sock: socket.socket) -> None:
+    async def adopt_connection(self, sock: socket.socket) -> None:
         """A connection that another process has passed on."""
         sock.setblocking(False)
         try:
--- a/cypresspulley/service.py
+++ b/cypresspulley/service.py
@@ -261,7 +261,7 @@
 
     def took(self, sock: socket.socket) -> None:
         assert self._frontend is not None
-        self._later(self._frontend.take(sock))
+        self._later(self._frontend.adopt_connection(sock))
 
     def applied(self, name: str, id: str, source: Peer) -> None:
         self._apply(name, id, sure=True)
--- a/tests/test_endings_door.py
+++ b/tests/test_endings_door.py
@@ -164,7 +164,9 @@
         self.tasks = list[asyncio.Task[None]]()
 
     def took(self, sock: socket.socket) -> None:
-        self.tasks.append(asyncio.get_running_loop().create_task(self._limiter.frontend.take(sock)))
+        self.tasks.append(
+            asyncio.get_running_loop().create_task(self._limiter.frontend.adopt_connection(sock))
+        )
 
 
 @pytest.mark.parametrize("dies", ["full", "before"])
