--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -949,7 +949,7 @@
         if self._listener is not None:
             self._listener.resume()
 
-    def hand(self, passing: Callable[[int], bool] | None) -> None:
+    def set_handoff(self, passing: Callable[[int], bool] | None) -> None:
         """Connections at rest go to another process from now on, as descriptors; None: they stay."""
         self.passing = passing
         self.hand_over()
--- a/cypresspulley/service.py
+++ b/cypresspulley/service.py
@@ -248,9 +248,9 @@
         assert self._frontend is not None
         if isinstance(to, Predecessor):
             self.life.step(Step.HAND)
-            self._frontend.hand(to.pass_client)
+            self._frontend.set_handoff(to.pass_client)
         else:
-            self._frontend.hand(None)
+            self._frontend.set_handoff(None)
 
     def held(self) -> list[tuple[str, str, int]]:
         return held(self._gateway) if self._gateway is not None else []
--- a/tests/test_endings_door.py
+++ b/tests/test_endings_door.py
@@ -189,7 +189,7 @@
                     channel.send({"is": "held", "rows": []})
             else:
                 theirs.close()
-            limiter.frontend.hand(predecessor.pass_client)
+            limiter.frontend.set_handoff(predecessor.pass_client)
             if dies == "full":
                 await until(lambda: not limiter.frontend._clients)
                 client.send(ask())
@@ -197,7 +197,7 @@
             else:
                 client.send(ask())
             await until(lambda: not channel.open)
-            limiter.frontend.hand(None)
+            limiter.frontend.set_handoff(None)
             await until(lambda: len([e for e in script.events if isinstance(e, api.Request)]) == 2)
             assert len(limiter.frontend._clients) == 1, "one connection, one who reads it"
             client.socket.shutdown(socket.SHUT_WR)
--- a/tests/test_endings_leaving.py
+++ b/tests/test_endings_leaving.py
@@ -382,7 +382,7 @@
                 raise OSError(24, "Too many open files")
 
             monkeypatch.setattr(os, "dup", none_left)
-            limiter.frontend.hand(lambda _fd: True)
+            limiter.frontend.set_handoff(lambda _fd: True)
             peer.send(ask())
             await peer.until(b" 429 ")
 
