--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -934,7 +934,7 @@
         self._beginning.add(client)
         return client
 
-    def listener(self) -> int:
+    def duplicate_listener(self) -> int:
         """A descriptor of the shared listener, the caller's own."""
         assert isinstance(self._listener, SocketListener)
         return os.dup(self._listener.sock.fileno())
--- a/cypresspulley/service.py
+++ b/cypresspulley/service.py
@@ -211,9 +211,9 @@
             CLOCK_OFFSET: offset,
         }  # fmt: skip
 
-    def listener(self) -> int:
+    def duplicate_listener(self) -> int:
         assert self._frontend is not None
-        return self._frontend.listener()
+        return self._frontend.duplicate_listener()
 
     def pause(self) -> None:
         assert self._frontend is not None
