--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -360,7 +360,7 @@
 
     def _hush(self) -> None:
         """It counts no longer among those that ask."""
-        self.frontend.spoken -= self.spoke
+        self.frontend.connections_with_data -= self.spoke
         self.spoke = False
 
     def eof_received(self) -> None:
@@ -391,7 +391,7 @@
             return
         if self._upload is not None and not self.check_client_present():
             return  # its last bytes would begin an attempt
-        self.frontend.spoken += not self.spoke
+        self.frontend.connections_with_data += not self.spoke
         self.spoke, self._begun = True, 0
         self._input = data
         try:
@@ -893,7 +893,7 @@
         self._drained_at = 0.0
         self.open_ids = set[bytes]()
         self._max = max_connections
-        self.spoken = 0  # connections that have sent something
+        self.connections_with_data = 0  # connections that have sent something
         self._sweep_at: asyncio.TimerHandle | None = None
         self.arrivals = ArrivalClock(now, SWEEP)
         self._clients = dict[_Client, None]()  # in the order of their coming
@@ -1025,7 +1025,7 @@
     @property
     def closing(self) -> bool:
         """Whether answers say that their connection closes."""
-        return self.draining or self.spoken > CROWDED * self._max
+        return self.draining or self.connections_with_data > CROWDED * self._max
 
     def drain(self) -> None:
         """From now on every answer says that its connection closes, and soon none is left that asks nothing."""
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -137,7 +137,7 @@
         script = Script(refuse)
         async with Limiter(script, {}) as limiter:
             if kind == "crowded":
-                limiter.frontend.spoken += 60
+                limiter.frontend.connections_with_data += 60
             elif kind == "drained":
                 limiter.frontend.drain()
             peer = Peer(limiter)
@@ -149,8 +149,8 @@
             assert len([e for e in script.events if isinstance(e, api.Request)]) == (status == 429)
             peer.socket.close()
             await until(lambda: not limiter.frontend._clients)
-            limiter.frontend.spoken -= 60 * (kind == "crowded")
-            assert limiter.frontend.spoken == 0 and not limiter.frontend.open_ids
+            limiter.frontend.connections_with_data -= 60 * (kind == "crowded")
+            assert limiter.frontend.connections_with_data == 0 and not limiter.frontend.open_ids
 
     run(main())
 
@@ -229,7 +229,7 @@
             assert limiter.frontend._clients, "it lingers"
             peer.fin()
             await until(lambda: not limiter.frontend._clients)
-            assert limiter.frontend.spoken == 0
+            assert limiter.frontend.connections_with_data == 0
 
     run(main())
 
@@ -249,7 +249,7 @@
             if rests:
                 the_one(limiter).since -= 2 * frontend.IDLE
             assert await peer.end() == [429]
-            assert the_one(limiter).frontend.spoken == 0, "who lingers crowds nobody"
+            assert the_one(limiter).frontend.connections_with_data == 0, "who lingers crowds nobody"
             await until(lambda: not limiter.frontend._clients)
             assert not peer.reset()
             peer.send(ask())
@@ -434,7 +434,7 @@
             for peer in (*flood, *busy, late):
                 peer.socket.close()
             await until(lambda: not limiter.frontend._clients)
-            assert limiter.frontend.spoken == 0
+            assert limiter.frontend.connections_with_data == 0
 
     run(main())
 
@@ -591,7 +591,7 @@
                     peer.send(ask(Connection="close"))
                     await until(lambda: came and not limiter.frontend._clients)
                 came.clear()
-                assert limiter.frontend.spoken == 0 and not limiter.frontend.open_ids
+                assert limiter.frontend.connections_with_data == 0 and not limiter.frontend.open_ids
 
     run(main())
 
--- a/tests/test_endings_leaving.py
+++ b/tests/test_endings_leaving.py
@@ -53,7 +53,7 @@
             assert not peer.reset() and not [e for e in script.events if isinstance(e, api.Request)]
             peer.socket.close()
             await closing
-            assert not limiter.frontend._clients and limiter.frontend.spoken == 0
+            assert not limiter.frontend._clients and limiter.frontend.connections_with_data == 0
 
     run(main())
 
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -444,7 +444,7 @@
             assert closed == 28  # half of the connections are kept; whoever comes then is answered and let go
             for writer in kept[:2]:
                 writer.close()
-            while limiter.frontend.spoken > 30:
+            while limiter.frontend.connections_with_data > 30:
                 await asyncio.sleep(0)
             reader, writer = await limiter.connect()
             writer.write(ask())
