--- a/cypresspulley/graphql/front.py
+++ b/cypresspulley/graphql/front.py
@@ -135,7 +135,7 @@
         """A request has come whole. It gets its answer here, or goes on to the decisions, maybe some turns later."""
         request.dialect = dialect = Dialect(self._options)
         customer = came.reader.read_metadata(came.query, came.fields)
-        came.claim(request)
+        came.claim_request_id(request)
         try:
             asked = self._asked(came, request)
             dialect.media = asked.media
--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -199,9 +199,9 @@
     def reader(self) -> RequestReader:
         return self.frontend.reader
 
-    def claim(self, request: ClientRequest) -> None:
+    def claim_request_id(self, request: ClientRequest) -> None:
         """Its id is in use from now on until its answer; BadRequestError where it is already."""
-        self.frontend.claim(request, self.fields[REQUEST_ID].lower())
+        self.frontend.claim_request_id(request, self.fields[REQUEST_ID].lower())
 
     def head_for(self, name: str, key: bytes | None) -> bytes:
         """The head to pass on: its class and key are the front's word, whatever the client's said."""
@@ -584,7 +584,7 @@
             came = ParsedRequest(self.frontend, method, self._target, query, self._fields, self._head)
             return other.handle_request(request, came)
         event = self.frontend.reader.read(method, target, self._fields)
-        self.frontend.claim(request, self._fields[REQUEST_ID].lower())
+        self.frontend.claim_request_id(request, self._fields[REQUEST_ID].lower())
         request.event = event
         request.head = b"%b %b HTTP/1.1\r\n%b" % (method, self._target, b"".join(self._head))
         self.frontend.handler.arrived(request)
@@ -997,7 +997,7 @@
         self._beginning.discard(client)
         self._clients[client] = None
 
-    def claim(self, request: ClientRequest, id: bytes) -> None:
+    def claim_request_id(self, request: ClientRequest, id: bytes) -> None:
         """One that is open here belongs to another: answers and outcomes must not meet the wrong one."""
         if id in self.open_ids:
             raise BadRequestError(409, "the request id is in use")
