--- a/cypresspulley/graphql/front.py
+++ b/cypresspulley/graphql/front.py
@@ -204,7 +204,7 @@
             came.reader.next_id(), name, customer.plan, ttl, customer.account, min(units, bound), customer.spread,
             customer.repeat, bound,
         )  # fmt: skip
-        request.head = came.head_for(name, self._key(priced, customer))
+        request.head = came.build_head(name, self._key(priced, customer))
         came.arrived(request)
         return None
 
--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -203,7 +203,7 @@
         """Its id is in use from now on until its answer; BadRequestError where it is already."""
         self.frontend.claim_request_id(request, self.fields[REQUEST_ID].lower())
 
-    def head_for(self, name: str, key: bytes | None) -> bytes:
+    def build_head(self, name: str, key: bytes | None) -> bytes:
         """The head to pass on: its class and key are the front's word, whatever the client's said."""
         own = (CLASS + b":", KEY + b":")
         lines = [line for line in self.lines if not line.lower().startswith(own)]
