--- a/cypresspulley/graphql/front.py
+++ b/cypresspulley/graphql/front.py
@@ -205,7 +205,7 @@
             customer.repeat, bound,
         )  # fmt: skip
         request.head = came.build_head(name, self._key(priced, customer))
-        came.arrived(request)
+        came.submit(request)
         return None
 
     def _key(self, priced: Priced, customer: RequestMetadata) -> bytes | None:
--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -212,7 +212,7 @@
             lines.append(b"Idempotency-Key: %b\r\n" % key)
         return b"%b %b HTTP/1.1\r\n%b" % (self.method, self.target, b"".join(lines))
 
-    def arrived(self, request: ClientRequest) -> None:
+    def submit(self, request: ClientRequest) -> None:
         self.frontend.handler.arrived(request)
 
 
