--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -54,7 +54,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PIPELINE = 8  # unanswered requests of one connection: clients send one at a time
+MAX_PIPELINED_REQUESTS = 8  # unanswered requests of one connection: clients send one at a time
 BACKLOG = 1024
 SWEEP = 0.2  # seconds between two looks for silent and slow clients: one timer for all of them
 IDLE = 2.05  # seconds without an open request: a keep-alive may be closed after 2, a bad client must be by 3
@@ -431,7 +431,7 @@
         if not self._waiting:
             self.since = self.frontend.clock()
         self._begun += 1
-        if self._begun > MAX_PIPELINE or len(self._waiting) >= MAX_PIPELINE:
+        if self._begun > MAX_PIPELINED_REQUESTS or len(self._waiting) >= MAX_PIPELINED_REQUESTS:
             # Reading stops at this many, but one read may bring hundreds: they would hold the loop, answered or not.
             raise BadRequestError(400, "too many requests at once")
 
@@ -722,7 +722,7 @@
         if self._rejected:
             stop = self._drained > self._linger_bytes
         else:
-            stop = self._writing_paused or len(self._waiting) >= MAX_PIPELINE
+            stop = self._writing_paused or len(self._waiting) >= MAX_PIPELINED_REQUESTS
             stop = stop or (self._upload is not None and self._upload.held)
         transport = self._transport or self._lingering
         if transport is None or transport.is_closing() or stop is self._reading_paused:
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -16,7 +16,7 @@
 
 from cypresspulley import interface as api
 from cypresspulley.net import frontend
-from cypresspulley.net.frontend import MAX_PIPELINE, _Client
+from cypresspulley.net.frontend import MAX_PIPELINED_REQUESTS, _Client
 from tests.loopback import Limiter, Origin, Script, ask, listening, run, send_on
 
 POST = "/post?account=00000000b4d65521"
@@ -455,8 +455,8 @@
     """A pipeline that is full."""
     script.answer = silent
     peer = Peer(limiter)
-    peer.send(b"".join(ask(ttl=60_000) for _ in range(MAX_PIPELINE)))
-    await script.until(api.Request, MAX_PIPELINE)
+    peer.send(b"".join(ask(ttl=60_000) for _ in range(MAX_PIPELINED_REQUESTS)))
+    await script.until(api.Request, MAX_PIPELINED_REQUESTS)
     return peer
 
 
@@ -473,7 +473,7 @@
     script.answer = silent
     peer = Peer(limiter)
     peer.send(b"".join(ask(ttl=60_000) for _ in range(200)))
-    await script.until(api.Request, MAX_PIPELINE)
+    await script.until(api.Request, MAX_PIPELINED_REQUESTS)
     return peer
 
 
@@ -565,7 +565,7 @@
             peer = await pipelined(limiter, script)
             await turns(20)
             leaves(peer)
-            await script.until(api.Departed, MAX_PIPELINE)
+            await script.until(api.Departed, MAX_PIPELINED_REQUESTS)
 
     run(main())
 
--- a/tests/test_endings_gone.py
+++ b/tests/test_endings_gone.py
@@ -15,7 +15,7 @@
 
 from cypresspulley import interface as api
 from cypresspulley.net.counter import CounterClient
-from cypresspulley.net.frontend import MAX_PIPELINE
+from cypresspulley.net.frontend import MAX_PIPELINED_REQUESTS
 from cypresspulley.net.http import split_address
 from cypresspulley.net.upstream import _Connection
 from tests.loopback import OK, Limiter, Origin, Script, ask, listening, run, send_on
@@ -167,10 +167,10 @@
         async with Limiter(script, {"s1": server.dial}) as limiter:
             assert limiter.frontend._sweep_at is not None
             limiter.frontend._sweep_at.cancel()
-            await warm(limiter, server, MAX_PIPELINE + 1)
+            await warm(limiter, server, MAX_PIPELINED_REQUESTS + 1)
             peer = Peer(limiter)
-            peer.send(b"".join(ask() for _ in range(MAX_PIPELINE)))
-            await script.until(api.Request, 2 * MAX_PIPELINE + 1)
+            peer.send(b"".join(ask() for _ in range(MAX_PIPELINED_REQUESTS)))
+            await script.until(api.Request, 2 * MAX_PIPELINED_REQUESTS + 1)
             out = await first_with_bytes(server)
             await server.request(out)
             await until(lambda: all(each._reading_paused for each in limiter.frontend._clients))
@@ -179,12 +179,12 @@
             leaves(peer)
             assert len(limiter.upstream._servers["s1"].idle) == 1
             out.send(FULL)
-            await gone(limiter, script, MAX_PIPELINE)
+            await gone(limiter, script, MAX_PIPELINED_REQUESTS)
             sends = sum(event.attempt for event in await script.until(api.Outcome))
             assert sends == 1, "the decisions wanted a further attempt"
             others = [sock for sock in server.taken if sock is not out]
             heads = [await until_end(sock) for sock in others]
-            assert sum(head.count(b"HTTP/1.1") for head in heads) == MAX_PIPELINE - 1, (
+            assert sum(head.count(b"HTTP/1.1") for head in heads) == MAX_PIPELINED_REQUESTS - 1, (
                 "one was sent once more"
             )
         server.close()
@@ -324,12 +324,12 @@
         origin, script = Origin(reply), Script(again)
         async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             peer = Peer(limiter)
-            peer.send(b"".join(ask() for _ in range(MAX_PIPELINE)))
-            await script.until(api.Request, MAX_PIPELINE)
+            peer.send(b"".join(ask() for _ in range(MAX_PIPELINED_REQUESTS)))
+            await script.until(api.Request, MAX_PIPELINED_REQUESTS)
             peer.send(ask())
-            while peer.seen.count(b"hi") < MAX_PIPELINE + 1:
+            while peer.seen.count(b"hi") < MAX_PIPELINED_REQUESTS + 1:
                 peer.seen += await asyncio.get_running_loop().sock_recv(peer.socket, 65536)
-            assert len(origin.seen) == 2 * (MAX_PIPELINE + 1)
+            assert len(origin.seen) == 2 * (MAX_PIPELINED_REQUESTS + 1)
             peer.socket.close()
 
     run(main())
--- a/tests/test_endings_leaving.py
+++ b/tests/test_endings_leaving.py
@@ -17,7 +17,7 @@
 from cypresspulley.net import discovery as net_discovery
 from cypresspulley.net import frontend
 from cypresspulley.net import upstream as net_upstream
-from cypresspulley.net.frontend import LINGER_BYTES, MAX_PIPELINE, _Client
+from cypresspulley.net.frontend import LINGER_BYTES, MAX_PIPELINED_REQUESTS, _Client
 from tests.loopback import Limiter, Origin, Script, ask, listening, read_message, run, send_on
 from tests.test_endings_clients import Peer, arrivals, brisk, refuse, silent, the_one, turns, until
 from tests.test_program import config, started
@@ -285,10 +285,10 @@
         async with listening(talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             peer, ids = Peer(limiter), [f"{n:016x}" for n in range(500)]
             peer.send(b"".join(ask(X_Request_ID=id) for id in ids))
-            assert await peer.end() == [200] * MAX_PIPELINE + [400]
+            assert await peer.end() == [200] * MAX_PIPELINED_REQUESTS + [400]
             bodies = [part.rpartition(b"\r\n\r\n")[2].decode() for part in peer.seen.split(b"HTTP/1.1")[1:]]
-            assert bodies == [*ids[:MAX_PIPELINE], ""]
-            assert len(await script.until(api.Request)) == MAX_PIPELINE
+            assert bodies == [*ids[:MAX_PIPELINED_REQUESTS], ""]
+            assert len(await script.until(api.Request)) == MAX_PIPELINED_REQUESTS
             peer.socket.close()
             await until(lambda: not limiter.frontend._clients)
             assert not limiter.frontend.open_ids
@@ -304,7 +304,7 @@
         async with Limiter(script, {}) as limiter:
             peer = Peer(limiter)
             peer.send(b"".join(ask(ttl=60_000) for _ in range(20)))
-            requests = await script.until(api.Request, MAX_PIPELINE)
+            requests = await script.until(api.Request, MAX_PIPELINED_REQUESTS)
             sent = 0
             while not the_one(limiter)._reading_paused:
                 with contextlib.suppress(BlockingIOError):
@@ -314,7 +314,7 @@
             script.answer = lambda _event: [api.Refuse(each.id, 0.1) for each in requests]
             limiter.node.feed(api.TimerFired(1))
             await peer.until(b" 400 ")
-            assert peer.seen.count(b" 429 ") == MAX_PIPELINE
+            assert peer.seen.count(b" 429 ") == MAX_PIPELINED_REQUESTS
             peer.socket.close()
             await until(lambda: not limiter.frontend._clients)
 
@@ -339,7 +339,7 @@
                 peer.socket.close()
             await until(lambda: len(came) == 20 and len(limiter.frontend._clients) == 1)
             assert limiter.node.open_requests == 1 and len(limiter.frontend.open_ids) == 1
-            assert len(await script.until(api.Request)) <= 1 + 20 * MAX_PIPELINE
+            assert len(await script.until(api.Request)) <= 1 + 20 * MAX_PIPELINED_REQUESTS
             assert limiter.upstream.relay.active == 0
             script.answer = lambda _event: [api.Fail(first.id)]
             limiter.node.feed(api.TimerFired(1))
@@ -356,12 +356,12 @@
         async with Limiter(script, {}) as limiter:
             peer = Peer(limiter)
             peer.send(b"".join(ask() for _ in range(500)))
-            assert await peer.end() == [429] * MAX_PIPELINE + [400]
+            assert await peer.end() == [429] * MAX_PIPELINED_REQUESTS + [400]
             # One behind another they are as many as a client likes.
             usual = Peer(limiter)
-            for n in range(1, 3 * MAX_PIPELINE):
+            for n in range(1, 3 * MAX_PIPELINED_REQUESTS):
                 usual.send(ask())
-                await until(lambda n=n: len(script.events) >= MAX_PIPELINE + n)  # type: ignore[misc]
+                await until(lambda n=n: len(script.events) >= MAX_PIPELINED_REQUESTS + n)  # type: ignore[misc]
                 await usual.until(b" 429 ")
 
     run(main())
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -371,12 +371,12 @@
         async with Limiter(script, {}) as limiter:
             _, writer = await limiter.connect()
             writer.write(b"".join(ask() for _ in range(200)))
-            await script.until(api.Request, frontend.MAX_PIPELINE)
+            await script.until(api.Request, frontend.MAX_PIPELINED_REQUESTS)
             reader, other = await limiter.connect()
             script.answer = refuse
             other.write(ask())
             assert " 429 " in (await read_message(reader))[0]
-            assert len(await script.until(api.Request)) == frontend.MAX_PIPELINE + 1
+            assert len(await script.until(api.Request)) == frontend.MAX_PIPELINED_REQUESTS + 1
 
     run(main())
 
