--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -23,7 +23,7 @@
 from cypresspulley import interface as api
 from cypresspulley.lifecycle import LEAVING, Do, Phase, Place
 from cypresspulley.net.arrival import ArrivalClock
-from cypresspulley.net.http import MAX_BODY, MAX_HEAD, NOT_FORWARDED
+from cypresspulley.net.http import MAX_BODY_BYTES, MAX_HEAD_BYTES, NOT_FORWARDED
 from cypresspulley.net.listener import Listener, SocketListener, bind, open_listener
 from cypresspulley.net.relay import (
     HIGH_WATER_MOST,
@@ -418,7 +418,7 @@
         # one that came in pieces counts twice: a bound on memory need not be exact.
         if self._reading and not self._head_read:
             self._size += len(data)
-            if self._size > MAX_HEAD:
+            if self._size > MAX_HEAD_BYTES:
                 self._reject(400)
 
     # The parser's callbacks.
@@ -473,14 +473,14 @@
             raise BadRequestError(400, "too many trailers")
 
     def on_headers_complete(self) -> None:
-        if self._size > MAX_HEAD:
+        if self._size > MAX_HEAD_BYTES:
             raise BadRequestError(400, "head too large")
         if self._chunked and self._length is not None:
             raise BadRequestError(400, "two framings: one of them may hide a request")
         self._head_read, self._size, self._trailers = True, 0, 0
         if self._length or self._chunked:
             self._seen, self._seen_at = 0, self.frontend.clock()
-        if self._length is not None and self._length > MAX_BODY:
+        if self._length is not None and self._length > MAX_BODY_BYTES:
             self._flow()
         if self._expects:
             self._continue()
@@ -502,7 +502,7 @@
                 raise BadRequestError(413, "body too large")
             return self._upload.feed(body)
         self._body.append(body)
-        if self._size > MAX_BODY:
+        if self._size > MAX_BODY_BYTES:
             self._flow()
 
     def _flow(self) -> None:
--- a/cypresspulley/net/http.py
+++ b/cypresspulley/net/http.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-MAX_BODY = 64 * 1024
-MAX_HEAD = 32 * 1024
+MAX_BODY_BYTES = 64 * 1024
+MAX_HEAD_BYTES = 32 * 1024
 # Headers that belong to one connection and are never passed on (RFC 9110, 7.6.1), and the framing,
 # which is made anew because the body is passed on whole.
 NOT_FORWARDED = frozenset(
--- a/cypresspulley/net/upstream.py
+++ b/cypresspulley/net/upstream.py
@@ -21,7 +21,7 @@
 import httptools
 
 from cypresspulley.interface import Status
-from cypresspulley.net.http import MAX_BODY, MAX_HEAD, NOT_FORWARDED, join_address, split_address
+from cypresspulley.net.http import MAX_BODY_BYTES, MAX_HEAD_BYTES, NOT_FORWARDED, join_address, split_address
 from cypresspulley.net.relay import LARGEST, STALL, Download, Relay, Upload, bound_kernel
 
 log = logging.getLogger(__name__)
@@ -39,7 +39,9 @@
 # Where kept connections break at their next request, before any byte of an answer, they were closed in
 # silence: for so many seconds none is kept that has been idle for so long.
 DISTRUST = 10.0
-MAX_ANSWER = MAX_HEAD + 2 * MAX_BODY  # all bytes of an answer: interim ones, chunk sizes and trailers too
+MAX_ANSWER = (
+    MAX_HEAD_BYTES + 2 * MAX_BODY_BYTES
+)  # all bytes of an answer: interim ones, chunk sizes and trailers too
 SAME_BIRTH = 1e-6  # seconds by which two births may differ and be one
 # Failures of connect that are this machine's own: no descriptor, buffer, port or route. They say nothing of a server.
 OWN_FAILURES = frozenset({
@@ -371,7 +373,7 @@
         if self._surplus or self._head_read:
             return  # trailers say nothing that is read here
         self._head_size += len(name) + len(value)
-        if self._head_size > MAX_HEAD:
+        if self._head_size > MAX_HEAD_BYTES:
             raise ValueError("too large")
         value = value.rstrip(b" \t")  # no part of it, and the parser leaves it there
         if key == b"content-length":
@@ -409,7 +411,7 @@
                 raise ValueError("an answer needs a length, chunks or an end of its connection")
             self._to_the_end = True
         flows = exchange is not None and exchange.begun is not None and code == 200
-        if self._length is not None and self._length > MAX_BODY:
+        if self._length is not None and self._length > MAX_BODY_BYTES:
             if not flows:
                 raise ValueError("too large")
             self._flow()
@@ -424,7 +426,7 @@
         if exchange.download is not None:
             return exchange.download.put(body)
         self._body.append(body)
-        if self._size > MAX_BODY:
+        if self._size > MAX_BODY_BYTES:
             if exchange.begun is None or not self._unknown:
                 raise ValueError("too large")
             self._flow()
