--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -23,7 +23,7 @@
 from cypresspulley import interface as api
 from cypresspulley.lifecycle import LEAVING, Do, Phase, Place
 from cypresspulley.net.arrival import ArrivalClock
-from cypresspulley.net.http import MAX_BODY_BYTES, MAX_HEAD_BYTES, NOT_FORWARDED
+from cypresspulley.net.http import MAX_BODY_BYTES, MAX_HEAD_BYTES, UNFORWARDED_HEADERS
 from cypresspulley.net.listener import Listener, SocketListener, bind, open_listener
 from cypresspulley.net.relay import (
     HIGH_WATER_MOST,
@@ -451,7 +451,7 @@
             if key in self._fields:
                 raise BadRequestError(400, "a header stands twice")
             self._fields[key] = value
-        if key not in NOT_FORWARDED and key != TIMEOUT:
+        if key not in UNFORWARDED_HEADERS and key != TIMEOUT:
             self._head.append(b"%b: %b\r\n" % (name, value))
         elif key == b"content-length":
             if self._length is not None or not WHOLE.fullmatch(value):
--- a/cypresspulley/net/http.py
+++ b/cypresspulley/net/http.py
@@ -6,7 +6,7 @@
 MAX_HEAD_BYTES = 32 * 1024
 # Headers that belong to one connection and are never passed on (RFC 9110, 7.6.1), and the framing,
 # which is made anew because the body is passed on whole.
-NOT_FORWARDED = frozenset(
+UNFORWARDED_HEADERS = frozenset(
     (
         b"connection", b"content-length", b"expect", b"keep-alive", b"proxy-authenticate",
         b"proxy-authorization", b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade",
--- a/cypresspulley/net/upstream.py
+++ b/cypresspulley/net/upstream.py
@@ -21,7 +21,13 @@
 import httptools
 
 from cypresspulley.interface import Status
-from cypresspulley.net.http import MAX_BODY_BYTES, MAX_HEAD_BYTES, NOT_FORWARDED, join_address, split_address
+from cypresspulley.net.http import (
+    MAX_BODY_BYTES,
+    MAX_HEAD_BYTES,
+    UNFORWARDED_HEADERS,
+    join_address,
+    split_address,
+)
 from cypresspulley.net.relay import LARGEST, STALL, Download, Relay, Upload, bound_kernel
 
 log = logging.getLogger(__name__)
@@ -393,7 +399,7 @@
             self._charged = value
         elif key == NOT_PROCESSED:
             self._not_processed = value == b"1"
-        elif key not in NOT_FORWARDED:
+        elif key not in UNFORWARDED_HEADERS:
             self._headers.append(b"%b: %b\r\n" % (name, value))
 
     def on_headers_complete(self) -> None:
