--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -114,7 +114,7 @@
         """Seconds from the request's first byte to now, for one that has just come whole."""
         return max(0.0, self._client.frontend.clock() - self._client.since)
 
-    def __init__(self, client: _Client, keep_alive: bool) -> None:
+    def __init__(self, client: _ClientConnection, keep_alive: bool) -> None:
         self._client, self.keep_alive = client, keep_alive
         self.event: api.Request | None = None
         self.dialect: Dialect | None = None
@@ -235,7 +235,7 @@
         sock.detach()
 
 
-class _Client(asyncio.Protocol):
+class _ClientConnection(asyncio.Protocol):
     """One client connection: parses requests, keeps their answers in order.
 
     It ends in one way, ``_close``: the last answer is flushed, our side half-closed, the client's read to its end.
@@ -896,8 +896,8 @@
         self.connections_with_data = 0  # connections that have sent something
         self._sweep_at: asyncio.TimerHandle | None = None
         self.arrivals = ArrivalClock(now, SWEEP)
-        self._clients = dict[_Client, None]()  # in the order of their coming
-        self._beginning = set[_Client]()  # accepted, and not begun yet
+        self._clients = dict[_ClientConnection, None]()  # in the order of their coming
+        self._beginning = set[_ClientConnection]()  # accepted, and not begun yet
         self._listener: Listener | None = None
         self.on_sweep: Callable[[], None] | None = None  # called by the sweep, five times a second
         # Takes the descriptors of connections at rest to another process; None: there is none.
@@ -930,7 +930,7 @@
 
     def connection(self) -> asyncio.Protocol:
         """The protocol of a connection that has been accepted."""
-        client = _Client(self)
+        client = _ClientConnection(self)
         self._beginning.add(client)
         return client
 
@@ -964,7 +964,7 @@
         """A connection that another process has passed on."""
         sock.setblocking(False)
         try:
-            await asyncio.get_running_loop().connect_accepted_socket(lambda: _Client(self), sock)
+            await asyncio.get_running_loop().connect_accepted_socket(lambda: _ClientConnection(self), sock)
         except OSError as error:
             log.warning("a connection that was passed on had ended: %s", error)
             sock.close()
@@ -989,7 +989,7 @@
         victim.abort()
         return True
 
-    def connected(self, client: _Client) -> None:
+    def connected(self, client: _ClientConnection) -> None:
         """Count a connection. One that another process has passed on, and that finds no room, is closed."""
         if len(self._clients) >= self._max and not self.make_room():
             log.warning("out of client connections")
@@ -1016,7 +1016,7 @@
         for client in list(self._clients):
             client.check(now, patience)
 
-    def disconnected(self, client: _Client) -> None:
+    def disconnected(self, client: _ClientConnection) -> None:
         self._clients.pop(client, None)
         self._beginning.discard(client)
         if not self._clients:
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -16,7 +16,7 @@
 
 from cypresspulley import interface as api
 from cypresspulley.net import frontend
-from cypresspulley.net.frontend import MAX_PIPELINED_REQUESTS, _Client
+from cypresspulley.net.frontend import MAX_PIPELINED_REQUESTS, _ClientConnection
 from tests.loopback import Limiter, Origin, Script, ask, listening, run, send_on
 
 POST = "/post?account=00000000b4d65521"
@@ -92,7 +92,7 @@
     await until(lambda: limiter.frontend.clock() > due)
 
 
-def the_one(limiter: Limiter) -> _Client:
+def the_one(limiter: Limiter) -> _ClientConnection:
     (client,) = limiter.frontend._clients
     return client
 
@@ -105,14 +105,14 @@
 
 def crossed(monkeypatch: pytest.MonkeyPatch, data: bytes, peers: list[Peer]) -> None:
     """The first peer's bytes are in the machine at the very moment in which its connection is closed."""
-    close = _Client._close
+    close = _ClientConnection._close
 
-    def crossing(client: _Client) -> None:
+    def crossing(client: _ClientConnection) -> None:
         if peers and client._transport is not None:
             peers.pop().send(data)
         close(client)
 
-    monkeypatch.setattr(_Client, "_close", crossing)
+    monkeypatch.setattr(_ClientConnection, "_close", crossing)
 
 
 # The lingering close.
@@ -161,23 +161,23 @@
 ) -> None:
     """Between the look at the socket and the half-close: read before that, it would be taken and lost."""
     order, peers = list[bool](), list[Peer]()
-    look, receive = cast(property, _Client.unread).fget, _Client.data_received
+    look, receive = cast(property, _ClientConnection.unread).fget, _ClientConnection.data_received
     assert look is not None
 
-    def looked(self: _Client) -> bool:
+    def looked(self: _ClientConnection) -> bool:
         unread: bool = look(self)
         if not unread and peers and not order:
             order.append(peers[0].heard_end())
             peers[0].send(ask())
         return unread
 
-    def received(self: _Client, data: bytes) -> None:
+    def received(self: _ClientConnection, data: bytes) -> None:
         if peers:
             order.append(peers[0].heard_end())
         receive(self, data)
 
-    monkeypatch.setattr(_Client, "unread", property(looked))
-    monkeypatch.setattr(_Client, "data_received", received)
+    monkeypatch.setattr(_ClientConnection, "unread", property(looked))
+    monkeypatch.setattr(_ClientConnection, "data_received", received)
 
     async def main() -> None:
         script = Script(refuse)
@@ -397,11 +397,11 @@
     run(main())
 
 
-def arrivals(limiter: Limiter, monkeypatch: pytest.MonkeyPatch) -> list[_Client]:
+def arrivals(limiter: Limiter, monkeypatch: pytest.MonkeyPatch) -> list[_ClientConnection]:
     """A list that gets each connection from now on."""
-    came, connected = list[_Client](), limiter.frontend.connected
+    came, connected = list[_ClientConnection](), limiter.frontend.connected
 
-    def noted(client: _Client) -> None:
+    def noted(client: _ClientConnection) -> None:
         came.append(client)
         connected(client)
 
@@ -575,11 +575,11 @@
 
     async def main() -> None:
         async with Limiter(Script(refuse), {}) as limiter:
-            half_close, came = _Client._half_close, arrivals(limiter, monkeypatch)
+            half_close, came = _ClientConnection._half_close, arrivals(limiter, monkeypatch)
             for first in (True, False):
                 peer = Peer(limiter)
 
-                def crossed(client: _Client, peer: Peer = peer, first: bool = first) -> None:
+                def crossed(client: _ClientConnection, peer: Peer = peer, first: bool = first) -> None:
                     if first:
                         peer.rst()
                     half_close(client)
@@ -587,7 +587,7 @@
                         peer.rst()
 
                 with monkeypatch.context() as patched:
-                    patched.setattr(_Client, "_half_close", crossed)
+                    patched.setattr(_ClientConnection, "_half_close", crossed)
                     peer.send(ask(Connection="close"))
                     await until(lambda: came and not limiter.frontend._clients)
                 came.clear()
--- a/tests/test_endings_leaving.py
+++ b/tests/test_endings_leaving.py
@@ -17,7 +17,7 @@
 from cypresspulley.net import discovery as net_discovery
 from cypresspulley.net import frontend
 from cypresspulley.net import upstream as net_upstream
-from cypresspulley.net.frontend import LINGER_BYTES, MAX_PIPELINED_REQUESTS, _Client
+from cypresspulley.net.frontend import LINGER_BYTES, MAX_PIPELINED_REQUESTS, _ClientConnection
 from tests.loopback import Limiter, Origin, Script, ask, listening, read_message, run, send_on
 from tests.test_endings_clients import Peer, arrivals, brisk, refuse, silent, the_one, turns, until
 from tests.test_program import config, started
@@ -39,13 +39,13 @@
         async with Limiter(script, {}) as limiter:
             peer = Peer(limiter)
             await until(lambda: limiter.frontend._clients)
-            half_close = _Client._half_close
+            half_close = _ClientConnection._half_close
 
-            def crossed(client: _Client) -> None:
+            def crossed(client: _ClientConnection) -> None:
                 half_close(client)
                 peer.send(ask())
 
-            monkeypatch.setattr(_Client, "_half_close", crossed)
+            monkeypatch.setattr(_ClientConnection, "_half_close", crossed)
             limiter.frontend.drain()
             closing = asyncio.create_task(limiter.frontend.close(10))
             assert await peer.end() == []
@@ -63,14 +63,14 @@
     kept: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     order, peers = list[bool](), list[Peer]()
-    receive = _Client.data_received
+    receive = _ClientConnection.data_received
 
-    def received(self: _Client, data: bytes) -> None:
+    def received(self: _ClientConnection, data: bytes) -> None:
         if peers:
             order.append(peers[0].heard_end())
         receive(self, data)
 
-    monkeypatch.setattr(_Client, "data_received", received)
+    monkeypatch.setattr(_ClientConnection, "data_received", received)
     monkeypatch.setattr(frontend, "DRAIN_IDLE", 1e6)
 
     async def main() -> None:
@@ -87,14 +87,14 @@
                 await peer.until(b"\r\n\r\n")
                 limiter.frontend.draining = True
             assert client._transport is not None
-            leave = _Client.leave
+            leave = _ClientConnection.leave
 
-            def crossed(self: _Client, do: object) -> None:
+            def crossed(self: _ClientConnection, do: object) -> None:
                 peers.append(peer)
                 peer.send(ask())
                 leave(self, do)  # type: ignore[arg-type]
 
-            monkeypatch.setattr(_Client, "leave", crossed)
+            monkeypatch.setattr(_ClientConnection, "leave", crossed)
             closing = asyncio.create_task(limiter.frontend.close(10))
             assert await peer.end() == [429] * kept
             await until(lambda: order)
@@ -418,7 +418,7 @@
             listening(mute) as other,
             Limiter(script, {"s1": dial}) as limiter,
         ):
-            noted(_Client, "client")
+            noted(_ClientConnection, "client")
             await limiter.fetch(ask())
             await until(lambda: len(set_on["client"]) == 1)
             # Of a listener that is shared and taken up again, and a connection that was handed over.
