--- a/cypresspulley/net/arrival.py
+++ b/cypresspulley/net/arrival.py
@@ -59,7 +59,7 @@
     def _overdue(self, now: float) -> bool:
         return now - self._beat_at > self._beat + LATE
 
-    def age(self, transport: asyncio.BaseTransport, data: bytes) -> float:
+    def data_age(self, transport: asyncio.BaseTransport, data: bytes) -> float:
         """Seconds for which ``data``, read just now, may have lain in the machine, where that is over ``PAUSE``.
 
         Where requests stand behind one another in it, the socket knows only of the last one, and of the others no more
--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -558,7 +558,7 @@
         """Seconds for which the last byte that is being parsed may have lain in the machine."""
         if self._transport is None:
             return 0.0
-        return self.frontend.arrivals.age(self._transport, self._input)
+        return self.frontend.arrivals.data_age(self._transport, self._input)
 
     def _dispatch(self, request: ClientRequest) -> None:
         request.receive_delay = self._age()
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -43,7 +43,7 @@
         exchange.expires += 1.0
         start(upstream, exchange)
 
-    with patch.object(Upstream, "start", longer), patch.object(ArrivalClock, "age", lambda *_: 0.0):
+    with patch.object(Upstream, "start", longer), patch.object(ArrivalClock, "data_age", lambda *_: 0.0):
         yield
 
 
--- a/tests/test_arrival.py
+++ b/tests/test_arrival.py
@@ -97,22 +97,22 @@
             arrivals = ArrivalClock(time.monotonic, 0.2)
             time.sleep(0.11)
             for transport in transports:
-                assert 0.15 <= arrivals.age(transport, b"") < 1.0
+                assert 0.15 <= arrivals.data_age(transport, b"") < 1.0
                 await asyncio.sleep(0)
             for at in range(2 * YOUNG_IN_A_ROW):
                 peers[0].send(b"x")
-                asked.append(arrivals.age(transports[0], b""))
+                asked.append(arrivals.data_age(transports[0], b""))
                 assert arrivals._young == min(at + 1, YOUNG_IN_A_ROW)
             assert max(asked) <= 0.02
-            assert arrivals.age(transports[1], b"") == 0.0
+            assert arrivals.data_age(transports[1], b"") == 0.0
             time.sleep(0.11)  # a pause without a sign of the loop, between two beats
-            assert arrivals.age(transports[1], b"") > 0.15
+            assert arrivals.data_age(transports[1], b"") > 0.15
             for _ in range(2 * YOUNG_IN_A_ROW):
                 peers[0].send(b"x")
-                arrivals.age(transports[0], b"")
+                arrivals.data_age(transports[0], b"")
             arrivals._beat_at -= 0.3
             arrivals.beat()  # late: the loop was held up
-            assert arrivals.age(transports[1], b"") > 0.15
+            assert arrivals.data_age(transports[1], b"") > 0.15
             for peer, transport in zip(peers, transports, strict=True):
                 transport.abort()
                 peer.close()
@@ -139,12 +139,12 @@
         arrivals = ArrivalClock(lambda: now[0], 0.2)
         now[0] += 0.2
         arrivals.beat()
-        assert arrivals.age(Transport(), b"") == 0.0, "the loop was idle, and is on time"
+        assert arrivals.data_age(Transport(), b"") == 0.0, "the loop was idle, and is on time"
         now[0] += 0.6
         arrivals.beat()
-        assert arrivals.age(Transport(), b"") == pytest.approx(0.6)
+        assert arrivals.data_age(Transport(), b"") == pytest.approx(0.6)
         now[0] += 0.15
-        assert arrivals.age(Transport(), b"") == 0.0
+        assert arrivals.data_age(Transport(), b"") == 0.0
 
     run(main())
 
