--- a/cypresspulley/net/arrival.py
+++ b/cypresspulley/net/arrival.py
@@ -49,7 +49,7 @@
         self._young = 0  # sockets in a row that told of young data
         self._held_from = self._held_until = float("-inf")
 
-    def beat(self) -> None:
+    def record_heartbeat(self) -> None:
         """Called by a timer: one that is late tells that the loop was held up."""
         now = self._clock()
         if self._overdue(now):
--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -1006,7 +1006,7 @@
 
     def _sweep(self) -> None:
         self._sweep_at = asyncio.get_running_loop().call_later(SWEEP, self._sweep)
-        self.arrivals.beat()
+        self.arrivals.record_heartbeat()
         if self.on_sweep is not None:
             self.on_sweep()
         now, patience = self.clock(), self.patience
--- a/tests/test_arrival.py
+++ b/tests/test_arrival.py
@@ -111,7 +111,7 @@
                 peers[0].send(b"x")
                 arrivals.data_age(transports[0], b"")
             arrivals._beat_at -= 0.3
-            arrivals.beat()  # late: the loop was held up
+            arrivals.record_heartbeat()  # late: the loop was held up
             assert arrivals.data_age(transports[1], b"") > 0.15
             for peer, transport in zip(peers, transports, strict=True):
                 transport.abort()
@@ -138,10 +138,10 @@
         now = [100.0]
         arrivals = ArrivalClock(lambda: now[0], 0.2)
         now[0] += 0.2
-        arrivals.beat()
+        arrivals.record_heartbeat()
         assert arrivals.data_age(Transport(), b"") == 0.0, "the loop was idle, and is on time"
         now[0] += 0.6
-        arrivals.beat()
+        arrivals.record_heartbeat()
         assert arrivals.data_age(Transport(), b"") == pytest.approx(0.6)
         now[0] += 0.15
         assert arrivals.data_age(Transport(), b"") == 0.0
