--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -56,7 +56,7 @@
 
 MAX_PIPELINED_REQUESTS = 8  # unanswered requests of one connection: clients send one at a time
 BACKLOG = 1024
-SWEEP = 0.2  # seconds between two looks for silent and slow clients: one timer for all of them
+SWEEP_INTERVAL = 0.2  # seconds between two looks for silent and slow clients: one timer for all of them
 IDLE = 2.05  # seconds without an open request: a keep-alive may be closed after 2, a bad client must be by 3
 DRAIN_NOTICE = 0.6  # seconds of a drain in which clients have not heard of it yet
 DRAIN_IDLE = 0.3  # seconds for which a connection may be idle after them
@@ -895,7 +895,7 @@
         self._max = max_connections
         self.connections_with_data = 0  # connections that have sent something
         self._sweep_at: asyncio.TimerHandle | None = None
-        self.arrivals = ArrivalClock(now, SWEEP)
+        self.arrivals = ArrivalClock(now, SWEEP_INTERVAL)
         self._clients = dict[_ClientConnection, None]()  # in the order of their coming
         self._beginning = set[_ClientConnection]()  # accepted, and not begun yet
         self._listener: Listener | None = None
@@ -925,7 +925,7 @@
 
     def _serve(self, listener: Listener) -> tuple[str, int]:
         self._listener = listener
-        self._sweep_at = asyncio.get_running_loop().call_later(SWEEP, self._sweep)
+        self._sweep_at = asyncio.get_running_loop().call_later(SWEEP_INTERVAL, self._sweep)
         return listener.address
 
     def connection(self) -> asyncio.Protocol:
@@ -1005,7 +1005,7 @@
         request.id = id
 
     def _sweep(self) -> None:
-        self._sweep_at = asyncio.get_running_loop().call_later(SWEEP, self._sweep)
+        self._sweep_at = asyncio.get_running_loop().call_later(SWEEP_INTERVAL, self._sweep)
         self.arrivals.record_heartbeat()
         if self.on_sweep is not None:
             self.on_sweep()
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -100,7 +100,7 @@
 @pytest.fixture
 def brisk(monkeypatch: pytest.MonkeyPatch) -> None:
     """Sweeps that come at once, where the bound under test is another one."""
-    monkeypatch.setattr(frontend, "SWEEP", 0.01)
+    monkeypatch.setattr(frontend, "SWEEP_INTERVAL", 0.01)
 
 
 def crossed(monkeypatch: pytest.MonkeyPatch, data: bytes, peers: list[Peer]) -> None:
@@ -597,4 +597,4 @@
 
 
 def test_sweeps_come_often_enough_for_what_they_alone_notice() -> None:
-    assert frontend.SWEEP <= 0.2  # departures are due within 0.3 s
+    assert frontend.SWEEP_INTERVAL <= 0.2  # departures are due within 0.3 s
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -524,7 +524,7 @@
 def test_an_upload_of_a_client_that_does_not_read_its_last_answer_is_not_taken_for_stalled(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    for name, value in (("WINDOW", 0.05), ("SWEEP", 0.01)):
+    for name, value in (("WINDOW", 0.05), ("SWEEP_INTERVAL", 0.01)):
         monkeypatch.setattr(net_frontend, name, value)
 
     async def main() -> None:
