--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -57,7 +57,9 @@
 MAX_PIPELINED_REQUESTS = 8  # unanswered requests of one connection: clients send one at a time
 BACKLOG = 1024
 SWEEP_INTERVAL = 0.2  # seconds between two looks for silent and slow clients: one timer for all of them
-IDLE = 2.05  # seconds without an open request: a keep-alive may be closed after 2, a bad client must be by 3
+IDLE_TIMEOUT = (
+    2.05  # seconds without an open request: a keep-alive may be closed after 2, a bad client must be by 3
+)
 DRAIN_NOTICE = 0.6  # seconds of a drain in which clients have not heard of it yet
 DRAIN_IDLE = 0.3  # seconds for which a connection may be idle after them
 ELSEWHERE = 0.5  # seconds until a client that is refused at the very end has heard of other limiters
@@ -72,7 +74,7 @@
 LINGER_BYTES = 128 * 1024  # and how much is read: draining 60 MB would be the sender's to command
 # Of the most connections; where more have asked something, every answer closes its own. Clients that ask once
 # and keep their connection for good use up what their side may open here, and then ask elsewhere or nowhere:
-# so many a second come as connections end by IDLE. It guards as well against leaks in a client's pool and
+# so many a second come as connections end by IDLE_TIMEOUT. It guards as well against leaks in a client's pool and
 # against more clients than there are descriptors. It could do harm where that many clients ask all the time
 # and connecting is dear (TLS, long ways): each request beyond the share then pays for a connection.
 CROWDED = 0.5
@@ -1041,7 +1043,7 @@
         """Seconds for which a connection may stay without a request."""
         # Fronts go on sending new connections for a moment after they were told no; those that come are served.
         drained = self.draining and self.clock() - self._drained_at > DRAIN_NOTICE
-        return DRAIN_IDLE if drained else IDLE
+        return DRAIN_IDLE if drained else IDLE_TIMEOUT
 
     @property
     def closed(self) -> bool:
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -126,7 +126,7 @@
                 await turns(1)
             await turns()
             client.send(ask())
-            next(iter(limiter.frontend._clients)).since -= 2 * frontend.IDLE
+            next(iter(limiter.frontend._clients)).since -= 2 * frontend.IDLE_TIMEOUT
             limiter.frontend._sweep()
             await client.until(b" 429 ")
 
@@ -233,7 +233,7 @@
 
 
 def test_an_answer_that_flows_comes_whole_and_its_connection_ends(monkeypatch: pytest.MonkeyPatch) -> None:
-    for name, value in (("SWEEP_INTERVAL", 0.01), ("IDLE", 1e9), ("DRAIN_NOTICE", 1e9)):
+    for name, value in (("SWEEP_INTERVAL", 0.01), ("IDLE_TIMEOUT", 1e9), ("DRAIN_NOTICE", 1e9)):
         monkeypatch.setattr(frontend, name, value)
 
     async def main() -> None:
