--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -63,7 +63,7 @@
 DRAIN_NOTICE = 0.6  # seconds of a drain in which clients have not heard of it yet
 DRAIN_IDLE = 0.3  # seconds for which a connection may be idle after them
 ELSEWHERE = 0.5  # seconds until a client that is refused at the very end has heard of other limiters
-SLOW = 2.5  # seconds that a head may take to come: clients take 2, and this process may be late
+HEAD_TIMEOUT = 2.5  # seconds that a head may take to come: clients take 2, and this process may be late
 FLOW_WINDOW = 2.0  # seconds over which a small body must come at ``RATE``
 LINGER = 0.5  # seconds for which a connection is read on behind our half-close, or a reset might eat its last answer
 LINGER_UPLOAD = 2.0  # seconds: the same where a large body was under way
@@ -819,7 +819,7 @@
             if age > patience and not self.unread:
                 self._close()
         elif not self._head_read:
-            if age > SLOW and not self.unread:
+            if age > HEAD_TIMEOUT and not self.unread:
                 self._reject(408)
         elif now - self._seen_at > FLOW_WINDOW and not self.unread:
             # Counted from the head's end: a slow head leaves its body's time alone.
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -282,7 +282,12 @@
 
 @pytest.fixture
 def hasty(monkeypatch: pytest.MonkeyPatch) -> None:
-    for name, value in (("SWEEP_INTERVAL", 0.01), ("IDLE_TIMEOUT", 0.1), ("SLOW", 0.1), ("FLOW_WINDOW", 0.1)):
+    for name, value in (
+        ("SWEEP_INTERVAL", 0.01),
+        ("IDLE_TIMEOUT", 0.1),
+        ("HEAD_TIMEOUT", 0.1),
+        ("FLOW_WINDOW", 0.1),
+    ):
         monkeypatch.setattr(frontend, name, value)
 
 
