--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -64,7 +64,7 @@
 DRAIN_IDLE = 0.3  # seconds for which a connection may be idle after them
 ELSEWHERE = 0.5  # seconds until a client that is refused at the very end has heard of other limiters
 HEAD_TIMEOUT = 2.5  # seconds that a head may take to come: clients take 2, and this process may be late
-FLOW_WINDOW = 2.0  # seconds over which a small body must come at ``RATE``
+BODY_RATE_WINDOW = 2.0  # seconds over which a small body must come at ``RATE``
 LINGER = 0.5  # seconds for which a connection is read on behind our half-close, or a reset might eat its last answer
 LINGER_UPLOAD = 2.0  # seconds: the same where a large body was under way
 LINGER_UPLOAD_BYTES = 8 * 1024 * 1024  # and how much is read then
@@ -821,9 +821,9 @@
         elif not self._head_read:
             if age > HEAD_TIMEOUT and not self.unread:
                 self._reject(408)
-        elif now - self._seen_at > FLOW_WINDOW and not self.unread:
+        elif now - self._seen_at > BODY_RATE_WINDOW and not self.unread:
             # Counted from the head's end: a slow head leaves its body's time alone.
-            if self._size - self._seen < RATE * FLOW_WINDOW:
+            if self._size - self._seen < RATE * BODY_RATE_WINDOW:
                 return self._reject(408)
             self._seen, self._seen_at = self._size, now
 
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -286,7 +286,7 @@
         ("SWEEP_INTERVAL", 0.01),
         ("IDLE_TIMEOUT", 0.1),
         ("HEAD_TIMEOUT", 0.1),
-        ("FLOW_WINDOW", 0.1),
+        ("BODY_RATE_WINDOW", 0.1),
     ):
         monkeypatch.setattr(frontend, name, value)
 
