--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -60,7 +60,7 @@
 IDLE_TIMEOUT = (
     2.05  # seconds without an open request: a keep-alive may be closed after 2, a bad client must be by 3
 )
-DRAIN_NOTICE = 0.6  # seconds of a drain in which clients have not heard of it yet
+DRAIN_NOTICE_TIME = 0.6  # seconds of a drain in which clients have not heard of it yet
 DRAIN_IDLE = 0.3  # seconds for which a connection may be idle after them
 ELSEWHERE = 0.5  # seconds until a client that is refused at the very end has heard of other limiters
 HEAD_TIMEOUT = 2.5  # seconds that a head may take to come: clients take 2, and this process may be late
@@ -1042,7 +1042,7 @@
     def patience(self) -> float:
         """Seconds for which a connection may stay without a request."""
         # Fronts go on sending new connections for a moment after they were told no; those that come are served.
-        drained = self.draining and self.clock() - self._drained_at > DRAIN_NOTICE
+        drained = self.draining and self.clock() - self._drained_at > DRAIN_NOTICE_TIME
         return DRAIN_IDLE if drained else IDLE_TIMEOUT
 
     @property
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -195,7 +195,7 @@
             else:
                 limiter.frontend.drain()
                 if how == "draining":
-                    limiter.frontend._drained_at -= 2 * frontend.DRAIN_NOTICE
+                    limiter.frontend._drained_at -= 2 * frontend.DRAIN_NOTICE_TIME
                     limiter.frontend._sweep()
                 else:
                     closing = asyncio.create_task(limiter.frontend.close(10))
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -233,7 +233,7 @@
 
 
 def test_an_answer_that_flows_comes_whole_and_its_connection_ends(monkeypatch: pytest.MonkeyPatch) -> None:
-    for name, value in (("SWEEP_INTERVAL", 0.01), ("IDLE_TIMEOUT", 1e9), ("DRAIN_NOTICE", 1e9)):
+    for name, value in (("SWEEP_INTERVAL", 0.01), ("IDLE_TIMEOUT", 1e9), ("DRAIN_NOTICE_TIME", 1e9)):
         monkeypatch.setattr(frontend, name, value)
 
     async def main() -> None:
