--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -61,7 +61,7 @@
     2.05  # seconds without an open request: a keep-alive may be closed after 2, a bad client must be by 3
 )
 DRAIN_NOTICE_TIME = 0.6  # seconds of a drain in which clients have not heard of it yet
-DRAIN_IDLE = 0.3  # seconds for which a connection may be idle after them
+DRAIN_IDLE_TIMEOUT = 0.3  # seconds for which a connection may be idle after them
 ELSEWHERE = 0.5  # seconds until a client that is refused at the very end has heard of other limiters
 HEAD_TIMEOUT = 2.5  # seconds that a head may take to come: clients take 2, and this process may be late
 BODY_RATE_WINDOW = 2.0  # seconds over which a small body must come at ``RATE``
@@ -333,7 +333,7 @@
             return Place.PART
         if self.unread:
             return Place.UNREAD
-        return Place.NEW if not self.spoke and now - self.since < DRAIN_IDLE else Place.IDLE
+        return Place.NEW if not self.spoke and now - self.since < DRAIN_IDLE_TIMEOUT else Place.IDLE
 
     @property
     def rank(self) -> tuple[int, float] | None:
@@ -1043,7 +1043,7 @@
         """Seconds for which a connection may stay without a request."""
         # Fronts go on sending new connections for a moment after they were told no; those that come are served.
         drained = self.draining and self.clock() - self._drained_at > DRAIN_NOTICE_TIME
-        return DRAIN_IDLE if drained else IDLE_TIMEOUT
+        return DRAIN_IDLE_TIMEOUT if drained else IDLE_TIMEOUT
 
     @property
     def closed(self) -> bool:
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -148,7 +148,7 @@
 
 def test_a_drain_tells_fronts_no_closes_what_is_idle_and_ends(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(net_frontend, "DRAIN_NOTICE_TIME", 0.1)
-    monkeypatch.setattr(net_frontend, "DRAIN_IDLE", 0.05)
+    monkeypatch.setattr(net_frontend, "DRAIN_IDLE_TIMEOUT", 0.05)
     monkeypatch.setattr(net_frontend, "SWEEP_INTERVAL", 0.02)
 
     async def main() -> None:
--- a/tests/test_endings_leaving.py
+++ b/tests/test_endings_leaving.py
@@ -32,7 +32,7 @@
 @pytest.mark.usefixtures("brisk")
 def test_a_new_connection_that_speaks_too_late_meets_a_tidy_end(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its request comes behind the half-close, in the very moment: no answer, no reset, nothing passed on."""
-    monkeypatch.setattr(frontend, "DRAIN_IDLE", 0.05)
+    monkeypatch.setattr(frontend, "DRAIN_IDLE_TIMEOUT", 0.05)
 
     async def main() -> None:
         script = Script(refuse)
@@ -71,7 +71,7 @@
         receive(self, data)
 
     monkeypatch.setattr(_ClientConnection, "data_received", received)
-    monkeypatch.setattr(frontend, "DRAIN_IDLE", 1e6)
+    monkeypatch.setattr(frontend, "DRAIN_IDLE_TIMEOUT", 1e6)
 
     async def main() -> None:
         script = Script(refuse)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -83,7 +83,7 @@
 
 
 def test_a_connection_that_came_a_moment_ago_may_still_ask(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontend, "DRAIN_IDLE", 5.0)
+    monkeypatch.setattr(frontend, "DRAIN_IDLE_TIMEOUT", 5.0)
 
     async def main() -> None:
         async with Limiter(Script(refuse), {}) as limiter:
