--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -65,7 +65,7 @@
 ELSEWHERE = 0.5  # seconds until a client that is refused at the very end has heard of other limiters
 HEAD_TIMEOUT = 2.5  # seconds that a head may take to come: clients take 2, and this process may be late
 BODY_RATE_WINDOW = 2.0  # seconds over which a small body must come at ``RATE``
-LINGER = 0.5  # seconds for which a connection is read on behind our half-close, or a reset might eat its last answer
+LINGER_TIMEOUT = 0.5  # seconds for which a connection is read on behind our half-close, or a reset might eat its last answer
 LINGER_UPLOAD = 2.0  # seconds: the same where a large body was under way
 LINGER_UPLOAD_BYTES = 8 * 1024 * 1024  # and how much is read then
 MAX_TRAILERS = 32
@@ -262,7 +262,7 @@
         self._upload: Upload | None = None  # the body that is being read and passed on
         self._seen = 0  # of a transfer, when it last got on
         self._seen_at = 0.0
-        self._linger, self._linger_bytes = LINGER, LINGER_BYTES
+        self._linger, self._linger_bytes = LINGER_TIMEOUT, LINGER_BYTES
         self._buffered = 0  # bytes that wait for it, when it last moved
         self._input = b""  # what is being parsed
         self._rejected = self._writing_paused = self._reading_paused = False
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -214,7 +214,7 @@
 @pytest.mark.usefixtures("brisk")
 @pytest.mark.parametrize("how", ["idle", "told to close", "no request"])
 def test_a_client_that_closes_too_ends_the_linger_at_once(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontend, "LINGER", 1e6)
+    monkeypatch.setattr(frontend, "LINGER_TIMEOUT", 1e6)
 
     async def main() -> None:
         async with Limiter(Script(refuse), {}) as limiter:
@@ -239,7 +239,7 @@
 def test_a_client_that_never_closes_is_closed_at_the_bound(
     rests: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(frontend, "LINGER", 0.05)
+    monkeypatch.setattr(frontend, "LINGER_TIMEOUT", 0.05)
 
     async def main() -> None:
         async with Limiter(Script(refuse), {}) as limiter:
@@ -279,7 +279,7 @@
 def test_an_answer_that_is_still_being_taken_is_not_cut_by_the_lingers_bound(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(frontend, "LINGER", 0.02)
+    monkeypatch.setattr(frontend, "LINGER_TIMEOUT", 0.02)
 
     async def main() -> None:
         origin, script = Origin(lambda _n: MIDDLE), Script(send_on)
