--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -71,7 +71,7 @@
 MAX_TRAILERS = 32
 UNREAD_LOOKS = 4  # connections at most that are looked at before one of them makes room
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
-LINGER_BYTES = 128 * 1024  # and how much is read: draining 60 MB would be the sender's to command
+LINGER_MAX_BYTES = 128 * 1024  # and how much is read: draining 60 MB would be the sender's to command
 # Of the most connections; where more have asked something, every answer closes its own. Clients that ask once
 # and keep their connection for good use up what their side may open here, and then ask elsewhere or nowhere:
 # so many a second come as connections end by IDLE_TIMEOUT. It guards as well against leaks in a client's pool and
@@ -262,7 +262,7 @@
         self._upload: Upload | None = None  # the body that is being read and passed on
         self._seen = 0  # of a transfer, when it last got on
         self._seen_at = 0.0
-        self._linger, self._linger_bytes = LINGER_TIMEOUT, LINGER_BYTES
+        self._linger, self._linger_bytes = LINGER_TIMEOUT, LINGER_MAX_BYTES
         self._buffered = 0  # bytes that wait for it, when it last moved
         self._input = b""  # what is being parsed
         self._rejected = self._writing_paused = self._reading_paused = False
--- a/tests/test_endings_leaving.py
+++ b/tests/test_endings_leaving.py
@@ -17,7 +17,7 @@
 from cypresspulley.net import discovery as net_discovery
 from cypresspulley.net import frontend
 from cypresspulley.net import upstream as net_upstream
-from cypresspulley.net.frontend import LINGER_BYTES, MAX_PIPELINED_REQUESTS, _ClientConnection
+from cypresspulley.net.frontend import LINGER_MAX_BYTES, MAX_PIPELINED_REQUESTS, _ClientConnection
 from tests.loopback import Limiter, Origin, Script, ask, listening, read_message, run, send_on
 from tests.test_endings_clients import Peer, arrivals, brisk, refuse, silent, the_one, turns, until
 from tests.test_program import config, started
@@ -310,7 +310,7 @@
                 with contextlib.suppress(BlockingIOError):
                     sent += peer.socket.send(b"x" * 65536)
                 await turns(2)
-            assert sent > LINGER_BYTES
+            assert sent > LINGER_MAX_BYTES
             script.answer = lambda _event: [api.Refuse(each.id, 0.1) for each in requests]
             limiter.node.feed(api.TimerFired(1))
             await peer.until(b" 400 ")
