--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -114,7 +114,7 @@
     @property
     def seconds_since_first_byte(self) -> float:
         """Seconds from the request's first byte to now, for one that has just come whole."""
-        return max(0.0, self._client.frontend.clock() - self._client.since)
+        return max(0.0, self._client.frontend.clock() - self._client.last_active_at)
 
     def __init__(self, client: _ClientConnection, keep_alive: bool) -> None:
         self._client, self.keep_alive = client, keep_alive
@@ -268,7 +268,9 @@
         self._rejected = self._writing_paused = self._reading_paused = False
         self._begun = 0  # requests in one read
         self.spoke = False
-        self.since = frontend.clock()  # of the last thing that counts: coming, a request's begin, an answer
+        self.last_active_at = (
+            frontend.clock()
+        )  # of the last thing that counts: coming, a request's begin, an answer
         self._drained = 0
 
     @property
@@ -333,7 +335,7 @@
             return Place.PART
         if self.unread:
             return Place.UNREAD
-        return Place.NEW if not self.spoke and now - self.since < DRAIN_IDLE_TIMEOUT else Place.IDLE
+        return Place.NEW if not self.spoke and now - self.last_active_at < DRAIN_IDLE_TIMEOUT else Place.IDLE
 
     @property
     def rank(self) -> tuple[int, float] | None:
@@ -343,10 +345,10 @@
         if transport is None or self._waiting:
             return None
         if transport.get_write_buffer_size():
-            return 4, self.since
+            return 4, self.last_active_at
         if self._transport is None:
-            return None if transport.is_closing() else (0, self.since)
-        return (1 if not self.spoke else 2 if self._reading else 3), self.since
+            return None if transport.is_closing() else (0, self.last_active_at)
+        return (1 if not self.spoke else 2 if self._reading else 3), self.last_active_at
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
@@ -431,7 +433,7 @@
         self._head_read, self._reading = False, True
         self._length, self._chunked, self._expects = None, False, False
         if not self._waiting:
-            self.since = self.frontend.clock()
+            self.last_active_at = self.frontend.clock()
         self._begun += 1
         if self._begun > MAX_PIPELINED_REQUESTS or len(self._waiting) >= MAX_PIPELINED_REQUESTS:
             # Reading stops at this many, but one read may bring hundreds: they would hold the loop, answered or not.
@@ -604,7 +606,7 @@
             if request.answer is None:
                 break
             self._waiting.popleft()
-            self.since = self.frontend.clock()
+            self.last_active_at = self.frontend.clock()
             start, rest = request.answer
             close = self._ends(request)
             self._transport.write(start + (b"Connection: close\r\n" if close else b"") + rest)
@@ -652,7 +654,7 @@
             transport.write(LAST_CHUNK)
         transport.set_write_buffer_limits()
         self._waiting.popleft()
-        self.since = self.frontend.clock()
+        self.last_active_at = self.frontend.clock()
         if request.closes:
             self._close()
         return True
@@ -767,7 +769,7 @@
         transport = self._lingering
         if transport is None or transport.is_closing() or self._half_closed:
             return
-        self._half_closed, self._drained, self.since = True, 0, self.frontend.clock()
+        self._half_closed, self._drained, self.last_active_at = True, 0, self.frontend.clock()
         try:
             with _borrowed(transport) as sock:
                 sock.shutdown(socket.SHUT_WR)
@@ -802,7 +804,7 @@
 
         A loop that was held comes here before it reads: who has bytes unread is not silent.
         """
-        age = now - self.since
+        age = now - self.last_active_at
         if self._buffered:
             self._account()
         if self._transport is None:
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -188,7 +188,7 @@
             await turns()
             client = the_one(limiter)
             peers.append(peer)
-            client.since -= 2 * frontend.IDLE_TIMEOUT
+            client.last_active_at -= 2 * frontend.IDLE_TIMEOUT
             closing = None
             if how == "idle":
                 limiter.frontend._sweep()
@@ -223,7 +223,7 @@
                 {"idle": ask(), "told to close": ask(Connection="close"), "no request": b"x\r\n\r\n"}[how]
             )
             await peer.until(b"\r\n\r\n")
-            the_one(limiter).since -= 2 * frontend.IDLE_TIMEOUT
+            the_one(limiter).last_active_at -= 2 * frontend.IDLE_TIMEOUT
             await peer.end()
             await turns(20)
             assert limiter.frontend._clients, "it lingers"
@@ -247,7 +247,7 @@
             peer.send(ask() if rests else ask(Connection="close"))
             await peer.until(b"\r\n\r\n")
             if rests:
-                the_one(limiter).since -= 2 * frontend.IDLE_TIMEOUT
+                the_one(limiter).last_active_at -= 2 * frontend.IDLE_TIMEOUT
             assert await peer.end() == [429]
             assert the_one(limiter).frontend.connections_with_data == 0, "who lingers crowds nobody"
             await until(lambda: not limiter.frontend._clients)
--- a/tests/test_endings_leaving.py
+++ b/tests/test_endings_leaving.py
@@ -215,7 +215,7 @@
                 await until(lambda: client._upload is not None)
                 assert client._upload is not None
                 client._upload.hold(False)
-            client.since -= 2 * frontend.HEAD_TIMEOUT
+            client.last_active_at -= 2 * frontend.HEAD_TIMEOUT
             client._seen, client._seen_at = 1 << 20, client._seen_at - 60.0
             if first == "rest":
                 peer.send(request[cut:])
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -90,7 +90,7 @@
             new, old = Client(limiter), Client(limiter)
             while len(limiter.frontend._clients) < 2:
                 await turns(1)
-            next(iter(limiter.frontend._clients)).since -= 5.0
+            next(iter(limiter.frontend._clients)).last_active_at -= 5.0
             closing = ending(limiter)
             assert await new.end() == []
             old.send(ask())
@@ -126,7 +126,7 @@
                 await turns(1)
             await turns()
             client.send(ask())
-            next(iter(limiter.frontend._clients)).since -= 2 * frontend.IDLE_TIMEOUT
+            next(iter(limiter.frontend._clients)).last_active_at -= 2 * frontend.IDLE_TIMEOUT
             limiter.frontend._sweep()
             await client.until(b" 429 ")
 
