--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -256,7 +256,7 @@
         self._size = 0
         self._trailers = 0
         self._head_read = False
-        self._reading = False
+        self._receiving = False
         self._length: int | None = None
         self._chunked = self._expects = False
         self._upload: Upload | None = None  # the body that is being read and passed on
@@ -280,7 +280,7 @@
 
     @property
     def idle(self) -> bool:
-        return not self._waiting and not self._reading
+        return not self._waiting and not self._receiving
 
     @property
     def unread(self) -> bool:
@@ -331,7 +331,7 @@
             if self._upload is not None:
                 return Place.UPLOAD
             return Place.ASKED if self._waiting[0].stream is None else Place.ANSWERING
-        if self._reading:
+        if self._receiving:
             return Place.PART
         if self.unread:
             return Place.UNREAD
@@ -348,7 +348,7 @@
             return 4, self.last_active_at
         if self._transport is None:
             return None if transport.is_closing() else (0, self.last_active_at)
-        return (1 if not self.spoke else 2 if self._reading else 3), self.last_active_at
+        return (1 if not self.spoke else 2 if self._receiving else 3), self.last_active_at
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
@@ -420,7 +420,7 @@
             self._input = b""
         # A head without an end would grow inside the parser, where no callback sees it. What was seen of
         # one that came in pieces counts twice: a bound on memory need not be exact.
-        if self._reading and not self._head_read:
+        if self._receiving and not self._head_read:
             self._size += len(data)
             if self._size > MAX_HEAD_BYTES:
                 self._reject(400)
@@ -430,7 +430,7 @@
     def on_message_begin(self) -> None:
         self._target, self._fields = b"", {}
         self._head, self._body, self._size = [], [], 0
-        self._head_read, self._reading = False, True
+        self._head_read, self._receiving = False, True
         self._length, self._chunked, self._expects = None, False, False
         if not self._waiting:
             self.last_active_at = self.frontend.clock()
@@ -492,7 +492,7 @@
     def _continue(self) -> None:
         """Who waits to be told to send its body is told, once all answers before its own are written."""
         first = not self._waiting or (self._upload is not None and self._waiting[0].upload is self._upload)
-        if self._reading and first and not self._rejected and self._transport is not None:
+        if self._receiving and first and not self._rejected and self._transport is not None:
             self._expects = False
             if self._parser.get_http_version() != "1.0":
                 self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -544,7 +544,7 @@
     def on_message_complete(self) -> None:
         if self._rejected:
             return
-        self._reading, self._size = False, 0
+        self._receiving, self._size = False, 0
         if self._upload is not None:
             return self._flowed(self._upload)
         request = ClientRequest(self, self._parser.should_keep_alive())
@@ -817,7 +817,7 @@
             return
         if self._writing_paused:
             self._check_taker(now)
-        elif not self._reading:
+        elif not self._receiving:
             if age > patience and not self.unread:
                 self._close()
         elif not self._head_read:
--- a/tests/test_endings_leaving.py
+++ b/tests/test_endings_leaving.py
@@ -113,7 +113,7 @@
         async with Limiter(script, {}) as limiter:
             peer, request = Peer(limiter), ask(POST, b"some body")
             peer.send(request[:60])
-            await until(lambda: limiter.frontend._clients and the_one(limiter)._reading)
+            await until(lambda: limiter.frontend._clients and the_one(limiter)._receiving)
             limiter.frontend.drain()
             await limiter.frontend.close(0.05)
 
@@ -208,7 +208,7 @@
             peer = Peer(limiter)
             request = ask(POST, b"x" * (200_000 if cut > 100 else 100), ttl=60_000)
             peer.send(request[:cut])
-            await until(lambda: limiter.frontend._clients and the_one(limiter)._reading)
+            await until(lambda: limiter.frontend._clients and the_one(limiter)._receiving)
             await turns(20)
             client = the_one(limiter)
             if cut > 100:
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -179,7 +179,7 @@
             request = ask(POST, b"some body")
             for client in (whole, never):
                 client.send(request[:cut])
-            while not all(client._reading for client in limiter.frontend._clients):
+            while not all(client._receiving for client in limiter.frontend._clients):
                 await turns(1)
             closing = ending(limiter, 0.1)
             await turns()
