--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -250,7 +250,7 @@
         self._lingering: asyncio.Transport | None = None  # it is being closed
         self._half_closed = False
         self._parser = httptools.HttpRequestParser(self)
-        self._waiting = deque[ClientRequest]()
+        self._pending = deque[ClientRequest]()
         self._target, self._fields = b"", dict[bytes, bytes]()
         self._head, self._body = list[bytes](), list[bytes]()
         self._size = 0
@@ -280,7 +280,7 @@
 
     @property
     def idle(self) -> bool:
-        return not self._waiting and not self._receiving
+        return not self._pending and not self._receiving
 
     @property
     def unread(self) -> bool:
@@ -327,10 +327,10 @@
         """Where the connection stands for a process that leaves."""
         if self._transport is None or self._rejected:
             return Place.LINGERING
-        if self._waiting:
+        if self._pending:
             if self._upload is not None:
                 return Place.UPLOAD
-            return Place.ASKED if self._waiting[0].stream is None else Place.ANSWERING
+            return Place.ASKED if self._pending[0].stream is None else Place.ANSWERING
         if self._receiving:
             return Place.PART
         if self.unread:
@@ -342,7 +342,7 @@
         """Who makes room first at the limit: those that linger, never spoke, are half read, idle longest, and at
         the very end those that still take an answer."""
         transport = self._transport or self._lingering
-        if transport is None or self._waiting:
+        if transport is None or self._pending:
             return None
         if transport.get_write_buffer_size():
             return 4, self.last_active_at
@@ -373,7 +373,7 @@
 
     def _left(self) -> None:
         """The client has gone: nothing that it waits for is of use."""
-        stream = self._waiting[0].stream if self._waiting else None
+        stream = self._pending[0].stream if self._pending else None
         if stream is not None and stream.write is not None:
             self._break()  # its answer has begun and will not come whole
             self._depart()
@@ -381,7 +381,7 @@
             self._close()
 
     def _depart(self) -> None:
-        waiting, self._waiting = self._waiting, deque()
+        waiting, self._pending = self._pending, deque()
         for request in waiting:
             if request.answer is None:
                 self.frontend.open_ids.discard(request.id)
@@ -432,10 +432,10 @@
         self._head, self._body, self._size = [], [], 0
         self._head_read, self._receiving = False, True
         self._length, self._chunked, self._expects = None, False, False
-        if not self._waiting:
+        if not self._pending:
             self.last_active_at = self.frontend.clock()
         self._begun += 1
-        if self._begun > MAX_PIPELINED_REQUESTS or len(self._waiting) >= MAX_PIPELINED_REQUESTS:
+        if self._begun > MAX_PIPELINED_REQUESTS or len(self._pending) >= MAX_PIPELINED_REQUESTS:
             # Reading stops at this many, but one read may bring hundreds: they would hold the loop, answered or not.
             raise BadRequestError(400, "too many requests at once")
 
@@ -491,7 +491,7 @@
 
     def _continue(self) -> None:
         """Who waits to be told to send its body is told, once all answers before its own are written."""
-        first = not self._waiting or (self._upload is not None and self._waiting[0].upload is self._upload)
+        first = not self._pending or (self._upload is not None and self._pending[0].upload is self._upload)
         if self._receiving and first and not self._rejected and self._transport is not None:
             self._expects = False
             if self._parser.get_http_version() != "1.0":
@@ -520,11 +520,11 @@
         pieces, self._body = self._body, []
         for piece in pieces:
             upload.feed(piece)
-        self._waiting.append(request)
+        self._pending.append(request)
         try:
             self._dispatch(request)
         except BadRequestError:
-            self._waiting.remove(request)
+            self._pending.remove(request)
             self._upload = None
             raise
 
@@ -534,7 +534,7 @@
     def _flowed(self, upload: Upload) -> None:
         """The last byte of a body that flowed has come."""
         self._upload = None
-        for request in self._waiting:
+        for request in self._pending:
             if request.upload is upload:
                 request.keep_alive = self._parser.should_keep_alive()
                 request.receive_delay = self._age()
@@ -548,7 +548,7 @@
         if self._upload is not None:
             return self._flowed(self._upload)
         request = ClientRequest(self, self._parser.should_keep_alive())
-        self._waiting.append(request)
+        self._pending.append(request)
         try:
             self._dispatch(request)
         except BadRequestError as error:
@@ -597,15 +597,15 @@
 
     def flush(self) -> None:
         """Write the answers whose turn has come."""
-        while self._waiting and self._transport is not None:
-            request = self._waiting[0]
+        while self._pending and self._transport is not None:
+            request = self._pending[0]
             if request.stream is not None:
                 if not self._flow_out(request, request.stream):
                     break
                 continue
             if request.answer is None:
                 break
-            self._waiting.popleft()
+            self._pending.popleft()
             self.last_active_at = self.frontend.clock()
             start, rest = request.answer
             close = self._ends(request)
@@ -625,7 +625,7 @@
             self._rejected, self._linger, self._linger_bytes = True, LINGER_UPLOAD, LINGER_UPLOAD_BYTES
             return True
         # Of what is pipelined only the last answer closes: what stands behind it has been taken too.
-        behind = len(self._waiting) > (request.stream is not None)
+        behind = len(self._pending) > (request.stream is not None)
         return not request.keep_alive or (
             self.frontend.closing and not behind and self.frontend.passing is None
         )
@@ -653,7 +653,7 @@
         if stream.chunked:
             transport.write(LAST_CHUNK)
         transport.set_write_buffer_limits()
-        self._waiting.popleft()
+        self._pending.popleft()
         self.last_active_at = self.frontend.clock()
         if request.closes:
             self._close()
@@ -679,7 +679,7 @@
     def _hold_out(self, held: bool) -> None:
         """The client takes its answer slower than the server gives it, or has caught up."""
         self._account()
-        stream = self._waiting[0].stream if self._waiting else None
+        stream = self._pending[0].stream if self._pending else None
         if stream is not None and stream.write is not None and not stream.whole and not stream.broken:
             if not held and self._transport is not None:
                 self._transport.set_write_buffer_limits(
@@ -726,7 +726,7 @@
         if self._rejected:
             stop = self._drained > self._linger_bytes
         else:
-            stop = self._writing_paused or len(self._waiting) >= MAX_PIPELINED_REQUESTS
+            stop = self._writing_paused or len(self._pending) >= MAX_PIPELINED_REQUESTS
             stop = stop or (self._upload is not None and self._upload.held)
         transport = self._transport or self._lingering
         if transport is None or transport.is_closing() or stop is self._reading_paused:
@@ -742,7 +742,7 @@
         if self._upload is not None:
             return self._cut(self._upload, status)
         last = ClientRequest(self, keep_alive=False)
-        self._waiting.append(last)
+        self._pending.append(last)
         last.turn_away(status)
 
     def _close(self) -> None:
@@ -811,8 +811,8 @@
             return self._check_linger(age, now)
         if self._reading_paused and self.peer_closed:
             return self._left()
-        if self._waiting:
-            if self._upload is not None or self._waiting[0].stream is not None:
+        if self._pending:
+            if self._upload is not None or self._pending[0].stream is not None:
                 self._check_transfer(now)
             return
         if self._writing_paused:
@@ -867,7 +867,7 @@
     def _cut(self, upload: Upload, status: int) -> None:
         """Its body no longer comes, or is none: the attempt ends and is not repeated."""
         self._upload = None
-        for request in self._waiting:
+        for request in self._pending:
             if request.upload is upload and request.answer is None and request.stream is None:
                 self.frontend.handler.departed(request)
                 return request.respond(status)
