--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -260,8 +260,8 @@
         self._length: int | None = None
         self._chunked = self._expects = False
         self._upload: Upload | None = None  # the body that is being read and passed on
-        self._seen = 0  # of a transfer, when it last got on
-        self._seen_at = 0.0
+        self._progress = 0  # of a transfer, when it last got on
+        self._progress_at = 0.0
         self._linger, self._linger_bytes = LINGER_TIMEOUT, LINGER_MAX_BYTES
         self._buffered = 0  # bytes that wait for it, when it last moved
         self._input = b""  # what is being parsed
@@ -483,7 +483,7 @@
             raise BadRequestError(400, "two framings: one of them may hide a request")
         self._head_read, self._size, self._trailers = True, 0, 0
         if self._length or self._chunked:
-            self._seen, self._seen_at = 0, self.frontend.clock()
+            self._progress, self._progress_at = 0, self.frontend.clock()
         if self._length is not None and self._length > MAX_BODY_BYTES:
             self._flow()
         if self._expects:
@@ -515,7 +515,7 @@
             return  # it stands behind an answer that closes
         request = ClientRequest(self, keep_alive=True)
         upload = request.upload = self._upload = Upload(self._length, self._hold)
-        self._seen, self._seen_at = 0, self.frontend.clock()
+        self._progress, self._progress_at = 0, self.frontend.clock()
         self.frontend.relay.cut(self._transport.get_extra_info("socket"))
         pieces, self._body = self._body, []
         for piece in pieces:
@@ -644,7 +644,7 @@
             transport.set_write_buffer_limits(high=HIGH_WATER_MOST)
             self.frontend.relay.cut(transport.get_extra_info("socket"))
             transport.write(b"".join((STATUS_LINES[200], stream.headers, lines, close, b"\r\n")))
-            self._seen, self._seen_at = 0, self.frontend.clock()
+            self._progress, self._progress_at = 0, self.frontend.clock()
             stream.turn(self._put, stream.length is None and request.chunks)
             if self._writing_paused:
                 stream.hold(True)
@@ -707,7 +707,7 @@
 
     def pause_writing(self) -> None:
         self._writing_paused = True
-        self._seen, self._seen_at = -1, self.frontend.clock()
+        self._progress, self._progress_at = -1, self.frontend.clock()
         self._hold_out(True)
         self._apply_backpressure()
 
@@ -823,11 +823,11 @@
         elif not self._head_read:
             if age > HEAD_TIMEOUT and not self.unread:
                 self._reject(408)
-        elif now - self._seen_at > BODY_RATE_WINDOW and not self.unread:
+        elif now - self._progress_at > BODY_RATE_WINDOW and not self.unread:
             # Counted from the head's end: a slow head leaves its body's time alone.
-            if self._size - self._seen < RATE * BODY_RATE_WINDOW:
+            if self._size - self._progress < RATE * BODY_RATE_WINDOW:
                 return self._reject(408)
-            self._seen, self._seen_at = self._size, now
+            self._progress, self._progress_at = self._size, now
 
     def _check_linger(self, age: float, now: float) -> None:
         """Close behind a half-close whose client does not, once that has had its time."""
@@ -844,9 +844,9 @@
         transport = self._transport or self._lingering
         assert transport is not None
         left = transport.get_write_buffer_size()
-        if left != self._seen:
-            self._seen, self._seen_at = left, now
-        elif now - self._seen_at > READER:
+        if left != self._progress:
+            self._progress, self._progress_at = left, now
+        elif now - self._progress_at > READER:
             log.warning("a client has taken nothing of its answer for %g s", READER)
             self._break()
 
@@ -854,13 +854,13 @@
         """End a transfer whose client does not get on with it; one that is held up by the server is left alone."""
         upload = self._upload
         if upload is not None and not self._reading_paused:  # who is not read cannot get on
-            if now - self._seen_at > WINDOW and not self.unread:
-                if upload.size - self._seen < RATE * WINDOW:
+            if now - self._progress_at > WINDOW and not self.unread:
+                if upload.size - self._progress < RATE * WINDOW:
                     return self._cut(upload, 408)
-                self._seen, self._seen_at = upload.size, now
+                self._progress, self._progress_at = upload.size, now
             return
         if upload is not None:
-            self._seen, self._seen_at = upload.size, now
+            self._progress, self._progress_at = upload.size, now
         elif self._writing_paused:
             self._check_taker(now)
 
--- a/tests/test_endings_leaving.py
+++ b/tests/test_endings_leaving.py
@@ -216,7 +216,7 @@
                 assert client._upload is not None
                 client._upload.hold(False)
             client.last_active_at -= 2 * frontend.HEAD_TIMEOUT
-            client._seen, client._seen_at = 1 << 20, client._seen_at - 60.0
+            client._progress, client._progress_at = 1 << 20, client._progress_at - 60.0
             if first == "rest":
                 peer.send(request[cut:])
             limiter.frontend._sweep()
