--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -107,8 +107,8 @@
     """One try of a client, and the place in its connection where the answer goes."""
 
     __slots__ = (
-        "_client", "answer", "body", "chunks", "closes", "dialect", "event", "head", "id", "keep_alive", "stream",
-        "upload", "receive_delay",
+        "_client", "body", "chunks", "closes", "dialect", "event", "head", "id", "keep_alive", "response",
+        "receive_delay", "stream", "upload",
     )  # fmt: skip
 
     @property
@@ -121,7 +121,7 @@
         self.event: api.Request | None = None
         self.dialect: Dialect | None = None
         self.id = self.head = self.body = b""
-        self.answer: tuple[bytes, bytes] | None = None
+        self.response: tuple[bytes, bytes] | None = None
         self.upload: Upload | None = None  # a body that is on its way still
         self.stream: Download | None = None  # an answer that flows
         self.closes = False  # its connection ends behind it
@@ -130,7 +130,7 @@
 
     def begin_stream(self, stream: Download) -> None:
         """The one final answer, as it comes."""
-        if self.answer is not None or self.stream is not None:
+        if self.response is not None or self.stream is not None:
             raise RuntimeError("a request was answered twice")
         self.stream = stream
         self._client.flush()
@@ -170,12 +170,12 @@
 
     def send_response(self, status: int, headers: bytes, body: bytes, retry_after: float | None) -> None:
         """The one final answer, as it is."""
-        if self.answer is not None or self.stream is not None:
+        if self.response is not None or self.stream is not None:
             raise RuntimeError("a request was answered twice")
         self._client.frontend.open_ids.discard(self.id)
         retry = b"" if retry_after is None else b"Retry-After: %.3f\r\n" % retry_after
         length = b"Content-Length: %d\r\n\r\n" % len(body)
-        self.answer = b"".join((STATUS_LINES[status], headers, retry)), length + body
+        self.response = b"".join((STATUS_LINES[status], headers, retry)), length + body
         self._client.flush()
 
 
@@ -383,7 +383,7 @@
     def _depart(self) -> None:
         waiting, self._pending = self._pending, deque()
         for request in waiting:
-            if request.answer is None:
+            if request.response is None:
                 self.frontend.open_ids.discard(request.id)
                 self.frontend.handler.departed(request)
 
@@ -603,11 +603,11 @@
                 if not self._flow_out(request, request.stream):
                     break
                 continue
-            if request.answer is None:
+            if request.response is None:
                 break
             self._pending.popleft()
             self.last_active_at = self.frontend.clock()
-            start, rest = request.answer
+            start, rest = request.response
             close = self._ends(request)
             self._transport.write(start + (b"Connection: close\r\n" if close else b"") + rest)
             if close:
@@ -868,7 +868,7 @@
         """Its body no longer comes, or is none: the attempt ends and is not repeated."""
         self._upload = None
         for request in self._pending:
-            if request.upload is upload and request.answer is None and request.stream is None:
+            if request.upload is upload and request.response is None and request.stream is None:
                 self.frontend.handler.departed(request)
                 return request.respond(status)
         self._break()  # its answer flows already
--- a/tests/test_endings_leaving.py
+++ b/tests/test_endings_leaving.py
@@ -229,7 +229,7 @@
                 await peer.until(b" 429 ")
             else:
                 assert client._upload is None or client._upload.size > 0
-                assert client._pending and client._pending[0].answer is None
+                assert client._pending and client._pending[0].response is None
             assert b" 408 " not in peer.seen
             peer.socket.close()
             await until(lambda: not limiter.frontend._clients)
