--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -38,15 +38,15 @@
     framing,
 )
 from cypresspulley.net.requests import (
-    CLASS,
-    KEY,
-    READ,
-    REQUEST_ID,
-    TIMEOUT,
-    WHOLE,
+    CLASS_HEADER,
+    IDEMPOTENCY_KEY_HEADER,
+    PARSED_HEADERS,
+    REQUEST_ID_HEADER,
+    TIMEOUT_HEADER,
+    WHOLE_NUMBER_PATTERN,
     BadRequestError,
-    RefusingReader,
     RequestReader,
+    ShutdownRequestReader,
 )
 
 if TYPE_CHECKING:
@@ -55,38 +55,40 @@
 log = logging.getLogger(__name__)
 
 MAX_PIPELINED_REQUESTS = 8  # unanswered requests of one connection: clients send one at a time
-BACKLOG = 1024
+LISTEN_BACKLOG = 1024
 SWEEP_INTERVAL = 0.2  # seconds between two looks for silent and slow clients: one timer for all of them
 IDLE_TIMEOUT = (
     2.05  # seconds without an open request: a keep-alive may be closed after 2, a bad client must be by 3
 )
 DRAIN_NOTICE_TIME = 0.6  # seconds of a drain in which clients have not heard of it yet
 DRAIN_IDLE_TIMEOUT = 0.3  # seconds for which a connection may be idle after them
-ELSEWHERE = 0.5  # seconds until a client that is refused at the very end has heard of other limiters
+SHUTDOWN_RETRY_AFTER = (
+    0.5  # seconds until a client that is refused at the very end has heard of other limiters
+)
 HEAD_TIMEOUT = 2.5  # seconds that a head may take to come: clients take 2, and this process may be late
 BODY_RATE_WINDOW = 2.0  # seconds over which a small body must come at ``RATE``
 LINGER_TIMEOUT = 0.5  # seconds for which a connection is read on behind our half-close, or a reset might eat its last answer
-LINGER_UPLOAD = 2.0  # seconds: the same where a large body was under way
-LINGER_UPLOAD_BYTES = 8 * 1024 * 1024  # and how much is read then
+UPLOAD_LINGER_TIMEOUT = 2.0  # seconds: the same where a large body was under way
+UPLOAD_LINGER_MAX_BYTES = 8 * 1024 * 1024  # and how much is read then
 MAX_TRAILERS = 32
-UNREAD_LOOKS = 4  # connections at most that are looked at before one of them makes room
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
+MAX_EVICTION_CANDIDATES = 4  # connections at most that are looked at before one of them makes room
+ABORTIVE_LINGER = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
 LINGER_MAX_BYTES = 128 * 1024  # and how much is read: draining 60 MB would be the sender's to command
 # Of the most connections; where more have asked something, every answer closes its own. Clients that ask once
 # and keep their connection for good use up what their side may open here, and then ask elsewhere or nowhere:
 # so many a second come as connections end by IDLE_TIMEOUT. It guards as well against leaks in a client's pool and
 # against more clients than there are descriptors. It could do harm where that many clients ask all the time
 # and connecting is dear (TLS, long ways): each request beyond the share then pays for a connection.
-CROWDED = 0.5
-REASONS = {
+KEEP_ALIVE_SHARE = 0.5
+REASON_PHRASES = {
     200: b"OK", 400: b"Bad Request", 403: b"Forbidden", 404: b"Not Found", 405: b"Method Not Allowed",
     406: b"Not Acceptable", 408: b"Request Timeout", 409: b"Conflict", 413: b"Content Too Large",
     415: b"Unsupported Media Type", 429: b"Too Many Requests", 500: b"Internal Server Error",
     502: b"Bad Gateway", 503: b"Service Unavailable", 504: b"Gateway Timeout",
 }  # fmt: skip
-STATUS_LINES = {code: b"HTTP/1.1 %d %b\r\n" % (code, reason) for code, reason in REASONS.items()}
-SPACE = frozenset((b" ", b"\t"))
-TARGET = re.compile(rb"[!-~]+")
+STATUS_LINES = {code: b"HTTP/1.1 %d %b\r\n" % (code, reason) for code, reason in REASON_PHRASES.items()}
+WHITESPACE = frozenset((b" ", b"\t"))
+TARGET_PATTERN = re.compile(rb"[!-~]+")
 
 
 class Dialect(Protocol):
@@ -107,8 +109,8 @@
     """One try of a client, and the place in its connection where the answer goes."""
 
     __slots__ = (
-        "_client", "body", "chunks", "closes", "dialect", "event", "head", "id", "keep_alive", "response",
-        "receive_delay", "stream", "upload",
+        "_client", "accepts_chunked", "body", "closes_connection", "dialect", "event", "head", "id", "keep_alive",
+        "receive_delay", "response", "stream", "upload",
     )  # fmt: skip
 
     @property
@@ -124,8 +126,8 @@
         self.response: tuple[bytes, bytes] | None = None
         self.upload: Upload | None = None  # a body that is on its way still
         self.stream: Download | None = None  # an answer that flows
-        self.closes = False  # its connection ends behind it
-        self.chunks = True  # it may come in chunks
+        self.closes_connection = False  # its connection ends behind it
+        self.accepts_chunked = True  # it may come in chunks
         self.receive_delay = 0.0  # seconds for which its last byte may have lain in the machine
 
     def begin_stream(self, stream: Download) -> None:
@@ -149,7 +151,7 @@
     @property
     def client_gone(self) -> bool:
         """Whether its client has gone away."""
-        return self._client.gone
+        return self._client.is_disconnected
 
     def check_client_present(self) -> bool:
         """Whether its client is still there, by a look at the socket; if not, all its requests depart here."""
@@ -164,9 +166,9 @@
             status, headers, body, retry_after = self.dialect.error(status, retry_after, why, left)
         self.send_response(status, headers, body, retry_after)
 
-    def turn_away(self, status: int) -> None:
+    def reject(self, status: int) -> None:
         """Answer one that is not passed on; only a limiter that ends says 503, and others are a moment away."""
-        self.respond(status, retry_after=ELSEWHERE if status == 503 else None)
+        self.respond(status, retry_after=SHUTDOWN_RETRY_AFTER if status == 503 else None)
 
     def send_response(self, status: int, headers: bytes, body: bytes, retry_after: float | None) -> None:
         """The one final answer, as it is."""
@@ -195,7 +197,7 @@
     target: bytes
     query: str
     fields: dict[bytes, bytes]
-    lines: list[bytes]  # of its head, as they are passed on
+    header_lines: list[bytes]  # of its head, as they are passed on
 
     @property
     def reader(self) -> RequestReader:
@@ -203,16 +205,16 @@
 
     def claim_request_id(self, request: ClientRequest) -> None:
         """Its id is in use from now on until its answer; BadRequestError where it is already."""
-        self.frontend.claim_request_id(request, self.fields[REQUEST_ID].lower())
+        self.frontend.claim_request_id(request, self.fields[REQUEST_ID_HEADER].lower())
 
     def build_head(self, name: str, key: bytes | None) -> bytes:
         """The head to pass on: its class and key are the front's word, whatever the client's said."""
-        own = (CLASS + b":", KEY + b":")
-        lines = [line for line in self.lines if not line.lower().startswith(own)]
-        lines.append(b"X-Priority-Class: %b\r\n" % name.encode("latin-1"))
+        own = (CLASS_HEADER + b":", IDEMPOTENCY_KEY_HEADER + b":")
+        header_lines = [line for line in self.header_lines if not line.lower().startswith(own)]
+        header_lines.append(b"X-Priority-Class: %b\r\n" % name.encode("latin-1"))
         if key is not None:
-            lines.append(b"Idempotency-Key: %b\r\n" % key)
-        return b"%b %b HTTP/1.1\r\n%b" % (self.method, self.target, b"".join(lines))
+            header_lines.append(b"Idempotency-Key: %b\r\n" % key)
+        return b"%b %b HTTP/1.1\r\n%b" % (self.method, self.target, b"".join(header_lines))
 
     def submit(self, request: ClientRequest) -> None:
         self.frontend.handler.arrived(request)
@@ -228,7 +230,7 @@
 
 
 @contextlib.contextmanager
-def _borrowed(transport: asyncio.BaseTransport) -> Iterator[socket.socket]:
+def _borrow_socket(transport: asyncio.BaseTransport) -> Iterator[socket.socket]:
     """A transport's socket, for calls that transports do not have. OSError where the connection has ended."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM, 0, transport.get_extra_info("socket").fileno())
     try:
@@ -245,7 +247,7 @@
     """
 
     def __init__(self, frontend: Frontend) -> None:
-        self.frontend, self._reads = frontend, frontend.reads
+        self.frontend, self._parsed_headers = frontend, frontend.parsed_headers
         self._transport: asyncio.Transport | None = None
         self._lingering: asyncio.Transport | None = None  # it is being closed
         self._half_closed = False
@@ -262,19 +264,19 @@
         self._upload: Upload | None = None  # the body that is being read and passed on
         self._progress = 0  # of a transfer, when it last got on
         self._progress_at = 0.0
-        self._linger, self._linger_bytes = LINGER_TIMEOUT, LINGER_MAX_BYTES
+        self._linger_timeout, self._linger_max_bytes = LINGER_TIMEOUT, LINGER_MAX_BYTES
         self._buffered = 0  # bytes that wait for it, when it last moved
         self._input = b""  # what is being parsed
         self._rejected = self._writing_paused = self._reading_paused = False
-        self._begun = 0  # requests in one read
-        self.spoke = False
+        self._requests_in_read = 0  # requests in one read
+        self.has_sent_data = False
         self.last_active_at = (
             frontend.clock()
         )  # of the last thing that counts: coming, a request's begin, an answer
-        self._drained = 0
+        self._discarded = 0
 
     @property
-    def gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Whether no answer can reach it any more."""
         return self._transport is None
 
@@ -283,7 +285,7 @@
         return not self._pending and not self._receiving
 
     @property
-    def unread(self) -> bool:
+    def has_unread_data(self) -> bool:
         """Whether bytes have come that the loop has not read yet: timers run before it looks."""
         transport = self._transport or self._lingering
         if transport is None or transport.is_closing():
@@ -306,7 +308,7 @@
             if events[0][1] & select.POLLRDHUP:
                 return True
         try:
-            with _borrowed(transport) as sock:
+            with _borrow_socket(transport) as sock:
                 return sock.recv(1, socket.MSG_PEEK) == b""
         except ConnectionError:
             return True
@@ -320,7 +322,7 @@
         if transport is not None and not transport.is_closing() and not self.peer_closed:
             return True
         if transport is not None:
-            self._left()
+            self._handle_client_gone()
         return False
 
     def place(self, now: float) -> Place:
@@ -333,12 +335,16 @@
             return Place.ASKED if self._pending[0].stream is None else Place.ANSWERING
         if self._receiving:
             return Place.PART
-        if self.unread:
+        if self.has_unread_data:
             return Place.UNREAD
-        return Place.NEW if not self.spoke and now - self.last_active_at < DRAIN_IDLE_TIMEOUT else Place.IDLE
+        return (
+            Place.NEW
+            if not self.has_sent_data and now - self.last_active_at < DRAIN_IDLE_TIMEOUT
+            else Place.IDLE
+        )
 
     @property
-    def rank(self) -> tuple[int, float] | None:
+    def eviction_rank(self) -> tuple[int, float] | None:
         """Who makes room first at the limit: those that linger, never spoke, are half read, idle longest, and at
         the very end those that still take an answer."""
         transport = self._transport or self._lingering
@@ -348,39 +354,39 @@
             return 4, self.last_active_at
         if self._transport is None:
             return None if transport.is_closing() else (0, self.last_active_at)
-        return (1 if not self.spoke else 2 if self._receiving else 3), self.last_active_at
+        return (1 if not self.has_sent_data else 2 if self._receiving else 3), self.last_active_at
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
         self._transport = transport
-        self.frontend.connected(self)
+        self.frontend.add_connection(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = self._lingering = None
-        self._account()
-        self._hush()
-        self.frontend.disconnected(self)
-        self._depart()
+        self._update_buffered()
+        self._uncount_data_sent()
+        self.frontend.remove_connection(self)
+        self._abandon_requests()
 
-    def _hush(self) -> None:
+    def _uncount_data_sent(self) -> None:
         """It counts no longer among those that ask."""
-        self.frontend.connections_with_data -= self.spoke
-        self.spoke = False
+        self.frontend.connections_with_data -= self.has_sent_data
+        self.has_sent_data = False
 
     def eof_received(self) -> None:
         """By the protocol a client that closes its side has gone; the transport flushes what it has and closes."""
-        self._left()
+        self._handle_client_gone()
 
-    def _left(self) -> None:
+    def _handle_client_gone(self) -> None:
         """The client has gone: nothing that it waits for is of use."""
         stream = self._pending[0].stream if self._pending else None
         if stream is not None and stream.write is not None:
-            self._break()  # its answer has begun and will not come whole
-            self._depart()
+            self._reset_connection()  # its answer has begun and will not come whole
+            self._abandon_requests()
         else:
             self._close()
 
-    def _depart(self) -> None:
+    def _abandon_requests(self) -> None:
         waiting, self._pending = self._pending, deque()
         for request in waiting:
             if request.response is None:
@@ -389,14 +395,14 @@
 
     def data_received(self, data: bytes) -> None:
         if self._rejected:  # read and dropped: not passed on, and no reset
-            self._drained += len(data)
-            if self._drained > self._linger_bytes:
-                self._flooded()
+            self._discarded += len(data)
+            if self._discarded > self._linger_max_bytes:
+                self._handle_linger_overflow()
             return
         if self._upload is not None and not self.check_client_present():
             return  # its last bytes would begin an attempt
-        self.frontend.connections_with_data += not self.spoke
-        self.spoke, self._begun = True, 0
+        self.frontend.connections_with_data += not self.has_sent_data
+        self.has_sent_data, self._requests_in_read = True, 0
         self._input = data
         try:
             self._parser.feed_data(data)
@@ -434,8 +440,8 @@
         self._length, self._chunked, self._expects = None, False, False
         if not self._pending:
             self.last_active_at = self.frontend.clock()
-        self._begun += 1
-        if self._begun > MAX_PIPELINED_REQUESTS or len(self._pending) >= MAX_PIPELINED_REQUESTS:
+        self._requests_in_read += 1
+        if self._requests_in_read > MAX_PIPELINED_REQUESTS or len(self._pending) >= MAX_PIPELINED_REQUESTS:
             # Reading stops at this many, but one read may bring hundreds: they would hold the loop, answered or not.
             raise BadRequestError(400, "too many requests at once")
 
@@ -449,16 +455,16 @@
         if self._head_read:
             return self._trailer()
         # White space behind a value is no part of it (RFC 9110, 5.5); the parser takes off only what stands before.
-        if value[-1:] in SPACE:
+        if value[-1:] in WHITESPACE:
             value = value.rstrip(b" \t")
-        if key in self._reads:
+        if key in self._parsed_headers:
             if key in self._fields:
                 raise BadRequestError(400, "a header stands twice")
             self._fields[key] = value
-        if key not in UNFORWARDED_HEADERS and key != TIMEOUT:
+        if key not in UNFORWARDED_HEADERS and key != TIMEOUT_HEADER:
             self._head.append(b"%b: %b\r\n" % (name, value))
         elif key == b"content-length":
-            if self._length is not None or not WHOLE.fullmatch(value):
+            if self._length is not None or not WHOLE_NUMBER_PATTERN.fullmatch(value):
                 raise BadRequestError(400, "content-length is wrong")
             self._length = int(value)
             if self._length > LARGEST:
@@ -485,11 +491,11 @@
         if self._length or self._chunked:
             self._progress, self._progress_at = 0, self.frontend.clock()
         if self._length is not None and self._length > MAX_BODY_BYTES:
-            self._flow()
+            self._start_upload()
         if self._expects:
-            self._continue()
+            self._send_continue()
 
-    def _continue(self) -> None:
+    def _send_continue(self) -> None:
         """Who waits to be told to send its body is told, once all answers before its own are written."""
         first = not self._pending or (self._upload is not None and self._pending[0].upload is self._upload)
         if self._receiving and first and not self._rejected and self._transport is not None:
@@ -507,14 +513,14 @@
             return self._upload.feed(body)
         self._body.append(body)
         if self._size > MAX_BODY_BYTES:
-            self._flow()
+            self._start_upload()
 
-    def _flow(self) -> None:
+    def _start_upload(self) -> None:
         """The body is large: the request is dispatched before it is whole."""
         if self._transport is None:
             return  # it stands behind an answer that closes
         request = ClientRequest(self, keep_alive=True)
-        upload = request.upload = self._upload = Upload(self._length, self._hold)
+        upload = request.upload = self._upload = Upload(self._length, self._set_upload_held)
         self._progress, self._progress_at = 0, self.frontend.clock()
         self.frontend.relay.cut(self._transport.get_extra_info("socket"))
         pieces, self._body = self._body, []
@@ -528,16 +534,16 @@
             self._upload = None
             raise
 
-    def _hold(self, held: bool) -> None:
+    def _set_upload_held(self, held: bool) -> None:
         self._apply_backpressure()
 
-    def _flowed(self, upload: Upload) -> None:
+    def _finish_upload(self, upload: Upload) -> None:
         """The last byte of a body that flowed has come."""
         self._upload = None
         for request in self._pending:
             if request.upload is upload:
                 request.keep_alive = self._parser.should_keep_alive()
-                request.receive_delay = self._age()
+                request.receive_delay = self._receive_delay()
         upload.finish()
         self._apply_backpressure()
 
@@ -546,7 +552,7 @@
             return
         self._receiving, self._size = False, 0
         if self._upload is not None:
-            return self._flowed(self._upload)
+            return self._finish_upload(self._upload)
         request = ClientRequest(self, self._parser.should_keep_alive())
         self._pending.append(request)
         try:
@@ -554,27 +560,33 @@
         except BadRequestError as error:
             # Whoever sends this sends more of it: the connection goes with the answer.
             self._rejected, request.keep_alive = True, False
-            request.turn_away(error.status)
+            request.reject(error.status)
             raise  # and nothing behind it is parsed
         self._apply_backpressure()
 
-    def _age(self) -> float:
+    def _receive_delay(self) -> float:
         """Seconds for which the last byte that is being parsed may have lain in the machine."""
         if self._transport is None:
             return 0.0
         return self.frontend.arrivals.data_age(self._transport, self._input)
 
     def _dispatch(self, request: ClientRequest) -> None:
-        request.receive_delay = self._age()
+        request.receive_delay = self._receive_delay()
         method = self._parser.get_method()
         if method not in (b"GET", b"POST"):
             raise BadRequestError(405, "method")
-        if not TARGET.fullmatch(self._target) or self._parser.get_http_version() not in ("1.0", "1.1"):
+        if not TARGET_PATTERN.fullmatch(self._target) or self._parser.get_http_version() not in (
+            "1.0",
+            "1.1",
+        ):
             raise BadRequestError(400, "target or version")
         target = self._target.decode("latin-1")
-        request.chunks = self._parser.get_http_version() != "1.0"
-        other, upload = self.frontend.other, request.upload
-        if upload is not None and target.partition("?")[0] in ("/healthz", other and other.path):
+        request.accepts_chunked = self._parser.get_http_version() != "1.0"
+        path_handler, upload = self.frontend.path_handler, request.upload
+        if upload is not None and target.partition("?")[0] in (
+            "/healthz",
+            path_handler and path_handler.path,
+        ):
             raise BadRequestError(413, "body too large")
         if target.partition("?")[0] == "/healthz":
             return request.respond(503 if self.frontend.draining else 200)
@@ -583,12 +595,12 @@
             self._head.append(upload.framing if upload else b"Content-Length: %d\r\n" % len(request.body))
         elif request.body or upload is not None:
             raise BadRequestError(400, "a body where none belongs")
-        if other is not None and target.partition("?")[0] == other.path:
+        if path_handler is not None and target.partition("?")[0] == path_handler.path:
             query = target.partition("?")[2]
             came = ParsedRequest(self.frontend, method, self._target, query, self._fields, self._head)
-            return other.handle_request(request, came)
+            return path_handler.handle_request(request, came)
         event = self.frontend.reader.read(method, target, self._fields)
-        self.frontend.claim_request_id(request, self._fields[REQUEST_ID].lower())
+        self.frontend.claim_request_id(request, self._fields[REQUEST_ID_HEADER].lower())
         request.event = event
         request.head = b"%b %b HTTP/1.1\r\n%b" % (method, self._target, b"".join(self._head))
         self.frontend.handler.arrived(request)
@@ -600,7 +612,7 @@
         while self._pending and self._transport is not None:
             request = self._pending[0]
             if request.stream is not None:
-                if not self._flow_out(request, request.stream):
+                if not self._write_stream(request, request.stream):
                     break
                 continue
             if request.response is None:
@@ -608,44 +620,50 @@
             self._pending.popleft()
             self.last_active_at = self.frontend.clock()
             start, rest = request.response
-            close = self._ends(request)
+            close = self._closes_after(request)
             self._transport.write(start + (b"Connection: close\r\n" if close else b"") + rest)
             if close:
                 self._close()
         if self._expects:
-            self._continue()
+            self._send_continue()
         self._apply_backpressure()
-        if self.frontend.passing is not None and self.idle:
-            asyncio.get_running_loop().call_soon(self.hand_over)
+        if self.frontend.pass_descriptor is not None and self.idle:
+            asyncio.get_running_loop().call_soon(self.hand_off)
 
-    def _ends(self, request: ClientRequest) -> bool:
+    def _closes_after(self, request: ClientRequest) -> bool:
         """Whether the connection ends behind an answer."""
         if request.upload is not None and not request.upload.whole:
             # What of its body is still on its way is nobody's: it is read for a while, or a reset would eat the answer.
-            self._rejected, self._linger, self._linger_bytes = True, LINGER_UPLOAD, LINGER_UPLOAD_BYTES
+            self._rejected, self._linger_timeout, self._linger_max_bytes = (
+                True,
+                UPLOAD_LINGER_TIMEOUT,
+                UPLOAD_LINGER_MAX_BYTES,
+            )
             return True
         # Of what is pipelined only the last answer closes: what stands behind it has been taken too.
-        behind = len(self._pending) > (request.stream is not None)
+        has_following = len(self._pending) > (request.stream is not None)
         return not request.keep_alive or (
-            self.frontend.closing and not behind and self.frontend.passing is None
+            self.frontend.announces_close and not has_following and self.frontend.pass_descriptor is None
         )
 
-    def _flow_out(self, request: ClientRequest, stream: Download) -> bool:
+    def _write_stream(self, request: ClientRequest, stream: Download) -> bool:
         """An answer that flows has its turn; whether it is over."""
         transport = self._transport
         assert transport is not None
         if stream.broken:
-            self._break()
+            self._reset_connection()
             return False
         if stream.write is None:
-            request.closes = self._ends(request) or (stream.length is None and not request.chunks)
-            lines = framing(stream.length, request.chunks)
-            close = b"Connection: close\r\n" if request.closes else b""
+            request.closes_connection = self._closes_after(request) or (
+                stream.length is None and not request.accepts_chunked
+            )
+            framing_line = framing(stream.length, request.accepts_chunked)
+            close = b"Connection: close\r\n" if request.closes_connection else b""
             transport.set_write_buffer_limits(high=HIGH_WATER_MOST)
             self.frontend.relay.cut(transport.get_extra_info("socket"))
-            transport.write(b"".join((STATUS_LINES[200], stream.headers, lines, close, b"\r\n")))
+            transport.write(b"".join((STATUS_LINES[200], stream.headers, framing_line, close, b"\r\n")))
             self._progress, self._progress_at = 0, self.frontend.clock()
-            stream.turn(self._put, stream.length is None and request.chunks)
+            stream.turn(self._write_body, stream.length is None and request.accepts_chunked)
             if self._writing_paused:
                 stream.hold(True)
         if not stream.whole:
@@ -655,20 +673,20 @@
         transport.set_write_buffer_limits()
         self._pending.popleft()
         self.last_active_at = self.frontend.clock()
-        if request.closes:
+        if request.closes_connection:
             self._close()
         return True
 
-    def _put(self, data: bytes) -> None:
+    def _write_body(self, data: bytes) -> None:
         if self._transport is None:
             return
         self._transport.write(data)
-        high, size = self.frontend.relay.high_water(), self._account()
+        high, size = self.frontend.relay.high_water(), self._update_buffered()
         if size > high and not self._writing_paused:
             # Above this the transport says at once that it is full, and below a quarter of it that it is not.
             self._transport.set_write_buffer_limits(high=high // 2)
 
-    def _account(self) -> int:
+    def _update_buffered(self) -> int:
         """Bytes that wait for this client, noted for the bound on all of them, also behind an answer's end."""
         transport = self._transport or self._lingering
         size = transport.get_write_buffer_size() if transport is not None else 0
@@ -676,9 +694,9 @@
         self._buffered = size
         return size
 
-    def _hold_out(self, held: bool) -> None:
+    def _set_download_held(self, held: bool) -> None:
         """The client takes its answer slower than the server gives it, or has caught up."""
-        self._account()
+        self._update_buffered()
         stream = self._pending[0].stream if self._pending else None
         if stream is not None and stream.write is not None and not stream.whole and not stream.broken:
             if not held and self._transport is not None:
@@ -687,10 +705,16 @@
                 )  # the room may have grown meanwhile
             stream.hold(held)
 
-    def hand_over(self) -> None:
+    def hand_off(self) -> None:
         """Pass the connection on where it is at rest between two requests, with nothing of an answer unwritten."""
-        transport, passing = self._transport, self.frontend.passing
-        if passing is None or transport is None or not self.idle or self._rejected or transport.is_closing():
+        transport, pass_descriptor = self._transport, self.frontend.pass_descriptor
+        if (
+            pass_descriptor is None
+            or transport is None
+            or not self.idle
+            or self._rejected
+            or transport.is_closing()
+        ):
             return
         if transport.get_write_buffer_size() > 0:
             return  # the sweep looks again
@@ -699,7 +723,7 @@
         except OSError:  # no descriptor is left for now
             return
         transport.pause_reading()  # what comes from here on waits in the kernel, for whoever reads next
-        if passing(fd):
+        if pass_descriptor(fd):
             self._transport = None
             transport.abort()
         elif not self._reading_paused:
@@ -708,12 +732,12 @@
     def pause_writing(self) -> None:
         self._writing_paused = True
         self._progress, self._progress_at = -1, self.frontend.clock()
-        self._hold_out(True)
+        self._set_download_held(True)
         self._apply_backpressure()
 
     def resume_writing(self) -> None:
         self._writing_paused = False
-        self._hold_out(False)
+        self._set_download_held(False)
         self._apply_backpressure()
         if self._lingering is not None:
             self._half_close()  # the last byte of its last answer has gone out
@@ -724,7 +748,7 @@
         What is not read hides the client's end: the sweep looks for it. What is dropped unparsed is read on.
         """
         if self._rejected:
-            stop = self._drained > self._linger_bytes
+            stop = self._discarded > self._linger_max_bytes
         else:
             stop = self._writing_paused or len(self._pending) >= MAX_PIPELINED_REQUESTS
             stop = stop or (self._upload is not None and self._upload.held)
@@ -740,10 +764,10 @@
     def _reject(self, status: int) -> None:
         self._rejected = True
         if self._upload is not None:
-            return self._cut(self._upload, status)
+            return self._abort_upload(self._upload, status)
         last = ClientRequest(self, keep_alive=False)
         self._pending.append(last)
-        last.turn_away(status)
+        last.reject(status)
 
     def _close(self) -> None:
         """The lingering close: flush, half-close, read to the client's end, close.
@@ -755,8 +779,8 @@
         if transport is None:
             return
         self._lingering, self._rejected = transport, True
-        self._hush()
-        self._depart()
+        self._uncount_data_sent()
+        self._abandon_requests()
         if transport.get_write_buffer_size():
             if not transport.is_closing():
                 transport.set_write_buffer_limits(0)  # ``resume_writing`` tells when all is out
@@ -769,27 +793,29 @@
         transport = self._lingering
         if transport is None or transport.is_closing() or self._half_closed:
             return
-        self._half_closed, self._drained, self.last_active_at = True, 0, self.frontend.clock()
+        self._half_closed, self._discarded, self.last_active_at = True, 0, self.frontend.clock()
         try:
-            with _borrowed(transport) as sock:
+            with _borrow_socket(transport) as sock:
                 sock.shutdown(socket.SHUT_WR)
         except OSError:  # it has been reset: the transport finds that out
             transport.write_eof()
         self._apply_backpressure()
 
-    def _flooded(self) -> None:
+    def _handle_linger_overflow(self) -> None:
         """It sends more than is read for the sake of its answer."""
         if self._half_closed:
             self.abort()
         else:
             self._apply_backpressure()  # its answers come first
 
-    def _break(self) -> None:
+    def _reset_connection(self) -> None:
         """End in an answer. A tidy end would make a short body of it, for who goes by the connection's end."""
         transport = self._transport or self._lingering
         if transport is not None:
             with contextlib.suppress(OSError):  # it has ended already
-                transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                transport.get_extra_info("socket").setsockopt(
+                    socket.SOL_SOCKET, socket.SO_LINGER, ABORTIVE_LINGER
+                )
         self.abort()
 
     def leave(self, do: Do) -> None:
@@ -799,31 +825,31 @@
         elif do is Do.REFUSE:
             self._reject(503)
 
-    def check(self, now: float, patience: float) -> None:
+    def check(self, now: float, idle_timeout: float) -> None:
         """Close what is silent, and answer what comes too slowly: both hold a descriptor and memory.
 
         A loop that was held comes here before it reads: who has bytes unread is not silent.
         """
         age = now - self.last_active_at
         if self._buffered:
-            self._account()
+            self._update_buffered()
         if self._transport is None:
             return self._check_linger(age, now)
         if self._reading_paused and self.peer_closed:
-            return self._left()
+            return self._handle_client_gone()
         if self._pending:
             if self._upload is not None or self._pending[0].stream is not None:
                 self._check_transfer(now)
             return
         if self._writing_paused:
-            self._check_taker(now)
+            self._check_reader(now)
         elif not self._receiving:
-            if age > patience and not self.unread:
+            if age > idle_timeout and not self.has_unread_data:
                 self._close()
         elif not self._head_read:
-            if age > HEAD_TIMEOUT and not self.unread:
+            if age > HEAD_TIMEOUT and not self.has_unread_data:
                 self._reject(408)
-        elif now - self._progress_at > BODY_RATE_WINDOW and not self.unread:
+        elif now - self._progress_at > BODY_RATE_WINDOW and not self.has_unread_data:
             # Counted from the head's end: a slow head leaves its body's time alone.
             if self._size - self._progress < RATE * BODY_RATE_WINDOW:
                 return self._reject(408)
@@ -835,11 +861,11 @@
         if transport is None:
             return
         if not self._half_closed:
-            self._check_taker(now)  # an answer on its way has the time that its client takes it
-        elif age > self._linger and (age > 2 * self._linger or not self.unread):
+            self._check_reader(now)  # an answer on its way has the time that its client takes it
+        elif age > self._linger_timeout and (age > 2 * self._linger_timeout or not self.has_unread_data):
             transport.close()
 
-    def _check_taker(self, now: float) -> None:
+    def _check_reader(self, now: float) -> None:
         """End with who takes nothing of what is written for it."""
         transport = self._transport or self._lingering
         assert transport is not None
@@ -848,30 +874,30 @@
             self._progress, self._progress_at = left, now
         elif now - self._progress_at > READER:
             log.warning("a client has taken nothing of its answer for %g s", READER)
-            self._break()
+            self._reset_connection()
 
     def _check_transfer(self, now: float) -> None:
         """End a transfer whose client does not get on with it; one that is held up by the server is left alone."""
         upload = self._upload
         if upload is not None and not self._reading_paused:  # who is not read cannot get on
-            if now - self._progress_at > WINDOW and not self.unread:
+            if now - self._progress_at > WINDOW and not self.has_unread_data:
                 if upload.size - self._progress < RATE * WINDOW:
-                    return self._cut(upload, 408)
+                    return self._abort_upload(upload, 408)
                 self._progress, self._progress_at = upload.size, now
             return
         if upload is not None:
             self._progress, self._progress_at = upload.size, now
         elif self._writing_paused:
-            self._check_taker(now)
+            self._check_reader(now)
 
-    def _cut(self, upload: Upload, status: int) -> None:
+    def _abort_upload(self, upload: Upload, status: int) -> None:
         """Its body no longer comes, or is none: the attempt ends and is not repeated."""
         self._upload = None
         for request in self._pending:
             if request.upload is upload and request.response is None and request.stream is None:
                 self.frontend.handler.departed(request)
                 return request.respond(status)
-        self._break()  # its answer flows already
+        self._reset_connection()  # its answer flows already
 
     def abort(self) -> None:
         """Close at once, whatever is unwritten or unread."""
@@ -885,13 +911,19 @@
     """The listener and its connections."""
 
     def __init__(
-        self, handler: Handler, settings: api.Settings, max_connections: int, other: PathHandler | None = None,
+        self, handler: Handler, settings: api.Settings, max_connections: int, path_handler: PathHandler | None = None,
         now: Callable[[], float] = time.monotonic,
     ) -> None:  # fmt: skip
         """``now`` moves on within a turn of the loop, as the loop's own time need not."""
         self.clock = asyncio.get_running_loop().time
-        self.handler, self.reader, self.other = handler, RequestReader(settings, self.clock), other
-        self.reads = READ if other is None else READ | other.headers
+        self.handler, self.reader, self.path_handler = (
+            handler,
+            RequestReader(settings, self.clock),
+            path_handler,
+        )
+        self.parsed_headers = (
+            PARSED_HEADERS if path_handler is None else PARSED_HEADERS | path_handler.headers
+        )
         self._settings = settings
         self.draining = False
         self._drained_at = 0.0
@@ -901,18 +933,18 @@
         self._sweep_at: asyncio.TimerHandle | None = None
         self.arrivals = ArrivalClock(now, SWEEP_INTERVAL)
         self._clients = dict[_ClientConnection, None]()  # in the order of their coming
-        self._beginning = set[_ClientConnection]()  # accepted, and not begun yet
+        self._accepted = set[_ClientConnection]()  # accepted, and not begun yet
         self._listener: Listener | None = None
         self.on_sweep: Callable[[], None] | None = None  # called by the sweep, five times a second
         # Takes the descriptors of connections at rest to another process; None: there is none.
-        self.passing: Callable[[int], bool] | None = None
+        self.pass_descriptor: Callable[[int], bool] | None = None
         self.phase = Phase.TAKING
         self.relay = Relay()  # the bound on large transfers: of the servers' side, where that is known
-        self._empty = asyncio.Event()
+        self._all_closed = asyncio.Event()
 
     async def listen(self, host: str, port: int) -> tuple[str, int]:
         """Take connections at an address from now on; the host and port that it is. Raises OSError."""
-        return self._serve(await open_listener(host, port, BACKLOG, self.connection, self))
+        return self._serve(await open_listener(host, port, LISTEN_BACKLOG, self.create_connection, self))
 
     async def listen_shared(
         self, host: str, port: int, listener: socket.socket | None = None
@@ -922,20 +954,20 @@
         What waits in a listener's queue is reset where the last descriptor of it closes; here there is always one.
         A successor that is handed nothing must be able to start beside a process that has stalled: the port is shared.
         """
-        sock = bind(host, port, BACKLOG, share_port=True) if listener is None else listener
-        taking = SocketListener(sock, self.connection, self)
-        taking.resume()
-        return self._serve(taking)
+        sock = bind(host, port, LISTEN_BACKLOG, share_port=True) if listener is None else listener
+        shared_listener = SocketListener(sock, self.create_connection, self)
+        shared_listener.resume()
+        return self._serve(shared_listener)
 
     def _serve(self, listener: Listener) -> tuple[str, int]:
         self._listener = listener
         self._sweep_at = asyncio.get_running_loop().call_later(SWEEP_INTERVAL, self._sweep)
         return listener.address
 
-    def connection(self) -> asyncio.Protocol:
+    def create_connection(self) -> asyncio.Protocol:
         """The protocol of a connection that has been accepted."""
         client = _ClientConnection(self)
-        self._beginning.add(client)
+        self._accepted.add(client)
         return client
 
     def duplicate_listener(self) -> int:
@@ -953,16 +985,16 @@
         if self._listener is not None:
             self._listener.resume()
 
-    def set_handoff(self, passing: Callable[[int], bool] | None) -> None:
+    def set_handoff(self, pass_descriptor: Callable[[int], bool] | None) -> None:
         """Connections at rest go to another process from now on, as descriptors; None: they stay."""
-        self.passing = passing
-        self.hand_over()
+        self.pass_descriptor = pass_descriptor
+        self.hand_off()
 
-    def hand_over(self) -> None:
+    def hand_off(self) -> None:
         """Pass on all connections that are at rest."""
-        if self.passing is not None:
+        if self.pass_descriptor is not None:
             for client in list(self._clients):
-                client.hand_over()
+                client.hand_off()
 
     async def adopt_connection(self, sock: socket.socket) -> None:
         """A connection that another process has passed on."""
@@ -976,7 +1008,7 @@
     @property
     def full(self) -> bool:
         """Whether there are as many connections as there may be, with those that were accepted just now."""
-        return len(self._clients) + len(self._beginning) >= self._max
+        return len(self._clients) + len(self._accepted) >= self._max
 
     def make_room(self) -> bool:
         """Close a connection that has nothing to lose; whether there was one.
@@ -984,21 +1016,21 @@
         One with bytes unread has sent a request, or sends on still: a reset might eat its answer. New connections wait
         in the accept queue then.
         """
-        ranked = [(rank, client) for client in self._clients if (rank := client.rank) is not None]
-        first = (client for _, client in nsmallest(UNREAD_LOOKS, ranked, key=lambda each: each[0]))
-        victim = next((client for client in first if not client.unread), None)
+        ranked = [(rank, client) for client in self._clients if (rank := client.eviction_rank) is not None]
+        first = (client for _, client in nsmallest(MAX_EVICTION_CANDIDATES, ranked, key=lambda each: each[0]))
+        victim = next((client for client in first if not client.has_unread_data), None)
         if victim is None:
             return False
         self._clients.pop(victim)
         victim.abort()
         return True
 
-    def connected(self, client: _ClientConnection) -> None:
+    def add_connection(self, client: _ClientConnection) -> None:
         """Count a connection. One that another process has passed on, and that finds no room, is closed."""
         if len(self._clients) >= self._max and not self.make_room():
             log.warning("out of client connections")
             client.abort()
-        self._beginning.discard(client)
+        self._accepted.discard(client)
         self._clients[client] = None
 
     def claim_request_id(self, request: ClientRequest, id: bytes) -> None:
@@ -1013,23 +1045,23 @@
         self.arrivals.record_heartbeat()
         if self.on_sweep is not None:
             self.on_sweep()
-        now, patience = self.clock(), self.patience
-        self.hand_over()
+        now, idle_timeout = self.clock(), self.idle_timeout
+        self.hand_off()
         if self.closed:
-            self._leave_each()
+            self._apply_leaving_table()
         for client in list(self._clients):
-            client.check(now, patience)
+            client.check(now, idle_timeout)
 
-    def disconnected(self, client: _ClientConnection) -> None:
+    def remove_connection(self, client: _ClientConnection) -> None:
         self._clients.pop(client, None)
-        self._beginning.discard(client)
+        self._accepted.discard(client)
         if not self._clients:
-            self._empty.set()
+            self._all_closed.set()
 
     @property
-    def closing(self) -> bool:
+    def announces_close(self) -> bool:
         """Whether answers say that their connection closes."""
-        return self.draining or self.connections_with_data > CROWDED * self._max
+        return self.draining or self.connections_with_data > KEEP_ALIVE_SHARE * self._max
 
     def drain(self) -> None:
         """From now on every answer says that its connection closes, and soon none is left that asks nothing."""
@@ -1041,7 +1073,7 @@
         self.draining = False
 
     @property
-    def patience(self) -> float:
+    def idle_timeout(self) -> float:
         """Seconds for which a connection may stay without a request."""
         # Fronts go on sending new connections for a moment after they were told no; those that come are served.
         drained = self.draining and self.clock() - self._drained_at > DRAIN_NOTICE_TIME
@@ -1052,7 +1084,7 @@
         """Whether no new connections are taken any more."""
         return self.phase is not Phase.TAKING
 
-    def _leave_each(self) -> None:
+    def _apply_leaving_table(self) -> None:
         now = self.clock()
         for client in list(self._clients):
             client.leave(LEAVING[self.phase, client.place(now)])
@@ -1061,7 +1093,7 @@
         """Take what the machine has accepted, unless a successor does, and listen no longer."""
         if self._listener is None:
             return
-        if self.passing is None:
+        if self.pass_descriptor is None:
             await self._listener.drain(deadline)
         else:
             self._listener.close()
@@ -1074,15 +1106,15 @@
         deadline = self.clock() + grace
         if self.closed:
             self.phase = Phase.LAST
-            self.reader = RefusingReader(self._settings, self.clock)
+            self.reader = ShutdownRequestReader(self._settings, self.clock)
         else:
             await self._stop_listening(deadline)
             self.phase = Phase.FINISHING
-        self.hand_over()
-        self._leave_each()
-        self._empty.clear()
+        self.hand_off()
+        self._apply_leaving_table()
+        self._all_closed.clear()
         if self._clients:
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._empty.wait(), max(0.0, deadline - self.clock()))
+                await asyncio.wait_for(self._all_closed.wait(), max(0.0, deadline - self.clock()))
         if self._sweep_at is not None and (self.phase is Phase.LAST or not self._clients):
             self._sweep_at.cancel()
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -161,7 +161,7 @@
 ) -> None:
     """Between the look at the socket and the half-close: read before that, it would be taken and lost."""
     order, peers = list[bool](), list[Peer]()
-    look, receive = cast(property, _ClientConnection.unread).fget, _ClientConnection.data_received
+    look, receive = cast(property, _ClientConnection.has_unread_data).fget, _ClientConnection.data_received
     assert look is not None
 
     def looked(self: _ClientConnection) -> bool:
@@ -176,7 +176,7 @@
             order.append(peers[0].heard_end())
         receive(self, data)
 
-    monkeypatch.setattr(_ClientConnection, "unread", property(looked))
+    monkeypatch.setattr(_ClientConnection, "has_unread_data", property(looked))
     monkeypatch.setattr(_ClientConnection, "data_received", received)
 
     async def main() -> None:
@@ -289,7 +289,7 @@
             limiter.frontend.drain()
             closing = asyncio.create_task(limiter.frontend.close(10))
             await until(lambda: the_one(limiter)._transport is None)
-            assert the_one(limiter)._account() > 0, "it is not flushed"
+            assert the_one(limiter)._update_buffered() > 0, "it is not flushed"
             await past(limiter, 0.2)  # the bound is long over
             peer.send(ask())
             await turns(20)
@@ -399,13 +399,13 @@
 
 def arrivals(limiter: Limiter, monkeypatch: pytest.MonkeyPatch) -> list[_ClientConnection]:
     """A list that gets each connection from now on."""
-    came, connected = list[_ClientConnection](), limiter.frontend.connected
+    came, connected = list[_ClientConnection](), limiter.frontend.add_connection
 
     def noted(client: _ClientConnection) -> None:
         came.append(client)
         connected(client)
 
-    monkeypatch.setattr(limiter.frontend, "connected", noted)
+    monkeypatch.setattr(limiter.frontend, "add_connection", noted)
     return came
 
 
