--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -1,4 +1,4 @@
-"""The clients' side: takes requests off connections and writes exactly one answer to each."""
+"""The client-facing HTTP server: parses requests and writes exactly one response to each."""
 
 from __future__ import annotations
 
@@ -54,31 +54,34 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PIPELINED_REQUESTS = 8  # unanswered requests of one connection: clients send one at a time
+MAX_PIPELINED_REQUESTS = 8  # unanswered requests on one connection; well-behaved clients send one at a time
 LISTEN_BACKLOG = 1024
-SWEEP_INTERVAL = 0.2  # seconds between two looks for silent and slow clients: one timer for all of them
-IDLE_TIMEOUT = (
-    2.05  # seconds without an open request: a keep-alive may be closed after 2, a bad client must be by 3
-)
-DRAIN_NOTICE_TIME = 0.6  # seconds of a drain in which clients have not heard of it yet
-DRAIN_IDLE_TIMEOUT = 0.3  # seconds for which a connection may be idle after them
-SHUTDOWN_RETRY_AFTER = (
-    0.5  # seconds until a client that is refused at the very end has heard of other limiters
-)
-HEAD_TIMEOUT = 2.5  # seconds that a head may take to come: clients take 2, and this process may be late
-BODY_RATE_WINDOW = 2.0  # seconds over which a small body must come at ``RATE``
-LINGER_TIMEOUT = 0.5  # seconds for which a connection is read on behind our half-close, or a reset might eat its last answer
-UPLOAD_LINGER_TIMEOUT = 2.0  # seconds: the same where a large body was under way
-UPLOAD_LINGER_MAX_BYTES = 8 * 1024 * 1024  # and how much is read then
+SWEEP_INTERVAL = 0.2  # seconds between checks for idle and slow clients; one timer serves all connections
+# Seconds without an open request. A keep-alive connection may be closed after 2 s, and a misbehaving client must
+# be disconnected within 3 s.
+IDLE_TIMEOUT = 2.05
+DRAIN_NOTICE_TIME = 0.6  # seconds after a drain begins until clients have learned of it
+DRAIN_IDLE_TIMEOUT = 0.3  # idle timeout in seconds that applies after ``DRAIN_NOTICE_TIME``
+# Seconds: Retry-After of a 503 during the last phase of shutdown, until the client has learned of other limiters.
+SHUTDOWN_RETRY_AFTER = 0.5
+HEAD_TIMEOUT = 2.5  # seconds to receive a request head: clients take up to 2 s, and this process may be late
+BODY_RATE_WINDOW = 2.0  # seconds over which a small body must arrive at ``RATE``
+# Seconds for which a connection is still read after our half-close. Closing with unread bytes would send a reset,
+# which may destroy the last response.
+LINGER_TIMEOUT = 0.5
+UPLOAD_LINGER_TIMEOUT = 2.0  # seconds: ``LINGER_TIMEOUT`` for a connection with an unfinished large upload
+UPLOAD_LINGER_MAX_BYTES = 8 * 1024 * 1024  # ``LINGER_MAX_BYTES`` for the same case
 MAX_TRAILERS = 32
-MAX_EVICTION_CANDIDATES = 4  # connections at most that are looked at before one of them makes room
-ABORTIVE_LINGER = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
-LINGER_MAX_BYTES = 128 * 1024  # and how much is read: draining 60 MB would be the sender's to command
-# Of the most connections; where more have asked something, every answer closes its own. Clients that ask once
-# and keep their connection for good use up what their side may open here, and then ask elsewhere or nowhere:
-# so many a second come as connections end by IDLE_TIMEOUT. It guards as well against leaks in a client's pool and
-# against more clients than there are descriptors. It could do harm where that many clients ask all the time
-# and connecting is dear (TLS, long ways): each request beyond the share then pays for a connection.
+MAX_EVICTION_CANDIDATES = 4  # connections that are checked for unread data before one of them is evicted
+ABORTIVE_LINGER = struct.pack("ii", 1, 0)  # SO_LINGER on with a timeout of 0: closing sends a reset
+# Bytes that are read and discarded after our half-close. Without a bound a sender could make this process drain 60 MB.
+LINGER_MAX_BYTES = 128 * 1024
+# Share of the maximum number of connections. While more connections than that have sent data, every response closes
+# its connection. Clients that send one request and keep their connection forever exhaust the connections that their
+# side may open here, and then go elsewhere or nowhere: only as many get through a second as connections end by
+# IDLE_TIMEOUT. The bound also protects against connection leaks in a client's pool and against more clients than file
+# descriptors. It can do harm where that many clients send requests all the time and connecting is expensive (TLS, long
+# round trips): each request beyond the share then pays for a new connection.
 KEEP_ALIVE_SHARE = 0.5
 REASON_PHRASES = {
     200: b"OK", 400: b"Bad Request", 403: b"Forbidden", 404: b"Not Found", 405: b"Method Not Allowed",
@@ -92,21 +95,21 @@
 
 
 class Dialect(Protocol):
-    """How a request's client is spoken to where it is not by the plain protocol."""
+    """Translates responses for a client that does not use the plain protocol."""
 
     def error(
         self, status: int, retry_after: float | None, why: str, left: float
     ) -> tuple[int, bytes, bytes, float | None]:
-        """Status, headers, body and Retry-After of an answer that no server gave."""
+        """Return status, headers, body and Retry-After (seconds) of a response that the limiter itself generates."""
         ...
 
     def answered(self, exchange: Exchange) -> None:
-        """A server's 200 has come: it may become another outcome, and tell the true units."""
+        """Process a server's 200. This may change the outcome of the exchange and set the units that it cost."""
         ...
 
 
 class ClientRequest:
-    """One try of a client, and the place in its connection where the answer goes."""
+    """A client's request and its slot in the order of responses on the connection."""
 
     __slots__ = (
         "_client", "accepts_chunked", "body", "closes_connection", "dialect", "event", "head", "id", "keep_alive",
@@ -115,7 +118,7 @@
 
     @property
     def seconds_since_first_byte(self) -> float:
-        """Seconds from the request's first byte to now, for one that has just come whole."""
+        """Seconds from the request's first byte to now. Valid only when the request has just been received in full."""
         return max(0.0, self._client.frontend.clock() - self._client.last_active_at)
 
     def __init__(self, client: _ClientConnection, keep_alive: bool) -> None:
@@ -124,24 +127,24 @@
         self.dialect: Dialect | None = None
         self.id = self.head = self.body = b""
         self.response: tuple[bytes, bytes] | None = None
-        self.upload: Upload | None = None  # a body that is on its way still
-        self.stream: Download | None = None  # an answer that flows
-        self.closes_connection = False  # its connection ends behind it
-        self.accepts_chunked = True  # it may come in chunks
-        self.receive_delay = 0.0  # seconds for which its last byte may have lain in the machine
+        self.upload: Upload | None = None  # set if the body is passed on while it arrives
+        self.stream: Download | None = None  # set if the response is streamed
+        self.closes_connection = False  # the connection closes after the streamed response
+        self.accepts_chunked = True  # False for HTTP/1.0 clients
+        self.receive_delay = 0.0  # upper bound in seconds of how long its last byte waited in the kernel
 
     def begin_stream(self, stream: Download) -> None:
-        """The one final answer, as it comes."""
+        """Respond with ``stream``, passing it on as it arrives. Raises RuntimeError if there is a response already."""
         if self.response is not None or self.stream is not None:
-            raise RuntimeError("a request was answered twice")
+            raise RuntimeError("the request has a response already")
         self.stream = stream
         self._client.flush()
 
     def end_stream(self, whole: bool) -> None:
-        """The answer that flows has come to its end, or broke off: then its client must see that."""
+        """Complete the streamed response; if it is not ``whole``, the client's connection is reset to show that."""
         assert self.stream is not None
         if not whole and self.stream.write is None:
-            # Nothing of it has been said. A reset might eat the answers that were just written before it.
+            # Nothing of it was written. A reset might destroy responses that were written just before, so send 502.
             self.stream = None
             return self.respond(502)
         self._client.frontend.open_ids.discard(self.id)
@@ -150,30 +153,37 @@
 
     @property
     def client_gone(self) -> bool:
-        """Whether its client has gone away."""
+        """Whether the client has disconnected."""
         return self._client.is_disconnected
 
     def check_client_present(self) -> bool:
-        """Whether its client is still there, by a look at the socket; if not, all its requests depart here."""
+        """Check the socket for whether the client is still connected; if not, abandon all its requests."""
         return self._client.check_client_present()
 
     def respond(
         self, status: int, body: bytes = b"", headers: bytes = b"", retry_after: float | None = None,
         why: str = "", left: float = -1.0,
     ) -> None:  # fmt: skip
-        """Give the one final answer; the connection writes it when its turn has come."""
+        """Set the final response, which the connection writes after those of earlier requests.
+
+        ``retry_after`` is in seconds; ``why`` and ``left`` are passed to the dialect. Raises RuntimeError if there is
+        a response already.
+        """
         if self.dialect is not None and status != 200:
             status, headers, body, retry_after = self.dialect.error(status, retry_after, why, left)
         self.send_response(status, headers, body, retry_after)
 
     def reject(self, status: int) -> None:
-        """Answer one that is not passed on; only a limiter that ends says 503, and others are a moment away."""
+        """Respond to a request that is not forwarded.
+
+        Only a limiter that shuts down sends 503; the client can reach another one after the Retry-After time.
+        """
         self.respond(status, retry_after=SHUTDOWN_RETRY_AFTER if status == 503 else None)
 
     def send_response(self, status: int, headers: bytes, body: bytes, retry_after: float | None) -> None:
-        """The one final answer, as it is."""
+        """Set the final response without translation by the dialect. Raises RuntimeError if there is one already."""
         if self.response is not None or self.stream is not None:
-            raise RuntimeError("a request was answered twice")
+            raise RuntimeError("the request has a response already")
         self._client.frontend.open_ids.discard(self.id)
         retry = b"" if retry_after is None else b"Retry-After: %.3f\r\n" % retry_after
         length = b"Content-Length: %d\r\n\r\n" % len(body)
@@ -182,33 +192,37 @@
 
 
 class Handler(Protocol):
-    """What the clients' side tells of its requests."""
+    """Receives the requests of the frontend."""
 
-    def arrived(self, request: ClientRequest) -> None: ...
+    def arrived(self, request: ClientRequest) -> None:
+        """Handle a new request."""
+        ...
 
-    def departed(self, request: ClientRequest) -> None: ...
+    def departed(self, request: ClientRequest) -> None:
+        """Drop a request whose client has gone."""
+        ...
 
 
 class ParsedRequest(NamedTuple):
-    """A whole request at another front's path, and what that front may do with it."""
+    """A complete request to the path of a ``PathHandler``, with the operations that the handler may apply to it."""
 
     frontend: Frontend
     method: bytes
     target: bytes
     query: str
     fields: dict[bytes, bytes]
-    header_lines: list[bytes]  # of its head, as they are passed on
+    header_lines: list[bytes]  # as they are forwarded
 
     @property
     def reader(self) -> RequestReader:
         return self.frontend.reader
 
     def claim_request_id(self, request: ClientRequest) -> None:
-        """Its id is in use from now on until its answer; BadRequestError where it is already."""
+        """Reserve the request id until the response. Raises BadRequestError if the id is in use."""
         self.frontend.claim_request_id(request, self.fields[REQUEST_ID_HEADER].lower())
 
     def build_head(self, name: str, key: bytes | None) -> bytes:
-        """The head to pass on: its class and key are the front's word, whatever the client's said."""
+        """Return the head to forward, with the given class name and key in place of those that the client sent."""
         own = (CLASS_HEADER + b":", IDEMPOTENCY_KEY_HEADER + b":")
         header_lines = [line for line in self.header_lines if not line.lower().startswith(own)]
         header_lines.append(b"X-Priority-Class: %b\r\n" % name.encode("latin-1"))
@@ -217,21 +231,24 @@
         return b"%b %b HTTP/1.1\r\n%b" % (self.method, self.target, b"".join(header_lines))
 
     def submit(self, request: ClientRequest) -> None:
+        """Pass the request to the frontend's handler."""
         self.frontend.handler.arrived(request)
 
 
 class PathHandler(Protocol):
-    """Takes requests at a path of its own."""
+    """Serves the requests to one path."""
 
     path: str
-    headers: frozenset[bytes]  # that it reads beside the protocol's
+    headers: frozenset[bytes]  # lower-case names of headers that it reads in addition to the protocol's
 
-    def handle_request(self, request: ClientRequest, came: ParsedRequest) -> None: ...
+    def handle_request(self, request: ClientRequest, came: ParsedRequest) -> None:
+        """Respond to the request or submit it. Raises BadRequestError if it is invalid."""
+        ...
 
 
 @contextlib.contextmanager
 def _borrow_socket(transport: asyncio.BaseTransport) -> Iterator[socket.socket]:
-    """A transport's socket, for calls that transports do not have. OSError where the connection has ended."""
+    """Yield a transport's socket for calls that transports lack. Raises OSError if the connection has ended."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM, 0, transport.get_extra_info("socket").fileno())
     try:
         yield sock
@@ -240,16 +257,17 @@
 
 
 class _ClientConnection(asyncio.Protocol):
-    """One client connection: parses requests, keeps their answers in order.
+    """One client connection: parses requests and writes their responses in order.
 
-    It ends in one way, ``_close``: the last answer is flushed, our side half-closed, the client's read to its end.
-    Only what must be seen as broken is reset (``_break``), and only what has no time left is aborted.
+    The regular way to end it is ``_close``: it flushes the last response, half-closes our side and reads until the
+    client closes. ``_reset_connection`` is for responses that the client must see as broken, ``abort`` for when no time
+    is left.
     """
 
     def __init__(self, frontend: Frontend) -> None:
         self.frontend, self._parsed_headers = frontend, frontend.parsed_headers
         self._transport: asyncio.Transport | None = None
-        self._lingering: asyncio.Transport | None = None  # it is being closed
+        self._lingering: asyncio.Transport | None = None  # the transport while the connection is being closed
         self._half_closed = False
         self._parser = httptools.HttpRequestParser(self)
         self._pending = deque[ClientRequest]()
@@ -261,23 +279,22 @@
         self._receiving = False
         self._length: int | None = None
         self._chunked = self._expects = False
-        self._upload: Upload | None = None  # the body that is being read and passed on
-        self._progress = 0  # of a transfer, when it last got on
-        self._progress_at = 0.0
+        self._upload: Upload | None = None  # the body that is passed on while it arrives
+        self._progress = 0  # bytes of the transfer or of the write buffer when progress was last seen
+        self._progress_at = 0.0  # time of that
         self._linger_timeout, self._linger_max_bytes = LINGER_TIMEOUT, LINGER_MAX_BYTES
-        self._buffered = 0  # bytes that wait for it, when it last moved
-        self._input = b""  # what is being parsed
+        self._buffered = 0  # unwritten bytes as last added to ``relay.buffered``
+        self._input = b""  # the data that is being parsed
         self._rejected = self._writing_paused = self._reading_paused = False
-        self._requests_in_read = 0  # requests in one read
+        self._requests_in_read = 0  # requests that began in the data of the current read
         self.has_sent_data = False
-        self.last_active_at = (
-            frontend.clock()
-        )  # of the last thing that counts: coming, a request's begin, an answer
-        self._discarded = 0
+        # Time of the last activity: connecting, the first byte of a request, a response, or our half-close.
+        self.last_active_at = frontend.clock()
+        self._discarded = 0  # bytes that were read and discarded
 
     @property
     def is_disconnected(self) -> bool:
-        """Whether no answer can reach it any more."""
+        """Whether responses can no longer be written."""
         return self._transport is None
 
     @property
@@ -286,7 +303,7 @@
 
     @property
     def has_unread_data(self) -> bool:
-        """Whether bytes have come that the loop has not read yet: timers run before it looks."""
+        """Whether the kernel holds bytes that the loop has not read yet; timers run before the loop polls sockets."""
         transport = self._transport or self._lingering
         if transport is None or transport.is_closing():
             return False
@@ -295,12 +312,14 @@
 
     @property
     def peer_closed(self) -> bool:
-        """Whether the client has closed or reset its side, maybe behind bytes that are not read yet. One system call
-        where nothing lies there, 0.5 us."""
+        """Whether the client has closed or reset its side, possibly after bytes that have not been read yet.
+
+        It costs one system call (0.5 us) if there is nothing to read.
+        """
         transport = self._transport
         if transport is None or transport.is_closing():
             return False
-        with contextlib.suppress(OSError):  # the machine may not tell
+        with contextlib.suppress(OSError):  # poll may be unavailable
             poll = select.poll()
             poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN | select.POLLRDHUP)
             if not (events := poll.poll(0)):
@@ -312,12 +331,14 @@
                 return sock.recv(1, socket.MSG_PEEK) == b""
         except ConnectionError:
             return True
-        except OSError:  # nothing lies there
+        except OSError:  # there is nothing to read
             return False
 
     def check_client_present(self) -> bool:
-        """Whether the client is still there, by a look at its socket. One that has closed departs here, however late
-        the loop is to read its end."""
+        """Check the socket for whether the client is still connected.
+
+        If the client has closed, its requests are abandoned at once, even if the loop has not read the end yet.
+        """
         transport = self._transport
         if transport is not None and not transport.is_closing() and not self.peer_closed:
             return True
@@ -326,7 +347,7 @@
         return False
 
     def place(self, now: float) -> Place:
-        """Where the connection stands for a process that leaves."""
+        """Return the state of the connection that decides what happens to it while the process shuts down."""
         if self._transport is None or self._rejected:
             return Place.LINGERING
         if self._pending:
@@ -345,8 +366,11 @@
 
     @property
     def eviction_rank(self) -> tuple[int, float] | None:
-        """Who makes room first at the limit: those that linger, never spoke, are half read, idle longest, and at
-        the very end those that still take an answer."""
+        """Rank for eviction at the connection limit, lowest first; None if the connection must stay.
+
+        The order is: lingering connections, those that never sent data, those with a partial request, the ones idle
+        for longest, and last those that still receive a response.
+        """
         transport = self._transport or self._lingering
         if transport is None or self._pending:
             return None
@@ -357,7 +381,7 @@
         return (1 if not self.has_sent_data else 2 if self._receiving else 3), self.last_active_at
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
+        transport = cast(asyncio.Transport, transport)  # uvloop's transports are not subclasses of it
         self._transport = transport
         self.frontend.add_connection(self)
 
@@ -369,24 +393,25 @@
         self._abandon_requests()
 
     def _uncount_data_sent(self) -> None:
-        """It counts no longer among those that ask."""
+        """Stop counting the connection among those that have sent data."""
         self.frontend.connections_with_data -= self.has_sent_data
         self.has_sent_data = False
 
     def eof_received(self) -> None:
-        """By the protocol a client that closes its side has gone; the transport flushes what it has and closes."""
+        """Treat the client as gone, as the protocol defines; the transport then flushes and closes."""
         self._handle_client_gone()
 
     def _handle_client_gone(self) -> None:
-        """The client has gone: nothing that it waits for is of use."""
+        """Abandon all requests of a client that has gone and close the connection."""
         stream = self._pending[0].stream if self._pending else None
         if stream is not None and stream.write is not None:
-            self._reset_connection()  # its answer has begun and will not come whole
+            self._reset_connection()  # the streamed response has begun and will not be completed
             self._abandon_requests()
         else:
             self._close()
 
     def _abandon_requests(self) -> None:
+        """Drop all requests and tell the handler of those that have no response yet."""
         waiting, self._pending = self._pending, deque()
         for request in waiting:
             if request.response is None:
@@ -394,44 +419,44 @@
                 self.frontend.handler.departed(request)
 
     def data_received(self, data: bytes) -> None:
-        if self._rejected:  # read and dropped: not passed on, and no reset
+        if self._rejected:  # discarded without parsing, because closing over unread bytes would send a reset
             self._discarded += len(data)
             if self._discarded > self._linger_max_bytes:
                 self._handle_linger_overflow()
             return
         if self._upload is not None and not self.check_client_present():
-            return  # its last bytes would begin an attempt
+            return  # the last bytes of the upload would start an attempt for a client that has gone
         self.frontend.connections_with_data += not self.has_sent_data
         self.has_sent_data, self._requests_in_read = True, 0
         self._input = data
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade as offer:
-            # The offer is passed over (RFC 9110, 7.8): the request has been taken, what follows is HTTP/1.1.
+            # The upgrade is ignored (RFC 9110, 7.8): the request has been handled, and what follows is HTTP/1.1.
             self._parser = httptools.HttpRequestParser(self)
             return self.data_received(data[offer.args[0] :])
         except httptools.HttpParserError as error:
             cause = error.__context__
             if self._rejected:
-                pass  # answered already
+                pass  # the response has been set already
             elif isinstance(cause, BadRequestError):
                 self._reject(cause.status)
             elif isinstance(error, httptools.HttpParserCallbackError):
-                log.error("a request could not be handled", exc_info=cause)
+                log.error("unexpected error while handling a request; responding with 500", exc_info=cause)
                 self._reject(500)
             else:
                 self._reject(400)
             return
         finally:
             self._input = b""
-        # A head without an end would grow inside the parser, where no callback sees it. What was seen of
-        # one that came in pieces counts twice: a bound on memory need not be exact.
+        # An unfinished head grows inside the parser, where no callback sees it. The parts that callbacks did see
+        # are counted twice, which is acceptable because a bound on memory need not be exact.
         if self._receiving and not self._head_read:
             self._size += len(data)
             if self._size > MAX_HEAD_BYTES:
                 self._reject(400)
 
-    # The parser's callbacks.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
         self._target, self._fields = b"", {}
@@ -442,11 +467,11 @@
             self.last_active_at = self.frontend.clock()
         self._requests_in_read += 1
         if self._requests_in_read > MAX_PIPELINED_REQUESTS or len(self._pending) >= MAX_PIPELINED_REQUESTS:
-            # Reading stops at this many, but one read may bring hundreds: they would hold the loop, answered or not.
-            raise BadRequestError(400, "too many requests at once")
+            # Reading pauses at this many, but one read may contain hundreds, which would block the loop.
+            raise BadRequestError(400, "too many pipelined requests")
 
     def on_url(self, url: bytes) -> None:
-        self._target += url  # comes in pieces where the input was split
+        self._target += url  # called once per fragment if the input was split
         self._size += len(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -454,30 +479,30 @@
         self._size += len(name) + len(value)
         if self._head_read:
             return self._trailer()
-        # White space behind a value is no part of it (RFC 9110, 5.5); the parser takes off only what stands before.
+        # Trailing white space is not part of a value (RFC 9110, 5.5); the parser strips only leading white space.
         if value[-1:] in WHITESPACE:
             value = value.rstrip(b" \t")
         if key in self._parsed_headers:
             if key in self._fields:
-                raise BadRequestError(400, "a header stands twice")
+                raise BadRequestError(400, "a protocol header occurs more than once")
             self._fields[key] = value
         if key not in UNFORWARDED_HEADERS and key != TIMEOUT_HEADER:
             self._head.append(b"%b: %b\r\n" % (name, value))
         elif key == b"content-length":
             if self._length is not None or not WHOLE_NUMBER_PATTERN.fullmatch(value):
-                raise BadRequestError(400, "content-length is wrong")
+                raise BadRequestError(400, "content-length is repeated or not a decimal number")
             self._length = int(value)
             if self._length > LARGEST:
                 raise BadRequestError(413, "body too large")
         elif key == b"transfer-encoding":
             if self._chunked or value.lower() != b"chunked":
-                raise BadRequestError(400, "transfer-encoding is wrong")
+                raise BadRequestError(400, "transfer-encoding is repeated or not chunked")
             self._chunked = True
         elif key == b"expect":
             self._expects = value.lower() == b"100-continue"
 
     def _trailer(self) -> None:
-        """Fields behind a body are dropped: none is part of the protocol, and they must not meet the head's."""
+        """Drop a trailer field: the protocol has none, and they must not be mixed with the fields of the head."""
         self._trailers += 1
         if self._trailers > MAX_TRAILERS:
             raise BadRequestError(400, "too many trailers")
@@ -486,7 +511,9 @@
         if self._size > MAX_HEAD_BYTES:
             raise BadRequestError(400, "head too large")
         if self._chunked and self._length is not None:
-            raise BadRequestError(400, "two framings: one of them may hide a request")
+            raise BadRequestError(
+                400, "content-length and transfer-encoding together could hide a second request"
+            )
         self._head_read, self._size, self._trailers = True, 0, 0
         if self._length or self._chunked:
             self._progress, self._progress_at = 0, self.frontend.clock()
@@ -496,7 +523,7 @@
             self._send_continue()
 
     def _send_continue(self) -> None:
-        """Who waits to be told to send its body is told, once all answers before its own are written."""
+        """Send 100 Continue to a client that waits for it, once all earlier responses have been written."""
         first = not self._pending or (self._upload is not None and self._pending[0].upload is self._upload)
         if self._receiving and first and not self._rejected and self._transport is not None:
             self._expects = False
@@ -516,9 +543,9 @@
             self._start_upload()
 
     def _start_upload(self) -> None:
-        """The body is large: the request is dispatched before it is whole."""
+        """Dispatch a request with a large body before it is complete, and pass the body on as it arrives."""
         if self._transport is None:
-            return  # it stands behind an answer that closes
+            return  # an earlier response closes the connection
         request = ClientRequest(self, keep_alive=True)
         upload = request.upload = self._upload = Upload(self._length, self._set_upload_held)
         self._progress, self._progress_at = 0, self.frontend.clock()
@@ -538,7 +565,7 @@
         self._apply_backpressure()
 
     def _finish_upload(self, upload: Upload) -> None:
-        """The last byte of a body that flowed has come."""
+        """Complete a body that was passed on while it arrived."""
         self._upload = None
         for request in self._pending:
             if request.upload is upload:
@@ -558,14 +585,14 @@
         try:
             self._dispatch(request)
         except BadRequestError as error:
-            # Whoever sends this sends more of it: the connection goes with the answer.
+            # A client that sends an invalid request is likely to send more of them, so close the connection.
             self._rejected, request.keep_alive = True, False
             request.reject(error.status)
-            raise  # and nothing behind it is parsed
+            raise  # stops the parser: nothing after this request is parsed
         self._apply_backpressure()
 
     def _receive_delay(self) -> float:
-        """Seconds for which the last byte that is being parsed may have lain in the machine."""
+        """Upper bound in seconds of how long the last byte being parsed waited in the kernel before it was read."""
         if self._transport is None:
             return 0.0
         return self.frontend.arrivals.data_age(self._transport, self._input)
@@ -579,7 +606,7 @@
             "1.0",
             "1.1",
         ):
-            raise BadRequestError(400, "target or version")
+            raise BadRequestError(400, "request target or HTTP version is invalid")
         target = self._target.decode("latin-1")
         request.accepts_chunked = self._parser.get_http_version() != "1.0"
         path_handler, upload = self.frontend.path_handler, request.upload
@@ -594,7 +621,7 @@
         if method == b"POST":
             self._head.append(upload.framing if upload else b"Content-Length: %d\r\n" % len(request.body))
         elif request.body or upload is not None:
-            raise BadRequestError(400, "a body where none belongs")
+            raise BadRequestError(400, "a GET request has a body")
         if path_handler is not None and target.partition("?")[0] == path_handler.path:
             query = target.partition("?")[2]
             came = ParsedRequest(self.frontend, method, self._target, query, self._fields, self._head)
@@ -605,10 +632,10 @@
         request.head = b"%b %b HTTP/1.1\r\n%b" % (method, self._target, b"".join(self._head))
         self.frontend.handler.arrived(request)
 
-    # Answers.
+    # Responses.
 
     def flush(self) -> None:
-        """Write the answers whose turn has come."""
+        """Write all responses that are next in order."""
         while self._pending and self._transport is not None:
             request = self._pending[0]
             if request.stream is not None:
@@ -631,23 +658,24 @@
             asyncio.get_running_loop().call_soon(self.hand_off)
 
     def _closes_after(self, request: ClientRequest) -> bool:
-        """Whether the connection ends behind an answer."""
+        """Whether the connection closes after the response to ``request``."""
         if request.upload is not None and not request.upload.whole:
-            # What of its body is still on its way is nobody's: it is read for a while, or a reset would eat the answer.
+            # Nobody needs the rest of the body. It is read and discarded for a while, because closing over unread
+            # bytes would send a reset, which may destroy the response.
             self._rejected, self._linger_timeout, self._linger_max_bytes = (
                 True,
                 UPLOAD_LINGER_TIMEOUT,
                 UPLOAD_LINGER_MAX_BYTES,
             )
             return True
-        # Of what is pipelined only the last answer closes: what stands behind it has been taken too.
+        # Among pipelined requests only the last response closes, because the later ones have been accepted too.
         has_following = len(self._pending) > (request.stream is not None)
         return not request.keep_alive or (
             self.frontend.announces_close and not has_following and self.frontend.pass_descriptor is None
         )
 
     def _write_stream(self, request: ClientRequest, stream: Download) -> bool:
-        """An answer that flows has its turn; whether it is over."""
+        """Write what there is of the streamed response that is next in order; return whether it is complete."""
         transport = self._transport
         assert transport is not None
         if stream.broken:
@@ -678,16 +706,20 @@
         return True
 
     def _write_body(self, data: bytes) -> None:
+        """Write a piece of the streamed response and lower the transport's high-water mark if memory is short."""
         if self._transport is None:
             return
         self._transport.write(data)
         high, size = self.frontend.relay.high_water(), self._update_buffered()
         if size > high and not self._writing_paused:
-            # Above this the transport says at once that it is full, and below a quarter of it that it is not.
+            # Above this mark the transport calls ``pause_writing`` at once, below a quarter of it ``resume_writing``.
             self._transport.set_write_buffer_limits(high=high // 2)
 
     def _update_buffered(self) -> int:
-        """Bytes that wait for this client, noted for the bound on all of them, also behind an answer's end."""
+        """Return the unwritten bytes of this connection and add the change to the total over all connections.
+
+        Bytes of finished responses are counted as well.
+        """
         transport = self._transport or self._lingering
         size = transport.get_write_buffer_size() if transport is not None else 0
         self.frontend.relay.buffered += size - self._buffered
@@ -695,18 +727,18 @@
         return size
 
     def _set_download_held(self, held: bool) -> None:
-        """The client takes its answer slower than the server gives it, or has caught up."""
+        """Pause the server while the client reads its streamed response too slowly; resume when it has caught up."""
         self._update_buffered()
         stream = self._pending[0].stream if self._pending else None
         if stream is not None and stream.write is not None and not stream.whole and not stream.broken:
             if not held and self._transport is not None:
                 self._transport.set_write_buffer_limits(
                     high=HIGH_WATER_MOST
-                )  # the room may have grown meanwhile
+                )  # more memory may be free by now
             stream.hold(held)
 
     def hand_off(self) -> None:
-        """Pass the connection on where it is at rest between two requests, with nothing of an answer unwritten."""
+        """Pass the connection to another process if it is idle and all responses have been written."""
         transport, pass_descriptor = self._transport, self.frontend.pass_descriptor
         if (
             pass_descriptor is None
@@ -717,12 +749,12 @@
         ):
             return
         if transport.get_write_buffer_size() > 0:
-            return  # the sweep looks again
+            return  # the sweep tries again
         try:
             fd = os.dup(transport.get_extra_info("socket").fileno())
-        except OSError:  # no descriptor is left for now
+        except OSError:  # the process is out of file descriptors for now
             return
-        transport.pause_reading()  # what comes from here on waits in the kernel, for whoever reads next
+        transport.pause_reading()  # further bytes stay in the kernel for the process that reads next
         if pass_descriptor(fd):
             self._transport = None
             transport.abort()
@@ -740,12 +772,13 @@
         self._set_download_held(False)
         self._apply_backpressure()
         if self._lingering is not None:
-            self._half_close()  # the last byte of its last answer has gone out
+            self._half_close()  # the last response has been written completely
 
     def _apply_backpressure(self) -> None:
-        """Read on only while answers are taken off: what one client does not read would fill the memory.
+        """Pause reading while the client does not read its responses, which would otherwise fill the memory.
 
-        What is not read hides the client's end: the sweep looks for it. What is dropped unparsed is read on.
+        While reading is paused the client's end of file is not seen, so the sweep checks for it. A rejected connection
+        is read on up to its bound, because its data is discarded.
         """
         if self._rejected:
             stop = self._discarded > self._linger_max_bytes
@@ -762,6 +795,7 @@
             transport.resume_reading()
 
     def _reject(self, status: int) -> None:
+        """Respond with an error and parse nothing more of this connection."""
         self._rejected = True
         if self._upload is not None:
             return self._abort_upload(self._upload, status)
@@ -770,10 +804,10 @@
         last.reject(status)
 
     def _close(self) -> None:
-        """The lingering close: flush, half-close, read to the client's end, close.
+        """Start the lingering close: flush, half-close, read until the client closes, close.
 
-        A close over unread bytes would be a reset, which may eat the answer just written, and clients send on until
-        they have heard of the end. What is read from here on is never passed on.
+        Closing over unread bytes would send a reset, which may destroy the response that was just written, and clients
+        keep sending until they have seen the end. What is read from here on is discarded.
         """
         transport, self._transport = self._transport, None
         if transport is None:
@@ -783,13 +817,16 @@
         self._abandon_requests()
         if transport.get_write_buffer_size():
             if not transport.is_closing():
-                transport.set_write_buffer_limits(0)  # ``resume_writing`` tells when all is out
+                transport.set_write_buffer_limits(0)  # ``resume_writing`` is called when all is written
             self._apply_backpressure()
         else:
             self._half_close()
 
     def _half_close(self) -> None:
-        """End our side at once: a transport's own does it some reads later, and what it read then would be lost."""
+        """Half-close our side at once.
+
+        The transport's own ``write_eof`` would do it some reads later, and data read in between would be lost.
+        """
         transport = self._lingering
         if transport is None or transport.is_closing() or self._half_closed:
             return
@@ -797,38 +834,43 @@
         try:
             with _borrow_socket(transport) as sock:
                 sock.shutdown(socket.SHUT_WR)
-        except OSError:  # it has been reset: the transport finds that out
+        except OSError:  # the connection has been reset, which the transport will notice
             transport.write_eof()
         self._apply_backpressure()
 
     def _handle_linger_overflow(self) -> None:
-        """It sends more than is read for the sake of its answer."""
+        """Handle a client that sends more than is discarded for the sake of its response."""
         if self._half_closed:
             self.abort()
         else:
-            self._apply_backpressure()  # its answers come first
+            self._apply_backpressure()  # write its responses first
 
     def _reset_connection(self) -> None:
-        """End in an answer. A tidy end would make a short body of it, for who goes by the connection's end."""
+        """Reset the connection within a response.
+
+        After an orderly close, a client that takes the end of the connection for the end of the body would accept a
+        truncated body.
+        """
         transport = self._transport or self._lingering
         if transport is not None:
-            with contextlib.suppress(OSError):  # it has ended already
+            with contextlib.suppress(OSError):  # the connection has ended already
                 transport.get_extra_info("socket").setsockopt(
                     socket.SOL_SOCKET, socket.SO_LINGER, ABORTIVE_LINGER
                 )
         self.abort()
 
     def leave(self, do: Do) -> None:
-        """Do what the table of a process that leaves says of this connection."""
+        """Apply an action of the shutdown table to this connection."""
         if do is Do.HALF_CLOSE:
             self._close()
         elif do is Do.REFUSE:
             self._reject(503)
 
     def check(self, now: float, idle_timeout: float) -> None:
-        """Close what is silent, and answer what comes too slowly: both hold a descriptor and memory.
+        """Close the connection if it is idle, and reject a request that arrives too slowly.
 
-        A loop that was held comes here before it reads: who has bytes unread is not silent.
+        Both would hold a file descriptor and memory. ``patience`` is the idle timeout in seconds. After the loop was
+        blocked, this runs before sockets are read, so a connection with unread data does not count as idle.
         """
         age = now - self.last_active_at
         if self._buffered:
@@ -850,36 +892,38 @@
             if age > HEAD_TIMEOUT and not self.has_unread_data:
                 self._reject(408)
         elif now - self._progress_at > BODY_RATE_WINDOW and not self.has_unread_data:
-            # Counted from the head's end: a slow head leaves its body's time alone.
+            # Measured from the end of the head, so that a slow head does not shorten the time for the body.
             if self._size - self._progress < RATE * BODY_RATE_WINDOW:
                 return self._reject(408)
             self._progress, self._progress_at = self._size, now
 
     def _check_linger(self, age: float, now: float) -> None:
-        """Close behind a half-close whose client does not, once that has had its time."""
+        """Close a half-closed connection whose client has not closed within the linger timeout."""
         transport = self._lingering
         if transport is None:
             return
         if not self._half_closed:
-            self._check_reader(now)  # an answer on its way has the time that its client takes it
+            self._check_reader(now)  # the last response may take as long as the client keeps reading it
         elif age > self._linger_timeout and (age > 2 * self._linger_timeout or not self.has_unread_data):
             transport.close()
 
     def _check_reader(self, now: float) -> None:
-        """End with who takes nothing of what is written for it."""
+        """Reset the connection if the client has read nothing of its responses for ``READER`` seconds."""
         transport = self._transport or self._lingering
         assert transport is not None
         left = transport.get_write_buffer_size()
         if left != self._progress:
             self._progress, self._progress_at = left, now
         elif now - self._progress_at > READER:
-            log.warning("a client has taken nothing of its answer for %g s", READER)
+            log.warning("client has read nothing of its response for %g s; resetting the connection", READER)
             self._reset_connection()
 
     def _check_transfer(self, now: float) -> None:
-        """End a transfer whose client does not get on with it; one that is held up by the server is left alone."""
+        """End a transfer that the client stalls; one that the server holds up continues."""
         upload = self._upload
-        if upload is not None and not self._reading_paused:  # who is not read cannot get on
+        if (
+            upload is not None and not self._reading_paused
+        ):  # while reading is paused the client cannot make progress
             if now - self._progress_at > WINDOW and not self.has_unread_data:
                 if upload.size - self._progress < RATE * WINDOW:
                     return self._abort_upload(upload, 408)
@@ -891,16 +935,16 @@
             self._check_reader(now)
 
     def _abort_upload(self, upload: Upload, status: int) -> None:
-        """Its body no longer comes, or is none: the attempt ends and is not repeated."""
+        """Abort a request whose body has stalled or is invalid: its attempt ends and is not retried."""
         self._upload = None
         for request in self._pending:
             if request.upload is upload and request.response is None and request.stream is None:
                 self.frontend.handler.departed(request)
                 return request.respond(status)
-        self._reset_connection()  # its answer flows already
+        self._reset_connection()  # the response is being streamed already
 
     def abort(self) -> None:
-        """Close at once, whatever is unwritten or unread."""
+        """Close at once and discard all unwritten and unread data."""
         transport = self._transport or self._lingering
         self._transport = self._lingering = None
         if transport is not None:
@@ -908,13 +952,16 @@
 
 
 class Frontend:
-    """The listener and its connections."""
+    """Owns the listener and the client connections."""
 
     def __init__(
         self, handler: Handler, settings: api.Settings, max_connections: int, path_handler: PathHandler | None = None,
         now: Callable[[], float] = time.monotonic,
     ) -> None:  # fmt: skip
-        """``now`` moves on within a turn of the loop, as the loop's own time need not."""
+        """Create a frontend for at most ``max_connections`` connections.
+
+        ``now`` must advance within one iteration of the event loop; the loop's own clock need not.
+        """
         self.clock = asyncio.get_running_loop().time
         self.handler, self.reader, self.path_handler = (
             handler,
@@ -929,30 +976,36 @@
         self._drained_at = 0.0
         self.open_ids = set[bytes]()
         self._max = max_connections
-        self.connections_with_data = 0  # connections that have sent something
+        self.connections_with_data = 0  # open connections that have sent data
         self._sweep_at: asyncio.TimerHandle | None = None
         self.arrivals = ArrivalClock(now, SWEEP_INTERVAL)
-        self._clients = dict[_ClientConnection, None]()  # in the order of their coming
-        self._accepted = set[_ClientConnection]()  # accepted, and not begun yet
+        self._clients = dict[_ClientConnection, None]()  # in order of arrival
+        self._accepted = set[_ClientConnection]()  # accepted, but ``connection_made`` was not called yet
         self._listener: Listener | None = None
-        self.on_sweep: Callable[[], None] | None = None  # called by the sweep, five times a second
-        # Takes the descriptors of connections at rest to another process; None: there is none.
+        self.on_sweep: Callable[[], None] | None = None  # called by each sweep, five times a second
+        # Passes file descriptors of idle connections to another process; None if there is no such process.
         self.pass_descriptor: Callable[[int], bool] | None = None
         self.phase = Phase.TAKING
-        self.relay = Relay()  # the bound on large transfers: of the servers' side, where that is known
+        self.relay = (
+            Relay()
+        )  # bound on the memory of large transfers; replaced by that of the upstream if there is one
         self._all_closed = asyncio.Event()
 
     async def listen(self, host: str, port: int) -> tuple[str, int]:
-        """Take connections at an address from now on; the host and port that it is. Raises OSError."""
+        """Accept connections at an address; return the actual host and port.
+
+        Raises OSError if the address is not available.
+        """
         return self._serve(await open_listener(host, port, LISTEN_BACKLOG, self.create_connection, self))
 
     async def listen_shared(
         self, host: str, port: int, listener: socket.socket | None = None
     ) -> tuple[str, int]:
-        """Listen so that a successor may go on with the very same socket, or with ``listener``, a predecessor's.
+        """Listen on a socket that a successor can take over, or on ``listener``, the socket of a predecessor.
 
-        What waits in a listener's queue is reset where the last descriptor of it closes; here there is always one.
-        A successor that is handed nothing must be able to start beside a process that has stalled: the port is shared.
+        Connections in the accept queue are reset when the last descriptor of the listener closes; with a takeover one
+        always stays open. The port is shared, because a successor that receives no socket must be able to start beside
+        a process that has stalled. Raises OSError if the address is not available.
         """
         sock = bind(host, port, LISTEN_BACKLOG, share_port=True) if listener is None else listener
         shared_listener = SocketListener(sock, self.create_connection, self)
@@ -965,56 +1018,56 @@
         return listener.address
 
     def create_connection(self) -> asyncio.Protocol:
-        """The protocol of a connection that has been accepted."""
+        """Create the protocol of an accepted connection."""
         client = _ClientConnection(self)
         self._accepted.add(client)
         return client
 
     def duplicate_listener(self) -> int:
-        """A descriptor of the shared listener, the caller's own."""
+        """Return a duplicate file descriptor of the shared listener, which the caller has to close."""
         assert isinstance(self._listener, SocketListener)
         return os.dup(self._listener.sock.fileno())
 
     def pause(self) -> None:
-        """Take no connections for now: they wait in the kernel."""
+        """Stop accepting connections for now; they wait in the kernel."""
         if self._listener is not None:
             self._listener.pause()
 
     def resume(self) -> None:
-        """Take connections again."""
+        """Accept connections again."""
         if self._listener is not None:
             self._listener.resume()
 
     def set_handoff(self, pass_descriptor: Callable[[int], bool] | None) -> None:
-        """Connections at rest go to another process from now on, as descriptors; None: they stay."""
+        """Pass idle connections to another process from now on, as file descriptors; None ends that."""
         self.pass_descriptor = pass_descriptor
         self.hand_off()
 
     def hand_off(self) -> None:
-        """Pass on all connections that are at rest."""
+        """Pass all idle connections to the other process."""
         if self.pass_descriptor is not None:
             for client in list(self._clients):
                 client.hand_off()
 
     async def adopt_connection(self, sock: socket.socket) -> None:
-        """A connection that another process has passed on."""
+        """Serve a connection that another process has passed to this one."""
         sock.setblocking(False)
         try:
             await asyncio.get_running_loop().connect_accepted_socket(lambda: _ClientConnection(self), sock)
         except OSError as error:
-            log.warning("a connection that was passed on had ended: %s", error)
+            log.warning("a connection received from another process had already ended: %s", error)
             sock.close()
 
     @property
     def full(self) -> bool:
-        """Whether there are as many connections as there may be, with those that were accepted just now."""
+        """Whether the connection limit is reached, including connections that were only just accepted."""
         return len(self._clients) + len(self._accepted) >= self._max
 
     def make_room(self) -> bool:
-        """Close a connection that has nothing to lose; whether there was one.
+        """Evict an idle connection; return whether there was one.
 
-        One with bytes unread has sent a request, or sends on still: a reset might eat its answer. New connections wait
-        in the accept queue then.
+        A connection with unread bytes is kept, because it has sent a request or is still sending, and a reset might
+        destroy its response. New connections then wait in the accept queue.
         """
         ranked = [(rank, client) for client in self._clients if (rank := client.eviction_rank) is not None]
         first = (client for _, client in nsmallest(MAX_EVICTION_CANDIDATES, ranked, key=lambda each: each[0]))
@@ -1026,17 +1079,20 @@
         return True
 
     def add_connection(self, client: _ClientConnection) -> None:
-        """Count a connection. One that another process has passed on, and that finds no room, is closed."""
+        """Register a connection, or close it if it came from another process and the limit is reached."""
         if len(self._clients) >= self._max and not self.make_room():
-            log.warning("out of client connections")
+            log.warning("closing a client connection: the connection limit is reached")
             client.abort()
         self._accepted.discard(client)
         self._clients[client] = None
 
     def claim_request_id(self, request: ClientRequest, id: bytes) -> None:
-        """One that is open here belongs to another: answers and outcomes must not meet the wrong one."""
+        """Reserve a request id, so that responses and outcomes cannot be assigned to the wrong request.
+
+        Raises BadRequestError (409) if an open request has the id.
+        """
         if id in self.open_ids:
-            raise BadRequestError(409, "the request id is in use")
+            raise BadRequestError(409, "the request id belongs to an open request")
         self.open_ids.add(id)
         request.id = id
 
@@ -1060,28 +1116,28 @@
 
     @property
     def announces_close(self) -> bool:
-        """Whether answers say that their connection closes."""
+        """Whether responses announce that their connection closes."""
         return self.draining or self.connections_with_data > KEEP_ALIVE_SHARE * self._max
 
     def drain(self) -> None:
-        """From now on every answer says that its connection closes, and soon none is left that asks nothing."""
+        """Start a drain: every response closes its connection, and idle connections are closed soon after."""
         if not self.draining:
             self.draining, self._drained_at = True, self.clock()
 
     def activate(self) -> None:
-        """The end of a drain."""
+        """End a drain."""
         self.draining = False
 
     @property
     def idle_timeout(self) -> float:
-        """Seconds for which a connection may stay without a request."""
-        # Fronts go on sending new connections for a moment after they were told no; those that come are served.
+        """Seconds for which a connection may stay open without a request."""
+        # Load balancers keep sending new connections for a moment after the health check fails; those are served.
         drained = self.draining and self.clock() - self._drained_at > DRAIN_NOTICE_TIME
         return DRAIN_IDLE_TIMEOUT if drained else IDLE_TIMEOUT
 
     @property
     def closed(self) -> bool:
-        """Whether no new connections are taken any more."""
+        """Whether the shutdown has begun, so that no new connections are accepted."""
         return self.phase is not Phase.TAKING
 
     def _apply_leaving_table(self) -> None:
@@ -1090,7 +1146,7 @@
             client.leave(LEAVING[self.phase, client.place(now)])
 
     async def _stop_listening(self, deadline: float) -> None:
-        """Take what the machine has accepted, unless a successor does, and listen no longer."""
+        """Stop listening, after accepting what waits in the accept queue unless a successor will do so."""
         if self._listener is None:
             return
         if self.pass_descriptor is None:
@@ -1099,9 +1155,10 @@
             self._listener.close()
 
     async def close(self, grace: float) -> None:
-        """Stop listening, close what is idle, and wait ``grace`` seconds for the rest to be answered and closed.
+        """Stop listening, close idle connections, and wait up to ``grace`` seconds until the others have ended.
 
-        The first call is for what was taken. The second is the last moment: what still comes is refused.
+        The first call lets accepted requests finish. The second call is for the last moment of the process: requests
+        that still arrive are rejected with 503.
         """
         deadline = self.clock() + grace
         if self.closed:
