--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -869,7 +869,7 @@
     def check(self, now: float, idle_timeout: float) -> None:
         """Close the connection if it is idle, and reject a request that arrives too slowly.
 
-        Both would hold a file descriptor and memory. ``patience`` is the idle timeout in seconds. After the loop was
+        Both would hold a file descriptor and memory. ``idle_timeout`` is in seconds. After the loop was
         blocked, this runs before sockets are read, so a connection with unread data does not count as idle.
         """
         age = now - self.last_active_at
--- a/cypresspulley/net/http.py
+++ b/cypresspulley/net/http.py
@@ -1,11 +1,11 @@
-"""What both sides of the limiter hold of HTTP: limits, headers and addresses."""
+"""HTTP limits, header lists and address parsing, shared by the client and server sides of the limiter."""
 
 from __future__ import annotations
 
 MAX_BODY_BYTES = 64 * 1024
 MAX_HEAD_BYTES = 32 * 1024
-# Headers that belong to one connection and are never passed on (RFC 9110, 7.6.1), and the framing,
-# which is made anew because the body is passed on whole.
+# Hop-by-hop headers, which are never forwarded (RFC 9110, 7.6.1), and the framing headers, which are generated again
+# because the body is forwarded as a whole.
 UNFORWARDED_HEADERS = frozenset(
     (
         b"connection", b"content-length", b"expect", b"keep-alive", b"proxy-authenticate",
@@ -15,7 +15,7 @@
 
 
 def split_address(text: str) -> tuple[str, int]:
-    """``host:port`` in parts; IPv6 hosts stand in brackets."""
+    """Split ``host:port``; an IPv6 host is in brackets. Raises ValueError if it is not an address."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isascii() or not port.isdigit() or int(port) > 65535:
         raise ValueError(f"not an address: {text!r:.60}")
@@ -23,6 +23,6 @@
 
 
 def join_address(address: tuple[str, int]) -> str:
-    """``split_address`` undone."""
+    """Return ``host:port`` for an address, with an IPv6 host in brackets."""
     host, port = address
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
