--- a/cypresspulley/net/arrival.py
+++ b/cypresspulley/net/arrival.py
@@ -1,9 +1,10 @@
-"""When the bytes that a read has brought came to this machine.
+"""Estimates how long the data of a read waited in the kernel.
 
-A loop that was held up reads late, and what it reads may have lain in the machine for as long as that. A request's
-time counts from its last byte, so deadlines and what servers are told hang on the answer. The socket knows when its
-last data came. It is asked behind a pause in which the loop may have been held up for longer than the slack of those
-times bears, until all that had come by then has been read: connections are accepted one a turn.
+When the event loop was blocked it reads late, and the data may have waited in the kernel for as long. A request's time
+counts from its last byte, so its deadline and the timeout that is sent to servers depend on this delay. The kernel
+records for each socket when its last data arrived. The sockets are queried after a pause in which the loop may have been
+blocked for longer than the tolerance of those times allows, and until all data that had arrived by then has been read:
+connections are accepted one per iteration of the loop, so that takes several iterations.
 """
 
 from __future__ import annotations
@@ -13,74 +14,79 @@
 import struct
 from collections.abc import Callable
 
-PAUSE = 0.1  # seconds without a sign of the loop, above which sockets are asked: servers may be told 0.15 s too much
-LATE = 0.02  # seconds by which a beat may be late, and for which data is young
-YOUNG_IN_A_ROW = 32  # sockets that were asked and told of young data, behind which no more are asked
-REQUEST_LINE_END = b" HTTP/1."  # what each request has once
-AFTER_HOLD = 0.1  # seconds behind a late beat in which what is read may have come before it
-# struct tcp_info (linux/tcp.h): tcpi_state, a byte at 0; tcpi_last_data_recv, milliseconds, 32 bits at 52.
+# Seconds without activity of the loop after which sockets are queried. Servers may be told up to 0.15 s too much.
+MAX_UNCHECKED_PAUSE = 0.1
+TIMER_TOLERANCE = 0.02  # seconds by which a heartbeat may be late, and up to which data counts as fresh
+FRESH_READS_UNTIL_SKIP = 32  # consecutive queries with fresh data after which sockets are no longer queried
+REQUEST_LINE_END = b" HTTP/1."  # occurs once in each request
+AFTER_STALL_WINDOW = (
+    0.1  # seconds after a late heartbeat in which reads may return data that arrived before it
+)
+# struct tcp_info (linux/tcp.h): tcpi_state is a byte at offset 0, tcpi_last_data_recv 32 bits at 52, milliseconds.
 TCP_INFO_SIZE = 56
-LAST_DATA_AT = 52
-CONNECTED = (1, 8)  # TCP_ESTABLISHED, TCP_CLOSE_WAIT
-LONGEST = 60.0  # seconds, more than any request may take: what a socket says beyond is no answer
+LAST_DATA_OFFSET = 52
+CONNECTED_STATES = (1, 8)  # TCP_ESTABLISHED, TCP_CLOSE_WAIT
+MAX_DATA_AGE = 60.0  # seconds; more than any request may take, so a larger value from the socket is not valid
 
 
-def since_last_data(transport: asyncio.BaseTransport) -> float | None:
-    """Seconds since a connection's last data came to the machine; None where the platform does not tell."""
+def seconds_since_last_data(transport: asyncio.BaseTransport) -> float | None:
+    """Return the seconds since a connection last received data; None if the platform does not tell."""
     try:
         info = transport.get_extra_info("socket").getsockopt(
             socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_SIZE
         )
     except (OSError, AttributeError):
         return None
-    if len(info) < TCP_INFO_SIZE or info[0] not in CONNECTED:
+    if len(info) < TCP_INFO_SIZE or info[0] not in CONNECTED_STATES:
         return None
-    seconds = struct.unpack_from("I", info, LAST_DATA_AT)[0] / 1000
-    return seconds if seconds <= LONGEST else None
+    seconds = struct.unpack_from("I", info, LAST_DATA_OFFSET)[0] / 1000
+    return seconds if seconds <= MAX_DATA_AGE else None
 
 
 class ArrivalClock:
-    """Tells how long ago the last byte of a read came, at the most that can be known."""
+    """Gives an upper bound of how long ago the last byte of a read arrived."""
 
-    def __init__(self, clock: Callable[[], float], beat: float) -> None:
-        """``beat``: seconds between two calls of ``beat`` while the loop is not held up."""
-        self._clock, self._beat = clock, beat
-        self._seen_at = self._beat_at = clock()  # the loop's last sign, and the last beat
-        self._young = 0  # sockets in a row that told of young data
-        self._held_from = self._held_until = float("-inf")
+    def __init__(self, clock: Callable[[], float], heartbeat_interval: float) -> None:
+        """Create a clock; ``record_heartbeat`` must be called every ``heartbeat_interval`` seconds."""
+        self._clock, self._heartbeat_interval = clock, heartbeat_interval
+        self._last_run_at = self._last_heartbeat_at = clock()  # the loop's last activity and heartbeat
+        self._fresh_reads = 0  # consecutive queries of sockets with fresh data
+        self._stalled_from = self._stalled_until = float("-inf")
 
     def record_heartbeat(self) -> None:
-        """Called by a timer: one that is late tells that the loop was held up."""
+        """Record a heartbeat from a timer; a late one shows that the loop was blocked."""
         now = self._clock()
         if self._overdue(now):
-            self._held_from, self._held_until, self._young = self._beat_at, now, 0
-        self._seen_at = self._beat_at = now
+            self._stalled_from, self._stalled_until, self._fresh_reads = self._last_heartbeat_at, now, 0
+        self._last_run_at = self._last_heartbeat_at = now
 
     def _overdue(self, now: float) -> bool:
-        return now - self._beat_at > self._beat + LATE
+        return now - self._last_heartbeat_at > self._heartbeat_interval + TIMER_TOLERANCE
 
     def data_age(self, transport: asyncio.BaseTransport, data: bytes) -> float:
-        """Seconds for which ``data``, read just now, may have lain in the machine, where that is over ``PAUSE``.
+        """Return for how many seconds ``data``, which was read just now, may have waited in the kernel.
 
-        Where requests stand behind one another in it, the socket knows only of the last one, and of the others no more
-        is known than that they came since the loop was held up.
+        Delays within ``MAX_UNCHECKED_PAUSE`` may be returned as 0. If ``data`` contains several requests, the socket
+        tells the time of the last one only; the others are known to have arrived since the loop became blocked.
         """
         now = self._clock()
-        if now - self._seen_at > PAUSE:
-            self._young = 0
-        self._seen_at = now
-        if self._young >= YOUNG_IN_A_ROW:
+        if now - self._last_run_at > MAX_UNCHECKED_PAUSE:
+            self._fresh_reads = 0
+        self._last_run_at = now
+        if self._fresh_reads >= FRESH_READS_UNTIL_SKIP:
             return 0.0
-        age = since_last_data(transport)
-        self._young = self._young + 1 if (age or 0.0) <= LATE else 0
+        age = seconds_since_last_data(transport)
+        self._fresh_reads = self._fresh_reads + 1 if (age or 0.0) <= TIMER_TOLERANCE else 0
         if age is None or data.count(REQUEST_LINE_END) > 1:
-            return max(age or 0.0, self._since_held_up())
+            return max(age or 0.0, self._seconds_since_stall())
         return age
 
-    def _since_held_up(self) -> float:
-        """Seconds since the loop was held up last, where that was a moment ago; else 0. A turn may read before its
-        timers run: then the beat is overdue."""
+    def _seconds_since_stall(self) -> float:
+        """Return the seconds since the loop became blocked, or 0 if it has been running for ``AFTER_STALL_WINDOW``.
+
+        An iteration of the loop may read before its timers run; the heartbeat is overdue then.
+        """
         now = self._clock()
         if self._overdue(now):
-            return now - self._beat_at
-        return now - self._held_from if now - self._held_until <= AFTER_HOLD else 0.0
+            return now - self._last_heartbeat_at
+        return now - self._stalled_from if now - self._stalled_until <= AFTER_STALL_WINDOW else 0.0
--- a/cypresspulley/net/requests.py
+++ b/cypresspulley/net/requests.py
@@ -70,7 +70,7 @@
     def retune(self, settings: api.Settings) -> None:
         """Apply new settings.
 
-        Classes and plans that the new settings drop remain valid for a moment, until clients have learned of the change.
+        Classes and plans that the new settings drop remain valid for a moment, until clients know the new settings.
         """
         self._classes.change(self._clock(), settings)
         self._plans.change(self._clock(), settings)
--- a/tests/test_arrival.py
+++ b/tests/test_arrival.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from cypresspulley.net.arrival import YOUNG_IN_A_ROW, ArrivalClock
+from cypresspulley.net.arrival import FRESH_READS_UNTIL_SKIP, ArrivalClock
 from tests.loopback import ask, listening, run
 from tests.test_program import config, started
 
@@ -86,7 +86,9 @@
     async def main() -> None:
         loop, asked = asyncio.get_running_loop(), list[float]()
         with closing(socket.create_server(("127.0.0.1", 0))) as listener:
-            peers = [socket.create_connection(listener.getsockname()) for _ in range(YOUNG_IN_A_ROW + 8)]
+            peers = [
+                socket.create_connection(listener.getsockname()) for _ in range(FRESH_READS_UNTIL_SKIP + 8)
+            ]
             for peer in peers:
                 peer.send(b"x")
             transports = []
@@ -99,18 +101,18 @@
             for transport in transports:
                 assert 0.15 <= arrivals.data_age(transport, b"") < 1.0
                 await asyncio.sleep(0)
-            for at in range(2 * YOUNG_IN_A_ROW):
+            for at in range(2 * FRESH_READS_UNTIL_SKIP):
                 peers[0].send(b"x")
                 asked.append(arrivals.data_age(transports[0], b""))
-                assert arrivals._young == min(at + 1, YOUNG_IN_A_ROW)
+                assert arrivals._fresh_reads == min(at + 1, FRESH_READS_UNTIL_SKIP)
             assert max(asked) <= 0.02
             assert arrivals.data_age(transports[1], b"") == 0.0
             time.sleep(0.11)  # a pause without a sign of the loop, between two beats
             assert arrivals.data_age(transports[1], b"") > 0.15
-            for _ in range(2 * YOUNG_IN_A_ROW):
+            for _ in range(2 * FRESH_READS_UNTIL_SKIP):
                 peers[0].send(b"x")
                 arrivals.data_age(transports[0], b"")
-            arrivals._beat_at -= 0.3
+            arrivals._last_heartbeat_at -= 0.3
             arrivals.record_heartbeat()  # late: the loop was held up
             assert arrivals.data_age(transports[1], b"") > 0.15
             for peer, transport in zip(peers, transports, strict=True):
