--- a/cypresspulley/net/arrival.py
+++ b/cypresspulley/net/arrival.py
@@ -2,9 +2,9 @@
 
 When the event loop was blocked it reads late, and the data may have waited in the kernel for as long. A request's time
 counts from its last byte, so its deadline and the timeout that is sent to servers depend on this delay. The kernel
-records for each socket when its last data arrived. The sockets are queried after a pause in which the loop may have been
-blocked for longer than the tolerance of those times allows, and until all data that had arrived by then has been read:
-connections are accepted one per iteration of the loop, so that takes several iterations.
+records for each socket when its last data arrived. The sockets are queried after a pause in which the loop may have
+been blocked for longer than the tolerance of those times allows, and until all data that had arrived by then has been
+read: connections are accepted one per iteration of the loop, so that takes several iterations.
 """
 
 from __future__ import annotations
@@ -19,9 +19,7 @@
 TIMER_TOLERANCE = 0.02  # seconds by which a heartbeat may be late, and up to which data counts as fresh
 FRESH_READS_UNTIL_SKIP = 32  # consecutive queries with fresh data after which sockets are no longer queried
 REQUEST_LINE_END = b" HTTP/1."  # occurs once in each request
-AFTER_STALL_WINDOW = (
-    0.1  # seconds after a late heartbeat in which reads may return data that arrived before it
-)
+AFTER_STALL_WINDOW = 0.1  # seconds after a late heartbeat in which reads may return data from before it
 # struct tcp_info (linux/tcp.h): tcpi_state is a byte at offset 0, tcpi_last_data_recv 32 bits at 52, milliseconds.
 TCP_INFO_SIZE = 56
 LAST_DATA_OFFSET = 52
@@ -61,6 +59,7 @@
         self._last_run_at = self._last_heartbeat_at = now
 
     def _overdue(self, now: float) -> bool:
+        """Whether the heartbeat is late at ``now``."""
         return now - self._last_heartbeat_at > self._heartbeat_interval + TIMER_TOLERANCE
 
     def data_age(self, transport: asyncio.BaseTransport, data: bytes) -> float:
