--- a/cypresspulley/graphql/front.py
+++ b/cypresspulley/graphql/front.py
@@ -87,7 +87,7 @@
             retry_after,
         )
 
-    def answered(self, exchange: Exchange) -> None:
+    def process_response(self, exchange: Exchange) -> None:
         """Read a server's 200: its cost becomes units, and what is proved not to have run is no answer."""
         assert self.priced is not None
         points = self._options.points_per_unit
--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -103,7 +103,7 @@
         """Return status, headers, body and Retry-After (seconds) of a response that the limiter itself generates."""
         ...
 
-    def answered(self, exchange: Exchange) -> None:
+    def process_response(self, exchange: Exchange) -> None:
         """Process a server's 200. This may change the outcome of the exchange and set the units that it cost."""
         ...
 
--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -280,7 +280,7 @@
         opened = self._open.get(id)
         if opened is not None and opened.request.dialect is not None and attempt.status is api.Status.OK:
             try:
-                opened.request.dialect.answered(attempt)
+                opened.request.dialect.process_response(attempt)
             except Exception:
                 log.exception("an answer was passed on unread")
         self._attempted(id, number, attempt)
