--- a/cypresspulley/graphql/front.py
+++ b/cypresspulley/graphql/front.py
@@ -51,7 +51,7 @@
         self._options, self.media = options, RESPONSE
         self.priced: Priced | None = None
 
-    def error(
+    def format_error(
         self, status: int, retry_after: float | None, why: str, left: float
     ) -> tuple[int, bytes, bytes, float | None]:
         """Status, headers, body and ``Retry-After`` of an answer that is not a server's."""
--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -97,7 +97,7 @@
 class Dialect(Protocol):
     """Translates responses for a client that does not use the plain protocol."""
 
-    def error(
+    def format_error(
         self, status: int, retry_after: float | None, why: str, left: float
     ) -> tuple[int, bytes, bytes, float | None]:
         """Return status, headers, body and Retry-After (seconds) of a response that the limiter itself generates."""
@@ -170,7 +170,7 @@
         a response already.
         """
         if self.dialect is not None and status != 200:
-            status, headers, body, retry_after = self.dialect.error(status, retry_after, why, left)
+            status, headers, body, retry_after = self.dialect.format_error(status, retry_after, why, left)
         self.send_response(status, headers, body, retry_after)
 
     def reject(self, status: int) -> None:
