--- a/cypresspulley/graphql/front.py
+++ b/cypresspulley/graphql/front.py
@@ -52,7 +52,7 @@
         self.priced: Priced | None = None
 
     def format_error(
-        self, status: int, retry_after: float | None, why: str, left: float
+        self, status: int, retry_after: float | None, why: str, units_left: float
     ) -> tuple[int, bytes, bytes, float | None]:
         """Status, headers, body and ``Retry-After`` of an answer that is not a server's."""
         code = Code.TOO_DEAR if why == "too dear" else CODES.get(status, Code.BAD_REQUEST)
@@ -62,8 +62,8 @@
         if self.priced is not None:
             price = self.priced.price
             extensions["cost"] = {"expected": round(price.expected, 3), "bound": round(price.bound, 3)}
-            if code is Code.REFUSED and left >= 0:
-                extensions["left"] = round(left * self._options.points_per_unit, 3)
+            if code is Code.REFUSED and units_left >= 0:
+                extensions["left"] = round(units_left * self._options.points_per_unit, 3)
         if retry_after is not None:
             extensions["retryAfter"] = round(retry_after, 3)
         return self._answer(
--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -98,7 +98,7 @@
     """Translates responses for a client that does not use the plain protocol."""
 
     def format_error(
-        self, status: int, retry_after: float | None, why: str, left: float
+        self, status: int, retry_after: float | None, why: str, units_left: float
     ) -> tuple[int, bytes, bytes, float | None]:
         """Return status, headers, body and Retry-After (seconds) of a response that the limiter itself generates."""
         ...
@@ -162,7 +162,7 @@
 
     def respond(
         self, status: int, body: bytes = b"", headers: bytes = b"", retry_after: float | None = None,
-        why: str = "", left: float = -1.0,
+        why: str = "", units_left: float = -1.0,
     ) -> None:  # fmt: skip
         """Set the final response, which the connection writes after those of earlier requests.
 
@@ -170,7 +170,9 @@
         a response already.
         """
         if self.dialect is not None and status != 200:
-            status, headers, body, retry_after = self.dialect.format_error(status, retry_after, why, left)
+            status, headers, body, retry_after = self.dialect.format_error(
+                status, retry_after, why, units_left
+            )
         self.send_response(status, headers, body, retry_after)
 
     def reject(self, status: int) -> None:
@@ -911,9 +913,9 @@
         """Reset the connection if the client has read nothing of its responses for ``READER`` seconds."""
         transport = self._transport or self._lingering
         assert transport is not None
-        left = transport.get_write_buffer_size()
-        if left != self._progress:
-            self._progress, self._progress_at = left, now
+        units_left = transport.get_write_buffer_size()
+        if units_left != self._progress:
+            self._progress, self._progress_at = units_left, now
         elif now - self._progress_at > READER:
             log.warning("client has read nothing of its response for %g s; resetting the connection", READER)
             self._reset_connection()
--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -298,7 +298,7 @@
     def _refuse(self, action: api.Refuse) -> None:
         if (opened := self._close(action.id)) is not None:
             wait = max(0.0, action.retry_after)
-            opened.request.respond(429, retry_after=wait, why=action.why, left=action.left)
+            opened.request.respond(429, retry_after=wait, why=action.why, units_left=action.left)
 
     def _fail(self, action: api.Fail) -> None:
         if (opened := self._close(action.id)) is not None:
