--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -1105,7 +1105,7 @@
             self.on_sweep()
         now, idle_timeout = self.clock(), self.idle_timeout
         self.hand_off()
-        if self.closed:
+        if self.is_shutting_down:
             self._apply_leaving_table()
         for client in list(self._clients):
             client.check(now, idle_timeout)
@@ -1138,7 +1138,7 @@
         return DRAIN_IDLE_TIMEOUT if drained else IDLE_TIMEOUT
 
     @property
-    def closed(self) -> bool:
+    def is_shutting_down(self) -> bool:
         """Whether the shutdown has begun, so that no new connections are accepted."""
         return self.phase is not Phase.TAKING
 
@@ -1163,7 +1163,7 @@
         that still arrive are rejected with 503.
         """
         deadline = self.clock() + grace
-        if self.closed:
+        if self.is_shutting_down:
             self.phase = Phase.LAST
             self.reader = ShutdownRequestReader(self._settings, self.clock)
         else:
--- a/cypresspulley/service.py
+++ b/cypresspulley/service.py
@@ -222,7 +222,7 @@
     def resume(self) -> None:
         self.life.step(Step.BACK)
         self._heed()
-        if self._frontend is not None and not self._frontend.closed:
+        if self._frontend is not None and not self._frontend.is_shutting_down:
             self._frontend.resume()
 
     def _later(self, work: Coroutine[Any, Any, Any]) -> None:
