--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -861,7 +861,7 @@
                 )
         self.abort()
 
-    def leave(self, do: Do) -> None:
+    def apply_shutdown_action(self, do: Do) -> None:
         """Apply an action of the shutdown table to this connection."""
         if do is Do.HALF_CLOSE:
             self._close()
@@ -1145,7 +1145,7 @@
     def _apply_leaving_table(self) -> None:
         now = self.clock()
         for client in list(self._clients):
-            client.leave(LEAVING[self.phase, client.place(now)])
+            client.apply_shutdown_action(LEAVING[self.phase, client.place(now)])
 
     async def _stop_listening(self, deadline: float) -> None:
         """Stop listening, after accepting what waits in the accept queue unless a successor will do so."""
--- a/tests/test_endings_leaving.py
+++ b/tests/test_endings_leaving.py
@@ -87,14 +87,14 @@
                 await peer.until(b"\r\n\r\n")
                 limiter.frontend.draining = True
             assert client._transport is not None
-            leave = _ClientConnection.leave
+            leave = _ClientConnection.apply_shutdown_action
 
             def crossed(self: _ClientConnection, do: object) -> None:
                 peers.append(peer)
                 peer.send(ask())
                 leave(self, do)  # type: ignore[arg-type]
 
-            monkeypatch.setattr(_ClientConnection, "leave", crossed)
+            monkeypatch.setattr(_ClientConnection, "apply_shutdown_action", crossed)
             closing = asyncio.create_task(limiter.frontend.close(10))
             assert await peer.end() == [429] * kept
             await until(lambda: order)
