--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -166,7 +166,7 @@
     ) -> None:  # fmt: skip
         """Set the final response, which the connection writes after those of earlier requests.
 
-        ``retry_after`` is in seconds; ``why`` and ``left`` are passed to the dialect. Raises RuntimeError if there is
+        ``retry_after`` is in seconds; ``why`` and ``units_left`` are passed to the dialect. Raises RuntimeError if there is
         a response already.
         """
         if self.dialect is not None and status != 200:
@@ -243,7 +243,7 @@
     path: str
     headers: frozenset[bytes]  # lower-case names of headers that it reads in addition to the protocol's
 
-    def handle_request(self, request: ClientRequest, came: ParsedRequest) -> None:
+    def handle_request(self, request: ClientRequest, parsed: ParsedRequest) -> None:
         """Respond to the request or submit it. Raises BadRequestError if it is invalid."""
         ...
 
@@ -526,8 +526,8 @@
 
     def _send_continue(self) -> None:
         """Send 100 Continue to a client that waits for it, once all earlier responses have been written."""
-        first = not self._pending or (self._upload is not None and self._pending[0].upload is self._upload)
-        if self._receiving and first and not self._rejected and self._transport is not None:
+        is_next = not self._pending or (self._upload is not None and self._pending[0].upload is self._upload)
+        if self._receiving and is_next and not self._rejected and self._transport is not None:
             self._expects = False
             if self._parser.get_http_version() != "1.0":
                 self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -626,8 +626,8 @@
             raise BadRequestError(400, "a GET request has a body")
         if path_handler is not None and target.partition("?")[0] == path_handler.path:
             query = target.partition("?")[2]
-            came = ParsedRequest(self.frontend, method, self._target, query, self._fields, self._head)
-            return path_handler.handle_request(request, came)
+            parsed = ParsedRequest(self.frontend, method, self._target, query, self._fields, self._head)
+            return path_handler.handle_request(request, parsed)
         event = self.frontend.reader.read(method, target, self._fields)
         self.frontend.claim_request_id(request, self._fields[REQUEST_ID_HEADER].lower())
         request.event = event
@@ -783,15 +783,15 @@
         is read on up to its bound, because its data is discarded.
         """
         if self._rejected:
-            stop = self._discarded > self._linger_max_bytes
+            must_pause = self._discarded > self._linger_max_bytes
         else:
-            stop = self._writing_paused or len(self._pending) >= MAX_PIPELINED_REQUESTS
-            stop = stop or (self._upload is not None and self._upload.held)
+            must_pause = self._writing_paused or len(self._pending) >= MAX_PIPELINED_REQUESTS
+            must_pause = must_pause or (self._upload is not None and self._upload.held)
         transport = self._transport or self._lingering
-        if transport is None or transport.is_closing() or stop is self._reading_paused:
+        if transport is None or transport.is_closing() or must_pause is self._reading_paused:
             return
-        self._reading_paused = stop
-        if stop:
+        self._reading_paused = must_pause
+        if must_pause:
             transport.pause_reading()
         else:
             transport.resume_reading()
@@ -861,14 +861,14 @@
                 )
         self.abort()
 
-    def apply_shutdown_action(self, do: Do) -> None:
+    def apply_shutdown_action(self, action: Do) -> None:
         """Apply an action of the shutdown table to this connection."""
-        if do is Do.HALF_CLOSE:
+        if action is Do.HALF_CLOSE:
             self._close()
-        elif do is Do.REFUSE:
+        elif action is Do.REFUSE:
             self._reject(503)
 
-    def check(self, now: float, idle_timeout: float) -> None:
+    def check_timeouts(self, now: float, idle_timeout: float) -> None:
         """Close the connection if it is idle, and reject a request that arrives too slowly.
 
         Both would hold a file descriptor and memory. ``idle_timeout`` is in seconds. After the loop was
@@ -913,9 +913,9 @@
         """Reset the connection if the client has read nothing of its responses for ``READER`` seconds."""
         transport = self._transport or self._lingering
         assert transport is not None
-        units_left = transport.get_write_buffer_size()
-        if units_left != self._progress:
-            self._progress, self._progress_at = units_left, now
+        unwritten = transport.get_write_buffer_size()
+        if unwritten != self._progress:
+            self._progress, self._progress_at = unwritten, now
         elif now - self._progress_at > READER:
             log.warning("client has read nothing of its response for %g s; resetting the connection", READER)
             self._reset_connection()
@@ -1072,12 +1072,14 @@
         destroy its response. New connections then wait in the accept queue.
         """
         ranked = [(rank, client) for client in self._clients if (rank := client.eviction_rank) is not None]
-        first = (client for _, client in nsmallest(MAX_EVICTION_CANDIDATES, ranked, key=lambda each: each[0]))
-        victim = next((client for client in first if not client.has_unread_data), None)
-        if victim is None:
+        candidates = (
+            client for _, client in nsmallest(MAX_EVICTION_CANDIDATES, ranked, key=lambda each: each[0])
+        )
+        evicted = next((client for client in candidates if not client.has_unread_data), None)
+        if evicted is None:
             return False
-        self._clients.pop(victim)
-        victim.abort()
+        self._clients.pop(evicted)
+        evicted.abort()
         return True
 
     def add_connection(self, client: _ClientConnection) -> None:
@@ -1108,7 +1110,7 @@
         if self.is_shutting_down:
             self._apply_leaving_table()
         for client in list(self._clients):
-            client.check(now, idle_timeout)
+            client.check_timeouts(now, idle_timeout)
 
     def remove_connection(self, client: _ClientConnection) -> None:
         self._clients.pop(client, None)
