--- a/tests/closing/test_node.py
+++ b/tests/closing/test_node.py
@@ -31,11 +31,11 @@
     Script,
     Talk,
     ask,
+    forward,
     listening,
     listing,
     read_message,
     run,
-    send_on,
 )
 from tests.test_door import call, opened
 
@@ -52,7 +52,7 @@
             stand_in.options, View(stand_in, 1), clock, lambda: self.now, self.history, named=1
         )
         self.closing.start()
-        self.script = Script(send_on)
+        self.script = Script(forward)
         self.upstream = Upstream(clock, dial_timeout=0.25, conn_idle=30.0, max_connections=64)
         kind = self.closing.node(Node if file is None else LoggedNode)
         arguments: list[Any] = [SETTINGS, self.script, clock, self.upstream, None]
--- a/tests/graphql/test_front.py
+++ b/tests/graphql/test_front.py
@@ -20,7 +20,7 @@
 from cypresspulley.net.frontend import Frontend
 from cypresspulley.net.node import UnixClock
 from cypresspulley.rehearsal.standins.graphql import OPERATORS, SCHEMA, abuses
-from tests.loopback import SETTINGS, Limiter, Origin, Script, ask, listening, read_message, run, send_on
+from tests.loopback import SETTINGS, Limiter, Origin, Script, ask, forward, listening, read_message, run
 
 LOOK, GIVE = "{bag(id:1){id}}", 'mutation{handover(bag:1,to:"x"){id}}'
 LONG = "{bag(id:1){" + " ".join(f"a{n}:floor{{id}}" for n in range(25)) + "}}"
@@ -63,7 +63,7 @@
     script: Script | None = None, **changes: Any,
 ) -> None:  # fmt: skip
     async def main() -> None:
-        origin, decisions = Origin(reply or (lambda _n: answer_of())), script or Script(send_on)
+        origin, decisions = Origin(reply or (lambda _n: answer_of())), script or Script(forward)
         async with (
             listening(origin.talk) as dial,
             GraphQLLimiter(decisions, {"s1": dial}, **changes) as limiter,
@@ -264,9 +264,9 @@
 
 def test_plain_requests_are_as_before_and_graphql_is_not_there_when_off() -> None:
     async def main() -> None:
-        async with listening(Origin().talk) as dial, GraphQLLimiter(Script(send_on), {"s1": dial}) as on:
+        async with listening(Origin().talk) as dial, GraphQLLimiter(Script(forward), {"s1": dial}) as on:
             assert (await on.fetch(ask()))[2] == b"hi"
-        async with listening(Origin().talk) as dial, Limiter(Script(send_on), {"s1": dial}) as off:
+        async with listening(Origin().talk) as dial, Limiter(Script(forward), {"s1": dial}) as off:
             assert " 404 " in (await off.fetch(post({"query": LOOK}, X_Priority_Class="graphql")))[0]
 
     run(main())
@@ -325,7 +325,7 @@
         origin = Origin(lambda _n: answer_of())
         async with listening(origin.talk) as dial:
             for account in ("00000000b4d65521", "00000000b4d65521", "00000000b4d65522"):
-                limiter = GraphQLLimiter(Script(send_on), {"s1": dial})
+                limiter = GraphQLLimiter(Script(forward), {"s1": dial})
                 chosen = options(keyed="weigh")
                 front = GraphQLFront(settings, chosen, load_documents(chosen), UnixClock())
                 limiter.frontend = Frontend(limiter.node, settings, 64, front)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -137,7 +137,7 @@
         return found
 
 
-def send_on(event: api.Event) -> list[api.Action]:
+def forward(event: api.Event) -> list[api.Action]:
     """Passes each request to ``s1`` and refuses what does not come back served."""
     if isinstance(event, api.Request):
         return [api.Send(event.id, "s1", event.ttl)]
--- a/tests/test_dial_errors.py
+++ b/tests/test_dial_errors.py
@@ -7,7 +7,7 @@
 import os
 
 from cypresspulley import interface as api
-from tests.loopback import Limiter, Script, ask, run, send_on
+from tests.loopback import Limiter, Script, ask, forward, run
 from tests.test_endings_clients import Peer
 
 OWN = (
@@ -24,7 +24,7 @@
 
 async def outcome_of(error: int) -> api.Status:
     """What the decisions are told of an attempt whose dial fails so."""
-    script = Script(send_on)
+    script = Script(forward)
     async with Limiter(script, {"s1": "127.0.0.1:1"}) as limiter:
         loop = asyncio.get_running_loop()
 
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -17,7 +17,7 @@
 from cypresspulley import interface as api
 from cypresspulley.net import frontend
 from cypresspulley.net.frontend import MAX_PIPELINED_REQUESTS, _ClientConnection
-from tests.loopback import Limiter, Origin, Script, ask, listening, run, send_on
+from tests.loopback import Limiter, Origin, Script, ask, forward, listening, run
 
 POST = "/post?account=00000000b4d65521"
 LARGE = 12_000_000  # bytes of an answer: more than both sides' kernels hold
@@ -282,7 +282,7 @@
     monkeypatch.setattr(frontend, "LINGER_TIMEOUT", 0.02)
 
     async def main() -> None:
-        origin, script = Origin(lambda _n: MIDDLE), Script(send_on)
+        origin, script = Origin(lambda _n: MIDDLE), Script(forward)
         async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             peer = Peer(limiter, receive=4096)
             sent = await clog(limiter, script, peer)
@@ -309,7 +309,7 @@
     monkeypatch.setattr(frontend, "READER", 0.1)
 
     async def main() -> None:
-        origin, script = Origin(lambda _n: MIDDLE), Script(send_on)
+        origin, script = Origin(lambda _n: MIDDLE), Script(forward)
         async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             peer = Peer(limiter, receive=4096)
             await clog(limiter, script, peer)
@@ -331,7 +331,7 @@
 @pytest.mark.parametrize("lingers", [True, False])
 def test_who_still_takes_its_answer_makes_room_last(lingers: bool) -> None:
     async def main() -> None:
-        origin, script = Origin(lambda _n: MIDDLE), Script(send_on)
+        origin, script = Origin(lambda _n: MIDDLE), Script(forward)
         async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             taker = Peer(limiter, receive=4096)
             sent = await clog(limiter, script, taker)
@@ -492,7 +492,7 @@
     """The same where the next request has been read."""
 
     def first(event: api.Event) -> list[api.Action]:
-        return send_on(event) if sum(isinstance(e, api.Request) for e in script.events) == 1 else []
+        return forward(event) if sum(isinstance(e, api.Request) for e in script.events) == 1 else []
 
     script.answer = first
     peer = Peer(limiter, receive=65536)
@@ -525,7 +525,7 @@
     paused: Callable[[Limiter, Script], object], leaves: Ends, drained: bool
 ) -> None:
     async def main() -> None:
-        origin, script = Origin(lambda _n: answer(LARGE)), Script(send_on)
+        origin, script = Origin(lambda _n: answer(LARGE)), Script(forward)
         async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             peer = await paused(limiter, script)  # type: ignore[misc]
             await turns(20)
--- a/tests/test_endings_gone.py
+++ b/tests/test_endings_gone.py
@@ -18,7 +18,7 @@
 from cypresspulley.net.frontend import MAX_PIPELINED_REQUESTS
 from cypresspulley.net.http import split_address
 from cypresspulley.net.upstream import _Connection
-from tests.loopback import OK, Limiter, Origin, Script, ask, listening, run, send_on
+from tests.loopback import OK, Limiter, Origin, Script, ask, forward, listening, run
 from tests.test_endings_clients import POST, Ends, Peer, turns, until
 
 FULL = b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
@@ -30,7 +30,7 @@
     """Sends each request on, and once more where that does not serve it."""
     if isinstance(event, api.Outcome) and not event.finished and event.attempt == 0:
         return [api.Send(event.id, "s1", 5.0)]
-    return send_on(event)
+    return forward(event)
 
 
 class Server:
@@ -113,7 +113,7 @@
     """In the accept queue, or unread on a connection: the request is read before the end."""
 
     async def main() -> None:
-        server, script = Server(), Script(send_on)
+        server, script = Server(), Script(forward)
         async with Limiter(script, {"s1": server.dial}) as limiter:
             await warm(limiter, server)
             if not poll:
@@ -237,7 +237,7 @@
             return [api.Count(7, 1.0, 1.0)]
         if isinstance(event, api.Counted):
             return [api.Send(asked[-1], "s1", 5.0)]
-        return send_on(event)
+        return forward(event)
 
     asked = list[int]()
 
@@ -269,7 +269,7 @@
     """The other order: ``test_nothing_is_sent_for_a_client_that_left_while_its_dial_waited``."""
 
     async def main() -> None:
-        server, script = Server(), Script(send_on)
+        server, script = Server(), Script(forward)
         async with Limiter(script, {"s1": server.dial}) as limiter:
             peer = Peer(limiter)
             made = _Connection.connection_made
@@ -294,7 +294,7 @@
     """An attempt counts from its last byte."""
 
     async def main() -> None:
-        server, script = Server(), Script(send_on)
+        server, script = Server(), Script(forward)
         async with Limiter(script, {"s1": server.dial}) as limiter:
             peer, size = Peer(limiter), 100_000
             request = ask(POST, b"x" * size)
--- a/tests/test_endings_leaving.py
+++ b/tests/test_endings_leaving.py
@@ -18,7 +18,7 @@
 from cypresspulley.net import frontend
 from cypresspulley.net import upstream as net_upstream
 from cypresspulley.net.frontend import LINGER_MAX_BYTES, MAX_PIPELINED_REQUESTS, _ClientConnection
-from tests.loopback import Limiter, Origin, Script, ask, listening, read_message, run, send_on
+from tests.loopback import Limiter, Origin, Script, ask, forward, listening, read_message, run
 from tests.test_endings_clients import Peer, arrivals, brisk, refuse, silent, the_one, turns, until
 from tests.test_program import config, started
 
@@ -250,7 +250,7 @@
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n")
             await broken.wait()
 
-        script = Script(send_on)
+        script = Script(forward)
         async with listening(talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             peer = Peer(limiter)
             peer.send(ask("/lookup?account=00000000b4d65521&y=1") + ask())
@@ -281,7 +281,7 @@
                 id = headers["x-request-id"].encode()
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(id), id))
 
-        script = Script(send_on)
+        script = Script(forward)
         async with listening(talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             peer, ids = Peer(limiter), [f"{n:016x}" for n in range(500)]
             peer.send(b"".join(ask(X_Request_ID=id) for id in ids))
@@ -326,7 +326,7 @@
 ) -> None:
     async def main() -> None:
         origin = Origin(lambda _n: None)
-        script = Script(send_on)
+        script = Script(forward)
         async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             other = Peer(limiter)
             other.send(ask(ttl=60_000))
@@ -412,7 +412,7 @@
         async def mute(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
             await reader.read()
 
-        script = Script(send_on)
+        script = Script(forward)
         async with (
             listening(Origin().talk) as dial,
             listening(mute) as other,
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -8,7 +8,7 @@
 
 from cypresspulley import interface as api
 from cypresspulley.net import frontend, upstream
-from tests.loopback import Limiter, Origin, Script, ask, listening, read_message, run, send_on
+from tests.loopback import Limiter, Origin, Script, ask, forward, listening, read_message, run
 
 POST = ask("/post?account=00000000b4d65521", b"xy")
 
@@ -22,7 +22,7 @@
         body = bytes(range(256)) * 256  # all of the 64 KiB that a body may have
         reply = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nContent-Type: a/b\r\n\r\n" % len(body) + body
         origin = Origin(lambda _n: reply)
-        async with listening(origin.talk) as dial, Limiter(Script(send_on), {"s1": dial}) as limiter:
+        async with listening(origin.talk) as dial, Limiter(Script(forward), {"s1": dial}) as limiter:
             path = "/post?x=%20y&account=00000000b4d65521"
             status, headers, answer = await limiter.fetch(
                 ask(path, body, X_Priority_Class="post", X_Request_ID="9b1f03aa5c7e2d41")
@@ -39,7 +39,7 @@
 def test_a_large_body_may_come_in_pieces() -> None:
     async def main() -> None:
         origin, body = Origin(), b"x" * 60_000
-        async with listening(origin.talk) as dial, Limiter(Script(send_on), {"s1": dial}) as limiter:
+        async with listening(origin.talk) as dial, Limiter(Script(forward), {"s1": dial}) as limiter:
             reader, writer = await limiter.connect()
             request = ask("/post?account=00000000b4d65521", body)
             for at in range(0, len(request), 4096):
@@ -183,7 +183,7 @@
 
 def test_a_client_that_leaves_cancels_its_attempt() -> None:
     async def main() -> None:
-        origin, script = Origin(lambda _n: None), Script(send_on)
+        origin, script = Origin(lambda _n: None), Script(forward)
         async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             _, writer = await limiter.connect()
             writer.write(ask())
@@ -247,7 +247,7 @@
 
     async def main() -> None:
         large = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60_000
-        origin, script = Origin(lambda _n: large), Script(send_on)
+        origin, script = Origin(lambda _n: large), Script(forward)
         async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             reader, writer = await limiter.connect()
             writer.transport.pause_reading()  # type: ignore[attr-defined]
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -18,11 +18,11 @@
     Origin,
     Script,
     ask,
+    forward,
     listening,
     listing,
     read_message,
     run,
-    send_on,
 )
 
 
@@ -32,7 +32,7 @@
 
 def test_the_known_list_comes_first_and_is_whole() -> None:
     async def main() -> None:
-        script = Script(send_on)
+        script = Script(forward)
         async with Limiter(script, {"s1": "127.0.0.1:1"}):
             assert isinstance(script.events[0], api.ServerList) and script.events[0].complete
 
@@ -41,7 +41,7 @@
 
 def test_a_served_request_ends_with_its_outcome() -> None:
     async def main() -> None:
-        script = Script(send_on)
+        script = Script(forward)
         async with listening(Origin().talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             assert (await limiter.fetch(ask()))[2] == b"hi"
             (outcome,) = await script.until(api.Outcome)
@@ -70,7 +70,7 @@
         def long_wait(event: api.Event) -> list[api.Action]:
             if isinstance(event, api.Request):
                 return [api.Send(event.id, "s1", 60.0)]
-            return send_on(event)
+            return forward(event)
 
         script = Script(long_wait)
         async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
@@ -146,7 +146,7 @@
         def broken(event: api.Event) -> list[api.Action]:
             if isinstance(event, api.Request) and event.request_class == "post":
                 raise ZeroDivisionError
-            return send_on(event)
+            return forward(event)
 
         script = Script(broken)
         async with listening(Origin().talk) as dial, Limiter(script, {"s1": dial}) as limiter:
@@ -178,7 +178,7 @@
 @pytest.mark.parametrize("whole", [True, False])
 def test_a_drain_stops_sends_even_if_the_decisions_go_on(whole: bool) -> None:
     async def main() -> None:
-        origin, script = Origin(), Script(send_on)
+        origin, script = Origin(), Script(forward)
         async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             assert " 200 " in (await limiter.fetch(ask()))[0]
             told = listing({} if whole else {"s1": dial}, api.Health.DRAINING, whole)
@@ -229,7 +229,7 @@
 
 def test_what_is_open_when_the_process_ends_is_failed_and_not_lost() -> None:
     async def main() -> None:
-        origin, script = Origin(lambda _n: None), Script(send_on)
+        origin, script = Origin(lambda _n: None), Script(forward)
         async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             reader, writer = await limiter.connect()
             writer.write(ask())
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -18,7 +18,7 @@
 from cypresspulley.policy.account import Account
 from cypresspulley.policy.usage import HEARD_AT_MOST, UsageBroadcast
 from tests import world as w
-from tests.loopback import Limiter, Origin, Script, ask, listening, run, send_on
+from tests.loopback import Limiter, Origin, Script, ask, forward, listening, run
 from tests.test_program import config
 
 PLAN = api.Plan("small", rate=2.0, burst=8.0, over_cost=0.5)
@@ -251,7 +251,7 @@
 ) -> None:
     async def main() -> None:
         origin = Origin(lambda _n: b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n%b\r\nhi" % headers)
-        script = Script(send_on)
+        script = Script(forward)
         async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             assert (await limiter.fetch(ask()))[2] == b"hi"
             (outcome,) = await script.until(api.Outcome)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -28,7 +28,7 @@
 )
 from cypresspulley.policy.gateway import Gateway
 from tests import world as w
-from tests.loopback import OK, SETTINGS, Limiter, Script, ask, listening, read_message, run, send_on
+from tests.loopback import OK, SETTINGS, Limiter, Script, ask, forward, listening, read_message, run
 
 POST = "/post?account=00000000b4d65521"
 LARGE = Random(4).randbytes(3_000_000)
@@ -181,7 +181,7 @@
 def test_large_answers_of_every_form_come_whole(form: str, version: str) -> None:
     async def main() -> None:
         answer, close = HEADS[form]
-        script = Script(send_on)
+        script = Script(forward)
         async with listening(answering(answer, [], close)) as dial, Limiter(script, {"s1": dial}) as limiter:
             reader, writer = await limiter.connect()
             for _ in range(2 if version == "HTTP/1.1" else 1):  # and the connection serves again
@@ -211,7 +211,7 @@
 def test_small_answers_of_every_form_are_handed_over_whole(answer: bytes, close: bool) -> None:
     async def main() -> None:
         talk = answering(answer, [], close)
-        async with listening(talk) as dial, Limiter(Script(send_on), {"s1": dial}) as limiter:
+        async with listening(talk) as dial, Limiter(Script(forward), {"s1": dial}) as limiter:
             status, headers, body = await limiter.fetch(ask())
             assert " 200 " in status and body == b"hi" and headers["content-length"] == "2"
 
@@ -223,7 +223,7 @@
     async def main() -> None:
         seen = list[tuple[str, bytes]]()
         async with listening(answering(b"HTTP/1.1 %d X\r\nContent-Length: 7\r\n\r\n" % status, seen)) as dial:
-            script = Script(send_on)
+            script = Script(forward)
             async with Limiter(script, {"s1": dial}) as limiter:
                 for _ in range(2):
                     assert " 429 " in (await limiter.fetch(ask()))[0]
@@ -236,7 +236,7 @@
 @pytest.mark.parametrize("framing", ["length", "chunks"])
 def test_large_uploads_come_whole_and_their_connection_serves_on(framing: str) -> None:
     async def main() -> None:
-        seen, script = list[tuple[str, bytes]](), Script(send_on)
+        seen, script = list[tuple[str, bytes]](), Script(forward)
         async with listening(answering(OK, seen)) as dial, Limiter(script, {"s1": dial}) as limiter:
             reader, writer = await limiter.connect()
             for _ in range(2):
@@ -290,7 +290,7 @@
             await more.wait()
             writer.write(rest)
 
-        async with listening(talk) as dial, Limiter(Script(send_on), {"s1": dial}) as limiter:
+        async with listening(talk) as dial, Limiter(Script(forward), {"s1": dial}) as limiter:
             reader, writer = await limiter.connect()
             writer.write(ask(ttl=150))
             await reader.readuntil(first)
@@ -326,7 +326,7 @@
             await go_on.wait()
             writer.transport.abort()
 
-        script = Script(send_on)
+        script = Script(forward)
         async with listening(talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             reader, writer = await limiter.connect()
             writer.write(ask().replace(b"HTTP/1.1", version.encode()))
@@ -353,7 +353,7 @@
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst")
             await reader.read()
 
-        async with listening(talk) as dial, Limiter(Script(send_on), {"s1": dial}) as limiter:
+        async with listening(talk) as dial, Limiter(Script(forward), {"s1": dial}) as limiter:
             reader, writer = await limiter.connect()
             writer.write(ask())
             with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
@@ -416,7 +416,7 @@
             writer.write(b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
             await reader.read()
 
-        script = Script(send_on)
+        script = Script(forward)
         async with listening(talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             reader, writer = await limiter.connect()
             writer.write(
@@ -436,7 +436,7 @@
             await read_request(reader)
             await reader.read()
 
-        script = Script(send_on)
+        script = Script(forward)
         async with listening(talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             reader, writer = await limiter.connect()
             request = ask(POST, LARGE[:100_000], ttl=200)
@@ -459,7 +459,7 @@
 def test_who_waits_to_be_told_to_send_is_told(size: int) -> None:
     async def main() -> None:
         seen = list[tuple[str, bytes]]()
-        async with listening(answering(OK, seen)) as dial, Limiter(Script(send_on), {"s1": dial}) as limiter:
+        async with listening(answering(OK, seen)) as dial, Limiter(Script(forward), {"s1": dial}) as limiter:
             reader, writer = await limiter.connect()
             request = ask(POST, LARGE[:size], Expect="100-continue")
             writer.write(request[:-size])
@@ -482,7 +482,7 @@
                 await release.wait()
                 writer.write(OK)
 
-        async with listening(talk) as dial, Limiter(Script(send_on), {"s1": dial}) as limiter:
+        async with listening(talk) as dial, Limiter(Script(forward), {"s1": dial}) as limiter:
             reader, writer = await limiter.connect()
             request = ask(POST, b"hi", Expect="100-continue")
             writer.write(ask() + request[:-2])
@@ -508,7 +508,7 @@
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             await asyncio.Event().wait()
 
-        script = Script(send_on)
+        script = Script(forward)
         async with listening(talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             reader, writer = await limiter.connect()
             writer.write(ask(POST, LARGE * 5))
@@ -535,7 +535,7 @@
             writer.write(answers.pop(0))
             await reader.read()
 
-        async with listening(talk) as dial, Limiter(Script(send_on), {"s1": dial}) as limiter:
+        async with listening(talk) as dial, Limiter(Script(forward), {"s1": dial}) as limiter:
             reader, writer = await limiter.connect()
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             upload = ask(POST, LARGE[:200_000])
@@ -559,7 +559,7 @@
                 await read_request(reader)
                 writer.write(answers.pop(0))
 
-        async with listening(talk) as dial, Limiter(Script(send_on), {"s1": dial}) as limiter:
+        async with listening(talk) as dial, Limiter(Script(forward), {"s1": dial}) as limiter:
             reader, writer = await limiter.connect()
             writer.write(ask())
             await reader.readuntil(b"\r\n\r\n")
@@ -593,7 +593,7 @@
                 await writer.drain()
                 sent += 100_000
 
-        async with listening(talk) as dial, Limiter(Script(send_on), {"s1": dial}) as limiter:
+        async with listening(talk) as dial, Limiter(Script(forward), {"s1": dial}) as limiter:
             socks = []
             for _ in range(30):
                 sock = socket.create_connection(limiter._address)
@@ -624,7 +624,7 @@
 def test_a_client_that_reads_slowly_gets_all_of_it() -> None:
     async def main() -> None:
         talk = answering(HEADS["chunks"][0], [])
-        async with listening(talk) as dial, Limiter(Script(send_on), {"s1": dial}) as limiter:
+        async with listening(talk) as dial, Limiter(Script(forward), {"s1": dial}) as limiter:
             loop = asyncio.get_running_loop()
             sock = socket.create_connection(limiter._address)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65_536)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -10,7 +10,7 @@
 from cypresspulley import interface as api
 from cypresspulley.lifecycle import LEAVING, Do, Phase, Place
 from cypresspulley.net import frontend
-from tests.loopback import Limiter, Script, ask, listening, read_message, run, send_on
+from tests.loopback import Limiter, Script, ask, forward, listening, read_message, run
 
 POST = "/post?account=00000000b4d65521"
 LARGE = 200_000  # bytes: such a body flows
@@ -199,7 +199,7 @@
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body[-9:]), body[-9:]))
             await asyncio.Event().wait()
 
-        script = Script(send_on)
+        script = Script(forward)
         async with listening(talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             client, request = Client(limiter), ask(POST, b"x" * LARGE)
             client.send(request[:100_000])
@@ -215,7 +215,7 @@
 
 def test_an_upload_that_never_ends_is_failed_at_the_last_moment() -> None:
     async def main() -> None:
-        script = Script(send_on)
+        script = Script(forward)
         async with Limiter(script, {}) as limiter:
             script.answer = silent
             client = Client(limiter)
@@ -246,7 +246,7 @@
             writer.write(b"y")
             await asyncio.Event().wait()
 
-        async with listening(talk) as dial, Limiter(Script(send_on), {"s1": dial}) as limiter:
+        async with listening(talk) as dial, Limiter(Script(forward), {"s1": dial}) as limiter:
             client = Client(limiter)
             client.send(ask())
             await client.until(b"x" * 1000)
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -12,7 +12,7 @@
 from cypresspulley import interface as api
 from cypresspulley.net.discovery import Follower
 from tests import world as w
-from tests.loopback import Limiter, Origin, Script, ask, listening, run, send_on
+from tests.loopback import Limiter, Origin, Script, ask, forward, listening, run
 from tests.test_discovery import HEAD, chunk
 from tests.test_endings_clients import until
 
@@ -114,7 +114,7 @@
 def test_a_connection_to_the_server_before_its_restart_is_not_used_again() -> None:
     async def main() -> None:
         origin, birth = Origin(), 7200.0
-        async with listening(origin.talk) as dial, Limiter(Script(send_on), {}) as limiter:
+        async with listening(origin.talk) as dial, Limiter(Script(forward), {}) as limiter:
             limiter.upstream.update("s1", dial, True, birth)
             assert "200" in (await limiter.fetch(ask()))[0]
             for count, step in enumerate((5.0, -5.0, 3600.0, -3600.0), 2):
--- a/tests/test_whole_lists.py
+++ b/tests/test_whole_lists.py
@@ -10,7 +10,7 @@
 
 from cypresspulley import interface as api
 from cypresspulley.net.discovery import HEALTH, Follower
-from tests.loopback import Limiter, Origin, Script, ask, listening, run, send_on
+from tests.loopback import Limiter, Origin, Script, ask, forward, listening, run
 from tests.test_discovery import HEAD, chunk
 
 END = b"0\r\n\r\n"
@@ -83,7 +83,7 @@
                 await way(writer, servers(seq, dial, ("s2", "ready"), whole=True, indent=indent))
                 await reader.read()
 
-        script = Script(send_on)
+        script = Script(forward)
         async with (
             listening(origin.talk) as dial,
             listening(talk) as discovery,
