--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -92,7 +92,7 @@
     await until(lambda: limiter.frontend.clock() > due)
 
 
-def the_one(limiter: Limiter) -> _ClientConnection:
+def only_client(limiter: Limiter) -> _ClientConnection:
     (client,) = limiter.frontend._clients
     return client
 
@@ -186,7 +186,7 @@
             peer.send(ask())
             await peer.until(b"\r\n\r\n")
             await turns()
-            client = the_one(limiter)
+            client = only_client(limiter)
             peers.append(peer)
             client.last_active_at -= 2 * frontend.IDLE_TIMEOUT
             closing = None
@@ -223,7 +223,7 @@
                 {"idle": ask(), "told to close": ask(Connection="close"), "no request": b"x\r\n\r\n"}[how]
             )
             await peer.until(b"\r\n\r\n")
-            the_one(limiter).last_active_at -= 2 * frontend.IDLE_TIMEOUT
+            only_client(limiter).last_active_at -= 2 * frontend.IDLE_TIMEOUT
             await peer.end()
             await turns(20)
             assert limiter.frontend._clients, "it lingers"
@@ -247,9 +247,9 @@
             peer.send(ask() if rests else ask(Connection="close"))
             await peer.until(b"\r\n\r\n")
             if rests:
-                the_one(limiter).last_active_at -= 2 * frontend.IDLE_TIMEOUT
+                only_client(limiter).last_active_at -= 2 * frontend.IDLE_TIMEOUT
             assert await peer.end() == [429]
-            assert the_one(limiter).frontend.connections_with_data == 0, "who lingers crowds nobody"
+            assert only_client(limiter).frontend.connections_with_data == 0, "who lingers crowds nobody"
             await until(lambda: not limiter.frontend._clients)
             assert not peer.reset()
             peer.send(ask())
@@ -268,7 +268,7 @@
 async def clog(limiter: Limiter, script: Script, peer: Peer) -> int:
     """How many answers were written until the client, which takes none off, is not read any more."""
     sent = 0
-    while not (limiter.frontend._clients and the_one(limiter)._writing_paused):
+    while not (limiter.frontend._clients and only_client(limiter)._writing_paused):
         peer.send(ask())
         sent += 1
         await script.until(api.Outcome, sent)
@@ -288,8 +288,8 @@
             sent = await clog(limiter, script, peer)
             limiter.frontend.drain()
             closing = asyncio.create_task(limiter.frontend.close(10))
-            await until(lambda: the_one(limiter)._transport is None)
-            assert the_one(limiter)._update_buffered() > 0, "it is not flushed"
+            await until(lambda: only_client(limiter)._transport is None)
+            assert only_client(limiter)._update_buffered() > 0, "it is not flushed"
             await past(limiter, 0.2)  # the bound is long over
             peer.send(ask())
             await turns(20)
@@ -316,7 +316,7 @@
             if how == "keeps":
                 peer.send(ask())  # and this one is not read
             elif how == "told to close":
-                the_one(limiter)._close()
+                only_client(limiter)._close()
             else:
                 peer.fin()
             await until(lambda: not limiter.frontend._clients)
@@ -336,7 +336,7 @@
             taker = Peer(limiter, receive=4096)
             sent = await clog(limiter, script, taker)
             if lingers:
-                the_one(limiter)._close()
+                only_client(limiter)._close()
             idle = Peer(limiter)
             idle.send(ask())
             await idle.until(b"x" * 60_000)
@@ -482,9 +482,9 @@
     peer = Peer(limiter, receive=65536)
     peer.send(ask(ttl=60_000))
     await script.until(api.Request)
-    await until(lambda: the_one(limiter)._writing_paused)
+    await until(lambda: only_client(limiter)._writing_paused)
     script.answer = silent
-    assert the_one(limiter)._reading_paused
+    assert only_client(limiter)._reading_paused
     return peer
 
 
@@ -498,7 +498,7 @@
     peer = Peer(limiter, receive=65536)
     peer.send(ask(ttl=60_000) + ask(ttl=60_000))
     await script.until(api.Request, 2)
-    await until(lambda: the_one(limiter)._writing_paused)
+    await until(lambda: only_client(limiter)._writing_paused)
     return peer
 
 
@@ -509,7 +509,7 @@
     request = ask(POST, b"x" * 100_000, ttl=60_000)
     peer.send(request[:70_000])
     await script.until(api.Request)
-    await until(lambda: the_one(limiter)._reading_paused)
+    await until(lambda: only_client(limiter)._reading_paused)
     peer.send(request[70_000:])
     return peer
 
--- a/tests/test_endings_leaving.py
+++ b/tests/test_endings_leaving.py
@@ -19,7 +19,7 @@
 from cypresspulley.net import upstream as net_upstream
 from cypresspulley.net.frontend import LINGER_MAX_BYTES, MAX_PIPELINED_REQUESTS, _ClientConnection
 from tests.loopback import Limiter, Origin, Script, ask, forward, listening, read_message, run
-from tests.test_endings_clients import Peer, arrivals, brisk, refuse, silent, the_one, turns, until
+from tests.test_endings_clients import Peer, arrivals, brisk, only_client, refuse, silent, turns, until
 from tests.test_program import config, started
 
 __all__ = ["brisk"]
@@ -80,7 +80,7 @@
             await until(lambda: limiter.frontend._clients)
             limiter.frontend.drain()
             await limiter.frontend.close(0.05)
-            client = the_one(limiter)
+            client = only_client(limiter)
             if kept:  # an answer whose head had gone before the drain began
                 limiter.frontend.draining = False
                 peer.send(ask())
@@ -113,7 +113,7 @@
         async with Limiter(script, {}) as limiter:
             peer, request = Peer(limiter), ask(POST, b"some body")
             peer.send(request[:60])
-            await until(lambda: limiter.frontend._clients and the_one(limiter)._receiving)
+            await until(lambda: limiter.frontend._clients and only_client(limiter)._receiving)
             limiter.frontend.drain()
             await limiter.frontend.close(0.05)
 
@@ -208,9 +208,9 @@
             peer = Peer(limiter)
             request = ask(POST, b"x" * (200_000 if cut > 100 else 100), ttl=60_000)
             peer.send(request[:cut])
-            await until(lambda: limiter.frontend._clients and the_one(limiter)._receiving)
+            await until(lambda: limiter.frontend._clients and only_client(limiter)._receiving)
             await turns(20)
-            client = the_one(limiter)
+            client = only_client(limiter)
             if cut > 100:
                 await until(lambda: client._upload is not None)
                 assert client._upload is not None
@@ -306,7 +306,7 @@
             peer.send(b"".join(ask(ttl=60_000) for _ in range(20)))
             requests = await script.until(api.Request, MAX_PIPELINED_REQUESTS)
             sent = 0
-            while not the_one(limiter)._reading_paused:
+            while not only_client(limiter)._reading_paused:
                 with contextlib.suppress(BlockingIOError):
                     sent += peer.socket.send(b"x" * 65536)
                 await turns(2)
--- a/tests/test_endings_times.py
+++ b/tests/test_endings_times.py
@@ -16,7 +16,7 @@
 from cypresspulley.net.relay import KEEP
 from cypresspulley.net.upstream import Exchange, _Connection
 from tests.loopback import Limiter, Script, ask, run
-from tests.test_endings_clients import POST, Peer, the_one, until
+from tests.test_endings_clients import POST, Peer, only_client, until
 from tests.test_endings_gone import FULL, Server
 
 TTL = 5.0  # seconds
@@ -124,7 +124,7 @@
             peer = Peer(limiter)
             await until(lambda: limiter.frontend._clients)
             # All of it comes with one read.
-            the_one(limiter).data_received(ask(POST, b"x" * (KEEP + 2000), ttl=int(TTL * 1000)))
+            only_client(limiter).data_received(ask(POST, b"x" * (KEEP + 2000), ttl=int(TTL * 1000)))
             head = await server.request(await server.accept())
             assert clock.jumped == 1.0
             assert TTL - 1.5 < told(head) <= TTL - 1.0
@@ -186,7 +186,7 @@
                 keep(exchange, wait)
 
             monkeypatch.setattr(limiter.upstream, "_time", timing)
-            the_one(limiter).data_received(ask(POST, b"x" * (KEEP + 2000), ttl=int(TTL * 1000)))
+            only_client(limiter).data_received(ask(POST, b"x" * (KEEP + 2000), ttl=int(TTL * 1000)))
             assert min(window, TTL) - 0.5 < timed[-1] <= min(window, TTL)
             await server.request(await server.accept())
             assert TTL - 0.5 < timed[-1] <= TTL, "its answer has longer"
