--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -76,7 +76,7 @@
         self.socket.close()
 
 
-async def turns(count: int = 8) -> None:
+async def yield_to_loop(count: int = 8) -> None:
     for _ in range(count):
         await asyncio.sleep(0)
 
@@ -144,7 +144,7 @@
             crossed(monkeypatch, ask(), [peer])
             peer.send(request)
             assert await peer.end() == [status] and b"Connection: close" in peer.seen
-            await turns(50)
+            await yield_to_loop(50)
             assert not peer.reset()
             assert len([e for e in script.events if isinstance(e, api.Request)]) == (status == 429)
             peer.socket.close()
@@ -185,7 +185,7 @@
             peer = Peer(limiter)
             peer.send(ask())
             await peer.until(b"\r\n\r\n")
-            await turns()
+            await yield_to_loop()
             client = only_client(limiter)
             peers.append(peer)
             client.last_active_at -= 2 * frontend.IDLE_TIMEOUT
@@ -225,7 +225,7 @@
             await peer.until(b"\r\n\r\n")
             only_client(limiter).last_active_at -= 2 * frontend.IDLE_TIMEOUT
             await peer.end()
-            await turns(20)
+            await yield_to_loop(20)
             assert limiter.frontend._clients, "it lingers"
             peer.fin()
             await until(lambda: not limiter.frontend._clients)
@@ -292,7 +292,7 @@
             assert only_client(limiter)._update_buffered() > 0, "it is not flushed"
             await past(limiter, 0.2)  # the bound is long over
             peer.send(ask())
-            await turns(20)
+            await yield_to_loop(20)
             assert await peer.end() == [200] * sent
             assert peer.seen.count(b"x") >= 60_000 * sent and not peer.reset()
             assert len(origin.seen) == sent, "nothing is passed on behind the half-close"
@@ -422,7 +422,7 @@
             came = arrivals(limiter, monkeypatch)
             flood = [Peer(limiter) for _ in range(400)]
             while len(came) < 400:
-                await turns(1)
+                await yield_to_loop(1)
                 assert len(limiter.frontend._clients) <= 65, "beside the one that makes room"
             late = Peer(limiter)
             late.send(ask(ttl=60_000))
@@ -463,7 +463,7 @@
 async def pipelined_and_more(limiter: Limiter, script: Script) -> Peer:
     """A full pipeline, and requests that are not read behind it."""
     peer = await pipelined(limiter, script)
-    await turns()
+    await yield_to_loop()
     peer.send(ask(ttl=60_000) + ask(ttl=60_000))
     return peer
 
@@ -528,12 +528,12 @@
         origin, script = Origin(lambda _n: answer(LARGE)), Script(forward)
         async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             peer = await paused(limiter, script)  # type: ignore[misc]
-            await turns(20)
+            await yield_to_loop(20)
             closing = None
             if drained:
                 limiter.frontend.drain()
                 closing = asyncio.create_task(limiter.frontend.close(10))
-                await turns(20)
+                await yield_to_loop(20)
             open_now = limiter.node.open_requests
             assert open_now
             leaves(peer)
@@ -563,7 +563,7 @@
         script = Script(silent)
         async with Limiter(script, {}) as limiter:
             peer = await pipelined(limiter, script)
-            await turns(20)
+            await yield_to_loop(20)
             leaves(peer)
             await script.until(api.Departed, MAX_PIPELINED_REQUESTS)
 
--- a/tests/test_endings_gone.py
+++ b/tests/test_endings_gone.py
@@ -19,7 +19,7 @@
 from cypresspulley.net.http import split_address
 from cypresspulley.net.upstream import _Connection
 from tests.loopback import OK, Limiter, Origin, Script, ask, forward, listening, run
-from tests.test_endings_clients import POST, Ends, Peer, turns, until
+from tests.test_endings_clients import POST, Ends, Peer, until, yield_to_loop
 
 FULL = b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 LEAVES = pytest.mark.parametrize("leaves", [Peer.fin, Peer.rst], ids=["fin", "rst"])
@@ -99,7 +99,7 @@
     """All that was open has departed, once, and nothing is owed."""
     await script.until(api.Departed, requests)
     await until(lambda: not limiter.frontend._clients)
-    await turns(20)
+    await yield_to_loop(20)
     assert len(await script.until(api.Departed)) == requests
     assert not limiter.node.open_requests and not limiter.frontend.open_ids
 
@@ -215,7 +215,7 @@
                 await server.request(sock)
             first.send(b"HTTP/1.1 200 OK\r\nContent-Length: 12000000\r\n\r\n" + b"x" * 100_000)
             await script.until(api.Began)
-            await turns()
+            await yield_to_loop()
             second.send(FULL)
             leaves(peer)
             await gone(limiter, script, 2)
--- a/tests/test_endings_leaving.py
+++ b/tests/test_endings_leaving.py
@@ -19,7 +19,16 @@
 from cypresspulley.net import upstream as net_upstream
 from cypresspulley.net.frontend import LINGER_MAX_BYTES, MAX_PIPELINED_REQUESTS, _ClientConnection
 from tests.loopback import Limiter, Origin, Script, ask, forward, listening, read_message, run
-from tests.test_endings_clients import Peer, arrivals, brisk, only_client, refuse, silent, turns, until
+from tests.test_endings_clients import (
+    Peer,
+    arrivals,
+    brisk,
+    only_client,
+    refuse,
+    silent,
+    until,
+    yield_to_loop,
+)
 from tests.test_program import config, started
 
 __all__ = ["brisk"]
@@ -49,7 +58,7 @@
             limiter.frontend.drain()
             closing = asyncio.create_task(limiter.frontend.close(10))
             assert await peer.end() == []
-            await turns(50)
+            await yield_to_loop(50)
             assert not peer.reset() and not [e for e in script.events if isinstance(e, api.Request)]
             peer.socket.close()
             await closing
@@ -127,7 +136,7 @@
                 await peer.until(b" 503 ")
                 peer.send(request[60:])
             assert await peer.end() == [503] and b"Retry-After: 0.500\r\n" in peer.seen
-            await turns(20)
+            await yield_to_loop(20)
             assert not peer.reset() and not [e for e in script.events if isinstance(e, api.Request)]
             peer.socket.close()
             await closing
@@ -209,7 +218,7 @@
             request = ask(POST, b"x" * (200_000 if cut > 100 else 100), ttl=60_000)
             peer.send(request[:cut])
             await until(lambda: limiter.frontend._clients and only_client(limiter)._receiving)
-            await turns(20)
+            await yield_to_loop(20)
             client = only_client(limiter)
             if cut > 100:
                 await until(lambda: client._upload is not None)
@@ -224,7 +233,7 @@
                 assert await peer.end() == [408]
                 return
             await script.until(api.Request)
-            await turns()
+            await yield_to_loop()
             if cut < 100:
                 await peer.until(b" 429 ")
             else:
@@ -309,7 +318,7 @@
             while not only_client(limiter)._reading_paused:
                 with contextlib.suppress(BlockingIOError):
                     sent += peer.socket.send(b"x" * 65536)
-                await turns(2)
+                await yield_to_loop(2)
             assert sent > LINGER_MAX_BYTES
             script.answer = lambda _event: [api.Refuse(each.id, 0.1) for each in requests]
             limiter.node.feed(api.TimerFired(1))
