--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -28,7 +28,7 @@
     return [api.Refuse(event.id, 0.25)] if isinstance(event, api.Request) else []
 
 
-def silent(_event: api.Event) -> list[api.Action]:
+def no_actions(_event: api.Event) -> list[api.Action]:
     return []
 
 
@@ -413,7 +413,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main() -> None:
-        script = Script(silent)
+        script = Script(no_actions)
         async with Limiter(script, {}) as limiter:
             busy = [Peer(limiter) for _ in range(32)]
             for peer in busy:
@@ -444,7 +444,7 @@
 
 async def waiting(limiter: Limiter, script: Script) -> Peer:
     """One request, and a connection that is read."""
-    script.answer = silent
+    script.answer = no_actions
     peer = Peer(limiter)
     peer.send(ask(ttl=60_000))
     await script.until(api.Request)
@@ -453,7 +453,7 @@
 
 async def pipelined(limiter: Limiter, script: Script) -> Peer:
     """A pipeline that is full."""
-    script.answer = silent
+    script.answer = no_actions
     peer = Peer(limiter)
     peer.send(b"".join(ask(ttl=60_000) for _ in range(MAX_PIPELINED_REQUESTS)))
     await script.until(api.Request, MAX_PIPELINED_REQUESTS)
@@ -470,7 +470,7 @@
 
 async def rejected(limiter: Limiter, script: Script) -> Peer:
     """Hundreds of requests at once: some of them wait for their answers, the rest is rejected."""
-    script.answer = silent
+    script.answer = no_actions
     peer = Peer(limiter)
     peer.send(b"".join(ask(ttl=60_000) for _ in range(200)))
     await script.until(api.Request, MAX_PIPELINED_REQUESTS)
@@ -483,7 +483,7 @@
     peer.send(ask(ttl=60_000))
     await script.until(api.Request)
     await until(lambda: only_client(limiter)._writing_paused)
-    script.answer = silent
+    script.answer = no_actions
     assert only_client(limiter)._reading_paused
     return peer
 
@@ -504,7 +504,7 @@
 
 async def uploading(limiter: Limiter, script: Script) -> Peer:
     """A large body that nobody takes yet; what is not read fits into the machine."""
-    script.answer = silent
+    script.answer = no_actions
     peer = Peer(limiter)
     request = ask(POST, b"x" * 100_000, ttl=60_000)
     peer.send(request[:70_000])
@@ -560,7 +560,7 @@
     monkeypatch.setattr("select.poll", unknown)
 
     async def main() -> None:
-        script = Script(silent)
+        script = Script(no_actions)
         async with Limiter(script, {}) as limiter:
             peer = await pipelined(limiter, script)
             await yield_to_loop(20)
--- a/tests/test_endings_leaving.py
+++ b/tests/test_endings_leaving.py
@@ -23,9 +23,9 @@
     Peer,
     arrivals,
     brisk,
+    no_actions,
     only_client,
     refuse,
-    silent,
     until,
     yield_to_loop,
 )
@@ -309,7 +309,7 @@
     """More than is read of who is rejected: the rest waits until the answers are out."""
 
     async def main() -> None:
-        script = Script(silent)
+        script = Script(no_actions)
         async with Limiter(script, {}) as limiter:
             peer = Peer(limiter)
             peer.send(b"".join(ask(ttl=60_000) for _ in range(20)))
