--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -98,7 +98,7 @@
 
 
 @pytest.fixture
-def brisk(monkeypatch: pytest.MonkeyPatch) -> None:
+def fast_sweep(monkeypatch: pytest.MonkeyPatch) -> None:
     """Sweeps that come at once, where the bound under test is another one."""
     monkeypatch.setattr(frontend, "SWEEP_INTERVAL", 0.01)
 
@@ -211,7 +211,7 @@
     run(main())
 
 
-@pytest.mark.usefixtures("brisk")
+@pytest.mark.usefixtures("fast_sweep")
 @pytest.mark.parametrize("how", ["idle", "told to close", "no request"])
 def test_a_client_that_closes_too_ends_the_linger_at_once(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(frontend, "LINGER_TIMEOUT", 1e6)
@@ -234,7 +234,7 @@
     run(main())
 
 
-@pytest.mark.usefixtures("brisk")
+@pytest.mark.usefixtures("fast_sweep")
 @pytest.mark.parametrize("rests", [True, False])
 def test_a_client_that_never_closes_is_closed_at_the_bound(
     rests: bool, monkeypatch: pytest.MonkeyPatch
@@ -275,7 +275,7 @@
     return sent
 
 
-@pytest.mark.usefixtures("brisk")
+@pytest.mark.usefixtures("fast_sweep")
 def test_an_answer_that_is_still_being_taken_is_not_cut_by_the_lingers_bound(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -303,7 +303,7 @@
     run(main())
 
 
-@pytest.mark.usefixtures("brisk")
+@pytest.mark.usefixtures("fast_sweep")
 @pytest.mark.parametrize("how", ["told to close", "keeps", "half-closes"])
 def test_who_takes_nothing_of_its_answer_is_let_go(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(frontend, "READER", 0.1)
@@ -517,7 +517,7 @@
 PAUSED = [waiting, pipelined, pipelined_and_more, rejected, clogged, clogged_and_waiting, uploading]
 
 
-@pytest.mark.usefixtures("brisk")
+@pytest.mark.usefixtures("fast_sweep")
 @pytest.mark.parametrize("drained", [False, True])
 @pytest.mark.parametrize("leaves", [Peer.fin, Peer.rst], ids=["fin", "rst"])
 @pytest.mark.parametrize("paused", PAUSED)
@@ -549,7 +549,7 @@
     run(main())
 
 
-@pytest.mark.usefixtures("brisk")
+@pytest.mark.usefixtures("fast_sweep")
 @pytest.mark.parametrize("leaves", [Peer.fin, Peer.rst], ids=["fin", "rst"])
 def test_an_end_behind_nothing_is_noticed_by_plain_means(
     leaves: Ends, monkeypatch: pytest.MonkeyPatch
--- a/tests/test_endings_leaving.py
+++ b/tests/test_endings_leaving.py
@@ -22,7 +22,7 @@
 from tests.test_endings_clients import (
     Peer,
     arrivals,
-    brisk,
+    fast_sweep,
     no_actions,
     only_client,
     refuse,
@@ -31,14 +31,14 @@
 )
 from tests.test_program import config, started
 
-__all__ = ["brisk"]
+__all__ = ["fast_sweep"]
 POST = "/post?account=00000000b4d65521"
 
 
 # The phases of a limiter that ends.
 
 
-@pytest.mark.usefixtures("brisk")
+@pytest.mark.usefixtures("fast_sweep")
 def test_a_new_connection_that_speaks_too_late_meets_a_tidy_end(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its request comes behind the half-close, in the very moment: no answer, no reset, nothing passed on."""
     monkeypatch.setattr(frontend, "DRAIN_IDLE_TIMEOUT", 0.05)
