--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -397,7 +397,7 @@
     run(main())
 
 
-def arrivals(limiter: Limiter, monkeypatch: pytest.MonkeyPatch) -> list[_ClientConnection]:
+def record_connections(limiter: Limiter, monkeypatch: pytest.MonkeyPatch) -> list[_ClientConnection]:
     """A list that gets each connection from now on."""
     came, connected = list[_ClientConnection](), limiter.frontend.add_connection
 
@@ -419,7 +419,7 @@
             for peer in busy:
                 peer.send(ask(ttl=60_000))
             requests = await script.until(api.Request, 32)
-            came = arrivals(limiter, monkeypatch)
+            came = record_connections(limiter, monkeypatch)
             flood = [Peer(limiter) for _ in range(400)]
             while len(came) < 400:
                 await yield_to_loop(1)
@@ -575,7 +575,7 @@
 
     async def main() -> None:
         async with Limiter(Script(refuse), {}) as limiter:
-            half_close, came = _ClientConnection._half_close, arrivals(limiter, monkeypatch)
+            half_close, came = _ClientConnection._half_close, record_connections(limiter, monkeypatch)
             for first in (True, False):
                 peer = Peer(limiter)
 
--- a/tests/test_endings_leaving.py
+++ b/tests/test_endings_leaving.py
@@ -21,10 +21,10 @@
 from tests.loopback import Limiter, Origin, Script, ask, forward, listening, read_message, run
 from tests.test_endings_clients import (
     Peer,
-    arrivals,
     fast_sweep,
     no_actions,
     only_client,
+    record_connections,
     refuse,
     until,
     yield_to_loop,
@@ -341,7 +341,7 @@
             other.send(ask(ttl=60_000))
             (first,) = await script.until(api.Request)
             await until(lambda: origin.seen)
-            came = arrivals(limiter, monkeypatch)
+            came = record_connections(limiter, monkeypatch)
             for _ in range(20):
                 peer = Peer(limiter)
                 peer.send(b"".join(ask() for _ in range(500)))
