--- a/tests/closing/test_node.py
+++ b/tests/closing/test_node.py
@@ -27,9 +27,9 @@
 from tests.loopback import (
     OK,
     SETTINGS,
+    ConnectionHandler,
     Origin,
     Script,
-    Talk,
     ask,
     forward,
     listening,
@@ -70,7 +70,7 @@
 
 
 @asynccontextmanager
-async def keeping(talk: Talk, file: LogFile | None = None) -> AsyncIterator[Kept]:
+async def keeping(talk: ConnectionHandler, file: LogFile | None = None) -> AsyncIterator[Kept]:
     async with listening(talk) as dial:
         limiter = Kept(dial, file)
         limiter.address = await limiter.frontend.listen("127.0.0.1", 0)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -18,7 +18,7 @@
 from cypresspulley.net.upstream import Upstream
 
 LIMIT = 20.0  # generous: only a hang takes this long
-Talk = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 IDS = count(0x9B1F03AA5C7E2D41)  # new with every request
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
@@ -66,7 +66,7 @@
 
 
 @asynccontextmanager
-async def listening(talk: Talk) -> AsyncIterator[str]:
+async def listening(talk: ConnectionHandler) -> AsyncIterator[str]:
     """A peer that talks as told on each connection; gives its address."""
     tasks = set[asyncio.Task[None]]()
 
