--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Helpers for the tests over loopback sockets: scripted peers and decisions, all on port 0."""
+"""Helpers for tests over loopback sockets: scripted peers and decisions. All listeners use port 0."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 from cypresspulley.net.node import Node, UnixClock
 from cypresspulley.net.upstream import Upstream
 
-LIMIT = 20.0  # generous: only a hang takes this long
+TEST_TIMEOUT = 20.0  # seconds; only a test that hangs takes this long
 ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
-IDS = count(0x9B1F03AA5C7E2D41)  # new with every request
+REQUEST_IDS = count(0x9B1F03AA5C7E2D41)  # each request takes the next one
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
 SETTINGS = api.Settings(
@@ -37,16 +37,20 @@
 
 
 def run(main: Coroutine[Any, Any, None]) -> None:
-    uvloop.run(asyncio.wait_for(main, LIMIT))
+    """Run the coroutine of a test on uvloop with a timeout."""
+    uvloop.run(asyncio.wait_for(main, TEST_TIMEOUT))
 
 
 def ask(
     path: str = "/lookup?account=00000000b4d65521", body: bytes = b"", ttl: int = 5000, **headers: str
 ) -> bytes:
-    """A client's request; a header given as an empty text is left out."""
+    """Return the bytes of a client's request; a header whose value is empty is omitted.
+
+    ``ttl`` is in milliseconds.
+    """
     method = "POST" if body else "GET"
     fields = {
-        "Host": "origin.svc", "X-Request-ID": f"{next(IDS):016x}",
+        "Host": "origin.svc", "X-Request-ID": f"{next(REQUEST_IDS):016x}",
         "X-Priority-Class": path[1:].partition("?")[0], "X-Plan": "basic", "X-Timeout-Ms": str(ttl),
         "X-Quota": "units=1,spread=3,first=1",
     }  # fmt: skip
@@ -58,7 +62,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
-    """One HTTP message with a Content-Length: its first line, headers and body."""
+    """Read one HTTP message with a Content-Length; return its first line, headers and body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     first, *lines = head.rstrip().split("\r\n")
     headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
@@ -67,7 +71,7 @@
 
 @asynccontextmanager
 async def listening(talk: ConnectionHandler) -> AsyncIterator[str]:
-    """A peer that talks as told on each connection; gives its address."""
+    """Serve connections with ``talk``; yield the address of the listener."""
     tasks = set[asyncio.Task[None]]()
 
     async def guarded(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -93,7 +97,10 @@
 
 
 class Origin:
-    """A server that answers each request with what ``reply`` gives, or stays silent for None."""
+    """A server that sends what ``reply`` returns for the number of requests so far.
+
+    It sends nothing for None and closes the connection for empty bytes.
+    """
 
     def __init__(self, reply: Callable[[int], bytes | None] = lambda _n: OK) -> None:
         self.reply = reply
@@ -118,7 +125,7 @@
 
 
 class Script:
-    """Decisions as a test wants them; keeps the events that it was given."""
+    """A decision module whose actions a test supplies; it records the events that it receives."""
 
     def __init__(self, answer: Callable[[api.Event], list[api.Action]]) -> None:
         self.answer, self.events = answer, list[api.Event]()
@@ -130,7 +137,7 @@
         return self.answer(event)
 
     async def until(self, kind: type, count: int = 1) -> list[Any]:
-        """The events of a kind, once there are so many."""
+        """Wait until there are ``count`` events of a type; return all events of that type."""
         while len(found := [e for e in self.events if isinstance(e, kind)]) < count:
             self.changed.clear()
             await self.changed.wait()
@@ -138,7 +145,7 @@
 
 
 def forward(event: api.Event) -> list[api.Action]:
-    """Passes each request to ``s1`` and refuses what does not come back served."""
+    """Send each request to ``s1`` and refuse it if that attempt is not served."""
     if isinstance(event, api.Request):
         return [api.Send(event.id, "s1", event.ttl)]
     if isinstance(event, api.Outcome) and not event.finished:
@@ -155,7 +162,7 @@
 
 
 class Limiter:
-    """A node with its clients' and servers' sides, in this process."""
+    """A node with its frontend and upstream, in this process."""
 
     def __init__(
         self,
