--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -34,7 +34,7 @@
 LARGE = Random(4).randbytes(3_000_000)
 Reader = asyncio.StreamReader
 Writer = asyncio.StreamWriter
-ConnectionHandler = Callable[[Reader, Writer], Awaitable[None]]
+Talk = Callable[[Reader, Writer], Awaitable[None]]
 
 
 class Taker:
--- a/tests/test_watch_clock.py
+++ b/tests/test_watch_clock.py
@@ -25,7 +25,7 @@
 WATCH = ("10.0.0.1", 8500)
 Reader = asyncio.StreamReader
 Writer = asyncio.StreamWriter
-ConnectionHandler = Callable[[Reader, Writer], Awaitable[None]]
+Talk = Callable[[Reader, Writer], Awaitable[None]]
 
 
 async def says(writer: Writer, *pieces: bytes) -> None:
