--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -166,8 +166,8 @@
     ) -> None:  # fmt: skip
         """Set the final response, which the connection writes after those of earlier requests.
 
-        ``retry_after`` is in seconds; ``why`` and ``units_left`` are passed to the dialect. Raises RuntimeError if there
-        is a response already.
+        ``retry_after`` is in seconds; ``why`` and ``units_left`` are passed to the dialect. Raises RuntimeError if
+        there is a response already.
         """
         if self.dialect is not None and status != 200:
             status, headers, body, retry_after = self.dialect.format_error(
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -1,4 +1,4 @@
-"""The clients' side over loopback sockets: parsing, order, bad input, departures, draining."""
+"""The frontend over loopback sockets: parsing, response order, invalid input, client disconnects and drains."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 def test_the_request_and_the_answer_pass_through_unchanged() -> None:
     async def main() -> None:
-        body = bytes(range(256)) * 256  # all of the 64 KiB that a body may have
+        body = bytes(range(256)) * 256  # the maximum body size, 64 KiB
         reply = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nContent-Type: a/b\r\n\r\n" % len(body) + body
         origin = Origin(lambda _n: reply)
         async with listening(origin.talk) as dial, Limiter(Script(forward), {"s1": dial}) as limiter:
@@ -45,7 +45,7 @@
             for at in range(0, len(request), 4096):
                 writer.write(request[at : at + 4096])
                 await writer.drain()
-                await asyncio.sleep(0.001)  # so that each piece is a read of its own
+                await asyncio.sleep(0.001)  # so that each piece is read separately
             assert " 200 " in (await read_message(reader))[0]
             assert origin.seen[0][2] == body
 
@@ -60,7 +60,7 @@
             (event,) = await script.until(api.Request)
             assert (event.request_class, event.plan, event.account) == ("lookup", "basic", "00000000b4d65521")
             assert (event.units, event.gateways, event.repeat) == (1.0, 2, True)
-            assert 0.4 < event.ttl < 0.48  # a margin stays for the way back
+            assert 0.4 < event.ttl < 0.48  # a margin is reserved for the response
 
     run(main())
 
@@ -145,7 +145,7 @@
         async with Limiter(script, {}) as limiter:
             other_reader, other = await limiter.connect()
             reader, writer = await limiter.connect()
-            writer.write(request_bytes + ask())  # nothing behind it is taken for a request
+            writer.write(request_bytes + ask())  # the second request must not be parsed
             first, headers, _ = await read_message(reader)
             assert int(first.split()[1]) == status and headers["connection"] == "close"
             assert await reader.read() == b""
@@ -176,7 +176,7 @@
             head = request.replace(b"Content-Length: 1\r\n", b"")[:-1]
             first, _, _ = await limiter.fetch(head + b"10001\r\n" + b"x" * 0x10001 + b"\r\n1\r\nx\r\n")
             assert " 413 " in first
-            await script.until(api.Departed)  # nothing waits for the rest
+            await script.until(api.Departed)  # the limiter does not wait for the rest of the body
 
     run(main())
 
@@ -192,7 +192,7 @@
             await script.until(api.Departed)
             (outcome,) = await script.until(api.Outcome)
             assert outcome.status is api.Status.CANCELLED and outcome.finished
-            await origin.left.wait()  # giving up closes the connection
+            await origin.left.wait()  # cancelling the attempt closes its connection
 
     run(main())
 
@@ -243,7 +243,7 @@
 
 
 def test_a_client_that_does_not_read_is_not_read_either(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream, "REST", 0.0)  # one connection to the server serves them all
+    monkeypatch.setattr(upstream, "REST", 0.0)  # a kept connection to the server may be reused at once
 
     async def main() -> None:
         large = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60_000
@@ -281,7 +281,8 @@
 
 
 @pytest.fixture
-def hasty(monkeypatch: pytest.MonkeyPatch) -> None:
+def short_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Shorten the sweep interval and the timeouts of client connections."""
     for name, value in (
         ("SWEEP_INTERVAL", 0.01),
         ("IDLE_TIMEOUT", 0.1),
@@ -295,12 +296,12 @@
     ("sent", "status"),
     [(b"", ""), (b"GET /loo", " 408 "), (POST[:-1], " 408 "), (b"\r\n\r\n", "")],
 )
-@pytest.mark.usefixtures("hasty")
+@pytest.mark.usefixtures("short_timeouts")
 def test_who_says_nothing_or_half_of_it_is_turned_out(sent: bytes, status: str) -> None:
     async def main() -> None:
         script = Script(lambda _event: [])
         async with Limiter(script, {}) as limiter:
-            patient, writer = await limiter.connect()
+            waiting, writer = await limiter.connect()
             writer.write(ask())
             (request,) = await script.until(api.Request)
             silent, other = await limiter.connect()
@@ -308,20 +309,19 @@
             answer = (await silent.read()).decode()
             assert (status in answer.splitlines()[0]) if status else answer == ""
             script.answer = lambda _event: [api.Refuse(request.id, 0.1)]
-            limiter.node.feed(api.TimerFired(1))  # an open request keeps its connection however long it takes
-            assert " 429 " in (await read_message(patient))[0]
-            assert await patient.read() == b""  # and an idle one goes after a while
+            limiter.node.feed(api.TimerFired(1))  # a connection with an open request stays open
+            assert " 429 " in (await read_message(waiting))[0]
+            assert await waiting.read() == b""  # an idle connection is closed after the timeout
 
     run(main())
 
 
-@pytest.mark.usefixtures("hasty")
+@pytest.mark.usefixtures("short_timeouts")
 def test_a_body_in_steady_flow_may_take_longer_and_one_that_trickles_not(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(
-        frontend, "RATE", 500
-    )  # bytes a second: of the two one comes at 50,000, one at 100 at most
+    # Bytes a second: one of the two bodies arrives at 50,000, the other at 100 at most.
+    monkeypatch.setattr(frontend, "RATE", 500)
 
     async def main() -> None:
         async with Limiter(Script(refuse), {}) as limiter:
@@ -364,7 +364,8 @@
             script.answer = lambda event: refuse(event) or [api.Fail(request.id)]
             limiter.node.feed(api.TimerFired(1))
             assert " 502 " in (await read_message(reader))[0]
-            assert " 429 " in (await limiter.fetch(ask(X_Request_ID="00000000000000ab")))[0]  # free again
+            # The id is free again.
+            assert " 429 " in (await limiter.fetch(ask(X_Request_ID="00000000000000ab")))[0]
             assert not limiter.frontend.open_ids
 
     run(main())
@@ -399,7 +400,7 @@
                     writer.write(b"x" * 65536)
                     await writer.drain()
                     sent += 65536
-            assert sent < 20_000_000  # what the sockets' buffers took
+            assert sent < 20_000_000  # at most what fits into the socket buffers
 
     run(main())
 
@@ -408,27 +409,29 @@
     async def main() -> None:
         script = Script(lambda _event: [])
         async with Limiter(script, {}) as limiter:
-            busy, writer = await limiter.connect()
+            waiting, writer = await limiter.connect()
             writer.write(ask())
             (request,) = await script.until(api.Request)
             script.answer = refuse
-            usual, usual_writer = await limiter.connect()
-            usual_writer.write(ask())
-            await read_message(usual)
-            _, half_writer = await limiter.connect()
-            half_writer.write(b"GET /lo")
+            idle, idle_writer = await limiter.connect()
+            idle_writer.write(ask())
+            await read_message(idle)
+            _, partial_writer = await limiter.connect()
+            partial_writer.write(b"GET /lo")
             await limiter.fetch(b"GET /healthz HTTP/1.1\r\n\r\n")
             silent = [await limiter.connect() for _ in range(61)]
-            more = [await limiter.connect() for _ in range(63)]  # all silent ones and the half read one go
+            # These evict all connections without data and the one with a partial request.
+            newcomers = [await limiter.connect() for _ in range(63)]
             for reader, _ in silent:
                 assert await ended(reader)
-            for _, each in more:  # now these speak, and only the usual one is left idle for longer
-                each.write(b"GET /lo")
-            usual_writer.write(ask())
-            assert " 429 " in (await read_message(usual))[0]
+            # These have sent data now, and of the others only the idle connection is left.
+            for _, newcomer in newcomers:
+                newcomer.write(b"GET /lo")
+            idle_writer.write(ask())
+            assert " 429 " in (await read_message(idle))[0]
             script.answer = lambda _event: [api.Fail(request.id)]
             limiter.node.feed(api.TimerFired(1))
-            assert " 502 " in (await read_message(busy))[0]
+            assert " 502 " in (await read_message(waiting))[0]
 
     run(main())
 
@@ -446,7 +449,8 @@
                 if "connection" in headers:
                     assert await ended(reader)
                     closed += 1
-            assert closed == 28  # half of the connections are kept; whoever comes then is answered and let go
+            # Half of the 64 connections are kept; later ones are closed after their response.
+            assert closed == 28
             for writer in kept[:2]:
                 writer.close()
             while limiter.frontend.connections_with_data > 30:
