--- a/tests/test_arrival.py
+++ b/tests/test_arrival.py
@@ -1,4 +1,4 @@
-"""A request that lay in the machine while the limiter was held up has less time left than its header says."""
+"""Time that a request waited in the kernel while the limiter was blocked is subtracted from its timeout."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from tests.loopback import ask, listening, run
 from tests.test_program import config, started
 
-TTL = 3.0
-SLACK = 0.15  # seconds by which a server may be told more than its client has left
-TOLD = re.compile(rb"X-Timeout-Ms: ([0-9]+)", re.IGNORECASE)
-BODY = b"x" * 70_000  # an upload: passed on as it comes
+TTL = 3.0  # seconds
+MAX_EXCESS = 0.15  # seconds by which the timeout sent to a server may exceed the client's remaining time
+TIMEOUT_HEADER = re.compile(rb"X-Timeout-Ms: ([0-9]+)", re.IGNORECASE)
+BODY = b"x" * 70_000  # large enough to be forwarded while it arrives
 
 
 class Server:
-    """Answers each request and keeps when its head came and what it was told."""
+    """Responds to each request and records when its head arrived and the timeout in it, both in seconds."""
 
     def __init__(self) -> None:
         self.told = list[tuple[float, float]]()
@@ -32,7 +32,7 @@
     async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             head = await reader.readuntil(b"\r\n\r\n")
-            (milliseconds,) = TOLD.findall(head)
+            (milliseconds,) = TIMEOUT_HEADER.findall(head)
             self.told.append((time.monotonic(), int(milliseconds) / 1000))
             if b"POST" in head:
                 await reader.readexactly(len(BODY))
@@ -41,7 +41,7 @@
 
 @pytest.mark.parametrize("kinds", [("kept", "new"), ("pipelined",), ("upload",)], ids="-".join)
 def test_a_server_is_told_no_more_than_its_client_has_left(kinds: tuple[str, ...], tmp_path: Path) -> None:
-    """The process is stopped while requests arrive, on kept connections and on ones that wait to be accepted."""
+    """The process is stopped while requests arrive on kept connections and on connections in the accept queue."""
 
     async def main() -> None:
         server = Server()
@@ -66,7 +66,7 @@
                 await reader.readuntil(b"hi")
                 came_at, told = server.told[0]
                 left = TTL - (came_at - sent_at)
-                assert left - 0.3 - held / 2 < told <= left + SLACK, (held, kind, told - left)
+                assert left - 0.3 - held / 2 < told <= left + MAX_EXCESS, (held, kind, told - left)
                 kept[1].close()
                 writer.close()
 
@@ -81,7 +81,7 @@
 
 
 def test_all_that_came_while_the_loop_was_held_is_as_old_as_its_socket_says() -> None:
-    """Read at once or some turns later, on connections old and new; nothing is asked once all are young."""
+    """This holds for reads at once or some iterations later; sockets are no longer queried once data is fresh."""
 
     async def main() -> None:
         loop, asked = asyncio.get_running_loop(), list[float]()
@@ -95,7 +95,7 @@
             for _ in peers:
                 accepted, _ = listener.accept()
                 transports.append((await loop.connect_accepted_socket(asyncio.Protocol, accepted))[0])
-            time.sleep(0.05)  # a callback holds the loop
+            time.sleep(0.05)  # a callback blocks the loop
             arrivals = ArrivalClock(time.monotonic, 0.2)
             time.sleep(0.11)
             for transport in transports:
@@ -107,13 +107,13 @@
                 assert arrivals._fresh_reads == min(at + 1, FRESH_READS_UNTIL_SKIP)
             assert max(asked) <= 0.02
             assert arrivals.data_age(transports[1], b"") == 0.0
-            time.sleep(0.11)  # a pause without a sign of the loop, between two beats
+            time.sleep(0.11)  # a pause without activity of the loop, between two heartbeats
             assert arrivals.data_age(transports[1], b"") > 0.15
             for _ in range(2 * FRESH_READS_UNTIL_SKIP):
                 peers[0].send(b"x")
                 arrivals.data_age(transports[0], b"")
             arrivals._last_heartbeat_at -= 0.3
-            arrivals.record_heartbeat()  # late: the loop was held up
+            arrivals.record_heartbeat()  # late, which shows that the loop was blocked
             assert arrivals.data_age(transports[1], b"") > 0.15
             for peer, transport in zip(peers, transports, strict=True):
                 transport.abort()
@@ -152,13 +152,13 @@
 
 
 def test_requests_of_many_connections_that_waited_are_told_by_their_own_age(tmp_path: Path) -> None:
-    """New ones are accepted one in a turn: the last of them is read many turns behind the stop."""
+    """Connections are accepted one per iteration, so the last one is read many iterations after the stop."""
 
     async def main() -> None:
         server = Server()
         async with listening(server.talk) as dial, started(upload_config(dial), tmp_path) as program:
             program.process.send_signal(signal.SIGSTOP)
-            sent, clients = time.monotonic(), [await program.connect() for _ in range(60)]
+            started_at, clients = time.monotonic(), [await program.connect() for _ in range(60)]
             for _, writer in clients:
                 writer.write(ask(ttl=int(TTL * 1000)))
             sent_at = time.monotonic()
@@ -168,7 +168,7 @@
                 await reader.readuntil(b"\r\n\r\n")
                 writer.close()
             assert server.told
-            assert max(told - (TTL - (came_at - sent_at)) for came_at, told in server.told) <= SLACK
-            assert sent_at - sent < 0.5
+            assert max(told - (TTL - (came_at - sent_at)) for came_at, told in server.told) <= MAX_EXCESS
+            assert sent_at - started_at < 0.5
 
     run(main())
--- a/tests/test_endings_times.py
+++ b/tests/test_endings_times.py
@@ -1,6 +1,6 @@
-"""The time that an attempt tells its server: at most what is left to the client, whatever the attempt waited for.
+"""The timeout that an attempt sends to its server is at most the client's remaining time, whatever it waited for.
 
-The clock is the tests' own: a loop that was held, a late dial and a slow server are jumps of it.
+The tests use their own clock; a blocked loop, a late connect and a slow server are jumps of that clock.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 from tests.test_endings_gone import FULL, Server
 
 TTL = 5.0  # seconds
-NOWHERE = "127.0.0.1:1"  # refuses
-TOLD = re.compile(rb"X-Timeout-Ms: ([0-9]+)")
+CLOSED_ADDRESS = "127.0.0.1:1"  # refuses connections
+TIMEOUT_HEADER = re.compile(rb"X-Timeout-Ms: ([0-9]+)")
 
 
 class Clock:
-    """Runs, and jumps on when it is told to."""
+    """The monotonic clock, with jumps on request."""
 
     def __init__(self) -> None:
         self.jumped = 0.0
@@ -37,8 +37,8 @@
         self.jumped += seconds
 
 
-class Decider:
-    """Decides as the real decisions do: what it gives an attempt is what is left at that instant."""
+class TimeoutDecisions:
+    """Gives each attempt the time that is left at that instant, like the real decision module."""
 
     def __init__(self, clock: Clock, held: bool = False, first: str = "s1") -> None:
         self._clock, self._held, self._first, self._due = clock, held, first, 0.0
@@ -48,7 +48,7 @@
             self._due = self._clock() + event.ttl
             send = api.Send(event.id, self._first, event.ttl)
             if self._held:
-                self._clock.jump()  # it has decided, and is held before its actions
+                self._clock.jump()  # the loop is blocked between the decision and its actions
             return [send]
         if isinstance(event, api.Body) and event.whole:
             self._due = self._clock() + TTL
@@ -64,20 +64,20 @@
     return clock
 
 
-def late_dials(clock: Clock, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each dial takes a second."""
-    made = _Connection.connection_made
+def delay_connects(clock: Clock, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Make each connect to a server take a second."""
+    original = _Connection.connection_made
 
-    def up(connection: _Connection, transport: asyncio.BaseTransport) -> None:
+    def delayed(connection: _Connection, transport: asyncio.BaseTransport) -> None:
         clock.jump()
-        made(connection, transport)
+        original(connection, transport)
 
-    monkeypatch.setattr(_Connection, "connection_made", up)
+    monkeypatch.setattr(_Connection, "connection_made", delayed)
 
 
-def told(head: bytes) -> float:
-    """Seconds that a head tells; it tells them once."""
-    (milliseconds,) = TOLD.findall(head)
+def timeout_in(head: bytes) -> float:
+    """Return the timeout in seconds of a request head, which contains it exactly once."""
+    (milliseconds,) = TIMEOUT_HEADER.findall(head)
     return int(milliseconds) / 1000
 
 
@@ -89,9 +89,9 @@
 ) -> None:
     async def main() -> None:
         server = Server()
-        script = Script(Decider(clock, held))
+        script = Script(TimeoutDecisions(clock, held))
         if late:
-            late_dials(clock, monkeypatch)
+            delay_connects(clock, monkeypatch)
         async with Limiter(script, {"s1": server.dial, "s2": server.dial}) as limiter:
             peer = Peer(limiter)
             peer.send(ask(ttl=int(TTL * 1000)))
@@ -103,7 +103,7 @@
                 sock.send(FULL)
                 head = await server.request(await server.accept())
                 assert clock.jumped == held + 2 * late + 0.5
-            assert TTL - clock.jumped - 0.5 < told(head) <= TTL - clock.jumped
+            assert TTL - clock.jumped - 0.5 < timeout_in(head) <= TTL - clock.jumped
             peer.socket.close()
         server.close()
 
@@ -114,20 +114,20 @@
 def test_an_upload_that_is_whole_before_its_dial_is_up_tells_what_is_left(
     first: str, clock: Clock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Further: the first attempt finds nobody. What is told is what the limiter will wait, too."""
+    """For a further attempt the first one is refused. The limiter waits for as long as it tells the server."""
 
     async def main() -> None:
         server = Server()
-        script = Script(Decider(clock, first=first))
-        late_dials(clock, monkeypatch)
-        async with Limiter(script, {"s1": NOWHERE, "s2": server.dial}) as limiter:
+        script = Script(TimeoutDecisions(clock, first=first))
+        delay_connects(clock, monkeypatch)
+        async with Limiter(script, {"s1": CLOSED_ADDRESS, "s2": server.dial}) as limiter:
             peer = Peer(limiter)
             await until(lambda: limiter.frontend._clients)
-            # All of it comes with one read.
+            # The whole upload arrives in one read.
             only_client(limiter).data_received(ask(POST, b"x" * (KEEP + 2000), ttl=int(TTL * 1000)))
             head = await server.request(await server.accept())
             assert clock.jumped == 1.0
-            assert TTL - 1.5 < told(head) <= TTL - 1.0
+            assert TTL - 1.5 < timeout_in(head) <= TTL - 1.0
             (opened,) = limiter.node._open.values()
             assert opened.attempts[-1].timer is not None
             assert opened.attempts[-1].expires <= opened.deadline + 0.01
@@ -138,17 +138,17 @@
 
 
 def test_an_upload_that_still_comes_tells_what_there_will_be_from_its_last_byte_on(clock: Clock) -> None:
-    """A request's time counts from its last byte."""
+    """The time of a request counts from its last byte."""
 
     async def main() -> None:
         server = Server()
-        script = Script(Decider(clock, first="s2"))
+        script = Script(TimeoutDecisions(clock, first="s2"))
         async with Limiter(script, {"s2": server.dial}) as limiter:
             peer = Peer(limiter)
             request = ask(POST, b"x" * (KEEP + 20_000), ttl=int(TTL * 1000))
             peer.send(request[:2000])
             sock = await server.accept()
-            assert TTL - 0.5 < told(await server.request(sock)) <= TTL
+            assert TTL - 0.5 < timeout_in(await server.request(sock)) <= TTL
             clock.jump(3.0)
             peer.send(request[2000:])
             await script.until(api.Body)
@@ -178,18 +178,18 @@
         async with Limiter(Script(decide), {"s2": server.dial}) as limiter:
             peer = Peer(limiter)
             await until(lambda: limiter.frontend._clients)
-            timed = list[float]()
-            keep: Callable[..., None] = limiter.upstream._time
+            waits = list[float]()
+            set_timer: Callable[..., None] = limiter.upstream._time
 
-            def timing(exchange: Exchange, wait: float) -> None:
-                timed.append(wait)
-                keep(exchange, wait)
+            def recording_timer(exchange: Exchange, wait: float) -> None:
+                waits.append(wait)
+                set_timer(exchange, wait)
 
-            monkeypatch.setattr(limiter.upstream, "_time", timing)
+            monkeypatch.setattr(limiter.upstream, "_time", recording_timer)
             only_client(limiter).data_received(ask(POST, b"x" * (KEEP + 2000), ttl=int(TTL * 1000)))
-            assert min(window, TTL) - 0.5 < timed[-1] <= min(window, TTL)
+            assert min(window, TTL) - 0.5 < waits[-1] <= min(window, TTL)
             await server.request(await server.accept())
-            assert TTL - 0.5 < timed[-1] <= TTL, "its answer has longer"
+            assert TTL - 0.5 < waits[-1] <= TTL, "its answer has longer"
             peer.socket.close()
         server.close()
 
