--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -1,7 +1,7 @@
-"""Ends of clients' connections, each crossed by the bytes, the end of file or the reset that may meet it.
+"""Closing of client connections while bytes, an end of file or a reset from the client arrive at the same moment.
 
-The peers are raw sockets that act in the very turn of the loop in which the limiter does; what they send is in the
-machine at once (loopback), so that a test puts its bytes before or behind a look, a half-close or a close.
+The peers are raw sockets that act in the same iteration of the loop as the limiter. On loopback what they send is in
+the kernel at once, so a test can place its bytes before or after a socket check, a half-close or a close.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from tests.loopback import Limiter, Origin, Script, ask, forward, listening, run
 
 POST = "/post?account=00000000b4d65521"
-LARGE = 12_000_000  # bytes of an answer: more than both sides' kernels hold
+LARGE_RESPONSE = 12_000_000  # bytes; more than the socket buffers of both sides hold
 Ends = Callable[["Peer"], None]
 
 
@@ -33,12 +33,12 @@
 
 
 class Peer:
-    """A client's socket. What it sends is in the limiter's machine when ``send`` returns."""
+    """A client's socket. What it sends is in the limiter's kernel when ``send`` returns."""
 
-    def __init__(self, limiter: Limiter, receive: int | None = None) -> None:
+    def __init__(self, limiter: Limiter, receive_buffer: int | None = None) -> None:
         self.socket = socket.socket()
-        if receive is not None:
-            self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive)
+        if receive_buffer is not None:
+            self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
         self.socket.connect(limiter._address)
         self.socket.setblocking(False)
         self.seen = b""
@@ -53,13 +53,13 @@
             self.seen += data
 
     async def end(self) -> list[int]:
-        """Status codes of all answers up to an orderly end; a reset is an error."""
+        """Return the status codes of all responses up to an orderly end; a reset raises an error."""
         while data := await asyncio.get_running_loop().sock_recv(self.socket, 1 << 20):
             self.seen += data
         return [int(part.split(b" ")[1]) for part in self.seen.split(b"HTTP/1.1")[1:]]
 
     def heard_end(self) -> bool:
-        """Whether the limiter's half-close is there already; nothing is taken off."""
+        """Whether the limiter's half-close has arrived; no data is consumed."""
         try:
             return self.socket.recv(1, socket.MSG_PEEK) == b""
         except BlockingIOError:
@@ -86,8 +86,8 @@
         await asyncio.sleep(0.001)
 
 
-async def past(limiter: Limiter, seconds: float) -> None:
-    """Some sweeps behind a moment."""
+async def wait_seconds(limiter: Limiter, seconds: float) -> None:
+    """Wait until ``seconds`` have passed on the frontend's clock."""
     due = limiter.frontend.clock() + seconds
     await until(lambda: limiter.frontend.clock() > due)
 
@@ -99,23 +99,23 @@
 
 @pytest.fixture
 def fast_sweep(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Sweeps that come at once, where the bound under test is another one."""
+    """Make sweeps frequent, for tests of other bounds."""
     monkeypatch.setattr(frontend, "SWEEP_INTERVAL", 0.01)
 
 
-def crossed(monkeypatch: pytest.MonkeyPatch, data: bytes, peers: list[Peer]) -> None:
-    """The first peer's bytes are in the machine at the very moment in which its connection is closed."""
+def send_on_close(monkeypatch: pytest.MonkeyPatch, data: bytes, peers: list[Peer]) -> None:
+    """Send the data of the last peer at the moment at which its connection is closed."""
     close = _ClientConnection._close
 
-    def crossing(client: _ClientConnection) -> None:
+    def interfering(client: _ClientConnection) -> None:
         if peers and client._transport is not None:
             peers.pop().send(data)
         close(client)
 
-    monkeypatch.setattr(_ClientConnection, "_close", crossing)
+    monkeypatch.setattr(_ClientConnection, "_close", interfering)
 
 
-# The lingering close.
+# Lingering close.
 
 ENDS = {
     "told to close": (ask(Connection="close"), 429),
@@ -141,7 +141,7 @@
             elif kind == "drained":
                 limiter.frontend.drain()
             peer = Peer(limiter)
-            crossed(monkeypatch, ask(), [peer])
+            send_on_close(monkeypatch, ask(), [peer])
             peer.send(request)
             assert await peer.end() == [status] and b"Connection: close" in peer.seen
             await yield_to_loop(50)
@@ -159,25 +159,28 @@
 def test_a_request_that_crosses_the_half_close_is_read_behind_it_only(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Between the look at the socket and the half-close: read before that, it would be taken and lost."""
+    """It arrives between the check of the socket and the half-close; if it were read before that, it would be lost."""
     order, peers = list[bool](), list[Peer]()
-    look, receive = cast(property, _ClientConnection.has_unread_data).fget, _ClientConnection.data_received
-    assert look is not None
-
-    def looked(self: _ClientConnection) -> bool:
-        unread: bool = look(self)
+    check_unread, data_received = (
+        cast(property, _ClientConnection.has_unread_data).fget,
+        _ClientConnection.data_received,
+    )
+    assert check_unread is not None
+
+    def checking(self: _ClientConnection) -> bool:
+        unread: bool = check_unread(self)
         if not unread and peers and not order:
             order.append(peers[0].heard_end())
             peers[0].send(ask())
         return unread
 
-    def received(self: _ClientConnection, data: bytes) -> None:
+    def receiving(self: _ClientConnection, data: bytes) -> None:
         if peers:
             order.append(peers[0].heard_end())
-        receive(self, data)
+        data_received(self, data)
 
-    monkeypatch.setattr(_ClientConnection, "has_unread_data", property(looked))
-    monkeypatch.setattr(_ClientConnection, "data_received", received)
+    monkeypatch.setattr(_ClientConnection, "has_unread_data", property(checking))
+    monkeypatch.setattr(_ClientConnection, "data_received", receiving)
 
     async def main() -> None:
         script = Script(refuse)
@@ -253,20 +256,20 @@
             await until(lambda: not limiter.frontend._clients)
             assert not peer.reset()
             peer.send(ask())
-            await until(peer.reset)  # nobody is there any more
+            await until(peer.reset)  # the limiter has closed its socket
 
     run(main())
 
 
-def answer(size: int) -> bytes:
+def build_response(size: int) -> bytes:
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + b"x" * size
 
 
-MIDDLE = answer(60_000)  # it does not flow
+MEDIUM_RESPONSE = build_response(60_000)  # small enough not to be streamed
 
 
-async def clog(limiter: Limiter, script: Script, peer: Peer) -> int:
-    """How many answers were written until the client, which takes none off, is not read any more."""
+async def send_until_paused(limiter: Limiter, script: Script, peer: Peer) -> int:
+    """Send requests without reading responses until writing is paused; return how many."""
     sent = 0
     while not (limiter.frontend._clients and only_client(limiter)._writing_paused):
         peer.send(ask())
@@ -282,15 +285,15 @@
     monkeypatch.setattr(frontend, "LINGER_TIMEOUT", 0.02)
 
     async def main() -> None:
-        origin, script = Origin(lambda _n: MIDDLE), Script(forward)
+        origin, script = Origin(lambda _n: MEDIUM_RESPONSE), Script(forward)
         async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
-            peer = Peer(limiter, receive=4096)
-            sent = await clog(limiter, script, peer)
+            peer = Peer(limiter, receive_buffer=4096)
+            sent = await send_until_paused(limiter, script, peer)
             limiter.frontend.drain()
             closing = asyncio.create_task(limiter.frontend.close(10))
             await until(lambda: only_client(limiter)._transport is None)
             assert only_client(limiter)._update_buffered() > 0, "it is not flushed"
-            await past(limiter, 0.2)  # the bound is long over
+            await wait_seconds(limiter, 0.2)  # the linger timeout is long over
             peer.send(ask())
             await yield_to_loop(20)
             assert await peer.end() == [200] * sent
@@ -309,12 +312,12 @@
     monkeypatch.setattr(frontend, "READER", 0.1)
 
     async def main() -> None:
-        origin, script = Origin(lambda _n: MIDDLE), Script(forward)
+        origin, script = Origin(lambda _n: MEDIUM_RESPONSE), Script(forward)
         async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
-            peer = Peer(limiter, receive=4096)
-            await clog(limiter, script, peer)
+            peer = Peer(limiter, receive_buffer=4096)
+            await send_until_paused(limiter, script, peer)
             if how == "keeps":
-                peer.send(ask())  # and this one is not read
+                peer.send(ask())  # this request is not read
             elif how == "told to close":
                 only_client(limiter)._close()
             else:
@@ -325,16 +328,16 @@
     run(main())
 
 
-# Making room at the limit of connections.
+# Eviction at the connection limit.
 
 
 @pytest.mark.parametrize("lingers", [True, False])
 def test_who_still_takes_its_answer_makes_room_last(lingers: bool) -> None:
     async def main() -> None:
-        origin, script = Origin(lambda _n: MIDDLE), Script(forward)
+        origin, script = Origin(lambda _n: MEDIUM_RESPONSE), Script(forward)
         async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
-            taker = Peer(limiter, receive=4096)
-            sent = await clog(limiter, script, taker)
+            taker = Peer(limiter, receive_buffer=4096)
+            sent = await send_until_paused(limiter, script, taker)
             if lingers:
                 only_client(limiter)._close()
             idle = Peer(limiter)
@@ -365,11 +368,11 @@
             limiter.frontend._max = 2
             make_room = limiter.frontend.make_room
 
-            def crossing() -> bool:
+            def interfering() -> bool:
                 asks.send(ask())
                 return make_room()
 
-            monkeypatch.setattr(limiter.frontend, "make_room", crossing)
+            monkeypatch.setattr(limiter.frontend, "make_room", interfering)
             newest = Peer(limiter)
             newest.send(ask())
             await newest.until(b" 429 ")
@@ -398,7 +401,7 @@
 
 
 def record_connections(limiter: Limiter, monkeypatch: pytest.MonkeyPatch) -> list[_ClientConnection]:
-    """A list that gets each connection from now on."""
+    """Return a list to which each connection is added from now on."""
     came, connected = list[_ClientConnection](), limiter.frontend.add_connection
 
     def noted(client: _ClientConnection) -> None:
@@ -439,11 +442,11 @@
     run(main())
 
 
-# Departures that a paused connection hides. Their clients would wait for longer than any test runs.
+# Disconnects while reading is paused. The timeouts of these requests are longer than any test runs.
 
 
 async def waiting(limiter: Limiter, script: Script) -> Peer:
-    """One request, and a connection that is read."""
+    """One open request on a connection that is still read."""
     script.answer = no_actions
     peer = Peer(limiter)
     peer.send(ask(ttl=60_000))
@@ -452,7 +455,7 @@
 
 
 async def pipelined(limiter: Limiter, script: Script) -> Peer:
-    """A pipeline that is full."""
+    """A full pipeline."""
     script.answer = no_actions
     peer = Peer(limiter)
     peer.send(b"".join(ask(ttl=60_000) for _ in range(MAX_PIPELINED_REQUESTS)))
@@ -461,7 +464,7 @@
 
 
 async def pipelined_and_more(limiter: Limiter, script: Script) -> Peer:
-    """A full pipeline, and requests that are not read behind it."""
+    """A full pipeline followed by unread requests."""
     peer = await pipelined(limiter, script)
     await yield_to_loop()
     peer.send(ask(ttl=60_000) + ask(ttl=60_000))
@@ -469,7 +472,7 @@
 
 
 async def rejected(limiter: Limiter, script: Script) -> Peer:
-    """Hundreds of requests at once: some of them wait for their answers, the rest is rejected."""
+    """Hundreds of requests in one read: some wait for their responses, the rest are rejected."""
     script.answer = no_actions
     peer = Peer(limiter)
     peer.send(b"".join(ask(ttl=60_000) for _ in range(200)))
@@ -478,8 +481,8 @@
 
 
 async def clogged(limiter: Limiter, script: Script) -> Peer:
-    """Behind an answer that its client does not take a request waits."""
-    peer = Peer(limiter, receive=65536)
+    """A response that the client does not read."""
+    peer = Peer(limiter, receive_buffer=65536)
     peer.send(ask(ttl=60_000))
     await script.until(api.Request)
     await until(lambda: only_client(limiter)._writing_paused)
@@ -489,13 +492,13 @@
 
 
 async def clogged_and_waiting(limiter: Limiter, script: Script) -> Peer:
-    """The same where the next request has been read."""
+    """A response that the client does not read, and a second open request."""
 
     def first(event: api.Event) -> list[api.Action]:
         return forward(event) if sum(isinstance(e, api.Request) for e in script.events) == 1 else []
 
     script.answer = first
-    peer = Peer(limiter, receive=65536)
+    peer = Peer(limiter, receive_buffer=65536)
     peer.send(ask(ttl=60_000) + ask(ttl=60_000))
     await script.until(api.Request, 2)
     await until(lambda: only_client(limiter)._writing_paused)
@@ -503,7 +506,7 @@
 
 
 async def uploading(limiter: Limiter, script: Script) -> Peer:
-    """A large body that nobody takes yet; what is not read fits into the machine."""
+    """A large body that no server receives yet; the unread part fits into the socket buffer."""
     script.answer = no_actions
     peer = Peer(limiter)
     request = ask(POST, b"x" * 100_000, ttl=60_000)
@@ -525,7 +528,7 @@
     paused: Callable[[Limiter, Script], object], leaves: Ends, drained: bool
 ) -> None:
     async def main() -> None:
-        origin, script = Origin(lambda _n: answer(LARGE)), Script(forward)
+        origin, script = Origin(lambda _n: build_response(LARGE_RESPONSE)), Script(forward)
         async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             peer = await paused(limiter, script)  # type: ignore[misc]
             await yield_to_loop(20)
@@ -571,7 +574,7 @@
 
 
 def test_a_reset_that_crosses_the_half_close_leaves_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Both orders: before it, and behind it."""
+    """The reset arrives before or after the half-close."""
 
     async def main() -> None:
         async with Limiter(Script(refuse), {}) as limiter:
@@ -579,7 +582,7 @@
             for first in (True, False):
                 peer = Peer(limiter)
 
-                def crossed(client: _ClientConnection, peer: Peer = peer, first: bool = first) -> None:
+                def resetting(client: _ClientConnection, peer: Peer = peer, first: bool = first) -> None:
                     if first:
                         peer.rst()
                     half_close(client)
@@ -587,7 +590,7 @@
                         peer.rst()
 
                 with monkeypatch.context() as patched:
-                    patched.setattr(_ClientConnection, "_half_close", crossed)
+                    patched.setattr(_ClientConnection, "_half_close", resetting)
                     peer.send(ask(Connection="close"))
                     await until(lambda: came and not limiter.frontend._clients)
                 came.clear()
@@ -597,4 +600,4 @@
 
 
 def test_sweeps_come_often_enough_for_what_they_alone_notice() -> None:
-    assert frontend.SWEEP_INTERVAL <= 0.2  # departures are due within 0.3 s
+    assert frontend.SWEEP_INTERVAL <= 0.2  # disconnects must be noticed within 0.3 s
--- a/tests/test_endings_gone.py
+++ b/tests/test_endings_gone.py
@@ -208,7 +208,7 @@
     async def main() -> None:
         server, script = Server(), Script(insisting)
         async with Limiter(script, {"s1": server.dial}) as limiter:
-            peer = Peer(limiter, receive=65536)
+            peer = Peer(limiter, receive_buffer=65536)
             peer.send(ask() + ask())
             first, second = await server.accept(), await server.accept()
             for sock in (first, second):
