--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -21,7 +21,7 @@
 
 POST = "/post?account=00000000b4d65521"
 LARGE_RESPONSE = 12_000_000  # bytes; more than the socket buffers of both sides hold
-Ends = Callable[["Peer"], None]
+DisconnectMethod = Callable[["Peer"], None]
 
 
 def refuse(event: api.Event) -> list[api.Action]:
@@ -525,7 +525,7 @@
 @pytest.mark.parametrize("leaves", [Peer.fin, Peer.rst], ids=["fin", "rst"])
 @pytest.mark.parametrize("paused", PAUSED)
 def test_a_client_that_leaves_while_it_is_not_read_is_noticed(
-    paused: Callable[[Limiter, Script], object], leaves: Ends, drained: bool
+    paused: Callable[[Limiter, Script], object], leaves: DisconnectMethod, drained: bool
 ) -> None:
     async def main() -> None:
         origin, script = Origin(lambda _n: build_response(LARGE_RESPONSE)), Script(forward)
@@ -555,7 +555,7 @@
 @pytest.mark.usefixtures("fast_sweep")
 @pytest.mark.parametrize("leaves", [Peer.fin, Peer.rst], ids=["fin", "rst"])
 def test_an_end_behind_nothing_is_noticed_by_plain_means(
-    leaves: Ends, monkeypatch: pytest.MonkeyPatch
+    leaves: DisconnectMethod, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def unknown() -> None:
         raise OSError(38, "Function not implemented")
--- a/tests/test_endings_gone.py
+++ b/tests/test_endings_gone.py
@@ -1,7 +1,7 @@
-"""Clients that have gone: no attempt begins for them, whatever their requests waited for.
+"""No attempt begins for a client that has disconnected, whatever its request was waiting for.
 
-What a request waits for and its client's end are put into the machine in one turn of the loop, as they lie there when a
-loop goes on that was held; the loop meets them in the order in which they came.
+The tests put the event that the request waits for and the client's disconnect into the kernel within one iteration of
+the loop, as happens while the loop is blocked; the loop then reads them in the order in which they arrived.
 """
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
 from cypresspulley.net.http import split_address
 from cypresspulley.net.upstream import _Connection
 from tests.loopback import OK, Limiter, Origin, Script, ask, forward, listening, run
-from tests.test_endings_clients import POST, Ends, Peer, until, yield_to_loop
+from tests.test_endings_clients import POST, DisconnectMethod, Peer, until, yield_to_loop
 
-FULL = b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
-LEAVES = pytest.mark.parametrize("leaves", [Peer.fin, Peer.rst], ids=["fin", "rst"])
-FIRST = pytest.mark.parametrize("client_first", [True, False], ids=["end before", "end behind"])
+NOT_PROCESSED_RESPONSE = b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
+DISCONNECTS = pytest.mark.parametrize("leaves", [Peer.fin, Peer.rst], ids=["fin", "rst"])
+BOTH_ORDERS = pytest.mark.parametrize("client_first", [True, False], ids=["end before", "end behind"])
 
 
-def again(event: api.Event) -> list[api.Action]:
-    """Sends each request on, and once more where that does not serve it."""
+def retry_once(event: api.Event) -> list[api.Action]:
+    """Send each request to ``s1``, and once more if the first attempt fails."""
     if isinstance(event, api.Outcome) and not event.finished and event.attempt == 0:
         return [api.Send(event.id, "s1", 5.0)]
     return forward(event)
 
 
 class Server:
-    """A server that a test plays by hand."""
+    """A server whose connections a test accepts and reads itself."""
 
     def __init__(self) -> None:
         self._listener = socket.create_server(("127.0.0.1", 0))
@@ -49,7 +49,7 @@
         return sock
 
     async def request(self, sock: socket.socket) -> bytes:
-        """What has come on a connection up to the end of a head."""
+        """Return what arrives on a connection up to the end of a request head."""
         data = b""
         while b"\r\n\r\n" not in data:
             data += await asyncio.get_running_loop().sock_recv(sock, 65536)
@@ -60,8 +60,8 @@
             sock.close()
 
 
-def unsent(limiter: Limiter, server: Server) -> bool:
-    """Whether nothing lies at the server, on any connection that it has or could take."""
+def nothing_sent(limiter: Limiter, server: Server) -> bool:
+    """Whether the server has received nothing, neither on its connections nor as a new connection."""
     for sock in server.taken:
         try:
             if sock.recv(1, socket.MSG_PEEK):
@@ -71,8 +71,8 @@
     return not select.select([server._listener], [], [], 0)[0]
 
 
-async def warm(limiter: Limiter, server: Server, connections: int = 1) -> None:
-    """So many connections to the server are kept, and have rested."""
+async def open_idle_connections(limiter: Limiter, server: Server, connections: int = 1) -> None:
+    """Open ``connections`` idle connections to the server that may be reused at once."""
     peers = [Peer(limiter) for _ in range(connections)]
     for peer in peers:
         peer.send(ask())
@@ -86,17 +86,17 @@
         peer.socket.close()
     kept = limiter.upstream._servers["s1"].idle
     await until(lambda: len(kept) == connections and not limiter.frontend._clients)
-    rest(limiter)
+    mark_reusable(limiter)
 
 
-def rest(limiter: Limiter) -> None:
-    """What is kept has rested, whatever this machine has to do."""
+def mark_reusable(limiter: Limiter) -> None:
+    """Make the idle connections old enough for reuse, however slow this machine is."""
     for connection in limiter.upstream._servers["s1"].idle:
         connection.idle_since = limiter.upstream.now() - 1.0
 
 
-async def gone(limiter: Limiter, script: Script, requests: int = 1) -> None:
-    """All that was open has departed, once, and nothing is owed."""
+async def wait_until_gone(limiter: Limiter, script: Script, requests: int = 1) -> None:
+    """Wait until all clients are gone and check that each request was reported once and none remains."""
     await script.until(api.Departed, requests)
     await until(lambda: not limiter.frontend._clients)
     await yield_to_loop(20)
@@ -104,87 +104,89 @@
     assert not limiter.node.open_requests and not limiter.frontend.open_ids
 
 
-@LEAVES
+@DISCONNECTS
 @pytest.mark.parametrize("poll", [True, False], ids=["poll", "no poll"])
 @pytest.mark.parametrize("new", [False, True], ids=["standing connection", "new connection"])
 def test_a_request_that_is_read_behind_its_clients_end_is_not_sent(
-    new: bool, poll: bool, leaves: Ends, monkeypatch: pytest.MonkeyPatch
+    new: bool, poll: bool, leaves: DisconnectMethod, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """In the accept queue, or unread on a connection: the request is read before the end."""
+    """The request is in the accept queue or unread on a connection, and the limiter reads it before the end of file."""
 
     async def main() -> None:
         server, script = Server(), Script(forward)
         async with Limiter(script, {"s1": server.dial}) as limiter:
-            await warm(limiter, server)
+            await open_idle_connections(limiter, server)
             if not poll:
-                monkeypatch.setattr("select.poll", unknown)
+                monkeypatch.setattr("select.poll", unavailable)
             peer = Peer(limiter)
             if not new:
                 await until(lambda: limiter.frontend._clients)
             peer.send(ask())
             leaves(peer)
-            await gone(limiter, script)
-            assert unsent(limiter, server), "it was sent on"
+            await wait_until_gone(limiter, script)
+            assert nothing_sent(limiter, server), "it was sent on"
             assert limiter.upstream._servers["s1"].idle, "the connection is kept"
         server.close()
 
-    def unknown() -> None:
+    def unavailable() -> None:
         raise OSError(38, "Function not implemented")
 
     run(main())
 
 
-@FIRST
-@LEAVES
+@BOTH_ORDERS
+@DISCONNECTS
 def test_no_further_attempt_follows_a_failure_that_meets_the_clients_end(
-    leaves: Ends, client_first: bool
+    leaves: DisconnectMethod, client_first: bool
 ) -> None:
     async def main() -> None:
-        server, script = Server(), Script(again)
+        server, script = Server(), Script(retry_once)
         async with Limiter(script, {"s1": server.dial}) as limiter:
-            await warm(limiter, server, 2)
+            await open_idle_connections(limiter, server, 2)
             peer = Peer(limiter)
             peer.send(ask())
             await script.until(api.Request, 3)
-            out = await first_with_bytes(server)
-            await server.request(out)
-            rest(limiter)
-            in_order(client_first, lambda: leaves(peer), lambda: out.send(FULL))
-            await gone(limiter, script)
-            assert unsent(limiter, server), "it was sent once more"
+            used = await connection_with_request(server)
+            await server.request(used)
+            mark_reusable(limiter)
+            run_in_order(client_first, lambda: leaves(peer), lambda: used.send(NOT_PROCESSED_RESPONSE))
+            await wait_until_gone(limiter, script)
+            assert nothing_sent(limiter, server), "it was sent once more"
         server.close()
 
     run(main())
 
 
-@LEAVES
+@DISCONNECTS
 @pytest.mark.parametrize("more", [0, 2], ids=["nothing behind", "unread requests behind"])
-def test_no_further_attempt_is_made_for_a_client_that_is_not_read(more: int, leaves: Ends) -> None:
-    """Behind a full pipeline its end is seen by no read, and a sweep may be a while away."""
+def test_no_further_attempt_is_made_for_a_client_that_is_not_read(
+    more: int, leaves: DisconnectMethod
+) -> None:
+    """With a full pipeline the connection is not read, so its end is not seen before the next sweep."""
 
     async def main() -> None:
-        server, script = Server(), Script(again)
+        server, script = Server(), Script(retry_once)
         async with Limiter(script, {"s1": server.dial}) as limiter:
             assert limiter.frontend._sweep_at is not None
             limiter.frontend._sweep_at.cancel()
-            await warm(limiter, server, MAX_PIPELINED_REQUESTS + 1)
+            await open_idle_connections(limiter, server, MAX_PIPELINED_REQUESTS + 1)
             peer = Peer(limiter)
             peer.send(b"".join(ask() for _ in range(MAX_PIPELINED_REQUESTS)))
             await script.until(api.Request, 2 * MAX_PIPELINED_REQUESTS + 1)
-            out = await first_with_bytes(server)
-            await server.request(out)
+            used = await connection_with_request(server)
+            await server.request(used)
             await until(lambda: all(each._reading_paused for each in limiter.frontend._clients))
-            rest(limiter)
+            mark_reusable(limiter)
             peer.send(b"".join(ask() for _ in range(more)))
             leaves(peer)
             assert len(limiter.upstream._servers["s1"].idle) == 1
-            out.send(FULL)
-            await gone(limiter, script, MAX_PIPELINED_REQUESTS)
+            used.send(NOT_PROCESSED_RESPONSE)
+            await wait_until_gone(limiter, script, MAX_PIPELINED_REQUESTS)
             sends = sum(event.attempt for event in await script.until(api.Outcome))
             assert sends == 1, "the decisions wanted a further attempt"
-            others = [sock for sock in server.taken if sock is not out]
-            heads = [await until_end(sock) for sock in others]
-            assert sum(head.count(b"HTTP/1.1") for head in heads) == MAX_PIPELINED_REQUESTS - 1, (
+            others = [sock for sock in server.taken if sock is not used]
+            received = [await read_available(sock) for sock in others]
+            assert sum(head.count(b"HTTP/1.1") for head in received) == MAX_PIPELINED_REQUESTS - 1, (
                 "one was sent once more"
             )
         server.close()
@@ -192,12 +194,14 @@
     run(main())
 
 
-@LEAVES
-def test_who_leaves_in_an_answer_departs_at_once_with_all_that_waits_behind_it(leaves: Ends) -> None:
-    """Each attempt in vain would take one from those that others may have."""
+@DISCONNECTS
+def test_who_leaves_in_an_answer_departs_at_once_with_all_that_waits_behind_it(
+    leaves: DisconnectMethod,
+) -> None:
+    """A useless attempt would use up part of the limit on attempts of other requests."""
     sent = list[int]()
 
-    def insisting(event: api.Event) -> list[api.Action]:
+    def always_resend(event: api.Event) -> list[api.Action]:
         if isinstance(event, api.Request) or (
             isinstance(event, api.Outcome) and not event.finished and len(sent) < 9
         ):
@@ -206,7 +210,7 @@
         return []
 
     async def main() -> None:
-        server, script = Server(), Script(insisting)
+        server, script = Server(), Script(always_resend)
         async with Limiter(script, {"s1": server.dial}) as limiter:
             peer = Peer(limiter, receive_buffer=65536)
             peer.send(ask() + ask())
@@ -216,9 +220,9 @@
             first.send(b"HTTP/1.1 200 OK\r\nContent-Length: 12000000\r\n\r\n" + b"x" * 100_000)
             await script.until(api.Began)
             await yield_to_loop()
-            second.send(FULL)
+            second.send(NOT_PROCESSED_RESPONSE)
             leaves(peer)
-            await gone(limiter, script, 2)
+            await wait_until_gone(limiter, script, 2)
             assert sent == [1, 2, 2], "one further attempt was wanted, and it found the client gone"
             peer.socket.close()
         server.close()
@@ -226,12 +230,12 @@
     run(main())
 
 
-@FIRST
-@LEAVES
+@BOTH_ORDERS
+@DISCONNECTS
 def test_what_waits_for_the_counter_is_not_sent_once_its_client_has_gone(
-    leaves: Ends, client_first: bool
+    leaves: DisconnectMethod, client_first: bool
 ) -> None:
-    def counting(event: api.Event) -> list[api.Action]:
+    def count_repeats(event: api.Event) -> list[api.Action]:
         if isinstance(event, api.Request) and event.repeat:
             asked.append(event.id)
             return [api.Count(7, 1.0, 1.0)]
@@ -242,19 +246,19 @@
     asked = list[int]()
 
     async def main() -> None:
-        server, counter, script = Server(), Server(), Script(counting)
+        server, counter, script = Server(), Server(), Script(count_repeats)
         client = CounterClient(*split_address(counter.dial), 5.0)
         client.start()
         async with Limiter(script, {"s1": server.dial}, counter=client) as limiter:
-            line = await counter.accept()
-            await warm(limiter, server)
+            counter_socket = await counter.accept()
+            await open_idle_connections(limiter, server)
             peer = Peer(limiter)
             peer.send(ask(X_Retried="1"))
-            assert b"tally 7" in await asyncio.get_running_loop().sock_recv(line, 100)
-            in_order(client_first, lambda: leaves(peer), lambda: line.send(b"ok 1\r\n"))
-            await gone(limiter, script)
+            assert b"tally 7" in await asyncio.get_running_loop().sock_recv(counter_socket, 100)
+            run_in_order(client_first, lambda: leaves(peer), lambda: counter_socket.send(b"ok 1\r\n"))
+            await wait_until_gone(limiter, script)
             await script.until(api.Counted)
-            assert unsent(limiter, server), "it was sent on"
+            assert nothing_sent(limiter, server), "it was sent on"
             client.close()
         server.close()
         counter.close()
@@ -262,36 +266,38 @@
     run(main())
 
 
-@LEAVES
+@DISCONNECTS
 def test_a_dial_that_comes_up_just_before_its_client_leaves_carries_nothing(
-    leaves: Ends, monkeypatch: pytest.MonkeyPatch
+    leaves: DisconnectMethod, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The other order: ``test_nothing_is_sent_for_a_client_that_left_while_its_dial_waited``."""
+    """``test_nothing_is_sent_for_a_client_that_left_while_its_dial_waited`` covers the other order."""
 
     async def main() -> None:
         server, script = Server(), Script(forward)
         async with Limiter(script, {"s1": server.dial}) as limiter:
             peer = Peer(limiter)
-            made = _Connection.connection_made
+            original = _Connection.connection_made
 
-            def up(connection: _Connection, transport: asyncio.BaseTransport) -> None:
-                made(connection, transport)
+            def disconnecting(connection: _Connection, transport: asyncio.BaseTransport) -> None:
+                original(connection, transport)
                 asyncio.get_running_loop().call_soon(leaves, peer)
 
-            monkeypatch.setattr(_Connection, "connection_made", up)
+            monkeypatch.setattr(_Connection, "connection_made", disconnecting)
             peer.send(ask())
             await server.accept()
-            await gone(limiter, script)
-            assert unsent(limiter, server), "it was sent on"
+            await wait_until_gone(limiter, script)
+            assert nothing_sent(limiter, server), "it was sent on"
             assert len(limiter.upstream._servers["s1"].idle) == 1, "the connection is kept"
         server.close()
 
     run(main())
 
 
-@LEAVES
-def test_the_last_bytes_of_an_upload_are_not_passed_on_behind_its_clients_end(leaves: Ends) -> None:
-    """An attempt counts from its last byte."""
+@DISCONNECTS
+def test_the_last_bytes_of_an_upload_are_not_passed_on_behind_its_clients_end(
+    leaves: DisconnectMethod,
+) -> None:
+    """The attempt begins with the last byte of the upload."""
 
     async def main() -> None:
         server, script = Server(), Script(forward)
@@ -305,23 +311,23 @@
                 data += await asyncio.get_running_loop().sock_recv(sock, 1 << 20)
             peer.send(request[-10:])
             leaves(peer)
-            await gone(limiter, script)
-            assert not await until_end(sock), "it is whole at the server"
+            await wait_until_gone(limiter, script)
+            assert not await read_available(sock), "it is whole at the server"
         server.close()
 
     run(main())
 
 
 def test_a_client_that_stays_is_served_whatever_lies_unread_behind() -> None:
-    """Bytes behind a request are no end of its client: a further attempt is made."""
+    """Unread bytes after a request do not mean that the client has gone: a further attempt is made."""
 
     async def main() -> None:
         def reply(_n: int) -> bytes:
-            """Each request is turned away once."""
+            """Refuse the first attempt of each request."""
             ids = [headers["x-request-id"] for _, headers, _ in origin.seen]
-            return OK if ids.count(ids[-1]) > 1 else FULL
+            return OK if ids.count(ids[-1]) > 1 else NOT_PROCESSED_RESPONSE
 
-        origin, script = Origin(reply), Script(again)
+        origin, script = Origin(reply), Script(retry_once)
         async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             peer = Peer(limiter)
             peer.send(b"".join(ask() for _ in range(MAX_PIPELINED_REQUESTS)))
@@ -335,21 +341,21 @@
     run(main())
 
 
-def in_order(first: bool, one: Callable[[], object], other: Callable[[], object]) -> None:
+def run_in_order(first: bool, one: Callable[[], object], other: Callable[[], object]) -> None:
     for happens in (one, other) if first else (other, one):
         happens()
 
 
-async def first_with_bytes(server: Server) -> socket.socket:
-    """The connection on which the server has been asked."""
+async def connection_with_request(server: Server) -> socket.socket:
+    """Return the connection on which the server has received a request."""
     while True:
         if ready := select.select(server.taken, [], [], 0)[0]:
             return ready[0]
         await asyncio.sleep(0.001)
 
 
-async def until_end(sock: socket.socket) -> bytes:
-    """All that still comes on a connection, up to its end or for now."""
+async def read_available(sock: socket.socket) -> bytes:
+    """Return all bytes that have arrived on a connection."""
     data = b""
     try:
         while more := sock.recv(1 << 20):
--- a/tests/test_endings_times.py
+++ b/tests/test_endings_times.py
@@ -17,7 +17,7 @@
 from cypresspulley.net.upstream import Exchange, _Connection
 from tests.loopback import Limiter, Script, ask, run
 from tests.test_endings_clients import POST, Peer, only_client, until
-from tests.test_endings_gone import FULL, Server
+from tests.test_endings_gone import NOT_PROCESSED_RESPONSE, Server
 
 TTL = 5.0  # seconds
 CLOSED_ADDRESS = "127.0.0.1:1"  # refuses connections
@@ -100,7 +100,7 @@
             assert clock.jumped == held + late
             if slow:
                 clock.jump(0.5)
-                sock.send(FULL)
+                sock.send(NOT_PROCESSED_RESPONSE)
                 head = await server.request(await server.accept())
                 assert clock.jumped == held + 2 * late + 0.5
             assert TTL - clock.jumped - 0.5 < timeout_in(head) <= TTL - clock.jumped
