--- a/cypresspulley/service.py
+++ b/cypresspulley/service.py
@@ -211,7 +211,7 @@
             CLOCK_OFFSET: offset,
         }  # fmt: skip
 
-    def duplicate_listener(self) -> int:
+    def listener(self) -> int:
         assert self._frontend is not None
         return self._frontend.duplicate_listener()
 
--- a/tests/test_endings_leaving.py
+++ b/tests/test_endings_leaving.py
@@ -440,15 +440,15 @@
                 await until(lambda: not shared._clients)
                 shared.pause()
                 shared.resume()
-            listener = socket.socket(fileno=shared.listener())
+            listener = socket.socket(fileno=shared.duplicate_listener())
             heir = frontend.Frontend(limiter.node, limiter.frontend._settings, 64)
             await heir.listen_shared("127.0.0.1", 0, listener)
             shared.pause()
             peer = socket.create_connection((host, port))
             await until(lambda: heir._clients)
             fds = list[int]()
-            heir.hand(lambda fd: not fds.append(fd))  # type: ignore[func-returns-value]
-            await shared.take(socket.socket(fileno=fds[0]))
+            heir.set_handoff(lambda fd: not fds.append(fd))  # type: ignore[func-returns-value]
+            await shared.adopt_connection(socket.socket(fileno=fds[0]))
             await until(lambda: shared._clients and not heir._clients)
             follower = net_discovery.Follower(lambda _listing: None, lambda: 0.5)
             follower.follow(*_parts(other))
