--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -480,7 +480,7 @@
         key = name.lower()
         self._size += len(name) + len(value)
         if self._head_read:
-            return self._trailer()
+            return self._drop_trailer()
         # Trailing white space is not part of a value (RFC 9110, 5.5); the parser strips only leading white space.
         if value[-1:] in WHITESPACE:
             value = value.rstrip(b" \t")
@@ -503,7 +503,7 @@
         elif key == b"expect":
             self._expects = value.lower() == b"100-continue"
 
-    def _trailer(self) -> None:
+    def _drop_trailer(self) -> None:
         """Drop a trailer field: the protocol has none, and they must not be mixed with the fields of the head."""
         self._trailers += 1
         if self._trailers > MAX_TRAILERS:
@@ -564,6 +564,7 @@
             raise
 
     def _set_upload_held(self, held: bool) -> None:
+        """Pause or resume reading, as the upload's ``held`` says."""
         self._apply_backpressure()
 
     def _finish_upload(self, upload: Upload) -> None:
@@ -600,10 +601,11 @@
         return self.frontend.arrivals.data_age(self._transport, self._input)
 
     def _dispatch(self, request: ClientRequest) -> None:
+        """Validate the request and pass it to its handler. Raises BadRequestError if it is invalid."""
         request.receive_delay = self._receive_delay()
         method = self._parser.get_method()
         if method not in (b"GET", b"POST"):
-            raise BadRequestError(405, "method")
+            raise BadRequestError(405, "the method is neither GET nor POST")
         if not TARGET_PATTERN.fullmatch(self._target) or self._parser.get_http_version() not in (
             "1.0",
             "1.1",
@@ -1113,6 +1115,7 @@
             client.check_timeouts(now, idle_timeout)
 
     def remove_connection(self, client: _ClientConnection) -> None:
+        """Unregister a connection that has ended."""
         self._clients.pop(client, None)
         self._accepted.discard(client)
         if not self._clients:
