--- a/cypresspulley/graphql/front.py
+++ b/cypresspulley/graphql/front.py
@@ -19,8 +19,8 @@
 from cypresspulley.graphql.errors import Code, GraphQLRefusedError
 from cypresspulley.graphql.options import Options, OptionsError
 from cypresspulley.graphql.request import RESPONSE, Asked, error_body, read_get, read_post
-from cypresspulley.net.frontend import Came, ClientRequest
-from cypresspulley.net.requests import Customer
+from cypresspulley.net.frontend import ClientRequest, ParsedRequest
+from cypresspulley.net.requests import RequestMetadata
 from cypresspulley.net.upstream import Exchange
 
 log = logging.getLogger(__name__)
@@ -51,8 +51,8 @@
         self._options, self.media = options, RESPONSE
         self.priced: Priced | None = None
 
-    def error(
-        self, status: int, retry_after: float | None, why: str, left: float
+    def format_error(
+        self, status: int, retry_after: float | None, why: str, units_left: float
     ) -> tuple[int, bytes, bytes, float | None]:
         """Status, headers, body and ``Retry-After`` of an answer that is not a server's."""
         code = Code.TOO_DEAR if why == "too dear" else CODES.get(status, Code.BAD_REQUEST)
@@ -62,8 +62,8 @@
         if self.priced is not None:
             price = self.priced.price
             extensions["cost"] = {"expected": round(price.expected, 3), "bound": round(price.bound, 3)}
-            if code is Code.REFUSED and left >= 0:
-                extensions["left"] = round(left * self._options.points_per_unit, 3)
+            if code is Code.REFUSED and units_left >= 0:
+                extensions["left"] = round(units_left * self._options.points_per_unit, 3)
         if retry_after is not None:
             extensions["retryAfter"] = round(retry_after, 3)
         return self._answer(
@@ -87,7 +87,7 @@
             retry_after,
         )
 
-    def answered(self, exchange: Exchange) -> None:
+    def process_response(self, exchange: Exchange) -> None:
         """Read a server's 200: its cost becomes units, and what is proved not to have run is no answer."""
         assert self.priced is not None
         points = self._options.points_per_unit
@@ -108,8 +108,8 @@
 class _Reading:
     request: ClientRequest
     dialect: Dialect
-    customer: Customer
-    came: Came
+    customer: RequestMetadata
+    came: ParsedRequest
     asked: Asked
     steps: Generator[None, None, Priced]
     since: float
@@ -131,21 +131,21 @@
         self.longest = 0.0  # seconds that one turn of reading held the loop
         _warm(documents)
 
-    def take(self, request: ClientRequest, came: Came) -> None:
+    def handle_request(self, request: ClientRequest, came: ParsedRequest) -> None:
         """A request has come whole. It gets its answer here, or goes on to the decisions, maybe some turns later."""
         request.dialect = dialect = Dialect(self._options)
-        customer = came.reader.customer(came.query, came.fields)
-        came.claim(request)
+        customer = came.reader.read_metadata(came.query, came.fields)
+        came.claim_request_id(request)
         try:
             asked = self._asked(came, request)
             dialect.media = asked.media
             self._afford(customer, asked)
         except GraphQLRefusedError as error:
-            return request.answer_with(*dialect.refused(error))
+            return request.send_response(*dialect.refused(error))
         steps = priced_request(self._documents, list(asked.asks), self._options.introspection)
         self._go_on(_Reading(request, dialect, customer, came, asked, steps, self._clock()))
 
-    def _asked(self, came: Came, request: ClientRequest) -> Asked:
+    def _asked(self, came: ParsedRequest, request: ClientRequest) -> Asked:
         accept = came.fields.get(ACCEPT, b"").decode("latin-1")
         if came.method == b"GET":
             asked = read_get(came.query, accept)
@@ -155,7 +155,7 @@
             raise GraphQLRefusedError(Code.BATCH_OFF, "one operation a request")
         return asked
 
-    def _afford(self, customer: Customer, asked: Asked) -> None:
+    def _afford(self, customer: RequestMetadata, asked: Asked) -> None:
         """Time for the documents that are not known yet."""
         if len(asked.asks) > self._options.bounds.batch:
             raise GraphQLRefusedError(
@@ -172,7 +172,7 @@
     def _go_on(self, reading: _Reading) -> None:
         """Some steps of reading; then others' turn."""
         request = reading.request
-        if request.left:
+        if request.client_gone:
             return reading.steps.close()
         began = self._loop.time()
         try:
@@ -181,7 +181,7 @@
         except StopIteration as done:
             self._priced(reading, done.value)
         except GraphQLRefusedError as error:
-            request.answer_with(*reading.dialect.refused(error))
+            request.send_response(*reading.dialect.refused(error))
         except Exception:
             log.exception("a GraphQL request could not be read")
             request.respond(500)
@@ -204,11 +204,11 @@
             came.reader.next_id(), name, customer.plan, ttl, customer.account, min(units, bound), customer.spread,
             customer.repeat, bound,
         )  # fmt: skip
-        request.head = came.head_for(name, self._key(priced, customer))
-        came.arrived(request)
+        request.head = came.build_head(name, self._key(priced, customer))
+        came.submit(request)
         return None
 
-    def _key(self, priced: Priced, customer: Customer) -> bytes | None:
+    def _key(self, priced: Priced, customer: RequestMetadata) -> bytes | None:
         """Of a keyed mutation: the same for the same key of the same account, whichever limiter it comes through."""
         if priced.effect is not Effect.KEYED or not self._options.keyed:
             return None
--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -140,7 +140,7 @@
     def arrived(self, request: ClientRequest) -> None:
         event = request.event
         assert event is not None
-        left = max(LEAST_LEFT, event.ttl - request.waited)
+        left = max(LEAST_LEFT, event.ttl - request.receive_delay)
         margin = min(MARGIN, MARGIN_SHARE * left)
         opened = self._open[event.id] = _Open(request, float("inf"))
         if request.upload is None or request.upload.whole:
@@ -152,7 +152,7 @@
 
     def _time(self, opened: _Open, event: api.Request, margin: float) -> None:
         """A request's time counts from when its last byte came to the machine."""
-        left = max(LEAST_LEFT, event.ttl - opened.request.waited)
+        left = max(LEAST_LEFT, event.ttl - opened.request.receive_delay)
         opened.deadline = self._clock() + left - margin
         last = left - SILENT_SHARE * margin
         opened.timer = self._loop.call_later(last, self._abandon, event.id, 504)
@@ -176,7 +176,7 @@
         opened.begun = True
         if opened.timer is not None:
             opened.timer.cancel()
-        opened.request.begin(download)
+        opened.request.begin_stream(download)
         self.feed(api.ResponseStarted(id, number, attempt.server, attempt.elapsed, attempt.report))
 
     def departed(self, request: ClientRequest) -> None:
@@ -241,7 +241,7 @@
         if (opened := self._close(id)) is not None:
             log.warning("a request was answered %d in place of the decisions", status)
             if opened.begun:
-                opened.request.ended(False)
+                opened.request.end_stream(False)
             else:
                 opened.request.respond(status)
             self.feed(api.ClientDisconnected(id))
@@ -260,12 +260,12 @@
         told = self._attempted if request.dialect is None else self._answered
         done = partial(told, action.id, number)
         attempt = Exchange(action.server, request.head, request.body, expires, done, action.latest_start)
-        attempt.present = request.present
+        attempt.present = request.check_client_present
         if (upload := request.upload) is not None:
             assert request.event is not None
             attempt.upload, attempt.wait = (
                 upload,
-                min(wait, max(LEAST_LEFT, request.event.ttl - request.waited)),
+                min(wait, max(LEAST_LEFT, request.event.ttl - request.receive_delay)),
             )
         if request.dialect is None:
             attempt.begun = partial(self._began, action.id, number)
@@ -280,7 +280,7 @@
         opened = self._open.get(id)
         if opened is not None and opened.request.dialect is not None and attempt.status is api.Status.OK:
             try:
-                opened.request.dialect.answered(attempt)
+                opened.request.dialect.process_response(attempt)
             except Exception:
                 log.exception("an answer was passed on unread")
         self._attempted(id, number, attempt)
@@ -288,7 +288,7 @@
     def _attempted(self, id: int, number: int, attempt: Exchange) -> None:
         if attempt.download is not None:
             if (opened := self._close(id)) is not None:
-                opened.request.ended(attempt.status is api.Status.OK)
+                opened.request.end_stream(attempt.status is api.Status.OK)
         elif attempt.status is api.Status.OK and (opened := self._close(id)) is not None:
             opened.request.respond(200, attempt.answer, attempt.answer_headers)
         finished = id not in self._open
@@ -298,7 +298,7 @@
     def _refuse(self, action: api.Refuse) -> None:
         if (opened := self._close(action.id)) is not None:
             wait = max(0.0, action.retry_after)
-            opened.request.respond(429, retry_after=wait, why=action.why, left=action.quota_left)
+            opened.request.respond(429, retry_after=wait, why=action.why, units_left=action.quota_left)
 
     def _fail(self, action: api.Fail) -> None:
         if (opened := self._close(action.id)) is not None:
--- a/cypresspulley/service.py
+++ b/cypresspulley/service.py
@@ -213,7 +213,7 @@
 
     def listener(self) -> int:
         assert self._frontend is not None
-        return self._frontend.listener()
+        return self._frontend.duplicate_listener()
 
     def pause(self) -> None:
         assert self._frontend is not None
@@ -222,7 +222,7 @@
     def resume(self) -> None:
         self.life.apply(LifecycleEvent.TAKE_BACK)
         self._heed()
-        if self._frontend is not None and not self._frontend.closed:
+        if self._frontend is not None and not self._frontend.is_shutting_down:
             self._frontend.resume()
 
     def _later(self, work: Coroutine[Any, Any, Any]) -> None:
@@ -248,9 +248,9 @@
         assert self._frontend is not None
         if isinstance(to, Predecessor):
             self.life.apply(LifecycleEvent.HAND_OVER)
-            self._frontend.hand(to.pass_client)
+            self._frontend.set_handoff(to.pass_client)
         else:
-            self._frontend.hand(None)
+            self._frontend.set_handoff(None)
 
     def held(self) -> list[tuple[str, str, int]]:
         return held(self._gateway) if self._gateway is not None else []
@@ -261,7 +261,7 @@
 
     def took(self, sock: socket.socket) -> None:
         assert self._frontend is not None
-        self._later(self._frontend.take(sock))
+        self._later(self._frontend.adopt_connection(sock))
 
     def applied(self, name: str, id: str, source: Peer) -> None:
         self._apply(name, id, sure=True)
--- a/tests/closing/test_node.py
+++ b/tests/closing/test_node.py
@@ -27,15 +27,15 @@
 from tests.loopback import (
     OK,
     SETTINGS,
+    ConnectionHandler,
     Origin,
     Script,
-    Talk,
     ask,
+    forward,
     listening,
     listing,
     read_message,
     run,
-    send_on,
 )
 from tests.test_door import call, opened
 
@@ -52,7 +52,7 @@
             stand_in.options, View(stand_in, 1), clock, lambda: self.now, self.history, named=1
         )
         self.closing.start()
-        self.script = Script(send_on)
+        self.script = Script(forward)
         self.upstream = Upstream(clock, dial_timeout=0.25, conn_idle=30.0, max_connections=64)
         kind = self.closing.node(Node if file is None else LoggedNode)
         arguments: list[Any] = [SETTINGS, self.script, clock, self.upstream, None]
@@ -70,7 +70,7 @@
 
 
 @asynccontextmanager
-async def keeping(talk: Talk, file: LogFile | None = None) -> AsyncIterator[Kept]:
+async def keeping(talk: ConnectionHandler, file: LogFile | None = None) -> AsyncIterator[Kept]:
     async with listening(talk) as dial:
         limiter = Kept(dial, file)
         limiter.address = await limiter.frontend.listen("127.0.0.1", 0)
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -1,7 +1,7 @@
-"""Ends of clients' connections, each crossed by the bytes, the end of file or the reset that may meet it.
+"""Closing of client connections while bytes, an end of file or a reset from the client arrive at the same moment.
 
-The peers are raw sockets that act in the very turn of the loop in which the limiter does; what they send is in the
-machine at once (loopback), so that a test puts its bytes before or behind a look, a half-close or a close.
+The peers are raw sockets that act in the same iteration of the loop as the limiter. On loopback what they send is in
+the kernel at once, so a test can place its bytes before or after a socket check, a half-close or a close.
 """
 
 from __future__ import annotations
@@ -16,29 +16,29 @@
 
 from cypresspulley import interface as api
 from cypresspulley.net import frontend
-from cypresspulley.net.frontend import MAX_PIPELINE, _Client
-from tests.loopback import Limiter, Origin, Script, ask, listening, run, send_on
+from cypresspulley.net.frontend import MAX_PIPELINED_REQUESTS, _ClientConnection
+from tests.loopback import Limiter, Origin, Script, ask, forward, listening, run
 
 POST = "/post?account=00000000b4d65521"
-LARGE = 12_000_000  # bytes of an answer: more than both sides' kernels hold
-Ends = Callable[["Peer"], None]
+LARGE_RESPONSE = 12_000_000  # bytes; more than the socket buffers of both sides hold
+DisconnectMethod = Callable[["Peer"], None]
 
 
 def refuse(event: api.Event) -> list[api.Action]:
     return [api.Refuse(event.id, 0.25)] if isinstance(event, api.Request) else []
 
 
-def silent(_event: api.Event) -> list[api.Action]:
+def no_actions(_event: api.Event) -> list[api.Action]:
     return []
 
 
 class Peer:
-    """A client's socket. What it sends is in the limiter's machine when ``send`` returns."""
+    """A client's socket. What it sends is in the limiter's kernel when ``send`` returns."""
 
-    def __init__(self, limiter: Limiter, receive: int | None = None) -> None:
+    def __init__(self, limiter: Limiter, receive_buffer: int | None = None) -> None:
         self.socket = socket.socket()
-        if receive is not None:
-            self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive)
+        if receive_buffer is not None:
+            self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
         self.socket.connect(limiter._address)
         self.socket.setblocking(False)
         self.seen = b""
@@ -53,13 +53,13 @@
             self.seen += data
 
     async def end(self) -> list[int]:
-        """Status codes of all answers up to an orderly end; a reset is an error."""
+        """Return the status codes of all responses up to an orderly end; a reset raises an error."""
         while data := await asyncio.get_running_loop().sock_recv(self.socket, 1 << 20):
             self.seen += data
         return [int(part.split(b" ")[1]) for part in self.seen.split(b"HTTP/1.1")[1:]]
 
     def heard_end(self) -> bool:
-        """Whether the limiter's half-close is there already; nothing is taken off."""
+        """Whether the limiter's half-close has arrived; no data is consumed."""
         try:
             return self.socket.recv(1, socket.MSG_PEEK) == b""
         except BlockingIOError:
@@ -76,7 +76,7 @@
         self.socket.close()
 
 
-async def turns(count: int = 8) -> None:
+async def yield_to_loop(count: int = 8) -> None:
     for _ in range(count):
         await asyncio.sleep(0)
 
@@ -86,36 +86,36 @@
         await asyncio.sleep(0.001)
 
 
-async def past(limiter: Limiter, seconds: float) -> None:
-    """Some sweeps behind a moment."""
+async def wait_seconds(limiter: Limiter, seconds: float) -> None:
+    """Wait until ``seconds`` have passed on the frontend's clock."""
     due = limiter.frontend.clock() + seconds
     await until(lambda: limiter.frontend.clock() > due)
 
 
-def the_one(limiter: Limiter) -> _Client:
+def only_client(limiter: Limiter) -> _ClientConnection:
     (client,) = limiter.frontend._clients
     return client
 
 
 @pytest.fixture
-def brisk(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Sweeps that come at once, where the bound under test is another one."""
-    monkeypatch.setattr(frontend, "SWEEP", 0.01)
+def fast_sweep(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Make sweeps frequent, for tests of other bounds."""
+    monkeypatch.setattr(frontend, "SWEEP_INTERVAL", 0.01)
 
 
-def crossed(monkeypatch: pytest.MonkeyPatch, data: bytes, peers: list[Peer]) -> None:
-    """The first peer's bytes are in the machine at the very moment in which its connection is closed."""
-    close = _Client._close
+def send_on_close(monkeypatch: pytest.MonkeyPatch, data: bytes, peers: list[Peer]) -> None:
+    """Send the data of the last peer at the moment at which its connection is closed."""
+    close = _ClientConnection._close
 
-    def crossing(client: _Client) -> None:
+    def interfering(client: _ClientConnection) -> None:
         if peers and client._transport is not None:
             peers.pop().send(data)
         close(client)
 
-    monkeypatch.setattr(_Client, "_close", crossing)
+    monkeypatch.setattr(_ClientConnection, "_close", interfering)
 
 
-# The lingering close.
+# Lingering close.
 
 ENDS = {
     "told to close": (ask(Connection="close"), 429),
@@ -137,20 +137,20 @@
         script = Script(refuse)
         async with Limiter(script, {}) as limiter:
             if kind == "crowded":
-                limiter.frontend.spoken += 60
+                limiter.frontend.connections_with_data += 60
             elif kind == "drained":
                 limiter.frontend.drain()
             peer = Peer(limiter)
-            crossed(monkeypatch, ask(), [peer])
+            send_on_close(monkeypatch, ask(), [peer])
             peer.send(request)
             assert await peer.end() == [status] and b"Connection: close" in peer.seen
-            await turns(50)
+            await yield_to_loop(50)
             assert not peer.reset()
             assert len([e for e in script.events if isinstance(e, api.Request)]) == (status == 429)
             peer.socket.close()
             await until(lambda: not limiter.frontend._clients)
-            limiter.frontend.spoken -= 60 * (kind == "crowded")
-            assert limiter.frontend.spoken == 0 and not limiter.frontend.open_ids
+            limiter.frontend.connections_with_data -= 60 * (kind == "crowded")
+            assert limiter.frontend.connections_with_data == 0 and not limiter.frontend.open_ids
 
     run(main())
 
@@ -159,25 +159,28 @@
 def test_a_request_that_crosses_the_half_close_is_read_behind_it_only(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Between the look at the socket and the half-close: read before that, it would be taken and lost."""
+    """It arrives between the check of the socket and the half-close; if it were read before that, it would be lost."""
     order, peers = list[bool](), list[Peer]()
-    look, receive = cast(property, _Client.unread).fget, _Client.data_received
-    assert look is not None
-
-    def looked(self: _Client) -> bool:
-        unread: bool = look(self)
+    check_unread, data_received = (
+        cast(property, _ClientConnection.has_unread_data).fget,
+        _ClientConnection.data_received,
+    )
+    assert check_unread is not None
+
+    def checking(self: _ClientConnection) -> bool:
+        unread: bool = check_unread(self)
         if not unread and peers and not order:
             order.append(peers[0].heard_end())
             peers[0].send(ask())
         return unread
 
-    def received(self: _Client, data: bytes) -> None:
+    def receiving(self: _ClientConnection, data: bytes) -> None:
         if peers:
             order.append(peers[0].heard_end())
-        receive(self, data)
+        data_received(self, data)
 
-    monkeypatch.setattr(_Client, "unread", property(looked))
-    monkeypatch.setattr(_Client, "data_received", received)
+    monkeypatch.setattr(_ClientConnection, "has_unread_data", property(checking))
+    monkeypatch.setattr(_ClientConnection, "data_received", receiving)
 
     async def main() -> None:
         script = Script(refuse)
@@ -185,17 +188,17 @@
             peer = Peer(limiter)
             peer.send(ask())
             await peer.until(b"\r\n\r\n")
-            await turns()
-            client = the_one(limiter)
+            await yield_to_loop()
+            client = only_client(limiter)
             peers.append(peer)
-            client.since -= 2 * frontend.IDLE
+            client.last_active_at -= 2 * frontend.IDLE_TIMEOUT
             closing = None
             if how == "idle":
                 limiter.frontend._sweep()
             else:
                 limiter.frontend.drain()
                 if how == "draining":
-                    limiter.frontend._drained_at -= 2 * frontend.DRAIN_NOTICE
+                    limiter.frontend._drained_at -= 2 * frontend.DRAIN_NOTICE_TIME
                     limiter.frontend._sweep()
                 else:
                     closing = asyncio.create_task(limiter.frontend.close(10))
@@ -211,10 +214,10 @@
     run(main())
 
 
-@pytest.mark.usefixtures("brisk")
+@pytest.mark.usefixtures("fast_sweep")
 @pytest.mark.parametrize("how", ["idle", "told to close", "no request"])
 def test_a_client_that_closes_too_ends_the_linger_at_once(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontend, "LINGER", 1e6)
+    monkeypatch.setattr(frontend, "LINGER_TIMEOUT", 1e6)
 
     async def main() -> None:
         async with Limiter(Script(refuse), {}) as limiter:
@@ -223,23 +226,23 @@
                 {"idle": ask(), "told to close": ask(Connection="close"), "no request": b"x\r\n\r\n"}[how]
             )
             await peer.until(b"\r\n\r\n")
-            the_one(limiter).since -= 2 * frontend.IDLE
+            only_client(limiter).last_active_at -= 2 * frontend.IDLE_TIMEOUT
             await peer.end()
-            await turns(20)
+            await yield_to_loop(20)
             assert limiter.frontend._clients, "it lingers"
             peer.fin()
             await until(lambda: not limiter.frontend._clients)
-            assert limiter.frontend.spoken == 0
+            assert limiter.frontend.connections_with_data == 0
 
     run(main())
 
 
-@pytest.mark.usefixtures("brisk")
+@pytest.mark.usefixtures("fast_sweep")
 @pytest.mark.parametrize("rests", [True, False])
 def test_a_client_that_never_closes_is_closed_at_the_bound(
     rests: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(frontend, "LINGER", 0.05)
+    monkeypatch.setattr(frontend, "LINGER_TIMEOUT", 0.05)
 
     async def main() -> None:
         async with Limiter(Script(refuse), {}) as limiter:
@@ -247,52 +250,52 @@
             peer.send(ask() if rests else ask(Connection="close"))
             await peer.until(b"\r\n\r\n")
             if rests:
-                the_one(limiter).since -= 2 * frontend.IDLE
+                only_client(limiter).last_active_at -= 2 * frontend.IDLE_TIMEOUT
             assert await peer.end() == [429]
-            assert the_one(limiter).frontend.spoken == 0, "who lingers crowds nobody"
+            assert only_client(limiter).frontend.connections_with_data == 0, "who lingers crowds nobody"
             await until(lambda: not limiter.frontend._clients)
             assert not peer.reset()
             peer.send(ask())
-            await until(peer.reset)  # nobody is there any more
+            await until(peer.reset)  # the limiter has closed its socket
 
     run(main())
 
 
-def answer(size: int) -> bytes:
+def build_response(size: int) -> bytes:
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + b"x" * size
 
 
-MIDDLE = answer(60_000)  # it does not flow
+MEDIUM_RESPONSE = build_response(60_000)  # small enough not to be streamed
 
 
-async def clog(limiter: Limiter, script: Script, peer: Peer) -> int:
-    """How many answers were written until the client, which takes none off, is not read any more."""
+async def send_until_paused(limiter: Limiter, script: Script, peer: Peer) -> int:
+    """Send requests without reading responses until writing is paused; return how many."""
     sent = 0
-    while not (limiter.frontend._clients and the_one(limiter)._writing_paused):
+    while not (limiter.frontend._clients and only_client(limiter)._writing_paused):
         peer.send(ask())
         sent += 1
         await script.until(api.Outcome, sent)
     return sent
 
 
-@pytest.mark.usefixtures("brisk")
+@pytest.mark.usefixtures("fast_sweep")
 def test_an_answer_that_is_still_being_taken_is_not_cut_by_the_lingers_bound(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(frontend, "LINGER", 0.02)
+    monkeypatch.setattr(frontend, "LINGER_TIMEOUT", 0.02)
 
     async def main() -> None:
-        origin, script = Origin(lambda _n: MIDDLE), Script(send_on)
+        origin, script = Origin(lambda _n: MEDIUM_RESPONSE), Script(forward)
         async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
-            peer = Peer(limiter, receive=4096)
-            sent = await clog(limiter, script, peer)
+            peer = Peer(limiter, receive_buffer=4096)
+            sent = await send_until_paused(limiter, script, peer)
             limiter.frontend.drain()
             closing = asyncio.create_task(limiter.frontend.close(10))
-            await until(lambda: the_one(limiter)._transport is None)
-            assert the_one(limiter)._account() > 0, "it is not flushed"
-            await past(limiter, 0.2)  # the bound is long over
+            await until(lambda: only_client(limiter)._transport is None)
+            assert only_client(limiter)._update_buffered() > 0, "it is not flushed"
+            await wait_seconds(limiter, 0.2)  # the linger timeout is long over
             peer.send(ask())
-            await turns(20)
+            await yield_to_loop(20)
             assert await peer.end() == [200] * sent
             assert peer.seen.count(b"x") >= 60_000 * sent and not peer.reset()
             assert len(origin.seen) == sent, "nothing is passed on behind the half-close"
@@ -303,20 +306,20 @@
     run(main())
 
 
-@pytest.mark.usefixtures("brisk")
+@pytest.mark.usefixtures("fast_sweep")
 @pytest.mark.parametrize("how", ["told to close", "keeps", "half-closes"])
 def test_who_takes_nothing_of_its_answer_is_let_go(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(frontend, "READER", 0.1)
 
     async def main() -> None:
-        origin, script = Origin(lambda _n: MIDDLE), Script(send_on)
+        origin, script = Origin(lambda _n: MEDIUM_RESPONSE), Script(forward)
         async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
-            peer = Peer(limiter, receive=4096)
-            await clog(limiter, script, peer)
+            peer = Peer(limiter, receive_buffer=4096)
+            await send_until_paused(limiter, script, peer)
             if how == "keeps":
-                peer.send(ask())  # and this one is not read
+                peer.send(ask())  # this request is not read
             elif how == "told to close":
-                the_one(limiter)._close()
+                only_client(limiter)._close()
             else:
                 peer.fin()
             await until(lambda: not limiter.frontend._clients)
@@ -325,18 +328,18 @@
     run(main())
 
 
-# Making room at the limit of connections.
+# Eviction at the connection limit.
 
 
 @pytest.mark.parametrize("lingers", [True, False])
 def test_who_still_takes_its_answer_makes_room_last(lingers: bool) -> None:
     async def main() -> None:
-        origin, script = Origin(lambda _n: MIDDLE), Script(send_on)
+        origin, script = Origin(lambda _n: MEDIUM_RESPONSE), Script(forward)
         async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
-            taker = Peer(limiter, receive=4096)
-            sent = await clog(limiter, script, taker)
+            taker = Peer(limiter, receive_buffer=4096)
+            sent = await send_until_paused(limiter, script, taker)
             if lingers:
-                the_one(limiter)._close()
+                only_client(limiter)._close()
             idle = Peer(limiter)
             idle.send(ask())
             await idle.until(b"x" * 60_000)
@@ -365,11 +368,11 @@
             limiter.frontend._max = 2
             make_room = limiter.frontend.make_room
 
-            def crossing() -> bool:
+            def interfering() -> bool:
                 asks.send(ask())
                 return make_room()
 
-            monkeypatch.setattr(limiter.frontend, "make_room", crossing)
+            monkeypatch.setattr(limiter.frontend, "make_room", interfering)
             newest = Peer(limiter)
             newest.send(ask())
             await newest.until(b" 429 ")
@@ -397,15 +400,15 @@
     run(main())
 
 
-def arrivals(limiter: Limiter, monkeypatch: pytest.MonkeyPatch) -> list[_Client]:
-    """A list that gets each connection from now on."""
-    came, connected = list[_Client](), limiter.frontend.connected
+def record_connections(limiter: Limiter, monkeypatch: pytest.MonkeyPatch) -> list[_ClientConnection]:
+    """Return a list to which each connection is added from now on."""
+    came, connected = list[_ClientConnection](), limiter.frontend.add_connection
 
-    def noted(client: _Client) -> None:
+    def noted(client: _ClientConnection) -> None:
         came.append(client)
         connected(client)
 
-    monkeypatch.setattr(limiter.frontend, "connected", noted)
+    monkeypatch.setattr(limiter.frontend, "add_connection", noted)
     return came
 
 
@@ -413,16 +416,16 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main() -> None:
-        script = Script(silent)
+        script = Script(no_actions)
         async with Limiter(script, {}) as limiter:
             busy = [Peer(limiter) for _ in range(32)]
             for peer in busy:
                 peer.send(ask(ttl=60_000))
             requests = await script.until(api.Request, 32)
-            came = arrivals(limiter, monkeypatch)
+            came = record_connections(limiter, monkeypatch)
             flood = [Peer(limiter) for _ in range(400)]
             while len(came) < 400:
-                await turns(1)
+                await yield_to_loop(1)
                 assert len(limiter.frontend._clients) <= 65, "beside the one that makes room"
             late = Peer(limiter)
             late.send(ask(ttl=60_000))
@@ -434,17 +437,17 @@
             for peer in (*flood, *busy, late):
                 peer.socket.close()
             await until(lambda: not limiter.frontend._clients)
-            assert limiter.frontend.spoken == 0
+            assert limiter.frontend.connections_with_data == 0
 
     run(main())
 
 
-# Departures that a paused connection hides. Their clients would wait for longer than any test runs.
+# Disconnects while reading is paused. The timeouts of these requests are longer than any test runs.
 
 
 async def waiting(limiter: Limiter, script: Script) -> Peer:
-    """One request, and a connection that is read."""
-    script.answer = silent
+    """One open request on a connection that is still read."""
+    script.answer = no_actions
     peer = Peer(limiter)
     peer.send(ask(ttl=60_000))
     await script.until(api.Request)
@@ -452,64 +455,64 @@
 
 
 async def pipelined(limiter: Limiter, script: Script) -> Peer:
-    """A pipeline that is full."""
-    script.answer = silent
+    """A full pipeline."""
+    script.answer = no_actions
     peer = Peer(limiter)
-    peer.send(b"".join(ask(ttl=60_000) for _ in range(MAX_PIPELINE)))
-    await script.until(api.Request, MAX_PIPELINE)
+    peer.send(b"".join(ask(ttl=60_000) for _ in range(MAX_PIPELINED_REQUESTS)))
+    await script.until(api.Request, MAX_PIPELINED_REQUESTS)
     return peer
 
 
 async def pipelined_and_more(limiter: Limiter, script: Script) -> Peer:
-    """A full pipeline, and requests that are not read behind it."""
+    """A full pipeline followed by unread requests."""
     peer = await pipelined(limiter, script)
-    await turns()
+    await yield_to_loop()
     peer.send(ask(ttl=60_000) + ask(ttl=60_000))
     return peer
 
 
 async def rejected(limiter: Limiter, script: Script) -> Peer:
-    """Hundreds of requests at once: some of them wait for their answers, the rest is rejected."""
-    script.answer = silent
+    """Hundreds of requests in one read: some wait for their responses, the rest are rejected."""
+    script.answer = no_actions
     peer = Peer(limiter)
     peer.send(b"".join(ask(ttl=60_000) for _ in range(200)))
-    await script.until(api.Request, MAX_PIPELINE)
+    await script.until(api.Request, MAX_PIPELINED_REQUESTS)
     return peer
 
 
 async def clogged(limiter: Limiter, script: Script) -> Peer:
-    """Behind an answer that its client does not take a request waits."""
-    peer = Peer(limiter, receive=65536)
+    """A response that the client does not read."""
+    peer = Peer(limiter, receive_buffer=65536)
     peer.send(ask(ttl=60_000))
     await script.until(api.Request)
-    await until(lambda: the_one(limiter)._writing_paused)
-    script.answer = silent
-    assert the_one(limiter)._reading_paused
+    await until(lambda: only_client(limiter)._writing_paused)
+    script.answer = no_actions
+    assert only_client(limiter)._reading_paused
     return peer
 
 
 async def clogged_and_waiting(limiter: Limiter, script: Script) -> Peer:
-    """The same where the next request has been read."""
+    """A response that the client does not read, and a second open request."""
 
     def first(event: api.Event) -> list[api.Action]:
-        return send_on(event) if sum(isinstance(e, api.Request) for e in script.events) == 1 else []
+        return forward(event) if sum(isinstance(e, api.Request) for e in script.events) == 1 else []
 
     script.answer = first
-    peer = Peer(limiter, receive=65536)
+    peer = Peer(limiter, receive_buffer=65536)
     peer.send(ask(ttl=60_000) + ask(ttl=60_000))
     await script.until(api.Request, 2)
-    await until(lambda: the_one(limiter)._writing_paused)
+    await until(lambda: only_client(limiter)._writing_paused)
     return peer
 
 
 async def uploading(limiter: Limiter, script: Script) -> Peer:
-    """A large body that nobody takes yet; what is not read fits into the machine."""
-    script.answer = silent
+    """A large body that no server receives yet; the unread part fits into the socket buffer."""
+    script.answer = no_actions
     peer = Peer(limiter)
     request = ask(POST, b"x" * 100_000, ttl=60_000)
     peer.send(request[:70_000])
     await script.until(api.Request)
-    await until(lambda: the_one(limiter)._reading_paused)
+    await until(lambda: only_client(limiter)._reading_paused)
     peer.send(request[70_000:])
     return peer
 
@@ -517,23 +520,23 @@
 PAUSED = [waiting, pipelined, pipelined_and_more, rejected, clogged, clogged_and_waiting, uploading]
 
 
-@pytest.mark.usefixtures("brisk")
+@pytest.mark.usefixtures("fast_sweep")
 @pytest.mark.parametrize("drained", [False, True])
 @pytest.mark.parametrize("leaves", [Peer.fin, Peer.rst], ids=["fin", "rst"])
 @pytest.mark.parametrize("paused", PAUSED)
 def test_a_client_that_leaves_while_it_is_not_read_is_noticed(
-    paused: Callable[[Limiter, Script], object], leaves: Ends, drained: bool
+    paused: Callable[[Limiter, Script], object], leaves: DisconnectMethod, drained: bool
 ) -> None:
     async def main() -> None:
-        origin, script = Origin(lambda _n: answer(LARGE)), Script(send_on)
+        origin, script = Origin(lambda _n: build_response(LARGE_RESPONSE)), Script(forward)
         async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             peer = await paused(limiter, script)  # type: ignore[misc]
-            await turns(20)
+            await yield_to_loop(20)
             closing = None
             if drained:
                 limiter.frontend.drain()
                 closing = asyncio.create_task(limiter.frontend.close(10))
-                await turns(20)
+                await yield_to_loop(20)
             open_now = limiter.node.open_requests
             assert open_now
             leaves(peer)
@@ -549,10 +552,10 @@
     run(main())
 
 
-@pytest.mark.usefixtures("brisk")
+@pytest.mark.usefixtures("fast_sweep")
 @pytest.mark.parametrize("leaves", [Peer.fin, Peer.rst], ids=["fin", "rst"])
 def test_an_end_behind_nothing_is_noticed_by_plain_means(
-    leaves: Ends, monkeypatch: pytest.MonkeyPatch
+    leaves: DisconnectMethod, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def unknown() -> None:
         raise OSError(38, "Function not implemented")
@@ -560,26 +563,26 @@
     monkeypatch.setattr("select.poll", unknown)
 
     async def main() -> None:
-        script = Script(silent)
+        script = Script(no_actions)
         async with Limiter(script, {}) as limiter:
             peer = await pipelined(limiter, script)
-            await turns(20)
+            await yield_to_loop(20)
             leaves(peer)
-            await script.until(api.ClientDisconnected, MAX_PIPELINE)
+            await script.until(api.ClientDisconnected, MAX_PIPELINED_REQUESTS)
 
     run(main())
 
 
 def test_a_reset_that_crosses_the_half_close_leaves_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Both orders: before it, and behind it."""
+    """The reset arrives before or after the half-close."""
 
     async def main() -> None:
         async with Limiter(Script(refuse), {}) as limiter:
-            half_close, came = _Client._half_close, arrivals(limiter, monkeypatch)
+            half_close, came = _ClientConnection._half_close, record_connections(limiter, monkeypatch)
             for first in (True, False):
                 peer = Peer(limiter)
 
-                def crossed(client: _Client, peer: Peer = peer, first: bool = first) -> None:
+                def resetting(client: _ClientConnection, peer: Peer = peer, first: bool = first) -> None:
                     if first:
                         peer.rst()
                     half_close(client)
@@ -587,14 +590,14 @@
                         peer.rst()
 
                 with monkeypatch.context() as patched:
-                    patched.setattr(_Client, "_half_close", crossed)
+                    patched.setattr(_ClientConnection, "_half_close", resetting)
                     peer.send(ask(Connection="close"))
                     await until(lambda: came and not limiter.frontend._clients)
                 came.clear()
-                assert limiter.frontend.spoken == 0 and not limiter.frontend.open_ids
+                assert limiter.frontend.connections_with_data == 0 and not limiter.frontend.open_ids
 
     run(main())
 
 
 def test_sweeps_come_often_enough_for_what_they_alone_notice() -> None:
-    assert frontend.SWEEP <= 0.2  # departures are due within 0.3 s
+    assert frontend.SWEEP_INTERVAL <= 0.2  # disconnects must be noticed within 0.3 s
--- a/tests/test_endings_leaving.py
+++ b/tests/test_endings_leaving.py
@@ -17,43 +17,52 @@
 from cypresspulley.net import discovery as net_discovery
 from cypresspulley.net import frontend
 from cypresspulley.net import upstream as net_upstream
-from cypresspulley.net.frontend import LINGER_BYTES, MAX_PIPELINE, _Client
-from tests.loopback import Limiter, Origin, Script, ask, listening, read_message, run, send_on
-from tests.test_endings_clients import Peer, arrivals, brisk, refuse, silent, the_one, turns, until
+from cypresspulley.net.frontend import LINGER_MAX_BYTES, MAX_PIPELINED_REQUESTS, _ClientConnection
+from tests.loopback import Limiter, Origin, Script, ask, forward, listening, read_message, run
+from tests.test_endings_clients import (
+    Peer,
+    fast_sweep,
+    no_actions,
+    only_client,
+    record_connections,
+    refuse,
+    until,
+    yield_to_loop,
+)
 from tests.test_program import config, started
 
-__all__ = ["brisk"]
+__all__ = ["fast_sweep"]
 POST = "/post?account=00000000b4d65521"
 
 
 # The phases of a limiter that ends.
 
 
-@pytest.mark.usefixtures("brisk")
+@pytest.mark.usefixtures("fast_sweep")
 def test_a_new_connection_that_speaks_too_late_meets_a_tidy_end(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its request comes behind the half-close, in the very moment: no answer, no reset, nothing passed on."""
-    monkeypatch.setattr(frontend, "DRAIN_IDLE", 0.05)
+    monkeypatch.setattr(frontend, "DRAIN_IDLE_TIMEOUT", 0.05)
 
     async def main() -> None:
         script = Script(refuse)
         async with Limiter(script, {}) as limiter:
             peer = Peer(limiter)
             await until(lambda: limiter.frontend._clients)
-            half_close = _Client._half_close
+            half_close = _ClientConnection._half_close
 
-            def crossed(client: _Client) -> None:
+            def crossed(client: _ClientConnection) -> None:
                 half_close(client)
                 peer.send(ask())
 
-            monkeypatch.setattr(_Client, "_half_close", crossed)
+            monkeypatch.setattr(_ClientConnection, "_half_close", crossed)
             limiter.frontend.drain()
             closing = asyncio.create_task(limiter.frontend.close(10))
             assert await peer.end() == []
-            await turns(50)
+            await yield_to_loop(50)
             assert not peer.reset() and not [e for e in script.events if isinstance(e, api.Request)]
             peer.socket.close()
             await closing
-            assert not limiter.frontend._clients and limiter.frontend.spoken == 0
+            assert not limiter.frontend._clients and limiter.frontend.connections_with_data == 0
 
     run(main())
 
@@ -63,15 +72,15 @@
     kept: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     order, peers = list[bool](), list[Peer]()
-    receive = _Client.data_received
+    receive = _ClientConnection.data_received
 
-    def received(self: _Client, data: bytes) -> None:
+    def received(self: _ClientConnection, data: bytes) -> None:
         if peers:
             order.append(peers[0].heard_end())
         receive(self, data)
 
-    monkeypatch.setattr(_Client, "data_received", received)
-    monkeypatch.setattr(frontend, "DRAIN_IDLE", 1e6)
+    monkeypatch.setattr(_ClientConnection, "data_received", received)
+    monkeypatch.setattr(frontend, "DRAIN_IDLE_TIMEOUT", 1e6)
 
     async def main() -> None:
         script = Script(refuse)
@@ -80,21 +89,21 @@
             await until(lambda: limiter.frontend._clients)
             limiter.frontend.drain()
             await limiter.frontend.close(0.05)
-            client = the_one(limiter)
+            client = only_client(limiter)
             if kept:  # an answer whose head had gone before the drain began
                 limiter.frontend.draining = False
                 peer.send(ask())
                 await peer.until(b"\r\n\r\n")
                 limiter.frontend.draining = True
             assert client._transport is not None
-            leave = _Client.leave
+            leave = _ClientConnection.apply_shutdown_action
 
-            def crossed(self: _Client, do: object) -> None:
+            def crossed(self: _ClientConnection, do: object) -> None:
                 peers.append(peer)
                 peer.send(ask())
                 leave(self, do)  # type: ignore[arg-type]
 
-            monkeypatch.setattr(_Client, "leave", crossed)
+            monkeypatch.setattr(_ClientConnection, "apply_shutdown_action", crossed)
             closing = asyncio.create_task(limiter.frontend.close(10))
             assert await peer.end() == [429] * kept
             await until(lambda: order)
@@ -113,7 +122,7 @@
         async with Limiter(script, {}) as limiter:
             peer, request = Peer(limiter), ask(POST, b"some body")
             peer.send(request[:60])
-            await until(lambda: limiter.frontend._clients and the_one(limiter)._reading)
+            await until(lambda: limiter.frontend._clients and only_client(limiter)._receiving)
             limiter.frontend.drain()
             await limiter.frontend.close(0.05)
 
@@ -127,7 +136,7 @@
                 await peer.until(b" 503 ")
                 peer.send(request[60:])
             assert await peer.end() == [503] and b"Retry-After: 0.500\r\n" in peer.seen
-            await turns(20)
+            await yield_to_loop(20)
             assert not peer.reset() and not [e for e in script.events if isinstance(e, api.Request)]
             peer.socket.close()
             await closing
@@ -208,15 +217,15 @@
             peer = Peer(limiter)
             request = ask(POST, b"x" * (200_000 if cut > 100 else 100), ttl=60_000)
             peer.send(request[:cut])
-            await until(lambda: limiter.frontend._clients and the_one(limiter)._reading)
-            await turns(20)
-            client = the_one(limiter)
+            await until(lambda: limiter.frontend._clients and only_client(limiter)._receiving)
+            await yield_to_loop(20)
+            client = only_client(limiter)
             if cut > 100:
                 await until(lambda: client._upload is not None)
                 assert client._upload is not None
                 client._upload.hold(False)
-            client.since -= 2 * frontend.SLOW
-            client._seen, client._seen_at = 1 << 20, client._seen_at - 60.0
+            client.last_active_at -= 2 * frontend.HEAD_TIMEOUT
+            client._progress, client._progress_at = 1 << 20, client._progress_at - 60.0
             if first == "rest":
                 peer.send(request[cut:])
             limiter.frontend._sweep()
@@ -224,12 +233,12 @@
                 assert await peer.end() == [408]
                 return
             await script.until(api.Request)
-            await turns()
+            await yield_to_loop()
             if cut < 100:
                 await peer.until(b" 429 ")
             else:
                 assert client._upload is None or client._upload.size > 0
-                assert client._waiting and client._waiting[0].answer is None
+                assert client._pending and client._pending[0].response is None
             assert b" 408 " not in peer.seen
             peer.socket.close()
             await until(lambda: not limiter.frontend._clients)
@@ -250,7 +259,7 @@
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n")
             await broken.wait()
 
-        script = Script(send_on)
+        script = Script(forward)
         async with listening(talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             peer = Peer(limiter)
             peer.send(ask("/lookup?account=00000000b4d65521&y=1") + ask())
@@ -281,14 +290,14 @@
                 id = headers["x-request-id"].encode()
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(id), id))
 
-        script = Script(send_on)
+        script = Script(forward)
         async with listening(talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             peer, ids = Peer(limiter), [f"{n:016x}" for n in range(500)]
             peer.send(b"".join(ask(X_Request_ID=id) for id in ids))
-            assert await peer.end() == [200] * MAX_PIPELINE + [400]
+            assert await peer.end() == [200] * MAX_PIPELINED_REQUESTS + [400]
             bodies = [part.rpartition(b"\r\n\r\n")[2].decode() for part in peer.seen.split(b"HTTP/1.1")[1:]]
-            assert bodies == [*ids[:MAX_PIPELINE], ""]
-            assert len(await script.until(api.Request)) == MAX_PIPELINE
+            assert bodies == [*ids[:MAX_PIPELINED_REQUESTS], ""]
+            assert len(await script.until(api.Request)) == MAX_PIPELINED_REQUESTS
             peer.socket.close()
             await until(lambda: not limiter.frontend._clients)
             assert not limiter.frontend.open_ids
@@ -300,21 +309,21 @@
     """More than is read of who is rejected: the rest waits until the answers are out."""
 
     async def main() -> None:
-        script = Script(silent)
+        script = Script(no_actions)
         async with Limiter(script, {}) as limiter:
             peer = Peer(limiter)
             peer.send(b"".join(ask(ttl=60_000) for _ in range(20)))
-            requests = await script.until(api.Request, MAX_PIPELINE)
+            requests = await script.until(api.Request, MAX_PIPELINED_REQUESTS)
             sent = 0
-            while not the_one(limiter)._reading_paused:
+            while not only_client(limiter)._reading_paused:
                 with contextlib.suppress(BlockingIOError):
                     sent += peer.socket.send(b"x" * 65536)
-                await turns(2)
-            assert sent > LINGER_BYTES
+                await yield_to_loop(2)
+            assert sent > LINGER_MAX_BYTES
             script.answer = lambda _event: [api.Refuse(each.id, 0.1) for each in requests]
             limiter.node.feed(api.TimerFired(1))
             await peer.until(b" 400 ")
-            assert peer.seen.count(b" 429 ") == MAX_PIPELINE
+            assert peer.seen.count(b" 429 ") == MAX_PIPELINED_REQUESTS
             peer.socket.close()
             await until(lambda: not limiter.frontend._clients)
 
@@ -326,20 +335,20 @@
 ) -> None:
     async def main() -> None:
         origin = Origin(lambda _n: None)
-        script = Script(send_on)
+        script = Script(forward)
         async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             other = Peer(limiter)
             other.send(ask(ttl=60_000))
             (first,) = await script.until(api.Request)
             await until(lambda: origin.seen)
-            came = arrivals(limiter, monkeypatch)
+            came = record_connections(limiter, monkeypatch)
             for _ in range(20):
                 peer = Peer(limiter)
                 peer.send(b"".join(ask() for _ in range(500)))
                 peer.socket.close()
             await until(lambda: len(came) == 20 and len(limiter.frontend._clients) == 1)
             assert limiter.node.open_requests == 1 and len(limiter.frontend.open_ids) == 1
-            assert len(await script.until(api.Request)) <= 1 + 20 * MAX_PIPELINE
+            assert len(await script.until(api.Request)) <= 1 + 20 * MAX_PIPELINED_REQUESTS
             assert limiter.upstream.relay.active == 0
             script.answer = lambda _event: [api.Fail(first.id)]
             limiter.node.feed(api.TimerFired(1))
@@ -356,12 +365,12 @@
         async with Limiter(script, {}) as limiter:
             peer = Peer(limiter)
             peer.send(b"".join(ask() for _ in range(500)))
-            assert await peer.end() == [429] * MAX_PIPELINE + [400]
+            assert await peer.end() == [429] * MAX_PIPELINED_REQUESTS + [400]
             # One behind another they are as many as a client likes.
             usual = Peer(limiter)
-            for n in range(1, 3 * MAX_PIPELINE):
+            for n in range(1, 3 * MAX_PIPELINED_REQUESTS):
                 usual.send(ask())
-                await until(lambda n=n: len(script.events) >= MAX_PIPELINE + n)  # type: ignore[misc]
+                await until(lambda n=n: len(script.events) >= MAX_PIPELINED_REQUESTS + n)  # type: ignore[misc]
                 await usual.until(b" 429 ")
 
     run(main())
@@ -382,7 +391,7 @@
                 raise OSError(24, "Too many open files")
 
             monkeypatch.setattr(os, "dup", none_left)
-            limiter.frontend.hand(lambda _fd: True)
+            limiter.frontend.set_handoff(lambda _fd: True)
             peer.send(ask())
             await peer.until(b" 429 ")
 
@@ -412,13 +421,13 @@
         async def mute(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
             await reader.read()
 
-        script = Script(send_on)
+        script = Script(forward)
         async with (
             listening(Origin().talk) as dial,
             listening(mute) as other,
             Limiter(script, {"s1": dial}) as limiter,
         ):
-            noted(_Client, "client")
+            noted(_ClientConnection, "client")
             await limiter.fetch(ask())
             await until(lambda: len(set_on["client"]) == 1)
             # Of a listener that is shared and taken up again, and a connection that was handed over.
@@ -431,15 +440,15 @@
                 await until(lambda: not shared._clients)
                 shared.pause()
                 shared.resume()
-            listener = socket.socket(fileno=shared.listener())
+            listener = socket.socket(fileno=shared.duplicate_listener())
             heir = frontend.Frontend(limiter.node, limiter.frontend._settings, 64)
             await heir.listen_shared("127.0.0.1", 0, listener)
             shared.pause()
             peer = socket.create_connection((host, port))
             await until(lambda: heir._clients)
             fds = list[int]()
-            heir.hand(lambda fd: not fds.append(fd))  # type: ignore[func-returns-value]
-            await shared.take(socket.socket(fileno=fds[0]))
+            heir.set_handoff(lambda fd: not fds.append(fd))  # type: ignore[func-returns-value]
+            await shared.adopt_connection(socket.socket(fileno=fds[0]))
             await until(lambda: shared._clients and not heir._clients)
             follower = net_discovery.Follower(lambda _listing: None, lambda: 0.5)
             follower.follow(*_parts(other))
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -10,7 +10,7 @@
 from cypresspulley import interface as api
 from cypresspulley.lifecycle import SHUTDOWN_ACTIONS, ConnectionAction, ConnectionState, ShutdownPhase
 from cypresspulley.net import frontend
-from tests.loopback import Limiter, Script, ask, listening, read_message, run, send_on
+from tests.loopback import Limiter, Script, ask, forward, listening, read_message, run
 
 POST = "/post?account=00000000b4d65521"
 LARGE = 200_000  # bytes: such a body flows
@@ -94,14 +94,14 @@
 
 
 def test_a_connection_that_came_a_moment_ago_may_still_ask(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontend, "DRAIN_IDLE", 5.0)
+    monkeypatch.setattr(frontend, "DRAIN_IDLE_TIMEOUT", 5.0)
 
     async def main() -> None:
         async with Limiter(Script(refuse), {}) as limiter:
             new, old = Client(limiter), Client(limiter)
             while len(limiter.frontend._clients) < 2:
                 await turns(1)
-            next(iter(limiter.frontend._clients)).since -= 5.0
+            next(iter(limiter.frontend._clients)).last_active_at -= 5.0
             closing = ending(limiter)
             assert await new.end() == []
             old.send(ask())
@@ -137,7 +137,7 @@
                 await turns(1)
             await turns()
             client.send(ask())
-            next(iter(limiter.frontend._clients)).since -= 2 * frontend.IDLE
+            next(iter(limiter.frontend._clients)).last_active_at -= 2 * frontend.IDLE_TIMEOUT
             limiter.frontend._sweep()
             await client.until(b" 429 ")
 
@@ -190,7 +190,7 @@
             request = ask(POST, b"some body")
             for client in (whole, never):
                 client.send(request[:cut])
-            while not all(client._reading for client in limiter.frontend._clients):
+            while not all(client._receiving for client in limiter.frontend._clients):
                 await turns(1)
             closing = ending(limiter, 0.1)
             await turns()
@@ -210,7 +210,7 @@
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body[-9:]), body[-9:]))
             await asyncio.Event().wait()
 
-        script = Script(send_on)
+        script = Script(forward)
         async with listening(talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             client, request = Client(limiter), ask(POST, b"x" * LARGE)
             client.send(request[:100_000])
@@ -226,7 +226,7 @@
 
 def test_an_upload_that_never_ends_is_failed_at_the_last_moment() -> None:
     async def main() -> None:
-        script = Script(send_on)
+        script = Script(forward)
         async with Limiter(script, {}) as limiter:
             script.answer = silent
             client = Client(limiter)
@@ -244,7 +244,7 @@
 
 
 def test_an_answer_that_flows_comes_whole_and_its_connection_ends(monkeypatch: pytest.MonkeyPatch) -> None:
-    for name, value in (("SWEEP", 0.01), ("IDLE", 1e9), ("DRAIN_NOTICE", 1e9)):
+    for name, value in (("SWEEP_INTERVAL", 0.01), ("IDLE_TIMEOUT", 1e9), ("DRAIN_NOTICE_TIME", 1e9)):
         monkeypatch.setattr(frontend, name, value)
 
     async def main() -> None:
@@ -257,7 +257,7 @@
             writer.write(b"y")
             await asyncio.Event().wait()
 
-        async with listening(talk) as dial, Limiter(Script(send_on), {"s1": dial}) as limiter:
+        async with listening(talk) as dial, Limiter(Script(forward), {"s1": dial}) as limiter:
             client = Client(limiter)
             client.send(ask())
             await client.until(b"x" * 1000)
