--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -365,7 +365,7 @@
         if self.has_unread_data:
             return ConnectionState.UNREAD
         return (
-            Place.NEW
+            ConnectionState.NEW
             if not self.has_sent_data and now - self.last_active_at < DRAIN_IDLE_TIMEOUT
             else ConnectionState.IDLE
         )
