--- a/benchmarks/quota_calm.py
+++ b/benchmarks/quota_calm.py
@@ -201,8 +201,8 @@
         self.ttl = min(middle(c["deadline_ms"]) / 1000 for c in site["class"])
         self.settings = api.Settings(
             0, limiters, "a", classes, plans, max_attempts=site["allow"]["max_attempts"], has_counter=counter,
-            counter_timeout=self.timeout, max_retry_after=1.0, may_tell=bool(site["allow"].get("peers")),
-            inbox=float(fam.get("peer_in_per_s", 60.0)),
+            counter_timeout=self.timeout, max_retry_after=1.0, may_message_peers=bool(site["allow"].get("peers")),
+            inbox_rate=float(fam.get("peer_in_per_s", 60.0)),
         )  # fmt: skip
         self.loss = middle(fam.get("peer_loss", 0.0))
         self.skew, self.shift = middle(fam.get("skew", 0.5)), middle(fam.get("shift_s", 1e9))
@@ -307,10 +307,10 @@
                 put(now + action.delay, lambda t: feed(index, t, fired))
             elif isinstance(action, api.Count):
                 count(index, now, action)
-            elif isinstance(action, api.Tell):
+            elif isinstance(action, api.Broadcast):
                 for other in range(self.limiters):
                     if other != index and rng.random() >= self.loss:
-                        heard = api.Heard(index, action.text)
+                        heard = api.PeerMessage(index, action.text)
                         put(now + 0.002, partial(feed, other, event=heard))
             elif isinstance(action, api.Send):
                 account, request, _ = tried.pop(action.id)
--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -23,7 +23,7 @@
 from cypresspulley.net.counter import Counter, CounterClient
 from cypresspulley.net.discovery import Follower
 from cypresspulley.net.door import Door
-from cypresspulley.net.frontend import Frontend, OtherFront
+from cypresspulley.net.frontend import Frontend, PathHandler
 from cypresspulley.net.http import split_address
 from cypresspulley.net.node import Decisions, Node, UnixClock
 from cypresspulley.net.upstream import Upstream
@@ -31,7 +31,7 @@
 from cypresspulley.policy.gateway import Gateway
 from cypresspulley.reload import Hangup, Reload
 from cypresspulley.service import Service
-from cypresspulley.settings import Timing
+from cypresspulley.settings import SocketSettings
 from cypresspulley.takeover.channel import Folder
 
 if TYPE_CHECKING:
@@ -125,7 +125,7 @@
         opened(service)
     door = await _door(config, service)
     timing = config.timing
-    upstream = Upstream(clock, timing.dial_timeout, timing.conn_idle, servers)
+    upstream = Upstream(clock, timing.dial_timeout, timing.idle_timeout, servers)
     counter = _counter(config, operators)
     offer = await service.offered(clock)
     gateway = _gateway(config, clock)
@@ -162,7 +162,7 @@
     except OSError as error:
         raise ConfigError(f"cannot listen: {error}") from None
     since = config.known.version if config.known else None
-    follower = Follower(node.listed, Random(config.seed).random, timing.pushed, node.confirmed)
+    follower = Follower(node.listed, Random(config.seed).random, timing.discovery_pushes, node.confirmed)
     follower.follow(*config.discovery, since)
     if counter is not None:
         counter.start()
@@ -174,11 +174,11 @@
         except OSError as error:
             raise ConfigError(f"fleet: cannot listen: {error}") from None
 
-    def retune(settings: api.Settings, newest: Timing) -> None:
+    def retune(settings: api.Settings, newest: SocketSettings) -> None:
         nonlocal timing
         timing = newest
-        upstream.retune(timing.dial_timeout, timing.conn_idle)
-        follower.retune(timing.pushed)
+        upstream.retune(timing.dial_timeout, timing.idle_timeout)
+        follower.retune(timing.discovery_pushes)
         if counter is not None and settings.counter_timeout > 0:
             counter.retune(settings.counter_timeout)
         node.retune(settings)
@@ -315,7 +315,7 @@
 
 def _other_front(
     settings: api.Settings, operators: Operators, clock: Callable[[], float]
-) -> OtherFront | None:
+) -> PathHandler | None:
     """GraphQL's way in, where the operators want it; what is off is not even imported."""
     if operators.graphql is None:
         return None
@@ -345,7 +345,7 @@
 
     async def follow(self, config: Config) -> None:
         """Go on by a configuration; ``ConfigError`` where its address cannot be had."""
-        addresses = config.peers if config.settings.may_tell else None
+        addresses = config.peers if config.settings.may_message_peers else None
         if addresses is None or addresses.listen != self._listen:
             self._leave()
         if addresses is None:
@@ -357,7 +357,7 @@
         peers = Peers(
             list(addresses.peers),
             addresses.everyone,
-            lambda sender, text: self._node.feed(api.Heard(sender, text)),
+            lambda sender, text: self._node.feed(api.PeerMessage(sender, text)),
         )
         try:
             await peers.listen(*addresses.listen)
--- a/cypresspulley/config.py
+++ b/cypresspulley/config.py
@@ -10,7 +10,13 @@
 from cypresspulley import interface as api
 from cypresspulley.net.discovery import Listing, listing_from
 from cypresspulley.net.http import split_address
-from cypresspulley.settings import MOST, Timing, check_sound, settings_from, timing_from
+from cypresspulley.settings import (
+    MAX_NUMBER,
+    SocketSettings,
+    check_positive_figures,
+    parse_settings,
+    parse_socket_settings,
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +39,7 @@
     peers: PeerAddresses | None
     operator: tuple[str, int] | None  # where operators call; None: there is no door
     settings: api.Settings
-    timing: Timing
+    timing: SocketSettings
     raw: dict[str, Any] = field(repr=False, compare=False, default_factory=dict)  # the file, as it was read
 
 
@@ -46,7 +52,7 @@
     if not isinstance(raw, dict) or not isinstance(raw.get("settings"), dict):
         raise ConfigError("the configuration is not an object with settings")
     try:
-        check_sound(raw["settings"])
+        check_positive_figures(raw["settings"])
         return Config(
             listen=_address(raw, "listen"),
             discovery=_address(raw, "discovery"),
@@ -56,8 +62,8 @@
             known=listing_from(raw["known"]) if raw.get("known") else None,
             peers=_peers_from(raw),
             operator=_address(raw, "operator") if raw.get("operator") else None,
-            settings=settings_from(raw["settings"]),
-            timing=timing_from(raw["settings"]),
+            settings=parse_settings(raw["settings"]),
+            timing=parse_socket_settings(raw["settings"]),
             raw=raw,
         )
     except (ValueError, TypeError, AttributeError) as error:
@@ -70,9 +76,11 @@
     if not isinstance(limits, dict):
         raise ConfigError(f"limits: expected an object, got {limits!r:.40}")
     sockets = 1024 if limits.get("sockets") is None else limits["sockets"]
-    number = isinstance(sockets, int | float) and not isinstance(sockets, bool) and 0 < sockets <= MOST
+    number = isinstance(sockets, int | float) and not isinstance(sockets, bool) and 0 < sockets <= MAX_NUMBER
     if not number or sockets != int(sockets):
-        raise ConfigError(f"limits.sockets: expected a whole number from 1 to {MOST}, got {sockets!r:.40}")
+        raise ConfigError(
+            f"limits.sockets: expected a whole number from 1 to {MAX_NUMBER}, got {sockets!r:.40}"
+        )
     return int(sockets)
 
 
--- a/cypresspulley/explore/lifecycle.py
+++ b/cypresspulley/explore/lifecycle.py
@@ -156,7 +156,7 @@
             self._take(now, event)
         elif isinstance(event, api.Outcome):
             self._outcome(event)
-        elif isinstance(event, api.Departed):
+        elif isinstance(event, api.ClientDisconnected):
             self._gone(event.id)
         elif isinstance(event, api.ServerList):
             self._listed(now, event)
@@ -164,9 +164,9 @@
             self._met(f"counted {event.status.value}")
         elif isinstance(event, api.Probed):
             self._met(f"probed {event.status.value}")
-        elif isinstance(event, api.Retune):
+        elif isinstance(event, api.SettingsChanged):
             self._classes |= {c.name: c for c in event.settings.classes}
-        elif isinstance(event, api.Body | api.Began):
+        elif isinstance(event, api.BodyProgress | api.ResponseStarted):
             self._flows(now, event)
         for action in actions:
             if isinstance(action, api.Send):
@@ -186,13 +186,13 @@
         elif self._bans.pop(action.server, None) is not None:
             self._back[action.server] = now
 
-    def _flows(self, now: float, event: api.Body | api.Began) -> None:
+    def _flows(self, now: float, event: api.BodyProgress | api.ResponseStarted) -> None:
         """A body's time counts from its last byte; an answer that has begun takes what it takes."""
         if (life := self.lives.get(event.id)) is None:
             return
-        if isinstance(event, api.Began):
+        if isinstance(event, api.ResponseStarted):
             life.due = float("inf")
-        elif event.whole:
+        elif event.complete:
             life.due = now + life.request.ttl
 
     def woke(self, now: float) -> None:
@@ -220,7 +220,7 @@
         if (old := self.lives.get(event.id)) is not None and not old.ended:
             self._check(now, event.id, old, "take")
         kind = Kind.KEYED_PART if part else kind
-        due = float("inf") if event.coming else now + event.ttl
+        due = float("inf") if event.body_pending else now + event.ttl
         self.lives[event.id] = Life(event, kind, due, cls.window)
 
     def _send(self, now: float, action: api.Send) -> None:
@@ -344,9 +344,9 @@
 # What coverage counts: every symbol above that a limiter can meet.
 MET = (
     "taken", "taken again", "sent", "split", "retried", "answered", "client gone",
-    *(f"attempt {status.value}" for status in Status if status is not Status.SPOILT),
+    *(f"attempt {status.value}" for status in Status if status is not Status.MALFORMED),
     *(f"counted {s.value}" for s in (Status.OK, Status.FULL, Status.TIMEOUT, Status.UNREACHABLE)),
-    *(f"counted {s.value}" for s in (Status.BROKEN, Status.SPOILT)),
+    *(f"counted {s.value}" for s in (Status.BROKEN, Status.MALFORMED)),
     *(f"probed {s.value}" for s in (Status.OK, Status.ERROR, Status.TIMEOUT, Status.UNREACHABLE)),
     *(f"listed {health.value}" for health in api.Health),
     "refused ceiling", "refused gate", "refused quota", "refused no server", "refused attempts",
--- a/cypresspulley/lifecycle.py
+++ b/cypresspulley/lifecycle.py
@@ -1,12 +1,14 @@
-"""The states of one limiter process from its start to its end: one table, no I/O and no clock.
+"""State machines of a limiter process, as two transition tables without I/O or clock.
 
-A drain is an operator's word and is kept apart from the upgrade: either may come first, and each is taken back by
-itself. ``ready`` is what the door's ``readyz`` says, ``healthy`` what clients' fronts are told at ``/healthz``.
+``TRANSITIONS`` covers the process from start to exit. A drain ordered by operators and an upgrade are independent:
+either may come first, and each is undone on its own. ``ready`` is the answer to ``readyz`` on the operators' interface;
+``drained`` is what load balancers in front of the limiter learn from ``/healthz``.
 
-A limiter that was emptied by hand is not ready. A successor that takes over a drained limiter says yes all the same
-until its predecessor has gone: the platform waits for that yes, and the drain is no fault of the new process.
+A limiter that operators drained is not ready. A successor that takes over from a drained limiter reports ready
+nevertheless until its predecessor has exited: the platform waits for a ready successor, and the drain says nothing
+about the health of the new process.
 
-A second table says what becomes of clients' connections once the process has been told to end (``LEAVING``).
+``SHUTDOWN_ACTIONS`` says what happens to each client connection after the process was told to stop.
 """
 
 from __future__ import annotations
@@ -14,150 +16,161 @@
 from enum import Enum
 
 
-class State(Enum):
-    """Of a process: whether it serves, whether operators emptied it, and which side of an upgrade it is on."""
+class LifecycleState(Enum):
+    """State of a process: whether it serves, whether it is drained, and which side of an upgrade it is on."""
 
     STARTING = "starting"
     READY = "ready"
     DRAINING = "draining"
-    SUCCEEDING = "succeeding"  # it serves, and its predecessor is still there
+    SUCCEEDING = "succeeding"  # serves while its predecessor is still running
     SUCCEEDING_DRAINED = "succeeding, drained"
-    HANDING = "handing over"  # a successor serves; this process finishes what it has
-    HANDING_DRAINED = "handing over, drained"
+    HANDING_OVER = "handing over"  # a successor serves; this process finishes its open requests
+    HANDING_OVER_DRAINED = "handing over, drained"
     LEAVING = "leaving"
 
 
-class Step(Enum):
-    """What happens to a process."""
+class LifecycleEvent(Enum):
+    """Event that may change the state of a process."""
 
-    SERVE = "serve"  # clients' connections are taken from now on
-    SUCCEED = "succeed"  # the same, beside a predecessor that is still there
-    ALONE = "alone"  # the predecessor has ended
+    SERVE = "serve"  # client connections are accepted from now on
+    SERVE_AS_SUCCESSOR = "succeed"  # the same, while a predecessor is still running
+    PREDECESSOR_ENDED = "alone"
     DRAIN = "drain"
     ACTIVATE = "activate"
-    HAND = "hand over"  # a successor says that it serves
-    BACK = "take back"  # the successor has ended, and this process has not been told to
-    TERM = "term"
-
-
-S, E = State, Step
-TABLE: dict[tuple[State, Step], State] = {
-    (S.STARTING, E.SERVE): S.READY,
-    (S.STARTING, E.SUCCEED): S.SUCCEEDING,
-    (S.READY, E.DRAIN): S.DRAINING,
-    (S.READY, E.ACTIVATE): S.READY,
-    (S.READY, E.HAND): S.HANDING,
-    (S.DRAINING, E.DRAIN): S.DRAINING,
-    (S.DRAINING, E.ACTIVATE): S.READY,
-    (S.DRAINING, E.HAND): S.HANDING_DRAINED,
-    (S.SUCCEEDING, E.ALONE): S.READY,
-    (S.SUCCEEDING, E.DRAIN): S.SUCCEEDING_DRAINED,
-    (S.SUCCEEDING, E.ACTIVATE): S.SUCCEEDING,
-    (S.SUCCEEDING_DRAINED, E.ALONE): S.DRAINING,
-    (S.SUCCEEDING_DRAINED, E.DRAIN): S.SUCCEEDING_DRAINED,
-    (S.SUCCEEDING_DRAINED, E.ACTIVATE): S.SUCCEEDING,
-    # A third process while the first has not ended: the one in the middle hands over like any other.
-    (S.SUCCEEDING, E.HAND): S.HANDING,
-    (S.SUCCEEDING_DRAINED, E.HAND): S.HANDING_DRAINED,
-    (S.HANDING, E.DRAIN): S.HANDING_DRAINED,
-    (S.HANDING, E.ACTIVATE): S.HANDING,
-    (S.HANDING, E.BACK): S.READY,
-    (S.HANDING, E.ALONE): S.HANDING,
-    (S.HANDING_DRAINED, E.DRAIN): S.HANDING_DRAINED,
-    (S.HANDING_DRAINED, E.ACTIVATE): S.HANDING,
-    (S.HANDING_DRAINED, E.BACK): S.DRAINING,
-    (S.HANDING_DRAINED, E.ALONE): S.HANDING_DRAINED,
-    **{(state, E.TERM): S.LEAVING for state in S},
+    HAND_OVER = "hand over"  # a successor reports that it serves
+    TAKE_BACK = "take back"  # the successor ended, and this process was not told to stop
+    TERMINATE = "term"
+
+
+# Short names for the table below.
+State = LifecycleState
+Event = LifecycleEvent
+TRANSITIONS: dict[tuple[LifecycleState, LifecycleEvent], LifecycleState] = {
+    (State.STARTING, Event.SERVE): State.READY,
+    (State.STARTING, Event.SERVE_AS_SUCCESSOR): State.SUCCEEDING,
+    (State.READY, Event.DRAIN): State.DRAINING,
+    (State.READY, Event.ACTIVATE): State.READY,
+    (State.READY, Event.HAND_OVER): State.HANDING_OVER,
+    (State.DRAINING, Event.DRAIN): State.DRAINING,
+    (State.DRAINING, Event.ACTIVATE): State.READY,
+    (State.DRAINING, Event.HAND_OVER): State.HANDING_OVER_DRAINED,
+    (State.SUCCEEDING, Event.PREDECESSOR_ENDED): State.READY,
+    (State.SUCCEEDING, Event.DRAIN): State.SUCCEEDING_DRAINED,
+    (State.SUCCEEDING, Event.ACTIVATE): State.SUCCEEDING,
+    (State.SUCCEEDING_DRAINED, Event.PREDECESSOR_ENDED): State.DRAINING,
+    (State.SUCCEEDING_DRAINED, Event.DRAIN): State.SUCCEEDING_DRAINED,
+    (State.SUCCEEDING_DRAINED, Event.ACTIVATE): State.SUCCEEDING,
+    # A third process may start before the first has ended: the one between them hands over like any other.
+    (State.SUCCEEDING, Event.HAND_OVER): State.HANDING_OVER,
+    (State.SUCCEEDING_DRAINED, Event.HAND_OVER): State.HANDING_OVER_DRAINED,
+    (State.HANDING_OVER, Event.DRAIN): State.HANDING_OVER_DRAINED,
+    (State.HANDING_OVER, Event.ACTIVATE): State.HANDING_OVER,
+    (State.HANDING_OVER, Event.TAKE_BACK): State.READY,
+    (State.HANDING_OVER, Event.PREDECESSOR_ENDED): State.HANDING_OVER,
+    (State.HANDING_OVER_DRAINED, Event.DRAIN): State.HANDING_OVER_DRAINED,
+    (State.HANDING_OVER_DRAINED, Event.ACTIVATE): State.HANDING_OVER,
+    (State.HANDING_OVER_DRAINED, Event.TAKE_BACK): State.DRAINING,
+    (State.HANDING_OVER_DRAINED, Event.PREDECESSOR_ENDED): State.HANDING_OVER_DRAINED,
+    **{(state, Event.TERMINATE): State.LEAVING for state in State},
 }
-DRAINED = frozenset({S.DRAINING, S.SUCCEEDING_DRAINED, S.HANDING_DRAINED})
-HANDED = frozenset({S.HANDING, S.HANDING_DRAINED})
-SAYS_READY = frozenset({S.READY, S.SUCCEEDING, S.SUCCEEDING_DRAINED, S.HANDING})
+DRAINED_STATES = frozenset({State.DRAINING, State.SUCCEEDING_DRAINED, State.HANDING_OVER_DRAINED})
+HANDED_OVER_STATES = frozenset({State.HANDING_OVER, State.HANDING_OVER_DRAINED})
+READY_STATES = frozenset({State.READY, State.SUCCEEDING, State.SUCCEEDING_DRAINED, State.HANDING_OVER})
 
 
 class Lifecycle:
-    """Where a process stands. A step without a row in the table changes nothing and is told so."""
+    """Current state of a process; ``apply`` moves it along ``TRANSITIONS``."""
 
     def __init__(self) -> None:
-        self.state = State.STARTING
+        self.state = LifecycleState.STARTING
 
     def __repr__(self) -> str:
         return f"<Lifecycle {self.state.value}>"
 
-    def step(self, step: Step) -> bool:
-        """Whether the step has a row from the present state; it is taken then."""
-        after = TABLE.get((self.state, step))
-        if after is None:
+    def apply(self, event: LifecycleEvent) -> bool:
+        """Apply an event and return True; return False and change nothing if the state has no transition for it."""
+        next_state = TRANSITIONS.get((self.state, event))
+        if next_state is None:
             return False
-        self.state = after
+        self.state = next_state
         return True
 
     @property
     def ready(self) -> bool:
-        """What ``readyz`` says."""
-        return self.state in SAYS_READY
+        """Whether ``readyz`` answers that the process is ready."""
+        return self.state in READY_STATES
 
     @property
     def drained(self) -> bool:
-        """Whether operators have emptied the limiter, or the process leaves: fronts are told no."""
-        return self.state in DRAINED or self.state is State.LEAVING
+        """Whether ``/healthz`` turns clients away: operators drained the limiter, or the process is leaving."""
+        return self.state in DRAINED_STATES or self.state is LifecycleState.LEAVING
 
     @property
-    def handed(self) -> bool:
-        """Whether a successor takes what comes."""
-        return self.state in HANDED
+    def handed_over(self) -> bool:
+        """Whether a successor accepts new connections instead of this process."""
+        return self.state in HANDED_OVER_STATES
 
 
-class Phase(Enum):
-    """Of a process that was told to end, and that no successor takes over from."""
+class ShutdownPhase(Enum):
+    """Phase of a process that was told to stop and has no successor."""
 
-    TAKING = "taking"  # clients have not heard: what they open and send is taken, and each answer closes its connection
-    FINISHING = "finishing"  # no new connections; what was taken is answered
-    LAST = "last"  # SIGKILL is near: what is open has been failed, and what still comes is refused at once
+    # Clients do not know yet: their connections and requests are accepted, and each answer closes its connection.
+    ACCEPTING = "taking"
+    FINISHING = "finishing"  # no new connections; accepted requests are answered
+    FINAL = "last"  # SIGKILL is near: open requests have been failed, and new ones are refused at once
 
 
-class Place(Enum):
-    """Where a client's connection stands."""
+class ConnectionState(Enum):
+    """State of a client connection."""
 
-    QUEUED = "queued"  # taken by the machine, not yet by the process
-    NEW = "new"  # it has sent nothing yet, and came a moment ago
-    IDLE = "idle"  # at rest between two requests, or it came long ago and said nothing
-    UNREAD = "unread"  # it looks idle, but bytes of it lie in the machine
-    PART = "part"  # part of a request has come
-    UPLOAD = "upload"  # a large body is under way, and passed on as it comes
-    ASKED = "asked"  # one request or several were taken, and the first has no answer yet
-    ANSWERING = "answering"  # an answer flows
-    LINGERING = "lingering"  # its last answer is written and its sending ended: it is read to the end
+    QUEUED = "queued"  # in the kernel's accept queue, not accepted by the process yet
+    NEW = "new"  # accepted a moment ago, and nothing received on it
+    IDLE = "idle"  # between two requests, or accepted long ago with nothing received
+    UNREAD = "unread"  # looks idle, but the kernel holds received bytes
+    PARTIAL = "part"  # part of a request was received
+    UPLOAD = "upload"  # a large body is being received and forwarded as it arrives
+    AWAITING_ANSWER = "asked"  # one or more requests were accepted, and the first has no answer yet
+    ANSWERING = "answering"  # an answer is being sent
+    LINGERING = "lingering"  # the last answer was sent and the write side shut down; input is read to its end
 
 
-class Do(Enum):
-    """What is done with a connection."""
+class ConnectionAction(Enum):
+    """What the process does with a client connection."""
 
     KEEP = "keep"
-    TAKE = "take"
-    HALF_CLOSE = "half-close"  # end the sending, read to the end: what crosses is not met by a reset
+    ACCEPT = "take"
+    HALF_CLOSE = (
+        "half-close"  # shut down the write side and read to the end, so that bytes in flight cause no reset
+    )
     REFUSE = "refuse"  # answer 503 and half-close
 
 
-P, C, D = Phase, Place, Do
-LEAVING: dict[tuple[Phase, Place], Do] = {
-    (P.TAKING, C.QUEUED): D.TAKE,
-    **{(P.TAKING, place): D.KEEP for place in C if place is not C.QUEUED},
-    (P.FINISHING, C.QUEUED): D.TAKE,  # once more, before the listener goes: it resets what waits there
-    (P.FINISHING, C.NEW): D.KEEP,  # a request that crosses the end of a connection's first would be priced
-    (P.FINISHING, C.IDLE): D.HALF_CLOSE,
-    (P.FINISHING, C.UNREAD): D.KEEP,
-    (P.FINISHING, C.PART): D.KEEP,
-    (P.FINISHING, C.UPLOAD): D.KEEP,
-    (P.FINISHING, C.ASKED): D.KEEP,
-    (P.FINISHING, C.ANSWERING): D.KEEP,
-    (P.FINISHING, C.LINGERING): D.KEEP,
-    (P.LAST, C.QUEUED): D.KEEP,  # there is no listener left
-    (P.LAST, C.NEW): D.HALF_CLOSE,
-    (P.LAST, C.IDLE): D.HALF_CLOSE,
-    (P.LAST, C.UNREAD): D.KEEP,  # it is read in the next turn, and refused
-    (P.LAST, C.PART): D.REFUSE,  # not taken yet: nobody has it, and trying again is harmless
-    (P.LAST, C.UPLOAD): D.KEEP,  # these have been answered in the decisions' place, or flow
-    (P.LAST, C.ASKED): D.KEEP,
-    (P.LAST, C.ANSWERING): D.KEEP,
-    (P.LAST, C.LINGERING): D.KEEP,
+# Short names for the table below.
+Phase = ShutdownPhase
+Connection = ConnectionState
+Action = ConnectionAction
+SHUTDOWN_ACTIONS: dict[tuple[ShutdownPhase, ConnectionState], ConnectionAction] = {
+    (Phase.ACCEPTING, Connection.QUEUED): Action.ACCEPT,
+    **{(Phase.ACCEPTING, state): Action.KEEP for state in Connection if state is not Connection.QUEUED},
+    # Accepts once more before the listener closes: closing it resets the connections that are still queued.
+    (Phase.FINISHING, Connection.QUEUED): Action.ACCEPT,
+    # The first request of a connection may be in flight, and would count as failed if the connection were closed.
+    (Phase.FINISHING, Connection.NEW): Action.KEEP,
+    (Phase.FINISHING, Connection.IDLE): Action.HALF_CLOSE,
+    (Phase.FINISHING, Connection.UNREAD): Action.KEEP,
+    (Phase.FINISHING, Connection.PARTIAL): Action.KEEP,
+    (Phase.FINISHING, Connection.UPLOAD): Action.KEEP,
+    (Phase.FINISHING, Connection.AWAITING_ANSWER): Action.KEEP,
+    (Phase.FINISHING, Connection.ANSWERING): Action.KEEP,
+    (Phase.FINISHING, Connection.LINGERING): Action.KEEP,
+    (Phase.FINAL, Connection.QUEUED): Action.KEEP,  # the listener is closed already
+    (Phase.FINAL, Connection.NEW): Action.HALF_CLOSE,
+    (Phase.FINAL, Connection.IDLE): Action.HALF_CLOSE,
+    (Phase.FINAL, Connection.UNREAD): Action.KEEP,  # read and refused in the next iteration of the loop
+    (Phase.FINAL, Connection.PARTIAL): Action.REFUSE,  # not passed on yet, so that a retry is harmless
+    # The requests of the next three were failed on behalf of the decisions, or their answers are being sent.
+    (Phase.FINAL, Connection.UPLOAD): Action.KEEP,
+    (Phase.FINAL, Connection.AWAITING_ANSWER): Action.KEEP,
+    (Phase.FINAL, Connection.ANSWERING): Action.KEEP,
+    (Phase.FINAL, Connection.LINGERING): Action.KEEP,
 }
--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -90,7 +90,7 @@
         self._word_at: float | None = None  # when discovery spoke last
         self._actions: dict[type, Callable[[Any], None]] = {
             api.Send: self._send, api.Refuse: self._refuse, api.Fail: self._fail, api.Cancel: self._cancel,
-            api.Count: self._count, api.Tell: self._tell, api.Probe: self._probe, api.Ban: self._ban,
+            api.Count: self._count, api.Broadcast: self._tell, api.Probe: self._probe, api.Ban: self._ban,
             api.SetTimer: self._set_timer, api.Log: self._log,
         }  # fmt: skip
 
@@ -140,19 +140,19 @@
     def arrived(self, request: ClientRequest) -> None:
         event = request.event
         assert event is not None
-        left = max(LEAST_LEFT, event.ttl - request.waited)
+        left = max(LEAST_LEFT, event.ttl - request.receive_delay)
         margin = min(MARGIN, MARGIN_SHARE * left)
         opened = self._open[event.id] = _Open(request, float("inf"))
         if request.upload is None or request.upload.whole:
             self._time(opened, event, margin)
         else:
-            event = replace(event, coming=True)
+            event = replace(event, body_pending=True)
             request.upload.told = partial(self._body, event, margin)
         self.feed(replace(event, ttl=left - margin))
 
     def _time(self, opened: _Open, event: api.Request, margin: float) -> None:
         """A request's time counts from when its last byte came to the machine."""
-        left = max(LEAST_LEFT, event.ttl - opened.request.waited)
+        left = max(LEAST_LEFT, event.ttl - opened.request.receive_delay)
         opened.deadline = self._clock() + left - margin
         last = left - SILENT_SHARE * margin
         opened.timer = self._loop.call_later(last, self._abandon, event.id, 504)
@@ -166,7 +166,7 @@
             self._time(opened, event, margin)
             for attempt in opened.attempts:
                 self._upstream.whole(attempt)  # one that waits for its dial still
-        self.feed(api.Body(event.id, whole, kept))
+        self.feed(api.BodyProgress(event.id, whole, kept))
 
     def _began(self, id: int, number: int, attempt: Exchange, download: Download) -> None:
         """A large answer comes: the client gets it as it does."""
@@ -176,18 +176,18 @@
         opened.begun = True
         if opened.timer is not None:
             opened.timer.cancel()
-        opened.request.begin(download)
-        self.feed(api.Began(id, number, attempt.server, attempt.elapsed, attempt.report))
+        opened.request.begin_stream(download)
+        self.feed(api.ResponseStarted(id, number, attempt.server, attempt.elapsed, attempt.report))
 
     def departed(self, request: ClientRequest) -> None:
         if request.event is not None and self._close(request.event.id) is not None:
-            self.feed(api.Departed(request.event.id))
+            self.feed(api.ClientDisconnected(request.event.id))
 
     def retune(self, settings: api.Settings) -> None:
         """Other settings hold from now on. Attempts: those of open requests are the decisions' affair."""
         self._most_attempts = max(self._settings.max_attempts, settings.max_attempts)
         self._settings = settings
-        self.feed(api.Retune(settings))
+        self.feed(api.SettingsChanged(settings))
 
     def suspend(self, server: str, out: bool, sure: bool = False) -> bool:
         """Operators take a server out or call it back. Whether the call is in force: not for an unknown id."""
@@ -207,7 +207,7 @@
         if abs(shift - self._shift) > WALL_STEP:
             log.warning("the wall clock has stepped by %.3f s", shift - self._shift)
             self._shift = shift
-            self.feed(api.WallClock(shift))
+            self.feed(api.WallClockStep(shift))
 
     def _step(self, event: api.Event) -> None:
         try:
@@ -241,10 +241,10 @@
         if (opened := self._close(id)) is not None:
             log.warning("a request was answered %d in place of the decisions", status)
             if opened.begun:
-                opened.request.ended(False)
+                opened.request.end_stream(False)
             else:
                 opened.request.respond(status)
-            self.feed(api.Departed(id))
+            self.feed(api.ClientDisconnected(id))
 
     # Actions.
 
@@ -255,17 +255,17 @@
             return
         number = len(opened.attempts)
         request, wait = opened.request, action.timeout or float("inf")
-        coming = request.upload is not None and not request.upload.whole
-        expires = float("inf") if coming else min(opened.deadline, self._clock() + wait)
+        body_pending = request.upload is not None and not request.upload.whole
+        expires = float("inf") if body_pending else min(opened.deadline, self._clock() + wait)
         told = self._attempted if request.dialect is None else self._answered
         done = partial(told, action.id, number)
-        attempt = Exchange(action.server, request.head, request.body, expires, done, action.latest)
-        attempt.present = request.present
+        attempt = Exchange(action.server, request.head, request.body, expires, done, action.latest_start)
+        attempt.present = request.check_client_present
         if (upload := request.upload) is not None:
             assert request.event is not None
             attempt.upload, attempt.wait = (
                 upload,
-                min(wait, max(LEAST_LEFT, request.event.ttl - request.waited)),
+                min(wait, max(LEAST_LEFT, request.event.ttl - request.receive_delay)),
             )
         if request.dialect is None:
             attempt.begun = partial(self._began, action.id, number)
@@ -280,7 +280,7 @@
         opened = self._open.get(id)
         if opened is not None and opened.request.dialect is not None and attempt.status is api.Status.OK:
             try:
-                opened.request.dialect.answered(attempt)
+                opened.request.dialect.process_response(attempt)
             except Exception:
                 log.exception("an answer was passed on unread")
         self._attempted(id, number, attempt)
@@ -288,7 +288,7 @@
     def _attempted(self, id: int, number: int, attempt: Exchange) -> None:
         if attempt.download is not None:
             if (opened := self._close(id)) is not None:
-                opened.request.ended(attempt.status is api.Status.OK)
+                opened.request.end_stream(attempt.status is api.Status.OK)
         elif attempt.status is api.Status.OK and (opened := self._close(id)) is not None:
             opened.request.respond(200, attempt.answer, attempt.answer_headers)
         finished = id not in self._open
@@ -298,7 +298,7 @@
     def _refuse(self, action: api.Refuse) -> None:
         if (opened := self._close(action.id)) is not None:
             wait = max(0.0, action.retry_after)
-            opened.request.respond(429, retry_after=wait, why=action.why, left=action.left)
+            opened.request.respond(429, retry_after=wait, why=action.why, units_left=action.quota_left)
 
     def _fail(self, action: api.Fail) -> None:
         if (opened := self._close(action.id)) is not None:
@@ -321,7 +321,7 @@
                 lambda status, total: self.feed(api.Counted(name, status, total)),
             )
 
-    def _tell(self, action: api.Tell) -> None:
+    def _tell(self, action: api.Broadcast) -> None:
         if self.tell is not None:
             self.tell(action.text)
 
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -34,11 +34,12 @@
         self._timer, self._retries = 0, 10.0  # further attempts that may be made
         self._seen, self._ranks = deque[float](maxlen=300), list[float]()  # worth per work of the recent
         self._handlers: dict[type, Callable[[float, Any], None]] = {
-            api.Request: self._arrive, api.Body: self._body, api.Began: self._began, api.Outcome: self._outcome,
-            api.ServerList: self.fleet.listed, api.Suspend: self._suspend, api.Retune: self._retune,
-            api.Probed: self.fleet.probed, api.Heard: self.quotas.heard, api.Counted: self.quotas.calls.answered,
-            api.WallClock: lambda _now, ev: self.quotas.wall.step(ev.shift), api.TimerFired: lambda _now, _ev: None,
-            api.Departed: lambda now, ev: self._forget(now, ev.id),
+            api.Request: self._arrive, api.BodyProgress: self._body, api.ResponseStarted: self._began,
+            api.Outcome: self._outcome,
+            api.ServerList: self.fleet.listed, api.Suspend: self._suspend, api.SettingsChanged: self._retune,
+            api.Probed: self.fleet.probed, api.PeerMessage: self.quotas.heard, api.Counted: self.quotas.calls.answered,
+            api.WallClockStep: lambda _now, ev: self.quotas.wall.step(ev.shift), api.TimerFired: lambda _now, _ev: None,
+            api.ClientDisconnected: lambda now, ev: self._forget(now, ev.id),
         }  # fmt: skip
 
     def handle(self, now: float, event: api.Event) -> list[Action]:
@@ -94,7 +95,7 @@
         if self.fleet.suspended(now, ev):
             self._out.append(api.Ban(ev.server, ev.out))
 
-    def _retune(self, now: float, ev: api.Retune) -> None:
+    def _retune(self, now: float, ev: api.SettingsChanged) -> None:
         """Levels, loads and what is out go on; open requests keep the records that they were let in under."""
         self._set = ev.settings
         self._classes.change(now, ev.settings)
@@ -130,7 +131,7 @@
         r.tries.append((s, now))
         s.since += 1
         s.budget -= r.work if s.cold_at is not None else 0.0  # warm, it owes nothing when unsure again
-        if not r.coming:
+        if not r.body_pending:
             self._busy(now, r, s)
         self._out.append(api.Send(r.id, s.entry.name, wait, latest))
         return True
@@ -140,19 +141,19 @@
         r.busy, r.account.open = True, r.account.open + 1
         self.fleet.begin(now, s, r.work)
 
-    def _body(self, now: float, ev: api.Body) -> None:
+    def _body(self, now: float, ev: api.BodyProgress) -> None:
         """A body that flows: a server begins with its last byte, and so do the client's time and the work."""
         if (r := self._requests.get(ev.id)) is None:
             return
-        r.kept = ev.kept
-        if ev.whole and r.coming:
-            r.coming = False
+        r.kept = ev.replayable
+        if ev.complete and r.body_pending:
+            r.body_pending = False
             r.begin(now)
             self.quotas.whole(now, r)
             for s in r.out.values():
                 self._busy(now, r, s)
 
-    def _began(self, now: float, ev: api.Began) -> None:
+    def _began(self, now: float, ev: api.ResponseStarted) -> None:
         """The answer's first bytes are what is timed and read; the attempt is out until the last one."""
         r, s = self._requests.get(ev.id), self.fleet.servers.get(ev.server)
         if r is not None and s is not None and r.busy:
@@ -173,10 +174,10 @@
         if s is None or r is None:
             return
         if r.out.pop(ev.attempt, None) is not None:
-            r.account.open -= not r.coming
+            r.account.open -= not r.body_pending
             if r.busy:
                 self._learn(now, r, s, ev)
-            elif r.coming or ev.status is not Status.OK:
+            elif r.body_pending or ev.status is not Status.OK:
                 self.fleet.learn(now, r, s, ev)  # it ended while its body or its answer flowed
             self.quotas.settle(now, r, ev)
             if s.open <= 1e-9:
@@ -192,7 +193,7 @@
             self._again(now, r, ev.status)
 
     def _again(self, now: float, r: Request, status: Status) -> None:
-        if r.coming:
+        if r.body_pending:
             r.begin(now)
         allowed, latest = r.kept and len(r.tries) < r.attempts and r.due - now > r.work, inf
         if r.ran is not None and r.cls.effect is not Effect.SAFE:
@@ -219,5 +220,5 @@
             self.quotas.free(now, r)
             for s in r.out.values():
                 s.ended(r.work if r.busy else 0.0)
-                r.account.open -= not r.coming
+                r.account.open -= not r.body_pending
                 s.quiet = s.quiet if s.open > 1e-9 else None  # nobody waits: it owes nothing any more
--- a/cypresspulley/policy/quota.py
+++ b/cypresspulley/policy/quota.py
@@ -7,7 +7,7 @@
 
 from cypresspulley import interface as api
 from cypresspulley.interface import Action, Status
-from cypresspulley.messages import KEYS
+from cypresspulley.messages import KEY_COUNT
 from cypresspulley.policy.account import Account, Answered, Calls
 from cypresspulley.policy.classes import Plans
 from cypresspulley.policy.incarnation import Incarnation
@@ -56,13 +56,18 @@
 
     def _follow_usage(self, now: float, settings: api.Settings) -> None:
         """Messages between gateways, where there is a way for them and no counter."""
-        if not settings.may_tell or settings.inbox <= 0 or settings.gateways < 2 or settings.has_counter:
+        if (
+            not settings.may_message_peers
+            or settings.inbox_rate <= 0
+            or settings.gateways < 2
+            or settings.has_counter
+        ):
             self.usage = None
         elif self.usage is None:
-            self.usage = UsageBroadcast(now, settings.gateways, settings.inbox)
-            self._keys = {a.name % KEYS: a for a in self.accounts.values()}
+            self.usage = UsageBroadcast(now, settings.gateways, settings.inbox_rate)
+            self._keys = {a.name % KEY_COUNT: a for a in self.accounts.values()}
         else:
-            self.usage.follow(settings.gateways, settings.inbox)
+            self.usage.follow(settings.gateways, settings.inbox_rate)
 
     def retune(self, now: float, settings: api.Settings) -> None:
         """Other settings. Levels go on, under the new plans' bounds; an account of a dropped plan keeps its own."""
@@ -86,7 +91,7 @@
             if self.incarnation.first:
                 a.begin_full()
             if self.usage is not None:
-                self._keys[a.name % KEYS] = a
+                self._keys[a.name % KEY_COUNT] = a
                 self.usage.met(now, a)
                 a.heard = now
         a.refill(now)
@@ -111,7 +116,7 @@
             full = grown >= a.keep * a.plan.ceiling_burst
             if now - a.at > FORGET and not a.open and full:
                 del self.accounts[key]
-                self._keys.pop(a.name % KEYS, None)
+                self._keys.pop(a.name % KEY_COUNT, None)
                 continue
             if a.slots is not None and a.slots.late(self.wall.at(now)) and self.calls.left(now) >= 1:
                 self._tell_out(now, a.slots)
@@ -259,9 +264,9 @@
         if most <= 0 or r.slot:
             return True
         in_time = r.deadline - now >= 3 * self._set.counter_timeout
-        asks = slots is not None and not r.coming and in_time and self.calls.left(now) >= 1
+        asks = slots is not None and not r.body_pending and in_time and self.calls.left(now) >= 1
         room = (asks or a.open < -(-most // a.share)) and (slots is None or now >= slots.full_until)
-        if verdict is None or not room or slots is None or r.coming:
+        if verdict is None or not room or slots is None or r.body_pending:
             return room
         r.slot = True
         slots.change(self.wall.at(now), 1)
@@ -335,9 +340,9 @@
     def tell(self, now: float) -> None:
         """A message to the others, where one is due."""
         if self.usage is not None and self.usage.due(now):
-            self._emit(api.Tell(self.usage.write(now)))
+            self._emit(api.Broadcast(self.usage.write(now)))
 
-    def heard(self, now: float, ev: api.Heard) -> None:
+    def heard(self, now: float, ev: api.PeerMessage) -> None:
         """Another gateway's message."""
         if self.usage is None or ev.sender == self._set.index:
             return
--- a/cypresspulley/policy/usage.py
+++ b/cypresspulley/policy/usage.py
@@ -1,6 +1,13 @@
 """Messages between gateways: what they tell each other of their customers' use."""
 
-from cypresspulley.messages import KEYS, ROWS, STEP, compose, parse, steps
+from cypresspulley.messages import (
+    KEY_COUNT,
+    MAX_ROWS,
+    UNITS_PER_STEP,
+    decode_message,
+    encode_message,
+    units_to_steps,
+)
 from cypresspulley.policy.account import Account
 
 TELL_SHARE, IDLE_TELL = 0.6, 1.0  # of what an inbox takes; seconds between two messages with nothing to tell
@@ -30,17 +37,17 @@
     def write(self, now: float) -> str:
         """The largest parts of their quotas first; what finds no room is told the next time."""
         self.at = now
-        used = [a for a in self.owed.values() if abs(a.pending) >= STEP and a.share > 1]
-        used.sort(key=lambda a: (-abs(a.pending) / max(a.plan.burst, STEP), a.name))
-        rows = [(a, steps(a.pending)) for a in used[:ROWS]]
+        used = [a for a in self.owed.values() if abs(a.pending) >= UNITS_PER_STEP and a.share > 1]
+        used.sort(key=lambda a: (-abs(a.pending) / max(a.plan.burst, UNITS_PER_STEP), a.name))
+        rows = [(a, units_to_steps(a.pending)) for a in used[:MAX_ROWS]]
         for a, told in rows:
-            a.pending -= told * STEP
-        self.owed = {a.name: a for a in used if abs(a.pending) >= STEP}
-        return compose(now - self.born, ((a.name, told) for a, told in rows))
+            a.pending -= told * UNITS_PER_STEP
+        self.owed = {a.name: a for a in used if abs(a.pending) >= UNITS_PER_STEP}
+        return encode_message(now - self.born, ((a.name, told) for a, told in rows))
 
     def read(self, now: float, text: str) -> list[tuple[int, float]]:
         """Keys and units of a message; empty where it is none."""
-        if (told := parse(text)) is None:
+        if (told := decode_message(text)) is None:
             return []
         self.heard_at = now
         self.late = self.late or told[0] > now - self.born + RECENT_BIRTH
@@ -55,7 +62,7 @@
 
     def met(self, now: float, a: Account) -> None:
         """A customer comes here for the first time: what others told of it counts."""
-        used, since = self.strange.pop(a.name % KEYS, (0.0, now))
+        used, since = self.strange.pop(a.name % KEY_COUNT, (0.0, now))
         a.level = min(a.level, a.plan.burst) - max(0.0, used - a.plan.rate * (now - since))
         if self.late:
             self.doubt(now, a)
--- a/cypresspulley/service.py
+++ b/cypresspulley/service.py
@@ -10,7 +10,7 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any
 
-from cypresspulley.lifecycle import Lifecycle, Step
+from cypresspulley.lifecycle import Lifecycle, LifecycleEvent
 from cypresspulley.net.door import Reply
 from cypresspulley.net.frontend import Frontend
 from cypresspulley.net.node import Node, UnixClock
@@ -88,11 +88,11 @@
         """Clients' connections are taken from now on."""
         self._node, self._frontend, self._gateway, self._upstream = node, frontend, gateway, upstream
         self._clock = clock or self._clock
-        self.life.step(Step.SUCCEED if inherited else Step.SERVE)
+        self.life.apply(LifecycleEvent.SERVE_AS_SUCCESSOR if inherited else LifecycleEvent.SERVE)
         if not inherited:
             self._recall()
         if self._drained:
-            self.life.step(Step.DRAIN)
+            self.life.apply(LifecycleEvent.DRAIN)
         self._heed()
         if gateway is not None:
             self._ghosts = Ghosts(gateway)
@@ -161,7 +161,7 @@
     def _apply(self, name: str, id: str, sure: bool = False) -> Reply:
         if name in ("suspend", "resume"):
             return self._ban(id, name == "suspend", sure)
-        if not self.life.step(Step.DRAIN if name == "drain" else Step.ACTIVATE):
+        if not self.life.apply(LifecycleEvent.DRAIN if name == "drain" else LifecycleEvent.ACTIVATE):
             return Reply(409, {"state": self.life.state.value, "error": f"cannot {name} now"})
         self._heed()
         return self._recorded(Reply(200, {"state": self.life.state.value}))
@@ -183,8 +183,8 @@
 
     def leave(self) -> bool:
         """The process was told to end; whether a successor takes what comes."""
-        handed = self.life.handed
-        self.life.step(Step.TERM)
+        handed = self.life.handed_over
+        self.life.apply(LifecycleEvent.TERMINATE)
         self._heed()
         return handed
 
@@ -213,16 +213,16 @@
 
     def listener(self) -> int:
         assert self._frontend is not None
-        return self._frontend.listener()
+        return self._frontend.duplicate_listener()
 
     def pause(self) -> None:
         assert self._frontend is not None
         self._frontend.pause()
 
     def resume(self) -> None:
-        self.life.step(Step.BACK)
+        self.life.apply(LifecycleEvent.TAKE_BACK)
         self._heed()
-        if self._frontend is not None and not self._frontend.closed:
+        if self._frontend is not None and not self._frontend.is_shutting_down:
             self._frontend.resume()
 
     def _later(self, work: Coroutine[Any, Any, Any]) -> None:
@@ -247,10 +247,10 @@
     def handed(self, to: Peer | None) -> None:
         assert self._frontend is not None
         if isinstance(to, Predecessor):
-            self.life.step(Step.HAND)
-            self._frontend.hand(to.pass_client)
+            self.life.apply(LifecycleEvent.HAND_OVER)
+            self._frontend.set_handoff(to.pass_client)
         else:
-            self._frontend.hand(None)
+            self._frontend.set_handoff(None)
 
     def held(self) -> list[tuple[str, str, int]]:
         return held(self._gateway) if self._gateway is not None else []
@@ -261,12 +261,12 @@
 
     def took(self, sock: socket.socket) -> None:
         assert self._frontend is not None
-        self._later(self._frontend.take(sock))
+        self._later(self._frontend.adopt_connection(sock))
 
     def applied(self, name: str, id: str, source: Peer) -> None:
         self._apply(name, id, sure=True)
         self._later(self._tell(name, id, source))  # to a third process, where there is one
 
     def alone(self) -> None:
-        self.life.step(Step.ALONE)
+        self.life.apply(LifecycleEvent.PREDECESSOR_ENDED)
         self._heed()
--- a/tests/plans/test_limiter.py
+++ b/tests/plans/test_limiter.py
@@ -80,7 +80,7 @@
 def test_without_a_book_the_settings_hold() -> None:
     day = Day()
     assert day.burst(0, 1) == 1 and ("small", "hotel") in day.gateway.quotas.accounts
-    day.world.feed(api.Retune(replace(day.config, plans=(api.Plan("small", rate=9.0, burst=9.0),))))
+    day.world.feed(api.SettingsChanged(replace(day.config, plans=(api.Plan("small", rate=9.0, burst=9.0),))))
     day.burst(1, 1)
     assert day.gateway.quotas.accounts["small", "hotel"].plan.rate == 9.0
 
@@ -88,7 +88,7 @@
 def test_other_settings_in_service_keep_the_book_s_terms() -> None:
     day = Day(version("small", 1, LARGE))
     day.burst(0, 1)
-    day.world.feed(api.Retune(replace(day.config, max_attempts=2)))
+    day.world.feed(api.SettingsChanged(replace(day.config, max_attempts=2)))
     day.burst(1, 1)
     assert day.gateway.quotas.accounts["small", "hotel"].plan.rate == 10.0
 
@@ -172,7 +172,7 @@
     day.world.advance(110.0)
     day.world.feed(w.request(3, "read", "small", "hotel"))
     assert day.world.out
-    day.world.feed(api.Departed(3))
+    day.world.feed(api.ClientDisconnected(3))
     assert day.gatherer.gathered == MICRO and not day.planned._open and not day.planned._out
 
 
--- a/tests/stepped_clock.py
+++ b/tests/stepped_clock.py
@@ -1,8 +1,9 @@
 """One account at many gateways while the wall clock steps, gateways restart and the counter has trouble.
 
 ``Play`` drives real gateways in virtual time. Each process reads the wall clock once, at its start, and goes on by
-real time from there; what ``api.WallClock`` tells it of a step comes within ``NOTICED`` seconds. The counter forgets
-by real time. The account's ceiling is kept beside it as it truly is, and its lowest level is what a play is judged by.
+real time from there; what ``api.WallClockStep`` tells it of a step comes within ``NOTICED`` seconds. The counter
+forgets by real time. The account's ceiling is kept beside it as it truly is, and its lowest level is what a play
+is judged by.
 """
 
 from __future__ import annotations
@@ -121,7 +122,7 @@
         shift = self.wall - self._ahead[place]
         if life == self._lives[place] and shift != self._told[place]:
             self._told[place] = shift
-            self._feed(place, api.WallClock(shift))
+            self._feed(place, api.WallClockStep(shift))
 
     def _restart(self) -> None:
         for place in self.rng.sample(
--- a/tests/test_endings_policy.py
+++ b/tests/test_endings_policy.py
@@ -29,9 +29,9 @@
     world = w.World(w.settings())
     world.feed(w.servers("s0", "s1", "s2", "s3"))
     first = sent(world.feed(w.request(1, kind)))
-    assert first.latest == math.inf
+    assert first.latest_start == math.inf
     world.advance(world.now + 0.5)
-    assert sent(world.feed(w.outcome(1, 0, first.server, api.Status.UNREACHABLE))).latest == math.inf
+    assert sent(world.feed(w.outcome(1, 0, first.server, api.Status.UNREACHABLE))).latest_start == math.inf
 
 
 def test_a_repeat_of_a_keyed_request_leaves_inside_the_window_of_the_first_that_may_have_run() -> None:
@@ -45,9 +45,9 @@
     for attempt, later in ((1, 0.2), (2, 0.4)):
         world.advance(world.now + later)
         send = sent(world.feed(w.outcome(1, attempt, send.server, api.Status.BROKEN)))
-        assert began + 0.5 * WINDOW < send.latest < began + WINDOW
+        assert began + 0.5 * WINDOW < send.latest_start < began + WINDOW
     # It comes back unsent when its latest instant has passed: no further attempt, and an answer at once.
-    world.now = send.latest
+    world.now = send.latest_start
     actions = world.feed(w.outcome(1, 3, send.server, api.Status.NOT_SENT))
     assert [type(a) for a in actions if isinstance(a, api.Send | api.Fail | api.Refuse)] == [api.Fail]
 
@@ -56,7 +56,7 @@
     world = w.World(w.settings())
     world.feed(w.servers("s0", "s1"))
     send = sent(world.feed(w.request(1, "read")))
-    assert sent(world.feed(w.outcome(1, 0, send.server, api.Status.BROKEN))).latest == math.inf
+    assert sent(world.feed(w.outcome(1, 0, send.server, api.Status.BROKEN))).latest_start == math.inf
 
 
 # A client that leaves while its request waits for the counter: what was taken for it is given back.
@@ -83,12 +83,12 @@
     (place,) = world.counts
     assert place.amount == 1.0 and not world.sends
     if leaves == "before the answer":
-        world.feed(api.Departed(1))
+        world.feed(api.ClientDisconnected(1))
         answer(world, place, status)
     else:
         answer(world, place, status)
         assert len(world.sends) == 1, "it was sent on: its units are spent"
-        world.feed(api.Departed(1))
+        world.feed(api.ClientDisconnected(1))
         del world.out[1, 0]
     account = quotas.accounts["small", "x"]
     back = [c.amount for c in world.counts if c.name == account.name]
@@ -114,7 +114,7 @@
     answer(world, grant)
     place = next(c for c in world.counts if c.amount == 1.0)
     assert not world.sends
-    world.feed(api.Departed(1))
+    world.feed(api.ClientDisconnected(1))
     answer(world, place)
     assert not world.gateway._requests
     asked_for_three(world, 2)
@@ -135,7 +135,7 @@
     world.feed(w.servers("s0", "s1"))
     asked_for_three(world, 1)
     grant = next(c for c in world.counts if c.amount == 3.0)
-    world.feed(api.Departed(1))
+    world.feed(api.ClientDisconnected(1))
     answer(world, grant, status)
     assert not world.sends
     asked_for_three(world, 2)
@@ -166,7 +166,7 @@
         self.gateway = Gateway(config, 3, self.now)
         self.waiting = deque[api.Event]()
         self.open = dict[int, api.Request]()  # no final answer yet
-        self.deadlines, self.coming = dict[int, float](), set[int]()
+        self.deadlines, self.body_pending = dict[int, float](), set[int]()
         self.answers = dict[int, list[str]]()
         self.out = dict[tuple[int, int], tuple[api.Send, float]]()
         self.tries = dict[int, int]()
@@ -188,7 +188,7 @@
             number = self.tries.get(action.id, 0)
             self.tries[action.id] = number + 1
             until = min(self.now + action.timeout, self.deadlines[action.id])
-            self.out[action.id, number] = (action, math.inf if action.id in self.coming else until)
+            self.out[action.id, number] = (action, math.inf if action.id in self.body_pending else until)
         elif isinstance(action, api.Refuse | api.Fail):
             self.final(action.id, type(action).__name__)
         elif isinstance(action, api.Count):
@@ -200,7 +200,7 @@
         """Off the node's table; attempts that are out are cancelled, and told as ended."""
         assert id in self.open, f"answered twice: {self.answers[id]}, {how}"
         del self.open[id]
-        self.coming.discard(id)
+        self.body_pending.discard(id)
         self.answers[id].append(how)
         for key in [key for key in self.out if key[0] == id]:
             self.ended(key, api.Status.CANCELLED)
@@ -231,7 +231,7 @@
         while True:
             due = [(at, 0, token, 0) for at, token in self.timers]
             due += [(until, 1, *key) for key, (_, until) in self.out.items()]
-            due += [(self.deadlines[id] + 0.01, 2, id, 0) for id in self.open if id not in self.coming]
+            due += [(self.deadlines[id] + 0.01, 2, id, 0) for id in self.open if id not in self.body_pending]
             due += [(until, 3, 0, 0) for _, until in list(self.calls)[:1]]
             due = [each for each in due if each[0] <= end]
             if not due:
@@ -247,7 +247,7 @@
                 self.counter_answers(0, 7)
             else:
                 self.final(first, "abandoned")
-                self.feed_later(api.Departed(first))
+                self.feed_later(api.ClientDisconnected(first))
             self.settle()
         self.now = end
 
@@ -258,34 +258,34 @@
         ttl = (0.02, 0.2, 1.0, 3.0)[a % 4]
         event = api.Request(
             self.next, ("read", "entry", "post", "odd")[b % 4], (*PLANS, api.Plan("odd"))[a % 6].name, ttl, "xy"[b % 2],
-            (1.0, 3.0)[a % 2], (3, 40)[b // 4 % 2], coming=b % 5 == 0, bound=4.0 * (b % 7 == 0),
+            (1.0, 3.0)[a % 2], (3, 40)[b // 4 % 2], body_pending=b % 5 == 0, bound=4.0 * (b % 7 == 0),
         )  # fmt: skip
         self.open[event.id], self.answers[event.id] = event, []
         self.deadlines[event.id] = self.now + ttl
-        if event.coming:
-            self.coming.add(event.id)
+        if event.body_pending:
+            self.body_pending.add(event.id)
         self.feed(event)
 
     def body(self, a: int, b: int) -> None:
-        if self.coming:
-            id = sorted(self.coming)[a % len(self.coming)]
+        if self.body_pending:
+            id = sorted(self.body_pending)[a % len(self.body_pending)]
             whole = b % 3 > 0
             if whole:
-                self.coming.discard(id)
+                self.body_pending.discard(id)
                 self.deadlines[id] = self.now + self.open[id].ttl
                 for key, (send, _) in self.out.items():
                     if key[0] == id:
                         self.out[key] = send, min(self.now + send.timeout, self.deadlines[id])
-            self.feed(api.Body(id, whole, b % 2 == 0))
+            self.feed(api.BodyProgress(id, whole, b % 2 == 0))
 
     def began(self, a: int, _b: int) -> None:
-        keys = [key for key in self.out if key[0] in self.open and key[0] not in self.coming]
+        keys = [key for key in self.out if key[0] in self.open and key[0] not in self.body_pending]
         if keys:
             key = keys[a % len(keys)]
             send, _ = self.out[key]
             self.out[key] = send, math.inf
             self.deadlines[key[0]] = math.inf
-            self.feed(api.Began(*key, send.server, 0.02, {}))
+            self.feed(api.ResponseStarted(*key, send.server, 0.02, {}))
 
     def attempt_ends(self, a: int, b: int) -> None:
         if self.out:
@@ -296,7 +296,7 @@
         if self.open:
             id = list(self.open)[a % len(self.open)]
             self.final(id, "left")
-            self.feed_later(api.Departed(id))
+            self.feed_later(api.ClientDisconnected(id))
 
     def counter_answers(self, a: int, b: int) -> None:
         for _ in range(min(len(self.calls), 1 + a % 4)):
@@ -319,14 +319,16 @@
         effects = list(api.Effect)
         classes = tuple(replace(c, effect=effects[(a + n) % 3]) for n, c in enumerate(CLASSES))
         plans = tuple(replace(p, open_limit=(0, 2, p.open_limit)[b % 3]) for p in PLANS[: 3 + a % 3])
-        self.feed(api.Retune(replace(self.config, classes=classes, plans=plans, max_attempts=1 + b % 3)))
+        self.feed(
+            api.SettingsChanged(replace(self.config, classes=classes, plans=plans, max_attempts=1 + b % 3))
+        )
 
     def time_passes(self, a: int, _b: int) -> None:
         self.move((0.0, 0.01, 0.1, 0.4, 1.1)[a % 5])
 
     def finish(self) -> None:
         """All bodies come, all time runs out, all calls are answered."""
-        while self.coming:
+        while self.body_pending:
             self.body(0, 2)
             self.settle()
         for key, (send, until) in list(self.out.items()):
@@ -381,7 +383,7 @@
     world.feed(w.request(1, plan="small"))
     place = next(c for c in world.counts if c.amount == 1.0)
     world.totals[place.name] = 9.0
-    world.feed(api.Retune(replace(config, plans=(replace(plan, open_limit=0),))))
+    world.feed(api.SettingsChanged(replace(config, plans=(replace(plan, open_limit=0),))))
     answer(world, place, status)
     assert len(world.sends) == 1
     world.serve()
@@ -411,9 +413,9 @@
 
     ask(0)
     assert ask(100) > 30, "5 s of the old one"
-    world.feed(api.Retune(replace(config, plans=(new,))))
+    world.feed(api.SettingsChanged(replace(config, plans=(new,))))
     ask(200)  # what stood in the stores is used up
     assert ask(300) <= new.ceiling_burst + 5 * new.ceiling_rate + 1, "5 s of the new one"
-    world.feed(api.Retune(config))
+    world.feed(api.SettingsChanged(config))
     ask(400)
     assert ask(500) > 30, "and of the old one again"
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -13,19 +13,19 @@
 
 from cypresspulley import interface as api
 from cypresspulley.config import ConfigError, config_from
-from cypresspulley.messages import DIGITS, STEP
+from cypresspulley.messages import DIGITS, UNITS_PER_STEP
 from cypresspulley.net.peers import MAX_MESSAGE, Peers
 from cypresspulley.policy.account import Account
 from cypresspulley.policy.usage import HEARD_AT_MOST, UsageBroadcast
 from tests import world as w
-from tests.loopback import Limiter, Origin, Script, ask, listening, run, send_on
+from tests.loopback import Limiter, Origin, Script, ask, forward, listening, run
 from tests.test_program import config
 
 PLAN = api.Plan("small", rate=2.0, burst=8.0, over_cost=0.5)
 
 
 def told(**changes: object) -> api.Settings:
-    settings = w.settings(plans=(PLAN,), has_counter=False, may_tell=True, inbox=40.0)
+    settings = w.settings(plans=(PLAN,), has_counter=False, may_message_peers=True, inbox_rate=40.0)
     return replace(settings, **changes)  # type: ignore[arg-type]
 
 
@@ -41,7 +41,7 @@
         return texts
 
     def _check(self, action: api.Action) -> None:
-        if isinstance(action, api.Tell):
+        if isinstance(action, api.Broadcast):
             self.texts.append(action.text)
         super()._check(action)
 
@@ -76,7 +76,7 @@
         for index, world in enumerate(self.worlds):
             if index != at and self.rng.random() >= self.loss:
                 world.advance(now)
-                world.feed(api.Heard(at, text))
+                world.feed(api.PeerMessage(at, text))
 
 
 def play(fleet: Fleet, seconds: float, shares: tuple[float, ...], every: float = 0.05) -> float:
@@ -132,7 +132,7 @@
 def test_any_text_may_come_as_a_message(text: str) -> None:
     fleet = Fleet()
     fleet.ask(0, 100.0, 1)
-    fleet.worlds[0].feed(api.Heard(1, text))
+    fleet.worlds[0].feed(api.PeerMessage(1, text))
     account = next(iter(fleet.worlds[0].gateway.quotas.accounts.values()))
     assert -2 * PLAN.burst <= account.level <= PLAN.burst
 
@@ -149,7 +149,7 @@
         world.advance(now + 1.1)
         for text in world.take():
             fleet.worlds[0].advance(now + 1.1)
-            fleet.worlds[0].feed(api.Heard(1, text))
+            fleet.worlds[0].feed(api.PeerMessage(1, text))
     sent = sum(fleet.ask(0, now + 1.2 + 0.01 * n, 200 + n) for n in range(8))
     assert sent <= PLAN.burst / 3 + PLAN.rate * 1.3
 
@@ -178,7 +178,7 @@
             heard[key] = heard.get(key, 0.0) + units
     for account, amount in zip(accounts, amounts, strict=True):
         assert heard.get(account.name % 64**6, 0.0) + account.pending == pytest.approx(amount)
-        assert abs(account.pending) <= STEP
+        assert abs(account.pending) <= UNITS_PER_STEP
 
 
 def test_messages_are_no_more_than_an_inbox_takes() -> None:
@@ -227,7 +227,7 @@
 def test_a_limiter_sends_what_the_decisions_tell() -> None:
     async def main() -> None:
         sent = list[str]()
-        script = Script(lambda event: [api.Tell("AAAAAAgg")] if isinstance(event, api.Request) else [])
+        script = Script(lambda event: [api.Broadcast("AAAAAAgg")] if isinstance(event, api.Request) else [])
         async with Limiter(script, {}) as limiter:
             await limiter.fetch(ask(ttl=50))  # with no way to the others it is dropped
             limiter.node.tell = sent.append
@@ -251,11 +251,11 @@
 ) -> None:
     async def main() -> None:
         origin = Origin(lambda _n: b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n%b\r\nhi" % headers)
-        script = Script(send_on)
+        script = Script(forward)
         async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             assert (await limiter.fetch(ask()))[2] == b"hi"
             (outcome,) = await script.until(api.Outcome)
-            assert (outcome.used, outcome.units) == (used, units)
+            assert (outcome.usage_share, outcome.units) == (used, units)
 
     run(main())
 
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -152,17 +152,17 @@
     fleet = Fleet(exact=False)
     world = fleet.worlds[0]
     world.feed(w.request(1, "read", "chain", "hotel"))
-    world.feed(api.Departed(1))
+    world.feed(api.ClientDisconnected(1))
     world.answer_counts()
     assert not world.out and not any(fleet.totals.values())
 
 
 def test_a_body_on_its_way_is_not_out_until_its_last_byte() -> None:
     fleet = Fleet()
-    id = fleet.ask(0, "post", coming=True)
+    id = fleet.ask(0, "post", body_pending=True)
     fleet.advance(1.1)
     assert len(fleet.out) == 1 and not any(fleet.totals.values())
-    fleet.worlds[0].feed(api.Body(id, whole=True, kept=False))
+    fleet.worlds[0].feed(api.BodyProgress(id, complete=True, replayable=False))
     fleet.advance(1.1)
     assert sum(fleet.totals.values()) == 1
     assert fleet.ends_clean()
@@ -194,7 +194,7 @@
     fleet.ask(1, ttl=1.0)  # the first spell's count begins
     fleet.advance(14.0)  # into the next spell
     for world in fleet.worlds:
-        world.feed(api.WallClock(-11.0))  # back into the first one
+        world.feed(api.WallClockStep(-11.0))  # back into the first one
     for _ in range(LIMIT):
         fleet.ask(0, ttl=40.0)
     fleet.advance(1.0)
