--- a/cypresspulley/policy/classes.py
+++ b/cypresspulley/policy/classes.py
@@ -5,8 +5,8 @@
 from cypresspulley import interface as api
 from cypresspulley.interface import Effect
 
-# Seconds until clients go by new settings; for which a record that was replaced still binds.
-HEARD, OLD = 1.5, 6.0
+HEARD = 1.5  # seconds until clients go by new settings
+OLD = 6.0  # seconds for which a record that was replaced still binds
 
 
 class Plans:
--- a/cypresspulley/policy/fleet.py
+++ b/cypresspulley/policy/fleet.py
@@ -17,12 +17,15 @@
 # And at most: each costs a connection. At sixteen times the servers a limiter may make 2.5 times the connections and
 # 40 more, and hold twice the descriptors and 40 (operators' page).
 MOST = 64
-SAMPLED, SAMPLE = 24, 8  # servers above which a choice is among a sample, and how many that has
+SAMPLED = 24  # servers above which a choice is among a sample
+SAMPLE = 8  # servers of a sample
 UNUSED = 1e-6  # work a second, below which a server counts as unused
 LONGER = 3.0  # of its work beyond that of the class of the shortest aim, what a request may add to the queue
 SELDOM = 2.0  # answers a second of a server, below which its reports tell more than they do
-FADE, FADED = 2.0, 8.0  # seconds in which a report fades, and is gone
-COLD, STEADY = 0.75, 0.5  # of the load that fells a cold server, the most it gets at all, and steadily
+FADE = 2.0  # seconds in which a report fades
+FADED = 8.0  # seconds in which a report is gone
+COLD = 0.75  # of the load that fells a cold server, the most it gets at all
+STEADY = 0.5  # of the load that fells a cold server, the most it gets steadily
 ANSWERED = (Status.OK, Status.ERROR, Status.FULL, Status.REJECTED)
 
 
@@ -31,7 +34,11 @@
     fit of latency on units, each as a share of its mean. Queueing adds to all alike and does not bend it."""
 
     def __init__(self) -> None:
-        self.mean, self.slope, self._spread, self._common, self._latency = 1.0, 0.0, 0.0, 0.0, 1.0
+        self.mean = 1.0
+        self.slope = 0.0
+        self._spread = 0.0
+        self._common = 0.0
+        self._latency = 1.0
         self._seen = 0
 
     def factor(self, units: float) -> float:
@@ -83,23 +90,24 @@
 
     def __init__(self, settings: api.Settings, rng: Random, gate: Gate) -> None:
         self._rng, self._gate = rng, gate
-        self.servers, self._ring, self.mine = dict[str, Server](), HashRing(), list[Server]()
+        self.servers = dict[str, Server]()
+        self._ring = HashRing()
+        self.mine = list[Server]()
         self._groups = Groups()
         self._least_out = 0.0  # requests that may be out here in any case: three a server over all gateways
         self._rates = 0.0  # of ``mine``, work a second: they change by the tick
         # What a choice has to look at beyond a sample. Each may hold some that no longer belong there.
-        self._busy, self._cold = dict[Server, None](), dict[Server, None]()  # work is out there; slow start
+        self._busy = dict[Server, None]()  # work is out there
+        self._cold = dict[Server, None]()  # slow start
         self._out = dict[Server, None]()  # nothing goes there for a while
         self._reported = FreshReports()
-        self._used, self._gone = (
-            dict[Server, None](),
-            dict[Server, None](),
-        )  # have a rate or are lost; left the list
-        self.bans, self.known = (
-            set[str](),
-            dict[str, float](),
-        )  # servers taken out by hand; births of all ever listed, where told
-        self.base, self.sizes, self._done_rate = dict[str, float](), Sizes(), 0.0  # idle latency of a class
+        self._used = dict[Server, None]()  # have a rate or are lost
+        self._gone = dict[Server, None]()  # left the list
+        self.bans = set[str]()  # servers taken out by hand
+        self.known = dict[str, float]()  # births of all ever listed, where told
+        self.base = dict[str, float]()  # idle latency of a class
+        self.sizes = Sizes()
+        self._done_rate = 0.0
         self._settle(settings)
 
     def _settle(self, settings: api.Settings) -> None:
--- a/cypresspulley/policy/gate.py
+++ b/cypresspulley/policy/gate.py
@@ -3,10 +3,17 @@
 from cypresspulley import interface as api
 from cypresspulley.interface import Status
 
-REFERENCE, GAIN, RESET, INTERVAL, STALL = 0.8, 20.0, 2.8, 1.0, 2.5  # the design's loop; intervals of a stall
-AIM_SHARE, PLAIN_ROOM = 0.5, 0.5  # latency / aim that reads as the reference; load / reference of plain room
-DEPTH, RESERVE = 1.0, 0.6  # seconds of u that the gate holds; share kept from the least worthy work
-THIN, TRICKLE = 3.0, 0.1  # requests that a thin gate holds; share of the arrivals let in for readings
+REFERENCE = 0.8  # the design's loop
+GAIN = 20.0
+RESET = 2.8
+INTERVAL = 1.0
+STALL = 2.5  # intervals of a stall
+AIM_SHARE = 0.5  # latency / aim that reads as the reference
+PLAIN_ROOM = 0.5  # load / reference of plain room
+DEPTH = 1.0  # seconds of u that the gate holds
+RESERVE = 0.6  # share kept from the least worthy work
+THIN = 3.0  # requests that a thin gate holds
+TRICKLE = 0.1  # share of the arrivals let in for readings
 
 
 class Gate:
@@ -14,11 +21,17 @@
 
     def __init__(self, now: float) -> None:
         self.sum: float | None = None
-        self.u = self.reading = self.mean = 0.0  # admit rate a second; last load; mean work of a request
-        self.tries = self.admitted = 0.0  # since the last tick
-        self._tokens = self._arrivals = 0.0  # first tries a second
-        self._filled = self._ticked = now
-        self._load, self._held = list[float](), 0  # readings since they last counted; ticks since
+        self.u = 0.0  # admit rate a second
+        self.reading = 0.0  # last load
+        self.mean = 0.0  # mean work of a request
+        self.tries = 0.0  # since the last tick
+        self.admitted = 0.0  # since the last tick
+        self._tokens = 0.0
+        self._arrivals = 0.0  # first tries a second
+        self._filled = now
+        self._ticked = now
+        self._load = list[float]()  # readings since they last counted
+        self._held = 0  # ticks since
 
     def __repr__(self) -> str:
         state = "fresh" if self.sum is None else f"sum {self.sum:.1f}"
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -24,15 +24,19 @@
     """All that one limiter decides: what is let in, where it goes, whether it is tried again, what is answered."""
 
     def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
-        self._set, self._out = settings, list[Action]()
+        self._set = settings
+        self._out = list[Action]()
         rng = Random(seed)
         self.gate = Gate(now)
         self.fleet = Fleet(settings, rng, self.gate)
         self._classes = Classes(settings)
-        self._requests, self.why = dict[int, Request](), dict[str, int]()  # open ones; causes to log
+        self._requests = dict[int, Request]()  # open ones
+        self.why = dict[str, int]()  # causes to log
         self.quotas = Quotas(settings, rng, now, lambda a: self._out.append(a), self._requests, self._launch)
-        self._timer, self._retries = 0, 10.0  # further attempts that may be made
-        self._seen, self._ranks = deque[float](maxlen=300), list[float]()  # worth per work of the recent
+        self._timer = 0
+        self._retries = 10.0  # further attempts that may be made
+        self._seen = deque[float](maxlen=300)  # worth per work of the recent
+        self._ranks = list[float]()
         self._handlers: dict[type, Callable[[float, Any], None]] = {
             api.Request: self._arrive, api.Body: self._body, api.Began: self._began, api.Outcome: self._outcome,
             api.ServerList: self.fleet.listed, api.Suspend: self._suspend, api.Retune: self._retune,
--- a/cypresspulley/policy/request.py
+++ b/cypresspulley/policy/request.py
@@ -16,19 +16,29 @@
     def __init__(
         self, now: float, ev: api.Request, cls: api.RequestClass, account: Account, attempts: int
     ) -> None:
-        self.id, self.cls, self.account, self.units = ev.id, cls, account, ev.units
+        self.id = ev.id
+        self.cls = cls
+        self.account = account
+        self.units = ev.units
         self.attempts = attempts  # that it may have in all
-        self.bound, self.most = ev.bound, max(ev.units, ev.bound)  # a ceiling is held against the most
-        self.repeat, self.inside, self.ttl = ev.repeat, False, ev.ttl
-        self.coming, self.kept, self.busy = ev.coming, True, False  # busy: its work counts at its server
+        self.bound = ev.bound
+        self.most = max(ev.units, ev.bound)  # a ceiling is held against the most
+        self.repeat = ev.repeat
+        self.inside = False
+        self.ttl = ev.ttl
+        self.coming = ev.coming
+        self.kept = True
+        self.busy = False  # its work counts at its server
         self.begin(now)
         self.slot = False  # it counts among what its customer has out over all gateways
         self.granted: int | None = (
             None  # the incarnation of its window's count that holds it, where no even share does
         )
         self.worth = cls.worth * account.plan.price * ev.units
-        self.work, self.rank = 0.0, 1.0  # expected work; place among the recent by worth per work
-        self.tries, self.out = list[tuple[Server, float]](), dict[int, Server]()
+        self.work = 0.0  # expected work
+        self.rank = 1.0  # place among the recent by worth per work
+        self.tries = list[tuple[Server, float]]()
+        self.out = dict[int, Server]()
         self.ran: tuple[Server, float] | None = None  # first attempt that may have run
 
     def begin(self, now: float) -> None:
--- a/cypresspulley/policy/server.py
+++ b/cypresspulley/policy/server.py
@@ -7,15 +7,27 @@
 
 class Server:
     def __init__(self, entry: api.ServerEntry, phase: float) -> None:
-        self.entry, self.up, self.place = entry, True, blake2b(entry.name.encode(), digest_size=8).digest()
-        self.open = self.done = self.rate = 0.0  # own work: out, since the last tick, a second
-        self.slow = self.fails = 0.0  # latency over idle latency (0: unknown); share of broken attempts
-        self.out_until = self.out_for = self.budget = self.budget_at = 0.0
+        self.entry = entry
+        self.up = True
+        self.place = blake2b(entry.name.encode(), digest_size=8).digest()
+        self.open = 0.0  # own work that is out
+        self.done = 0.0  # own work since the last tick
+        self.rate = 0.0  # own work a second
+        self.slow = 0.0  # latency over idle latency (0: unknown)
+        self.fails = 0.0  # share of broken attempts
+        self.out_until = 0.0
+        self.out_for = 0.0
+        self.budget = 0.0
+        self.budget_at = 0.0
         self.phase = phase  # the part of a request's work, 0 to 1, from which the cold budget lets it pass
-        self.trial = self.lost = self.gone = False
-        # Requests in hand by its last report; when; sent since.
-        self.told, self.told_at, self.since = 0.0, -1e9, 0
-        self.row, self.broke = 0, 0.0  # breaks with no answer in between; when the last came
+        self.trial = False
+        self.lost = False
+        self.gone = False
+        self.told = 0.0  # requests in hand by its last report
+        self.told_at = -1e9  # when
+        self.since = 0  # sent since
+        self.row = 0  # breaks with no answer in between
+        self.broke = 0.0  # when the last came
         self.quiet: float | None = None  # since when it owes answers and gives none
         self.cold_at: float | None = None
         self.told_of_at = 0.0  # when a list last named it
