--- a/benchmarks/cold_starts.py
+++ b/benchmarks/cold_starts.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, replace
 
 from cypresspulley import interface as api
-from cypresspulley.policy.fleet import COLD, STEADY
+from cypresspulley.policy.load_balancer import COLD, STEADY
 from tests.cold_start import SETTINGS, Day
 
 STEP = 0.05  # seconds of the sum over the ramp
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -10,8 +10,8 @@
 from cypresspulley import interface as api
 from cypresspulley.interface import Action, Effect, Status
 from cypresspulley.policy.classes import Classes
-from cypresspulley.policy.fleet import Fleet
 from cypresspulley.policy.gate import AIM_SHARE, INTERVAL, REFERENCE, RESERVE, Gate
+from cypresspulley.policy.load_balancer import Fleet
 from cypresspulley.policy.quota import Quotas, Verdict
 from cypresspulley.policy.request import Request
 from cypresspulley.policy.server import Server
--- a/tests/explore/mutants.py
+++ b/tests/explore/mutants.py
@@ -22,8 +22,8 @@
 from cypresspulley.net.upstream import Upstream
 from cypresspulley.policy.account import Account
 from cypresspulley.policy.classes import Classes
-from cypresspulley.policy.fleet import Fleet
 from cypresspulley.policy.gateway import Gateway
+from cypresspulley.policy.load_balancer import Fleet
 from cypresspulley.rehearsal.scenario import Scenario, load_scenario, parse_scenario
 from tests.rehearsal.small import small
 
--- a/tests/rehearsal/virtual/test_fleets.py
+++ b/tests/rehearsal/virtual/test_fleets.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from cypresspulley.policy.fleet import Fleet
+from cypresspulley.policy.load_balancer import Fleet
 from cypresspulley.rehearsal.judge import Verdict, judge
 from cypresspulley.rehearsal.scenario import Scenario, load_scenario
 from cypresspulley.rehearsal.virtual.play import play_virtual
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -11,7 +11,7 @@
 from cypresspulley.net.arrival import ArrivalClock
 from cypresspulley.net.listener import SocketListener, Step
 from cypresspulley.net.upstream import Exchange, Upstream
-from cypresspulley.policy.fleet import Fleet
+from cypresspulley.policy.load_balancer import Fleet
 
 
 @contextmanager
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -5,7 +5,7 @@
 import pytest
 
 from cypresspulley import interface as api
-from cypresspulley.policy import fleet, quota
+from cypresspulley.policy import load_balancer, quota
 from tests import world as w
 
 ACCOUNTS = 1_000_000
@@ -32,9 +32,9 @@
 
 def test_servers_that_come_and_go_are_forgotten_and_their_names_bounded() -> None:
     world = w.World(w.settings(plans=(api.Plan("free"),), has_counter=False))
-    for number in range(3 * fleet.KNOWN):
+    for number in range(3 * load_balancer.KNOWN):
         world.feed(w.servers(f"s{number}"))
         if number % 500 == 0:
             world.advance(world.now + 1.1)
     world.advance(world.now + 3.0)
-    assert len(world.gateway.fleet.known) == fleet.KNOWN and len(world.gateway.fleet.servers) <= 2
+    assert len(world.gateway.fleet.known) == load_balancer.KNOWN and len(world.gateway.fleet.servers) <= 2
--- a/tests/test_cold_starts.py
+++ b/tests/test_cold_starts.py
@@ -10,7 +10,7 @@
 from benchmarks.cold_starts import ROWS, Row, chance, poisson_tail
 from cypresspulley import interface as api
 from cypresspulley.interface import Status
-from cypresspulley.policy.fleet import COLD, STEADY
+from cypresspulley.policy.load_balancer import COLD, STEADY
 from cypresspulley.policy.server import Server
 from tests import world as w
 from tests.cold_start import SETTINGS, Day
--- a/tests/test_symptoms.py
+++ b/tests/test_symptoms.py
@@ -9,7 +9,7 @@
 
 from cypresspulley import interface as api
 from cypresspulley.policy.account import Calls
-from cypresspulley.policy.fleet import Sizes
+from cypresspulley.policy.load_balancer import Sizes
 from tests import world as w
 
 
