--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -11,7 +11,7 @@
 from cypresspulley.interface import Action, Effect, Status
 from cypresspulley.policy.classes import Classes
 from cypresspulley.policy.gate import AIM_SHARE, INTERVAL, REFERENCE, RESERVE, Gate
-from cypresspulley.policy.load_balancer import Fleet
+from cypresspulley.policy.load_balancer import LoadBalancer
 from cypresspulley.policy.quota import Quotas, Verdict
 from cypresspulley.policy.request import Request
 from cypresspulley.policy.server import Server
@@ -28,7 +28,7 @@
         self._out = list[Action]()
         rng = Random(seed)
         self.gate = Gate(now)
-        self.fleet = Fleet(settings, rng, self.gate)
+        self.fleet = LoadBalancer(settings, rng, self.gate)
         self._classes = Classes(settings)
         self._requests = dict[int, Request]()  # open ones
         self.why = dict[str, int]()  # causes to log
--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -85,7 +85,7 @@
         return self._sum / len(self._servers)
 
 
-class Fleet:
+class LoadBalancer:
     """Servers by name, all gateways' ring of them, and the part of it that this gateway uses."""
 
     def __init__(self, settings: api.Settings, rng: Random, gate: Gate) -> None:
--- a/tests/explore/mutants.py
+++ b/tests/explore/mutants.py
@@ -23,7 +23,7 @@
 from cypresspulley.policy.account import Account
 from cypresspulley.policy.classes import Classes
 from cypresspulley.policy.gateway import Gateway
-from cypresspulley.policy.load_balancer import Fleet
+from cypresspulley.policy.load_balancer import LoadBalancer
 from cypresspulley.rehearsal.scenario import Scenario, load_scenario, parse_scenario
 from tests.rehearsal.small import small
 
@@ -95,19 +95,19 @@
         "slow", ("no request lost", "no effect twice", "log"),
     ),
     Mutant(
-        "a budget that forgets a restart", Fleet, "_cold_room",
+        "a budget that forgets a restart", LoadBalancer, "_cold_room",
         "return s.budget > s.phase * r.work", "return True",
         "cold", ("no cold server pushed over",),
         inside=100.0,
         shown_by=2,
     ),
     Mutant(
-        "a ban lost", Fleet, "_usable",
+        "a ban lost", LoadBalancer, "_usable",
         "server.up and server.entry.name not in self.bans", "server.up",
         "by hand", ("drains kept",),
     ),
     Mutant(
-        "a server called back not cold", Fleet, "suspended",
+        "a server called back not cold", LoadBalancer, "suspended",
         "self._begin_slow_start(now, s, now)", "s.cold_at = None",
         "cold by hand", ("no cold server pushed over",),
         inside=100.0,
--- a/tests/rehearsal/virtual/test_fleets.py
+++ b/tests/rehearsal/virtual/test_fleets.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from cypresspulley.policy.load_balancer import Fleet
+from cypresspulley.policy.load_balancer import LoadBalancer
 from cypresspulley.rehearsal.judge import Verdict, judge
 from cypresspulley.rehearsal.scenario import Scenario, load_scenario
 from cypresspulley.rehearsal.virtual.play import play_virtual
@@ -32,12 +32,12 @@
 
 @pytest.mark.long
 def test_a_fleet_that_learns_nothing_of_bad_servers_misses_its_goal(monkeypatch: pytest.MonkeyPatch) -> None:
-    learn = Fleet.learn
+    learn = LoadBalancer.learn
 
-    def forgetful(fleet: Fleet, now: float, r: Any, s: Any, ev: Any) -> None:
+    def forgetful(fleet: LoadBalancer, now: float, r: Any, s: Any, ev: Any) -> None:
         learn(fleet, now, r, s, ev)
         s.fails, s.out_until, s.trial = 0.0, 0.0, False
 
-    monkeypatch.setattr(Fleet, "learn", forgetful)
+    monkeypatch.setattr(LoadBalancer, "learn", forgetful)
     verdict = played(shortened("fleet-release", 12.0))
     assert verdict.kept and not verdict.met
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -11,7 +11,7 @@
 from cypresspulley.net.arrival import ArrivalClock
 from cypresspulley.net.listener import SocketListener, Step
 from cypresspulley.net.upstream import Exchange, Upstream
-from cypresspulley.policy.load_balancer import Fleet
+from cypresspulley.policy.load_balancer import LoadBalancer
 
 
 @contextmanager
@@ -51,10 +51,10 @@
 def birth_believed() -> Iterator[None]:
     """A server is as old as the wall clock says, and one that is told as older than before has not restarted."""
 
-    def believed(_fleet: Fleet, now: float, entry: api.ServerEntry, *_: Any) -> float | None:
+    def believed(_fleet: LoadBalancer, now: float, entry: api.ServerEntry, *_: Any) -> float | None:
         return now - entry.born + 100.0 if entry.born else None
 
-    with patch.object(Fleet, "_age_of_start", believed):
+    with patch.object(LoadBalancer, "_age_of_start", believed):
         yield
 
 
@@ -66,10 +66,10 @@
     def up(upstream: Upstream, name: str, dial: str, _up: bool, born: float = 0.0) -> None:
         update(upstream, name, dial, True, born)
 
-    def usable(_fleet: Fleet, server: Any) -> bool:
+    def usable(_fleet: LoadBalancer, server: Any) -> bool:
         return not server.gone
 
-    with patch.object(Upstream, "update", up), patch.object(Fleet, "_usable", usable):
+    with patch.object(Upstream, "update", up), patch.object(LoadBalancer, "_usable", usable):
         yield
 
 
