--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -28,7 +28,7 @@
         self._out = list[Action]()
         rng = Random(seed)
         self.gate = Gate(now)
-        self.fleet = LoadBalancer(settings, rng, self.gate)
+        self.load_balancer = LoadBalancer(settings, rng, self.gate)
         self._classes = Classes(settings)
         self._requests = dict[int, Request]()  # open ones
         self.why = dict[str, int]()  # causes to log
@@ -39,8 +39,8 @@
         self._ranks = list[float]()
         self._handlers: dict[type, Callable[[float, Any], None]] = {
             api.Request: self._arrive, api.Body: self._body, api.Began: self._began, api.Outcome: self._outcome,
-            api.ServerList: self.fleet.listed, api.Suspend: self._suspend, api.Retune: self._retune,
-            api.Probed: self.fleet.probed, api.Heard: self.quotas.heard, api.Counted: self.quotas.calls.answered,
+            api.ServerList: self.load_balancer.listed, api.Suspend: self._suspend, api.Retune: self._retune,
+            api.Probed: self.load_balancer.probed, api.Heard: self.quotas.heard, api.Counted: self.quotas.calls.answered,
             api.WallClock: lambda _now, ev: self.quotas.wall.step(ev.shift), api.TimerFired: lambda _now, _ev: None,
             api.Departed: lambda now, ev: self._forget(now, ev.id),
         }  # fmt: skip
@@ -69,7 +69,7 @@
             silent = ", counter silent" * (now < self.quotas.calls.silent_until)
             self._out.append(api.Log(f"turned away: {text}; {load}{silent}"))
             self.why = {}
-        self._out += self.fleet.tick(now, dt, self._requests.values())
+        self._out += self.load_balancer.tick(now, dt, self._requests.values())
         self.quotas.tell(now)
         self._ranks = sorted(self._seen)
         self.quotas.tick(now)
@@ -80,7 +80,7 @@
         a = self.quotas.account(now, ev)
         self.quotas.tell(now)
         r = self._requests[ev.id] = Request(now, ev, cls, a, self._classes.attempts(now))
-        r.work = self.fleet.expected(cls, ev.units)
+        r.work = self.load_balancer.expected(cls, ev.units)
         self.gate.arrived(r.work, not ev.repeat)
         value = r.worth / r.work
         self._seen.append(value)
@@ -95,14 +95,14 @@
             self._launch(now, r, verdict)
 
     def _suspend(self, now: float, ev: api.Suspend) -> None:
-        if self.fleet.suspended(now, ev):
+        if self.load_balancer.suspended(now, ev):
             self._out.append(api.Ban(ev.server, ev.out))
 
     def _retune(self, now: float, ev: api.Retune) -> None:
         """Levels, loads and what is out go on; open requests keep the records that they were let in under."""
         self._set = ev.settings
         self._classes.change(now, ev.settings)
-        self.fleet.retune(now, ev.settings)
+        self.load_balancer.retune(now, ev.settings)
         self.quotas.retune(now, ev.settings)
 
     def _launch(self, now: float, r: Request, verdict: Verdict) -> None:
@@ -125,7 +125,7 @@
 
     def _send(self, now: float, r: Request, latest: float = inf) -> bool:
         wait = r.due - now
-        s = self.fleet.pick(now, r) if wait > 0 else None
+        s = self.load_balancer.pick(now, r) if wait > 0 else None
         if s is None:
             return False
         if r.cls.effect is not Effect.UNSAFE and len(r.tries) + 1 < r.attempts:
@@ -142,7 +142,7 @@
     def _busy(self, now: float, r: Request, s: Server) -> None:
         """It is out from now on: its work is at the server, which owes an answer."""
         r.busy, r.account.open = True, r.account.open + 1
-        self.fleet.begin(now, s, r.work)
+        self.load_balancer.begin(now, s, r.work)
 
     def _body(self, now: float, ev: api.Body) -> None:
         """A body that flows: a server begins with its last byte, and so do the client's time and the work."""
@@ -158,7 +158,7 @@
 
     def _began(self, now: float, ev: api.Began) -> None:
         """The answer's first bytes are what is timed and read; the attempt is out until the last one."""
-        r, s = self._requests.get(ev.id), self.fleet.servers.get(ev.server)
+        r, s = self._requests.get(ev.id), self.load_balancer.servers.get(ev.server)
         if r is not None and s is not None and r.busy:
             told = api.Outcome(ev.id, ev.attempt, ev.server, Status.OK, ev.elapsed, False, ev.report)
             self._learn(now, r, s, told)
@@ -170,10 +170,10 @@
         if ev.status not in (Status.TIMEOUT, Status.CANCELLED, Status.UNREACHABLE):
             s.quiet = now if s.open > 1e-9 else None
         self.gate.read(r.cls, ev.status, ev.elapsed)
-        self.fleet.learn(now, r, s, ev)
+        self.load_balancer.learn(now, r, s, ev)
 
     def _outcome(self, now: float, ev: api.Outcome) -> None:
-        r, s = self._requests.get(ev.id), self.fleet.servers.get(ev.server)
+        r, s = self._requests.get(ev.id), self.load_balancer.servers.get(ev.server)
         if s is None or r is None:
             return
         if r.out.pop(ev.attempt, None) is not None:
@@ -181,7 +181,7 @@
             if r.busy:
                 self._learn(now, r, s, ev)
             elif r.coming or ev.status is not Status.OK:
-                self.fleet.learn(now, r, s, ev)  # it ended while its body or its answer flowed
+                self.load_balancer.learn(now, r, s, ev)  # it ended while its body or its answer flowed
             self.quotas.settle(now, r, ev)
             if s.open <= 1e-9:
                 s.quiet = None  # with nothing out it owes no answer, and none could ever end its silence
--- a/cypresspulley/service.py
+++ b/cypresspulley/service.py
@@ -68,7 +68,7 @@
         try:
             adopt(gateway, now, state["decisions"])
             dials = {str(k): str(v) for k, v in state["dials"].items()}
-            for server in gateway.fleet.servers.values():
+            for server in gateway.load_balancer.servers.values():
                 name, born = server.entry.name, server.entry.born
                 upstream.update(name, dials.get(name, ""), server.up, born)
             drained = bool(state["drained"])
@@ -76,7 +76,7 @@
             log.error("takeover: %s", error)
             self._successor.reject()
             return False
-        for name in gateway.fleet.bans:
+        for name in gateway.load_balancer.bans:
             upstream.ban(name, True)
         self._drained = drained
         return True
--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -77,22 +77,22 @@
 
 def take(gateway: Gateway) -> dict[str, Any]:
     """The state of the decisions; nothing is changed by it."""
-    fleet, quotas = gateway.fleet, gateway.quotas
+    load_balancer, quotas = gateway.load_balancer, gateway.quotas
     incarnation, usage = quotas.incarnation, quotas.usage
     accounts = sorted(quotas.accounts.items(), key=lambda each: -each[1].at)[:ACCOUNTS]
     return {
         "retries": gateway._retries,
         "seen": list(gateway._seen),
         "gate": _read_attributes(gateway.gate, GATE),
-        "base": fleet.base,
-        "sizes": _read_attributes(fleet.sizes, SIZES),
-        "done_rate": fleet._done_rate,
-        "bans": sorted(fleet.bans),
-        "known": list(fleet.known),
-        "births": fleet.known,
+        "base": load_balancer.base,
+        "sizes": _read_attributes(load_balancer.sizes, SIZES),
+        "done_rate": load_balancer._done_rate,
+        "bans": sorted(load_balancer.bans),
+        "known": list(load_balancer.known),
+        "births": load_balancer.known,
         "servers": [
             {"entry": asdict(s.entry) | {"health": s.entry.health.value}, "up": s.up, **_read_attributes(s, SERVER)}
-            for s in fleet.servers.values()
+            for s in load_balancer.servers.values()
             if not s.gone
         ],
         "born": quotas._born,
@@ -122,25 +122,25 @@
 
 
 def _adopt(gateway: Gateway, now: float, state: dict[str, Any]) -> None:
-    fleet, quotas = gateway.fleet, gateway.quotas
+    load_balancer, quotas = gateway.load_balancer, gateway.quotas
     gateway._retries = float(state["retries"])
     gateway._seen.extend(map(float, state["seen"]))
     gateway._ranks = sorted(gateway._seen)
     _write_attributes(gateway.gate, state["gate"], GATE)
-    fleet.base.update({str(name): float(value) for name, value in state["base"].items()})
-    _write_attributes(fleet.sizes, state["sizes"], SIZES)
-    fleet._done_rate = float(state["done_rate"])
-    fleet.bans.update(map(str, state["bans"]))
+    load_balancer.base.update({str(name): float(value) for name, value in state["base"].items()})
+    _write_attributes(load_balancer.sizes, state["sizes"], SIZES)
+    load_balancer._done_rate = float(state["done_rate"])
+    load_balancer.bans.update(map(str, state["bans"]))
     births = state.get("births", {})  # a predecessor of an older version tells none
-    fleet.known.update({str(name): births.get(name) for name in state["known"]})
+    load_balancer.known.update({str(name): births.get(name) for name in state["known"]})
     rows = [(_entry(row["entry"]), row) for row in state["servers"]]
-    fleet.listed(now, api.ServerList(tuple(entry for entry, _ in rows), True))
+    load_balancer.listed(now, api.ServerList(tuple(entry for entry, _ in rows), True))
     for entry, row in rows:
-        server = fleet.servers[entry.name]
+        server = load_balancer.servers[entry.name]
         _write_attributes(server, row, SERVER)
         server.up = bool(row["up"])
         server.budget *= 1 - KEPT if server.budget > 0 else 1
-    fleet._arrange(now)
+    load_balancer._arrange(now)
     quotas._born = float(state["born"])
     _write_attributes(quotas.calls, state["calls"], CALLS)
     # A predecessor of an older version tells it as "life".
@@ -173,7 +173,7 @@
             self._given.append((a, given))
             for store, amount in given.items():
                 setattr(a, store, getattr(a, store) - amount)
-        self._budgets = [(s, (1 - KEPT) * max(0.0, s.budget)) for s in gateway.fleet.servers.values()]
+        self._budgets = [(s, (1 - KEPT) * max(0.0, s.budget)) for s in gateway.load_balancer.servers.values()]
         for server, budget in self._budgets:
             server.budget -= budget
         quotas.incarnation.first = False
--- a/tests/takeover/test_handover.py
+++ b/tests/takeover/test_handover.py
@@ -181,14 +181,14 @@
     async def main() -> None:
         async with listening(Origin().talk) as dial:
             old = await Process(tmp_path, dial).start()
-            old.gateway.fleet.servers["s1"].cold_at = begun = old.clock() - 2.0
+            old.gateway.load_balancer.servers["s1"].cold_at = begun = old.clock() - 2.0
             new = Process(tmp_path, dial)
             new.clock.offset += step
             await new.start()
             assert new.inherited
-            assert new.gateway.fleet.servers["s1"].cold_at == begun
+            assert new.gateway.load_balancer.servers["s1"].cold_at == begun
             assert abs(new.clock() - old.clock()) < 1.0
-            assert new.gateway.fleet.known == old.gateway.fleet.known
+            assert new.gateway.load_balancer.known == old.gateway.load_balancer.known
             assert new.gateway.quotas._born == old.gateway.quotas._born <= new.clock()
             await old.end()
             await new.end()
@@ -239,20 +239,20 @@
     async def main() -> None:
         async with upgraded(tmp_path, Origin()) as (old, new):
             assert (await old.service.call("suspend", "s1")).status == 200
-            assert new.gateway.fleet.bans == old.gateway.fleet.bans == {"s1"}
+            assert new.gateway.load_balancer.bans == old.gateway.load_balancer.bans == {"s1"}
             assert (await new.service.call("resume", "s1")).status == 200
-            assert new.gateway.fleet.bans == old.gateway.fleet.bans == set()
+            assert new.gateway.load_balancer.bans == old.gateway.load_balancer.bans == set()
             assert (await new.service.call("suspend", "s2")).status == 200
-            assert old.gateway.fleet.bans == {"s2"}
+            assert old.gateway.load_balancer.bans == {"s2"}
             assert (await old.service.call("resume", "s2")).status == 200
             assert (await old.service.call("suspend", "s1")).status == 200
             old.die()
             await until(lambda: new.service.life.state is State.READY)
             third = await Process(tmp_path, new.dial).start()
-            assert third.inherited and third.gateway.fleet.bans == {"s1"}
+            assert third.inherited and third.gateway.load_balancer.bans == {"s1"}
             assert not third.upstream._servers["s1"].usable and third.upstream._servers["s2"].usable
             assert (await third.service.call("resume", "s1")).status == 200
-            assert new.gateway.fleet.bans == set()
+            assert new.gateway.load_balancer.bans == set()
             await third.end()
 
     run(main())
@@ -355,7 +355,7 @@
             assert (await dead.service.call("suspend", "s1")).status == 200
             dead.die()
             new = await Process(tmp_path, dial).start()
-            assert not new.inherited and new.gateway.fleet.bans == {"s1"}
+            assert not new.inherited and new.gateway.load_balancer.bans == {"s1"}
             await new.end()
 
     run(main())
--- a/tests/takeover/test_record.py
+++ b/tests/takeover/test_record.py
@@ -23,13 +23,13 @@
             with monkeypatch.context() as patched:
                 patched.setattr(Folder, "write", failing(error))
                 assert (await process.service.call("suspend", "s1")).status == 503
-                assert "s1" in process.gateway.fleet.bans, "it is in force, and may be called again"
+                assert "s1" in process.gateway.load_balancer.bans, "it is in force, and may be called again"
                 assert (await process.service.call("drain", "")).status == 503
             assert (await process.service.call("suspend", "s1")).status == 200
             assert (await process.service.call("drain", "")).status == 200
             process.die()
             heir = await Process(tmp_path, dial).start()
-            assert heir.gateway.fleet.bans == {"s1"} and heir.service.life.drained
+            assert heir.gateway.load_balancer.bans == {"s1"} and heir.service.life.drained
             await heir.end()
 
     run(main())
--- a/tests/takeover/test_snapshot.py
+++ b/tests/takeover/test_snapshot.py
@@ -73,12 +73,15 @@
 def test_servers_bans_loads_and_rates_go_over() -> None:
     world = lived()
     after, old = successor(world), world.gateway
-    assert after.fleet.bans == {"s1"} and [s.entry.name for s in after.fleet.ring] == [
-        s.entry.name for s in old.fleet.ring
+    assert after.load_balancer.bans == {"s1"} and [s.entry.name for s in after.load_balancer.ring] == [
+        s.entry.name for s in old.load_balancer.ring
     ]
-    for name, server in old.fleet.servers.items():
-        assert after.fleet.servers[name].rate == server.rate and after.fleet.servers[name].slow == server.slow
-    assert repr(after.gate) == repr(old.gate) and after.fleet.base == old.fleet.base
+    for name, server in old.load_balancer.servers.items():
+        assert (
+            after.load_balancer.servers[name].rate == server.rate
+            and after.load_balancer.servers[name].slow == server.slow
+        )
+    assert repr(after.gate) == repr(old.gate) and after.load_balancer.base == old.load_balancer.base
     assert after.quotas._born == old.quotas._born
 
 
@@ -93,12 +96,12 @@
     before = {(key, s): getattr(a, s) for key, a in world.gateway.quotas.accounts.items() for s in STORES}
     plans, budgets = (
         dict(world.gateway.quotas._plans),
-        [s.budget for s in world.gateway.fleet.servers.values()],
+        [s.budget for s in world.gateway.load_balancer.servers.values()],
     )
     Split(world.gateway).undo(whole=True, now=world.now)
     after = {(key, s): getattr(a, s) for key, a in world.gateway.quotas.accounts.items() for s in STORES}
     assert after == pytest.approx(before) and world.gateway.quotas._plans == plans
-    assert [s.budget for s in world.gateway.fleet.servers.values()] == pytest.approx(budgets)
+    assert [s.budget for s in world.gateway.load_balancer.servers.values()] == pytest.approx(budgets)
     assert all(a.plan is PLAN for a in world.gateway.quotas.accounts.values())
 
 
@@ -165,7 +168,7 @@
 
 def test_a_dropped_plan_is_left_out_and_the_rest_goes_over() -> None:
     after = successor(lived(), replace(CONFIG, plans=(api.Plan("free"),)))
-    assert after.quotas.accounts == {} and after.fleet.bans == {"s1"}
+    assert after.quotas.accounts == {} and after.load_balancer.bans == {"s1"}
 
 
 def test_wrong_snapshots_are_told_apart() -> None:
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -37,4 +37,7 @@
         if number % 500 == 0:
             world.advance(world.now + 1.1)
     world.advance(world.now + 3.0)
-    assert len(world.gateway.fleet.known) == load_balancer.KNOWN and len(world.gateway.fleet.servers) <= 2
+    assert (
+        len(world.gateway.load_balancer.known) == load_balancer.KNOWN
+        and len(world.gateway.load_balancer.servers) <= 2
+    )
--- a/tests/test_cold_starts.py
+++ b/tests/test_cold_starts.py
@@ -81,7 +81,7 @@
 
 def lost(world: w.World, id: int, name: str) -> int:
     """Dials to a server in vain until it counts as lost."""
-    server = world.gateway.fleet.servers[name]
+    server = world.gateway.load_balancer.servers[name]
     for _ in range(500):
         if server.lost and server.out_until > world.now:
             return id
@@ -106,7 +106,7 @@
         world.feed(w.request(id))
         world.serve()
         id += 1
-    server = world.gateway.fleet.servers["s1"]
+    server = world.gateway.load_balancer.servers["s1"]
     assert server.cold_at is None
     server.budget = 1.0
     return world, server, id
@@ -184,7 +184,7 @@
 
     run(10.0)
     world.feed(api.ServerList((replace(world.up["s1"], born=world.now),), False))
-    world.gateway.fleet.servers["s1"].out_until = world.now + 10.0
+    world.gateway.load_balancer.servers["s1"].out_until = world.now + 10.0
     assert run(10.0) == 0
     able, warmth, config = 50 / 3, 0.2 + 0.8 * 11 / 60, world.config
     # What it can do, once each of the two that are left does half of all in place of a third.
--- a/tests/test_endings_policy.py
+++ b/tests/test_endings_policy.py
@@ -366,7 +366,7 @@
     for account in gateway.quotas.accounts.values():
         assert account.open == 0, account.name
         assert account.slots is None or account.slots.held == 0, account.name
-    for server in gateway.fleet.servers.values():
+    for server in gateway.load_balancer.servers.values():
         assert server.open == 0.0 and server.quiet is None, server.entry.name
 
 
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -126,10 +126,10 @@
     settings = w.settings(gateways=MANY, index=MANY - 1)
     before, after = w.World(settings), w.World(settings)
     before.feed(w.servers(*names))
-    before.gateway.fleet.bans.update(names)
+    before.gateway.load_balancer.bans.update(names)
     text, checksum = pack(take(before.gateway))
     adopt(after.gateway, after.now, unpack(text, checksum))
-    assert set(after.gateway.fleet.servers) == set(names) == after.gateway.fleet.bans
+    assert set(after.gateway.load_balancer.servers) == set(names) == after.gateway.load_balancer.bans
 
 
 def test_a_cluster_of_the_keeper_has_as_many_nodes_as_it_likes() -> None:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -645,7 +645,7 @@
     world = w.World(w.settings(plans=(api.Plan("free"),), has_counter=False))
     world.feed(w.servers("s0"))
     world.feed(replace(w.request(1, "post"), coming=True))
-    server = world.gateway.fleet.servers["s0"]
+    server = world.gateway.load_balancer.servers["s0"]
     assert world.out and server.open == 0.0 and server.quiet is None
     assert world.gateway._requests[1].account.open == 0, "an attempt is out from its last byte on"
     world.gateway.handle(world.now + 60.0, api.Body(1, whole=True, kept=False))
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -62,7 +62,9 @@
         assert {event.status for event in script.events if isinstance(event, api.Outcome)} <= {
             api.Status.DROPPED, api.Status.BROKEN,
         }  # fmt: skip
-        assert not script.gateway.fleet.servers["s1"].lost  # its next answer would make it cold for 60 s
+        assert not script.gateway.load_balancer.servers[
+            "s1"
+        ].lost  # its next answer would make it cold for 60 s
 
     run(main())
 
@@ -91,7 +93,7 @@
                     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
                     await task
                 limiter.node.listed(listing({"s1": one, "s2": two, "s3": three}))
-                server = script.gateway.fleet.servers["s1"]
+                server = script.gateway.load_balancer.servers["s1"]
                 while not server.trial:
                     script.now += 0.1
                     await limiter.fetch(ask())
@@ -117,7 +119,7 @@
         async with peers[0] as one, peers[1] as two, peers[2] as three:
             script = Deciding()
             async with Limiter(script, {"s1": one, "s2": two, "s3": three}) as limiter:
-                servers = script.gateway.fleet.servers.values()
+                servers = script.gateway.load_balancer.servers.values()
                 out = 0
                 for _ in range(400):
                     script.now += 0.05
@@ -146,7 +148,7 @@
                 script.now += 0.5
                 drop.set()
                 await asyncio.gather(*tasks)
-                assert script.gateway.fleet.servers["s1"].fails < 0.65  # as a row of deaths it is 0.8
+                assert script.gateway.load_balancer.servers["s1"].fails < 0.65  # as a row of deaths it is 0.8
 
     run(main())
 
@@ -209,6 +211,6 @@
             (outcome,) = await script.until(api.Outcome)
             assert outcome.status is api.Status.TIMEOUT
             assert " 200 " in (await limiter.fetch(ask()))[0]
-            assert script.gateway.fleet.servers["s1"].cold_at is None
+            assert script.gateway.load_balancer.servers["s1"].cold_at is None
 
     run(main())
--- a/tests/test_symptoms.py
+++ b/tests/test_symptoms.py
@@ -86,7 +86,7 @@
             if server == "s0":
                 world.feed(w.outcome(rid, attempt, server, api.Status.UNREACHABLE))
     world.serve()
-    assert world.gateway.fleet.servers["s0"].out_until > world.now
+    assert world.gateway.load_balancer.servers["s0"].out_until > world.now
     probes: list[api.Action] = []
     for _ in range(3):
         at, token = world.timers.pop(0)
@@ -299,10 +299,10 @@
         world.advance(world.now + 0.02)
         world.feed(w.servers(f"s{round}"))
     world.advance(world.now + 1.1)
-    assert set(world.gateway.fleet.servers) == {"s0", "s49"}
+    assert set(world.gateway.load_balancer.servers) == {"s0", "s49"}
     world.serve()
     world.advance(world.now + 1.1)
-    assert set(world.gateway.fleet.servers) == {"s49"}
+    assert set(world.gateway.load_balancer.servers) == {"s49"}
     world.feed(w.servers("s0", "s49"))  # it may come back, as a new one
     run(world, 3, 20, 100)
     assert {server for _, server, _ in world.sends[-30:]} == {"s0", "s49"}
@@ -337,7 +337,7 @@
         world.advance(world.now + 0.05)
         world.feed(w.request(id))
         world.serve(api.Status.BROKEN if id % 10 < 3 else api.Status.OK)
-    assert not any(server.cold_at or server.lost for server in world.gateway.fleet.servers.values())
+    assert not any(server.cold_at or server.lost for server in world.gateway.load_balancer.servers.values())
 
 
 @pytest.mark.parametrize("status", [api.Status.UNREACHABLE, api.Status.TIMEOUT])
@@ -350,7 +350,7 @@
     world.feed(w.outcome(0, 0, server, status, 0.05))
     world.serve()
     run(world, 30, 20, 1)
-    assert all(s.quiet is None for s in world.gateway.fleet.servers.values())
+    assert all(s.quiet is None for s in world.gateway.load_balancer.servers.values())
 
 
 def test_long_aims_leave_room_for_the_class_of_the_shortest() -> None:
@@ -360,12 +360,16 @@
     world = w.World(w.settings(classes=(hasty, patient), plans=(api.Plan("free"),), gateways=1))
     world.feed(w.servers("s0", "s1", "s2", "s3"))
     gateway = world.gateway
-    gateway.fleet.base, gateway.gate.mean, gateway.gate.reading = {"hasty": 0.1, "patient": 0.1}, 0.1, 0.4
-    for server in gateway.fleet.mine:  # 0.25 s of what they do is 2.5; 2.6 is out
+    gateway.load_balancer.base, gateway.gate.mean, gateway.gate.reading = (
+        {"hasty": 0.1, "patient": 0.1},
+        0.1,
+        0.4,
+    )
+    for server in gateway.load_balancer.mine:  # 0.25 s of what they do is 2.5; 2.6 is out
         server.rate, server.open = 2.5, 0.65
     world.feed(w.request(1, "patient"))
     assert world.answered[1] == "refused"
-    for server in gateway.fleet.mine:
+    for server in gateway.load_balancer.mine:
         server.open = 0.5
     world.feed(w.request(2, "hasty"))
     assert (2, 0) in world.out
