--- a/cypresspulley/policy/classes.py
+++ b/cypresspulley/policy/classes.py
@@ -35,7 +35,7 @@
         return dropped if now < until else None
 
 
-class Classes:
+class ClassRegistry:
     """Records by name. Clients learn of new settings a moment after this limiter, and a request's form tells which
     record its client goes by: the method and the key follow from the effect. A request that was let in keeps its
     record, and its number of attempts, to its final answer; that is the request's own affair."""
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -9,7 +9,7 @@
 
 from cypresspulley import interface as api
 from cypresspulley.interface import Action, Effect, Status
-from cypresspulley.policy.classes import Classes
+from cypresspulley.policy.classes import ClassRegistry
 from cypresspulley.policy.gate import AIM_SHARE, INTERVAL, REFERENCE, RESERVE, Gate
 from cypresspulley.policy.load_balancer import LoadBalancer
 from cypresspulley.policy.quota import Quotas, Verdict
@@ -29,7 +29,7 @@
         rng = Random(seed)
         self.gate = Gate(now)
         self.load_balancer = LoadBalancer(settings, rng, self.gate)
-        self._classes = Classes(settings)
+        self._classes = ClassRegistry(settings)
         self._requests = dict[int, Request]()  # open ones
         self.why = dict[str, int]()  # causes to log
         self.quotas = Quotas(settings, rng, now, lambda a: self._out.append(a), self._requests, self._launch)
--- a/tests/explore/mutants.py
+++ b/tests/explore/mutants.py
@@ -21,7 +21,7 @@
 from cypresspulley.net.requests import RequestReader
 from cypresspulley.net.upstream import Upstream
 from cypresspulley.policy.account import Account
-from cypresspulley.policy.classes import Classes
+from cypresspulley.policy.classes import ClassRegistry
 from cypresspulley.policy.gateway import Gateway
 from cypresspulley.policy.load_balancer import LoadBalancer
 from cypresspulley.rehearsal.scenario import Scenario, load_scenario, parse_scenario
@@ -121,7 +121,7 @@
         shown_by=2,
     ),
     Mutant(
-        "every class taken for safe to repeat", Classes, "record",
+        "every class taken for safe to repeat", ClassRegistry, "record",
         "record is not None and (effect is None or record.effect is effect):\n        return record",
         "record is not None and (effect is None or record.effect is effect):\n"
         '        return __import__("dataclasses").replace(record, effect=Effect.SAFE)',
--- a/tests/test_classes.py
+++ b/tests/test_classes.py
@@ -9,7 +9,7 @@
 from cypresspulley import interface as api
 from cypresspulley.explore.examine import left_of
 from cypresspulley.net.requests import BadRequestError, RequestReader
-from cypresspulley.policy.classes import HEARD, OLD, Classes
+from cypresspulley.policy.classes import HEARD, OLD, ClassRegistry
 from cypresspulley.settings import SettingsError, check_sound, check_whole
 from cypresspulley.takeover.snapshot import KEPT, Split
 from tests import world as w
@@ -22,7 +22,7 @@
 
 
 def test_a_requests_form_tells_which_record_its_client_goes_by() -> None:
-    classes = Classes(BASE)
+    classes = ClassRegistry(BASE)
     classes.change(100.0, OTHER)
     assert classes.record(100.1, "read", SAFE) is w.SAFE, "its client has not heard"
     assert classes.record(100.1, "read", UNSAFE) is READ
@@ -35,7 +35,7 @@
 
 def test_attempts_are_the_fewer_of_both_until_clients_have_heard() -> None:
     for before, then in ((3, 2), (2, 3)):
-        classes = Classes(replace(BASE, max_attempts=before))
+        classes = ClassRegistry(replace(BASE, max_attempts=before))
         assert classes.attempts(100.0) == before
         classes.change(100.0, replace(OTHER, max_attempts=then))
         assert classes.attempts(100.1) == 2 and classes.attempts(100.1 + HEARD) == then
--- a/tests/test_reload_overlap.py
+++ b/tests/test_reload_overlap.py
@@ -9,7 +9,7 @@
 from cypresspulley import interface as api
 from cypresspulley.interface import Effect
 from cypresspulley.net.requests import BadRequestError, RequestReader
-from cypresspulley.policy.classes import OLD, Classes
+from cypresspulley.policy.classes import OLD, ClassRegistry
 from tests import world as w
 from tests.loopback import SETTINGS
 
@@ -23,7 +23,7 @@
 def test_each_form_of_a_class_binds_until_its_clients_have_heard_of_the_next() -> None:
     """Three forms within 2 s: the first one's requests come until 6 s after the first change."""
     lookup = SETTINGS.classes[0]
-    classes = Classes(SETTINGS)
+    classes = ClassRegistry(SETTINGS)
     classes.change(1.0, replace(SETTINGS, classes=(replace(lookup, effect=Effect.KEYED, window=4.0),)))
     classes.change(2.0, replace(SETTINGS, classes=(replace(lookup, effect=Effect.UNSAFE),)))
     classes.change(3.0, replace(SETTINGS, classes=()))
