--- a/cypresspulley/net/requests.py
+++ b/cypresspulley/net/requests.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from cypresspulley import interface as api
-from cypresspulley.policy.classes import ClassRegistry, Plans
+from cypresspulley.policy.classes import ClassRegistry, PlanRegistry
 
 MAX_TIMEOUT_MS = 60_000
 REQUEST_ID, CLASS, PLAN = b"x-request-id", b"x-priority-class", b"x-plan"
@@ -46,7 +46,7 @@
     """Turns a request's headers and target into the event that the decisions want."""
 
     def __init__(self, settings: api.Settings, clock: Callable[[], float]) -> None:
-        self._classes, self._plans = ClassRegistry(settings), Plans(settings)
+        self._classes, self._plans = ClassRegistry(settings), PlanRegistry(settings)
         self._clock = clock
         self._gateways, self._max_units = settings.gateways, max(1.0, settings.max_units)
         self._last_id = 0
--- a/cypresspulley/policy/classes.py
+++ b/cypresspulley/policy/classes.py
@@ -9,7 +9,7 @@
 OLD = 6.0  # seconds for which a record that was replaced still binds
 
 
-class Plans:
+class PlanRegistry:
     """Plans by name. What new settings drop is known for as long as requests that name it may be on their way."""
 
     def __init__(self, settings: api.Settings) -> None:
--- a/cypresspulley/policy/quota.py
+++ b/cypresspulley/policy/quota.py
@@ -9,7 +9,7 @@
 from cypresspulley.interface import Action, Status
 from cypresspulley.messages import KEYS
 from cypresspulley.policy.account import Account, Answered, Calls
-from cypresspulley.policy.classes import Plans
+from cypresspulley.policy.classes import PlanRegistry
 from cypresspulley.policy.incarnation import Incarnation
 from cypresspulley.policy.request import Request
 from cypresspulley.policy.slots import LASTS, Slots
@@ -41,7 +41,7 @@
     ) -> None:  # fmt: skip
         self._open, self._launch, self._rng, self._born, self._emit = open_, launch, rng, now, emit
         self._settle(settings)
-        self.dropped_plans = Plans(settings)
+        self.dropped_plans = PlanRegistry(settings)
         self.accounts = dict[tuple[str, str], Account]()
         self.usage: UsageBroadcast | None = None
         self._keys = dict[int, Account]()  # by the part of a name that messages carry
