--- a/cypresspulley/policy/classes.py
+++ b/cypresspulley/policy/classes.py
@@ -5,7 +5,7 @@
 from cypresspulley import interface as api
 from cypresspulley.interface import Effect
 
-HEARD = 1.5  # seconds until clients go by new settings
+CLIENT_UPDATE_SECONDS = 1.5  # seconds until clients go by new settings
 OLD = 6.0  # seconds for which a record that was replaced still binds
 
 
@@ -82,4 +82,4 @@
 
     def attempts(self, now: float) -> int:
         """Attempts for a request that comes now: until clients go by the new settings, the fewer of both."""
-        return self._attempts if now - self._changed > HEARD else self._least
+        return self._attempts if now - self._changed > CLIENT_UPDATE_SECONDS else self._least
--- a/tests/test_classes.py
+++ b/tests/test_classes.py
@@ -9,7 +9,7 @@
 from cypresspulley import interface as api
 from cypresspulley.explore.examine import left_of
 from cypresspulley.net.requests import BadRequestError, RequestReader
-from cypresspulley.policy.classes import HEARD, OLD, ClassRegistry
+from cypresspulley.policy.classes import CLIENT_UPDATE_SECONDS, OLD, ClassRegistry
 from cypresspulley.settings import SettingsError, check_sound, check_whole
 from cypresspulley.takeover.snapshot import KEPT, Split
 from tests import world as w
@@ -38,7 +38,7 @@
         classes = ClassRegistry(replace(BASE, max_attempts=before))
         assert classes.attempts(100.0) == before
         classes.change(100.0, replace(OTHER, max_attempts=then))
-        assert classes.attempts(100.1) == 2 and classes.attempts(100.1 + HEARD) == then
+        assert classes.attempts(100.1) == 2 and classes.attempts(100.1 + CLIENT_UPDATE_SECONDS) == then
 
 
 def lost_and_again(world: w.World, id: int, effect: api.Effect, change: api.Settings | None) -> int:
