--- a/cypresspulley/policy/classes.py
+++ b/cypresspulley/policy/classes.py
@@ -6,7 +6,7 @@
 from cypresspulley.interface import Effect
 
 CLIENT_UPDATE_SECONDS = 1.5  # seconds until clients go by new settings
-OLD = 6.0  # seconds for which a record that was replaced still binds
+REPLACED_RECORD_SECONDS = 6.0  # seconds for which a record that was replaced still binds
 
 
 class PlanRegistry:
@@ -20,7 +20,7 @@
         """New settings."""
         new = {plan.name: plan for plan in settings.plans}
         kept = {name: old for name, old in self._dropped.items() if now < old[1]}
-        kept |= {name: (plan, now + OLD) for name, plan in self.newest.items()}
+        kept |= {name: (plan, now + REPLACED_RECORD_SECONDS) for name, plan in self.newest.items()}
         self.newest, self._dropped = new, {name: old for name, old in kept.items() if name not in new}
 
     def apply(self, cut: Callable[[api.Plan], api.Plan]) -> None:
@@ -53,7 +53,7 @@
         self._forget(now)
         for name, c in self._now.items():
             if name not in new or new[name].effect is not c.effect:
-                self._old.setdefault(name, {})[c.effect] = c, now + OLD
+                self._old.setdefault(name, {})[c.effect] = c, now + REPLACED_RECORD_SECONDS
         self._now, self._changed = new, now
         self._least, self._attempts = min(self._attempts, settings.max_attempts), settings.max_attempts
 
--- a/tests/test_classes.py
+++ b/tests/test_classes.py
@@ -9,7 +9,7 @@
 from cypresspulley import interface as api
 from cypresspulley.explore.examine import left_of
 from cypresspulley.net.requests import BadRequestError, RequestReader
-from cypresspulley.policy.classes import CLIENT_UPDATE_SECONDS, OLD, ClassRegistry
+from cypresspulley.policy.classes import CLIENT_UPDATE_SECONDS, REPLACED_RECORD_SECONDS, ClassRegistry
 from cypresspulley.settings import SettingsError, check_sound, check_whole
 from cypresspulley.takeover.snapshot import KEPT, Split
 from tests import world as w
@@ -28,7 +28,7 @@
     assert classes.record(100.1, "read", UNSAFE) is READ
     assert classes.record(100.1, "entry", KEYED) is w.KEYED and classes.record(100.1, "entry", UNSAFE) is None
     assert classes.record(100.1, "scan", SAFE) is OTHER.classes[2]
-    after = 100.0 + OLD
+    after = 100.0 + REPLACED_RECORD_SECONDS
     assert classes.record(after, "read", SAFE) is None and classes.record(after, "entry", KEYED) is None
     assert not classes.known(after, "entry") and classes.known(after, "read")
 
@@ -114,7 +114,7 @@
     reader.retune(OTHER)
     assert reader.read(b"GET", target, fields).effect is SAFE
     assert reader.read(b"POST", target, fields).effect is UNSAFE
-    now = OLD
+    now = REPLACED_RECORD_SECONDS
     with pytest.raises(BadRequestError) as caught:
         reader.read(b"GET", target, fields)
     assert caught.value.status == 405
--- a/tests/test_reload_overlap.py
+++ b/tests/test_reload_overlap.py
@@ -9,7 +9,7 @@
 from cypresspulley import interface as api
 from cypresspulley.interface import Effect
 from cypresspulley.net.requests import BadRequestError, RequestReader
-from cypresspulley.policy.classes import OLD, ClassRegistry
+from cypresspulley.policy.classes import REPLACED_RECORD_SECONDS, ClassRegistry
 from tests import world as w
 from tests.loopback import SETTINGS
 
@@ -27,18 +27,24 @@
     classes.change(1.0, replace(SETTINGS, classes=(replace(lookup, effect=Effect.KEYED, window=4.0),)))
     classes.change(2.0, replace(SETTINGS, classes=(replace(lookup, effect=Effect.UNSAFE),)))
     classes.change(3.0, replace(SETTINGS, classes=()))
-    for effect, until in ((Effect.SAFE, 1.0 + OLD), (Effect.KEYED, 2.0 + OLD), (Effect.UNSAFE, 3.0 + OLD)):
+    for effect, until in (
+        (Effect.SAFE, 1.0 + REPLACED_RECORD_SECONDS),
+        (Effect.KEYED, 2.0 + REPLACED_RECORD_SECONDS),
+        (Effect.UNSAFE, 3.0 + REPLACED_RECORD_SECONDS),
+    ):
         bound = classes.record(until - 0.1, "lookup", effect)
         assert bound is not None and bound.effect is effect
         assert classes.record(until, "lookup", effect) is None
-    assert classes.known(3.0 + OLD - 0.1, "lookup") and not classes.known(3.0 + OLD, "lookup")
+    assert classes.known(3.0 + REPLACED_RECORD_SECONDS - 0.1, "lookup") and not classes.known(
+        3.0 + REPLACED_RECORD_SECONDS, "lookup"
+    )
 
 
 def test_a_plan_that_was_dropped_is_known_until_its_clients_have_heard() -> None:
     now = [100.0]
     reader = RequestReader(SETTINGS, lambda: now[0])
     reader.retune(replace(SETTINGS, plans=(api.Plan("other", rate=1.0, burst=1.0),)))
-    now[0] += OLD - 0.1
+    now[0] += REPLACED_RECORD_SECONDS - 0.1
     assert reader.read(b"GET", TARGET, FIELDS).plan == "basic"
     reader.retune(replace(SETTINGS, plans=(api.Plan("third", rate=1.0, burst=1.0),)))
     assert reader.read(b"GET", TARGET, FIELDS | {b"x-plan": b"other"}).plan == "other"
