--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -11,7 +11,7 @@
 from cypresspulley.policy.ring import Groups, HashRing
 from cypresspulley.policy.server import Server
 
-KNOWN = 4096  # servers whose births are kept: operators are told which ids were never listed
+MAX_KNOWN_SERVERS = 4096  # servers whose births are kept: operators are told which ids were never listed
 SAME_BIRTH = 1e-6  # seconds by which two births may differ and be one
 FEW = 8  # servers that a thin gate keeps to
 # And at most: each costs a connection. At sixteen times the servers a limiter may make 2.5 times the connections and
@@ -191,7 +191,7 @@
                 self._gone[s] = None
             if not ev.complete:
                 self._update(s)
-        while len(self.known) > KNOWN:
+        while len(self.known) > MAX_KNOWN_SERVERS:
             del self.known[next(iter(self.known))]
         if ev.complete:
             self._gone = {s: None for s in self.servers.values() if s.gone}
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -32,12 +32,12 @@
 
 def test_servers_that_come_and_go_are_forgotten_and_their_names_bounded() -> None:
     world = w.World(w.settings(plans=(api.Plan("free"),), has_counter=False))
-    for number in range(3 * load_balancer.KNOWN):
+    for number in range(3 * load_balancer.MAX_KNOWN_SERVERS):
         world.feed(w.servers(f"s{number}"))
         if number % 500 == 0:
             world.advance(world.now + 1.1)
     world.advance(world.now + 3.0)
     assert (
-        len(world.gateway.load_balancer.known) == load_balancer.KNOWN
+        len(world.gateway.load_balancer.known) == load_balancer.MAX_KNOWN_SERVERS
         and len(world.gateway.load_balancer.servers) <= 2
     )
