--- a/benchmarks/cold_starts.py
+++ b/benchmarks/cold_starts.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, replace
 
 from cypresspulley import interface as api
-from cypresspulley.policy.load_balancer import COLD, STEADY
+from cypresspulley.policy.load_balancer import MAX_COLD_LOAD_SHARE, STEADY
 from tests.cold_start import SETTINGS, Day
 
 STEP = 0.05  # seconds of the sum over the ramp
@@ -51,7 +51,7 @@
 
     while age < ramp:
         n = allowed(age)
-        saved = (COLD - part) * n if silent_until and 0 <= age - silent_until < window else 0.0
+        saved = (MAX_COLD_LOAD_SHARE - part) * n if silent_until and 0 <= age - silent_until < window else 0.0
         least = math.floor(n + 2 * math.sqrt(n) + 2) + 1
         behind = part * (n + allowed(age + window)) / 2 + saved
         total += (part * n + saved) / window * STEP * poisson_tail(behind, least - 1)
--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -24,7 +24,7 @@
 SELDOM = 2.0  # answers a second of a server, below which its reports tell more than they do
 FADE = 2.0  # seconds in which a report fades
 FADED = 8.0  # seconds in which a report is gone
-COLD = 0.75  # of the load that fells a cold server, the most it gets at all
+MAX_COLD_LOAD_SHARE = 0.75  # of the load that fells a cold server, the most it gets at all
 STEADY = 0.5  # of the load that fells a cold server, the most it gets steadily
 ANSWERED = (Status.OK, Status.ERROR, Status.FULL, Status.REJECTED)
 
@@ -393,7 +393,10 @@
         fill = part * self._set.fall_multiple * min(1.0, warmth) * self._done_rate
         s.budget, s.budget_at = s.budget + fill * (now - s.budget_at), now
         # One at each of hundreds of gates pushes it over: each lets pass at its phase; savings lapse by whole ones.
-        one, saved = max(1e-9, self._gate.mean), fill * self._set.fall_window * (COLD / part - 1)
+        one, saved = (
+            max(1e-9, self._gate.mean),
+            fill * self._set.fall_window * (MAX_COLD_LOAD_SHARE / part - 1),
+        )
         s.budget -= one * max(0, math.ceil((s.budget - saved) / one - s.phase))
         return s.budget > s.phase * r.work
 
