--- a/benchmarks/cold_starts.py
+++ b/benchmarks/cold_starts.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, replace
 
 from cypresspulley import interface as api
-from cypresspulley.policy.load_balancer import MAX_COLD_LOAD_SHARE, STEADY
+from cypresspulley.policy.load_balancer import MAX_COLD_LOAD_SHARE, STEADY_COLD_LOAD_SHARE
 from tests.cold_start import SETTINGS, Day
 
 STEP = 0.05  # seconds of the sum over the ramp
@@ -44,7 +44,7 @@
     saved up comes on top: ``COLD`` of N in all.
     """
     low, ramp, window = settings.cold_share, settings.warm_after, settings.fall_window
-    part, total, age = min(STEADY, 1 / settings.fall_multiple), 0.0, 0.0
+    part, total, age = min(STEADY_COLD_LOAD_SHARE, 1 / settings.fall_multiple), 0.0, 0.0
 
     def allowed(age: float) -> float:
         return settings.fall_multiple * able * window * min(1.0, low + (1 - low) * age / ramp)
--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -25,7 +25,7 @@
 FADE = 2.0  # seconds in which a report fades
 FADED = 8.0  # seconds in which a report is gone
 MAX_COLD_LOAD_SHARE = 0.75  # of the load that fells a cold server, the most it gets at all
-STEADY = 0.5  # of the load that fells a cold server, the most it gets steadily
+STEADY_COLD_LOAD_SHARE = 0.5  # of the load that fells a cold server, the most it gets steadily
 ANSWERED = (Status.OK, Status.ERROR, Status.FULL, Status.REJECTED)
 
 
@@ -389,7 +389,7 @@
         warmth = low + (1 - low) * age / max(1e-9, self._set.warm_after)
         s.cold_at = s.cold_at if warmth < 1 else None
         # As busy as the warm ones, and no more: what it may get beyond that without falling it could not do in time.
-        part = min(STEADY, 1 / max(1e-9, self._set.fall_multiple))
+        part = min(STEADY_COLD_LOAD_SHARE, 1 / max(1e-9, self._set.fall_multiple))
         fill = part * self._set.fall_multiple * min(1.0, warmth) * self._done_rate
         s.budget, s.budget_at = s.budget + fill * (now - s.budget_at), now
         # One at each of hundreds of gates pushes it over: each lets pass at its phase; savings lapse by whole ones.
--- a/tests/test_cold_starts.py
+++ b/tests/test_cold_starts.py
@@ -10,7 +10,7 @@
 from benchmarks.cold_starts import ROWS, Row, chance, poisson_tail
 from cypresspulley import interface as api
 from cypresspulley.interface import Status
-from cypresspulley.policy.load_balancer import MAX_COLD_LOAD_SHARE, STEADY
+from cypresspulley.policy.load_balancer import MAX_COLD_LOAD_SHARE, STEADY_COLD_LOAD_SHARE
 from cypresspulley.policy.server import Server
 from tests import world as w
 from tests.cold_start import SETTINGS, Day
@@ -37,7 +37,7 @@
     for tenth in range(1, 3000):
         n = tenth / 10
         least = math.floor(n + 2 * math.sqrt(n) + 2) + 1
-        assert poisson_tail(STEADY * n, least) < 1.4e-4
+        assert poisson_tail(STEADY_COLD_LOAD_SHARE * n, least) < 1.4e-4
         assert poisson_tail(MAX_COLD_LOAD_SHARE * n, least) < 1.3e-3
 
 
@@ -189,4 +189,6 @@
     able, warmth, config = 50 / 3, 0.2 + 0.8 * 11 / 60, world.config
     # What it can do, once each of the two that are left does half of all in place of a third.
     allowed = config.fall_multiple * warmth * able * 1.5 * config.fall_window
-    assert 0.8 * STEADY * allowed < run(config.fall_window) < 1.1 * MAX_COLD_LOAD_SHARE * allowed
+    assert (
+        0.8 * STEADY_COLD_LOAD_SHARE * allowed < run(config.fall_window) < 1.1 * MAX_COLD_LOAD_SHARE * allowed
+    )
