--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -29,7 +29,7 @@
 ANSWERED = (Status.OK, Status.ERROR, Status.FULL, Status.REJECTED)
 
 
-class Sizes:
+class UnitCostModel:
     """How the work of a request grows with its units: a straight line through the mean, its slope a least-squares
     fit of latency on units, each as a share of its mean. Queueing adds to all alike and does not bend it."""
 
@@ -106,7 +106,7 @@
         self.bans = set[str]()  # servers taken out by hand
         self.known = dict[str, float]()  # births of all ever listed, where told
         self.base = dict[str, float]()  # idle latency of a class
-        self.sizes = Sizes()
+        self.sizes = UnitCostModel()
         self._done_rate = 0.0
         self._settle(settings)
 
--- a/tests/test_symptoms.py
+++ b/tests/test_symptoms.py
@@ -9,7 +9,7 @@
 
 from cypresspulley import interface as api
 from cypresspulley.policy.account import Calls
-from cypresspulley.policy.load_balancer import Sizes
+from cypresspulley.policy.load_balancer import UnitCostModel
 from tests import world as w
 
 
@@ -376,7 +376,7 @@
 
 
 def test_work_grows_with_units_where_latency_does_and_not_elsewhere() -> None:
-    rng, growing, flat = Random(3), Sizes(), Sizes()
+    rng, growing, flat = Random(3), UnitCostModel(), UnitCostModel()
     for _ in range(500):
         units = rng.choice((1.0, 2.0, 4.0, 8.0))
         noise = rng.uniform(0.7, 1.3)
@@ -387,7 +387,7 @@
 
 
 def test_where_each_request_counts_one_its_units_change_nothing() -> None:
-    sizes, rng = Sizes(), Random(4)
+    sizes, rng = UnitCostModel(), Random(4)
     for _ in range(500):
         sizes.learn(1.0, rng.expovariate(1.0))
     assert sizes.factor(1.0) == 1.0 and sizes.slope == 0.0
