--- a/cypresspulley/lanes/share.py
+++ b/cypresspulley/lanes/share.py
@@ -16,7 +16,7 @@
 
 from cypresspulley.lanes.options import Lane
 from cypresspulley.lanes.rows import Figures
-from cypresspulley.policy.gate import REFERENCE
+from cypresspulley.policy.gate import REFERENCE_LOAD
 
 # What is wanted of the gates' refusals. Some of them keep servers busy; more of them lanes could have spared.
 WANTED = 0.45  # share of first tries let pass that is refused for want of room: most find room a moment later
@@ -72,7 +72,7 @@
     @property
     def error(self) -> float:
         """Of the gates' loop: by how much load is above its reference, as a share of it."""
-        return max(0.0, self.load / REFERENCE - 1)
+        return max(0.0, self.load / REFERENCE_LOAD - 1)
 
     def value(self, bears: float | None = None) -> float:
         """The share of what is asked that cannot be served, at least: 0 is none. What one limiter alone refuses is its
--- a/cypresspulley/policy/gate.py
+++ b/cypresspulley/policy/gate.py
@@ -3,7 +3,7 @@
 from cypresspulley import interface as api
 from cypresspulley.interface import Status
 
-REFERENCE = 0.8  # the design's loop
+REFERENCE_LOAD = 0.8  # the design's loop
 GAIN = 20.0
 RESET = 2.8
 INTERVAL = 1.0
@@ -49,7 +49,7 @@
     def read(self, cls: api.RequestClass, status: Status, elapsed: float) -> None:
         """An attempt's end: latency against the class's aim, or a refusal as full."""
         if status is Status.OK:
-            self._load.append(min(1.0, elapsed / cls.aim * REFERENCE / AIM_SHARE))
+            self._load.append(min(1.0, elapsed / cls.aim * REFERENCE_LOAD / AIM_SHARE))
         elif status in (Status.FULL, Status.TIMEOUT):
             self._load.append(1.0)
 
@@ -71,10 +71,10 @@
         if dt > STALL * INTERVAL:
             self.sum = None  # a stall: the sum belongs to a load that is gone
         elif load is not None:
-            error, self.reading = REFERENCE - load, load
+            error, self.reading = REFERENCE_LOAD - load, load
             self.u = gain * error + (admitted if self.sum is None else self.sum)
             self.sum = self.u - gain * error
-            if load < PLAIN_ROOM * REFERENCE and self.u < arrivals:
+            if load < PLAIN_ROOM * REFERENCE_LOAD and self.u < arrivals:
                 self.sum, self.u = arrivals - gain * error, arrivals
             if error < 0 or self.u <= arrivals:
                 self.sum = max(0.0, self.sum + gain / RESET * error)
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -10,7 +10,7 @@
 from cypresspulley import interface as api
 from cypresspulley.interface import Action, Effect, Status
 from cypresspulley.policy.classes import ClassRegistry
-from cypresspulley.policy.gate import AIM_SHARE, INTERVAL, REFERENCE, RESERVE, Gate
+from cypresspulley.policy.gate import AIM_SHARE, INTERVAL, REFERENCE_LOAD, RESERVE, Gate
 from cypresspulley.policy.load_balancer import LoadBalancer
 from cypresspulley.policy.quota import Quotas, Verdict
 from cypresspulley.policy.request import Request
@@ -60,7 +60,7 @@
         for r in list(self._requests.values()):
             if now >= r.deadline and not r.out:
                 self._end(now, r)
-            elif r.busy and now - r.born > r.cls.aim * AIM_SHARE / REFERENCE:
+            elif r.busy and now - r.born > r.cls.aim * AIM_SHARE / REFERENCE_LOAD:
                 self.gate.overdue()
         self.gate.tick(dt)
         if self._timer % 10 == 0 and self.why:
@@ -107,7 +107,7 @@
 
     def _launch(self, now: float, r: Request, verdict: Verdict) -> None:
         plan = r.account.plan
-        earns = plan.over_worth > plan.over_cost and 0 < self.gate.reading < 0.6 * REFERENCE
+        earns = plan.over_worth > plan.over_cost and 0 < self.gate.reading < 0.6 * REFERENCE_LOAD
         room = verdict.inside and self.quotas.room_out(now, r, verdict)
         if room is None:
             return None
--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -6,7 +6,7 @@
 
 from cypresspulley import interface as api
 from cypresspulley.interface import Effect, Status
-from cypresspulley.policy.gate import AIM_SHARE, INTERVAL, PLAIN_ROOM, REFERENCE, RESERVE, Gate
+from cypresspulley.policy.gate import AIM_SHARE, INTERVAL, PLAIN_ROOM, REFERENCE_LOAD, RESERVE, Gate
 from cypresspulley.policy.request import Request
 from cypresspulley.policy.ring import Groups, HashRing
 from cypresspulley.policy.server import Server
@@ -309,10 +309,10 @@
         few = len(up) <= SAMPLED
         rates = sum([s.rate for s in up]) if few else self._rates
         least = self._least_out
-        slack = max(self._rng.random(), 3.0 - 2.5 * self._gate.reading / REFERENCE) * (least < 3)
+        slack = max(self._rng.random(), 3.0 - 2.5 * self._gate.reading / REFERENCE_LOAD) * (least < 3)
         fleet = max(stay * rates, self._gate.mean * least) + self._gate.mean * slack
         # Rates are a mean of seconds and lag; where answers are quick a burst may have twice the work out.
-        calm = max(0.0, 1 - self._gate.reading / (PLAIN_ROOM * REFERENCE))
+        calm = max(0.0, 1 - self._gate.reading / (PLAIN_ROOM * REFERENCE_LOAD))
         fleet *= 1 + calm * (self._gate.sum is not None)
         # Where answers are owed for long nothing new goes: a cut, hung or lost server. All alike is slowness.
         busy, patience = up if few else self._busy_of_mine(), self._patience
