--- a/cypresspulley/explore/examine.py
+++ b/cypresspulley/explore/examine.py
@@ -45,7 +45,7 @@
         "requests": len(gateway._requests),
         "of accounts": sum(a.open for a in accounts),
         "slots": sum(a.slots.held for a in accounts if a.slots is not None),
-        "work": sum(s.open for s in gateway.load_balancer.servers.values()),
+        "work": sum(s.outstanding_work for s in gateway.load_balancer.servers.values()),
     }
 
 
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -168,7 +168,7 @@
         r.busy = False
         s.ended(r.work)
         if ev.status not in (Status.TIMEOUT, Status.CANCELLED, Status.UNREACHABLE):
-            s.quiet = now if s.open > 1e-9 else None
+            s.quiet = now if s.outstanding_work > 1e-9 else None
         self.gate.read(r.cls, ev.status, ev.elapsed)
         self.load_balancer.learn(now, r, s, ev)
 
@@ -183,7 +183,7 @@
             elif r.coming or ev.status is not Status.OK:
                 self.load_balancer.learn(now, r, s, ev)  # it ended while its body or its answer flowed
             self.quotas.settle(now, r, ev)
-            if s.open <= 1e-9:
+            if s.outstanding_work <= 1e-9:
                 s.quiet = None  # with nothing out it owes no answer, and none could ever end its silence
         if ev.status not in NEVER_RAN and r.ran is None and ev.attempt < len(r.tries):
             r.ran = r.tries[ev.attempt]
@@ -224,4 +224,6 @@
             for s in r.out.values():
                 s.ended(r.work if r.busy else 0.0)
                 r.account.open -= not r.coming
-                s.quiet = s.quiet if s.open > 1e-9 else None  # nobody waits: it owes nothing any more
+                s.quiet = (
+                    s.quiet if s.outstanding_work > 1e-9 else None
+                )  # nobody waits: it owes nothing any more
--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -134,7 +134,7 @@
 
     def begin(self, now: float, server: Server, work: float) -> None:
         """Work is out at a server from now on, which owes an answer."""
-        server.open += work
+        server.outstanding_work += work
         server.quiet = now if server.quiet is None else server.quiet
         self._busy[server] = None
 
@@ -255,7 +255,7 @@
         self._groups.rebuild(usable)
         self._out = {s: None for s in self.servers.values() if s.out_until > now}
         self._used = {s: None for s in self.servers.values() if s.rate > 0 or s.done > 0 or s.lost}
-        self._busy = {s: None for s in self.servers.values() if s.open > 0 or s.quiet is not None}
+        self._busy = {s: None for s in self.servers.values() if s.outstanding_work > 0 or s.quiet is not None}
         self._choose(now)
 
     def _choose(self, now: float) -> None:
@@ -318,7 +318,10 @@
         busy, patience = up if few else self._busy_of_mine(), self._patience
         quiet = [s for s in busy if s.quiet is not None and now - s.quiet > patience]
         quiet = quiet if len(quiet) <= len(up) / 2 else []
-        if sum([s.open for s in busy if s.out_until <= now and s not in quiet]) + 0.5 * r.work > fleet * part:
+        if (
+            sum([s.outstanding_work for s in busy if s.out_until <= now and s not in quiet]) + 0.5 * r.work
+            > fleet * part
+        ):
             return None
         least = max(0.5 * stay * rates / max(1, len(up)), 3.5 * self._gate.mean)
         first, group, cold = r.ran[0].entry if r.ran else None, up, list[Server]()
@@ -344,12 +347,16 @@
         if r.tries:
             pool = [s for s in group if all(s is not x for x, _ in r.tries)] or group
         if not all(s.out_until > now for s in self.mine):  # every server is out: any beats none
-            pool = [s for s in pool if s.out_until <= now and not (s.trial and s.open > 0) and s not in quiet]
-        return [s for s in pool if s.open + r.work * 0.5 <= max(stay * s.rate, least) * part]
+            pool = [
+                s
+                for s in pool
+                if s.out_until <= now and not (s.trial and s.outstanding_work > 0) and s not in quiet
+            ]
+        return [s for s in pool if s.outstanding_work + r.work * 0.5 <= max(stay * s.rate, least) * part]
 
     def _busy_of_mine(self) -> list[Server]:
         """Servers of this gateway's part that have work out or owe an answer."""
-        for s in [s for s in self._busy if s.open <= 0 and s.quiet is None]:
+        for s in [s for s in self._busy if s.outstanding_work <= 0 and s.quiet is None]:
             del self._busy[s]
         return [s for s in self._busy if s.chosen]
 
@@ -375,7 +382,10 @@
         told = 0 if often else self._reported.count(now)
         if not told or told * 2 < len(self.mine):
             fit = self._rng.sample(fit, 2) if len(fit) > 2 else fit
-            costs = {s.place: max(1.0, s.slow) * (s.open + r.work) / max(0.05, 1 - s.fails) ** 2 for s in fit}
+            costs = {
+                s.place: max(1.0, s.slow) * (s.outstanding_work + r.work) / max(0.05, 1 - s.fails) ** 2
+                for s in fit
+            }
             return min(fit, key=lambda s: costs[s.place], default=None)
         mean = self._reported.mean()
         costs = {}
--- a/cypresspulley/policy/server.py
+++ b/cypresspulley/policy/server.py
@@ -10,7 +10,7 @@
         self.entry = entry
         self.up = True
         self.place = blake2b(entry.name.encode(), digest_size=8).digest()
-        self.open = 0.0  # own work that is out
+        self.outstanding_work = 0.0  # own work that is out
         self.done = 0.0  # own work since the last tick
         self.rate = 0.0  # own work a second
         self.slow = 0.0  # latency over idle latency (0: unknown)
@@ -35,4 +35,4 @@
 
     def ended(self, work: float) -> None:
         # Floating sums leave a remainder, and a server on trial that seems to have work out is asked no more.
-        self.open = left if (left := self.open - work) > 1e-9 else 0.0
+        self.outstanding_work = left if (left := self.outstanding_work - work) > 1e-9 else 0.0
--- a/tests/test_endings_servers.py
+++ b/tests/test_endings_servers.py
@@ -368,7 +368,7 @@
     def at_rest(self) -> None:
         assert not self.node.open_requests and not self.gateway._requests
         assert all(a.open == 0 for a in self.gateway.quotas.accounts.values())
-        assert all(s.open == 0.0 for s in self.gateway.load_balancer.servers.values())
+        assert all(s.outstanding_work == 0.0 for s in self.gateway.load_balancer.servers.values())
 
 
 def test_a_slow_dial_does_not_carry_a_keyed_repeat_past_its_window() -> None:
@@ -1125,7 +1125,9 @@
         assert not self.node.open_requests and not self.gateway._requests
         for account in self.gateway.quotas.accounts.values():
             assert account.open == 0 and (account.slots is None or account.slots.held == 0)
-        assert all(s.open == 0.0 and s.quiet is None for s in self.gateway.load_balancer.servers.values())
+        assert all(
+            s.outstanding_work == 0.0 and s.quiet is None for s in self.gateway.load_balancer.servers.values()
+        )
         assert not self.upstream._dials and not self.upstream.streaming and self.upstream.relay.active == 0
         servers = self.upstream._servers.values()
         assert all(s.open == len(s.idle) and not s.waiting for s in servers)
