--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -142,10 +142,10 @@
         """Once an interval: rates, trials of lost servers, those that are gone."""
         probes = list[api.Action]()
         # By what warm ones finish: of what is sent the overdriven fail, and cold ones are let do less than they could.
-        if warm := [s.done for s in self.mine if s.cold_at is None]:
+        if warm := [s.finished_work for s in self.mine if s.cold_at is None]:
             self._done_rate += 0.3 * (sum(warm) / len(warm) / dt - self._done_rate)
         for s in list(self._used):
-            s.rate, s.done = s.rate + 0.3 * (s.done / dt - s.rate), 0.0
+            s.rate, s.finished_work = s.rate + 0.3 * (s.finished_work / dt - s.rate), 0.0
             if s.up and s.lost and s.trial and self._set.may_probe and s.entry.name not in self.bans:
                 probes.append(api.Probe(s.entry.name))  # a probe is a cheaper trial than a request
                 s.out_until = max(s.out_until, now + 1.5 * INTERVAL)
@@ -254,7 +254,7 @@
         self._ring.rebuild(usable)
         self._groups.rebuild(usable)
         self._out = {s: None for s in self.servers.values() if s.out_until > now}
-        self._used = {s: None for s in self.servers.values() if s.rate > 0 or s.done > 0 or s.lost}
+        self._used = {s: None for s in self.servers.values() if s.rate > 0 or s.finished_work > 0 or s.lost}
         self._busy = {s: None for s in self.servers.values() if s.outstanding_work > 0 or s.quiet is not None}
         self._choose(now)
 
@@ -414,7 +414,7 @@
         if (held := ev.report.get("inflight")) is not None:
             self._reported.renew(s, max(0.0, held), now)
         if ev.status is Status.OK:
-            s.done += r.work
+            s.finished_work += r.work
             self._used[s] = None
             base, size = self.base.setdefault(r.cls.name, r.cls.aim * 0.1), self.sizes.factor(r.units)
             own = ev.elapsed / size
--- a/cypresspulley/policy/server.py
+++ b/cypresspulley/policy/server.py
@@ -11,7 +11,7 @@
         self.up = True
         self.place = blake2b(entry.name.encode(), digest_size=8).digest()
         self.outstanding_work = 0.0  # own work that is out
-        self.done = 0.0  # own work since the last tick
+        self.finished_work = 0.0  # own work since the last tick
         self.rate = 0.0  # own work a second
         self.slow = 0.0  # latency over idle latency (0: unknown)
         self.fails = 0.0  # share of broken attempts
