--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -145,18 +145,18 @@
         if warm := [s.finished_work for s in self.mine if s.cold_at is None]:
             self._done_rate += 0.3 * (sum(warm) / len(warm) / dt - self._done_rate)
         for s in list(self._used):
-            s.rate, s.finished_work = s.rate + 0.3 * (s.finished_work / dt - s.rate), 0.0
+            s.work_rate, s.finished_work = s.work_rate + 0.3 * (s.finished_work / dt - s.work_rate), 0.0
             if s.up and s.lost and s.trial and self._set.may_probe and s.entry.name not in self.bans:
                 probes.append(api.Probe(s.entry.name))  # a probe is a cheaper trial than a request
                 s.out_until = max(s.out_until, now + 1.5 * INTERVAL)
                 self._out[s] = None
-            if s.rate < UNUSED and not s.lost:
-                s.rate = 0.0
+            if s.work_rate < UNUSED and not s.lost:
+                s.work_rate = 0.0
                 del self._used[s]
         if self._gone:
             self._forget_gone({s.place for r in open_ for s in r.out.values()})
         self._choose(now)
-        self._rates = sum([s.rate for s in self.mine])
+        self._rates = sum([s.work_rate for s in self.mine])
         return probes
 
     def _forget_gone(self, busy: set[bytes]) -> None:
@@ -254,7 +254,9 @@
         self._ring.rebuild(usable)
         self._groups.rebuild(usable)
         self._out = {s: None for s in self.servers.values() if s.out_until > now}
-        self._used = {s: None for s in self.servers.values() if s.rate > 0 or s.finished_work > 0 or s.lost}
+        self._used = {
+            s: None for s in self.servers.values() if s.work_rate > 0 or s.finished_work > 0 or s.lost
+        }
         self._busy = {s: None for s in self.servers.values() if s.outstanding_work > 0 or s.quiet is not None}
         self._choose(now)
 
@@ -292,7 +294,7 @@
             s.chosen = True
             if s.cold_at is not None:
                 self._cold[s] = None
-        self._rates = sum([s.rate for s in mine])
+        self._rates = sum([s.work_rate for s in mine])
         self._reported = FreshReports(mine)
 
     def _stay(self, cls: api.RequestClass) -> float:
@@ -307,7 +309,7 @@
         # over all gates at least. Quick answers give a thin gate three more, a load the chance of one.
         up, stay, part = self.mine, self._stay(r.cls), 1 - RESERVE * 0.5 * (1 - r.rank)
         few = len(up) <= SAMPLED
-        rates = sum([s.rate for s in up]) if few else self._rates
+        rates = sum([s.work_rate for s in up]) if few else self._rates
         least = self._least_out
         slack = max(self._rng.random(), 3.0 - 2.5 * self._gate.reading / REFERENCE_LOAD) * (least < 3)
         fleet = max(stay * rates, self._gate.mean * least) + self._gate.mean * slack
@@ -352,7 +354,7 @@
                 for s in pool
                 if s.out_until <= now and not (s.trial and s.outstanding_work > 0) and s not in quiet
             ]
-        return [s for s in pool if s.outstanding_work + r.work * 0.5 <= max(stay * s.rate, least) * part]
+        return [s for s in pool if s.outstanding_work + r.work * 0.5 <= max(stay * s.work_rate, least) * part]
 
     def _busy_of_mine(self) -> list[Server]:
         """Servers of this gateway's part that have work out or owe an answer."""
