--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -129,7 +129,7 @@
         if s is None:
             return False
         if r.cls.effect is not Effect.UNSAFE and len(r.tries) + 1 < r.attempts:
-            wait = min(wait, max(SPLIT * r.cls.aim, 4 * max(1.0, s.slow) * r.work))
+            wait = min(wait, max(SPLIT * r.cls.aim, 4 * max(1.0, s.latency_ratio) * r.work))
         r.out[len(r.tries)] = s
         r.tries.append((s, now))
         s.since += 1
--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -186,7 +186,7 @@
             self.known[e.name] = e.born
             if started is not None and started < self._set.warm_after:
                 self._begin_slow_start(now, s, now - started)
-                s.slow, s.out_until, s.trial = 0.0, min(s.out_until, now), False
+                s.latency_ratio, s.out_until, s.trial = 0.0, min(s.out_until, now), False
             if s.gone:
                 self._gone[s] = None
             if not ev.complete:
@@ -241,7 +241,14 @@
         (self.bans.add if ev.out else self.bans.discard)(ev.server)
         if back and s is not None:  # it may have been restarted, whatever the list says of its birth
             self._begin_slow_start(now, s, now)
-            s.slow, s.out_until, s.out_for, s.quiet, s.trial, s.lost = 0.0, now, 0.0, None, False, False
+            s.latency_ratio, s.out_until, s.out_for, s.quiet, s.trial, s.lost = (
+                0.0,
+                now,
+                0.0,
+                None,
+                False,
+                False,
+            )
         self._arrange(now)
         return True
 
@@ -385,7 +392,9 @@
         if not told or told * 2 < len(self.mine):
             fit = self._rng.sample(fit, 2) if len(fit) > 2 else fit
             costs = {
-                s.place: max(1.0, s.slow) * (s.outstanding_work + r.work) / max(0.05, 1 - s.fails) ** 2
+                s.place: max(1.0, s.latency_ratio)
+                * (s.outstanding_work + r.work)
+                / max(0.05, 1 - s.fails) ** 2
                 for s in fit
             }
             return min(fit, key=lambda s: costs[s.place], default=None)
@@ -421,7 +430,7 @@
             base, size = self.base.setdefault(r.cls.name, r.cls.aim * 0.1), self.sizes.factor(r.units)
             own = ev.elapsed / size
             self.base[r.cls.name] = base + (own - base) * (0.01 if own > base else 0.02)
-            s.slow += (0.1 if s.slow else 1.0) * (own / base - s.slow)
+            s.latency_ratio += (0.1 if s.latency_ratio else 1.0) * (own / base - s.latency_ratio)
             self.sizes.learn(r.units, ev.elapsed / base)
         mute = ev.status is Status.TIMEOUT and s.quiet is not None and now - s.quiet >= ev.elapsed - 1e-6
         # One connection that breaks is no dead server: more must, one behind the other (what was out together
--- a/tests/takeover/test_snapshot.py
+++ b/tests/takeover/test_snapshot.py
@@ -79,7 +79,7 @@
     for name, server in old.load_balancer.servers.items():
         assert (
             after.load_balancer.servers[name].work_rate == server.work_rate
-            and after.load_balancer.servers[name].slow == server.slow
+            and after.load_balancer.servers[name].latency_ratio == server.latency_ratio
         )
     assert repr(after.gate) == repr(old.gate) and after.load_balancer.base == old.load_balancer.base
     assert after.quotas._born == old.quotas._born
