--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -394,7 +394,7 @@
             costs = {
                 s.place: max(1.0, s.latency_ratio)
                 * (s.outstanding_work + r.work)
-                / max(0.05, 1 - s.fails) ** 2
+                / max(0.05, 1 - s.failure_rate) ** 2
                 for s in fit
             }
             return min(fit, key=lambda s: costs[s.place], default=None)
@@ -402,7 +402,7 @@
         costs = {}
         for s in fit:
             held = mean + (s.told - mean) * math.exp((s.told_at - now) / FADE) + s.since + 1
-            costs[s.place] = held / max(0.05, 1 - s.fails) ** 2 * (1 + 0.2 * self._rng.random())
+            costs[s.place] = held / max(0.05, 1 - s.failure_rate) ** 2 * (1 + 0.2 * self._rng.random())
         return min(fit, key=lambda s: costs[s.place], default=None)
 
     def _cold_room(self, now: float, s: Server, r: Request) -> bool:
@@ -437,7 +437,7 @@
         # breaks together), with no answer in between, in a row that is as long as breaks are usual.
         snapped = ev.status in (Status.UNREACHABLE, Status.DROPPED, Status.BROKEN)
         up = [s] if ev.status is Status.OK and not s.out_for else self._sample(self.mine) or [s]
-        usual, outs = sorted(x.fails for x in up)[len(up) // 2], sum(x.out_until > now for x in up)
+        usual, outs = sorted(x.failure_rate for x in up)[len(up) // 2], sum(x.out_until > now for x in up)
         vain = ev.status is Status.UNREACHABLE  # each such dial is a sign of its own
         if snapped:
             s.row, s.broke = s.row + (vain or ev.elapsed <= now - s.broke), now
@@ -446,19 +446,23 @@
         dead = mute or (snapped and s.row > 1 and (vain or max(0.05, usual) ** s.row < 0.005))
         bad = dead or snapped or ev.status is Status.ERROR
         if ev.status not in (Status.CANCELLED, Status.NOT_SENT, Status.FULL, Status.REJECTED):
-            s.fails += (0.4 if dead else 0.2) * (bad - s.fails)
+            s.failure_rate += (0.4 if dead else 0.2) * (bad - s.failure_rate)
         if ev.status is Status.OK:
             if s.lost and s.cold_at is None:  # it may have restarted unseen
                 self._begin_slow_start(now, s, now)
-            s.lost, s.trial, s.out_for = False, False, s.out_for * (s.fails >= max(0.05, usual))
+            s.lost, s.trial, s.out_for = False, False, s.out_for * (s.failure_rate >= max(0.05, usual))
         # Lost, it may come back restarted and cold: that takes dials in vain. Who takes one and breaks it is there,
         # and one that keeps its connections and is silent hangs or is slow.
         s.lost = s.lost or (dead and vain)
         if s.lost:
             self._used[s] = None
         few = dead or outs < len(up) / 2
-        if bad and few and s.out_until <= now and s.fails > usual * (2 - dead) + 0.25:
+        if bad and few and s.out_until <= now and s.failure_rate > usual * (2 - dead) + 0.25:
             s.out_for = min(10.0, max(1.5, s.out_for * 2))
-            s.out_until, s.trial, s.fails = now + s.out_for, s.cold_at is None, 0.2  # or the budget tries it
+            s.out_until, s.trial, s.failure_rate = (
+                now + s.out_for,
+                s.cold_at is None,
+                0.2,
+            )  # or the budget tries it
             self._out[s] = None
             self._choose(now)
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -148,7 +148,9 @@
                 script.now += 0.5
                 drop.set()
                 await asyncio.gather(*tasks)
-                assert script.gateway.load_balancer.servers["s1"].fails < 0.65  # as a row of deaths it is 0.8
+                assert (
+                    script.gateway.load_balancer.servers["s1"].failure_rate < 0.65
+                )  # as a row of deaths it is 0.8
 
     run(main())
 
