--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -148,7 +148,7 @@
             s.work_rate, s.finished_work = s.work_rate + 0.3 * (s.finished_work / dt - s.work_rate), 0.0
             if s.up and s.lost and s.trial and self._set.may_probe and s.entry.name not in self.bans:
                 probes.append(api.Probe(s.entry.name))  # a probe is a cheaper trial than a request
-                s.out_until = max(s.out_until, now + 1.5 * INTERVAL)
+                s.ejected_until = max(s.ejected_until, now + 1.5 * INTERVAL)
                 self._out[s] = None
             if s.work_rate < UNUSED and not s.lost:
                 s.work_rate = 0.0
@@ -171,7 +171,7 @@
 
     def probed(self, now: float, ev: api.Probed) -> None:
         if ev.status is Status.OK and (s := self.servers.get(ev.server)) and s.lost:
-            s.out_until, s.quiet, s.lost = now, None, False
+            s.ejected_until, s.quiet, s.lost = now, None, False
             self._begin_slow_start(now, s, now)
 
     def listed(self, now: float, ev: api.ServerList) -> None:
@@ -186,7 +186,7 @@
             self.known[e.name] = e.born
             if started is not None and started < self._set.warm_after:
                 self._begin_slow_start(now, s, now - started)
-                s.latency_ratio, s.out_until, s.trial = 0.0, min(s.out_until, now), False
+                s.latency_ratio, s.ejected_until, s.trial = 0.0, min(s.ejected_until, now), False
             if s.gone:
                 self._gone[s] = None
             if not ev.complete:
@@ -241,7 +241,7 @@
         (self.bans.add if ev.out else self.bans.discard)(ev.server)
         if back and s is not None:  # it may have been restarted, whatever the list says of its birth
             self._begin_slow_start(now, s, now)
-            s.latency_ratio, s.out_until, s.out_for, s.quiet, s.trial, s.lost = (
+            s.latency_ratio, s.ejected_until, s.out_for, s.quiet, s.trial, s.lost = (
                 0.0,
                 now,
                 0.0,
@@ -260,7 +260,7 @@
         usable = [s for s in self.servers.values() if self._usable(s)]
         self._ring.rebuild(usable)
         self._groups.rebuild(usable)
-        self._out = {s: None for s in self.servers.values() if s.out_until > now}
+        self._out = {s: None for s in self.servers.values() if s.ejected_until > now}
         self._used = {
             s: None for s in self.servers.values() if s.work_rate > 0 or s.finished_work > 0 or s.lost
         }
@@ -273,12 +273,12 @@
         index, gateways = self._set.index, self._set.gateways
         self._least_out = 3.0 * len(self._ring) / gateways
         want = min(MOST, max(FEW, -(-5 * len(self._ring) // gateways)))
-        self._out = {s: None for s in self._out if s.out_until > now}
+        self._out = {s: None for s in self._out if s.ejected_until > now}
         if not self._out and not any(self._is_quiet(now, s) for s in self._busy):
             return self._take(self._ring.part(index, gateways, want))
         mine = list[Server]()
         for s in self._ring.part(index, gateways):
-            want -= s.out_until <= now and not self._is_quiet(now, s)
+            want -= s.ejected_until <= now and not self._is_quiet(now, s)
             mine.append(s)
             if want <= 0:
                 break
@@ -328,7 +328,8 @@
         quiet = [s for s in busy if s.quiet is not None and now - s.quiet > patience]
         quiet = quiet if len(quiet) <= len(up) / 2 else []
         if (
-            sum([s.outstanding_work for s in busy if s.out_until <= now and s not in quiet]) + 0.5 * r.work
+            sum([s.outstanding_work for s in busy if s.ejected_until <= now and s not in quiet])
+            + 0.5 * r.work
             > fleet * part
         ):
             return None
@@ -355,11 +356,11 @@
         pool = group
         if r.tries:
             pool = [s for s in group if all(s is not x for x, _ in r.tries)] or group
-        if not all(s.out_until > now for s in self.mine):  # every server is out: any beats none
+        if not all(s.ejected_until > now for s in self.mine):  # every server is out: any beats none
             pool = [
                 s
                 for s in pool
-                if s.out_until <= now and not (s.trial and s.outstanding_work > 0) and s not in quiet
+                if s.ejected_until <= now and not (s.trial and s.outstanding_work > 0) and s not in quiet
             ]
         return [s for s in pool if s.outstanding_work + r.work * 0.5 <= max(stay * s.work_rate, least) * part]
 
@@ -437,7 +438,7 @@
         # breaks together), with no answer in between, in a row that is as long as breaks are usual.
         snapped = ev.status in (Status.UNREACHABLE, Status.DROPPED, Status.BROKEN)
         up = [s] if ev.status is Status.OK and not s.out_for else self._sample(self.mine) or [s]
-        usual, outs = sorted(x.failure_rate for x in up)[len(up) // 2], sum(x.out_until > now for x in up)
+        usual, outs = sorted(x.failure_rate for x in up)[len(up) // 2], sum(x.ejected_until > now for x in up)
         vain = ev.status is Status.UNREACHABLE  # each such dial is a sign of its own
         if snapped:
             s.row, s.broke = s.row + (vain or ev.elapsed <= now - s.broke), now
@@ -457,9 +458,9 @@
         if s.lost:
             self._used[s] = None
         few = dead or outs < len(up) / 2
-        if bad and few and s.out_until <= now and s.failure_rate > usual * (2 - dead) + 0.25:
+        if bad and few and s.ejected_until <= now and s.failure_rate > usual * (2 - dead) + 0.25:
             s.out_for = min(10.0, max(1.5, s.out_for * 2))
-            s.out_until, s.trial, s.failure_rate = (
+            s.ejected_until, s.trial, s.failure_rate = (
                 now + s.out_for,
                 s.cold_at is None,
                 0.2,
--- a/cypresspulley/policy/server.py
+++ b/cypresspulley/policy/server.py
@@ -15,7 +15,7 @@
         self.work_rate = 0.0  # own work a second
         self.latency_ratio = 0.0  # latency over idle latency (0: unknown)
         self.failure_rate = 0.0  # share of broken attempts
-        self.out_until = 0.0
+        self.ejected_until = 0.0
         self.out_for = 0.0
         self.budget = 0.0
         self.budget_at = 0.0
--- a/tests/test_cold_starts.py
+++ b/tests/test_cold_starts.py
@@ -83,7 +83,7 @@
     """Dials to a server in vain until it counts as lost."""
     server = world.gateway.load_balancer.servers[name]
     for _ in range(500):
-        if server.lost and server.out_until > world.now:
+        if server.lost and server.ejected_until > world.now:
             return id
         world.advance(world.now + 0.02)
         for number in range(id, id + 6):
@@ -184,7 +184,7 @@
 
     run(10.0)
     world.feed(api.ServerList((replace(world.up["s1"], born=world.now),), False))
-    world.gateway.load_balancer.servers["s1"].out_until = world.now + 10.0
+    world.gateway.load_balancer.servers["s1"].ejected_until = world.now + 10.0
     assert run(10.0) == 0
     able, warmth, config = 50 / 3, 0.2 + 0.8 * 11 / 60, world.config
     # What it can do, once each of the two that are left does half of all in place of a third.
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -124,7 +124,7 @@
                 for _ in range(400):
                     script.now += 0.05
                     await limiter.fetch(ask())
-                    out += sum(server.out_until > script.now for server in servers)
+                    out += sum(server.ejected_until > script.now for server in servers)
         assert out < 120  # of 1200; by two in a row alone it is about half
 
     run(main())
--- a/tests/test_symptoms.py
+++ b/tests/test_symptoms.py
@@ -86,7 +86,7 @@
             if server == "s0":
                 world.feed(w.outcome(rid, attempt, server, api.Status.UNREACHABLE))
     world.serve()
-    assert world.gateway.load_balancer.servers["s0"].out_until > world.now
+    assert world.gateway.load_balancer.servers["s0"].ejected_until > world.now
     probes: list[api.Action] = []
     for _ in range(3):
         at, token = world.timers.pop(0)
