--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -241,7 +241,7 @@
         (self.bans.add if ev.out else self.bans.discard)(ev.server)
         if back and s is not None:  # it may have been restarted, whatever the list says of its birth
             self._begin_slow_start(now, s, now)
-            s.latency_ratio, s.ejected_until, s.out_for, s.quiet, s.trial, s.lost = (
+            s.latency_ratio, s.ejected_until, s.ejection_seconds, s.quiet, s.trial, s.lost = (
                 0.0,
                 now,
                 0.0,
@@ -437,7 +437,7 @@
         # One connection that breaks is no dead server: more must, one behind the other (what was out together
         # breaks together), with no answer in between, in a row that is as long as breaks are usual.
         snapped = ev.status in (Status.UNREACHABLE, Status.DROPPED, Status.BROKEN)
-        up = [s] if ev.status is Status.OK and not s.out_for else self._sample(self.mine) or [s]
+        up = [s] if ev.status is Status.OK and not s.ejection_seconds else self._sample(self.mine) or [s]
         usual, outs = sorted(x.failure_rate for x in up)[len(up) // 2], sum(x.ejected_until > now for x in up)
         vain = ev.status is Status.UNREACHABLE  # each such dial is a sign of its own
         if snapped:
@@ -451,7 +451,11 @@
         if ev.status is Status.OK:
             if s.lost and s.cold_at is None:  # it may have restarted unseen
                 self._begin_slow_start(now, s, now)
-            s.lost, s.trial, s.out_for = False, False, s.out_for * (s.failure_rate >= max(0.05, usual))
+            s.lost, s.trial, s.ejection_seconds = (
+                False,
+                False,
+                s.ejection_seconds * (s.failure_rate >= max(0.05, usual)),
+            )
         # Lost, it may come back restarted and cold: that takes dials in vain. Who takes one and breaks it is there,
         # and one that keeps its connections and is silent hangs or is slow.
         s.lost = s.lost or (dead and vain)
@@ -459,9 +463,9 @@
             self._used[s] = None
         few = dead or outs < len(up) / 2
         if bad and few and s.ejected_until <= now and s.failure_rate > usual * (2 - dead) + 0.25:
-            s.out_for = min(10.0, max(1.5, s.out_for * 2))
+            s.ejection_seconds = min(10.0, max(1.5, s.ejection_seconds * 2))
             s.ejected_until, s.trial, s.failure_rate = (
-                now + s.out_for,
+                now + s.ejection_seconds,
                 s.cold_at is None,
                 0.2,
             )  # or the budget tries it
--- a/cypresspulley/policy/server.py
+++ b/cypresspulley/policy/server.py
@@ -16,7 +16,7 @@
         self.latency_ratio = 0.0  # latency over idle latency (0: unknown)
         self.failure_rate = 0.0  # share of broken attempts
         self.ejected_until = 0.0
-        self.out_for = 0.0
+        self.ejection_seconds = 0.0
         self.budget = 0.0
         self.budget_at = 0.0
         self.phase = phase  # the part of a request's work, 0 to 1, from which the cold budget lets it pass
