--- a/cypresspulley/policy/server.py
+++ b/cypresspulley/policy/server.py
@@ -17,7 +17,7 @@
         self.failure_rate = 0.0  # share of broken attempts
         self.ejected_until = 0.0
         self.ejection_seconds = 0.0
-        self.budget = 0.0
+        self.cold_budget = 0.0
         self.budget_at = 0.0
         self.phase = phase  # the part of a request's work, 0 to 1, from which the cold budget lets it pass
         self.trial = False
--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -28,7 +28,7 @@
 }  # fmt: skip
 SERVER: Mapping[str, str] = {
     "rate": "work_rate", "slow": "latency_ratio", "fails": "failure_rate", "out_until": "ejected_until", "out_for": "ejection_seconds",
-    "budget": "budget", "budget_at": "budget_at", "trial": "trial", "lost": "lost", "told": "told",
+    "budget": "cold_budget", "budget_at": "budget_at", "trial": "trial", "lost": "lost", "told": "told",
     "told_at": "told_at", "since": "since", "row": "row", "broke": "broke", "cold_at": "cold_at",
 }  # fmt: skip
 ACCOUNT: Mapping[str, str] = {
@@ -139,7 +139,7 @@
         server = load_balancer.servers[entry.name]
         _write_attributes(server, row, SERVER)
         server.up = bool(row["up"])
-        server.budget *= 1 - KEPT if server.budget > 0 else 1
+        server.cold_budget *= 1 - KEPT if server.cold_budget > 0 else 1
     load_balancer._arrange(now)
     quotas._born = float(state["born"])
     _write_attributes(quotas.calls, state["calls"], CALLS)
@@ -173,9 +173,11 @@
             self._given.append((a, given))
             for store, amount in given.items():
                 setattr(a, store, getattr(a, store) - amount)
-        self._budgets = [(s, (1 - KEPT) * max(0.0, s.budget)) for s in gateway.load_balancer.servers.values()]
+        self._budgets = [
+            (s, (1 - KEPT) * max(0.0, s.cold_budget)) for s in gateway.load_balancer.servers.values()
+        ]
         for server, budget in self._budgets:
-            server.budget -= budget
+            server.cold_budget -= budget
         quotas.incarnation.first = False
         self._wanted, quotas.incarnation.wanted = quotas.incarnation.wanted, False
         self.replan()
@@ -211,7 +213,7 @@
         if whole:
             quotas.incarnation.first = self._first
             for server, budget in self._budgets:
-                server.budget += budget
+                server.cold_budget += budget
         else:
             quotas._born = now  # what is new here may have drawn on the other side
         for a in quotas.accounts.values():
--- a/tests/takeover/test_snapshot.py
+++ b/tests/takeover/test_snapshot.py
@@ -96,12 +96,12 @@
     before = {(key, s): getattr(a, s) for key, a in world.gateway.quotas.accounts.items() for s in STORES}
     plans, budgets = (
         dict(world.gateway.quotas._plans),
-        [s.budget for s in world.gateway.load_balancer.servers.values()],
+        [s.cold_budget for s in world.gateway.load_balancer.servers.values()],
     )
     Split(world.gateway).undo(whole=True, now=world.now)
     after = {(key, s): getattr(a, s) for key, a in world.gateway.quotas.accounts.items() for s in STORES}
     assert after == pytest.approx(before) and world.gateway.quotas._plans == plans
-    assert [s.budget for s in world.gateway.load_balancer.servers.values()] == pytest.approx(budgets)
+    assert [s.cold_budget for s in world.gateway.load_balancer.servers.values()] == pytest.approx(budgets)
     assert all(a.plan is PLAN for a in world.gateway.quotas.accounts.values())
 
 
--- a/tests/test_cold_starts.py
+++ b/tests/test_cold_starts.py
@@ -108,7 +108,7 @@
         id += 1
     server = world.gateway.load_balancer.servers["s1"]
     assert server.cold_at is None
-    server.budget = 1.0
+    server.cold_budget = 1.0
     return world, server, id
 
 
@@ -116,7 +116,7 @@
     world, server, id = warmed()
     lost(world, id, "s1")
     world.feed(api.Probed("s1", Status.OK, 0.01, {}))
-    assert server.cold_at == world.now and server.budget == 0.0
+    assert server.cold_at == world.now and server.cold_budget == 0.0
 
 
 def test_a_server_found_again_by_a_request_starts_with_an_empty_budget() -> None:
@@ -130,7 +130,7 @@
             world.feed(w.request(number))
         id += 6
         world.serve()
-    assert server.cold_at == server.budget_at == world.now and server.budget == 0.0
+    assert server.cold_at == server.budget_at == world.now and server.cold_budget == 0.0
 
 
 @pytest.mark.parametrize("told_first", [False, True], ids=["lost, then told", "told, then lost"])
