--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -207,7 +207,7 @@
 
     def _begin_slow_start(self, now: float, server: Server, since: float) -> None:
         """A server does less than its share from ``since`` on, and what all gateways send it is bounded."""
-        server.cold_at, server.cold_budget, server.budget_at = since, 0.0, now
+        server.cold_at, server.cold_budget, server.cold_budget_at = since, 0.0, now
         if server.chosen:
             self._cold[server] = None
 
@@ -413,7 +413,7 @@
         # As busy as the warm ones, and no more: what it may get beyond that without falling it could not do in time.
         part = min(STEADY_COLD_LOAD_SHARE, 1 / max(1e-9, self._set.fall_multiple))
         fill = part * self._set.fall_multiple * min(1.0, warmth) * self._done_rate
-        s.cold_budget, s.budget_at = s.cold_budget + fill * (now - s.budget_at), now
+        s.cold_budget, s.cold_budget_at = s.cold_budget + fill * (now - s.cold_budget_at), now
         # One at each of hundreds of gates pushes it over: each lets pass at its phase; savings lapse by whole ones.
         one, saved = (
             max(1e-9, self._gate.mean),
--- a/cypresspulley/policy/server.py
+++ b/cypresspulley/policy/server.py
@@ -18,7 +18,7 @@
         self.ejected_until = 0.0
         self.ejection_seconds = 0.0
         self.cold_budget = 0.0
-        self.budget_at = 0.0
+        self.cold_budget_at = 0.0
         self.phase = phase  # the part of a request's work, 0 to 1, from which the cold budget lets it pass
         self.trial = False
         self.lost = False
--- a/tests/test_cold_starts.py
+++ b/tests/test_cold_starts.py
@@ -130,7 +130,7 @@
             world.feed(w.request(number))
         id += 6
         world.serve()
-    assert server.cold_at == server.budget_at == world.now and server.cold_budget == 0.0
+    assert server.cold_at == server.cold_budget_at == world.now and server.cold_budget == 0.0
 
 
 @pytest.mark.parametrize("told_first", [False, True], ids=["lost, then told", "told, then lost"])
