--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -146,7 +146,7 @@
             self._done_rate += 0.3 * (sum(warm) / len(warm) / dt - self._done_rate)
         for s in list(self._used):
             s.work_rate, s.finished_work = s.work_rate + 0.3 * (s.finished_work / dt - s.work_rate), 0.0
-            if s.up and s.lost and s.trial and self._set.may_probe and s.entry.name not in self.bans:
+            if s.up and s.lost and s.on_trial and self._set.may_probe and s.entry.name not in self.bans:
                 probes.append(api.Probe(s.entry.name))  # a probe is a cheaper trial than a request
                 s.ejected_until = max(s.ejected_until, now + 1.5 * INTERVAL)
                 self._out[s] = None
@@ -186,7 +186,7 @@
             self.known[e.name] = e.born
             if started is not None and started < self._set.warm_after:
                 self._begin_slow_start(now, s, now - started)
-                s.latency_ratio, s.ejected_until, s.trial = 0.0, min(s.ejected_until, now), False
+                s.latency_ratio, s.ejected_until, s.on_trial = 0.0, min(s.ejected_until, now), False
             if s.gone:
                 self._gone[s] = None
             if not ev.complete:
@@ -241,7 +241,7 @@
         (self.bans.add if ev.out else self.bans.discard)(ev.server)
         if back and s is not None:  # it may have been restarted, whatever the list says of its birth
             self._begin_slow_start(now, s, now)
-            s.latency_ratio, s.ejected_until, s.ejection_seconds, s.quiet, s.trial, s.lost = (
+            s.latency_ratio, s.ejected_until, s.ejection_seconds, s.quiet, s.on_trial, s.lost = (
                 0.0,
                 now,
                 0.0,
@@ -360,7 +360,7 @@
             pool = [
                 s
                 for s in pool
-                if s.ejected_until <= now and not (s.trial and s.outstanding_work > 0) and s not in quiet
+                if s.ejected_until <= now and not (s.on_trial and s.outstanding_work > 0) and s not in quiet
             ]
         return [s for s in pool if s.outstanding_work + r.work * 0.5 <= max(stay * s.work_rate, least) * part]
 
@@ -451,7 +451,7 @@
         if ev.status is Status.OK:
             if s.lost and s.cold_at is None:  # it may have restarted unseen
                 self._begin_slow_start(now, s, now)
-            s.lost, s.trial, s.ejection_seconds = (
+            s.lost, s.on_trial, s.ejection_seconds = (
                 False,
                 False,
                 s.ejection_seconds * (s.failure_rate >= max(0.05, usual)),
@@ -464,7 +464,7 @@
         few = dead or outs < len(up) / 2
         if bad and few and s.ejected_until <= now and s.failure_rate > usual * (2 - dead) + 0.25:
             s.ejection_seconds = min(10.0, max(1.5, s.ejection_seconds * 2))
-            s.ejected_until, s.trial, s.failure_rate = (
+            s.ejected_until, s.on_trial, s.failure_rate = (
                 now + s.ejection_seconds,
                 s.cold_at is None,
                 0.2,
--- a/tests/rehearsal/virtual/test_fleets.py
+++ b/tests/rehearsal/virtual/test_fleets.py
@@ -36,7 +36,7 @@
 
     def forgetful(fleet: LoadBalancer, now: float, r: Any, s: Any, ev: Any) -> None:
         learn(fleet, now, r, s, ev)
-        s.failure_rate, s.ejected_until, s.trial = 0.0, 0.0, False
+        s.failure_rate, s.ejected_until, s.on_trial = 0.0, 0.0, False
 
     monkeypatch.setattr(LoadBalancer, "learn", forgetful)
     verdict = played(shortened("fleet-release", 12.0))
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -94,7 +94,7 @@
                     await task
                 limiter.node.listed(listing({"s1": one, "s2": two, "s3": three}))
                 server = script.gateway.load_balancer.servers["s1"]
-                while not server.trial:
+                while not server.on_trial:
                     script.now += 0.1
                     await limiter.fetch(ask())
                 failing[0], before = False, len(shaky.seen)
