--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -146,11 +146,17 @@
             self._done_rate += 0.3 * (sum(warm) / len(warm) / dt - self._done_rate)
         for s in list(self._used):
             s.work_rate, s.finished_work = s.work_rate + 0.3 * (s.finished_work / dt - s.work_rate), 0.0
-            if s.up and s.lost and s.on_trial and self._set.may_probe and s.entry.name not in self.bans:
+            if (
+                s.up
+                and s.unreachable
+                and s.on_trial
+                and self._set.may_probe
+                and s.entry.name not in self.bans
+            ):
                 probes.append(api.Probe(s.entry.name))  # a probe is a cheaper trial than a request
                 s.ejected_until = max(s.ejected_until, now + 1.5 * INTERVAL)
                 self._out[s] = None
-            if s.work_rate < UNUSED and not s.lost:
+            if s.work_rate < UNUSED and not s.unreachable:
                 s.work_rate = 0.0
                 del self._used[s]
         if self._gone:
@@ -170,8 +176,8 @@
                 self._used.pop(s, None)
 
     def probed(self, now: float, ev: api.Probed) -> None:
-        if ev.status is Status.OK and (s := self.servers.get(ev.server)) and s.lost:
-            s.ejected_until, s.quiet, s.lost = now, None, False
+        if ev.status is Status.OK and (s := self.servers.get(ev.server)) and s.unreachable:
+            s.ejected_until, s.quiet, s.unreachable = now, None, False
             self._begin_slow_start(now, s, now)
 
     def listed(self, now: float, ev: api.ServerList) -> None:
@@ -241,7 +247,7 @@
         (self.bans.add if ev.out else self.bans.discard)(ev.server)
         if back and s is not None:  # it may have been restarted, whatever the list says of its birth
             self._begin_slow_start(now, s, now)
-            s.latency_ratio, s.ejected_until, s.ejection_seconds, s.quiet, s.on_trial, s.lost = (
+            s.latency_ratio, s.ejected_until, s.ejection_seconds, s.quiet, s.on_trial, s.unreachable = (
                 0.0,
                 now,
                 0.0,
@@ -262,7 +268,7 @@
         self._groups.rebuild(usable)
         self._out = {s: None for s in self.servers.values() if s.ejected_until > now}
         self._used = {
-            s: None for s in self.servers.values() if s.work_rate > 0 or s.finished_work > 0 or s.lost
+            s: None for s in self.servers.values() if s.work_rate > 0 or s.finished_work > 0 or s.unreachable
         }
         self._busy = {s: None for s in self.servers.values() if s.outstanding_work > 0 or s.quiet is not None}
         self._choose(now)
@@ -449,17 +455,17 @@
         if ev.status not in (Status.CANCELLED, Status.NOT_SENT, Status.FULL, Status.REJECTED):
             s.failure_rate += (0.4 if dead else 0.2) * (bad - s.failure_rate)
         if ev.status is Status.OK:
-            if s.lost and s.cold_at is None:  # it may have restarted unseen
+            if s.unreachable and s.cold_at is None:  # it may have restarted unseen
                 self._begin_slow_start(now, s, now)
-            s.lost, s.on_trial, s.ejection_seconds = (
+            s.unreachable, s.on_trial, s.ejection_seconds = (
                 False,
                 False,
                 s.ejection_seconds * (s.failure_rate >= max(0.05, usual)),
             )
         # Lost, it may come back restarted and cold: that takes dials in vain. Who takes one and breaks it is there,
         # and one that keeps its connections and is silent hangs or is slow.
-        s.lost = s.lost or (dead and vain)
-        if s.lost:
+        s.unreachable = s.unreachable or (dead and vain)
+        if s.unreachable:
             self._used[s] = None
         few = dead or outs < len(up) / 2
         if bad and few and s.ejected_until <= now and s.failure_rate > usual * (2 - dead) + 0.25:
--- a/cypresspulley/policy/server.py
+++ b/cypresspulley/policy/server.py
@@ -21,7 +21,7 @@
         self.cold_budget_at = 0.0
         self.phase = phase  # the part of a request's work, 0 to 1, from which the cold budget lets it pass
         self.on_trial = False
-        self.lost = False
+        self.unreachable = False
         self.gone = False
         self.told = 0.0  # requests in hand by its last report
         self.told_at = -1e9  # when
--- a/tests/test_cold_starts.py
+++ b/tests/test_cold_starts.py
@@ -83,7 +83,7 @@
     """Dials to a server in vain until it counts as lost."""
     server = world.gateway.load_balancer.servers[name]
     for _ in range(500):
-        if server.lost and server.ejected_until > world.now:
+        if server.unreachable and server.ejected_until > world.now:
             return id
         world.advance(world.now + 0.02)
         for number in range(id, id + 6):
@@ -156,7 +156,7 @@
     assert any(server == "s1" for _, server, _ in world.sends[before:]), (
         "a request within its budget tries it"
     )
-    assert not server.lost
+    assert not server.unreachable
 
 
 def ticked(world: w.World) -> list[api.Action]:
