--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -61,23 +61,23 @@
 
     def __init__(self, servers: Iterable[Server] = ()) -> None:
         self._servers = {s: None for s in sorted(servers, key=lambda s: s.told_at)}
-        self._sum = sum([s.told for s in self._servers])
+        self._sum = sum([s.reported_inflight for s in self._servers])
 
     def renew(self, server: Server, held: float, now: float) -> None:
         """A server has told how many requests it holds. Of others than the gateway's part it is kept alone."""
         if server.chosen:
             if server in self._servers:
-                self._sum -= server.told
+                self._sum -= server.reported_inflight
                 del self._servers[server]
             self._servers[server] = None
             self._sum += held
-        server.told, server.told_at, server.since = held, now, 0
+        server.reported_inflight, server.told_at, server.since = held, now, 0
 
     def count(self, now: float) -> int:
         """How many there are, without those that have faded."""
         while self._servers and (oldest := next(iter(self._servers))).told_at <= now - FADED:
             del self._servers[oldest]
-            self._sum -= oldest.told
+            self._sum -= oldest.reported_inflight
         return len(self._servers)
 
     def mean(self) -> float:
@@ -408,7 +408,7 @@
         mean = self._reported.mean()
         costs = {}
         for s in fit:
-            held = mean + (s.told - mean) * math.exp((s.told_at - now) / FADE) + s.since + 1
+            held = mean + (s.reported_inflight - mean) * math.exp((s.told_at - now) / FADE) + s.since + 1
             costs[s.place] = held / max(0.05, 1 - s.failure_rate) ** 2 * (1 + 0.2 * self._rng.random())
         return min(fit, key=lambda s: costs[s.place], default=None)
 
--- a/cypresspulley/policy/server.py
+++ b/cypresspulley/policy/server.py
@@ -23,7 +23,7 @@
         self.on_trial = False
         self.unreachable = False
         self.gone = False
-        self.told = 0.0  # requests in hand by its last report
+        self.reported_inflight = 0.0  # requests in hand by its last report
         self.told_at = -1e9  # when
         self.since = 0  # sent since
         self.row = 0  # breaks with no answer in between
--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -28,7 +28,7 @@
 }  # fmt: skip
 SERVER: Mapping[str, str] = {
     "rate": "work_rate", "slow": "latency_ratio", "fails": "failure_rate", "out_until": "ejected_until", "out_for": "ejection_seconds",
-    "budget": "cold_budget", "budget_at": "cold_budget_at", "trial": "on_trial", "lost": "unreachable", "told": "told",
+    "budget": "cold_budget", "budget_at": "cold_budget_at", "trial": "on_trial", "lost": "unreachable", "told": "reported_inflight",
     "told_at": "told_at", "since": "since", "row": "row", "broke": "broke", "cold_at": "cold_at",
 }  # fmt: skip
 ACCOUNT: Mapping[str, str] = {
