--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -60,7 +60,7 @@
     """Load reports of some servers that have not faded yet, the oldest first, and their mean."""
 
     def __init__(self, servers: Iterable[Server] = ()) -> None:
-        self._servers = {s: None for s in sorted(servers, key=lambda s: s.told_at)}
+        self._servers = {s: None for s in sorted(servers, key=lambda s: s.reported_at)}
         self._sum = sum([s.reported_inflight for s in self._servers])
 
     def renew(self, server: Server, held: float, now: float) -> None:
@@ -71,7 +71,7 @@
                 del self._servers[server]
             self._servers[server] = None
             self._sum += held
-        server.reported_inflight, server.told_at, server.since = held, now, 0
+        server.reported_inflight, server.reported_at, server.since = held, now, 0
 
     def count(self, now: float) -> int:
         """How many there are, without those that have faded."""
@@ -408,7 +408,7 @@
         mean = self._reported.mean()
         costs = {}
         for s in fit:
-            held = mean + (s.reported_inflight - mean) * math.exp((s.told_at - now) / FADE) + s.since + 1
+            held = mean + (s.reported_inflight - mean) * math.exp((s.reported_at - now) / FADE) + s.since + 1
             costs[s.place] = held / max(0.05, 1 - s.failure_rate) ** 2 * (1 + 0.2 * self._rng.random())
         return min(fit, key=lambda s: costs[s.place], default=None)
 
--- a/cypresspulley/policy/server.py
+++ b/cypresspulley/policy/server.py
@@ -24,7 +24,7 @@
         self.unreachable = False
         self.gone = False
         self.reported_inflight = 0.0  # requests in hand by its last report
-        self.told_at = -1e9  # when
+        self.reported_at = -1e9  # when
         self.since = 0  # sent since
         self.row = 0  # breaks with no answer in between
         self.broke = 0.0  # when the last came
