--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -132,7 +132,7 @@
             wait = min(wait, max(SPLIT * r.cls.aim, 4 * max(1.0, s.latency_ratio) * r.work))
         r.out[len(r.tries)] = s
         r.tries.append((s, now))
-        s.since += 1
+        s.sent_since_report += 1
         s.cold_budget -= r.work if s.cold_at is not None else 0.0  # warm, it owes nothing when unsure again
         if not r.coming:
             self._busy(now, r, s)
--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -71,7 +71,7 @@
                 del self._servers[server]
             self._servers[server] = None
             self._sum += held
-        server.reported_inflight, server.reported_at, server.since = held, now, 0
+        server.reported_inflight, server.reported_at, server.sent_since_report = held, now, 0
 
     def count(self, now: float) -> int:
         """How many there are, without those that have faded."""
@@ -408,7 +408,12 @@
         mean = self._reported.mean()
         costs = {}
         for s in fit:
-            held = mean + (s.reported_inflight - mean) * math.exp((s.reported_at - now) / FADE) + s.since + 1
+            held = (
+                mean
+                + (s.reported_inflight - mean) * math.exp((s.reported_at - now) / FADE)
+                + s.sent_since_report
+                + 1
+            )
             costs[s.place] = held / max(0.05, 1 - s.failure_rate) ** 2 * (1 + 0.2 * self._rng.random())
         return min(fit, key=lambda s: costs[s.place], default=None)
 
