--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -452,10 +452,14 @@
         usual, outs = sorted(x.failure_rate for x in up)[len(up) // 2], sum(x.ejected_until > now for x in up)
         vain = ev.status is Status.UNREACHABLE  # each such dial is a sign of its own
         if snapped:
-            s.row, s.broke = s.row + (vain or ev.elapsed <= now - s.broke), now
+            s.consecutive_breaks, s.broke = s.consecutive_breaks + (vain or ev.elapsed <= now - s.broke), now
         elif ev.status in ANSWERED:
-            s.row = 0
-        dead = mute or (snapped and s.row > 1 and (vain or max(0.05, usual) ** s.row < 0.005))
+            s.consecutive_breaks = 0
+        dead = mute or (
+            snapped
+            and s.consecutive_breaks > 1
+            and (vain or max(0.05, usual) ** s.consecutive_breaks < 0.005)
+        )
         bad = dead or snapped or ev.status is Status.ERROR
         if ev.status not in (Status.CANCELLED, Status.NOT_SENT, Status.FULL, Status.REJECTED):
             s.failure_rate += (0.4 if dead else 0.2) * (bad - s.failure_rate)
