--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -452,7 +452,10 @@
         usual, outs = sorted(x.failure_rate for x in up)[len(up) // 2], sum(x.ejected_until > now for x in up)
         vain = ev.status is Status.UNREACHABLE  # each such dial is a sign of its own
         if snapped:
-            s.consecutive_breaks, s.broke = s.consecutive_breaks + (vain or ev.elapsed <= now - s.broke), now
+            s.consecutive_breaks, s.last_break_at = (
+                s.consecutive_breaks + (vain or ev.elapsed <= now - s.last_break_at),
+                now,
+            )
         elif ev.status in ANSWERED:
             s.consecutive_breaks = 0
         dead = mute or (
