--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -168,7 +168,7 @@
         r.busy = False
         s.ended(r.work)
         if ev.status not in (Status.TIMEOUT, Status.CANCELLED, Status.UNREACHABLE):
-            s.quiet = now if s.outstanding_work > 1e-9 else None
+            s.silent_since = now if s.outstanding_work > 1e-9 else None
         self.gate.read(r.cls, ev.status, ev.elapsed)
         self.load_balancer.learn(now, r, s, ev)
 
@@ -184,7 +184,9 @@
                 self.load_balancer.learn(now, r, s, ev)  # it ended while its body or its answer flowed
             self.quotas.settle(now, r, ev)
             if s.outstanding_work <= 1e-9:
-                s.quiet = None  # with nothing out it owes no answer, and none could ever end its silence
+                s.silent_since = (
+                    None  # with nothing out it owes no answer, and none could ever end its silence
+                )
         if ev.status not in NEVER_RAN and r.ran is None and ev.attempt < len(r.tries):
             r.ran = r.tries[ev.attempt]
         rejected = ev.status is Status.REJECTED  # no other server would take it either
@@ -224,6 +226,6 @@
             for s in r.out.values():
                 s.ended(r.work if r.busy else 0.0)
                 r.account.open -= not r.coming
-                s.quiet = (
-                    s.quiet if s.outstanding_work > 1e-9 else None
+                s.silent_since = (
+                    s.silent_since if s.outstanding_work > 1e-9 else None
                 )  # nobody waits: it owes nothing any more
--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -135,7 +135,7 @@
     def begin(self, now: float, server: Server, work: float) -> None:
         """Work is out at a server from now on, which owes an answer."""
         server.outstanding_work += work
-        server.quiet = now if server.quiet is None else server.quiet
+        server.silent_since = now if server.silent_since is None else server.silent_since
         self._busy[server] = None
 
     def tick(self, now: float, dt: float, open_: Iterable[Request]) -> list[api.Action]:
@@ -177,7 +177,7 @@
 
     def probed(self, now: float, ev: api.Probed) -> None:
         if ev.status is Status.OK and (s := self.servers.get(ev.server)) and s.unreachable:
-            s.ejected_until, s.quiet, s.unreachable = now, None, False
+            s.ejected_until, s.silent_since, s.unreachable = now, None, False
             self._begin_slow_start(now, s, now)
 
     def listed(self, now: float, ev: api.ServerList) -> None:
@@ -247,7 +247,14 @@
         (self.bans.add if ev.out else self.bans.discard)(ev.server)
         if back and s is not None:  # it may have been restarted, whatever the list says of its birth
             self._begin_slow_start(now, s, now)
-            s.latency_ratio, s.ejected_until, s.ejection_seconds, s.quiet, s.on_trial, s.unreachable = (
+            (
+                s.latency_ratio,
+                s.ejected_until,
+                s.ejection_seconds,
+                s.silent_since,
+                s.on_trial,
+                s.unreachable,
+            ) = (
                 0.0,
                 now,
                 0.0,
@@ -270,7 +277,9 @@
         self._used = {
             s: None for s in self.servers.values() if s.work_rate > 0 or s.finished_work > 0 or s.unreachable
         }
-        self._busy = {s: None for s in self.servers.values() if s.outstanding_work > 0 or s.quiet is not None}
+        self._busy = {
+            s: None for s in self.servers.values() if s.outstanding_work > 0 or s.silent_since is not None
+        }
         self._choose(now)
 
     def _choose(self, now: float) -> None:
@@ -292,7 +301,7 @@
 
     def _is_quiet(self, now: float, server: Server) -> bool:
         """Whether a server has owed answers for too long."""
-        return server.quiet is not None and now - server.quiet > self._patience
+        return server.silent_since is not None and now - server.silent_since > self._patience
 
     def _take(self, mine: list[Server]) -> None:
         """These servers are this gateway's part from now on."""
@@ -331,7 +340,7 @@
         fleet *= 1 + calm * (self._gate.sum is not None)
         # Where answers are owed for long nothing new goes: a cut, hung or lost server. All alike is slowness.
         busy, patience = up if few else self._busy_of_mine(), self._patience
-        quiet = [s for s in busy if s.quiet is not None and now - s.quiet > patience]
+        quiet = [s for s in busy if s.silent_since is not None and now - s.silent_since > patience]
         quiet = quiet if len(quiet) <= len(up) / 2 else []
         if (
             sum([s.outstanding_work for s in busy if s.ejected_until <= now and s not in quiet])
@@ -372,7 +381,7 @@
 
     def _busy_of_mine(self) -> list[Server]:
         """Servers of this gateway's part that have work out or owe an answer."""
-        for s in [s for s in self._busy if s.outstanding_work <= 0 and s.quiet is None]:
+        for s in [s for s in self._busy if s.outstanding_work <= 0 and s.silent_since is None]:
             del self._busy[s]
         return [s for s in self._busy if s.chosen]
 
@@ -444,7 +453,11 @@
             self.base[r.cls.name] = base + (own - base) * (0.01 if own > base else 0.02)
             s.latency_ratio += (0.1 if s.latency_ratio else 1.0) * (own / base - s.latency_ratio)
             self.sizes.learn(r.units, ev.elapsed / base)
-        mute = ev.status is Status.TIMEOUT and s.quiet is not None and now - s.quiet >= ev.elapsed - 1e-6
+        mute = (
+            ev.status is Status.TIMEOUT
+            and s.silent_since is not None
+            and now - s.silent_since >= ev.elapsed - 1e-6
+        )
         # One connection that breaks is no dead server: more must, one behind the other (what was out together
         # breaks together), with no answer in between, in a row that is as long as breaks are usual.
         snapped = ev.status in (Status.UNREACHABLE, Status.DROPPED, Status.BROKEN)
--- a/cypresspulley/policy/server.py
+++ b/cypresspulley/policy/server.py
@@ -28,7 +28,7 @@
         self.sent_since_report = 0  # sent since
         self.consecutive_breaks = 0  # breaks with no answer in between
         self.last_break_at = 0.0  # when the last came
-        self.quiet: float | None = None  # since when it owes answers and gives none
+        self.silent_since: float | None = None  # since when it owes answers and gives none
         self.cold_at: float | None = None
         self.told_of_at = 0.0  # when a list last named it
         self.chosen = False  # in this gateway's part
--- a/tests/test_endings_policy.py
+++ b/tests/test_endings_policy.py
@@ -367,7 +367,7 @@
         assert account.open == 0, account.name
         assert account.slots is None or account.slots.held == 0, account.name
     for server in gateway.load_balancer.servers.values():
-        assert server.outstanding_work == 0.0 and server.quiet is None, server.entry.name
+        assert server.outstanding_work == 0.0 and server.silent_since is None, server.entry.name
 
 
 @pytest.mark.parametrize("status", [api.Status.OK, api.Status.TIMEOUT])
--- a/tests/test_endings_servers.py
+++ b/tests/test_endings_servers.py
@@ -1126,7 +1126,8 @@
         for account in self.gateway.quotas.accounts.values():
             assert account.open == 0 and (account.slots is None or account.slots.held == 0)
         assert all(
-            s.outstanding_work == 0.0 and s.quiet is None for s in self.gateway.load_balancer.servers.values()
+            s.outstanding_work == 0.0 and s.silent_since is None
+            for s in self.gateway.load_balancer.servers.values()
         )
         assert not self.upstream._dials and not self.upstream.streaming and self.upstream.relay.active == 0
         servers = self.upstream._servers.values()
--- a/tests/test_symptoms.py
+++ b/tests/test_symptoms.py
@@ -352,7 +352,7 @@
     world.feed(w.outcome(0, 0, server, status, 0.05))
     world.serve()
     run(world, 30, 20, 1)
-    assert all(s.quiet is None for s in world.gateway.load_balancer.servers.values())
+    assert all(s.silent_since is None for s in world.gateway.load_balancer.servers.values())
 
 
 def test_long_aims_leave_room_for_the_class_of_the_shortest() -> None:
