--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -133,7 +133,9 @@
         r.out[len(r.tries)] = s
         r.tries.append((s, now))
         s.sent_since_report += 1
-        s.cold_budget -= r.work if s.cold_at is not None else 0.0  # warm, it owes nothing when unsure again
+        s.cold_budget -= (
+            r.work if s.cold_since is not None else 0.0
+        )  # warm, it owes nothing when unsure again
         if not r.coming:
             self._busy(now, r, s)
         self._out.append(api.Send(r.id, s.entry.name, wait, latest))
--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -142,7 +142,7 @@
         """Once an interval: rates, trials of lost servers, those that are gone."""
         probes = list[api.Action]()
         # By what warm ones finish: of what is sent the overdriven fail, and cold ones are let do less than they could.
-        if warm := [s.finished_work for s in self.mine if s.cold_at is None]:
+        if warm := [s.finished_work for s in self.mine if s.cold_since is None]:
             self._done_rate += 0.3 * (sum(warm) / len(warm) / dt - self._done_rate)
         for s in list(self._used):
             s.work_rate, s.finished_work = s.work_rate + 0.3 * (s.finished_work / dt - s.work_rate), 0.0
@@ -213,7 +213,7 @@
 
     def _begin_slow_start(self, now: float, server: Server, since: float) -> None:
         """A server does less than its share from ``since`` on, and what all gateways send it is bounded."""
-        server.cold_at, server.cold_budget, server.cold_budget_at = since, 0.0, now
+        server.cold_since, server.cold_budget, server.cold_budget_at = since, 0.0, now
         if server.chosen:
             self._cold[server] = None
 
@@ -314,7 +314,7 @@
             self._cold.pop(s, None)
         for s in after - before:
             s.chosen = True
-            if s.cold_at is not None:
+            if s.cold_since is not None:
                 self._cold[s] = None
         self._rates = sum([s.work_rate for s in mine])
         self._reported = FreshReports(mine)
@@ -356,12 +356,12 @@
             cold = self._fit(now, r, self._sample(list(self._cold)), quiet, stay, least, part)
         found = self._fit(now, r, group if few else self._sample(group), quiet, stay, least, part)
         # A cold one whose part is there comes first: left to chance among all, a thin gate's parts went unused.
-        cold = [s for s in cold or found if s.cold_at is not None and self._cold_room(now, s, r)]
+        cold = [s for s in cold or found if s.cold_since is not None and self._cold_room(now, s, r)]
         if cold:
             return self._least(now, cold, r, rates)
-        warm = [s for s in found if s.cold_at is None]
+        warm = [s for s in found if s.cold_since is None]
         if not warm and len(group) > len(found) and not few:
-            warm = [s for s in self._fit(now, r, group, quiet, stay, least, part) if s.cold_at is None]
+            warm = [s for s in self._fit(now, r, group, quiet, stay, least, part) if s.cold_since is None]
         return self._least(now, warm, r, rates)
 
     def _fit(
@@ -427,9 +427,9 @@
         return min(fit, key=lambda s: costs[s.place], default=None)
 
     def _cold_room(self, now: float, s: Server, r: Request) -> bool:
-        low, age = self._set.cold_share, max(0.0, now - (s.cold_at or 0.0))
+        low, age = self._set.cold_share, max(0.0, now - (s.cold_since or 0.0))
         warmth = low + (1 - low) * age / max(1e-9, self._set.warm_after)
-        s.cold_at = s.cold_at if warmth < 1 else None
+        s.cold_since = s.cold_since if warmth < 1 else None
         # As busy as the warm ones, and no more: what it may get beyond that without falling it could not do in time.
         part = min(STEADY_COLD_LOAD_SHARE, 1 / max(1e-9, self._set.fall_multiple))
         fill = part * self._set.fall_multiple * min(1.0, warmth) * self._done_rate
@@ -480,7 +480,7 @@
         if ev.status not in (Status.CANCELLED, Status.NOT_SENT, Status.FULL, Status.REJECTED):
             s.failure_rate += (0.4 if dead else 0.2) * (bad - s.failure_rate)
         if ev.status is Status.OK:
-            if s.unreachable and s.cold_at is None:  # it may have restarted unseen
+            if s.unreachable and s.cold_since is None:  # it may have restarted unseen
                 self._begin_slow_start(now, s, now)
             s.unreachable, s.on_trial, s.ejection_seconds = (
                 False,
@@ -497,7 +497,7 @@
             s.ejection_seconds = min(10.0, max(1.5, s.ejection_seconds * 2))
             s.ejected_until, s.on_trial, s.failure_rate = (
                 now + s.ejection_seconds,
-                s.cold_at is None,
+                s.cold_since is None,
                 0.2,
             )  # or the budget tries it
             self._out[s] = None
--- a/cypresspulley/policy/server.py
+++ b/cypresspulley/policy/server.py
@@ -29,7 +29,7 @@
         self.consecutive_breaks = 0  # breaks with no answer in between
         self.last_break_at = 0.0  # when the last came
         self.silent_since: float | None = None  # since when it owes answers and gives none
-        self.cold_at: float | None = None
+        self.cold_since: float | None = None
         self.told_of_at = 0.0  # when a list last named it
         self.chosen = False  # in this gateway's part
 
--- a/tests/explore/mutants.py
+++ b/tests/explore/mutants.py
@@ -108,7 +108,7 @@
     ),
     Mutant(
         "a server called back not cold", LoadBalancer, "suspended",
-        "self._begin_slow_start(now, s, now)", "s.cold_at = None",
+        "self._begin_slow_start(now, s, now)", "s.cold_since = None",
         "cold by hand", ("no cold server pushed over",),
         inside=100.0,
         shown_by=1,
--- a/tests/takeover/test_handover.py
+++ b/tests/takeover/test_handover.py
@@ -181,12 +181,12 @@
     async def main() -> None:
         async with listening(Origin().talk) as dial:
             old = await Process(tmp_path, dial).start()
-            old.gateway.load_balancer.servers["s1"].cold_at = begun = old.clock() - 2.0
+            old.gateway.load_balancer.servers["s1"].cold_since = begun = old.clock() - 2.0
             new = Process(tmp_path, dial)
             new.clock.offset += step
             await new.start()
             assert new.inherited
-            assert new.gateway.load_balancer.servers["s1"].cold_at == begun
+            assert new.gateway.load_balancer.servers["s1"].cold_since == begun
             assert abs(new.clock() - old.clock()) < 1.0
             assert new.gateway.load_balancer.known == old.gateway.load_balancer.known
             assert new.gateway.quotas._born == old.gateway.quotas._born <= new.clock()
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -52,7 +52,7 @@
     sends(world, 300, 40)
     world.feed(api.Suspend("s1", out=False))
     server = world.gateway.load_balancer.servers["s1"]
-    assert server.cold_at == world.now and server.cold_budget == 0.0
+    assert server.cold_since == world.now and server.cold_budget == 0.0
     soon = sends(world, 400, 40)
     assert 0 < soon.count("s1") < soon.count("s0"), "used again, within its cold budget"
 
--- a/tests/test_cold_starts.py
+++ b/tests/test_cold_starts.py
@@ -107,7 +107,7 @@
         world.serve()
         id += 1
     server = world.gateway.load_balancer.servers["s1"]
-    assert server.cold_at is None
+    assert server.cold_since is None
     server.cold_budget = 1.0
     return world, server, id
 
@@ -116,21 +116,21 @@
     world, server, id = warmed()
     lost(world, id, "s1")
     world.feed(api.Probed("s1", Status.OK, 0.01, {}))
-    assert server.cold_at == world.now and server.cold_budget == 0.0
+    assert server.cold_since == world.now and server.cold_budget == 0.0
 
 
 def test_a_server_found_again_by_a_request_starts_with_an_empty_budget() -> None:
     world, server, id = warmed(may_probe=False)
     id = lost(world, id, "s1")
     for _ in range(300):
-        if server.cold_at is not None:
+        if server.cold_since is not None:
             break
         world.advance(world.now + 0.02)
         for number in range(id, id + 6):
             world.feed(w.request(number))
         id += 6
         world.serve()
-    assert server.cold_at == server.cold_budget_at == world.now and server.cold_budget == 0.0
+    assert server.cold_since == server.cold_budget_at == world.now and server.cold_budget == 0.0
 
 
 @pytest.mark.parametrize("told_first", [False, True], ids=["lost, then told", "told, then lost"])
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -213,6 +213,6 @@
             (outcome,) = await script.until(api.Outcome)
             assert outcome.status is api.Status.TIMEOUT
             assert " 200 " in (await limiter.fetch(ask()))[0]
-            assert script.gateway.load_balancer.servers["s1"].cold_at is None
+            assert script.gateway.load_balancer.servers["s1"].cold_since is None
 
     run(main())
--- a/tests/test_symptoms.py
+++ b/tests/test_symptoms.py
@@ -338,7 +338,7 @@
         world.feed(w.request(id))
         world.serve(api.Status.BROKEN if id % 10 < 3 else api.Status.OK)
     assert not any(
-        server.cold_at or server.unreachable for server in world.gateway.load_balancer.servers.values()
+        server.cold_since or server.unreachable for server in world.gateway.load_balancer.servers.values()
     )
 
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -56,7 +56,7 @@
         self.world.feed(api.ServerList((entry,), False, previous=self.world.now - BEAT))
 
     def cold_at(self, name: str) -> float | None:
-        return self.world.gateway.load_balancer.servers[name].cold_at
+        return self.world.gateway.load_balancer.servers[name].cold_since
 
 
 def test_a_start_is_as_old_as_the_last_word_allows_whatever_the_clock_says() -> None:
@@ -84,7 +84,7 @@
         world.advance(START + 0.5)
         entry = replace(world.up["s0"], born=world.now + step)
         world.feed(api.ServerList((entry,), False, previous=START))
-        cold_at = world.gateway.load_balancer.servers["s0"].cold_at
+        cold_at = world.gateway.load_balancer.servers["s0"].cold_since
         assert cold_at is not None and START <= cold_at <= world.now, step
         fleet = Fleet()
         birth = fleet.world.now + step
