--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -188,7 +188,7 @@
             s = self.servers.get(e.name) or self.servers.setdefault(e.name, Server(e, self._rng.random()))
             started = self._age_of_start(now, e, s, ev.previous)
             s.entry, s.up, s.gone = e, e.health is api.Health.UP, e.health is api.Health.GONE
-            s.told_of_at = now
+            s.listed_at = now
             self.known[e.name] = e.born
             if started is not None and started < self._set.warm_after:
                 self._begin_slow_start(now, s, now - started)
@@ -232,7 +232,7 @@
             return None
         known_otherwise = previous
         if known_otherwise is None and last_known is not None:
-            known_otherwise = server.told_of_at
+            known_otherwise = server.listed_at
         age = max(0.0, now - entry.born)
         return age if known_otherwise is None else min(age, max(0.0, now - known_otherwise))
 
--- a/cypresspulley/policy/server.py
+++ b/cypresspulley/policy/server.py
@@ -30,7 +30,7 @@
         self.last_break_at = 0.0  # when the last came
         self.silent_since: float | None = None  # since when it owes answers and gives none
         self.cold_since: float | None = None
-        self.told_of_at = 0.0  # when a list last named it
+        self.listed_at = 0.0  # when a list last named it
         self.chosen = False  # in this gateway's part
 
     def ended(self, work: float) -> None:
