--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -65,7 +65,7 @@
 
     def renew(self, server: Server, held: float, now: float) -> None:
         """A server has told how many requests it holds. Of others than the gateway's part it is kept alone."""
-        if server.chosen:
+        if server.in_subset:
             if server in self._servers:
                 self._sum -= server.reported_inflight
                 del self._servers[server]
@@ -214,7 +214,7 @@
     def _begin_slow_start(self, now: float, server: Server, since: float) -> None:
         """A server does less than its share from ``since`` on, and what all gateways send it is bounded."""
         server.cold_since, server.cold_budget, server.cold_budget_at = since, 0.0, now
-        if server.chosen:
+        if server.in_subset:
             self._cold[server] = None
 
     def _age_of_start(
@@ -310,10 +310,10 @@
         before, after = set(self.mine), set(mine)
         self.mine = mine
         for s in before - after:
-            s.chosen = False
+            s.in_subset = False
             self._cold.pop(s, None)
         for s in after - before:
-            s.chosen = True
+            s.in_subset = True
             if s.cold_since is not None:
                 self._cold[s] = None
         self._rates = sum([s.work_rate for s in mine])
@@ -383,7 +383,7 @@
         """Servers of this gateway's part that have work out or owe an answer."""
         for s in [s for s in self._busy if s.outstanding_work <= 0 and s.silent_since is None]:
             del self._busy[s]
-        return [s for s in self._busy if s.chosen]
+        return [s for s in self._busy if s.in_subset]
 
     def _sample(self, servers: list[Server]) -> list[Server]:
         """All of a few servers; of more as many neighbours on the ring, which their names' hashes have shuffled.
--- a/cypresspulley/policy/server.py
+++ b/cypresspulley/policy/server.py
@@ -31,7 +31,7 @@
         self.silent_since: float | None = None  # since when it owes answers and gives none
         self.cold_since: float | None = None
         self.listed_at = 0.0  # when a list last named it
-        self.chosen = False  # in this gateway's part
+        self.in_subset = False  # in this gateway's part
 
     def ended(self, work: float) -> None:
         # Floating sums leave a remainder, and a server on trial that seems to have work out is asked no more.
