--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -160,7 +160,7 @@
                 s.work_rate = 0.0
                 del self._used[s]
         if self._gone:
-            self._forget_gone({s.place for r in open_ for s in r.out.values()})
+            self._forget_gone({s.ring_position for r in open_ for s in r.out.values()})
         self._choose(now)
         self._rates = sum([s.work_rate for s in self.mine])
         return probes
@@ -168,7 +168,7 @@
     def _forget_gone(self, busy: set[bytes]) -> None:
         """Ids are ever new: a server that is gone is forgotten once nothing is out there."""
         for s in list(self._gone):
-            if s.gone and s.place in busy:
+            if s.gone and s.ring_position in busy:
                 continue
             del self._gone[s]
             if s.gone:
@@ -408,12 +408,12 @@
         if not told or told * 2 < len(self.mine):
             fit = self._rng.sample(fit, 2) if len(fit) > 2 else fit
             costs = {
-                s.place: max(1.0, s.latency_ratio)
+                s.ring_position: max(1.0, s.latency_ratio)
                 * (s.outstanding_work + r.work)
                 / max(0.05, 1 - s.failure_rate) ** 2
                 for s in fit
             }
-            return min(fit, key=lambda s: costs[s.place], default=None)
+            return min(fit, key=lambda s: costs[s.ring_position], default=None)
         mean = self._reported.mean()
         costs = {}
         for s in fit:
@@ -423,8 +423,10 @@
                 + s.sent_since_report
                 + 1
             )
-            costs[s.place] = held / max(0.05, 1 - s.failure_rate) ** 2 * (1 + 0.2 * self._rng.random())
-        return min(fit, key=lambda s: costs[s.place], default=None)
+            costs[s.ring_position] = (
+                held / max(0.05, 1 - s.failure_rate) ** 2 * (1 + 0.2 * self._rng.random())
+            )
+        return min(fit, key=lambda s: costs[s.ring_position], default=None)
 
     def _cold_room(self, now: float, s: Server, r: Request) -> bool:
         low, age = self._set.cold_share, max(0.0, now - (s.cold_since or 0.0))
--- a/cypresspulley/policy/ring.py
+++ b/cypresspulley/policy/ring.py
@@ -9,7 +9,7 @@
 
 
 def _place(server: Server) -> bytes:
-    return server.place
+    return server.ring_position
 
 
 class HashRing:
@@ -27,8 +27,8 @@
 
     def update(self, server: Server, usable: bool) -> None:
         """Add a server or take it off."""
-        order, at = self._order, bisect_left(self._order, server.place, key=_place)
-        while at < len(order) and order[at] is not server and order[at].place == server.place:
+        order, at = self._order, bisect_left(self._order, server.ring_position, key=_place)
+        while at < len(order) and order[at] is not server and order[at].place == server.ring_position:
             at += 1
         found = at < len(order) and order[at] is server
         if usable and not found:
--- a/cypresspulley/policy/server.py
+++ b/cypresspulley/policy/server.py
@@ -9,7 +9,7 @@
     def __init__(self, entry: api.ServerEntry, phase: float) -> None:
         self.entry = entry
         self.up = True
-        self.place = blake2b(entry.name.encode(), digest_size=8).digest()
+        self.ring_position = blake2b(entry.name.encode(), digest_size=8).digest()
         self.outstanding_work = 0.0  # own work that is out
         self.finished_work = 0.0  # own work since the last tick
         self.work_rate = 0.0  # own work a second
