--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -168,7 +168,7 @@
     def _learn(self, now: float, r: Request, s: Server, ev: api.Outcome) -> None:
         """What an attempt's answer, or the lack of one, tells of its server."""
         r.busy = False
-        s.ended(r.work)
+        s.release_work(r.work)
         if ev.status not in (Status.TIMEOUT, Status.CANCELLED, Status.UNREACHABLE):
             s.silent_since = now if s.outstanding_work > 1e-9 else None
         self.gate.read(r.cls, ev.status, ev.elapsed)
@@ -226,7 +226,7 @@
                 self.quotas.give_back(r)
             self.quotas.free(now, r)
             for s in r.out.values():
-                s.ended(r.work if r.busy else 0.0)
+                s.release_work(r.work if r.busy else 0.0)
                 r.account.open -= not r.coming
                 s.silent_since = (
                     s.silent_since if s.outstanding_work > 1e-9 else None
--- a/cypresspulley/policy/server.py
+++ b/cypresspulley/policy/server.py
@@ -33,6 +33,6 @@
         self.listed_at = 0.0  # when a list last named it
         self.in_subset = False  # in this gateway's part
 
-    def ended(self, work: float) -> None:
+    def release_work(self, work: float) -> None:
         # Floating sums leave a remainder, and a server on trial that seems to have work out is asked no more.
         self.outstanding_work = left if (left := self.outstanding_work - work) > 1e-9 else 0.0
