--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -441,8 +441,8 @@
             max(1e-9, self._gate.mean),
             fill * self._set.fall_window * (MAX_COLD_LOAD_SHARE / part - 1),
         )
-        s.cold_budget -= one * max(0, math.ceil((s.cold_budget - saved) / one - s.phase))
-        return s.cold_budget > s.phase * r.work
+        s.cold_budget -= one * max(0, math.ceil((s.cold_budget - saved) / one - s.budget_phase))
+        return s.cold_budget > s.budget_phase * r.work
 
     def learn(self, now: float, r: Request, s: Server, ev: api.Outcome) -> None:
         if (held := ev.report.get("inflight")) is not None:
--- a/cypresspulley/policy/server.py
+++ b/cypresspulley/policy/server.py
@@ -19,7 +19,9 @@
         self.ejection_seconds = 0.0
         self.cold_budget = 0.0
         self.cold_budget_at = 0.0
-        self.phase = phase  # the part of a request's work, 0 to 1, from which the cold budget lets it pass
+        self.budget_phase = (
+            phase  # the part of a request's work, 0 to 1, from which the cold budget lets it pass
+        )
         self.on_trial = False
         self.unreachable = False
         self.gone = False
--- a/tests/explore/mutants.py
+++ b/tests/explore/mutants.py
@@ -96,7 +96,7 @@
     ),
     Mutant(
         "a budget that forgets a restart", LoadBalancer, "_cold_room",
-        "return s.cold_budget > s.phase * r.work", "return True",
+        "return s.cold_budget > s.budget_phase * r.work", "return True",
         "cold", ("no cold server pushed over",),
         inside=100.0,
         shown_by=2,
