--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -27,9 +27,10 @@
     "_filled": "_filled",
 }  # fmt: skip
 SERVER: Mapping[str, str] = {
-    "rate": "work_rate", "slow": "latency_ratio", "fails": "failure_rate", "out_until": "ejected_until", "out_for": "ejection_seconds",
-    "budget": "cold_budget", "budget_at": "cold_budget_at", "trial": "on_trial", "lost": "unreachable", "told": "reported_inflight",
-    "told_at": "reported_at", "since": "sent_since_report", "row": "consecutive_breaks", "broke": "last_break_at", "cold_at": "cold_since",
+    "rate": "work_rate", "slow": "latency_ratio", "fails": "failure_rate", "out_until": "ejected_until",
+    "out_for": "ejection_seconds", "budget": "cold_budget", "budget_at": "cold_budget_at", "trial": "on_trial",
+    "lost": "unreachable", "told": "reported_inflight", "told_at": "reported_at", "since": "sent_since_report",
+    "row": "consecutive_breaks", "broke": "last_break_at", "cold_at": "cold_since",
 }  # fmt: skip
 ACCOUNT: Mapping[str, str] = {
     "at": "at", "asked": "asked", "synced": "synced", "level": "level", "floor": "floor", "ceiling": "ceiling",
