--- a/cypresspulley/policy/gate.py
+++ b/cypresspulley/policy/gate.py
@@ -20,7 +20,7 @@
     """Readings of load go in, tokens come out. ``sum`` is the controller's; None: fresh, admits freely."""
 
     def __init__(self, now: float) -> None:
-        self.sum: float | None = None
+        self.integral: float | None = None
         self.u = 0.0  # admit rate a second
         self.reading = 0.0  # last load
         self.mean = 0.0  # mean work of a request
@@ -34,7 +34,7 @@
         self._held = 0  # ticks since
 
     def __repr__(self) -> str:
-        state = "fresh" if self.sum is None else f"sum {self.sum:.1f}"
+        state = "fresh" if self.integral is None else f"sum {self.integral:.1f}"
         return f"<Gate u {self.u:.1f}/s, load {self.reading:.2f}, {state}>"
 
     def arrived(self, work: float, first: bool) -> None:
@@ -69,15 +69,15 @@
         # K is made for a stream of its size: at hundreds of thin gates whole ones add up to on and off.
         gain, self.tries, self.admitted = min(GAIN, self._arrivals), 0.0, 0.0
         if dt > STALL * INTERVAL:
-            self.sum = None  # a stall: the sum belongs to a load that is gone
+            self.integral = None  # a stall: the sum belongs to a load that is gone
         elif load is not None:
             error, self.reading = REFERENCE_LOAD - load, load
-            self.u = gain * error + (admitted if self.sum is None else self.sum)
-            self.sum = self.u - gain * error
+            self.u = gain * error + (admitted if self.integral is None else self.integral)
+            self.integral = self.u - gain * error
             if load < PLAIN_ROOM * REFERENCE_LOAD and self.u < arrivals:
-                self.sum, self.u = arrivals - gain * error, arrivals
+                self.integral, self.u = arrivals - gain * error, arrivals
             if error < 0 or self.u <= arrivals:
-                self.sum = max(0.0, self.sum + gain / RESET * error)
+                self.integral = max(0.0, self.integral + gain / RESET * error)
         if load is not None or dt > STALL * INTERVAL:
             self._load, self._held = [], 0
 
@@ -88,9 +88,9 @@
         depth = max(THIN, rate * DEPTH)
         self._tokens = min(depth, self._tokens + rate * dt)
         need = work / self.mean + reserve * max(0, depth - 2)
-        return self.sum is None or self._tokens >= min(depth, need)
+        return self.integral is None or self._tokens >= min(depth, need)
 
     def admit(self, work: float) -> None:
         """A request has been sent on: it pays its tokens."""
-        self._tokens -= work / self.mean if self.sum is not None else float("-inf")  # full when fresh
+        self._tokens -= work / self.mean if self.integral is not None else float("-inf")  # full when fresh
         self.admitted += 1
--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -337,7 +337,7 @@
         fleet = max(stay * rates, self._gate.mean * least) + self._gate.mean * slack
         # Rates are a mean of seconds and lag; where answers are quick a burst may have twice the work out.
         calm = max(0.0, 1 - self._gate.reading / (PLAIN_ROOM * REFERENCE_LOAD))
-        fleet *= 1 + calm * (self._gate.sum is not None)
+        fleet *= 1 + calm * (self._gate.integral is not None)
         # Where answers are owed for long nothing new goes: a cut, hung or lost server. All alike is slowness.
         busy, patience = up if few else self._busy_of_mine(), self._patience
         quiet = [s for s in busy if s.silent_since is not None and now - s.silent_since > patience]
--- a/tests/test_symptoms.py
+++ b/tests/test_symptoms.py
@@ -184,10 +184,10 @@
     world = w.World(w.settings())
     world.feed(w.servers("s0", "s1", "s2"))
     run(world, 4, 40, 0)
-    assert world.gateway.gate.sum is not None
+    assert world.gateway.gate.integral is not None
     world.now += 30
     world.feed(api.TimerFired(world.timers.pop(0)[1]))
-    assert world.gateway.gate.sum is None
+    assert world.gateway.gate.integral is None
 
 
 def test_attempts_end_at_the_aim_where_a_late_answer_earns_nothing() -> None:
