--- a/cypresspulley/lanes/limiter.py
+++ b/cypresspulley/lanes/limiter.py
@@ -142,7 +142,7 @@
 
     def _publish(self, now: float, mine: Told) -> None:
         gate, course = self._gateway.gate, self.course
-        rate = gate.u if gate.integral is not None else 0.0
+        rate = gate.admit_rate if gate.integral is not None else 0.0
         row = LanesRow(self.machine.state, rate, gate.reading, mine.figures, course.spell, course.left(now))
         self._view.publish(SUBSYSTEM, encode(row))
 
--- a/cypresspulley/policy/gate.py
+++ b/cypresspulley/policy/gate.py
@@ -21,7 +21,7 @@
 
     def __init__(self, now: float) -> None:
         self.integral: float | None = None
-        self.u = 0.0  # admit rate a second
+        self.admit_rate = 0.0  # admit rate a second
         self.reading = 0.0  # last load
         self.mean = 0.0  # mean work of a request
         self.tries = 0.0  # since the last tick
@@ -35,7 +35,7 @@
 
     def __repr__(self) -> str:
         state = "fresh" if self.integral is None else f"sum {self.integral:.1f}"
-        return f"<Gate u {self.u:.1f}/s, load {self.reading:.2f}, {state}>"
+        return f"<Gate u {self.admit_rate:.1f}/s, load {self.reading:.2f}, {state}>"
 
     def arrived(self, work: float, first: bool) -> None:
         """A try has come, with its expected work."""
@@ -72,11 +72,11 @@
             self.integral = None  # a stall: the sum belongs to a load that is gone
         elif load is not None:
             error, self.reading = REFERENCE_LOAD - load, load
-            self.u = gain * error + (admitted if self.integral is None else self.integral)
-            self.integral = self.u - gain * error
-            if load < PLAIN_ROOM * REFERENCE_LOAD and self.u < arrivals:
-                self.integral, self.u = arrivals - gain * error, arrivals
-            if error < 0 or self.u <= arrivals:
+            self.admit_rate = gain * error + (admitted if self.integral is None else self.integral)
+            self.integral = self.admit_rate - gain * error
+            if load < PLAIN_ROOM * REFERENCE_LOAD and self.admit_rate < arrivals:
+                self.integral, self.admit_rate = arrivals - gain * error, arrivals
+            if error < 0 or self.admit_rate <= arrivals:
                 self.integral = max(0.0, self.integral + gain / RESET * error)
         if load is not None or dt > STALL * INTERVAL:
             self._load, self._held = [], 0
@@ -84,7 +84,7 @@
     def passes(self, now: float, work: float, reserve: float) -> bool:
         """Whether the bucket lets work in, keeping ``reserve`` (a share of its depth) for what is worth more."""
         # A shut gate reads nothing and would stay shut; a full bucket lets any one request pass, into debt.
-        rate, dt, self._filled = max(TRICKLE * self._arrivals, self.u), now - self._filled, now
+        rate, dt, self._filled = max(TRICKLE * self._arrivals, self.admit_rate), now - self._filled, now
         depth = max(THIN, rate * DEPTH)
         self._tokens = min(depth, self._tokens + rate * dt)
         need = work / self.mean + reserve * max(0, depth - 2)
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -65,7 +65,7 @@
         self.gate.tick(dt)
         if self._timer % 10 == 0 and self.why:
             text = ", ".join(f"{k} {n}" for k, n in sorted(self.why.items()))
-            load = f"load {self.gate.reading:.2f}, u {self.gate.u:.0f}/s"
+            load = f"load {self.gate.reading:.2f}, u {self.gate.admit_rate:.0f}/s"
             silent = ", counter silent" * (now < self.quotas.calls.silent_until)
             self._out.append(api.Log(f"turned away: {text}; {load}{silent}"))
             self.why = {}
--- a/tests/test_symptoms.py
+++ b/tests/test_symptoms.py
@@ -235,7 +235,7 @@
     world = w.World(w.settings(gateways=300))
     world.feed(w.servers("s0", "s1", "s2"))
     next_id = run(world, 60, 1, 0, elapsed=0.99)
-    assert world.gateway.gate.u < 0.5
+    assert world.gateway.gate.admit_rate < 0.5
     next_id = run(world, 60, 1, next_id, elapsed=0.02)
     late = [world.answered[i] for i in range(next_id - 20, next_id)]
     assert late.count("served") > 15
