--- a/cypresspulley/lanes/limiter.py
+++ b/cypresspulley/lanes/limiter.py
@@ -91,7 +91,7 @@
         """What is done once a period."""
         done, course, view = self.meter.cut(now), self.course, self._view
         self.heard.update(now, view.me, view.rows(now, SUBSYSTEM), view.member)
-        mine = Told(view.me, self.meter.figures(), self._gateway.gate.reading)
+        mine = Told(view.me, self.meter.figures(), self._gateway.gate.load)
         told = [mine, *self.heard.told()]
         found = pressure(told)
         course.off = self._viewless(now, told)
@@ -143,7 +143,7 @@
     def _publish(self, now: float, mine: Told) -> None:
         gate, course = self._gateway.gate, self.course
         rate = gate.admit_rate if gate.integral is not None else 0.0
-        row = LanesRow(self.machine.state, rate, gate.reading, mine.figures, course.spell, course.left(now))
+        row = LanesRow(self.machine.state, rate, gate.load, mine.figures, course.spell, course.left(now))
         self._view.publish(SUBSYSTEM, encode(row))
 
     def _report(self, done: Period, found: Shares, told: list[Told]) -> None:
--- a/cypresspulley/policy/gate.py
+++ b/cypresspulley/policy/gate.py
@@ -22,7 +22,7 @@
     def __init__(self, now: float) -> None:
         self.integral: float | None = None
         self.admit_rate = 0.0  # admit rate a second
-        self.reading = 0.0  # last load
+        self.load = 0.0  # last load
         self.mean = 0.0  # mean work of a request
         self.tries = 0.0  # since the last tick
         self.admitted = 0.0  # since the last tick
@@ -35,7 +35,7 @@
 
     def __repr__(self) -> str:
         state = "fresh" if self.integral is None else f"sum {self.integral:.1f}"
-        return f"<Gate u {self.admit_rate:.1f}/s, load {self.reading:.2f}, {state}>"
+        return f"<Gate u {self.admit_rate:.1f}/s, load {self.load:.2f}, {state}>"
 
     def arrived(self, work: float, first: bool) -> None:
         """A try has come, with its expected work."""
@@ -71,7 +71,7 @@
         if dt > STALL * INTERVAL:
             self.integral = None  # a stall: the sum belongs to a load that is gone
         elif load is not None:
-            error, self.reading = REFERENCE_LOAD - load, load
+            error, self.load = REFERENCE_LOAD - load, load
             self.admit_rate = gain * error + (admitted if self.integral is None else self.integral)
             self.integral = self.admit_rate - gain * error
             if load < PLAIN_ROOM * REFERENCE_LOAD and self.admit_rate < arrivals:
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -65,7 +65,7 @@
         self.gate.tick(dt)
         if self._timer % 10 == 0 and self.why:
             text = ", ".join(f"{k} {n}" for k, n in sorted(self.why.items()))
-            load = f"load {self.gate.reading:.2f}, u {self.gate.admit_rate:.0f}/s"
+            load = f"load {self.gate.load:.2f}, u {self.gate.admit_rate:.0f}/s"
             silent = ", counter silent" * (now < self.quotas.calls.silent_until)
             self._out.append(api.Log(f"turned away: {text}; {load}{silent}"))
             self.why = {}
@@ -107,7 +107,7 @@
 
     def _launch(self, now: float, r: Request, verdict: Verdict) -> None:
         plan = r.account.plan
-        earns = plan.over_worth > plan.over_cost and 0 < self.gate.reading < 0.6 * REFERENCE_LOAD
+        earns = plan.over_worth > plan.over_cost and 0 < self.gate.load < 0.6 * REFERENCE_LOAD
         room = verdict.inside and self.quotas.room_out(now, r, verdict)
         if room is None:
             return None
--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -333,10 +333,10 @@
         few = len(up) <= SAMPLED
         rates = sum([s.work_rate for s in up]) if few else self._rates
         least = self._least_out
-        slack = max(self._rng.random(), 3.0 - 2.5 * self._gate.reading / REFERENCE_LOAD) * (least < 3)
+        slack = max(self._rng.random(), 3.0 - 2.5 * self._gate.load / REFERENCE_LOAD) * (least < 3)
         fleet = max(stay * rates, self._gate.mean * least) + self._gate.mean * slack
         # Rates are a mean of seconds and lag; where answers are quick a burst may have twice the work out.
-        calm = max(0.0, 1 - self._gate.reading / (PLAIN_ROOM * REFERENCE_LOAD))
+        calm = max(0.0, 1 - self._gate.load / (PLAIN_ROOM * REFERENCE_LOAD))
         fleet *= 1 + calm * (self._gate.integral is not None)
         # Where answers are owed for long nothing new goes: a cut, hung or lost server. All alike is slowness.
         busy, patience = up if few else self._busy_of_mine(), self._patience
