--- a/cypresspulley/policy/gate.py
+++ b/cypresspulley/policy/gate.py
@@ -23,7 +23,7 @@
         self.integral: float | None = None
         self.admit_rate = 0.0  # admit rate a second
         self.load = 0.0  # last load
-        self.mean = 0.0  # mean work of a request
+        self.mean_work = 0.0  # mean work of a request
         self.tries = 0.0  # since the last tick
         self.admitted = 0.0  # since the last tick
         self._tokens = 0.0
@@ -40,7 +40,7 @@
     def arrived(self, work: float, first: bool) -> None:
         """A try has come, with its expected work."""
         self.tries += first
-        self.mean += (work - self.mean) * (0.02 if self.mean else 1)
+        self.mean_work += (work - self.mean_work) * (0.02 if self.mean_work else 1)
 
     def overdue(self) -> None:
         """An answer overdue is a reading before it comes."""
@@ -87,10 +87,12 @@
         rate, dt, self._filled = max(TRICKLE * self._arrivals, self.admit_rate), now - self._filled, now
         depth = max(THIN, rate * DEPTH)
         self._tokens = min(depth, self._tokens + rate * dt)
-        need = work / self.mean + reserve * max(0, depth - 2)
+        need = work / self.mean_work + reserve * max(0, depth - 2)
         return self.integral is None or self._tokens >= min(depth, need)
 
     def admit(self, work: float) -> None:
         """A request has been sent on: it pays its tokens."""
-        self._tokens -= work / self.mean if self.integral is not None else float("-inf")  # full when fresh
+        self._tokens -= (
+            work / self.mean_work if self.integral is not None else float("-inf")
+        )  # full when fresh
         self.admitted += 1
--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -334,7 +334,7 @@
         rates = sum([s.work_rate for s in up]) if few else self._rates
         least = self._least_out
         slack = max(self._rng.random(), 3.0 - 2.5 * self._gate.load / REFERENCE_LOAD) * (least < 3)
-        fleet = max(stay * rates, self._gate.mean * least) + self._gate.mean * slack
+        fleet = max(stay * rates, self._gate.mean_work * least) + self._gate.mean_work * slack
         # Rates are a mean of seconds and lag; where answers are quick a burst may have twice the work out.
         calm = max(0.0, 1 - self._gate.load / (PLAIN_ROOM * REFERENCE_LOAD))
         fleet *= 1 + calm * (self._gate.integral is not None)
@@ -348,7 +348,7 @@
             > fleet * part
         ):
             return None
-        least = max(0.5 * stay * rates / max(1, len(up)), 3.5 * self._gate.mean)
+        least = max(0.5 * stay * rates / max(1, len(up)), 3.5 * self._gate.mean_work)
         first, group, cold = r.ran[0].entry if r.ran else None, up, list[Server]()
         if first and r.cls.effect is Effect.KEYED and r.cls.scope is not api.Scope.ALL:  # it may have run
             group = self._groups.members(first.zone, first.cell if r.cls.scope is api.Scope.CELL else None)
@@ -403,7 +403,7 @@
         Whose own answers come more often than reports are renewed knows more than these tell: with three gateways
         that believed them all, each report drew all of them to one server.
         """
-        often = rates > SELDOM * self._gate.mean * len(self.mine)
+        often = rates > SELDOM * self._gate.mean_work * len(self.mine)
         told = 0 if often else self._reported.count(now)
         if not told or told * 2 < len(self.mine):
             fit = self._rng.sample(fit, 2) if len(fit) > 2 else fit
@@ -438,7 +438,7 @@
         s.cold_budget, s.cold_budget_at = s.cold_budget + fill * (now - s.cold_budget_at), now
         # One at each of hundreds of gates pushes it over: each lets pass at its phase; savings lapse by whole ones.
         one, saved = (
-            max(1e-9, self._gate.mean),
+            max(1e-9, self._gate.mean_work),
             fill * self._set.fall_window * (MAX_COLD_LOAD_SHARE / part - 1),
         )
         s.cold_budget -= one * max(0, math.ceil((s.cold_budget - saved) / one - s.budget_phase))
