--- a/cypresspulley/policy/gate.py
+++ b/cypresspulley/policy/gate.py
@@ -27,7 +27,7 @@
         self.tries = 0.0  # since the last tick
         self.admitted = 0.0  # since the last tick
         self._tokens = 0.0
-        self._arrivals = 0.0  # first tries a second
+        self._arrival_rate = 0.0  # first tries a second
         self._filled = now
         self._ticked = now
         self._load = list[float]()  # readings since they last counted
@@ -61,13 +61,13 @@
     def tick(self, dt: float) -> None:
         """The control law, once an interval."""
         arrivals, admitted = self.tries / dt, self.admitted / dt
-        self._arrivals += (0.3 if self._arrivals else 1.0) * (arrivals - self._arrivals)
-        arrivals, self._held = max(arrivals, self._arrivals), self._held + 1
+        self._arrival_rate += (0.3 if self._arrival_rate else 1.0) * (arrivals - self._arrival_rate)
+        arrivals, self._held = max(arrivals, self._arrival_rate), self._held + 1
         # Where a gate sees one request a second its few readings wait for each other, or it would never move.
         enough = len(self._load) >= 3 or (self._held >= 4 and self._load)
         load = sum(self._load) / len(self._load) if enough else None
         # K is made for a stream of its size: at hundreds of thin gates whole ones add up to on and off.
-        gain, self.tries, self.admitted = min(GAIN, self._arrivals), 0.0, 0.0
+        gain, self.tries, self.admitted = min(GAIN, self._arrival_rate), 0.0, 0.0
         if dt > STALL * INTERVAL:
             self.integral = None  # a stall: the sum belongs to a load that is gone
         elif load is not None:
@@ -84,7 +84,7 @@
     def passes(self, now: float, work: float, reserve: float) -> bool:
         """Whether the bucket lets work in, keeping ``reserve`` (a share of its depth) for what is worth more."""
         # A shut gate reads nothing and would stay shut; a full bucket lets any one request pass, into debt.
-        rate, dt, self._filled = max(TRICKLE * self._arrivals, self.admit_rate), now - self._filled, now
+        rate, dt, self._filled = max(TRICKLE * self._arrival_rate, self.admit_rate), now - self._filled, now
         depth = max(THIN, rate * DEPTH)
         self._tokens = min(depth, self._tokens + rate * dt)
         need = work / self.mean_work + reserve * max(0, depth - 2)
--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -23,7 +23,7 @@
 # Each mapping below goes from the name of a field in the snapshot to the name of the attribute that holds it. The
 # reader may be a process of another build: an attribute may be renamed, the name in the snapshot must stay.
 GATE: Mapping[str, str] = {
-    "sum": "integral", "u": "admit_rate", "reading": "load", "mean": "mean_work", "_tokens": "_tokens", "_arrivals": "_arrivals",
+    "sum": "integral", "u": "admit_rate", "reading": "load", "mean": "mean_work", "_tokens": "_tokens", "_arrivals": "_arrival_rate",
     "_filled": "_filled",
 }  # fmt: skip
 SERVER: Mapping[str, str] = {
