--- a/cypresspulley/policy/gate.py
+++ b/cypresspulley/policy/gate.py
@@ -28,7 +28,7 @@
         self.admitted = 0.0  # since the last tick
         self._tokens = 0.0
         self._arrival_rate = 0.0  # first tries a second
-        self._filled = now
+        self._filled_at = now
         self._ticked = now
         self._load = list[float]()  # readings since they last counted
         self._held = 0  # ticks since
@@ -84,7 +84,11 @@
     def passes(self, now: float, work: float, reserve: float) -> bool:
         """Whether the bucket lets work in, keeping ``reserve`` (a share of its depth) for what is worth more."""
         # A shut gate reads nothing and would stay shut; a full bucket lets any one request pass, into debt.
-        rate, dt, self._filled = max(TRICKLE * self._arrival_rate, self.admit_rate), now - self._filled, now
+        rate, dt, self._filled_at = (
+            max(TRICKLE * self._arrival_rate, self.admit_rate),
+            now - self._filled_at,
+            now,
+        )
         depth = max(THIN, rate * DEPTH)
         self._tokens = min(depth, self._tokens + rate * dt)
         need = work / self.mean_work + reserve * max(0, depth - 2)
--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -24,7 +24,7 @@
 # reader may be a process of another build: an attribute may be renamed, the name in the snapshot must stay.
 GATE: Mapping[str, str] = {
     "sum": "integral", "u": "admit_rate", "reading": "load", "mean": "mean_work", "_tokens": "_tokens", "_arrivals": "_arrival_rate",
-    "_filled": "_filled",
+    "_filled": "_filled_at",
 }  # fmt: skip
 SERVER: Mapping[str, str] = {
     "rate": "work_rate", "slow": "latency_ratio", "fails": "failure_rate", "out_until": "ejected_until",
