--- a/cypresspulley/policy/gate.py
+++ b/cypresspulley/policy/gate.py
@@ -81,7 +81,7 @@
         if load is not None or dt > STALL * INTERVAL:
             self._load, self._held = [], 0
 
-    def passes(self, now: float, work: float, reserve: float) -> bool:
+    def allows(self, now: float, work: float, reserve: float) -> bool:
         """Whether the bucket lets work in, keeping ``reserve`` (a share of its depth) for what is worth more."""
         # A shut gate reads nothing and would stay shut; a full bucket lets any one request pass, into debt.
         rate, dt, self._filled_at = (
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -89,7 +89,7 @@
             self._end(now, r, "too dear")
         elif not (self.quotas.under_ceiling(r) or self.quotas.window_may_hold(now, r)):
             self._end(now, r, "ceiling")
-        elif not self.gate.passes(now, r.work, RESERVE * (1 - r.rank)):
+        elif not self.gate.allows(now, r.work, RESERVE * (1 - r.rank)):
             self._end(now, r, "gate")
         elif (verdict := self.quotas.judge(now, r)) is not None:
             self._launch(now, r, verdict)
