--- a/cypresspulley/policy/gate.py
+++ b/cypresspulley/policy/gate.py
@@ -94,7 +94,7 @@
         need = work / self.mean_work + reserve * max(0, depth - 2)
         return self.integral is None or self._tokens >= min(depth, need)
 
-    def admit(self, work: float) -> None:
+    def charge(self, work: float) -> None:
         """A request has been sent on: it pays its tokens."""
         self._tokens -= (
             work / self.mean_work if self.integral is not None else float("-inf")
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -119,7 +119,7 @@
         if not self.quotas.under_ceiling(r) or not self._send(now, r):
             self.quotas.unsent(now, r, verdict)
             return self._end(now, r, "no server")
-        self.gate.admit(r.work)
+        self.gate.charge(r.work)
         self._retries = min(10.0, self._retries + 0.1)
         self.quotas.sent(now, r, verdict)
 
