--- a/cypresspulley/policy/gate.py
+++ b/cypresspulley/policy/gate.py
@@ -46,7 +46,7 @@
         """An answer overdue is a reading before it comes."""
         self._load.append(1.0)
 
-    def read(self, cls: api.RequestClass, status: Status, elapsed: float) -> None:
+    def record_outcome(self, cls: api.RequestClass, status: Status, elapsed: float) -> None:
         """An attempt's end: latency against the class's aim, or a refusal as full."""
         if status is Status.OK:
             self._load.append(min(1.0, elapsed / cls.aim * REFERENCE_LOAD / AIM_SHARE))
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -171,7 +171,7 @@
         s.release_work(r.work)
         if ev.status not in (Status.TIMEOUT, Status.CANCELLED, Status.UNREACHABLE):
             s.silent_since = now if s.outstanding_work > 1e-9 else None
-        self.gate.read(r.cls, ev.status, ev.elapsed)
+        self.gate.record_outcome(r.cls, ev.status, ev.elapsed)
         self.load_balancer.learn(now, r, s, ev)
 
     def _outcome(self, now: float, ev: api.Outcome) -> None:
