--- a/cypresspulley/policy/gate.py
+++ b/cypresspulley/policy/gate.py
@@ -42,7 +42,7 @@
         self.tries += first
         self.mean_work += (work - self.mean_work) * (0.02 if self.mean_work else 1)
 
-    def overdue(self) -> None:
+    def record_overdue(self) -> None:
         """An answer overdue is a reading before it comes."""
         self._load.append(1.0)
 
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -61,7 +61,7 @@
             if now >= r.deadline and not r.out:
                 self._end(now, r)
             elif r.busy and now - r.born > r.cls.aim * AIM_SHARE / REFERENCE_LOAD:
-                self.gate.overdue()
+                self.gate.record_overdue()
         self.gate.tick(dt)
         if self._timer % 10 == 0 and self.why:
             text = ", ".join(f"{k} {n}" for k, n in sorted(self.why.items()))
