--- a/cypresspulley/policy/gate.py
+++ b/cypresspulley/policy/gate.py
@@ -37,7 +37,7 @@
         state = "fresh" if self.integral is None else f"sum {self.integral:.1f}"
         return f"<Gate u {self.admit_rate:.1f}/s, load {self.load:.2f}, {state}>"
 
-    def arrived(self, work: float, first: bool) -> None:
+    def record_arrival(self, work: float, first: bool) -> None:
         """A try has come, with its expected work."""
         self.tries += first
         self.mean_work += (work - self.mean_work) * (0.02 if self.mean_work else 1)
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -81,7 +81,7 @@
         self.quotas.tell(now)
         r = self._requests[ev.id] = Request(now, ev, cls, a, self._classes.attempts(now))
         r.work = self.load_balancer.expected(cls, ev.units)
-        self.gate.arrived(r.work, not ev.repeat)
+        self.gate.record_arrival(r.work, not ev.repeat)
         value = r.worth / r.work
         self._seen.append(value)
         r.rank = bisect_left(self._ranks, value) / len(self._ranks) if self._ranks else 1.0
