--- a/cypresspulley/policy/gate.py
+++ b/cypresspulley/policy/gate.py
@@ -58,7 +58,7 @@
         dt, self._ticked = max(1e-3, now - self._ticked), now
         return dt
 
-    def tick(self, dt: float) -> None:
+    def update(self, dt: float) -> None:
         """The control law, once an interval."""
         arrivals, admitted = self.tries / dt, self.admitted / dt
         self._arrival_rate += (0.3 if self._arrival_rate else 1.0) * (arrivals - self._arrival_rate)
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -62,7 +62,7 @@
                 self._end(now, r)
             elif r.busy and now - r.born > r.cls.aim * AIM_SHARE / REFERENCE_LOAD:
                 self.gate.record_overdue()
-        self.gate.tick(dt)
+        self.gate.update(dt)
         if self._timer % 10 == 0 and self.why:
             text = ", ".join(f"{k} {n}" for k, n in sorted(self.why.items()))
             load = f"load {self.gate.load:.2f}, u {self.gate.admit_rate:.0f}/s"
