--- a/cypresspulley/policy/gate.py
+++ b/cypresspulley/policy/gate.py
@@ -53,7 +53,7 @@
         elif status in (Status.FULL, Status.TIMEOUT):
             self._load.append(1.0)
 
-    def since(self, now: float) -> float:
+    def begin_tick(self, now: float) -> float:
         """Seconds since the last tick; a tick begins."""
         dt, self._ticked = max(1e-3, now - self._ticked), now
         return dt
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -56,7 +56,7 @@
         return self._out
 
     def _tick(self, now: float) -> None:
-        dt = self.gate.since(now)
+        dt = self.gate.begin_tick(now)
         for r in list(self._requests.values()):
             if now >= r.deadline and not r.out:
                 self._end(now, r)
