--- a/cypresspulley/policy/gate.py
+++ b/cypresspulley/policy/gate.py
@@ -24,7 +24,7 @@
         self.admit_rate = 0.0  # admit rate a second
         self.load = 0.0  # last load
         self.mean_work = 0.0  # mean work of a request
-        self.tries = 0.0  # since the last tick
+        self.arrived_requests = 0.0  # since the last tick
         self.admitted = 0.0  # since the last tick
         self._tokens = 0.0
         self._arrival_rate = 0.0  # first tries a second
@@ -39,7 +39,7 @@
 
     def record_arrival(self, work: float, first: bool) -> None:
         """A try has come, with its expected work."""
-        self.tries += first
+        self.arrived_requests += first
         self.mean_work += (work - self.mean_work) * (0.02 if self.mean_work else 1)
 
     def record_overdue(self) -> None:
@@ -60,14 +60,14 @@
 
     def update(self, dt: float) -> None:
         """The control law, once an interval."""
-        arrivals, admitted = self.tries / dt, self.admitted / dt
+        arrivals, admitted = self.arrived_requests / dt, self.admitted / dt
         self._arrival_rate += (0.3 if self._arrival_rate else 1.0) * (arrivals - self._arrival_rate)
         arrivals, self._held = max(arrivals, self._arrival_rate), self._held + 1
         # Where a gate sees one request a second its few readings wait for each other, or it would never move.
         enough = len(self._load) >= 3 or (self._held >= 4 and self._load)
         load = sum(self._load) / len(self._load) if enough else None
         # K is made for a stream of its size: at hundreds of thin gates whole ones add up to on and off.
-        gain, self.tries, self.admitted = min(GAIN, self._arrival_rate), 0.0, 0.0
+        gain, self.arrived_requests, self.admitted = min(GAIN, self._arrival_rate), 0.0, 0.0
         if dt > STALL * INTERVAL:
             self.integral = None  # a stall: the sum belongs to a load that is gone
         elif load is not None:
