--- a/cypresspulley/policy/gate.py
+++ b/cypresspulley/policy/gate.py
@@ -25,7 +25,7 @@
         self.load = 0.0  # last load
         self.mean_work = 0.0  # mean work of a request
         self.arrived_requests = 0.0  # since the last tick
-        self.admitted = 0.0  # since the last tick
+        self.admitted_requests = 0.0  # since the last tick
         self._tokens = 0.0
         self._arrival_rate = 0.0  # first tries a second
         self._filled_at = now
@@ -60,14 +60,14 @@
 
     def update(self, dt: float) -> None:
         """The control law, once an interval."""
-        arrivals, admitted = self.arrived_requests / dt, self.admitted / dt
+        arrivals, admitted = self.arrived_requests / dt, self.admitted_requests / dt
         self._arrival_rate += (0.3 if self._arrival_rate else 1.0) * (arrivals - self._arrival_rate)
         arrivals, self._held = max(arrivals, self._arrival_rate), self._held + 1
         # Where a gate sees one request a second its few readings wait for each other, or it would never move.
         enough = len(self._load) >= 3 or (self._held >= 4 and self._load)
         load = sum(self._load) / len(self._load) if enough else None
         # K is made for a stream of its size: at hundreds of thin gates whole ones add up to on and off.
-        gain, self.arrived_requests, self.admitted = min(GAIN, self._arrival_rate), 0.0, 0.0
+        gain, self.arrived_requests, self.admitted_requests = min(GAIN, self._arrival_rate), 0.0, 0.0
         if dt > STALL * INTERVAL:
             self.integral = None  # a stall: the sum belongs to a load that is gone
         elif load is not None:
@@ -99,4 +99,4 @@
         self._tokens -= (
             work / self.mean_work if self.integral is not None else float("-inf")
         )  # full when fresh
-        self.admitted += 1
+        self.admitted_requests += 1
