--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -92,7 +92,7 @@
         self._rng, self._gate = rng, gate
         self.servers = dict[str, Server]()
         self._ring = HashRing()
-        self.mine = list[Server]()
+        self.subset = list[Server]()
         self._groups = Groups()
         self._least_out = 0.0  # requests that may be out here in any case: three a server over all gateways
         self._rates = 0.0  # of ``mine``, work a second: they change by the tick
@@ -142,7 +142,7 @@
         """Once an interval: rates, trials of lost servers, those that are gone."""
         probes = list[api.Action]()
         # By what warm ones finish: of what is sent the overdriven fail, and cold ones are let do less than they could.
-        if warm := [s.finished_work for s in self.mine if s.cold_since is None]:
+        if warm := [s.finished_work for s in self.subset if s.cold_since is None]:
             self._done_rate += 0.3 * (sum(warm) / len(warm) / dt - self._done_rate)
         for s in list(self._used):
             s.work_rate, s.finished_work = s.work_rate + 0.3 * (s.finished_work / dt - s.work_rate), 0.0
@@ -162,7 +162,7 @@
         if self._gone:
             self._forget_gone({s.ring_position for r in open_ for s in r.out.values()})
         self._choose(now)
-        self._rates = sum([s.work_rate for s in self.mine])
+        self._rates = sum([s.work_rate for s in self.subset])
         return probes
 
     def _forget_gone(self, busy: set[bytes]) -> None:
@@ -305,10 +305,10 @@
 
     def _take(self, mine: list[Server]) -> None:
         """These servers are this gateway's part from now on."""
-        if mine == self.mine:
+        if mine == self.subset:
             return
-        before, after = set(self.mine), set(mine)
-        self.mine = mine
+        before, after = set(self.subset), set(mine)
+        self.subset = mine
         for s in before - after:
             s.in_subset = False
             self._cold.pop(s, None)
@@ -329,7 +329,7 @@
         """The server for an attempt; None where none should get it now."""
         # By Little's law: work out is the finished work a second times the stay that is wanted; four a server
         # over all gates at least. Quick answers give a thin gate three more, a load the chance of one.
-        up, stay, part = self.mine, self._stay(r.cls), 1 - RESERVE * 0.5 * (1 - r.rank)
+        up, stay, part = self.subset, self._stay(r.cls), 1 - RESERVE * 0.5 * (1 - r.rank)
         few = len(up) <= SAMPLED
         rates = sum([s.work_rate for s in up]) if few else self._rates
         least = self._least_out
@@ -371,7 +371,7 @@
         pool = group
         if r.tries:
             pool = [s for s in group if all(s is not x for x, _ in r.tries)] or group
-        if not all(s.ejected_until > now for s in self.mine):  # every server is out: any beats none
+        if not all(s.ejected_until > now for s in self.subset):  # every server is out: any beats none
             pool = [
                 s
                 for s in pool
@@ -403,9 +403,9 @@
         Whose own answers come more often than reports are renewed knows more than these tell: with three gateways
         that believed them all, each report drew all of them to one server.
         """
-        often = rates > SELDOM * self._gate.mean_work * len(self.mine)
+        often = rates > SELDOM * self._gate.mean_work * len(self.subset)
         told = 0 if often else self._reported.count(now)
-        if not told or told * 2 < len(self.mine):
+        if not told or told * 2 < len(self.subset):
             fit = self._rng.sample(fit, 2) if len(fit) > 2 else fit
             costs = {
                 s.ring_position: max(1.0, s.latency_ratio)
@@ -463,7 +463,7 @@
         # One connection that breaks is no dead server: more must, one behind the other (what was out together
         # breaks together), with no answer in between, in a row that is as long as breaks are usual.
         snapped = ev.status in (Status.UNREACHABLE, Status.DROPPED, Status.BROKEN)
-        up = [s] if ev.status is Status.OK and not s.ejection_seconds else self._sample(self.mine) or [s]
+        up = [s] if ev.status is Status.OK and not s.ejection_seconds else self._sample(self.subset) or [s]
         usual, outs = sorted(x.failure_rate for x in up)[len(up) // 2], sum(x.ejected_until > now for x in up)
         vain = ev.status is Status.UNREACHABLE  # each such dial is a sign of its own
         if snapped:
--- a/tests/test_decision_cost.py
+++ b/tests/test_decision_cost.py
@@ -115,5 +115,5 @@
         gateway = Gateway(settings(gateways), 1, 0.0)
         entries = tuple(api.ServerEntry(f"s{n}", api.Health.UP, "a") for n in range(count))
         gateway.handle(0.0, api.ServerList(entries, True))
-        parts.append(len(gateway.load_balancer.mine))
+        parts.append(len(gateway.load_balancer.subset))
     assert parts[1] <= 2.5 * parts[0] + 48
--- a/tests/test_symptoms.py
+++ b/tests/test_symptoms.py
@@ -367,11 +367,11 @@
         0.1,
         0.4,
     )
-    for server in gateway.load_balancer.mine:  # 0.25 s of what they do is 2.5; 2.6 is out
+    for server in gateway.load_balancer.subset:  # 0.25 s of what they do is 2.5; 2.6 is out
         server.work_rate, server.outstanding_work = 2.5, 0.65
     world.feed(w.request(1, "patient"))
     assert world.answered[1] == "refused"
-    for server in gateway.load_balancer.mine:
+    for server in gateway.load_balancer.subset:
         server.outstanding_work = 0.5
     world.feed(w.request(2, "hasty"))
     assert (2, 0) in world.out
