--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -105,7 +105,7 @@
         self._gone = dict[Server, None]()  # left the list
         self.bans = set[str]()  # servers taken out by hand
         self.known = dict[str, float]()  # births of all ever listed, where told
-        self.base = dict[str, float]()  # idle latency of a class
+        self.idle_latency = dict[str, float]()  # idle latency of a class
         self.sizes = UnitCostModel()
         self._done_rate = 0.0
         self._settle(settings)
@@ -119,13 +119,13 @@
     def retune(self, now: float, settings: api.Settings) -> None:
         """Other settings; what is known of the servers goes on, and of classes that are what they were."""
         same = {c.name for c in settings.classes if c in self._set.classes}
-        self.base = {name: idle for name, idle in self.base.items() if name in same}
+        self.idle_latency = {name: idle for name, idle in self.idle_latency.items() if name in same}
         self._settle(settings)
         self._arrange(now)
 
     def expected(self, cls: api.RequestClass, units: float) -> float:
         """Seconds that a request's work is likely to take an idle server."""
-        return self.base.setdefault(cls.name, cls.aim * 0.1) * self.sizes.factor(units)
+        return self.idle_latency.setdefault(cls.name, cls.aim * 0.1) * self.sizes.factor(units)
 
     @property
     def ring(self) -> list[Server]:
@@ -322,7 +322,7 @@
     def _stay(self, cls: api.RequestClass) -> float:
         """The stay at a server that work of a class may bring about, in seconds. One queue serves all classes:
         a longer request may fill it beyond the shortest aim by what it is longer, being most of it itself."""
-        longer = self.base.get(cls.name, 0.0) - self.base.get(self._tightest, 0.0)
+        longer = self.idle_latency.get(cls.name, 0.0) - self.idle_latency.get(self._tightest, 0.0)
         return min(cls.aim * AIM_SHARE, self._patience + LONGER * max(0.0, longer))
 
     def pick(self, now: float, r: Request) -> Server | None:
@@ -450,9 +450,9 @@
         if ev.status is Status.OK:
             s.finished_work += r.work
             self._used[s] = None
-            base, size = self.base.setdefault(r.cls.name, r.cls.aim * 0.1), self.sizes.factor(r.units)
+            base, size = self.idle_latency.setdefault(r.cls.name, r.cls.aim * 0.1), self.sizes.factor(r.units)
             own = ev.elapsed / size
-            self.base[r.cls.name] = base + (own - base) * (0.01 if own > base else 0.02)
+            self.idle_latency[r.cls.name] = base + (own - base) * (0.01 if own > base else 0.02)
             s.latency_ratio += (0.1 if s.latency_ratio else 1.0) * (own / base - s.latency_ratio)
             self.sizes.learn(r.units, ev.elapsed / base)
         mute = (
--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -85,7 +85,7 @@
         "retries": gateway._retries,
         "seen": list(gateway._seen),
         "gate": _read_attributes(gateway.gate, GATE),
-        "base": load_balancer.base,
+        "base": load_balancer.idle_latency,
         "sizes": _read_attributes(load_balancer.sizes, SIZES),
         "done_rate": load_balancer._done_rate,
         "bans": sorted(load_balancer.bans),
@@ -128,7 +128,7 @@
     gateway._seen.extend(map(float, state["seen"]))
     gateway._ranks = sorted(gateway._seen)
     _write_attributes(gateway.gate, state["gate"], GATE)
-    load_balancer.base.update({str(name): float(value) for name, value in state["base"].items()})
+    load_balancer.idle_latency.update({str(name): float(value) for name, value in state["base"].items()})
     _write_attributes(load_balancer.sizes, state["sizes"], SIZES)
     load_balancer._done_rate = float(state["done_rate"])
     load_balancer.bans.update(map(str, state["bans"]))
--- a/tests/takeover/test_snapshot.py
+++ b/tests/takeover/test_snapshot.py
@@ -81,7 +81,10 @@
             after.load_balancer.servers[name].work_rate == server.work_rate
             and after.load_balancer.servers[name].latency_ratio == server.latency_ratio
         )
-    assert repr(after.gate) == repr(old.gate) and after.load_balancer.base == old.load_balancer.base
+    assert (
+        repr(after.gate) == repr(old.gate)
+        and after.load_balancer.idle_latency == old.load_balancer.idle_latency
+    )
     assert after.quotas._born == old.quotas._born
 
 
--- a/tests/test_reload_plans.py
+++ b/tests/test_reload_plans.py
@@ -72,10 +72,10 @@
 def test_a_class_of_another_meaning_begins_with_no_learnt_latency() -> None:
     gateway = started(PLAIN)
     ask(gateway, 1.0, 1)
-    assert gateway.load_balancer.base == {"look": 0.1}
+    assert gateway.load_balancer.idle_latency == {"look": 0.1}
     slow = replace(LOOK, aim=10.0)
     gateway.handle(2.0, api.Retune(settings(PLAIN, slow)))
     ask(gateway, 2.1, 2)
-    assert gateway.load_balancer.base == {"look": 1.0}
+    assert gateway.load_balancer.idle_latency == {"look": 1.0}
     gateway.handle(2.2, api.Outcome(1, 0, "s1", api.Status.OK, 0.2, True, {}))  # one of before is answered
-    assert gateway.load_balancer.base["look"] > 0.9
+    assert gateway.load_balancer.idle_latency["look"] > 0.9
--- a/tests/test_symptoms.py
+++ b/tests/test_symptoms.py
@@ -362,7 +362,7 @@
     world = w.World(w.settings(classes=(hasty, patient), plans=(api.Plan("free"),), gateways=1))
     world.feed(w.servers("s0", "s1", "s2", "s3"))
     gateway = world.gateway
-    gateway.load_balancer.base, gateway.gate.mean_work, gateway.gate.load = (
+    gateway.load_balancer.idle_latency, gateway.gate.mean_work, gateway.gate.load = (
         {"hasty": 0.1, "patient": 0.1},
         0.1,
         0.4,
