--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -104,7 +104,7 @@
         self._used = dict[Server, None]()  # have a rate or are lost
         self._gone = dict[Server, None]()  # left the list
         self.bans = set[str]()  # servers taken out by hand
-        self.known = dict[str, float]()  # births of all ever listed, where told
+        self.births = dict[str, float]()  # births of all ever listed, where told
         self.idle_latency = dict[str, float]()  # idle latency of a class
         self.sizes = UnitCostModel()
         self._done_rate = 0.0
@@ -189,7 +189,7 @@
             started = self._age_of_start(now, e, s, ev.previous)
             s.entry, s.up, s.gone = e, e.health is api.Health.UP, e.health is api.Health.GONE
             s.listed_at = now
-            self.known[e.name] = e.born
+            self.births[e.name] = e.born
             if started is not None and started < self._set.warm_after:
                 self._begin_slow_start(now, s, now - started)
                 s.latency_ratio, s.ejected_until, s.on_trial = 0.0, min(s.ejected_until, now), False
@@ -197,8 +197,8 @@
                 self._gone[s] = None
             if not ev.complete:
                 self._update(s)
-        while len(self.known) > MAX_KNOWN_SERVERS:
-            del self.known[next(iter(self.known))]
+        while len(self.births) > MAX_KNOWN_SERVERS:
+            del self.births[next(iter(self.births))]
         if ev.complete:
             self._gone = {s: None for s in self.servers.values() if s.gone}
             self._arrange(now)
@@ -225,7 +225,7 @@
         A birth is wall time, and the wall clock may step: any birth but the last one known is a new start, which came
         about after discovery spoke last. The clock is believed only between then and now.
         """
-        last_known = self.known.get(entry.name)
+        last_known = self.births.get(entry.name)
         if entry.born == 0.0:  # long ago
             return None
         if last_known is not None and abs(entry.born - last_known) <= SAME_BIRTH:
@@ -241,7 +241,7 @@
 
         A ban goes by the name and lies over the list, so that it outlasts a server that leaves and returns.
         """
-        if not (ev.sure or ev.server in self.known or ev.server in self.bans):
+        if not (ev.sure or ev.server in self.births or ev.server in self.bans):
             return False
         back, s = ev.server in self.bans and not ev.out, self.servers.get(ev.server)
         (self.bans.add if ev.out else self.bans.discard)(ev.server)
--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -89,8 +89,8 @@
         "sizes": _read_attributes(load_balancer.sizes, SIZES),
         "done_rate": load_balancer._done_rate,
         "bans": sorted(load_balancer.bans),
-        "known": list(load_balancer.known),
-        "births": load_balancer.known,
+        "known": list(load_balancer.births),
+        "births": load_balancer.births,
         "servers": [
             {"entry": asdict(s.entry) | {"health": s.entry.health.value}, "up": s.up, **_read_attributes(s, SERVER)}
             for s in load_balancer.servers.values()
@@ -133,7 +133,7 @@
     load_balancer._done_rate = float(state["done_rate"])
     load_balancer.bans.update(map(str, state["bans"]))
     births = state.get("births", {})  # a predecessor of an older version tells none
-    load_balancer.known.update({str(name): births.get(name) for name in state["known"]})
+    load_balancer.births.update({str(name): births.get(name) for name in state["known"]})
     rows = [(_entry(row["entry"]), row) for row in state["servers"]]
     load_balancer.listed(now, api.ServerList(tuple(entry for entry, _ in rows), True))
     for entry, row in rows:
--- a/tests/takeover/test_handover.py
+++ b/tests/takeover/test_handover.py
@@ -188,7 +188,7 @@
             assert new.inherited
             assert new.gateway.load_balancer.servers["s1"].cold_since == begun
             assert abs(new.clock() - old.clock()) < 1.0
-            assert new.gateway.load_balancer.known == old.gateway.load_balancer.known
+            assert new.gateway.load_balancer.births == old.gateway.load_balancer.births
             assert new.gateway.quotas._born == old.gateway.quotas._born <= new.clock()
             await old.end()
             await new.end()
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -38,6 +38,6 @@
             world.advance(world.now + 1.1)
     world.advance(world.now + 3.0)
     assert (
-        len(world.gateway.load_balancer.known) == load_balancer.MAX_KNOWN_SERVERS
+        len(world.gateway.load_balancer.births) == load_balancer.MAX_KNOWN_SERVERS
         and len(world.gateway.load_balancer.servers) <= 2
     )
