--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -106,7 +106,7 @@
         self.bans = set[str]()  # servers taken out by hand
         self.births = dict[str, float]()  # births of all ever listed, where told
         self.idle_latency = dict[str, float]()  # idle latency of a class
-        self.sizes = UnitCostModel()
+        self.unit_cost = UnitCostModel()
         self._done_rate = 0.0
         self._settle(settings)
 
@@ -125,7 +125,7 @@
 
     def expected(self, cls: api.RequestClass, units: float) -> float:
         """Seconds that a request's work is likely to take an idle server."""
-        return self.idle_latency.setdefault(cls.name, cls.aim * 0.1) * self.sizes.factor(units)
+        return self.idle_latency.setdefault(cls.name, cls.aim * 0.1) * self.unit_cost.factor(units)
 
     @property
     def ring(self) -> list[Server]:
@@ -450,11 +450,14 @@
         if ev.status is Status.OK:
             s.finished_work += r.work
             self._used[s] = None
-            base, size = self.idle_latency.setdefault(r.cls.name, r.cls.aim * 0.1), self.sizes.factor(r.units)
+            base, size = (
+                self.idle_latency.setdefault(r.cls.name, r.cls.aim * 0.1),
+                self.unit_cost.factor(r.units),
+            )
             own = ev.elapsed / size
             self.idle_latency[r.cls.name] = base + (own - base) * (0.01 if own > base else 0.02)
             s.latency_ratio += (0.1 if s.latency_ratio else 1.0) * (own / base - s.latency_ratio)
-            self.sizes.learn(r.units, ev.elapsed / base)
+            self.unit_cost.learn(r.units, ev.elapsed / base)
         mute = (
             ev.status is Status.TIMEOUT
             and s.silent_since is not None
--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -86,7 +86,7 @@
         "seen": list(gateway._seen),
         "gate": _read_attributes(gateway.gate, GATE),
         "base": load_balancer.idle_latency,
-        "sizes": _read_attributes(load_balancer.sizes, SIZES),
+        "sizes": _read_attributes(load_balancer.unit_cost, SIZES),
         "done_rate": load_balancer._done_rate,
         "bans": sorted(load_balancer.bans),
         "known": list(load_balancer.births),
@@ -129,7 +129,7 @@
     gateway._ranks = sorted(gateway._seen)
     _write_attributes(gateway.gate, state["gate"], GATE)
     load_balancer.idle_latency.update({str(name): float(value) for name, value in state["base"].items()})
-    _write_attributes(load_balancer.sizes, state["sizes"], SIZES)
+    _write_attributes(load_balancer.unit_cost, state["sizes"], SIZES)
     load_balancer._done_rate = float(state["done_rate"])
     load_balancer.bans.update(map(str, state["bans"]))
     births = state.get("births", {})  # a predecessor of an older version tells none
