--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -107,7 +107,7 @@
         self.births = dict[str, float]()  # births of all ever listed, where told
         self.idle_latency = dict[str, float]()  # idle latency of a class
         self.unit_cost = UnitCostModel()
-        self._done_rate = 0.0
+        self._mean_finish_rate = 0.0
         self._settle(settings)
 
     def _settle(self, settings: api.Settings) -> None:
@@ -143,7 +143,7 @@
         probes = list[api.Action]()
         # By what warm ones finish: of what is sent the overdriven fail, and cold ones are let do less than they could.
         if warm := [s.finished_work for s in self.subset if s.cold_since is None]:
-            self._done_rate += 0.3 * (sum(warm) / len(warm) / dt - self._done_rate)
+            self._mean_finish_rate += 0.3 * (sum(warm) / len(warm) / dt - self._mean_finish_rate)
         for s in list(self._used):
             s.work_rate, s.finished_work = s.work_rate + 0.3 * (s.finished_work / dt - s.work_rate), 0.0
             if (
@@ -434,7 +434,7 @@
         s.cold_since = s.cold_since if warmth < 1 else None
         # As busy as the warm ones, and no more: what it may get beyond that without falling it could not do in time.
         part = min(STEADY_COLD_LOAD_SHARE, 1 / max(1e-9, self._set.fall_multiple))
-        fill = part * self._set.fall_multiple * min(1.0, warmth) * self._done_rate
+        fill = part * self._set.fall_multiple * min(1.0, warmth) * self._mean_finish_rate
         s.cold_budget, s.cold_budget_at = s.cold_budget + fill * (now - s.cold_budget_at), now
         # One at each of hundreds of gates pushes it over: each lets pass at its phase; savings lapse by whole ones.
         one, saved = (
--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -87,7 +87,7 @@
         "gate": _read_attributes(gateway.gate, GATE),
         "base": load_balancer.idle_latency,
         "sizes": _read_attributes(load_balancer.unit_cost, SIZES),
-        "done_rate": load_balancer._done_rate,
+        "done_rate": load_balancer._mean_finish_rate,
         "bans": sorted(load_balancer.bans),
         "known": list(load_balancer.births),
         "births": load_balancer.births,
@@ -130,7 +130,7 @@
     _write_attributes(gateway.gate, state["gate"], GATE)
     load_balancer.idle_latency.update({str(name): float(value) for name, value in state["base"].items()})
     _write_attributes(load_balancer.unit_cost, state["sizes"], SIZES)
-    load_balancer._done_rate = float(state["done_rate"])
+    load_balancer._mean_finish_rate = float(state["done_rate"])
     load_balancer.bans.update(map(str, state["bans"]))
     births = state.get("births", {})  # a predecessor of an older version tells none
     load_balancer.births.update({str(name): births.get(name) for name in state["known"]})
