--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -121,7 +121,7 @@
         same = {c.name for c in settings.classes if c in self._set.classes}
         self.idle_latency = {name: idle for name, idle in self.idle_latency.items() if name in same}
         self._settle(settings)
-        self._arrange(now)
+        self._rebuild(now)
 
     def expected(self, cls: api.RequestClass, units: float) -> float:
         """Seconds that a request's work is likely to take an idle server."""
@@ -201,7 +201,7 @@
             del self.births[next(iter(self.births))]
         if ev.complete:
             self._gone = {s: None for s in self.servers.values() if s.gone}
-            self._arrange(now)
+            self._rebuild(now)
         else:
             self._choose(now)
 
@@ -262,13 +262,13 @@
                 False,
                 False,
             )
-        self._arrange(now)
+        self._rebuild(now)
         return True
 
     def _usable(self, server: Server) -> bool:
         return server.up and server.entry.name not in self.bans
 
-    def _arrange(self, now: float) -> None:
+    def _rebuild(self, now: float) -> None:
         """Make all that is derived from the servers anew."""
         usable = [s for s in self.servers.values() if self._usable(s)]
         self._ring.rebuild(usable)
--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -141,7 +141,7 @@
         _write_attributes(server, row, SERVER)
         server.up = bool(row["up"])
         server.cold_budget *= 1 - KEPT if server.cold_budget > 0 else 1
-    load_balancer._arrange(now)
+    load_balancer._rebuild(now)
     quotas._born = float(state["born"])
     _write_attributes(quotas.calls, state["calls"], CALLS)
     # A predecessor of an older version tells it as "life".
