--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -180,7 +180,7 @@
             s.ejected_until, s.silent_since, s.unreachable = now, None, False
             self._begin_slow_start(now, s, now)
 
-    def listed(self, now: float, ev: api.ServerList) -> None:
+    def update_servers(self, now: float, ev: api.ServerList) -> None:
         if ev.complete:
             for old in self.servers.values():
                 old.up, old.gone = False, True
--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -135,7 +135,7 @@
     births = state.get("births", {})  # a predecessor of an older version tells none
     load_balancer.births.update({str(name): births.get(name) for name in state["known"]})
     rows = [(_entry(row["entry"]), row) for row in state["servers"]]
-    load_balancer.listed(now, api.ServerList(tuple(entry for entry, _ in rows), True))
+    load_balancer.update_servers(now, api.ServerList(tuple(entry for entry, _ in rows), True))
     for entry, row in rows:
         server = load_balancer.servers[entry.name]
         _write_attributes(server, row, SERVER)
