--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -95,7 +95,7 @@
             self._launch(now, r, verdict)
 
     def _suspend(self, now: float, ev: api.Suspend) -> None:
-        if self.load_balancer.suspended(now, ev):
+        if self.load_balancer.set_ban(now, ev):
             self._out.append(api.Ban(ev.server, ev.out))
 
     def _retune(self, now: float, ev: api.Retune) -> None:
--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -236,7 +236,7 @@
         age = max(0.0, now - entry.born)
         return age if known_otherwise is None else min(age, max(0.0, now - known_otherwise))
 
-    def suspended(self, now: float, ev: api.Suspend) -> bool:
+    def set_ban(self, now: float, ev: api.Suspend) -> bool:
         """Operators take a server out or call it back; False for an id that was never listed.
 
         A ban goes by the name and lies over the list, so that it outlasts a server that leaves and returns.
--- a/tests/explore/mutants.py
+++ b/tests/explore/mutants.py
@@ -107,7 +107,7 @@
         "by hand", ("drains kept",),
     ),
     Mutant(
-        "a server called back not cold", LoadBalancer, "suspended",
+        "a server called back not cold", LoadBalancer, "set_ban",
         "self._begin_slow_start(now, s, now)", "s.cold_since = None",
         "cold by hand", ("no cold server pushed over",),
         inside=100.0,
