--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -125,7 +125,7 @@
 
     def _send(self, now: float, r: Request, latest: float = inf) -> bool:
         wait = r.due - now
-        s = self.load_balancer.pick(now, r) if wait > 0 else None
+        s = self.load_balancer.pick_server(now, r) if wait > 0 else None
         if s is None:
             return False
         if r.cls.effect is not Effect.UNSAFE and len(r.tries) + 1 < r.attempts:
--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -325,7 +325,7 @@
         longer = self.idle_latency.get(cls.name, 0.0) - self.idle_latency.get(self._tightest, 0.0)
         return min(cls.aim * AIM_SHARE, self._patience + LONGER * max(0.0, longer))
 
-    def pick(self, now: float, r: Request) -> Server | None:
+    def pick_server(self, now: float, r: Request) -> Server | None:
         """The server for an attempt; None where none should get it now."""
         # By Little's law: work out is the finished work a second times the stay that is wanted; four a server
         # over all gates at least. Quick answers give a thin gate three more, a load the chance of one.
