--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -144,7 +144,7 @@
     def _busy(self, now: float, r: Request, s: Server) -> None:
         """It is out from now on: its work is at the server, which owes an answer."""
         r.busy, r.account.open = True, r.account.open + 1
-        self.load_balancer.begin(now, s, r.work)
+        self.load_balancer.begin_attempt(now, s, r.work)
 
     def _body(self, now: float, ev: api.Body) -> None:
         """A body that flows: a server begins with its last byte, and so do the client's time and the work."""
--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -132,7 +132,7 @@
         """All usable servers, from this gateway's place on."""
         return self._ring.part(self._set.index, self._set.gateways)
 
-    def begin(self, now: float, server: Server, work: float) -> None:
+    def begin_attempt(self, now: float, server: Server, work: float) -> None:
         """Work is out at a server from now on, which owes an answer."""
         server.outstanding_work += work
         server.silent_since = now if server.silent_since is None else server.silent_since
