--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -40,7 +40,7 @@
         self._handlers: dict[type, Callable[[float, Any], None]] = {
             api.Request: self._arrive, api.Body: self._body, api.Began: self._began, api.Outcome: self._outcome,
             api.ServerList: self.load_balancer.update_servers, api.Suspend: self._suspend, api.Retune: self._retune,
-            api.Probed: self.load_balancer.probed, api.Heard: self.quotas.heard, api.Counted: self.quotas.calls.answered,
+            api.Probed: self.load_balancer.record_probe, api.Heard: self.quotas.heard, api.Counted: self.quotas.calls.answered,
             api.WallClock: lambda _now, ev: self.quotas.wall.step(ev.shift), api.TimerFired: lambda _now, _ev: None,
             api.Departed: lambda now, ev: self._forget(now, ev.id),
         }  # fmt: skip
--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -175,7 +175,7 @@
                 del self.servers[s.entry.name]
                 self._used.pop(s, None)
 
-    def probed(self, now: float, ev: api.Probed) -> None:
+    def record_probe(self, now: float, ev: api.Probed) -> None:
         if ev.status is Status.OK and (s := self.servers.get(ev.server)) and s.unreachable:
             s.ejected_until, s.silent_since, s.unreachable = now, None, False
             self._begin_slow_start(now, s, now)
