--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -80,7 +80,7 @@
         a = self.quotas.account(now, ev)
         self.quotas.tell(now)
         r = self._requests[ev.id] = Request(now, ev, cls, a, self._classes.attempts(now))
-        r.work = self.load_balancer.expected(cls, ev.units)
+        r.work = self.load_balancer.expected_work(cls, ev.units)
         self.gate.record_arrival(r.work, not ev.repeat)
         value = r.worth / r.work
         self._seen.append(value)
--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -123,7 +123,7 @@
         self._settle(settings)
         self._rebuild(now)
 
-    def expected(self, cls: api.RequestClass, units: float) -> float:
+    def expected_work(self, cls: api.RequestClass, units: float) -> float:
         """Seconds that a request's work is likely to take an idle server."""
         return self.idle_latency.setdefault(cls.name, cls.aim * 0.1) * self.unit_cost.factor(units)
 
