--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -102,7 +102,7 @@
         """Levels, loads and what is out go on; open requests keep the records that they were let in under."""
         self._set = ev.settings
         self._classes.change(now, ev.settings)
-        self.load_balancer.retune(now, ev.settings)
+        self.load_balancer.apply_settings(now, ev.settings)
         self.quotas.retune(now, ev.settings)
 
     def _launch(self, now: float, r: Request, verdict: Verdict) -> None:
--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -116,7 +116,7 @@
         self._tightest = shortest.name if shortest else ""
         self._patience = AIM_SHARE * (shortest.aim if shortest else 1.0)
 
-    def retune(self, now: float, settings: api.Settings) -> None:
+    def apply_settings(self, now: float, settings: api.Settings) -> None:
         """Other settings; what is known of the servers goes on, and of classes that are what they were."""
         same = {c.name for c in settings.classes if c in self._set.classes}
         self.idle_latency = {name: idle for name, idle in self.idle_latency.items() if name in same}
