--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -186,7 +186,7 @@
                 old.up, old.gone = False, True
         for e in ev.entries:
             s = self.servers.get(e.name) or self.servers.setdefault(e.name, Server(e, self._rng.random()))
-            started = self._age_of_start(now, e, s, ev.previous)
+            started = self._start_age(now, e, s, ev.previous)
             s.entry, s.up, s.gone = e, e.health is api.Health.UP, e.health is api.Health.GONE
             s.listed_at = now
             self.births[e.name] = e.born
@@ -217,7 +217,7 @@
         if server.in_subset:
             self._cold[server] = None
 
-    def _age_of_start(
+    def _start_age(
         self, now: float, entry: api.ServerEntry, server: Server, previous: float | None
     ) -> float | None:
         """Seconds since a start that is news; None where the entry tells of none.
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -54,7 +54,7 @@
     def believed(_fleet: LoadBalancer, now: float, entry: api.ServerEntry, *_: Any) -> float | None:
         return now - entry.born + 100.0 if entry.born else None
 
-    with patch.object(LoadBalancer, "_age_of_start", believed):
+    with patch.object(LoadBalancer, "_start_age", believed):
         yield
 
 
