--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -356,7 +356,7 @@
             cold = self._fit(now, r, self._sample(list(self._cold)), quiet, stay, least, part)
         found = self._fit(now, r, group if few else self._sample(group), quiet, stay, least, part)
         # A cold one whose part is there comes first: left to chance among all, a thin gate's parts went unused.
-        cold = [s for s in cold or found if s.cold_since is not None and self._cold_room(now, s, r)]
+        cold = [s for s in cold or found if s.cold_since is not None and self._has_cold_budget(now, s, r)]
         if cold:
             return self._least(now, cold, r, rates)
         warm = [s for s in found if s.cold_since is None]
@@ -428,7 +428,7 @@
             )
         return min(fit, key=lambda s: costs[s.ring_position], default=None)
 
-    def _cold_room(self, now: float, s: Server, r: Request) -> bool:
+    def _has_cold_budget(self, now: float, s: Server, r: Request) -> bool:
         low, age = self._set.cold_share, max(0.0, now - (s.cold_since or 0.0))
         warmth = low + (1 - low) * age / max(1e-9, self._set.warm_after)
         s.cold_since = s.cold_since if warmth < 1 else None
--- a/tests/explore/mutants.py
+++ b/tests/explore/mutants.py
@@ -95,7 +95,7 @@
         "slow", ("no request lost", "no effect twice", "log"),
     ),
     Mutant(
-        "a budget that forgets a restart", LoadBalancer, "_cold_room",
+        "a budget that forgets a restart", LoadBalancer, "_has_cold_budget",
         "return s.cold_budget > s.budget_phase * r.work", "return True",
         "cold", ("no cold server pushed over",),
         inside=100.0,
