--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -207,7 +207,7 @@
 
     def _update(self, server: Server) -> None:
         """Take a server in or off by what the list and operators say of it now."""
-        usable = self._usable(server)
+        usable = self._is_usable(server)
         self._ring.update(server, usable)
         self._groups.update(server, usable)
 
@@ -265,12 +265,12 @@
         self._rebuild(now)
         return True
 
-    def _usable(self, server: Server) -> bool:
+    def _is_usable(self, server: Server) -> bool:
         return server.up and server.entry.name not in self.bans
 
     def _rebuild(self, now: float) -> None:
         """Make all that is derived from the servers anew."""
-        usable = [s for s in self.servers.values() if self._usable(s)]
+        usable = [s for s in self.servers.values() if self._is_usable(s)]
         self._ring.rebuild(usable)
         self._groups.rebuild(usable)
         self._out = {s: None for s in self.servers.values() if s.ejected_until > now}
--- a/tests/explore/mutants.py
+++ b/tests/explore/mutants.py
@@ -102,7 +102,7 @@
         shown_by=2,
     ),
     Mutant(
-        "a ban lost", LoadBalancer, "_usable",
+        "a ban lost", LoadBalancer, "_is_usable",
         "server.up and server.entry.name not in self.bans", "server.up",
         "by hand", ("drains kept",),
     ),
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -69,7 +69,7 @@
     def usable(_fleet: LoadBalancer, server: Any) -> bool:
         return not server.gone
 
-    with patch.object(Upstream, "update", up), patch.object(LoadBalancer, "_usable", usable):
+    with patch.object(Upstream, "update", up), patch.object(LoadBalancer, "_is_usable", usable):
         yield
 
 
