--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -172,7 +172,7 @@
         if ev.status not in (Status.TIMEOUT, Status.CANCELLED, Status.UNREACHABLE):
             s.silent_since = now if s.outstanding_work > 1e-9 else None
         self.gate.record_outcome(r.cls, ev.status, ev.elapsed)
-        self.load_balancer.learn(now, r, s, ev)
+        self.load_balancer.record_outcome(now, r, s, ev)
 
     def _outcome(self, now: float, ev: api.Outcome) -> None:
         r, s = self._requests.get(ev.id), self.load_balancer.servers.get(ev.server)
@@ -183,7 +183,9 @@
             if r.busy:
                 self._learn(now, r, s, ev)
             elif r.coming or ev.status is not Status.OK:
-                self.load_balancer.learn(now, r, s, ev)  # it ended while its body or its answer flowed
+                self.load_balancer.record_outcome(
+                    now, r, s, ev
+                )  # it ended while its body or its answer flowed
             self.quotas.settle(now, r, ev)
             if s.outstanding_work <= 1e-9:
                 s.silent_since = (
--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -444,7 +444,7 @@
         s.cold_budget -= one * max(0, math.ceil((s.cold_budget - saved) / one - s.budget_phase))
         return s.cold_budget > s.budget_phase * r.work
 
-    def learn(self, now: float, r: Request, s: Server, ev: api.Outcome) -> None:
+    def record_outcome(self, now: float, r: Request, s: Server, ev: api.Outcome) -> None:
         if (held := ev.report.get("inflight")) is not None:
             self._reported.renew(s, max(0.0, held), now)
         if ev.status is Status.OK:
--- a/tests/rehearsal/virtual/test_fleets.py
+++ b/tests/rehearsal/virtual/test_fleets.py
@@ -32,12 +32,12 @@
 
 @pytest.mark.long
 def test_a_fleet_that_learns_nothing_of_bad_servers_misses_its_goal(monkeypatch: pytest.MonkeyPatch) -> None:
-    learn = LoadBalancer.learn
+    learn = LoadBalancer.record_outcome
 
     def forgetful(fleet: LoadBalancer, now: float, r: Any, s: Any, ev: Any) -> None:
         learn(fleet, now, r, s, ev)
         s.failure_rate, s.ejected_until, s.on_trial = 0.0, 0.0, False
 
-    monkeypatch.setattr(LoadBalancer, "learn", forgetful)
+    monkeypatch.setattr(LoadBalancer, "record_outcome", forgetful)
     verdict = played(shortened("fleet-release", 12.0))
     assert verdict.kept and not verdict.met
