--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -44,7 +44,7 @@
     def factor(self, units: float) -> float:
         return max(0.2, 1 + self.slope * (units / self.mean - 1))
 
-    def learn(self, units: float, latency: float) -> None:
+    def update(self, units: float, latency: float) -> None:
         self._seen += 1
         part = max(0.005, 1 / self._seen)
         self.mean += part * (units - self.mean)
@@ -457,7 +457,7 @@
             own = ev.elapsed / size
             self.idle_latency[r.cls.name] = base + (own - base) * (0.01 if own > base else 0.02)
             s.latency_ratio += (0.1 if s.latency_ratio else 1.0) * (own / base - s.latency_ratio)
-            self.unit_cost.learn(r.units, ev.elapsed / base)
+            self.unit_cost.update(r.units, ev.elapsed / base)
         mute = (
             ev.status is Status.TIMEOUT
             and s.silent_since is not None
--- a/tests/test_symptoms.py
+++ b/tests/test_symptoms.py
@@ -382,8 +382,8 @@
     for _ in range(500):
         units = rng.choice((1.0, 2.0, 4.0, 8.0))
         noise = rng.uniform(0.7, 1.3)
-        growing.learn(units, noise * units / 3.75)
-        flat.learn(units, noise)
+        growing.update(units, noise * units / 3.75)
+        flat.update(units, noise)
     assert growing.slope > 0.8 and growing.factor(8.0) > 4 * growing.factor(1.0)
     assert flat.slope < 0.15
 
@@ -391,7 +391,7 @@
 def test_where_each_request_counts_one_its_units_change_nothing() -> None:
     sizes, rng = UnitCostModel(), Random(4)
     for _ in range(500):
-        sizes.learn(1.0, rng.expovariate(1.0))
+        sizes.update(1.0, rng.expovariate(1.0))
     assert sizes.factor(1.0) == 1.0 and sizes.slope == 0.0
 
 
