--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -41,7 +41,7 @@
         self._latency = 1.0
         self._seen = 0
 
-    def factor(self, units: float) -> float:
+    def work_factor(self, units: float) -> float:
         return max(0.2, 1 + self.slope * (units / self.mean - 1))
 
     def update(self, units: float, latency: float) -> None:
@@ -125,7 +125,7 @@
 
     def expected_work(self, cls: api.RequestClass, units: float) -> float:
         """Seconds that a request's work is likely to take an idle server."""
-        return self.idle_latency.setdefault(cls.name, cls.aim * 0.1) * self.unit_cost.factor(units)
+        return self.idle_latency.setdefault(cls.name, cls.aim * 0.1) * self.unit_cost.work_factor(units)
 
     @property
     def ring(self) -> list[Server]:
@@ -452,7 +452,7 @@
             self._used[s] = None
             base, size = (
                 self.idle_latency.setdefault(r.cls.name, r.cls.aim * 0.1),
-                self.unit_cost.factor(r.units),
+                self.unit_cost.work_factor(r.units),
             )
             own = ev.elapsed / size
             self.idle_latency[r.cls.name] = base + (own - base) * (0.01 if own > base else 0.02)
--- a/tests/test_symptoms.py
+++ b/tests/test_symptoms.py
@@ -384,7 +384,7 @@
         noise = rng.uniform(0.7, 1.3)
         growing.update(units, noise * units / 3.75)
         flat.update(units, noise)
-    assert growing.slope > 0.8 and growing.factor(8.0) > 4 * growing.factor(1.0)
+    assert growing.slope > 0.8 and growing.work_factor(8.0) > 4 * growing.work_factor(1.0)
     assert flat.slope < 0.15
 
 
@@ -392,7 +392,7 @@
     sizes, rng = UnitCostModel(), Random(4)
     for _ in range(500):
         sizes.update(1.0, rng.expovariate(1.0))
-    assert sizes.factor(1.0) == 1.0 and sizes.slope == 0.0
+    assert sizes.work_factor(1.0) == 1.0 and sizes.slope == 0.0
 
 
 def test_where_one_gateway_alone_serves_an_account_its_store_holds_no_more_than_the_burst() -> None:
