--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -34,7 +34,7 @@
     fit of latency on units, each as a share of its mean. Queueing adds to all alike and does not bend it."""
 
     def __init__(self) -> None:
-        self.mean = 1.0
+        self.mean_units = 1.0
         self.slope = 0.0
         self._spread = 0.0
         self._common = 0.0
@@ -42,14 +42,14 @@
         self._seen = 0
 
     def work_factor(self, units: float) -> float:
-        return max(0.2, 1 + self.slope * (units / self.mean - 1))
+        return max(0.2, 1 + self.slope * (units / self.mean_units - 1))
 
     def update(self, units: float, latency: float) -> None:
         self._seen += 1
         part = max(0.005, 1 / self._seen)
-        self.mean += part * (units - self.mean)
+        self.mean_units += part * (units - self.mean_units)
         self._latency += part * (min(latency, 10.0) - self._latency)
-        off = units / self.mean - 1
+        off = units / self.mean_units - 1
         self._spread += part * (off * off - self._spread)
         self._common += part * (off * (min(latency, 10.0) / self._latency - 1) - self._common)
         if self._seen > 20 and self._spread > 1e-3:
