--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -36,7 +36,7 @@
     def __init__(self) -> None:
         self.mean_units = 1.0
         self.slope = 0.0
-        self._spread = 0.0
+        self._units_variance = 0.0
         self._common = 0.0
         self._latency = 1.0
         self._seen = 0
@@ -50,10 +50,10 @@
         self.mean_units += part * (units - self.mean_units)
         self._latency += part * (min(latency, 10.0) - self._latency)
         off = units / self.mean_units - 1
-        self._spread += part * (off * off - self._spread)
+        self._units_variance += part * (off * off - self._units_variance)
         self._common += part * (off * (min(latency, 10.0) / self._latency - 1) - self._common)
-        if self._seen > 20 and self._spread > 1e-3:
-            self.slope = min(1.0, max(0.0, self._common / self._spread))
+        if self._seen > 20 and self._units_variance > 1e-3:
+            self.slope = min(1.0, max(0.0, self._common / self._units_variance))
 
 
 class FreshReports:
