--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -37,7 +37,7 @@
         self.mean_units = 1.0
         self.slope = 0.0
         self._units_variance = 0.0
-        self._common = 0.0
+        self._covariance = 0.0
         self._latency = 1.0
         self._seen = 0
 
@@ -51,9 +51,9 @@
         self._latency += part * (min(latency, 10.0) - self._latency)
         off = units / self.mean_units - 1
         self._units_variance += part * (off * off - self._units_variance)
-        self._common += part * (off * (min(latency, 10.0) / self._latency - 1) - self._common)
+        self._covariance += part * (off * (min(latency, 10.0) / self._latency - 1) - self._covariance)
         if self._seen > 20 and self._units_variance > 1e-3:
-            self.slope = min(1.0, max(0.0, self._common / self._units_variance))
+            self.slope = min(1.0, max(0.0, self._covariance / self._units_variance))
 
 
 class FreshReports:
