--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -50,7 +50,7 @@
     "misses": "misses",
 }
 SIZES: Mapping[str, str] = {
-    "mean": "mean_units", "slope": "slope", "_spread": "_units_variance", "_common": "_covariance", "_latency": "_latency",
+    "mean": "mean_units", "slope": "slope", "_spread": "_units_variance", "_common": "_covariance", "_latency": "_mean_latency",
     "_seen": "_seen",
 }  # fmt: skip
 
