--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -39,20 +39,20 @@
         self._units_variance = 0.0
         self._covariance = 0.0
         self._mean_latency = 1.0
-        self._seen = 0
+        self._samples = 0
 
     def work_factor(self, units: float) -> float:
         return max(0.2, 1 + self.slope * (units / self.mean_units - 1))
 
     def update(self, units: float, latency: float) -> None:
-        self._seen += 1
-        part = max(0.005, 1 / self._seen)
+        self._samples += 1
+        part = max(0.005, 1 / self._samples)
         self.mean_units += part * (units - self.mean_units)
         self._mean_latency += part * (min(latency, 10.0) - self._mean_latency)
         off = units / self.mean_units - 1
         self._units_variance += part * (off * off - self._units_variance)
         self._covariance += part * (off * (min(latency, 10.0) / self._mean_latency - 1) - self._covariance)
-        if self._seen > 20 and self._units_variance > 1e-3:
+        if self._samples > 20 and self._units_variance > 1e-3:
             self.slope = min(1.0, max(0.0, self._covariance / self._units_variance))
 
 
--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -51,7 +51,7 @@
 }
 SIZES: Mapping[str, str] = {
     "mean": "mean_units", "slope": "slope", "_spread": "_units_variance", "_common": "_covariance", "_latency": "_mean_latency",
-    "_seen": "_seen",
+    "_seen": "_samples",
 }  # fmt: skip
 
 
