--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -128,7 +128,7 @@
         s = self.load_balancer.pick_server(now, r) if wait > 0 else None
         if s is None:
             return False
-        if r.cls.effect is not Effect.UNSAFE and len(r.tries) + 1 < r.attempts:
+        if r.cls.effect is not Effect.UNSAFE and len(r.tries) + 1 < r.max_attempts:
             wait = min(wait, max(SPLIT * r.cls.aim, 4 * max(1.0, s.latency_ratio) * r.work))
         r.out[len(r.tries)] = s
         r.tries.append((s, now))
@@ -204,7 +204,7 @@
     def _again(self, now: float, r: Request, status: Status) -> None:
         if r.coming:
             r.begin(now)
-        allowed, latest = r.kept and len(r.tries) < r.attempts and r.due - now > r.work, inf
+        allowed, latest = r.kept and len(r.tries) < r.max_attempts and r.due - now > r.work, inf
         if r.ran is not None and r.cls.effect is not Effect.SAFE:
             latest = r.ran[1] + 0.95 * r.cls.window if r.cls.effect is Effect.KEYED else now
         if not (allowed and now < latest and self._retries >= 1) or not self._send(now, r, latest):
--- a/cypresspulley/policy/request.py
+++ b/cypresspulley/policy/request.py
@@ -9,7 +9,7 @@
     """Times are of the gateway's clock; ``work`` in seconds of an idle server."""
 
     __slots__ = (
-        "account", "attempts", "born", "bound", "busy", "cls", "coming", "deadline", "due", "granted", "id", "inside",
+        "account", "max_attempts", "born", "bound", "busy", "cls", "coming", "deadline", "due", "granted", "id", "inside",
         "kept", "most", "out", "ran", "rank", "repeat", "slot", "tries", "ttl", "units", "work", "worth",
     )  # fmt: skip
 
@@ -20,7 +20,7 @@
         self.cls = cls
         self.account = account
         self.units = ev.units
-        self.attempts = attempts  # that it may have in all
+        self.max_attempts = attempts  # that it may have in all
         self.bound = ev.bound
         self.most = max(ev.units, ev.bound)  # a ceiling is held against the most
         self.repeat = ev.repeat
