--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -128,10 +128,10 @@
         s = self.load_balancer.pick_server(now, r) if wait > 0 else None
         if s is None:
             return False
-        if r.cls.effect is not Effect.UNSAFE and len(r.tries) + 1 < r.max_attempts:
+        if r.cls.effect is not Effect.UNSAFE and len(r.attempts) + 1 < r.max_attempts:
             wait = min(wait, max(SPLIT * r.cls.aim, 4 * max(1.0, s.latency_ratio) * r.work))
-        r.out[len(r.tries)] = s
-        r.tries.append((s, now))
+        r.out[len(r.attempts)] = s
+        r.attempts.append((s, now))
         s.sent_since_report += 1
         s.cold_budget -= (
             r.work if s.cold_since is not None else 0.0
@@ -191,8 +191,8 @@
                 s.silent_since = (
                     None  # with nothing out it owes no answer, and none could ever end its silence
                 )
-        if ev.status not in NEVER_RAN and r.ran is None and ev.attempt < len(r.tries):
-            r.ran = r.tries[ev.attempt]
+        if ev.status not in NEVER_RAN and r.ran is None and ev.attempt < len(r.attempts):
+            r.ran = r.attempts[ev.attempt]
         rejected = ev.status is Status.REJECTED  # no other server would take it either
         if rejected and not ev.finished:
             self._out.append(api.Fail(r.id))
@@ -204,7 +204,7 @@
     def _again(self, now: float, r: Request, status: Status) -> None:
         if r.coming:
             r.begin(now)
-        allowed, latest = r.kept and len(r.tries) < r.max_attempts and r.due - now > r.work, inf
+        allowed, latest = r.kept and len(r.attempts) < r.max_attempts and r.due - now > r.work, inf
         if r.ran is not None and r.cls.effect is not Effect.SAFE:
             latest = r.ran[1] + 0.95 * r.cls.window if r.cls.effect is Effect.KEYED else now
         if not (allowed and now < latest and self._retries >= 1) or not self._send(now, r, latest):
@@ -224,7 +224,7 @@
 
     def _forget(self, now: float, request: int) -> None:
         if r := self._requests.pop(request, None):
-            if not r.tries:
+            if not r.attempts:
                 self.quotas.give_back(r)
             self.quotas.free(now, r)
             for s in r.out.values():
--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -369,8 +369,8 @@
     ) -> list[Server]:  # fmt: skip
         """Those of a group that take the request's work, each up to ``stay`` seconds of what it does."""
         pool = group
-        if r.tries:
-            pool = [s for s in group if all(s is not x for x, _ in r.tries)] or group
+        if r.attempts:
+            pool = [s for s in group if all(s is not x for x, _ in r.attempts)] or group
         if not all(s.ejected_until > now for s in self.subset):  # every server is out: any beats none
             pool = [
                 s
--- a/cypresspulley/policy/request.py
+++ b/cypresspulley/policy/request.py
@@ -10,7 +10,7 @@
 
     __slots__ = (
         "account", "max_attempts", "born", "bound", "busy", "cls", "coming", "deadline", "due", "granted", "id", "inside",
-        "kept", "most", "out", "ran", "rank", "repeat", "slot", "tries", "ttl", "units", "work", "worth",
+        "kept", "most", "out", "ran", "rank", "repeat", "slot", "attempts", "ttl", "units", "work", "worth",
     )  # fmt: skip
 
     def __init__(
@@ -37,7 +37,7 @@
         self.worth = cls.worth * account.plan.price * ev.units
         self.work = 0.0  # expected work
         self.rank = 1.0  # place among the recent by worth per work
-        self.tries = list[tuple[Server, float]]()
+        self.attempts = list[tuple[Server, float]]()
         self.out = dict[int, Server]()
         self.ran: tuple[Server, float] | None = None  # first attempt that may have run
 
@@ -48,4 +48,4 @@
         self.due = self.deadline if self.cls.late_worth else min(self.deadline, now + self.cls.aim)
 
     def __repr__(self) -> str:
-        return f"<Request {self.id} {self.cls.name}, {len(self.tries)} sent, {len(self.out)} out, ran {self.ran}>"
+        return f"<Request {self.id} {self.cls.name}, {len(self.attempts)} sent, {len(self.out)} out, ran {self.ran}>"
