--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -58,7 +58,7 @@
     def _tick(self, now: float) -> None:
         dt = self.gate.begin_tick(now)
         for r in list(self._requests.values()):
-            if now >= r.deadline and not r.out:
+            if now >= r.deadline and not r.open_attempts:
                 self._end(now, r)
             elif r.busy and now - r.born > r.cls.aim * AIM_SHARE / REFERENCE_LOAD:
                 self.gate.record_overdue()
@@ -130,7 +130,7 @@
             return False
         if r.cls.effect is not Effect.UNSAFE and len(r.attempts) + 1 < r.max_attempts:
             wait = min(wait, max(SPLIT * r.cls.aim, 4 * max(1.0, s.latency_ratio) * r.work))
-        r.out[len(r.attempts)] = s
+        r.open_attempts[len(r.attempts)] = s
         r.attempts.append((s, now))
         s.sent_since_report += 1
         s.cold_budget -= (
@@ -155,7 +155,7 @@
             r.coming = False
             r.begin(now)
             self.quotas.whole(now, r)
-            for s in r.out.values():
+            for s in r.open_attempts.values():
                 self._busy(now, r, s)
 
     def _began(self, now: float, ev: api.Began) -> None:
@@ -178,7 +178,7 @@
         r, s = self._requests.get(ev.id), self.load_balancer.servers.get(ev.server)
         if s is None or r is None:
             return
-        if r.out.pop(ev.attempt, None) is not None:
+        if r.open_attempts.pop(ev.attempt, None) is not None:
             r.account.open -= not r.coming
             if r.busy:
                 self._learn(now, r, s, ev)
@@ -198,7 +198,7 @@
             self._out.append(api.Fail(r.id))
         if rejected or ev.finished:
             self._forget(now, r.id)
-        elif not r.out:
+        elif not r.open_attempts:
             self._again(now, r, ev.status)
 
     def _again(self, now: float, r: Request, status: Status) -> None:
@@ -227,7 +227,7 @@
             if not r.attempts:
                 self.quotas.give_back(r)
             self.quotas.free(now, r)
-            for s in r.out.values():
+            for s in r.open_attempts.values():
                 s.release_work(r.work if r.busy else 0.0)
                 r.account.open -= not r.coming
                 s.silent_since = (
--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -160,7 +160,7 @@
                 s.work_rate = 0.0
                 del self._used[s]
         if self._gone:
-            self._forget_gone({s.ring_position for r in open_ for s in r.out.values()})
+            self._forget_gone({s.ring_position for r in open_ for s in r.open_attempts.values()})
         self._choose(now)
         self._rates = sum([s.work_rate for s in self.subset])
         return probes
--- a/cypresspulley/policy/quota.py
+++ b/cypresspulley/policy/quota.py
@@ -271,7 +271,7 @@
 
     def whole(self, now: float, r: Request) -> None:
         """The last byte of its body has come: from now on it counts as out."""
-        if r.out and not r.slot and r.account.slots is not None:
+        if r.open_attempts and not r.slot and r.account.slots is not None:
             r.slot = True
             r.account.slots.change(self.wall.at(now), 1)
 
