--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -191,8 +191,8 @@
                 s.silent_since = (
                     None  # with nothing out it owes no answer, and none could ever end its silence
                 )
-        if ev.status not in NEVER_RAN and r.ran is None and ev.attempt < len(r.attempts):
-            r.ran = r.attempts[ev.attempt]
+        if ev.status not in NEVER_RAN and r.first_run is None and ev.attempt < len(r.attempts):
+            r.first_run = r.attempts[ev.attempt]
         rejected = ev.status is Status.REJECTED  # no other server would take it either
         if rejected and not ev.finished:
             self._out.append(api.Fail(r.id))
@@ -205,8 +205,8 @@
         if r.coming:
             r.begin(now)
         allowed, latest = r.kept and len(r.attempts) < r.max_attempts and r.due - now > r.work, inf
-        if r.ran is not None and r.cls.effect is not Effect.SAFE:
-            latest = r.ran[1] + 0.95 * r.cls.window if r.cls.effect is Effect.KEYED else now
+        if r.first_run is not None and r.cls.effect is not Effect.SAFE:
+            latest = r.first_run[1] + 0.95 * r.cls.window if r.cls.effect is Effect.KEYED else now
         if not (allowed and now < latest and self._retries >= 1) or not self._send(now, r, latest):
             return self._end(now, r)
         self._retries -= status not in (Status.UNREACHABLE, Status.DROPPED)
@@ -214,7 +214,11 @@
     def _end(self, now: float, r: Request, why: str = "attempts") -> None:
         self.why[why] = self.why.get(why, 0) + 1
         a, effect = r.account, r.cls.effect
-        if r.ran is None or effect is Effect.SAFE or (effect, r.cls.scope) == (Effect.KEYED, api.Scope.ALL):
+        if (
+            r.first_run is None
+            or effect is Effect.SAFE
+            or (effect, r.cls.scope) == (Effect.KEYED, api.Scope.ALL)
+        ):
             short = max(0.1, (r.units - a.level) / a.plan.rate if a.plan.rate else 0.0)
             left = max(0.0, min(a.level, a.plan.burst)) if a.plan.rate > 0 else -1.0
             self._out.append(api.Refuse(r.id, min(self._set.max_retry_after, short), why, left))
--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -349,7 +349,7 @@
         ):
             return None
         least = max(0.5 * stay * rates / max(1, len(up)), 3.5 * self._gate.mean_work)
-        first, group, cold = r.ran[0].entry if r.ran else None, up, list[Server]()
+        first, group, cold = r.first_run[0].entry if r.first_run else None, up, list[Server]()
         if first and r.cls.effect is Effect.KEYED and r.cls.scope is not api.Scope.ALL:  # it may have run
             group = self._groups.members(first.zone, first.cell if r.cls.scope is api.Scope.CELL else None)
         elif not few and self._cold:
--- a/cypresspulley/policy/request.py
+++ b/cypresspulley/policy/request.py
@@ -10,7 +10,7 @@
 
     __slots__ = (
         "account", "max_attempts", "born", "bound", "busy", "cls", "coming", "deadline", "due", "granted", "id", "inside",
-        "kept", "most", "open_attempts", "ran", "rank", "repeat", "slot", "attempts", "ttl", "units", "work", "worth",
+        "kept", "most", "open_attempts", "first_run", "rank", "repeat", "slot", "attempts", "ttl", "units", "work", "worth",
     )  # fmt: skip
 
     def __init__(
@@ -39,7 +39,7 @@
         self.rank = 1.0  # place among the recent by worth per work
         self.attempts = list[tuple[Server, float]]()
         self.open_attempts = dict[int, Server]()
-        self.ran: tuple[Server, float] | None = None  # first attempt that may have run
+        self.first_run: tuple[Server, float] | None = None  # first attempt that may have run
 
     def begin(self, now: float) -> None:
         """Its time counts from its last byte."""
@@ -48,4 +48,4 @@
         self.due = self.deadline if self.cls.late_worth else min(self.deadline, now + self.cls.aim)
 
     def __repr__(self) -> str:
-        return f"<Request {self.id} {self.cls.name}, {len(self.attempts)} sent, {len(self.open_attempts)} out, ran {self.ran}>"
+        return f"<Request {self.id} {self.cls.name}, {len(self.attempts)} sent, {len(self.open_attempts)} out, ran {self.first_run}>"
