--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -136,7 +136,7 @@
         s.cold_budget -= (
             r.work if s.cold_since is not None else 0.0
         )  # warm, it owes nothing when unsure again
-        if not r.coming:
+        if not r.body_pending:
             self._busy(now, r, s)
         self._out.append(api.Send(r.id, s.entry.name, wait, latest))
         return True
@@ -151,8 +151,8 @@
         if (r := self._requests.get(ev.id)) is None:
             return
         r.kept = ev.kept
-        if ev.whole and r.coming:
-            r.coming = False
+        if ev.whole and r.body_pending:
+            r.body_pending = False
             r.begin(now)
             self.quotas.whole(now, r)
             for s in r.open_attempts.values():
@@ -179,10 +179,10 @@
         if s is None or r is None:
             return
         if r.open_attempts.pop(ev.attempt, None) is not None:
-            r.account.open -= not r.coming
+            r.account.open -= not r.body_pending
             if r.busy:
                 self._learn(now, r, s, ev)
-            elif r.coming or ev.status is not Status.OK:
+            elif r.body_pending or ev.status is not Status.OK:
                 self.load_balancer.record_outcome(
                     now, r, s, ev
                 )  # it ended while its body or its answer flowed
@@ -202,7 +202,7 @@
             self._again(now, r, ev.status)
 
     def _again(self, now: float, r: Request, status: Status) -> None:
-        if r.coming:
+        if r.body_pending:
             r.begin(now)
         allowed, latest = r.kept and len(r.attempts) < r.max_attempts and r.due - now > r.work, inf
         if r.first_run is not None and r.cls.effect is not Effect.SAFE:
@@ -233,7 +233,7 @@
             self.quotas.free(now, r)
             for s in r.open_attempts.values():
                 s.release_work(r.work if r.busy else 0.0)
-                r.account.open -= not r.coming
+                r.account.open -= not r.body_pending
                 s.silent_since = (
                     s.silent_since if s.outstanding_work > 1e-9 else None
                 )  # nobody waits: it owes nothing any more
--- a/cypresspulley/policy/quota.py
+++ b/cypresspulley/policy/quota.py
@@ -259,9 +259,9 @@
         if most <= 0 or r.slot:
             return True
         in_time = r.deadline - now >= 3 * self._set.counter_timeout
-        asks = slots is not None and not r.coming and in_time and self.calls.left(now) >= 1
+        asks = slots is not None and not r.body_pending and in_time and self.calls.left(now) >= 1
         room = (asks or a.open < -(-most // a.share)) and (slots is None or now >= slots.full_until)
-        if verdict is None or not room or slots is None or r.coming:
+        if verdict is None or not room or slots is None or r.body_pending:
             return room
         r.slot = True
         slots.change(self.wall.at(now), 1)
--- a/cypresspulley/policy/request.py
+++ b/cypresspulley/policy/request.py
@@ -9,7 +9,7 @@
     """Times are of the gateway's clock; ``work`` in seconds of an idle server."""
 
     __slots__ = (
-        "account", "max_attempts", "born", "bound", "busy", "cls", "coming", "deadline", "due", "granted", "id", "inside",
+        "account", "max_attempts", "born", "bound", "busy", "cls", "body_pending", "deadline", "due", "granted", "id", "inside",
         "kept", "most", "open_attempts", "first_run", "rank", "repeat", "slot", "attempts", "ttl", "units", "work", "worth",
     )  # fmt: skip
 
@@ -26,7 +26,7 @@
         self.repeat = ev.repeat
         self.inside = False
         self.ttl = ev.ttl
-        self.coming = ev.coming
+        self.body_pending = ev.coming
         self.kept = True
         self.busy = False  # its work counts at its server
         self.begin(now)
