--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -150,7 +150,7 @@
         """A body that flows: a server begins with its last byte, and so do the client's time and the work."""
         if (r := self._requests.get(ev.id)) is None:
             return
-        r.kept = ev.kept
+        r.replayable = ev.kept
         if ev.whole and r.body_pending:
             r.body_pending = False
             r.begin(now)
@@ -204,7 +204,7 @@
     def _again(self, now: float, r: Request, status: Status) -> None:
         if r.body_pending:
             r.begin(now)
-        allowed, latest = r.kept and len(r.attempts) < r.max_attempts and r.due - now > r.work, inf
+        allowed, latest = r.replayable and len(r.attempts) < r.max_attempts and r.due - now > r.work, inf
         if r.first_run is not None and r.cls.effect is not Effect.SAFE:
             latest = r.first_run[1] + 0.95 * r.cls.window if r.cls.effect is Effect.KEYED else now
         if not (allowed and now < latest and self._retries >= 1) or not self._send(now, r, latest):
--- a/cypresspulley/policy/request.py
+++ b/cypresspulley/policy/request.py
@@ -10,7 +10,7 @@
 
     __slots__ = (
         "account", "max_attempts", "born", "bound", "busy", "cls", "body_pending", "deadline", "due", "granted", "id", "inside",
-        "kept", "most", "open_attempts", "first_run", "rank", "repeat", "slot", "attempts", "ttl", "units", "work", "worth",
+        "replayable", "most", "open_attempts", "first_run", "rank", "repeat", "slot", "attempts", "ttl", "units", "work", "worth",
     )  # fmt: skip
 
     def __init__(
@@ -27,7 +27,7 @@
         self.inside = False
         self.ttl = ev.ttl
         self.body_pending = ev.coming
-        self.kept = True
+        self.replayable = True
         self.busy = False  # its work counts at its server
         self.begin(now)
         self.slot = False  # it counts among what its customer has out over all gateways
