--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -60,7 +60,7 @@
         for r in list(self._requests.values()):
             if now >= r.deadline and not r.open_attempts:
                 self._end(now, r)
-            elif r.busy and now - r.born > r.cls.aim * AIM_SHARE / REFERENCE_LOAD:
+            elif r.holds_work and now - r.born > r.cls.aim * AIM_SHARE / REFERENCE_LOAD:
                 self.gate.record_overdue()
         self.gate.update(dt)
         if self._timer % 10 == 0 and self.why:
@@ -143,7 +143,7 @@
 
     def _busy(self, now: float, r: Request, s: Server) -> None:
         """It is out from now on: its work is at the server, which owes an answer."""
-        r.busy, r.account.open = True, r.account.open + 1
+        r.holds_work, r.account.open = True, r.account.open + 1
         self.load_balancer.begin_attempt(now, s, r.work)
 
     def _body(self, now: float, ev: api.Body) -> None:
@@ -161,13 +161,13 @@
     def _began(self, now: float, ev: api.Began) -> None:
         """The answer's first bytes are what is timed and read; the attempt is out until the last one."""
         r, s = self._requests.get(ev.id), self.load_balancer.servers.get(ev.server)
-        if r is not None and s is not None and r.busy:
+        if r is not None and s is not None and r.holds_work:
             told = api.Outcome(ev.id, ev.attempt, ev.server, Status.OK, ev.elapsed, False, ev.report)
             self._learn(now, r, s, told)
 
     def _learn(self, now: float, r: Request, s: Server, ev: api.Outcome) -> None:
         """What an attempt's answer, or the lack of one, tells of its server."""
-        r.busy = False
+        r.holds_work = False
         s.release_work(r.work)
         if ev.status not in (Status.TIMEOUT, Status.CANCELLED, Status.UNREACHABLE):
             s.silent_since = now if s.outstanding_work > 1e-9 else None
@@ -180,7 +180,7 @@
             return
         if r.open_attempts.pop(ev.attempt, None) is not None:
             r.account.open -= not r.body_pending
-            if r.busy:
+            if r.holds_work:
                 self._learn(now, r, s, ev)
             elif r.body_pending or ev.status is not Status.OK:
                 self.load_balancer.record_outcome(
@@ -232,7 +232,7 @@
                 self.quotas.give_back(r)
             self.quotas.free(now, r)
             for s in r.open_attempts.values():
-                s.release_work(r.work if r.busy else 0.0)
+                s.release_work(r.work if r.holds_work else 0.0)
                 r.account.open -= not r.body_pending
                 s.silent_since = (
                     s.silent_since if s.outstanding_work > 1e-9 else None
--- a/cypresspulley/policy/request.py
+++ b/cypresspulley/policy/request.py
@@ -9,7 +9,7 @@
     """Times are of the gateway's clock; ``work`` in seconds of an idle server."""
 
     __slots__ = (
-        "account", "max_attempts", "born", "bound", "busy", "cls", "body_pending", "deadline", "due", "granted", "id", "inside",
+        "account", "max_attempts", "born", "bound", "holds_work", "cls", "body_pending", "deadline", "due", "granted", "id", "inside",
         "replayable", "most", "open_attempts", "first_run", "rank", "repeat", "slot", "attempts", "ttl", "units", "work", "worth",
     )  # fmt: skip
 
@@ -28,7 +28,7 @@
         self.ttl = ev.ttl
         self.body_pending = ev.coming
         self.replayable = True
-        self.busy = False  # its work counts at its server
+        self.holds_work = False  # its work counts at its server
         self.begin(now)
         self.slot = False  # it counts among what its customer has out over all gateways
         self.granted: int | None = (
