--- a/cypresspulley/policy/quota.py
+++ b/cypresspulley/policy/quota.py
@@ -123,37 +123,37 @@
         """Whether no store of the plan could ever hold it here: waiting for one would be in vain."""
         a, plan = r.account, r.account.plan
         most = max(a.keep * plan.ceiling_burst / a.share, a.window.most if a.window else 0.0)
-        capped = plan.ceiling_rate > 0 and r.most > most + 1e-9
+        capped = plan.ceiling_rate > 0 and r.max_units > most + 1e-9
         return capped or (plan.rate > 0 and r.units > plan.burst + 1e-9)
 
     @staticmethod
     def under_ceiling(r: Request) -> bool:
         """Whether the even share of the ceiling holds it, or a window that was asked."""
-        return r.account.plan.ceiling_rate <= 0 or r.granted is not None or r.account.ceiling >= r.most
+        return r.account.plan.ceiling_rate <= 0 or r.granted is not None or r.account.ceiling >= r.max_units
 
     def window_may_hold(self, now: float, r: Request) -> bool:
         """Whether its window may hold what the even share does not: by the counter, or by what is kept here."""
         window, in_time = r.account.window, r.deadline - now >= 3 * self._set.counter_timeout
         if window is None:
             return False
-        asks = in_time and window.has_room(now, r.most) and self.calls.left(now) >= 1
-        return asks or window.has_credit(now, r.most)
+        asks = in_time and window.has_room(now, r.max_units) and self.calls.left(now) >= 1
+        return asks or window.has_credit(now, r.max_units)
 
     @staticmethod
     def give_back(r: Request) -> None:
         """What a window holds for a try that was not sent on: no count is lowered, which could have ended meanwhile."""
         if r.granted is not None and r.account.window is not None:
-            r.account.window.keep(r.granted, r.most)
+            r.account.window.keep(r.granted, r.max_units)
         r.granted = None
 
     def _ask_window(self, now: float, r: Request, window: CeilingWindow) -> None:
         answered = partial(self._window_answered, r, now)
-        self.calls.ask(now, window.name, window.length, r.most, answered)
+        self.calls.ask(now, window.name, window.length, r.max_units, answered)
 
     def _window_answered(self, r: Request, asked: float, now: float, ev: api.Counted) -> None:
         r.account.refill(now)
         if ev.status is Status.OK and (window := r.account.window) is not None:
-            r.granted = window.granted(asked, now, ev.total, r.most, self._rng.random())
+            r.granted = window.granted(asked, now, ev.total, r.max_units, self._rng.random())
         if self._open.get(r.id) is not r:
             self.give_back(r)  # its client left meanwhile
         elif r.granted is not None:
@@ -203,7 +203,7 @@
             return verdict
         if not verdict.inside and r.account.plan.over_worth <= r.account.plan.over_cost:
             return verdict  # it is refused anyway: it needs nothing of the window
-        r.granted = window.use_credit(now, r.most)
+        r.granted = window.use_credit(now, r.max_units)
         if r.granted is not None:
             return verdict
         self._ask_window(now, r, window)
@@ -223,7 +223,7 @@
         """A try was sent on: it takes its units."""
         a, plan = r.account, r.account.plan
         if plan.ceiling_rate > 0 and r.granted is None:
-            a.ceiling, a.drawn = a.ceiling - r.most, a.drawn + r.most
+            a.ceiling, a.drawn = a.ceiling - r.max_units, a.drawn + r.max_units
         if not verdict.inside:
             return
         counted, r.inside = verdict.counted, True
@@ -357,9 +357,9 @@
         a = r.account
         # A figure that cannot be true settles nothing: what was taken stays taken, the ceiling's bound as well.
         true = ev.units if ev.status is Status.OK and ev.units is not None else -1.0
-        known = 0 <= true <= max(self._set.max_units, r.most)
+        known = 0 <= true <= max(self._set.max_units, r.max_units)
         if known and r.bound and a.plan.ceiling_rate > 0 and r.granted is None:
-            a.ceiling_back(r.most - true)
+            a.ceiling_back(r.max_units - true)
         if known and r.inside:
             a.settled(true - r.units)
             if self.usage is not None:
--- a/cypresspulley/policy/request.py
+++ b/cypresspulley/policy/request.py
@@ -10,7 +10,7 @@
 
     __slots__ = (
         "account", "max_attempts", "born", "bound", "holds_work", "cls", "body_pending", "deadline", "due", "granted", "id", "inside",
-        "replayable", "most", "open_attempts", "first_run", "rank", "repeat", "slot", "attempts", "ttl", "units", "work", "worth",
+        "replayable", "max_units", "open_attempts", "first_run", "rank", "repeat", "slot", "attempts", "ttl", "units", "work", "worth",
     )  # fmt: skip
 
     def __init__(
@@ -22,7 +22,7 @@
         self.units = ev.units
         self.max_attempts = attempts  # that it may have in all
         self.bound = ev.bound
-        self.most = max(ev.units, ev.bound)  # a ceiling is held against the most
+        self.max_units = max(ev.units, ev.bound)  # a ceiling is held against the most
         self.repeat = ev.repeat
         self.inside = False
         self.ttl = ev.ttl
--- a/tests/graphql/test_charging.py
+++ b/tests/graphql/test_charging.py
@@ -108,7 +108,7 @@
 
 def _expected_only(launch: Any) -> Any:
     def mutant(self: Gateway, now: float, r: Any, *rest: Any, **more: Any) -> None:
-        r.most = r.units
+        r.max_units = r.units
         launch(self, now, r, *rest, **more)
 
     return mutant
@@ -117,7 +117,7 @@
 def _negative_believed(settle: Any) -> Any:
     def mutant(self: Quotas, now: float, r: Any, ev: api.Outcome) -> None:
         if ev.units is not None and ev.units < 0:
-            r.account.ceiling += r.most - ev.units
+            r.account.ceiling += r.max_units - ev.units
         else:
             settle(self, now, r, ev)
 
@@ -127,7 +127,7 @@
 def _given_back_on_a_lost_answer(settle: Any) -> Any:
     def mutant(self: Quotas, now: float, r: Any, ev: api.Outcome) -> None:
         if ev.status is not api.Status.OK:
-            r.account.ceiling += r.most
+            r.account.ceiling += r.max_units
         settle(self, now, r, ev)
 
     return mutant
