--- a/cypresspulley/policy/quota.py
+++ b/cypresspulley/policy/quota.py
@@ -226,7 +226,7 @@
             a.ceiling, a.drawn = a.ceiling - r.max_units, a.drawn + r.max_units
         if not verdict.inside:
             return
-        counted, r.inside = verdict.counted, True
+        counted, r.in_quota = verdict.counted, True
         a.floor = max(-r.units, a.floor - r.units)
         a.level = max(0.0, a.level - (0.0 if counted else r.units))
         a.pending += r.units * (counted is None)
@@ -360,7 +360,7 @@
         known = 0 <= true <= max(self._set.max_units, r.max_units)
         if known and r.bound and a.plan.ceiling_rate > 0 and r.granted is None:
             a.ceiling_back(r.max_units - true)
-        if known and r.inside:
+        if known and r.in_quota:
             a.settled(true - r.units)
             if self.usage is not None:
                 self.usage.owed[a.name] = a
--- a/cypresspulley/policy/request.py
+++ b/cypresspulley/policy/request.py
@@ -9,7 +9,7 @@
     """Times are of the gateway's clock; ``work`` in seconds of an idle server."""
 
     __slots__ = (
-        "account", "max_attempts", "born", "bound", "holds_work", "cls", "body_pending", "deadline", "due", "granted", "id", "inside",
+        "account", "max_attempts", "born", "bound", "holds_work", "cls", "body_pending", "deadline", "due", "granted", "id", "in_quota",
         "replayable", "max_units", "open_attempts", "first_run", "rank", "repeat", "slot", "attempts", "ttl", "units", "work", "worth",
     )  # fmt: skip
 
@@ -24,7 +24,7 @@
         self.bound = ev.bound
         self.max_units = max(ev.units, ev.bound)  # a ceiling is held against the most
         self.repeat = ev.repeat
-        self.inside = False
+        self.in_quota = False
         self.ttl = ev.ttl
         self.body_pending = ev.coming
         self.replayable = True
