--- a/cypresspulley/policy/quota.py
+++ b/cypresspulley/policy/quota.py
@@ -72,7 +72,7 @@
             a.refill(now)
             a.follow(self._plans.get(a.plan.name, a.plan), f"{a.plan.name} {account}", settings)
         for r in self._open.values():
-            r.slot = r.slot and r.account.slots is not None
+            r.holds_slot = r.holds_slot and r.account.slots is not None
         self.calls.follow(settings.gateways)
         self.incarnation.follow(settings)
         self._follow_usage(now, settings)
@@ -256,14 +256,14 @@
         """Whether its customer may have one more out, as far as is known here: the even share, where nobody can be
         asked. With the verdict on its units it then counts as out; None where the counter is asked and it waits."""
         a, most, slots = r.account, r.account.plan.open_limit, r.account.slots
-        if most <= 0 or r.slot:
+        if most <= 0 or r.holds_slot:
             return True
         in_time = r.deadline - now >= 3 * self._set.counter_timeout
         asks = slots is not None and not r.body_pending and in_time and self.calls.left(now) >= 1
         room = (asks or a.open < -(-most // a.share)) and (slots is None or now >= slots.full_until)
         if verdict is None or not room or slots is None or r.body_pending:
             return room
-        r.slot = True
+        r.holds_slot = True
         slots.change(self.wall.at(now), 1)
         if asks:
             self._tell_out(now, slots, partial(self._out_told, r, slots, verdict))
@@ -271,8 +271,8 @@
 
     def whole(self, now: float, r: Request) -> None:
         """The last byte of its body has come: from now on it counts as out."""
-        if r.open_attempts and not r.slot and r.account.slots is not None:
-            r.slot = True
+        if r.open_attempts and not r.holds_slot and r.account.slots is not None:
+            r.holds_slot = True
             r.account.slots.change(self.wall.at(now), 1)
 
     def _tell_out(self, now: float, slots: Slots, then: Answered = lambda _now, _ev: None) -> None:
@@ -298,8 +298,8 @@
 
     def free(self, now: float, r: Request) -> None:
         """A try no longer counts among what is out."""
-        if r.slot and (slots := r.account.slots) is not None:
-            r.slot, slots.full_until = False, 0.0
+        if r.holds_slot and (slots := r.account.slots) is not None:
+            r.holds_slot, slots.full_until = False, 0.0
             slots.change(self.wall.at(now), -1)
             if slots.owed and now >= self.calls.silent_until:
                 self._tell_out(now, slots)
--- a/cypresspulley/policy/request.py
+++ b/cypresspulley/policy/request.py
@@ -10,7 +10,7 @@
 
     __slots__ = (
         "account", "max_attempts", "born", "bound", "holds_work", "cls", "body_pending", "deadline", "due", "granted", "id", "in_quota",
-        "replayable", "max_units", "open_attempts", "first_run", "rank", "repeat", "slot", "attempts", "ttl", "units", "work", "worth",
+        "replayable", "max_units", "open_attempts", "first_run", "rank", "repeat", "holds_slot", "attempts", "ttl", "units", "work", "worth",
     )  # fmt: skip
 
     def __init__(
@@ -30,7 +30,7 @@
         self.replayable = True
         self.holds_work = False  # its work counts at its server
         self.begin(now)
-        self.slot = False  # it counts among what its customer has out over all gateways
+        self.holds_slot = False  # it counts among what its customer has out over all gateways
         self.granted: int | None = (
             None  # the incarnation of its window's count that holds it, where no even share does
         )
