--- a/cypresspulley/policy/quota.py
+++ b/cypresspulley/policy/quota.py
@@ -129,7 +129,11 @@
     @staticmethod
     def under_ceiling(r: Request) -> bool:
         """Whether the even share of the ceiling holds it, or a window that was asked."""
-        return r.account.plan.ceiling_rate <= 0 or r.granted is not None or r.account.ceiling >= r.max_units
+        return (
+            r.account.plan.ceiling_rate <= 0
+            or r.granted_incarnation is not None
+            or r.account.ceiling >= r.max_units
+        )
 
     def window_may_hold(self, now: float, r: Request) -> bool:
         """Whether its window may hold what the even share does not: by the counter, or by what is kept here."""
@@ -142,9 +146,9 @@
     @staticmethod
     def give_back(r: Request) -> None:
         """What a window holds for a try that was not sent on: no count is lowered, which could have ended meanwhile."""
-        if r.granted is not None and r.account.window is not None:
-            r.account.window.keep(r.granted, r.max_units)
-        r.granted = None
+        if r.granted_incarnation is not None and r.account.window is not None:
+            r.account.window.keep(r.granted_incarnation, r.max_units)
+        r.granted_incarnation = None
 
     def _ask_window(self, now: float, r: Request, window: CeilingWindow) -> None:
         answered = partial(self._window_answered, r, now)
@@ -153,10 +157,10 @@
     def _window_answered(self, r: Request, asked: float, now: float, ev: api.Counted) -> None:
         r.account.refill(now)
         if ev.status is Status.OK and (window := r.account.window) is not None:
-            r.granted = window.granted(asked, now, ev.total, r.max_units, self._rng.random())
+            r.granted_incarnation = window.granted(asked, now, ev.total, r.max_units, self._rng.random())
         if self._open.get(r.id) is not r:
             self.give_back(r)  # its client left meanwhile
-        elif r.granted is not None:
+        elif r.granted_incarnation is not None:
             self._launch(now, r, self._plainly(now, r))
         else:
             self._launch(now, r, Verdict(False, why="ceiling"))
@@ -203,8 +207,8 @@
             return verdict
         if not verdict.inside and r.account.plan.over_worth <= r.account.plan.over_cost:
             return verdict  # it is refused anyway: it needs nothing of the window
-        r.granted = window.use_credit(now, r.max_units)
-        if r.granted is not None:
+        r.granted_incarnation = window.use_credit(now, r.max_units)
+        if r.granted_incarnation is not None:
             return verdict
         self._ask_window(now, r, window)
         return None
@@ -222,7 +226,7 @@
     def sent(self, now: float, r: Request, verdict: Verdict) -> None:
         """A try was sent on: it takes its units."""
         a, plan = r.account, r.account.plan
-        if plan.ceiling_rate > 0 and r.granted is None:
+        if plan.ceiling_rate > 0 and r.granted_incarnation is None:
             a.ceiling, a.drawn = a.ceiling - r.max_units, a.drawn + r.max_units
         if not verdict.inside:
             return
@@ -358,7 +362,7 @@
         # A figure that cannot be true settles nothing: what was taken stays taken, the ceiling's bound as well.
         true = ev.units if ev.status is Status.OK and ev.units is not None else -1.0
         known = 0 <= true <= max(self._set.max_units, r.max_units)
-        if known and r.bound and a.plan.ceiling_rate > 0 and r.granted is None:
+        if known and r.bound and a.plan.ceiling_rate > 0 and r.granted_incarnation is None:
             a.ceiling_back(r.max_units - true)
         if known and r.in_quota:
             a.settled(true - r.units)
--- a/cypresspulley/policy/request.py
+++ b/cypresspulley/policy/request.py
@@ -9,7 +9,7 @@
     """Times are of the gateway's clock; ``work`` in seconds of an idle server."""
 
     __slots__ = (
-        "account", "max_attempts", "born", "bound", "holds_work", "cls", "body_pending", "deadline", "due", "granted", "id", "in_quota",
+        "account", "max_attempts", "born", "bound", "holds_work", "cls", "body_pending", "deadline", "due", "granted_incarnation", "id", "in_quota",
         "replayable", "max_units", "open_attempts", "first_run", "rank", "repeat", "holds_slot", "attempts", "ttl", "units", "work", "worth",
     )  # fmt: skip
 
@@ -31,7 +31,7 @@
         self.holds_work = False  # its work counts at its server
         self.begin(now)
         self.holds_slot = False  # it counts among what its customer has out over all gateways
-        self.granted: int | None = (
+        self.granted_incarnation: int | None = (
             None  # the incarnation of its window's count that holds it, where no even share does
         )
         self.worth = cls.worth * account.plan.price * ev.units
