--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -124,7 +124,7 @@
         self.quotas.sent(now, r, verdict)
 
     def _send(self, now: float, r: Request, latest: float = inf) -> bool:
-        wait = r.due - now
+        wait = r.attempt_deadline - now
         s = self.load_balancer.pick_server(now, r) if wait > 0 else None
         if s is None:
             return False
@@ -204,7 +204,10 @@
     def _again(self, now: float, r: Request, status: Status) -> None:
         if r.body_pending:
             r.begin(now)
-        allowed, latest = r.replayable and len(r.attempts) < r.max_attempts and r.due - now > r.work, inf
+        allowed, latest = (
+            r.replayable and len(r.attempts) < r.max_attempts and r.attempt_deadline - now > r.work,
+            inf,
+        )
         if r.first_run is not None and r.cls.effect is not Effect.SAFE:
             latest = r.first_run[1] + 0.95 * r.cls.window if r.cls.effect is Effect.KEYED else now
         if not (allowed and now < latest and self._retries >= 1) or not self._send(now, r, latest):
--- a/cypresspulley/policy/request.py
+++ b/cypresspulley/policy/request.py
@@ -9,7 +9,7 @@
     """Times are of the gateway's clock; ``work`` in seconds of an idle server."""
 
     __slots__ = (
-        "account", "max_attempts", "born", "bound", "holds_work", "cls", "body_pending", "deadline", "due", "granted_incarnation", "id", "in_quota",
+        "account", "max_attempts", "born", "bound", "holds_work", "cls", "body_pending", "deadline", "attempt_deadline", "granted_incarnation", "id", "in_quota",
         "replayable", "max_units", "open_attempts", "first_run", "rank", "repeat", "holds_slot", "attempts", "ttl", "units", "work", "worth",
     )  # fmt: skip
 
@@ -45,7 +45,9 @@
         """Its time counts from its last byte."""
         self.deadline, self.born = now + self.ttl, now
         # Past its aim an answer that earns nothing is only work; the time-out hands the server back.
-        self.due = self.deadline if self.cls.late_worth else min(self.deadline, now + self.cls.aim)
+        self.attempt_deadline = (
+            self.deadline if self.cls.late_worth else min(self.deadline, now + self.cls.aim)
+        )
 
     def __repr__(self) -> str:
         return f"<Request {self.id} {self.cls.name}, {len(self.attempts)} sent, {len(self.open_attempts)} out, ran {self.first_run}>"
