--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -60,7 +60,7 @@
         for r in list(self._requests.values()):
             if now >= r.deadline and not r.open_attempts:
                 self._end(now, r)
-            elif r.holds_work and now - r.born > r.cls.aim * AIM_SHARE / REFERENCE_LOAD:
+            elif r.holds_work and now - r.started_at > r.cls.aim * AIM_SHARE / REFERENCE_LOAD:
                 self.gate.record_overdue()
         self.gate.update(dt)
         if self._timer % 10 == 0 and self.why:
--- a/cypresspulley/policy/request.py
+++ b/cypresspulley/policy/request.py
@@ -9,7 +9,7 @@
     """Times are of the gateway's clock; ``work`` in seconds of an idle server."""
 
     __slots__ = (
-        "account", "max_attempts", "born", "bound", "holds_work", "cls", "body_pending", "deadline", "attempt_deadline", "granted_incarnation", "id", "in_quota",
+        "account", "max_attempts", "started_at", "bound", "holds_work", "cls", "body_pending", "deadline", "attempt_deadline", "granted_incarnation", "id", "in_quota",
         "replayable", "max_units", "open_attempts", "first_run", "rank", "repeat", "holds_slot", "attempts", "ttl", "units", "work", "worth",
     )  # fmt: skip
 
@@ -43,7 +43,7 @@
 
     def begin(self, now: float) -> None:
         """Its time counts from its last byte."""
-        self.deadline, self.born = now + self.ttl, now
+        self.deadline, self.started_at = now + self.ttl, now
         # Past its aim an answer that earns nothing is only work; the time-out hands the server back.
         self.attempt_deadline = (
             self.deadline if self.cls.late_worth else min(self.deadline, now + self.cls.aim)
