--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -153,7 +153,7 @@
         r.replayable = ev.kept
         if ev.whole and r.body_pending:
             r.body_pending = False
-            r.begin(now)
+            r.start_clock(now)
             self.quotas.whole(now, r)
             for s in r.open_attempts.values():
                 self._busy(now, r, s)
@@ -203,7 +203,7 @@
 
     def _again(self, now: float, r: Request, status: Status) -> None:
         if r.body_pending:
-            r.begin(now)
+            r.start_clock(now)
         allowed, latest = (
             r.replayable and len(r.attempts) < r.max_attempts and r.attempt_deadline - now > r.work,
             inf,
--- a/cypresspulley/policy/request.py
+++ b/cypresspulley/policy/request.py
@@ -29,7 +29,7 @@
         self.body_pending = ev.coming
         self.replayable = True
         self.holds_work = False  # its work counts at its server
-        self.begin(now)
+        self.start_clock(now)
         self.holds_slot = False  # it counts among what its customer has out over all gateways
         self.granted_incarnation: int | None = (
             None  # the incarnation of its window's count that holds it, where no even share does
@@ -41,7 +41,7 @@
         self.open_attempts = dict[int, Server]()
         self.first_run: tuple[Server, float] | None = None  # first attempt that may have run
 
-    def begin(self, now: float) -> None:
+    def start_clock(self, now: float) -> None:
         """Its time counts from its last byte."""
         self.deadline, self.started_at = now + self.ttl, now
         # Past its aim an answer that earns nothing is only work; the time-out hands the server back.
