--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -84,12 +84,12 @@
         self.gate.record_arrival(r.work, not ev.repeat)
         value = r.worth / r.work
         self._seen.append(value)
-        r.rank = bisect_left(self._ranks, value) / len(self._ranks) if self._ranks else 1.0
+        r.value_rank = bisect_left(self._ranks, value) / len(self._ranks) if self._ranks else 1.0
         if r.bound and self.quotas.too_dear(r):
             self._end(now, r, "too dear")
         elif not (self.quotas.under_ceiling(r) or self.quotas.window_may_hold(now, r)):
             self._end(now, r, "ceiling")
-        elif not self.gate.allows(now, r.work, RESERVE * (1 - r.rank)):
+        elif not self.gate.allows(now, r.work, RESERVE * (1 - r.value_rank)):
             self._end(now, r, "gate")
         elif (verdict := self.quotas.judge(now, r)) is not None:
             self._launch(now, r, verdict)
--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -329,7 +329,7 @@
         """The server for an attempt; None where none should get it now."""
         # By Little's law: work out is the finished work a second times the stay that is wanted; four a server
         # over all gates at least. Quick answers give a thin gate three more, a load the chance of one.
-        up, stay, part = self.subset, self._stay(r.cls), 1 - RESERVE * 0.5 * (1 - r.rank)
+        up, stay, part = self.subset, self._stay(r.cls), 1 - RESERVE * 0.5 * (1 - r.value_rank)
         few = len(up) <= SAMPLED
         rates = sum([s.work_rate for s in up]) if few else self._rates
         least = self._least_out
--- a/cypresspulley/policy/request.py
+++ b/cypresspulley/policy/request.py
@@ -10,7 +10,7 @@
 
     __slots__ = (
         "account", "max_attempts", "started_at", "bound", "holds_work", "cls", "body_pending", "deadline", "attempt_deadline", "granted_incarnation", "id", "in_quota",
-        "replayable", "max_units", "open_attempts", "first_run", "rank", "repeat", "holds_slot", "attempts", "ttl", "units", "work", "worth",
+        "replayable", "max_units", "open_attempts", "first_run", "value_rank", "repeat", "holds_slot", "attempts", "ttl", "units", "work", "worth",
     )  # fmt: skip
 
     def __init__(
@@ -36,7 +36,7 @@
         )
         self.worth = cls.worth * account.plan.price * ev.units
         self.work = 0.0  # expected work
-        self.rank = 1.0  # place among the recent by worth per work
+        self.value_rank = 1.0  # place among the recent by worth per work
         self.attempts = list[tuple[Server, float]]()
         self.open_attempts = dict[int, Server]()
         self.first_run: tuple[Server, float] | None = None  # first attempt that may have run
