--- a/cypresspulley/policy/quota.py
+++ b/cypresspulley/policy/quota.py
@@ -175,7 +175,7 @@
     def judge(self, now: float, r: Request) -> Verdict | None:
         """Whether a try is inside its quota, by the first who can vouch for its units; None: the counter is asked."""
         a, plan = r.account, r.account.plan
-        self._spare = min(r.worth, self._spare + UNVOUCHED * (1 - self._beyond) * r.worth * (not r.repeat))
+        self._spare = min(r.worth, self._spare + UNVOUCHED * (1 - self._beyond) * r.worth * (not r.is_retry))
         if a.window is not None or (a.low_traffic and plan.ceiling_rate > 0 and self._set.has_counter):
             return self._judge_by_window(now, r)
         expected, calls = min(plan.burst, a.level - a.others * (now - a.synced)), self.calls
@@ -196,7 +196,7 @@
         if late or plan.over_worth > plan.over_cost or chance < max(0.05, self._rng.random()):
             return self._unvouched(r, expected)
         # Near the quota the counter is asked first, with the units where they will likely be granted.
-        step = 0.0 if r.repeat and a.low_traffic else r.units / (max(0.4, chance) if a.low_traffic else 1.0)
+        step = 0.0 if r.is_retry and a.low_traffic else r.units / (max(0.4, chance) if a.low_traffic else 1.0)
         self.count(now, a, r, step)
         return None
 
@@ -218,7 +218,7 @@
         much passes as may cost a part of what is asked inside quotas here: summed over gateways, the same part."""
         a, allowed = r.account, self._spare >= 0
         passes = expected >= r.units and (
-            not a.low_traffic or (allowed and not r.repeat and a.floor >= r.units)
+            not a.low_traffic or (allowed and not r.is_retry and a.floor >= r.units)
         )
         self._spare -= passes * a.low_traffic * self._beyond * a.plan.over_cost * r.worth
         return Verdict(passes, 0.0 if a.low_traffic else None, "nobody")
@@ -326,7 +326,7 @@
         verdict = self._unvouched(r, left + own) if r is not None and lost else Verdict(left >= -1e-6)
         used = own if verdict.inside else 0.0
         right = used if units == 0 else -units * (used == 0)
-        if r is not None and not r.repeat and ev.status is Status.OK:
+        if r is not None and not r.is_retry and ev.status is Status.OK:
             self._beyond += SAMPLE * ((used == 0) - self._beyond)
         if asked and right:
             self.count(now, a, own=right)
--- a/cypresspulley/policy/request.py
+++ b/cypresspulley/policy/request.py
@@ -10,7 +10,7 @@
 
     __slots__ = (
         "account", "max_attempts", "started_at", "bound", "holds_work", "cls", "body_pending", "deadline", "attempt_deadline", "granted_incarnation", "id", "in_quota",
-        "replayable", "max_units", "open_attempts", "first_run", "value_rank", "repeat", "holds_slot", "attempts", "ttl", "units", "work", "worth",
+        "replayable", "max_units", "open_attempts", "first_run", "value_rank", "is_retry", "holds_slot", "attempts", "ttl", "units", "work", "worth",
     )  # fmt: skip
 
     def __init__(
@@ -23,7 +23,7 @@
         self.max_attempts = attempts  # that it may have in all
         self.bound = ev.bound
         self.max_units = max(ev.units, ev.bound)  # a ceiling is held against the most
-        self.repeat = ev.repeat
+        self.is_retry = ev.repeat
         self.in_quota = False
         self.ttl = ev.ttl
         self.body_pending = ev.coming
