--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -31,7 +31,7 @@
         self.load_balancer = LoadBalancer(settings, rng, self.gate)
         self._classes = ClassRegistry(settings)
         self._requests = dict[int, Request]()  # open ones
-        self.why = dict[str, int]()  # causes to log
+        self.refusal_counts = dict[str, int]()  # causes to log
         self.quotas = Quotas(settings, rng, now, lambda a: self._out.append(a), self._requests, self._launch)
         self._timer = 0
         self._retries = 10.0  # further attempts that may be made
@@ -63,12 +63,12 @@
             elif r.holds_work and now - r.started_at > r.cls.aim * AIM_SHARE / REFERENCE_LOAD:
                 self.gate.record_overdue()
         self.gate.update(dt)
-        if self._timer % 10 == 0 and self.why:
-            text = ", ".join(f"{k} {n}" for k, n in sorted(self.why.items()))
+        if self._timer % 10 == 0 and self.refusal_counts:
+            text = ", ".join(f"{k} {n}" for k, n in sorted(self.refusal_counts.items()))
             load = f"load {self.gate.load:.2f}, u {self.gate.admit_rate:.0f}/s"
             silent = ", counter silent" * (now < self.quotas.calls.silent_until)
             self._out.append(api.Log(f"turned away: {text}; {load}{silent}"))
-            self.why = {}
+            self.refusal_counts = {}
         self._out += self.load_balancer.tick(now, dt, self._requests.values())
         self.quotas.tell(now)
         self._ranks = sorted(self._seen)
@@ -215,7 +215,7 @@
         self._retries -= status not in (Status.UNREACHABLE, Status.DROPPED)
 
     def _end(self, now: float, r: Request, why: str = "attempts") -> None:
-        self.why[why] = self.why.get(why, 0) + 1
+        self.refusal_counts[why] = self.refusal_counts.get(why, 0) + 1
         a, effect = r.account, r.cls.effect
         if (
             r.first_run is None
--- a/tests/graphql/test_charging.py
+++ b/tests/graphql/test_charging.py
@@ -211,4 +211,4 @@
 def test_a_plain_request_is_never_too_dear() -> None:
     world = capped()
     world.feed(api.Request(1, "read", "small", 3.0, "acct", 9.0, 3))
-    assert world.answered.get(1) != "too dear" and world.gateway.why.get("too dear", 0) == 0
+    assert world.answered.get(1) != "too dear" and world.gateway.refusal_counts.get("too dear", 0) == 0
