--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -35,7 +35,7 @@
         self.quotas = Quotas(settings, rng, now, lambda a: self._out.append(a), self._requests, self._launch)
         self._timer = 0
         self._retries = 10.0  # further attempts that may be made
-        self._seen = deque[float](maxlen=300)  # worth per work of the recent
+        self._recent_values = deque[float](maxlen=300)  # worth per work of the recent
         self._ranks = list[float]()
         self._handlers: dict[type, Callable[[float, Any], None]] = {
             api.Request: self._arrive, api.Body: self._body, api.Began: self._began, api.Outcome: self._outcome,
@@ -71,7 +71,7 @@
             self.refusal_counts = {}
         self._out += self.load_balancer.tick(now, dt, self._requests.values())
         self.quotas.tell(now)
-        self._ranks = sorted(self._seen)
+        self._ranks = sorted(self._recent_values)
         self.quotas.tick(now)
 
     def _arrive(self, now: float, ev: api.Request) -> None:
@@ -83,7 +83,7 @@
         r.work = self.load_balancer.expected_work(cls, ev.units)
         self.gate.record_arrival(r.work, not ev.repeat)
         value = r.worth / r.work
-        self._seen.append(value)
+        self._recent_values.append(value)
         r.value_rank = bisect_left(self._ranks, value) / len(self._ranks) if self._ranks else 1.0
         if r.bound and self.quotas.too_dear(r):
             self._end(now, r, "too dear")
--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -83,7 +83,7 @@
     accounts = sorted(quotas.accounts.items(), key=lambda each: -each[1].at)[:ACCOUNTS]
     return {
         "retries": gateway._retries,
-        "seen": list(gateway._seen),
+        "seen": list(gateway._recent_values),
         "gate": _read_attributes(gateway.gate, GATE),
         "base": load_balancer.idle_latency,
         "sizes": _read_attributes(load_balancer.unit_cost, SIZES),
@@ -125,8 +125,8 @@
 def _adopt(gateway: Gateway, now: float, state: dict[str, Any]) -> None:
     load_balancer, quotas = gateway.load_balancer, gateway.quotas
     gateway._retries = float(state["retries"])
-    gateway._seen.extend(map(float, state["seen"]))
-    gateway._ranks = sorted(gateway._seen)
+    gateway._recent_values.extend(map(float, state["seen"]))
+    gateway._ranks = sorted(gateway._recent_values)
     _write_attributes(gateway.gate, state["gate"], GATE)
     load_balancer.idle_latency.update({str(name): float(value) for name, value in state["base"].items()})
     _write_attributes(load_balancer.unit_cost, state["sizes"], SIZES)
