--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -36,7 +36,7 @@
         self._timer = 0
         self._retries = 10.0  # further attempts that may be made
         self._recent_values = deque[float](maxlen=300)  # worth per work of the recent
-        self._ranks = list[float]()
+        self._sorted_values = list[float]()
         self._handlers: dict[type, Callable[[float, Any], None]] = {
             api.Request: self._arrive, api.Body: self._body, api.Began: self._began, api.Outcome: self._outcome,
             api.ServerList: self.load_balancer.update_servers, api.Suspend: self._suspend, api.Retune: self._retune,
@@ -71,7 +71,7 @@
             self.refusal_counts = {}
         self._out += self.load_balancer.tick(now, dt, self._requests.values())
         self.quotas.tell(now)
-        self._ranks = sorted(self._recent_values)
+        self._sorted_values = sorted(self._recent_values)
         self.quotas.tick(now)
 
     def _arrive(self, now: float, ev: api.Request) -> None:
@@ -84,7 +84,9 @@
         self.gate.record_arrival(r.work, not ev.repeat)
         value = r.worth / r.work
         self._recent_values.append(value)
-        r.value_rank = bisect_left(self._ranks, value) / len(self._ranks) if self._ranks else 1.0
+        r.value_rank = (
+            bisect_left(self._sorted_values, value) / len(self._sorted_values) if self._sorted_values else 1.0
+        )
         if r.bound and self.quotas.too_dear(r):
             self._end(now, r, "too dear")
         elif not (self.quotas.under_ceiling(r) or self.quotas.window_may_hold(now, r)):
--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -126,7 +126,7 @@
     load_balancer, quotas = gateway.load_balancer, gateway.quotas
     gateway._retries = float(state["retries"])
     gateway._recent_values.extend(map(float, state["seen"]))
-    gateway._ranks = sorted(gateway._recent_values)
+    gateway._sorted_values = sorted(gateway._recent_values)
     _write_attributes(gateway.gate, state["gate"], GATE)
     load_balancer.idle_latency.update({str(name): float(value) for name, value in state["base"].items()})
     _write_attributes(load_balancer.unit_cost, state["sizes"], SIZES)
