--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -34,7 +34,7 @@
         self.refusal_counts = dict[str, int]()  # causes to log
         self.quotas = Quotas(settings, rng, now, lambda a: self._out.append(a), self._requests, self._launch)
         self._timer = 0
-        self._retries = 10.0  # further attempts that may be made
+        self._retry_tokens = 10.0  # further attempts that may be made
         self._recent_values = deque[float](maxlen=300)  # worth per work of the recent
         self._sorted_values = list[float]()
         self._handlers: dict[type, Callable[[float, Any], None]] = {
@@ -122,7 +122,7 @@
             self.quotas.unsent(now, r, verdict)
             return self._end(now, r, "no server")
         self.gate.charge(r.work)
-        self._retries = min(10.0, self._retries + 0.1)
+        self._retry_tokens = min(10.0, self._retry_tokens + 0.1)
         self.quotas.sent(now, r, verdict)
 
     def _send(self, now: float, r: Request, latest: float = inf) -> bool:
@@ -212,9 +212,9 @@
         )
         if r.first_run is not None and r.cls.effect is not Effect.SAFE:
             latest = r.first_run[1] + 0.95 * r.cls.window if r.cls.effect is Effect.KEYED else now
-        if not (allowed and now < latest and self._retries >= 1) or not self._send(now, r, latest):
+        if not (allowed and now < latest and self._retry_tokens >= 1) or not self._send(now, r, latest):
             return self._end(now, r)
-        self._retries -= status not in (Status.UNREACHABLE, Status.DROPPED)
+        self._retry_tokens -= status not in (Status.UNREACHABLE, Status.DROPPED)
 
     def _end(self, now: float, r: Request, why: str = "attempts") -> None:
         self.refusal_counts[why] = self.refusal_counts.get(why, 0) + 1
--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -82,7 +82,7 @@
     incarnation, usage = quotas.incarnation, quotas.usage
     accounts = sorted(quotas.accounts.items(), key=lambda each: -each[1].at)[:ACCOUNTS]
     return {
-        "retries": gateway._retries,
+        "retries": gateway._retry_tokens,
         "seen": list(gateway._recent_values),
         "gate": _read_attributes(gateway.gate, GATE),
         "base": load_balancer.idle_latency,
@@ -124,7 +124,7 @@
 
 def _adopt(gateway: Gateway, now: float, state: dict[str, Any]) -> None:
     load_balancer, quotas = gateway.load_balancer, gateway.quotas
-    gateway._retries = float(state["retries"])
+    gateway._retry_tokens = float(state["retries"])
     gateway._recent_values.extend(map(float, state["seen"]))
     gateway._sorted_values = sorted(gateway._recent_values)
     _write_attributes(gateway.gate, state["gate"], GATE)
