--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -201,9 +201,9 @@
         if rejected or ev.finished:
             self._forget(now, r.id)
         elif not r.open_attempts:
-            self._again(now, r, ev.status)
+            self._retry(now, r, ev.status)
 
-    def _again(self, now: float, r: Request, status: Status) -> None:
+    def _retry(self, now: float, r: Request, status: Status) -> None:
         if r.body_pending:
             r.start_clock(now)
         allowed, latest = (
--- a/tests/explore/mutants.py
+++ b/tests/explore/mutants.py
@@ -45,7 +45,7 @@
 
 MUTANTS = (
     Mutant(
-        "a retry after a reset of an unsafe class", Gateway, "_again",
+        "a retry after a reset of an unsafe class", Gateway, "_retry",
         "if r.first_run is not None and r.cls.effect is not Effect.SAFE:", "if False:",
         "killed-mid-handover", ("no effect twice",),
         shown_by=3,
