--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -59,7 +59,7 @@
         dt = self.gate.begin_tick(now)
         for r in list(self._requests.values()):
             if now >= r.deadline and not r.open_attempts:
-                self._end(now, r)
+                self._refuse_or_fail(now, r)
             elif r.holds_work and now - r.started_at > r.cls.aim * AIM_SHARE / REFERENCE_LOAD:
                 self.gate.record_overdue()
         self.gate.update(dt)
@@ -88,11 +88,11 @@
             bisect_left(self._sorted_values, value) / len(self._sorted_values) if self._sorted_values else 1.0
         )
         if r.bound and self.quotas.too_dear(r):
-            self._end(now, r, "too dear")
+            self._refuse_or_fail(now, r, "too dear")
         elif not (self.quotas.under_ceiling(r) or self.quotas.window_may_hold(now, r)):
-            self._end(now, r, "ceiling")
+            self._refuse_or_fail(now, r, "ceiling")
         elif not self.gate.allows(now, r.work, RESERVE * (1 - r.value_rank)):
-            self._end(now, r, "gate")
+            self._refuse_or_fail(now, r, "gate")
         elif (verdict := self.quotas.judge(now, r)) is not None:
             self._launch(now, r, verdict)
 
@@ -116,11 +116,11 @@
         if not room and verdict.inside:
             verdict = self.quotas.unsent(now, r, verdict)
         if not (room or earns):
-            return self._end(now, r, verdict.why)
+            return self._refuse_or_fail(now, r, verdict.why)
         # Requests held for the counter must not draw on the ceiling together.
         if not self.quotas.under_ceiling(r) or not self._send(now, r):
             self.quotas.unsent(now, r, verdict)
-            return self._end(now, r, "no server")
+            return self._refuse_or_fail(now, r, "no server")
         self.gate.charge(r.work)
         self._retry_tokens = min(10.0, self._retry_tokens + 0.1)
         self.quotas.sent(now, r, verdict)
@@ -213,10 +213,10 @@
         if r.first_run is not None and r.cls.effect is not Effect.SAFE:
             latest = r.first_run[1] + 0.95 * r.cls.window if r.cls.effect is Effect.KEYED else now
         if not (allowed and now < latest and self._retry_tokens >= 1) or not self._send(now, r, latest):
-            return self._end(now, r)
+            return self._refuse_or_fail(now, r)
         self._retry_tokens -= status not in (Status.UNREACHABLE, Status.DROPPED)
 
-    def _end(self, now: float, r: Request, why: str = "attempts") -> None:
+    def _refuse_or_fail(self, now: float, r: Request, why: str = "attempts") -> None:
         self.refusal_counts[why] = self.refusal_counts.get(why, 0) + 1
         a, effect = r.account, r.cls.effect
         if (
--- a/tests/explore/mutants.py
+++ b/tests/explore/mutants.py
@@ -51,7 +51,7 @@
         shown_by=3,
     ),
     Mutant(
-        "a refusal where it may have run", Gateway, "_end",
+        "a refusal where it may have run", Gateway, "_refuse_or_fail",
         "if r.first_run is None or effect is Effect.SAFE", "if True or effect is Effect.SAFE",
         "killed-mid-handover", ("no effect twice",),
         shown_by=3,
