--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -32,7 +32,9 @@
         self._classes = ClassRegistry(settings)
         self._requests = dict[int, Request]()  # open ones
         self.refusal_counts = dict[str, int]()  # causes to log
-        self.quotas = Quotas(settings, rng, now, lambda a: self._out.append(a), self._requests, self._launch)
+        self.quotas = Quotas(
+            settings, rng, now, lambda a: self._out.append(a), self._requests, self._dispatch
+        )
         self._timer = 0
         self._retry_tokens = 10.0  # further attempts that may be made
         self._recent_values = deque[float](maxlen=300)  # worth per work of the recent
@@ -94,7 +96,7 @@
         elif not self.gate.allows(now, r.work, RESERVE * (1 - r.value_rank)):
             self._refuse_or_fail(now, r, "gate")
         elif (verdict := self.quotas.judge(now, r)) is not None:
-            self._launch(now, r, verdict)
+            self._dispatch(now, r, verdict)
 
     def _suspend(self, now: float, ev: api.Suspend) -> None:
         if self.load_balancer.set_ban(now, ev):
@@ -107,7 +109,7 @@
         self.load_balancer.apply_settings(now, ev.settings)
         self.quotas.retune(now, ev.settings)
 
-    def _launch(self, now: float, r: Request, verdict: Verdict) -> None:
+    def _dispatch(self, now: float, r: Request, verdict: Verdict) -> None:
         plan = r.account.plan
         earns = plan.over_worth > plan.over_cost and 0 < self.gate.load < 0.6 * REFERENCE_LOAD
         room = verdict.inside and self.quotas.room_out(now, r, verdict)
--- a/tests/graphql/test_charging.py
+++ b/tests/graphql/test_charging.py
@@ -144,7 +144,7 @@
 @pytest.mark.parametrize(
     "name, mutant",
     [
-        ("_launch", _expected_only), ("settle", _negative_believed), ("settle", _given_back_on_a_lost_answer),
+        ("_dispatch", _expected_only), ("settle", _negative_believed), ("settle", _given_back_on_a_lost_answer),
         ("settle", _settled_twice),
     ],
 )  # fmt: skip
