--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -75,7 +75,7 @@
 
     def count(self, now: float) -> int:
         """How many there are, without those that have faded."""
-        while self._servers and (oldest := next(iter(self._servers))).told_at <= now - FADED:
+        while self._servers and (oldest := next(iter(self._servers))).reported_at <= now - FADED:
             del self._servers[oldest]
             self._sum -= oldest.reported_inflight
         return len(self._servers)
