--- a/cypresspulley/policy/gate.py
+++ b/cypresspulley/policy/gate.py
@@ -84,11 +84,9 @@
     def allows(self, now: float, work: float, reserve: float) -> bool:
         """Whether the bucket lets work in, keeping ``reserve`` (a share of its depth) for what is worth more."""
         # A shut gate reads nothing and would stay shut; a full bucket lets any one request pass, into debt.
-        rate, dt, self._filled_at = (
-            max(TRICKLE * self._arrival_rate, self.admit_rate),
-            now - self._filled_at,
-            now,
-        )
+        rate = max(TRICKLE * self._arrival_rate, self.admit_rate)
+        dt = now - self._filled_at
+        self._filled_at = now
         depth = max(THIN, rate * DEPTH)
         self._tokens = min(depth, self._tokens + rate * dt)
         need = work / self.mean_work + reserve * max(0, depth - 2)
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -208,10 +208,8 @@
     def _retry(self, now: float, r: Request, status: Status) -> None:
         if r.body_pending:
             r.start_clock(now)
-        allowed, latest = (
-            r.replayable and len(r.attempts) < r.max_attempts and r.attempt_deadline - now > r.work,
-            inf,
-        )
+        allowed = r.replayable and len(r.attempts) < r.max_attempts and r.attempt_deadline - now > r.work
+        latest = inf
         if r.first_run is not None and r.cls.effect is not Effect.SAFE:
             latest = r.first_run[1] + 0.95 * r.cls.window if r.cls.effect is Effect.KEYED else now
         if not (allowed and now < latest and self._retry_tokens >= 1) or not self._send(now, r, latest):
--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -71,7 +71,9 @@
                 del self._servers[server]
             self._servers[server] = None
             self._sum += held
-        server.reported_inflight, server.reported_at, server.sent_since_report = held, now, 0
+        server.reported_inflight = held
+        server.reported_at = now
+        server.sent_since_report = 0
 
     def count(self, now: float) -> int:
         """How many there are, without those that have faded."""
@@ -177,7 +179,9 @@
 
     def record_probe(self, now: float, ev: api.Probed) -> None:
         if ev.status is Status.OK and (s := self.servers.get(ev.server)) and s.unreachable:
-            s.ejected_until, s.silent_since, s.unreachable = now, None, False
+            s.ejected_until = now
+            s.silent_since = None
+            s.unreachable = False
             self._begin_slow_start(now, s, now)
 
     def update_servers(self, now: float, ev: api.ServerList) -> None:
@@ -192,7 +196,9 @@
             self.births[e.name] = e.born
             if started is not None and started < self._set.warm_after:
                 self._begin_slow_start(now, s, now - started)
-                s.latency_ratio, s.ejected_until, s.on_trial = 0.0, min(s.ejected_until, now), False
+                s.latency_ratio = 0.0
+                s.ejected_until = min(s.ejected_until, now)
+                s.on_trial = False
             if s.gone:
                 self._gone[s] = None
             if not ev.complete:
@@ -213,7 +219,9 @@
 
     def _begin_slow_start(self, now: float, server: Server, since: float) -> None:
         """A server does less than its share from ``since`` on, and what all gateways send it is bounded."""
-        server.cold_since, server.cold_budget, server.cold_budget_at = since, 0.0, now
+        server.cold_since = since
+        server.cold_budget = 0.0
+        server.cold_budget_at = now
         if server.in_subset:
             self._cold[server] = None
 
@@ -247,21 +255,12 @@
         (self.bans.add if ev.out else self.bans.discard)(ev.server)
         if back and s is not None:  # it may have been restarted, whatever the list says of its birth
             self._begin_slow_start(now, s, now)
-            (
-                s.latency_ratio,
-                s.ejected_until,
-                s.ejection_seconds,
-                s.silent_since,
-                s.on_trial,
-                s.unreachable,
-            ) = (
-                0.0,
-                now,
-                0.0,
-                None,
-                False,
-                False,
-            )
+            s.latency_ratio = 0.0
+            s.ejected_until = now
+            s.ejection_seconds = 0.0
+            s.silent_since = None
+            s.on_trial = False
+            s.unreachable = False
         self._rebuild(now)
         return True
 
@@ -437,10 +436,8 @@
         fill = part * self._set.fall_multiple * min(1.0, warmth) * self._mean_finish_rate
         s.cold_budget, s.cold_budget_at = s.cold_budget + fill * (now - s.cold_budget_at), now
         # One at each of hundreds of gates pushes it over: each lets pass at its phase; savings lapse by whole ones.
-        one, saved = (
-            max(1e-9, self._gate.mean_work),
-            fill * self._set.fall_window * (MAX_COLD_LOAD_SHARE / part - 1),
-        )
+        one = max(1e-9, self._gate.mean_work)
+        saved = fill * self._set.fall_window * (MAX_COLD_LOAD_SHARE / part - 1)
         s.cold_budget -= one * max(0, math.ceil((s.cold_budget - saved) / one - s.budget_phase))
         return s.cold_budget > s.budget_phase * r.work
 
@@ -450,10 +447,8 @@
         if ev.status is Status.OK:
             s.finished_work += r.work
             self._used[s] = None
-            base, size = (
-                self.idle_latency.setdefault(r.cls.name, r.cls.aim * 0.1),
-                self.unit_cost.work_factor(r.units),
-            )
+            base = self.idle_latency.setdefault(r.cls.name, r.cls.aim * 0.1)
+            size = self.unit_cost.work_factor(r.units)
             own = ev.elapsed / size
             self.idle_latency[r.cls.name] = base + (own - base) * (0.01 if own > base else 0.02)
             s.latency_ratio += (0.1 if s.latency_ratio else 1.0) * (own / base - s.latency_ratio)
@@ -470,10 +465,8 @@
         usual, outs = sorted(x.failure_rate for x in up)[len(up) // 2], sum(x.ejected_until > now for x in up)
         vain = ev.status is Status.UNREACHABLE  # each such dial is a sign of its own
         if snapped:
-            s.consecutive_breaks, s.last_break_at = (
-                s.consecutive_breaks + (vain or ev.elapsed <= now - s.last_break_at),
-                now,
-            )
+            s.consecutive_breaks = s.consecutive_breaks + (vain or ev.elapsed <= now - s.last_break_at)
+            s.last_break_at = now
         elif ev.status in ANSWERED:
             s.consecutive_breaks = 0
         dead = mute or (
@@ -487,11 +480,9 @@
         if ev.status is Status.OK:
             if s.unreachable and s.cold_since is None:  # it may have restarted unseen
                 self._begin_slow_start(now, s, now)
-            s.unreachable, s.on_trial, s.ejection_seconds = (
-                False,
-                False,
-                s.ejection_seconds * (s.failure_rate >= max(0.05, usual)),
-            )
+            s.unreachable = False
+            s.on_trial = False
+            s.ejection_seconds = s.ejection_seconds * (s.failure_rate >= max(0.05, usual))
         # Lost, it may come back restarted and cold: that takes dials in vain. Who takes one and breaks it is there,
         # and one that keeps its connections and is silent hangs or is slow.
         s.unreachable = s.unreachable or (dead and vain)
@@ -500,10 +491,8 @@
         few = dead or outs < len(up) / 2
         if bad and few and s.ejected_until <= now and s.failure_rate > usual * (2 - dead) + 0.25:
             s.ejection_seconds = min(10.0, max(1.5, s.ejection_seconds * 2))
-            s.ejected_until, s.on_trial, s.failure_rate = (
-                now + s.ejection_seconds,
-                s.cold_since is None,
-                0.2,
-            )  # or the budget tries it
+            s.ejected_until = now + s.ejection_seconds
+            s.on_trial = s.cold_since is None  # or the budget tries it
+            s.failure_rate = 0.2
             self._out[s] = None
             self._choose(now)
