--- a/cypresspulley/policy/gate.py
+++ b/cypresspulley/policy/gate.py
@@ -6,12 +6,12 @@
 REFERENCE_LOAD = 0.8  # the design's loop
 GAIN = 20.0
 RESET = 2.8
-INTERVAL = 1.0
+TICK_SECONDS = 1.0
 STALL = 2.5  # intervals of a stall
-AIM_SHARE = 0.5  # latency / aim that reads as the reference
-PLAIN_ROOM = 0.5  # load / reference of plain room
+REFERENCE_AIM_SHARE = 0.5  # latency / aim that reads as the reference
+LOW_LOAD_SHARE = 0.5  # load / reference of plain room
 DEPTH = 1.0  # seconds of u that the gate holds
-RESERVE = 0.6  # share kept from the least worthy work
+MAX_RESERVE_SHARE = 0.6  # share kept from the least worthy work
 THIN = 3.0  # requests that a thin gate holds
 TRICKLE = 0.1  # share of the arrivals let in for readings
 
@@ -49,7 +49,7 @@
     def record_outcome(self, cls: api.RequestClass, status: Status, elapsed: float) -> None:
         """An attempt's end: latency against the class's aim, or a refusal as full."""
         if status is Status.OK:
-            self._load.append(min(1.0, elapsed / cls.aim * REFERENCE_LOAD / AIM_SHARE))
+            self._load.append(min(1.0, elapsed / cls.aim * REFERENCE_LOAD / REFERENCE_AIM_SHARE))
         elif status in (Status.FULL, Status.TIMEOUT):
             self._load.append(1.0)
 
@@ -68,17 +68,17 @@
         load = sum(self._load) / len(self._load) if enough else None
         # K is made for a stream of its size: at hundreds of thin gates whole ones add up to on and off.
         gain, self.arrived_requests, self.admitted_requests = min(GAIN, self._arrival_rate), 0.0, 0.0
-        if dt > STALL * INTERVAL:
+        if dt > STALL * TICK_SECONDS:
             self.integral = None  # a stall: the sum belongs to a load that is gone
         elif load is not None:
             error, self.load = REFERENCE_LOAD - load, load
             self.admit_rate = gain * error + (admitted if self.integral is None else self.integral)
             self.integral = self.admit_rate - gain * error
-            if load < PLAIN_ROOM * REFERENCE_LOAD and self.admit_rate < arrivals:
+            if load < LOW_LOAD_SHARE * REFERENCE_LOAD and self.admit_rate < arrivals:
                 self.integral, self.admit_rate = arrivals - gain * error, arrivals
             if error < 0 or self.admit_rate <= arrivals:
                 self.integral = max(0.0, self.integral + gain / RESET * error)
-        if load is not None or dt > STALL * INTERVAL:
+        if load is not None or dt > STALL * TICK_SECONDS:
             self._load, self._held = [], 0
 
     def allows(self, now: float, work: float, reserve: float) -> bool:
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -10,7 +10,13 @@
 from cypresspulley import interface as api
 from cypresspulley.interface import Action, Effect, Status
 from cypresspulley.policy.classes import ClassRegistry
-from cypresspulley.policy.gate import AIM_SHARE, INTERVAL, REFERENCE_LOAD, RESERVE, Gate
+from cypresspulley.policy.gate import (
+    REFERENCE_AIM_SHARE,
+    TICK_SECONDS,
+    REFERENCE_LOAD,
+    MAX_RESERVE_SHARE,
+    Gate,
+)
 from cypresspulley.policy.load_balancer import LoadBalancer
 from cypresspulley.policy.quota import Quotas, Verdict
 from cypresspulley.policy.request import Request
@@ -54,7 +60,7 @@
             self._tick(now)
         if ticked or not self._timer:
             self._timer += 1
-            self._out.append(api.SetTimer(INTERVAL, self._timer))
+            self._out.append(api.SetTimer(TICK_SECONDS, self._timer))
         return self._out
 
     def _tick(self, now: float) -> None:
@@ -62,7 +68,7 @@
         for r in list(self._requests.values()):
             if now >= r.deadline and not r.open_attempts:
                 self._refuse_or_fail(now, r)
-            elif r.holds_work and now - r.started_at > r.cls.aim * AIM_SHARE / REFERENCE_LOAD:
+            elif r.holds_work and now - r.started_at > r.cls.aim * REFERENCE_AIM_SHARE / REFERENCE_LOAD:
                 self.gate.record_overdue()
         self.gate.update(dt)
         if self._timer % 10 == 0 and self.refusal_counts:
@@ -93,7 +99,7 @@
             self._refuse_or_fail(now, r, "too dear")
         elif not (self.quotas.under_ceiling(r) or self.quotas.window_may_hold(now, r)):
             self._refuse_or_fail(now, r, "ceiling")
-        elif not self.gate.allows(now, r.work, RESERVE * (1 - r.value_rank)):
+        elif not self.gate.allows(now, r.work, MAX_RESERVE_SHARE * (1 - r.value_rank)):
             self._refuse_or_fail(now, r, "gate")
         elif (verdict := self.quotas.judge(now, r)) is not None:
             self._dispatch(now, r, verdict)
--- a/cypresspulley/policy/ring.py
+++ b/cypresspulley/policy/ring.py
@@ -41,7 +41,7 @@
         """All of them in their order, to be read only."""
         return self._order
 
-    def part(self, index: int, gateways: int, most: int | None = None) -> list[Server]:
+    def subset(self, index: int, gateways: int, most: int | None = None) -> list[Server]:
         """Servers from the place of gateway ``index`` of ``gateways`` on; places are spread evenly."""
         order = self._order
         start = index * len(order) // gateways
@@ -50,7 +50,7 @@
         return order[start : start + most] + order[: max(0, start + most - len(order))]
 
 
-class Groups:
+class DeduplicationGroups:
     """Usable servers by zone, and by zone and cell: who drops a repeat of what another one may have run."""
 
     def __init__(self) -> None:
--- a/tests/explore/mutants.py
+++ b/tests/explore/mutants.py
@@ -96,7 +96,7 @@
     ),
     Mutant(
         "a budget that forgets a restart", LoadBalancer, "_has_cold_budget",
-        "return s.cold_budget > s.budget_phase * r.work", "return True",
+        "return server.cold_budget > server.budget_phase * request.work", "return True",
         "cold", ("no cold server pushed over",),
         inside=100.0,
         shown_by=2,
@@ -108,7 +108,7 @@
     ),
     Mutant(
         "a server called back not cold", LoadBalancer, "set_ban",
-        "self._begin_slow_start(now, s, now)", "s.cold_since = None",
+        "self._begin_slow_start(now, server, now)", "server.cold_since = None",
         "cold by hand", ("no cold server pushed over",),
         inside=100.0,
         shown_by=1,
