--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway that joins gate, quotas and fleet: one event in, a list of actions out. See ``interface.py``."""
+"""The decisions of a limiter: takes one event at a time and returns a list of actions. See ``interface.py``."""
 
 from bisect import bisect_left
 from collections import deque
@@ -11,10 +11,10 @@
 from cypresspulley.interface import Action, Effect, Status
 from cypresspulley.policy.classes import ClassRegistry
 from cypresspulley.policy.gate import (
+    MAX_RESERVE_SHARE,
     REFERENCE_AIM_SHARE,
-    TICK_SECONDS,
     REFERENCE_LOAD,
-    MAX_RESERVE_SHARE,
+    TICK_SECONDS,
     Gate,
 )
 from cypresspulley.policy.load_balancer import LoadBalancer
@@ -22,46 +22,52 @@
 from cypresspulley.policy.request import Request
 from cypresspulley.policy.server import Server
 
-SPLIT = 0.7  # share of the aim until a second attempt
+RETRIABLE_TIMEOUT_AIM_SHARE = (
+    0.7  # timeout of an attempt that another may follow, as a share of the class's aim
+)
 NEVER_RAN = (Status.FULL, Status.UNREACHABLE, Status.DROPPED, Status.NOT_SENT)
 
 
 class Gateway:
-    """All that one limiter decides: what is let in, where it goes, whether it is tried again, what is answered."""
+    """Decides which requests are admitted, which servers they go to, whether they are retried and how they end."""
 
     def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
-        self._set = settings
-        self._out = list[Action]()
+        self._settings = settings
+        self._actions = list[Action]()
         rng = Random(seed)
         self.gate = Gate(now)
         self.load_balancer = LoadBalancer(settings, rng, self.gate)
         self._classes = ClassRegistry(settings)
-        self._requests = dict[int, Request]()  # open ones
-        self.refusal_counts = dict[str, int]()  # causes to log
+        self._requests = dict[int, Request]()  # open requests
+        self.refusal_counts = dict[str, int]()  # by cause, since they were last logged
         self.quotas = Quotas(
-            settings, rng, now, lambda a: self._out.append(a), self._requests, self._dispatch
+            settings, rng, now, lambda a: self._actions.append(a), self._requests, self._dispatch
         )
-        self._timer = 0
-        self._retry_tokens = 10.0  # further attempts that may be made
-        self._recent_values = deque[float](maxlen=300)  # worth per work of the recent
+        self._timer_token = 0
+        self._retry_tokens = 10.0  # retries that may be made; requests sent on add to them
+        self._recent_values = deque[float](maxlen=300)  # worth per work of recent requests
         self._sorted_values = list[float]()
         self._handlers: dict[type, Callable[[float, Any], None]] = {
-            api.Request: self._arrive, api.Body: self._body, api.Began: self._began, api.Outcome: self._outcome,
-            api.ServerList: self.load_balancer.update_servers, api.Suspend: self._suspend, api.Retune: self._retune,
-            api.Probed: self.load_balancer.record_probe, api.Heard: self.quotas.heard, api.Counted: self.quotas.calls.answered,
-            api.WallClock: lambda _now, ev: self.quotas.wall.step(ev.shift), api.TimerFired: lambda _now, _ev: None,
-            api.Departed: lambda now, ev: self._forget(now, ev.id),
+            api.Request: self._handle_request, api.Body: self._handle_body, api.Began: self._handle_began,
+            api.Outcome: self._handle_outcome, api.ServerList: self.load_balancer.update_servers,
+            api.Suspend: self._handle_suspend, api.Retune: self._handle_retune,
+            api.Probed: self.load_balancer.record_probe, api.Heard: self.quotas.heard,
+            api.Counted: self.quotas.calls.answered,
+            api.WallClock: lambda _now, event: self.quotas.wall.step(event.shift),
+            api.TimerFired: lambda _now, _event: None,
+            api.Departed: lambda now, event: self._remove_request(now, event.id),
         }  # fmt: skip
 
     def handle(self, now: float, event: api.Event) -> list[Action]:
-        self._out, ticked = [], event == api.TimerFired(self._timer)
+        """Handle an event and return the actions to take, in order. ``now`` is monotonic, in seconds."""
+        self._actions, ticked = [], event == api.TimerFired(self._timer_token)
         self._handlers[type(event)](now, event)
         if ticked:
             self._tick(now)
-        if ticked or not self._timer:
-            self._timer += 1
-            self._out.append(api.SetTimer(TICK_SECONDS, self._timer))
-        return self._out
+        if ticked or not self._timer_token:
+            self._timer_token += 1
+            self._actions.append(api.SetTimer(TICK_SECONDS, self._timer_token))
+        return self._actions
 
     def _tick(self, now: float) -> None:
         dt = self.gate.begin_tick(now)
@@ -71,180 +77,208 @@
             elif r.holds_work and now - r.started_at > r.cls.aim * REFERENCE_AIM_SHARE / REFERENCE_LOAD:
                 self.gate.record_overdue()
         self.gate.update(dt)
-        if self._timer % 10 == 0 and self.refusal_counts:
+        if self._timer_token % 10 == 0 and self.refusal_counts:
             text = ", ".join(f"{k} {n}" for k, n in sorted(self.refusal_counts.items()))
-            load = f"load {self.gate.load:.2f}, u {self.gate.admit_rate:.0f}/s"
+            load = f"load {self.gate.load:.2f}, u {self.gate.admit_rate:.0f}/s"  # u: the admit rate
             silent = ", counter silent" * (now < self.quotas.calls.silent_until)
-            self._out.append(api.Log(f"turned away: {text}; {load}{silent}"))
+            self._actions.append(api.Log(f"turned away: {text}; {load}{silent}"))
             self.refusal_counts = {}
-        self._out += self.load_balancer.tick(now, dt, self._requests.values())
+        self._actions += self.load_balancer.tick(now, dt, self._requests.values())
         self.quotas.tell(now)
         self._sorted_values = sorted(self._recent_values)
         self.quotas.tick(now)
 
-    def _arrive(self, now: float, ev: api.Request) -> None:
-        unknown = api.RequestClass(ev.request_class, max(ev.ttl, 0.01), 1.0, Effect.UNSAFE)
-        cls = self._classes.record(now, ev.request_class, ev.effect) or unknown
-        a = self.quotas.account(now, ev)
+    def _handle_request(self, now: float, event: api.Request) -> None:
+        unknown = api.RequestClass(event.request_class, max(event.ttl, 0.01), 1.0, Effect.UNSAFE)
+        cls = self._classes.record(now, event.request_class, event.effect) or unknown
+        account = self.quotas.account(now, event)
         self.quotas.tell(now)
-        r = self._requests[ev.id] = Request(now, ev, cls, a, self._classes.attempts(now))
-        r.work = self.load_balancer.expected_work(cls, ev.units)
-        self.gate.record_arrival(r.work, not ev.repeat)
-        value = r.worth / r.work
+        request = self._requests[event.id] = Request(now, event, cls, account, self._classes.attempts(now))
+        request.work = self.load_balancer.expected_work(cls, event.units)
+        self.gate.record_arrival(request.work, not event.repeat)
+        value = request.worth / request.work
         self._recent_values.append(value)
-        r.value_rank = (
+        request.value_rank = (
             bisect_left(self._sorted_values, value) / len(self._sorted_values) if self._sorted_values else 1.0
         )
-        if r.bound and self.quotas.too_dear(r):
-            self._refuse_or_fail(now, r, "too dear")
-        elif not (self.quotas.under_ceiling(r) or self.quotas.window_may_hold(now, r)):
-            self._refuse_or_fail(now, r, "ceiling")
-        elif not self.gate.allows(now, r.work, MAX_RESERVE_SHARE * (1 - r.value_rank)):
-            self._refuse_or_fail(now, r, "gate")
-        elif (verdict := self.quotas.judge(now, r)) is not None:
-            self._dispatch(now, r, verdict)
-
-    def _suspend(self, now: float, ev: api.Suspend) -> None:
-        if self.load_balancer.set_ban(now, ev):
-            self._out.append(api.Ban(ev.server, ev.out))
-
-    def _retune(self, now: float, ev: api.Retune) -> None:
-        """Levels, loads and what is out go on; open requests keep the records that they were let in under."""
-        self._set = ev.settings
-        self._classes.change(now, ev.settings)
-        self.load_balancer.apply_settings(now, ev.settings)
-        self.quotas.retune(now, ev.settings)
-
-    def _dispatch(self, now: float, r: Request, verdict: Verdict) -> None:
-        plan = r.account.plan
+        if request.bound and self.quotas.too_dear(request):
+            self._refuse_or_fail(now, request, "too dear")
+        elif not (self.quotas.under_ceiling(request) or self.quotas.window_may_hold(now, request)):
+            self._refuse_or_fail(now, request, "ceiling")
+        elif not self.gate.allows(now, request.work, MAX_RESERVE_SHARE * (1 - request.value_rank)):
+            self._refuse_or_fail(now, request, "gate")
+        elif (verdict := self.quotas.judge(now, request)) is not None:
+            self._dispatch(now, request, verdict)
+
+    def _handle_suspend(self, now: float, event: api.Suspend) -> None:
+        if self.load_balancer.set_ban(now, event):
+            self._actions.append(api.Ban(event.server, event.out))
+
+    def _handle_retune(self, now: float, event: api.Retune) -> None:
+        """Apply new settings. Quota levels and loads are kept, and open requests keep their class records."""
+        self._settings = event.settings
+        self._classes.change(now, event.settings)
+        self.load_balancer.apply_settings(now, event.settings)
+        self.quotas.retune(now, event.settings)
+
+    def _dispatch(self, now: float, request: Request, verdict: Verdict) -> None:
+        """Send a request whose quota verdict is known, or refuse it."""
+        plan = request.account.plan
         earns = plan.over_worth > plan.over_cost and 0 < self.gate.load < 0.6 * REFERENCE_LOAD
-        room = verdict.inside and self.quotas.room_out(now, r, verdict)
+        room = verdict.inside and self.quotas.room_out(now, request, verdict)
         if room is None:
             return None
         if not room and verdict.inside:
-            verdict = self.quotas.unsent(now, r, verdict)
+            verdict = self.quotas.unsent(now, request, verdict)
         if not (room or earns):
-            return self._refuse_or_fail(now, r, verdict.why)
-        # Requests held for the counter must not draw on the ceiling together.
-        if not self.quotas.under_ceiling(r) or not self._send(now, r):
-            self.quotas.unsent(now, r, verdict)
-            return self._refuse_or_fail(now, r, "no server")
-        self.gate.charge(r.work)
+            return self._refuse_or_fail(now, request, verdict.why)
+        # The ceiling is checked again: requests that waited for the counter must not draw on it together.
+        if not self.quotas.under_ceiling(request) or not self._send_attempt(now, request):
+            self.quotas.unsent(now, request, verdict)
+            return self._refuse_or_fail(now, request, "no server")
+        self.gate.charge(request.work)
         self._retry_tokens = min(10.0, self._retry_tokens + 0.1)
-        self.quotas.sent(now, r, verdict)
+        self.quotas.sent(now, request, verdict)
 
-    def _send(self, now: float, r: Request, latest: float = inf) -> bool:
-        wait = r.attempt_deadline - now
-        s = self.load_balancer.pick_server(now, r) if wait > 0 else None
-        if s is None:
+    def _send_attempt(self, now: float, request: Request, latest: float = inf) -> bool:
+        """Send an attempt, not after ``latest``; return False where no server should get it."""
+        timeout = request.attempt_deadline - now
+        server = self.load_balancer.pick_server(now, request) if timeout > 0 else None
+        if server is None:
             return False
-        if r.cls.effect is not Effect.UNSAFE and len(r.attempts) + 1 < r.max_attempts:
-            wait = min(wait, max(SPLIT * r.cls.aim, 4 * max(1.0, s.latency_ratio) * r.work))
-        r.open_attempts[len(r.attempts)] = s
-        r.attempts.append((s, now))
-        s.sent_since_report += 1
-        s.cold_budget -= (
-            r.work if s.cold_since is not None else 0.0
-        )  # warm, it owes nothing when unsure again
-        if not r.body_pending:
-            self._busy(now, r, s)
-        self._out.append(api.Send(r.id, s.entry.name, wait, latest))
+        if request.cls.effect is not Effect.UNSAFE and len(request.attempts) + 1 < request.max_attempts:
+            timeout = min(
+                timeout,
+                max(
+                    RETRIABLE_TIMEOUT_AIM_SHARE * request.cls.aim,
+                    4 * max(1.0, server.latency_ratio) * request.work,
+                ),
+            )
+        request.open_attempts[len(request.attempts)] = server
+        request.attempts.append((server, now))
+        server.sent_since_report += 1
+        # A warm server owes nothing to the budget of its next slow start.
+        server.cold_budget -= request.work if server.cold_since is not None else 0.0
+        if not request.body_pending:
+            self._begin_work(now, request, server)
+        self._actions.append(api.Send(request.id, server.entry.name, timeout, latest))
         return True
 
-    def _busy(self, now: float, r: Request, s: Server) -> None:
-        """It is out from now on: its work is at the server, which owes an answer."""
-        r.holds_work, r.account.open = True, r.account.open + 1
-        self.load_balancer.begin_attempt(now, s, r.work)
+    def _begin_work(self, now: float, request: Request, server: Server) -> None:
+        """Count the request as outstanding at its server and its account."""
+        request.holds_work, request.account.open = True, request.account.open + 1
+        self.load_balancer.begin_attempt(now, server, request.work)
+
+    def _handle_body(self, now: float, event: api.Body) -> None:
+        """Update a request whose body is still being received.
 
-    def _body(self, now: float, ev: api.Body) -> None:
-        """A body that flows: a server begins with its last byte, and so do the client's time and the work."""
-        if (r := self._requests.get(ev.id)) is None:
+        A server starts work when it has the whole body, so the client's time and the outstanding work count from there.
+        """
+        if (request := self._requests.get(event.id)) is None:
             return
-        r.replayable = ev.kept
-        if ev.whole and r.body_pending:
-            r.body_pending = False
-            r.start_clock(now)
-            self.quotas.whole(now, r)
-            for s in r.open_attempts.values():
-                self._busy(now, r, s)
-
-    def _began(self, now: float, ev: api.Began) -> None:
-        """The answer's first bytes are what is timed and read; the attempt is out until the last one."""
-        r, s = self._requests.get(ev.id), self.load_balancer.servers.get(ev.server)
-        if r is not None and s is not None and r.holds_work:
-            told = api.Outcome(ev.id, ev.attempt, ev.server, Status.OK, ev.elapsed, False, ev.report)
-            self._learn(now, r, s, told)
-
-    def _learn(self, now: float, r: Request, s: Server, ev: api.Outcome) -> None:
-        """What an attempt's answer, or the lack of one, tells of its server."""
-        r.holds_work = False
-        s.release_work(r.work)
-        if ev.status not in (Status.TIMEOUT, Status.CANCELLED, Status.UNREACHABLE):
-            s.silent_since = now if s.outstanding_work > 1e-9 else None
-        self.gate.record_outcome(r.cls, ev.status, ev.elapsed)
-        self.load_balancer.record_outcome(now, r, s, ev)
-
-    def _outcome(self, now: float, ev: api.Outcome) -> None:
-        r, s = self._requests.get(ev.id), self.load_balancer.servers.get(ev.server)
-        if s is None or r is None:
+        request.replayable = event.kept
+        if event.whole and request.body_pending:
+            request.body_pending = False
+            request.start_clock(now)
+            self.quotas.whole(now, request)
+            for s in request.open_attempts.values():
+                self._begin_work(now, request, s)
+
+    def _handle_began(self, now: float, event: api.Began) -> None:
+        """Measure a large answer by its first bytes; the attempt stays open until the last one."""
+        request, server = self._requests.get(event.id), self.load_balancer.servers.get(event.server)
+        if request is not None and server is not None and request.holds_work:
+            outcome = api.Outcome(
+                event.id, event.attempt, event.server, Status.OK, event.elapsed, False, event.report
+            )
+            self._record_outcome(now, request, server, outcome)
+
+    def _record_outcome(self, now: float, request: Request, server: Server, event: api.Outcome) -> None:
+        """Update the gate and the server's state by an attempt's answer, or by the lack of one."""
+        request.holds_work = False
+        server.release_work(request.work)
+        if event.status not in (Status.TIMEOUT, Status.CANCELLED, Status.UNREACHABLE):
+            server.silent_since = now if server.outstanding_work > 1e-9 else None
+        self.gate.record_outcome(request.cls, event.status, event.elapsed)
+        self.load_balancer.record_outcome(now, request, server, event)
+
+    def _handle_outcome(self, now: float, event: api.Outcome) -> None:
+        request, server = self._requests.get(event.id), self.load_balancer.servers.get(event.server)
+        if server is None or request is None:
             return
-        if r.open_attempts.pop(ev.attempt, None) is not None:
-            r.account.open -= not r.body_pending
-            if r.holds_work:
-                self._learn(now, r, s, ev)
-            elif r.body_pending or ev.status is not Status.OK:
-                self.load_balancer.record_outcome(
-                    now, r, s, ev
-                )  # it ended while its body or its answer flowed
-            self.quotas.settle(now, r, ev)
-            if s.outstanding_work <= 1e-9:
-                s.silent_since = (
-                    None  # with nothing out it owes no answer, and none could ever end its silence
-                )
-        if ev.status not in NEVER_RAN and r.first_run is None and ev.attempt < len(r.attempts):
-            r.first_run = r.attempts[ev.attempt]
-        rejected = ev.status is Status.REJECTED  # no other server would take it either
-        if rejected and not ev.finished:
-            self._out.append(api.Fail(r.id))
-        if rejected or ev.finished:
-            self._forget(now, r.id)
-        elif not r.open_attempts:
-            self._retry(now, r, ev.status)
-
-    def _retry(self, now: float, r: Request, status: Status) -> None:
-        if r.body_pending:
-            r.start_clock(now)
-        allowed = r.replayable and len(r.attempts) < r.max_attempts and r.attempt_deadline - now > r.work
+        if request.open_attempts.pop(event.attempt, None) is not None:
+            request.account.open -= not request.body_pending
+            if request.holds_work:
+                self._record_outcome(now, request, server, event)
+            elif request.body_pending or event.status is not Status.OK:
+                # It ended while its body or its answer was being transferred.
+                self.load_balancer.record_outcome(now, request, server, event)
+            self.quotas.settle(now, request, event)
+            if server.outstanding_work <= 1e-9:
+                # With no work outstanding it owes no answer, and no answer could ever end its silence.
+                server.silent_since = None
+        if (
+            event.status not in NEVER_RAN
+            and request.first_run is None
+            and event.attempt < len(request.attempts)
+        ):
+            request.first_run = request.attempts[event.attempt]
+        rejected = event.status is Status.REJECTED  # other servers would reject it as well
+        if rejected and not event.finished:
+            self._actions.append(api.Fail(request.id))
+        if rejected or event.finished:
+            self._remove_request(now, request.id)
+        elif not request.open_attempts:
+            self._retry(now, request, event.status)
+
+    def _retry(self, now: float, request: Request, status: Status) -> None:
+        """Send another attempt after one that ended with ``status``, or end the request."""
+        if request.body_pending:
+            request.start_clock(now)
+        allowed = (
+            request.replayable
+            and len(request.attempts) < request.max_attempts
+            and request.attempt_deadline - now > request.work
+        )
         latest = inf
-        if r.first_run is not None and r.cls.effect is not Effect.SAFE:
-            latest = r.first_run[1] + 0.95 * r.cls.window if r.cls.effect is Effect.KEYED else now
-        if not (allowed and now < latest and self._retry_tokens >= 1) or not self._send(now, r, latest):
-            return self._refuse_or_fail(now, r)
+        if request.first_run is not None and request.cls.effect is not Effect.SAFE:
+            latest = (
+                request.first_run[1] + 0.95 * request.cls.window
+                if request.cls.effect is Effect.KEYED
+                else now
+            )
+        if not (allowed and now < latest and self._retry_tokens >= 1) or not self._send_attempt(
+            now, request, latest
+        ):
+            return self._refuse_or_fail(now, request)
         self._retry_tokens -= status not in (Status.UNREACHABLE, Status.DROPPED)
 
-    def _refuse_or_fail(self, now: float, r: Request, why: str = "attempts") -> None:
+    def _refuse_or_fail(self, now: float, request: Request, why: str = "attempts") -> None:
+        """End a request without an answer: refused where a client may safely retry it, else failed."""
         self.refusal_counts[why] = self.refusal_counts.get(why, 0) + 1
-        a, effect = r.account, r.cls.effect
+        a, effect = request.account, request.cls.effect
         if (
-            r.first_run is None
+            request.first_run is None
             or effect is Effect.SAFE
-            or (effect, r.cls.scope) == (Effect.KEYED, api.Scope.ALL)
+            or (effect, request.cls.scope) == (Effect.KEYED, api.Scope.ALL)
         ):
-            short = max(0.1, (r.units - a.level) / a.plan.rate if a.plan.rate else 0.0)
+            refill_seconds = max(0.1, (request.units - a.level) / a.plan.rate if a.plan.rate else 0.0)
             left = max(0.0, min(a.level, a.plan.burst)) if a.plan.rate > 0 else -1.0
-            self._out.append(api.Refuse(r.id, min(self._set.max_retry_after, short), why, left))
+            self._actions.append(
+                api.Refuse(request.id, min(self._settings.max_retry_after, refill_seconds), why, left)
+            )
         else:
-            self._out.append(api.Fail(r.id, why))
-        self._forget(now, r.id)
-
-    def _forget(self, now: float, request: int) -> None:
-        if r := self._requests.pop(request, None):
-            if not r.attempts:
-                self.quotas.give_back(r)
-            self.quotas.free(now, r)
-            for s in r.open_attempts.values():
-                s.release_work(r.work if r.holds_work else 0.0)
-                r.account.open -= not r.body_pending
-                s.silent_since = (
-                    s.silent_since if s.outstanding_work > 1e-9 else None
-                )  # nobody waits: it owes nothing any more
+            self._actions.append(api.Fail(request.id, why))
+        self._remove_request(now, request.id)
+
+    def _remove_request(self, now: float, id: int) -> None:
+        """Forget a request that has ended, and release what it holds."""
+        if request := self._requests.pop(id, None):
+            if not request.attempts:
+                self.quotas.give_back(request)
+            self.quotas.free(now, request)
+            for s in request.open_attempts.values():
+                s.release_work(request.work if request.holds_work else 0.0)
+                request.account.open -= not request.body_pending
+                # Nobody waits for an answer any more, so the server owes none.
+                s.silent_since = s.silent_since if s.outstanding_work > 1e-9 else None
--- a/tests/explore/mutants.py
+++ b/tests/explore/mutants.py
@@ -46,13 +46,13 @@
 MUTANTS = (
     Mutant(
         "a retry after a reset of an unsafe class", Gateway, "_retry",
-        "if r.first_run is not None and r.cls.effect is not Effect.SAFE:", "if False:",
+        "if request.first_run is not None and request.cls.effect is not Effect.SAFE:", "if False:",
         "killed-mid-handover", ("no effect twice",),
         shown_by=3,
     ),
     Mutant(
         "a refusal where it may have run", Gateway, "_refuse_or_fail",
-        "if r.first_run is None or effect is Effect.SAFE", "if True or effect is Effect.SAFE",
+        "request.first_run is None", "True",
         "killed-mid-handover", ("no effect twice",),
         shown_by=3,
     ),
