--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -23,8 +23,8 @@
 # Each mapping below goes from the name of a field in the snapshot to the name of the attribute that holds it. The
 # reader may be a process of another build: an attribute may be renamed, the name in the snapshot must stay.
 GATE: Mapping[str, str] = {
-    "sum": "integral", "u": "admit_rate", "reading": "load", "mean": "mean_work", "_tokens": "_tokens", "_arrivals": "_arrival_rate",
-    "_filled": "_filled_at",
+    "sum": "integral", "u": "admit_rate", "reading": "load", "mean": "mean_work", "_tokens": "_tokens",
+    "_arrivals": "_arrival_rate", "_filled": "_filled_at",
 }  # fmt: skip
 SERVER: Mapping[str, str] = {
     "rate": "work_rate", "slow": "latency_ratio", "fails": "failure_rate", "out_until": "ejected_until",
@@ -50,8 +50,8 @@
     "misses": "misses",
 }
 SIZES: Mapping[str, str] = {
-    "mean": "mean_units", "slope": "slope", "_spread": "_units_variance", "_common": "_covariance", "_latency": "_mean_latency",
-    "_seen": "_samples",
+    "mean": "mean_units", "slope": "slope", "_spread": "_units_variance", "_common": "_covariance",
+    "_latency": "_mean_latency", "_seen": "_samples",
 }  # fmt: skip
 
 
