--- a/cypresspulley/policy/request.py
+++ b/cypresspulley/policy/request.py
@@ -1,4 +1,4 @@
-"""A client's try while it is open, as all parts of the policy see it."""
+"""An open request as the parts of the policy see it."""
 
 from cypresspulley import interface as api
 from cypresspulley.policy.account import Account
@@ -6,48 +6,52 @@
 
 
 class Request:
-    """Times are of the gateway's clock; ``work`` in seconds of an idle server."""
+    """State of an open request. Times are of the gateway's clock, ``work`` is in seconds of an idle server."""
 
     __slots__ = (
-        "account", "max_attempts", "started_at", "bound", "holds_work", "cls", "body_pending", "deadline", "attempt_deadline", "granted_incarnation", "id", "in_quota",
-        "replayable", "max_units", "open_attempts", "first_run", "value_rank", "is_retry", "holds_slot", "attempts", "ttl", "units", "work", "worth",
+        "account", "attempt_deadline", "attempts", "body_pending", "bound", "cls", "deadline", "first_run",
+        "granted_incarnation", "holds_slot", "holds_work", "id", "in_quota", "is_retry", "max_attempts", "max_units",
+        "open_attempts", "replayable", "started_at", "ttl", "units", "value_rank", "work", "worth",
     )  # fmt: skip
 
     def __init__(
-        self, now: float, ev: api.Request, cls: api.RequestClass, account: Account, attempts: int
+        self, now: float, event: api.Request, cls: api.RequestClass, account: Account, max_attempts: int
     ) -> None:
-        self.id = ev.id
+        self.id = event.id
         self.cls = cls
         self.account = account
-        self.units = ev.units
-        self.max_attempts = attempts  # that it may have in all
-        self.bound = ev.bound
-        self.max_units = max(ev.units, ev.bound)  # a ceiling is held against the most
-        self.is_retry = ev.repeat
+        self.units = event.units
+        self.max_attempts = max_attempts
+        self.bound = event.bound
+        self.max_units = max(event.units, event.bound)  # units that a ceiling must hold for it
+        self.is_retry = event.repeat  # the client sent it before
         self.in_quota = False
-        self.ttl = ev.ttl
-        self.body_pending = ev.coming
-        self.replayable = True
-        self.holds_work = False  # its work counts at its server
+        self.ttl = event.ttl
+        self.body_pending = event.coming
+        self.replayable = True  # its body can be sent again
+        self.holds_work = False  # its work counts as outstanding at its server
         self.start_clock(now)
-        self.holds_slot = False  # it counts among what its customer has out over all gateways
-        self.granted_incarnation: int | None = (
-            None  # the incarnation of its window's count that holds it, where no even share does
-        )
-        self.worth = cls.worth * account.plan.price * ev.units
+        self.holds_slot = False  # it counts towards its account's limit on open requests over all gateways
+        # Incarnation of the ceiling window's count that granted its units; None where the even share of the ceiling
+        # holds them.
+        self.granted_incarnation: int | None = None
+        self.worth = cls.worth * account.plan.price * event.units
         self.work = 0.0  # expected work
-        self.value_rank = 1.0  # place among the recent by worth per work
-        self.attempts = list[tuple[Server, float]]()
-        self.open_attempts = dict[int, Server]()
+        self.value_rank = 1.0  # rank by worth per work among the recent requests, 0 to 1
+        self.attempts = list[tuple[Server, float]]()  # server and time of each
+        self.open_attempts = dict[int, Server]()  # by the attempt's number
         self.first_run: tuple[Server, float] | None = None  # first attempt that may have run
 
     def start_clock(self, now: float) -> None:
-        """Its time counts from its last byte."""
+        """Start the client's time, which counts from the last byte of the request."""
         self.deadline, self.started_at = now + self.ttl, now
-        # Past its aim an answer that earns nothing is only work; the time-out hands the server back.
+        # Where a late answer earns nothing, an attempt past the aim is wasted work: its timeout frees the server.
         self.attempt_deadline = (
             self.deadline if self.cls.late_worth else min(self.deadline, now + self.cls.aim)
         )
 
     def __repr__(self) -> str:
-        return f"<Request {self.id} {self.cls.name}, {len(self.attempts)} sent, {len(self.open_attempts)} out, ran {self.first_run}>"
+        return (
+            f"<Request {self.id} {self.cls.name}, {len(self.attempts)} attempts,"
+            f" {len(self.open_attempts)} open, first run {self.first_run}>"
+        )
