--- a/cypresspulley/net/requests.py
+++ b/cypresspulley/net/requests.py
@@ -69,8 +69,8 @@
         # a repeat by its key: one sent again without would run twice. The class alone decides on further
         # attempts, so a key on a class that has none is another client's mistake, and not passed on.
         effect = api.Effect.SAFE if method == b"GET" else api.Effect.KEYED if key else api.Effect.UNSAFE
-        if (effect is api.Effect.SAFE and key) or self._classes.record(now, name, effect) is None:
-            newest = self._classes.record(now, name)
+        if (effect is api.Effect.SAFE and key) or self._classes.find(now, name, effect) is None:
+            newest = self._classes.find(now, name)
             safe = newest is not None and newest.effect is api.Effect.SAFE
             if (method == b"GET") is not safe:
                 raise BadRequestError(405, "method")
--- a/cypresspulley/policy/classes.py
+++ b/cypresspulley/policy/classes.py
@@ -72,7 +72,7 @@
         """Whether there is such a class, or was one a moment ago."""
         return name in self._now or bool(self._replaced(now, name))
 
-    def record(self, now: float, name: str, effect: Effect | None = None) -> api.RequestClass | None:
+    def find(self, now: float, name: str, effect: Effect | None = None) -> api.RequestClass | None:
         """The record that binds a request of this name and form; None where there is none. No form: the newest."""
         record = self._now.get(name)
         if record is not None and (effect is None or record.effect is effect):
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -90,7 +90,7 @@
 
     def _handle_request(self, now: float, event: api.Request) -> None:
         unknown = api.RequestClass(event.request_class, max(event.ttl, 0.01), 1.0, Effect.UNSAFE)
-        cls = self._classes.record(now, event.request_class, event.effect) or unknown
+        cls = self._classes.find(now, event.request_class, event.effect) or unknown
         account = self.quotas.account(now, event)
         self.quotas.tell(now)
         request = self._requests[event.id] = Request(now, event, cls, account, self._classes.attempts(now))
--- a/tests/explore/mutants.py
+++ b/tests/explore/mutants.py
@@ -121,7 +121,7 @@
         shown_by=2,
     ),
     Mutant(
-        "every class taken for safe to repeat", ClassRegistry, "record",
+        "every class taken for safe to repeat", ClassRegistry, "find",
         "record is not None and (effect is None or record.effect is effect):\n        return record",
         "record is not None and (effect is None or record.effect is effect):\n"
         '        return __import__("dataclasses").replace(record, effect=Effect.SAFE)',
--- a/tests/test_classes.py
+++ b/tests/test_classes.py
@@ -24,12 +24,12 @@
 def test_a_requests_form_tells_which_record_its_client_goes_by() -> None:
     classes = ClassRegistry(BASE)
     classes.change(100.0, OTHER)
-    assert classes.record(100.1, "read", SAFE) is w.SAFE, "its client has not heard"
-    assert classes.record(100.1, "read", UNSAFE) is READ
-    assert classes.record(100.1, "entry", KEYED) is w.KEYED and classes.record(100.1, "entry", UNSAFE) is None
-    assert classes.record(100.1, "scan", SAFE) is OTHER.classes[2]
+    assert classes.find(100.1, "read", SAFE) is w.SAFE, "its client has not heard"
+    assert classes.find(100.1, "read", UNSAFE) is READ
+    assert classes.find(100.1, "entry", KEYED) is w.KEYED and classes.find(100.1, "entry", UNSAFE) is None
+    assert classes.find(100.1, "scan", SAFE) is OTHER.classes[2]
     after = 100.0 + REPLACED_RECORD_SECONDS
-    assert classes.record(after, "read", SAFE) is None and classes.record(after, "entry", KEYED) is None
+    assert classes.find(after, "read", SAFE) is None and classes.find(after, "entry", KEYED) is None
     assert not classes.known(after, "entry") and classes.known(after, "read")
 
 
--- a/tests/test_reload_overlap.py
+++ b/tests/test_reload_overlap.py
@@ -32,9 +32,9 @@
         (Effect.KEYED, 2.0 + REPLACED_RECORD_SECONDS),
         (Effect.UNSAFE, 3.0 + REPLACED_RECORD_SECONDS),
     ):
-        bound = classes.record(until - 0.1, "lookup", effect)
+        bound = classes.find(until - 0.1, "lookup", effect)
         assert bound is not None and bound.effect is effect
-        assert classes.record(until, "lookup", effect) is None
+        assert classes.find(until, "lookup", effect) is None
     assert classes.known(3.0 + REPLACED_RECORD_SECONDS - 0.1, "lookup") and not classes.known(
         3.0 + REPLACED_RECORD_SECONDS, "lookup"
     )
