--- a/cypresspulley/net/requests.py
+++ b/cypresspulley/net/requests.py
@@ -61,7 +61,7 @@
         path, _, query = target.partition("?")
         name = path[1:].partition("/")[0]
         now, key = self._clock(), bool(fields.get(KEY))
-        if not self._classes.known(now, name):
+        if not self._classes.is_known(now, name):
             raise BadRequestError(404, "unknown path")
         if not fields.get(CLASS):
             raise BadRequestError(400, "x-priority-class is missing")
--- a/cypresspulley/policy/classes.py
+++ b/cypresspulley/policy/classes.py
@@ -68,7 +68,7 @@
         forms = sorted(self._old.get(name, {}).values(), key=lambda old: -old[1])
         return [record for record, until in forms if now < until]
 
-    def known(self, now: float, name: str) -> bool:
+    def is_known(self, now: float, name: str) -> bool:
         """Whether there is such a class, or was one a moment ago."""
         return name in self._now or bool(self._replaced(now, name))
 
--- a/tests/test_classes.py
+++ b/tests/test_classes.py
@@ -30,7 +30,7 @@
     assert classes.find(100.1, "scan", SAFE) is OTHER.classes[2]
     after = 100.0 + REPLACED_RECORD_SECONDS
     assert classes.find(after, "read", SAFE) is None and classes.find(after, "entry", KEYED) is None
-    assert not classes.known(after, "entry") and classes.known(after, "read")
+    assert not classes.is_known(after, "entry") and classes.is_known(after, "read")
 
 
 def test_attempts_are_the_fewer_of_both_until_clients_have_heard() -> None:
--- a/tests/test_reload_overlap.py
+++ b/tests/test_reload_overlap.py
@@ -35,7 +35,7 @@
         bound = classes.find(until - 0.1, "lookup", effect)
         assert bound is not None and bound.effect is effect
         assert classes.find(until, "lookup", effect) is None
-    assert classes.known(3.0 + REPLACED_RECORD_SECONDS - 0.1, "lookup") and not classes.known(
+    assert classes.is_known(3.0 + REPLACED_RECORD_SECONDS - 0.1, "lookup") and not classes.is_known(
         3.0 + REPLACED_RECORD_SECONDS, "lookup"
     )
 
