--- a/cypresspulley/policy/classes.py
+++ b/cypresspulley/policy/classes.py
@@ -80,6 +80,6 @@
         replaced = self._replaced(now, name)
         return next((old for old in replaced if effect is None or old.effect is effect), None)
 
-    def attempts(self, now: float) -> int:
+    def max_attempts(self, now: float) -> int:
         """Attempts for a request that comes now: until clients go by the new settings, the fewer of both."""
         return self._attempts if now - self._changed > CLIENT_UPDATE_SECONDS else self._least
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -93,7 +93,9 @@
         cls = self._classes.find(now, event.request_class, event.effect) or unknown
         account = self.quotas.account(now, event)
         self.quotas.tell(now)
-        request = self._requests[event.id] = Request(now, event, cls, account, self._classes.attempts(now))
+        request = self._requests[event.id] = Request(
+            now, event, cls, account, self._classes.max_attempts(now)
+        )
         request.work = self.load_balancer.expected_work(cls, event.units)
         self.gate.record_arrival(request.work, not event.repeat)
         value = request.worth / request.work
--- a/tests/test_classes.py
+++ b/tests/test_classes.py
@@ -36,9 +36,11 @@
 def test_attempts_are_the_fewer_of_both_until_clients_have_heard() -> None:
     for before, then in ((3, 2), (2, 3)):
         classes = ClassRegistry(replace(BASE, max_attempts=before))
-        assert classes.attempts(100.0) == before
+        assert classes.max_attempts(100.0) == before
         classes.change(100.0, replace(OTHER, max_attempts=then))
-        assert classes.attempts(100.1) == 2 and classes.attempts(100.1 + CLIENT_UPDATE_SECONDS) == then
+        assert (
+            classes.max_attempts(100.1) == 2 and classes.max_attempts(100.1 + CLIENT_UPDATE_SECONDS) == then
+        )
 
 
 def lost_and_again(world: w.World, id: int, effect: api.Effect, change: api.Settings | None) -> int:
