--- a/cypresspulley/policy/classes.py
+++ b/cypresspulley/policy/classes.py
@@ -47,7 +47,7 @@
         self._attempts = self._least = settings.max_attempts
         self._changed = float("-inf")
 
-    def change(self, now: float, settings: api.Settings) -> None:
+    def apply_settings(self, now: float, settings: api.Settings) -> None:
         """New settings: what they replace or drop goes on for those who have not heard of it."""
         new = {c.name: c for c in settings.classes}
         self._forget(now)
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -119,7 +119,7 @@
     def _handle_retune(self, now: float, event: api.Retune) -> None:
         """Apply new settings. Quota levels and loads are kept, and open requests keep their class records."""
         self._settings = event.settings
-        self._classes.change(now, event.settings)
+        self._classes.apply_settings(now, event.settings)
         self.load_balancer.apply_settings(now, event.settings)
         self.quotas.retune(now, event.settings)
 
--- a/tests/test_classes.py
+++ b/tests/test_classes.py
@@ -23,7 +23,7 @@
 
 def test_a_requests_form_tells_which_record_its_client_goes_by() -> None:
     classes = ClassRegistry(BASE)
-    classes.change(100.0, OTHER)
+    classes.apply_settings(100.0, OTHER)
     assert classes.find(100.1, "read", SAFE) is w.SAFE, "its client has not heard"
     assert classes.find(100.1, "read", UNSAFE) is READ
     assert classes.find(100.1, "entry", KEYED) is w.KEYED and classes.find(100.1, "entry", UNSAFE) is None
@@ -37,7 +37,7 @@
     for before, then in ((3, 2), (2, 3)):
         classes = ClassRegistry(replace(BASE, max_attempts=before))
         assert classes.max_attempts(100.0) == before
-        classes.change(100.0, replace(OTHER, max_attempts=then))
+        classes.apply_settings(100.0, replace(OTHER, max_attempts=then))
         assert (
             classes.max_attempts(100.1) == 2 and classes.max_attempts(100.1 + CLIENT_UPDATE_SECONDS) == then
         )
--- a/tests/test_reload_overlap.py
+++ b/tests/test_reload_overlap.py
@@ -24,9 +24,11 @@
     """Three forms within 2 s: the first one's requests come until 6 s after the first change."""
     lookup = SETTINGS.classes[0]
     classes = ClassRegistry(SETTINGS)
-    classes.change(1.0, replace(SETTINGS, classes=(replace(lookup, effect=Effect.KEYED, window=4.0),)))
-    classes.change(2.0, replace(SETTINGS, classes=(replace(lookup, effect=Effect.UNSAFE),)))
-    classes.change(3.0, replace(SETTINGS, classes=()))
+    classes.apply_settings(
+        1.0, replace(SETTINGS, classes=(replace(lookup, effect=Effect.KEYED, window=4.0),))
+    )
+    classes.apply_settings(2.0, replace(SETTINGS, classes=(replace(lookup, effect=Effect.UNSAFE),)))
+    classes.apply_settings(3.0, replace(SETTINGS, classes=()))
     for effect, until in (
         (Effect.SAFE, 1.0 + REPLACED_RECORD_SECONDS),
         (Effect.KEYED, 2.0 + REPLACED_RECORD_SECONDS),
