--- a/cypresspulley/policy/classes.py
+++ b/cypresspulley/policy/classes.py
@@ -27,7 +27,7 @@
         """Change what is known of each dropped plan."""
         self._dropped = {name: (cut(plan), until) for name, (plan, until) in self._dropped.items()}
 
-    def record(self, now: float, name: str) -> api.Plan | None:
+    def find(self, now: float, name: str) -> api.Plan | None:
         """The plan of this name; None where there is none, and was none a moment ago."""
         if (plan := self.newest.get(name)) is not None:
             return plan
--- a/cypresspulley/policy/quota.py
+++ b/cypresspulley/policy/quota.py
@@ -81,7 +81,7 @@
         """The account that a try is of, refilled to now."""
         key = ev.plan, ev.account
         if (a := self.accounts.get(key)) is None:
-            plan = self._plans.get(ev.plan) or self.dropped_plans.record(now, ev.plan) or api.Plan(ev.plan)
+            plan = self._plans.get(ev.plan) or self.dropped_plans.find(now, ev.plan) or api.Plan(ev.plan)
             a = self.accounts[key] = Account(now, ev, plan, self._born, self._set)
             if self.incarnation.first:
                 a.begin_full()
