--- a/cypresspulley/net/requests.py
+++ b/cypresspulley/net/requests.py
@@ -54,7 +54,7 @@
     def retune(self, settings: api.Settings) -> None:
         """Other settings: what clients who have not heard of them still send is read for a moment longer."""
         self._classes.apply_settings(self._clock(), settings)
-        self._plans.change(self._clock(), settings)
+        self._plans.apply_settings(self._clock(), settings)
         self._gateways, self._max_units = settings.gateways, max(1.0, settings.max_units)
 
     def read(self, method: bytes, target: str, fields: dict[bytes, bytes]) -> api.Request:
--- a/cypresspulley/policy/classes.py
+++ b/cypresspulley/policy/classes.py
@@ -16,7 +16,7 @@
         self.newest = {plan.name: plan for plan in settings.plans}
         self._dropped = dict[str, tuple[api.Plan, float]]()  # and until when they are known
 
-    def change(self, now: float, settings: api.Settings) -> None:
+    def apply_settings(self, now: float, settings: api.Settings) -> None:
         """New settings."""
         new = {plan.name: plan for plan in settings.plans}
         kept = {name: old for name, old in self._dropped.items() if now < old[1]}
--- a/cypresspulley/policy/quota.py
+++ b/cypresspulley/policy/quota.py
@@ -67,7 +67,7 @@
     def retune(self, now: float, settings: api.Settings) -> None:
         """Other settings. Levels go on, under the new plans' bounds; an account of a dropped plan keeps its own."""
         self._settle(settings)
-        self.dropped_plans.change(now, settings)
+        self.dropped_plans.apply_settings(now, settings)
         for (_, account), a in self.accounts.items():
             a.refill(now)
             a.follow(self._plans.get(a.plan.name, a.plan), f"{a.plan.name} {account}", settings)
