--- a/cypresspulley/net/requests.py
+++ b/cypresspulley/net/requests.py
@@ -93,7 +93,7 @@
         if not ID.fullmatch(fields[REQUEST_ID]):
             raise BadRequestError(400, "x-request-id is wrong")
         plan = fields[PLAN].decode("latin-1")
-        if plan not in self._plans.newest and self._plans.find(self._clock(), plan) is None:
+        if plan not in self._plans.current and self._plans.find(self._clock(), plan) is None:
             raise BadRequestError(400, "unknown plan")
         # Given twice, this side and the server might each take another one for the customer.
         accounts = [part for part in query.split("&") if part.partition("=")[0].lower() == "account"]
--- a/cypresspulley/policy/classes.py
+++ b/cypresspulley/policy/classes.py
@@ -13,15 +13,15 @@
     """Plans by name. What new settings drop is known for as long as requests that name it may be on their way."""
 
     def __init__(self, settings: api.Settings) -> None:
-        self.newest = {plan.name: plan for plan in settings.plans}
+        self.current = {plan.name: plan for plan in settings.plans}
         self._dropped = dict[str, tuple[api.Plan, float]]()  # and until when they are known
 
     def apply_settings(self, now: float, settings: api.Settings) -> None:
         """New settings."""
         new = {plan.name: plan for plan in settings.plans}
         kept = {name: old for name, old in self._dropped.items() if now < old[1]}
-        kept |= {name: (plan, now + REPLACED_RECORD_SECONDS) for name, plan in self.newest.items()}
-        self.newest, self._dropped = new, {name: old for name, old in kept.items() if name not in new}
+        kept |= {name: (plan, now + REPLACED_RECORD_SECONDS) for name, plan in self.current.items()}
+        self.current, self._dropped = new, {name: old for name, old in kept.items() if name not in new}
 
     def apply(self, cut: Callable[[api.Plan], api.Plan]) -> None:
         """Change what is known of each dropped plan."""
@@ -29,7 +29,7 @@
 
     def find(self, now: float, name: str) -> api.Plan | None:
         """The plan of this name; None where there is none, and was none a moment ago."""
-        if (plan := self.newest.get(name)) is not None:
+        if (plan := self.current.get(name)) is not None:
             return plan
         dropped, until = self._dropped.get(name, (None, 0.0))
         return dropped if now < until else None
