--- a/cypresspulley/policy/classes.py
+++ b/cypresspulley/policy/classes.py
@@ -23,7 +23,7 @@
         kept |= {name: (plan, now + REPLACED_RECORD_SECONDS) for name, plan in self.current.items()}
         self.current, self._dropped = new, {name: old for name, old in kept.items() if name not in new}
 
-    def apply(self, cut: Callable[[api.Plan], api.Plan]) -> None:
+    def transform_dropped(self, cut: Callable[[api.Plan], api.Plan]) -> None:
         """Change what is known of each dropped plan."""
         self._dropped = {name: (cut(plan), until) for name, (plan, until) in self._dropped.items()}
 
--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -192,7 +192,7 @@
             self._plans.setdefault(a.plan.name, a.plan)  # of one that was dropped
             a.plan = scaled.get(a.plan.name) or self._kept(a.plan)
         quotas._plans = {name: self._nothing(plan) for name, plan in scaled.items()}
-        quotas.dropped_plans.apply(lambda plan: self._nothing(self._kept(plan)))
+        quotas.dropped_plans.transform_dropped(lambda plan: self._nothing(self._kept(plan)))
 
     @staticmethod
     def _nothing(plan: api.Plan) -> api.Plan:
