--- a/cypresspulley/policy/classes.py
+++ b/cypresspulley/policy/classes.py
@@ -1,34 +1,34 @@
-"""Which records of classes and plans bind a request while settings change in service."""
+"""The request classes and plans that are in force while settings change at run time."""
 
 from collections.abc import Callable
 
 from cypresspulley import interface as api
 from cypresspulley.interface import Effect
 
-CLIENT_UPDATE_SECONDS = 1.5  # seconds until clients go by new settings
-REPLACED_RECORD_SECONDS = 6.0  # seconds for which a record that was replaced still binds
+CLIENT_UPDATE_SECONDS = 1.5  # time until all clients use new settings
+REPLACED_RECORD_SECONDS = 6.0  # time for which a replaced class or a dropped plan stays in force
 
 
 class PlanRegistry:
-    """Plans by name. What new settings drop is known for as long as requests that name it may be on their way."""
+    """Plans by name. A plan that new settings drop stays known while requests that name it may still arrive."""
 
     def __init__(self, settings: api.Settings) -> None:
         self.current = {plan.name: plan for plan in settings.plans}
-        self._dropped = dict[str, tuple[api.Plan, float]]()  # and until when they are known
+        self._dropped = dict[str, tuple[api.Plan, float]]()  # plan, and until when it is known
 
     def apply_settings(self, now: float, settings: api.Settings) -> None:
-        """New settings."""
+        """Apply new settings."""
         new = {plan.name: plan for plan in settings.plans}
         kept = {name: old for name, old in self._dropped.items() if now < old[1]}
         kept |= {name: (plan, now + REPLACED_RECORD_SECONDS) for name, plan in self.current.items()}
         self.current, self._dropped = new, {name: old for name, old in kept.items() if name not in new}
 
-    def transform_dropped(self, cut: Callable[[api.Plan], api.Plan]) -> None:
-        """Change what is known of each dropped plan."""
-        self._dropped = {name: (cut(plan), until) for name, (plan, until) in self._dropped.items()}
+    def transform_dropped(self, transform: Callable[[api.Plan], api.Plan]) -> None:
+        """Replace each dropped plan by what ``transform`` returns for it."""
+        self._dropped = {name: (transform(plan), until) for name, (plan, until) in self._dropped.items()}
 
     def find(self, now: float, name: str) -> api.Plan | None:
-        """The plan of this name; None where there is none, and was none a moment ago."""
+        """Return the plan of a name, in force or dropped a short time ago; None where there is none."""
         if (plan := self.current.get(name)) is not None:
             return plan
         dropped, until = self._dropped.get(name, (None, 0.0))
@@ -36,50 +36,64 @@
 
 
 class ClassRegistry:
-    """Records by name. Clients learn of new settings a moment after this limiter, and a request's form tells which
-    record its client goes by: the method and the key follow from the effect. A request that was let in keeps its
-    record, and its number of attempts, to its final answer; that is the request's own affair."""
+    """Class records by name.
+
+    Clients learn of new settings shortly after this limiter. The form of a request, its method and its key, follows
+    from the effect of its class, so it tells which record the client uses. An admitted request keeps its record and its
+    number of attempts until its final answer.
+    """
 
     def __init__(self, settings: api.Settings) -> None:
-        self._now = {c.name: c for c in settings.classes}
-        # Replaced or dropped, by name and form, and until when they bind: settings may change several times in a row.
-        self._old = dict[str, dict[Effect, tuple[api.RequestClass, float]]]()
-        self._attempts = self._least = settings.max_attempts
-        self._changed = float("-inf")
+        self._current = {c.name: c for c in settings.classes}
+        # Replaced or dropped records by name and effect, and until when they are in force. There may be several of a
+        # name, since settings may change several times in a row.
+        self._replaced = dict[str, dict[Effect, tuple[api.RequestClass, float]]]()
+        self._max_attempts = self._transition_max_attempts = settings.max_attempts
+        self._changed_at = float("-inf")
 
     def apply_settings(self, now: float, settings: api.Settings) -> None:
-        """New settings: what they replace or drop goes on for those who have not heard of it."""
+        """Apply new settings. Replaced and dropped records stay in force for clients that do not know of it yet."""
         new = {c.name: c for c in settings.classes}
-        self._forget(now)
-        for name, c in self._now.items():
+        self._drop_expired(now)
+        for name, c in self._current.items():
             if name not in new or new[name].effect is not c.effect:
-                self._old.setdefault(name, {})[c.effect] = c, now + REPLACED_RECORD_SECONDS
-        self._now, self._changed = new, now
-        self._least, self._attempts = min(self._attempts, settings.max_attempts), settings.max_attempts
-
-    def _forget(self, now: float) -> None:
-        for name, forms in list(self._old.items()):
-            self._old[name] = {effect: old for effect, old in forms.items() if now < old[1]}
-            if not self._old[name]:
-                del self._old[name]
-
-    def _replaced(self, now: float, name: str) -> list[api.RequestClass]:
-        """The records of a name that still bind beside the newest, the latest first."""
-        forms = sorted(self._old.get(name, {}).values(), key=lambda old: -old[1])
-        return [record for record, until in forms if now < until]
+                self._replaced.setdefault(name, {})[c.effect] = c, now + REPLACED_RECORD_SECONDS
+        self._current, self._changed_at = new, now
+        self._transition_max_attempts, self._max_attempts = (
+            min(self._max_attempts, settings.max_attempts),
+            settings.max_attempts,
+        )
+
+    def _drop_expired(self, now: float) -> None:
+        for name, by_effect in list(self._replaced.items()):
+            self._replaced[name] = {effect: old for effect, old in by_effect.items() if now < old[1]}
+            if not self._replaced[name]:
+                del self._replaced[name]
+
+    def _replaced_records(self, now: float, name: str) -> list[api.RequestClass]:
+        """Return the replaced records of a name that are still in force, the latest first."""
+        records = sorted(self._replaced.get(name, {}).values(), key=lambda old: -old[1])
+        return [record for record, until in records if now < until]
 
     def is_known(self, now: float, name: str) -> bool:
-        """Whether there is such a class, or was one a moment ago."""
-        return name in self._now or bool(self._replaced(now, name))
+        """Return whether a class is in force or was dropped a short time ago."""
+        return name in self._current or bool(self._replaced_records(now, name))
 
     def find(self, now: float, name: str, effect: Effect | None = None) -> api.RequestClass | None:
-        """The record that binds a request of this name and form; None where there is none. No form: the newest."""
-        record = self._now.get(name)
+        """Return the record for a request of a name and effect; None where there is none.
+
+        Without an effect, return the newest record of the name.
+        """
+        record = self._current.get(name)
         if record is not None and (effect is None or record.effect is effect):
             return record
-        replaced = self._replaced(now, name)
+        replaced = self._replaced_records(now, name)
         return next((old for old in replaced if effect is None or old.effect is effect), None)
 
     def max_attempts(self, now: float) -> int:
-        """Attempts for a request that comes now: until clients go by the new settings, the fewer of both."""
-        return self._attempts if now - self._changed > CLIENT_UPDATE_SECONDS else self._least
+        """Return the attempts that a new request may have; during a change of settings the fewer of both."""
+        return (
+            self._max_attempts
+            if now - self._changed_at > CLIENT_UPDATE_SECONDS
+            else self._transition_max_attempts
+        )
