--- a/tests/graphql/test_charging.py
+++ b/tests/graphql/test_charging.py
@@ -30,7 +30,7 @@
 def answered(
     world: w.World, id: int, units: float | None, status: api.Status = api.Status.OK, attempt: int = 0
 ) -> None:
-    server = world.out[(id, attempt)][0]
+    server = world.open_attempts[(id, attempt)][0]
     world.feed(api.Outcome(id, attempt, server, status, 0.1, status is api.Status.OK, {}, None, units))
 
 
@@ -87,7 +87,7 @@
         if len(world.sends) > before:
             level -= true
             lowest = min(lowest, level)
-        for id_out, attempt in list(world.out):
+        for id_out, attempt in list(world.open_attempts):
             if rng.random() < 0.7:
                 told = rng.choice((*[trues[id_out]] * 6, -3.0, 1e9, float("nan"), None))
                 status = api.Status.OK if rng.random() < 0.8 else api.Status.BROKEN
--- a/tests/plans/test_limiter.py
+++ b/tests/plans/test_limiter.py
@@ -147,7 +147,7 @@
     day.world.feed(w.request(1, "read", "small", "hotel", units=2.0))
     day.world.advance(111.0)
     day.world.feed(w.request(2, "read", "small", "hotel"))
-    ((first, (server, _)),) = [(key, out) for key, out in day.world.out.items() if key[0] == 1]
+    ((first, (server, _)),) = [(key, out) for key, out in day.world.open_attempts.items() if key[0] == 1]
     day.world.feed(w.outcome(*first, server, api.Status.ERROR))  # it may have run: counted, and tried again
     day.world.serve()
     old, new = Key("hotel", "p", Stamp(1, 1), period), Key("hotel", "p", Stamp(1, 3), period)
@@ -160,8 +160,8 @@
     day = Day(version("p", 1, LARGE), assigned("p", 2))
     day.world.advance(110.0)
     day.world.feed(w.request(1, "post", "small", "hotel"))
-    assert day.world.out
-    while day.world.out:
+    assert day.world.open_attempts
+    while day.world.open_attempts:
         day.world.serve(api.Status.UNREACHABLE)
     day.world.feed(w.request(2, "read", "small", "hotel", units=1000.0))
     assert day.gatherer.cut() is None and not day.planned._open and not day.planned._out
@@ -171,7 +171,7 @@
     day = Day(version("p", 1, LARGE), assigned("p", 2))
     day.world.advance(110.0)
     day.world.feed(w.request(3, "read", "small", "hotel"))
-    assert day.world.out
+    assert day.world.open_attempts
     day.world.feed(api.Departed(3))
     assert day.gatherer.gathered == MICRO and not day.planned._open and not day.planned._out
 
@@ -180,7 +180,7 @@
     day = Day(version("p", 1, LARGE), assigned("p", 2))
     day.world.advance(110.0)
     day.world.feed(w.request(1, "read", "small", "hotel", units=2.0))
-    ((key, (server, _)),) = day.world.out.items()
+    ((key, (server, _)),) = day.world.open_attempts.items()
     day.world.feed(api.Outcome(*key, server, api.Status.OK, 0.1, True, {}, None, 3))
     assert day.gatherer.gathered == 3 * MICRO
 
--- a/tests/takeover/test_snapshot.py
+++ b/tests/takeover/test_snapshot.py
@@ -45,7 +45,7 @@
     for id in range(80):
         world.advance(world.now + 0.1)
         world.feed(asked_of(id, "read", "capped", f"a{rng.randrange(3)}", 3.0, 1.0))
-        for (request, attempt), (server, _) in list(world.out.items()):
+        for (request, attempt), (server, _) in list(world.open_attempts.items()):
             world.feed(w.outcome(request, attempt, server, api.Status.OK, 0.05))
     world.feed(api.Suspend("s1"))
     return world
@@ -146,7 +146,7 @@
         world.advance(now)
         before, id = len(world.sends), id + 1
         world.feed(asked_of(id, "read", "capped", "a0", 3.0, rng.choice((1.0, 2.0))))
-        for (request, attempt), (server, _) in list(world.out.items()):
+        for (request, attempt), (server, _) in list(world.open_attempts.items()):
             world.feed(w.outcome(request, attempt, server, api.Status.OK, 0.05))
         store = min(12.0, store + 4.0 * (now - last))
         last = now
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -14,7 +14,7 @@
     for id in range(first, first + count):
         world.advance(world.now + 0.05)
         world.feed(w.request(id))
-        for (request, attempt), (server, _) in list(world.out.items()):
+        for (request, attempt), (server, _) in list(world.open_attempts.items()):
             world.feed(w.outcome(request, attempt, server, api.Status.OK, 0.05))
     return [server for _, server, _ in world.sends[before:]]
 
--- a/tests/test_classes.py
+++ b/tests/test_classes.py
@@ -48,8 +48,8 @@
     world.feed(replace(w.request(id), effect=effect))
     if change is not None:
         world.feed(api.Retune(change))
-    while (key := next((key for key in world.out if key[0] == id), None)) is not None:
-        world.feed(w.outcome(*key, world.out[key][0], api.Status.BROKEN))
+    while (key := next((key for key in world.open_attempts if key[0] == id), None)) is not None:
+        world.feed(w.outcome(*key, world.open_attempts[key][0], api.Status.BROKEN))
     return len(world.attempts[id])
 
 
@@ -72,8 +72,8 @@
     world = started()
     world.feed(replace(w.request(1), effect=SAFE))
     world.feed(api.Retune(replace(OTHER, classes=OTHER.classes[1:])))
-    (key,) = world.out
-    world.feed(w.outcome(*key, world.out[key][0], api.Status.BROKEN))
+    (key,) = world.open_attempts
+    world.feed(w.outcome(*key, world.open_attempts[key][0], api.Status.BROKEN))
     assert len(world.attempts[1]) == 2
 
 
--- a/tests/test_cold_starts.py
+++ b/tests/test_cold_starts.py
@@ -89,8 +89,8 @@
         for number in range(id, id + 6):
             world.feed(w.request(number))
         id += 6
-        while world.out:
-            key, (to, _) = next(iter(world.out.items()))
+        while world.open_attempts:
+            key, (to, _) = next(iter(world.open_attempts.items()))
             world.feed(w.outcome(*key, to, Status.UNREACHABLE if to == name else Status.OK))
     raise AssertionError("never lost")
 
--- a/tests/test_endings_policy.py
+++ b/tests/test_endings_policy.py
@@ -89,7 +89,7 @@
         answer(world, place, status)
         assert len(world.sends) == 1, "it was sent on: its units are spent"
         world.feed(api.Departed(1))
-        del world.out[1, 0]
+        del world.open_attempts[1, 0]
     account = quotas.accounts["small", "x"]
     back = [c.amount for c in world.counts if c.name == account.name]
     assert back == ([-3.0] if leaves == "before the answer" else [])
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -66,7 +66,7 @@
             each.advance(now)
             for text in each.take():
                 self._tell(index, now, text)
-        for (asked, attempt), (server, _) in list(world.out.items()):
+        for (asked, attempt), (server, _) in list(world.open_attempts.items()):
             event = w.outcome(asked, attempt, server, api.Status.OK)
             world.feed(replace(event, units=settle))
         return len(world.sends) > before
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -646,7 +646,7 @@
     world.feed(w.servers("s0"))
     world.feed(replace(w.request(1, "post"), coming=True))
     server = world.gateway.load_balancer.servers["s0"]
-    assert world.out and server.outstanding_work == 0.0 and server.silent_since is None
+    assert world.open_attempts and server.outstanding_work == 0.0 and server.silent_since is None
     assert world.gateway._requests[1].account.open == 0, "an attempt is out from its last byte on"
     world.gateway.handle(world.now + 60.0, api.Body(1, whole=True, kept=False))
     assert server.outstanding_work > 0.0 and server.silent_since == world.now + 60.0
@@ -664,6 +664,6 @@
         world.feed(w.servers("s0", "s1"))
         world.feed(replace(w.request(1, "post"), coming=True))
         world.gateway.handle(world.now, api.Body(1, whole=False, kept=kept))
-        (key,) = world.out
-        world.feed(w.outcome(*key, world.out[key][0], api.Status.UNREACHABLE))
+        (key,) = world.open_attempts
+        world.feed(w.outcome(*key, world.open_attempts[key][0], api.Status.UNREACHABLE))
         assert len(world.attempts[1]) == attempts
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -19,7 +19,7 @@
         world.advance(world.now + 1.0 / (answers * len(NAMES)))
         id += 1
         world.feed(w.request(id, "read", "basic", f"{id}", 3.0))
-        for (out, attempt), (server, _) in list(world.out.items()):
+        for (out, attempt), (server, _) in list(world.open_attempts.items()):
             report = {"inflight": 1.0 if server == "s3" else 9.0} if reported else {}
             world.feed(api.Outcome(out, attempt, server, api.Status.OK, 0.1, True, report))
     world.advance(world.now + 1.0 + pause)
@@ -27,7 +27,7 @@
     for _ in range(tries):
         id += 1
         world.feed(w.request(id, "read", "basic", f"{id}", 3.0))
-        for (out, attempt), (server, _) in list(world.out.items()):
+        for (out, attempt), (server, _) in list(world.open_attempts.items()):
             world.feed(api.Outcome(out, attempt, server, api.Status.OK, 0.1, True, {}))
     counts = dict.fromkeys(NAMES, 0)
     for _, server, _ in world.sends[before:]:
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -48,14 +48,14 @@
         return self.id
 
     def end(self, at: int, id: int) -> None:
-        (key,) = (key for key in self.worlds[at].out if key[0] == id)
-        self.worlds[at].feed(w.outcome(*key, self.worlds[at].out[key][0], Status.OK))
+        (key,) = (key for key in self.worlds[at].open_attempts if key[0] == id)
+        self.worlds[at].feed(w.outcome(*key, self.worlds[at].open_attempts[key][0], Status.OK))
         self.settle()
 
     @property
     def out(self) -> list[tuple[int, int]]:
         """Gateway and id of what is out."""
-        return [(n, id) for n, world in enumerate(self.worlds) for id, _ in world.out]
+        return [(n, id) for n, world in enumerate(self.worlds) for id, _ in world.open_attempts]
 
     def ends_clean(self) -> bool:
         for at, id in self.out:
@@ -143,7 +143,7 @@
     (call,) = (call for call in world.counts if call.amount)
     fleet.totals[call.name] = 1.0  # added, and the answer came too late
     world.answer_counts(Status.TIMEOUT)
-    assert len(world.out) == 1
+    assert len(world.open_attempts) == 1
     fleet.exact = True
     assert fleet.ends_clean()
 
@@ -154,7 +154,7 @@
     world.feed(w.request(1, "read", "chain", "hotel"))
     world.feed(api.Departed(1))
     world.answer_counts()
-    assert not world.out and not any(fleet.totals.values())
+    assert not world.open_attempts and not any(fleet.totals.values())
 
 
 def test_a_body_on_its_way_is_not_out_until_its_last_byte() -> None:
--- a/tests/test_symptoms.py
+++ b/tests/test_symptoms.py
@@ -43,7 +43,7 @@
     for id in range(next_id, next_id + 120):
         world.advance(world.now + 0.025)
         world.feed(w.request(id))
-        for (rid, attempt), (server, _) in list(world.out.items()):
+        for (rid, attempt), (server, _) in list(world.open_attempts.items()):
             if server != "s0":
                 world.feed(w.outcome(rid, attempt, server, api.Status.OK))
     late = [server for at, server, _ in world.sends if at > world.now - 1.5]
@@ -56,7 +56,7 @@
     for id in range(200):
         world.advance(world.now + 0.02)
         world.feed(w.request(id, "post"))
-        for (rid, attempt), (server, _) in list(world.out.items()):
+        for (rid, attempt), (server, _) in list(world.open_attempts.items()):
             bad = server == "s0"
             world.feed(
                 w.outcome(
@@ -82,7 +82,7 @@
     run(world, 20, 40, 0)  # work done while warm is no debt when it returns unsure
     for id in range(5000, 5012):  # two in a row are needed: the others stay busy, so that s0 is asked again
         world.feed(w.request(id))
-        for (rid, attempt), (server, _) in list(world.out.items()):
+        for (rid, attempt), (server, _) in list(world.open_attempts.items()):
             if server == "s0":
                 world.feed(w.outcome(rid, attempt, server, api.Status.UNREACHABLE))
     world.serve()
@@ -99,8 +99,8 @@
     before = len(world.sends)
     for id in range(1000, 1060):  # one is always out, so that the others are not idle
         world.advance(world.now + 0.05)
-        for rid, attempt in list(world.out)[:-1]:
-            world.feed(w.outcome(rid, attempt, world.out[(rid, attempt)][0], api.Status.OK))
+        for rid, attempt in list(world.open_attempts)[:-1]:
+            world.feed(w.outcome(rid, attempt, world.open_attempts[(rid, attempt)][0], api.Status.OK))
         world.feed(w.request(id))
     assert "s0" in {server for _, server, _ in world.sends[before:]}
 
@@ -252,7 +252,7 @@
         world.advance(world.now + 0.5)
         world.feed(w.request(id))
         for _ in range(3):
-            for (rid, attempt), (server, _) in list(world.out.items()):
+            for (rid, attempt), (server, _) in list(world.open_attempts.items()):
                 gone = server in first
                 world.feed(
                     w.outcome(rid, attempt, server, api.Status.UNREACHABLE if gone else api.Status.OK, 0.05)
@@ -280,7 +280,7 @@
     world.feed(w.servers(*"abcdef"))
     sent = [a for a in world.feed(w.request(1)) if isinstance(a, api.Send)]
     world.feed(api.Departed(1))
-    world.out.clear()  # the node cancels it; what a request that has ended comes to is passed over
+    world.open_attempts.clear()  # the node cancels it; what a request that has ended comes to is passed over
     again = set[str]()
     for id in range(2, 200):
         world.now += 0.2
@@ -347,7 +347,7 @@
     world = w.World(w.settings())
     world.feed(w.servers("s0", "s1", "s2"))
     world.feed(w.request(0))
-    ((_, _), (server, _)) = next(iter(world.out.items()))
+    ((_, _), (server, _)) = next(iter(world.open_attempts.items()))
     world.advance(world.now + 0.1)
     world.feed(w.outcome(0, 0, server, status, 0.05))
     world.serve()
@@ -374,7 +374,7 @@
     for server in gateway.load_balancer.subset:
         server.outstanding_work = 0.5
     world.feed(w.request(2, "hasty"))
-    assert (2, 0) in world.out
+    assert (2, 0) in world.open_attempts
 
 
 def test_work_grows_with_units_where_latency_does_and_not_elsewhere() -> None:
--- a/tests/world.py
+++ b/tests/world.py
@@ -66,7 +66,7 @@
         self.known: set[str] = set()
         self.requests: dict[int, tuple[api.Request, float]] = {}
         self.attempts: dict[int, list[tuple[str, float]]] = {}
-        self.out: dict[tuple[int, int], tuple[str, float]] = {}
+        self.open_attempts: dict[tuple[int, int], tuple[str, float]] = {}
         self.ran: dict[int, tuple[str, float]] = {}
         self.answered: dict[int, str] = {}
         self.timers: list[tuple[float, int]] = []
@@ -85,7 +85,7 @@
             self.requests[event.id] = (event, self.now + event.ttl)
             self.attempts[event.id] = []
         if isinstance(event, api.Outcome):
-            server, sent = self.out.pop((event.id, event.attempt))
+            server, sent = self.open_attempts.pop((event.id, event.attempt))
             if event.status not in NEVER_RAN:
                 self.ran.setdefault(event.id, (server, sent))
             if event.finished:
@@ -113,7 +113,7 @@
             assert self.up[action.server].health is api.Health.UP, "sent to a draining or gone server"
             tries = self.attempts[action.id]
             assert len(tries) < self.config.max_attempts
-            assert not any(key[0] == action.id for key in self.out), "two attempts at once"
+            assert not any(key[0] == action.id for key in self.open_attempts), "two attempts at once"
             kind = self._kind(asked)
             if action.id in self.ran:
                 assert kind.effect is not api.Effect.UNSAFE, "an unsafe request may have run"
@@ -121,7 +121,7 @@
                     server, sent = self.ran[action.id]
                     assert self.up[server].cell == self.up[action.server].cell, "left the group"
                     assert self.now - sent < kind.window, "past the window"
-            self.out[(action.id, len(tries))] = (action.server, self.now)
+            self.open_attempts[(action.id, len(tries))] = (action.server, self.now)
             tries.append((action.server, self.now))
             self.sends.append((self.now, action.server, asked))
         elif isinstance(action, api.Refuse | api.Fail):
@@ -138,7 +138,9 @@
         """Move the clock, firing timers and clipping attempts at their clients' deadlines."""
         while True:
             due = [(at, 0, token, 0) for at, token in self.timers if at <= to]
-            due += [(self.requests[i][1], 1, i, n) for i, n in self.out if self.requests[i][1] <= to]
+            due += [
+                (self.requests[i][1], 1, i, n) for i, n in self.open_attempts if self.requests[i][1] <= to
+            ]
             if not due:
                 break
             at, kind, first, second = min(due)
@@ -147,7 +149,7 @@
                 self.timers.remove((at, first))
                 self.feed(api.TimerFired(first))
             else:
-                server = self.out[(first, second)][0]
+                server = self.open_attempts[(first, second)][0]
                 self.feed(outcome(first, second, server, api.Status.TIMEOUT))
         self.now = to
 
@@ -158,7 +160,7 @@
             self.feed(api.Counted(call.name, status, total))
 
     def serve(self, status: api.Status = api.Status.OK, elapsed: float = 0.1) -> None:
-        for (id, attempt), (server, _) in list(self.out.items()):
+        for (id, attempt), (server, _) in list(self.open_attempts.items()):
             self.feed(outcome(id, attempt, server, status, elapsed))
 
 
@@ -178,12 +180,17 @@
                 step, kind, rng.choice(("free", "small", "odd")), rng.choice("abc"), rng.uniform(0.02, 4)
             )
             log.append(world.feed(asked))
-        elif move < 0.8 and world.out:
-            key = rng.choice(list(world.out))
+        elif move < 0.8 and world.open_attempts:
+            key = rng.choice(list(world.open_attempts))
             ended = world.answered.get(key[0])
             status = api.Status.OK if rng.random() < 0.5 else rng.choice(statuses)
             event = api.Outcome(
-                *key, world.out[key][0], status, 0.1, ended is not None or status is api.Status.OK, {}
+                *key,
+                world.open_attempts[key][0],
+                status,
+                0.1,
+                ended is not None or status is api.Status.OK,
+                {},
             )
             log.append(world.feed(event))
         elif move < 0.9:
@@ -201,7 +208,7 @@
             log.append(world.feed(api.ServerList((entry,), False)))
         elif world.requests:
             gone = rng.choice(list(world.requests))
-            if gone not in world.answered and not any(key[0] == gone for key in world.out):
+            if gone not in world.answered and not any(key[0] == gone for key in world.open_attempts):
                 log.append(world.feed(api.Departed(gone)))
     world.answer_counts(api.Status.UNREACHABLE)
     world.advance(world.now + 10)
