--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,4 @@
-"""Helpers for the tests: settings and a legal-event driver that checks the five rules as invariants."""
+"""Test helpers: settings, events, and a driver that feeds a gateway legal events and checks the rules as invariants."""
 
 from __future__ import annotations
 
@@ -42,14 +42,14 @@
 
 
 class SharedCounts(dict[int, float]):
-    """The shared counter's totals by name. A name is forgotten when the lifetime is over with which it began."""
+    """The shared counter's totals by name. A name expires after the lifetime that its first call gave."""
 
     def __init__(self) -> None:
         super().__init__()
         self._until = dict[int, float]()
 
     def add(self, now: float, call: api.Count) -> float:
-        """The total after a call that comes at ``now``, in seconds of real time."""
+        """Add a call's amount at ``now``, in seconds of real time, and return the total."""
         if call.name not in self or self._until.get(call.name, inf) <= now:
             self[call.name], self._until[call.name] = 0.0, now + min(60.0, call.lifetime)
         self[call.name] += call.amount
@@ -57,7 +57,7 @@
 
 
 class World:
-    """Feeds one gateway legal events and fails as soon as an answer breaks a rule."""
+    """Feeds one gateway legal events and fails as soon as an action breaks a rule."""
 
     def __init__(self, config: api.Settings, seed: int = 1, now: float = 100.0) -> None:
         self.config, self.now = config, now
@@ -67,7 +67,7 @@
         self.requests: dict[int, tuple[api.Request, float]] = {}
         self.attempts: dict[int, list[tuple[str, float]]] = {}
         self.open_attempts: dict[tuple[int, int], tuple[str, float]] = {}
-        self.ran: dict[int, tuple[str, float]] = {}
+        self.first_runs: dict[int, tuple[str, float]] = {}
         self.answered: dict[int, str] = {}
         self.timers: list[tuple[float, int]] = []
         self.counts: list[api.Count] = []
@@ -87,7 +87,7 @@
         if isinstance(event, api.Outcome):
             server, sent = self.open_attempts.pop((event.id, event.attempt))
             if event.status not in NEVER_RAN:
-                self.ran.setdefault(event.id, (server, sent))
+                self.first_runs.setdefault(event.id, (server, sent))
             if event.finished:
                 self.answered[event.id] = "served"
         if isinstance(event, api.Departed):
@@ -97,7 +97,7 @@
             self._check(action)
         return actions
 
-    def _kind(self, asked: api.Request) -> api.RequestClass:
+    def _class_of(self, asked: api.Request) -> api.RequestClass:
         unknown = api.RequestClass(asked.request_class, 1.0, 1.0, api.Effect.UNSAFE)
         return next((c for c in self.config.classes if c.name == asked.request_class), unknown)
 
@@ -111,23 +111,23 @@
             assert action.id not in self.answered, "sent after the final answer"
             assert 0 < action.timeout <= deadline - self.now + 1e-9
             assert self.up[action.server].health is api.Health.UP, "sent to a draining or gone server"
-            tries = self.attempts[action.id]
-            assert len(tries) < self.config.max_attempts
+            attempts = self.attempts[action.id]
+            assert len(attempts) < self.config.max_attempts
             assert not any(key[0] == action.id for key in self.open_attempts), "two attempts at once"
-            kind = self._kind(asked)
-            if action.id in self.ran:
+            kind = self._class_of(asked)
+            if action.id in self.first_runs:
                 assert kind.effect is not api.Effect.UNSAFE, "an unsafe request may have run"
                 if kind.effect is api.Effect.KEYED:
-                    server, sent = self.ran[action.id]
+                    server, sent = self.first_runs[action.id]
                     assert self.up[server].cell == self.up[action.server].cell, "left the group"
                     assert self.now - sent < kind.window, "past the window"
-            self.open_attempts[(action.id, len(tries))] = (action.server, self.now)
-            tries.append((action.server, self.now))
+            self.open_attempts[(action.id, len(attempts))] = (action.server, self.now)
+            attempts.append((action.server, self.now))
             self.sends.append((self.now, action.server, asked))
         elif isinstance(action, api.Refuse | api.Fail):
             assert action.id not in self.answered, "answered twice"
             asked, deadline = self.requests[action.id]
-            kind = self._kind(asked)
+            kind = self._class_of(asked)
             if isinstance(action, api.Refuse) and action.id in self.ran:
                 everywhere = kind.effect is api.Effect.KEYED and kind.scope is api.Scope.ALL
                 assert kind.effect is api.Effect.SAFE or everywhere, "refused though it may have run"
@@ -135,7 +135,7 @@
             self.answered[action.id] = "refused" if isinstance(action, api.Refuse) else "failed"
 
     def advance(self, to: float) -> None:
-        """Move the clock, firing timers and clipping attempts at their clients' deadlines."""
+        """Advance the clock; fire timers and time attempts out at their clients' deadlines."""
         while True:
             due = [(at, 0, token, 0) for at, token in self.timers if at <= to]
             due += [
@@ -165,7 +165,7 @@
 
 
 def random_run(seed: int, steps: int, config: api.Settings | None = None) -> list[list[api.Action]]:
-    """A long arbitrary but legal run; returns all actions."""
+    """Run random but legal events and return all actions."""
     rng = Random(seed)
     world = World(config or settings(), seed)
     names = [f"s{i}" for i in range(6)]
