--- a/tests/test_cold_starts.py
+++ b/tests/test_cold_starts.py
@@ -1,4 +1,4 @@
-"""Servers that start cold, under the sum of many limiters: that none falls, and what counts into the budgets."""
+"""Cold servers under the traffic of many limiters: none is overloaded, and what the cold budgets count."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 import pytest
 
-from benchmarks.cold_starts import ROWS, Row, chance, poisson_tail
+from benchmarks.cold_starts import CASES, Case, overload_probability, poisson_tail
 from cypresspulley import interface as api
 from cypresspulley.interface import Status
 from cypresspulley.policy.load_balancer import MAX_COLD_LOAD_SHARE, STEADY_COLD_LOAD_SHARE
 from cypresspulley.policy.server import Server
 from tests import world as w
-from tests.cold_start import SETTINGS, Day
+from tests.cold_start import SETTINGS, ColdStartSimulation
 
 SLICE = (
     "20, N 1, two thirds replaced", "30, N 1, two thirds replaced", "230, N 1, two thirds replaced",
@@ -22,15 +22,15 @@
 )  # fmt: skip
 
 
-@pytest.mark.parametrize("row", [row for row in ROWS if row.name in SLICE], ids=lambda row: row.name)
-def test_no_server_falls_on_a_slice_of_the_simulation(row: Row) -> None:
-    assert row.play(seed=1).fell() == 0
+@pytest.mark.parametrize("case", [case for case in CASES if case.name in SLICE], ids=lambda case: case.name)
+def test_no_server_falls_on_a_slice_of_the_simulation(case: Case) -> None:
+    assert case.run(seed=1).overloaded_servers() == 0
 
 
 def test_the_simulation_is_of_a_thousand_starts_and_more() -> None:
-    assert 3 * sum(row.day.starts for row in ROWS) > 1000
-    assert {row.day.limiters for row in ROWS} == {20, 30, 230}
-    assert set(SLICE) <= {row.name for row in ROWS}
+    assert 3 * sum(case.simulation.starts for case in CASES) > 1000
+    assert {case.simulation.limiters for case in CASES} == {20, 30, 230}
+    assert set(SLICE) <= {case.name for case in CASES}
 
 
 def test_the_parts_are_safe_for_any_allowance() -> None:
@@ -42,23 +42,29 @@
 
 
 def test_the_bound_grows_with_what_is_sent_and_is_a_chance() -> None:
-    quiet, silent = chance(25.0, SETTINGS), chance(25.0, SETTINGS, silent_until=4.0)
+    quiet, silent = (
+        overload_probability(25.0, SETTINGS),
+        overload_probability(25.0, SETTINGS, silent_until=4.0),
+    )
     assert 0 < quiet < silent < 0.01
-    assert chance(25.0, replace(SETTINGS, fall_multiple=1.0)) > quiet
+    assert overload_probability(25.0, replace(SETTINGS, fall_multiple=1.0)) > quiet
 
 
 @pytest.mark.parametrize("even", [True, False], ids=["even", "uneven"])
 def test_what_all_send_at_first_is_what_their_budgets_hold(even: bool) -> None:
-    """With dice for each request those that lost threw again, and sent their first long before it was due."""
-    day = Day(1, told=(0.0, 0.0), even=even, limiters=230, starts=6).play()
+    """Guards against a cold budget that is drawn at random for each request.
+
+    A limiter whose draw failed drew again at its next request, so that all sent their first request far too early.
+    """
+    simulation = ColdStartSimulation(1, notice_ages=(0.0, 0.0), is_even=even, limiters=230, starts=6).run()
     window = SETTINGS.fall_window
-    due = (day.allowed(0) + day.allowed(window)) / 2 / SETTINGS.fall_multiple
-    first = sum(at < window for sent in day.sent.values() for at in sent) / day.starts
+    due = (simulation.allowed_requests(0) + simulation.allowed_requests(window)) / 2 / SETTINGS.fall_multiple
+    first = sum(age < window for ages in simulation.send_ages.values() for age in ages) / simulation.starts
     assert 0.6 * due < first < 1.2 * due
 
 
 def test_uneven_seconds_do_not_make_cold_servers_pass_for_able_ones() -> None:
-    """Most servers are cold: a mean of what is finished that only rises took in the noise."""
+    """Guards against a mean of finished work that only rises, and so follows the noise, while most servers are cold."""
     world, id, cold = w.World(w.settings(warm_after=60.0)), 0, [f"s{n}" for n in range(5)]
     names = [f"s{n}" for n in range(8)]
     world.feed(w.servers(*names))
@@ -79,8 +85,8 @@
     assert 0.2 * warm < each < 0.5 * warm, "warmth was 0.2 to 0.73 and 0.47 in the mean"
 
 
-def lost(world: w.World, id: int, name: str) -> int:
-    """Dials to a server in vain until it counts as lost."""
+def dial_until_unreachable(world: w.World, id: int, name: str) -> int:
+    """Let dials to a server fail until it counts as unreachable, and return the next request id."""
     server = world.gateway.load_balancer.servers[name]
     for _ in range(500):
         if server.unreachable and server.ejected_until > world.now:
@@ -92,11 +98,11 @@
         while world.open_attempts:
             key, (to, _) = next(iter(world.open_attempts.items()))
             world.feed(w.outcome(*key, to, Status.UNREACHABLE if to == name else Status.OK))
-    raise AssertionError("never lost")
+    raise AssertionError("the server never became unreachable")
 
 
-def warmed(**changes: object) -> tuple[w.World, Server, int]:
-    """A server that has started cold, become warm, and has a part of its budget left."""
+def warmed_up_server(**changes: object) -> tuple[w.World, Server, int]:
+    """Return a server that started cold, has become warm, and has a part of its budget left."""
     world, id = w.World(w.settings(warm_after=2.0, **changes)), 0
     world.feed(w.servers("s0", "s1", "s2"))
     for step in range(300):
@@ -113,15 +119,15 @@
 
 
 def test_a_server_found_again_by_a_probe_starts_with_an_empty_budget() -> None:
-    world, server, id = warmed()
-    lost(world, id, "s1")
+    world, server, id = warmed_up_server()
+    dial_until_unreachable(world, id, "s1")
     world.feed(api.Probed("s1", Status.OK, 0.01, {}))
     assert server.cold_since == world.now and server.cold_budget == 0.0
 
 
 def test_a_server_found_again_by_a_request_starts_with_an_empty_budget() -> None:
-    world, server, id = warmed(may_probe=False)
-    id = lost(world, id, "s1")
+    world, server, id = warmed_up_server(may_probe=False)
+    id = dial_until_unreachable(world, id, "s1")
     for _ in range(300):
         if server.cold_since is not None:
             break
@@ -135,19 +141,21 @@
 
 @pytest.mark.parametrize("told_first", [False, True], ids=["lost, then told", "told, then lost"])
 def test_a_server_that_is_known_to_be_cold_is_not_probed(told_first: bool) -> None:
-    """Hundreds of limiters' probes are work beyond every budget: its trials are requests that the budget holds."""
-    world, server, id = warmed()
+    """Probes of hundreds of limiters would exceed any cold budget, so a cold server is tried by requests within it."""
+    world, server, id = warmed_up_server()
     born = api.ServerList((replace(world.up["s1"], born=world.now),), False)
     if told_first:
         world.feed(born)
-        id = lost(world, id, "s1")
+        id = dial_until_unreachable(world, id, "s1")
     else:
-        id = lost(world, id, "s1")
-        assert any(isinstance(a, api.Probe) for a in ticked(world)), "asked while nothing tells of its start"
+        id = dial_until_unreachable(world, id, "s1")
+        assert any(isinstance(a, api.Probe) for a in next_tick(world)), (
+            "asked while nothing tells of its start"
+        )
         world.feed(api.ServerList((replace(world.up["s1"], born=world.now),), False))
     before, probes = len(world.sends), list[api.Action]()
     for _ in range(3):
-        probes += [a for a in ticked(world) if isinstance(a, api.Probe)]
+        probes += [a for a in next_tick(world) if isinstance(a, api.Probe)]
         for _ in range(20):
             world.feed(w.request(id))
             world.serve()
@@ -159,8 +167,8 @@
     assert not server.unreachable
 
 
-def ticked(world: w.World) -> list[api.Action]:
-    """What the policy does at its next tick, a second on."""
+def next_tick(world: w.World) -> list[api.Action]:
+    """Advance to the next tick, a second later, and return its actions."""
     at, token = min(world.timers)
     world.timers.remove((at, token))
     world.now = max(world.now, at)
@@ -168,7 +176,7 @@
 
 
 def test_what_was_saved_up_while_a_cold_server_was_out_lapses() -> None:
-    """Ten seconds' parts of all limiters at once, when it is back, are more than what fells it."""
+    """Guards against an overload by what all limiters saved in ten seconds, sent at once when the server is back."""
     world, id = w.World(w.settings(warm_after=60.0)), 0
     world.feed(w.servers("s0", "s1", "s2"))
 
@@ -186,9 +194,10 @@
     world.feed(api.ServerList((replace(world.up["s1"], born=world.now),), False))
     world.gateway.load_balancer.servers["s1"].ejected_until = world.now + 10.0
     assert run(10.0) == 0
-    able, warmth, config = 50 / 3, 0.2 + 0.8 * 11 / 60, world.config
-    # What it can do, once each of the two that are left does half of all in place of a third.
-    allowed = config.fall_multiple * warmth * able * 1.5 * config.fall_window
+    rate, warmth, config = 50 / 3, 0.2 + 0.8 * 11 / 60, world.config
+    # With the server ejected, each of the other two finished half of all requests instead of a third, and its budget
+    # follows that rate.
+    allowed = config.fall_multiple * warmth * rate * 1.5 * config.fall_window
     assert (
         0.8 * STEADY_COLD_LOAD_SHARE * allowed < run(config.fall_window) < 1.1 * MAX_COLD_LOAD_SHARE * allowed
     )
