--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The five rules as invariants under arbitrary legal event orders."""
+"""The rules of the decisions as invariants under arbitrary legal orders of events."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from cypresspulley import interface as api
 from tests import world as w
 
-quiet = hypothesis.settings(derandomize=True, deadline=None, max_examples=60)
+hypothesis_settings = hypothesis.settings(derandomize=True, deadline=None, max_examples=60)
 
 
-@quiet
+@hypothesis_settings
 @hypothesis.given(st.integers(0, 2**32), st.integers(1, 4), st.booleans())
 def test_rules_one_to_three_hold_in_any_legal_order(seed: int, attempts: int, counter: bool) -> None:
     w.random_run(seed, 150, w.settings(max_attempts=attempts, has_counter=counter))
 
 
-@quiet
+@hypothesis_settings
 @hypothesis.given(st.integers(0, 2**32))
 def test_the_ceiling_holds_over_all_gateways_with_skewed_traffic_and_a_restart(seed: int) -> None:
     rng = Random(seed)
@@ -31,14 +31,14 @@
     config = w.settings(plans=(plan,))
     worlds = [w.World(replace(config, index=i), seed + i) for i in range(3)]
     for world in worlds:
-        world.totals = worlds[0].totals  # one counter for all, which outlives the gateways
+        world.totals = worlds[0].totals  # the gateways share one counter, which outlives them
         world.feed(w.servers("s0", "s1", "s2", "s3"))
-    store, last, sent = 12.0, 100.0, 0.0
+    level, last, sent = 12.0, 100.0, 0.0
     now = 100.0
     for step in range(250):
         now += rng.choice((0.001, 0.02, 0.1))
         index = rng.choice((0, 0, 0, 0, 1, 2))
-        if step == 120:  # this gateway dies and comes back knowing nothing
+        if step == 120:  # this gateway restarts without any state
             worlds[0] = w.World(replace(config, index=0), seed + 9, now)
             worlds[0].totals = worlds[1].totals
             worlds[0].feed(w.servers("s0", "s1", "s2", "s3"))
@@ -51,12 +51,12 @@
         world.answer_counts(
             rng.choice((api.Status.OK, api.Status.OK, api.Status.UNREACHABLE, api.Status.TIMEOUT))
         )
-        store = min(12.0, store + 4.0 * (now - last))
+        level = min(12.0, level + 4.0 * (now - last))
         last = now
         for _, _, asked in world.sends[before:]:
-            store -= asked.units
+            level -= asked.units
             sent += asked.units
-        assert store >= -1e-6, "the ceiling was passed"
+        assert level >= -1e-6, "the ceiling was exceeded"
     assert sent > 0
 
 
@@ -158,7 +158,10 @@
 
 
 def test_hundreds_of_gateways_together_stay_within_a_cold_servers_budget() -> None:
-    """200 gates see a request a second: one let in by each at once is a hundred times the budget."""
+    """Guards against an overload by 200 gateways with a request per second each.
+
+    One request from each at once would be a hundred times the cold budget.
+    """
     gateways, names = 200, [f"s{i}" for i in range(20)]
     config = w.settings(gateways=gateways, has_counter=False)
     start, warm, cold = 0.0, 0, list[float]()
@@ -178,6 +181,6 @@
     window, multiple = config.fall_window, config.fall_multiple
     rate = warm / 12 / len(names)
     for at in cold:
-        able = rate * min(1, 0.2 + 0.8 * (at + window - start) / 10)
-        assert sum(at <= other < at + window for other in cold) < multiple * able * window
+        warm_rate = rate * min(1, 0.2 + 0.8 * (at + window - start) / 10)
+        assert sum(at <= other < at + window for other in cold) < multiple * warm_rate * window
     assert len(cold) > 5
