--- a/tests/test_symptoms.py
+++ b/tests/test_symptoms.py
@@ -1,4 +1,4 @@
-"""One small test for each failure found."""
+"""Regression tests: one for each failure that was found."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 def run(
     world: w.World, seconds: float, rate: float, first: int, elapsed: float = 0.1, kind: str = "read"
 ) -> int:
-    """Requests at a steady rate, each answered in the next step; returns the next id."""
+    """Send requests at a steady rate, each answered before the next one; return the next request id."""
     for id in range(first, first + int(seconds * rate)):
         world.advance(world.now + 1 / rate)
         world.feed(w.request(id, kind))
@@ -29,7 +29,7 @@
     world.feed(w.servers("s0", "s1", "s2"))
     next_id = run(world, 0.9, 50, 0)
     assert not any(v == "refused" for v in world.answered.values())
-    next_id = run(world, 1.0, 50, next_id)  # what was free is no debt at the gate after the first reading
+    next_id = run(world, 1.0, 50, next_id)  # requests admitted while fresh leave no debt in the token bucket
     assert not any(v == "refused" for v in world.answered.values())
     run(world, 60, 50, next_id, elapsed=0.99)
     late = [world.answered[i] for i in list(world.requests)[-200:]]
@@ -79,8 +79,10 @@
 def test_a_lost_server_is_tried_by_probe_and_comes_back_by_it() -> None:
     world = w.World(w.settings())
     world.feed(w.servers("s0", "s1", "s2"))
-    run(world, 20, 40, 0)  # work done while warm is no debt when it returns unsure
-    for id in range(5000, 5012):  # two in a row are needed: the others stay busy, so that s0 is asked again
+    run(world, 20, 40, 0)  # work sent while warm must not count against its cold budget later
+    for id in range(
+        5000, 5012
+    ):  # two failures in a row are needed: the others stay busy, so that s0 is tried again
         world.feed(w.request(id))
         for (rid, attempt), (server, _) in list(world.open_attempts.items()):
             if server == "s0":
@@ -105,10 +107,10 @@
     assert "s0" in {server for _, server, _ in world.sends[before:]}
 
 
-def drain(
+def send_and_count(
     world: w.World, first: int, count: int, gap: float, answer: api.Status | None = api.Status.OK
 ) -> int:
-    """Requests of one account on the small plan; returns how many were sent on."""
+    """Send requests of one account on the small plan; return how many were sent to servers."""
     before = len(world.sends)
     for id in range(first, first + count):
         world.advance(world.now + gap)
@@ -122,32 +124,32 @@
 def test_one_gateway_may_use_the_whole_store_while_the_counter_shows_nobody_else() -> None:
     world = w.World(w.settings())
     world.feed(w.servers("s0", "s1", "s2"))
-    assert drain(world, 0, 40, 0.001) == 8
+    assert send_and_count(world, 0, 40, 0.001) == 8
 
 
 def test_others_use_on_the_counter_is_taken_off_the_store() -> None:
     world = w.World(w.settings())
     world.feed(w.servers("s0", "s1", "s2"))
-    assert drain(world, 0, 1, 0.001) == 1
+    assert send_and_count(world, 0, 1, 0.001) == 1
     (name,) = world.totals
     world.totals[name] += 5.0  # the other gateways use five of the eight units
-    assert drain(world, 2000, 40, 0.001) in (2, 3)
+    assert send_and_count(world, 2000, 40, 0.001) in (2, 3)
 
 
 def test_a_silent_counter_leaves_the_even_share() -> None:
     world = w.World(w.settings())
     world.feed(w.servers("s0", "s1", "s2"))
-    sent = drain(world, 0, 40, 0.001, api.Status.UNREACHABLE)
+    sent = send_and_count(world, 0, 40, 0.001, api.Status.UNREACHABLE)
     assert 8 / 3 <= sent <= 6
 
 
 def test_an_emptied_counter_does_not_refill_or_empty_the_store() -> None:
     world = w.World(w.settings())
     world.feed(w.servers("s0", "s1", "s2"))
-    drain(world, 0, 40, 0.001)
+    send_and_count(world, 0, 40, 0.001)
     world.totals.clear()
-    sent = drain(world, 100, 40, 0.05)
-    assert 2 <= sent <= 6  # the refill of two seconds at two a second
+    sent = send_and_count(world, 100, 40, 0.05)
+    assert 2 <= sent <= 6  # the refill of two seconds at two units per second
 
 
 def test_calls_slow_down_when_the_counter_turns_them_away() -> None:
@@ -203,7 +205,7 @@
         world = w.World(w.settings(plans=(api.Plan("free"), plan)))
         world.feed(w.servers("s0", "s1", "s2"))
         run(world, 5, 40, 0)
-        assert (drain(world, 5000, 60, 0.02) > 12) is more
+        assert (send_and_count(world, 5000, 60, 0.02) > 12) is more
 
 
 def test_odd_but_legal_input() -> None:
@@ -231,7 +233,7 @@
 
 
 def test_a_gate_shut_on_one_request_a_second_opens_again_when_answers_are_quick() -> None:
-    """A shut gate reads nothing: with its last reading held it would stay shut for good."""
+    """Guards against a gate that keeps its last load reading: a shut gate gets no new one and would stay shut."""
     world = w.World(w.settings(gateways=300))
     world.feed(w.servers("s0", "s1", "s2"))
     next_id = run(world, 60, 1, 0, elapsed=0.99)
@@ -272,7 +274,7 @@
             calls += len(world.counts)
             world.answer_counts(api.Status.FULL)
             world.serve()
-    assert calls < 100 * 5 * 1.7  # for 300 gateways 510 calls a second
+    assert calls < 100 * 5 * 1.7  # 510 calls per second for 300 gateways
 
 
 def test_a_server_is_used_again_after_the_client_of_its_only_request_has_left() -> None:
@@ -280,7 +282,7 @@
     world.feed(w.servers(*"abcdef"))
     sent = [a for a in world.feed(w.request(1)) if isinstance(a, api.Send)]
     world.feed(api.Departed(1))
-    world.open_attempts.clear()  # the node cancels it; what a request that has ended comes to is passed over
+    world.open_attempts.clear()  # the node cancels it; outcomes of requests that have ended are ignored
     again = set[str]()
     for id in range(2, 200):
         world.now += 0.2
@@ -294,7 +296,7 @@
 def test_servers_that_are_gone_are_forgotten_once_nothing_is_out_there() -> None:
     world = w.World(w.settings())
     world.feed(w.servers("s0"))
-    world.feed(w.request(0))  # out at s0
+    world.feed(w.request(0))  # an open attempt at s0
     for round in range(1, 50):
         world.advance(world.now + 0.02)
         world.feed(w.servers(f"s{round}"))
@@ -303,7 +305,7 @@
     world.serve()
     world.advance(world.now + 1.1)
     assert set(world.gateway.load_balancer.servers) == {"s49"}
-    world.feed(w.servers("s0", "s49"))  # it may come back, as a new one
+    world.feed(w.servers("s0", "s49"))  # it may return as a new server
     run(world, 3, 20, 100)
     assert {server for _, server, _ in world.sends[-30:]} == {"s0", "s49"}
 
@@ -315,7 +317,7 @@
     before = len(world.sends)
     for id in range(next_id, next_id + 200):
         world.feed(w.request(id))
-    assert len(world.sends) - before > 20  # 14 is what the rate of the last seconds alone would grant
+    assert len(world.sends) - before > 20  # the rate of the last seconds alone would allow 14
 
 
 def test_a_fleet_that_looks_cold_does_not_stand_still() -> None:
@@ -323,11 +325,13 @@
     names = [f"s{n}" for n in range(6)]
     world.feed(w.servers(*names))
     next_id = run(world, 10, 40, 0)
-    world.feed(w.servers(*names, born=world.now))  # all of them begin anew
+    world.feed(w.servers(*names, born=world.now))  # all servers restart
     next_id = run(world, 20, 40, next_id)
     before = len(world.sends)
     run(world, 10, 40, next_id)
-    assert len(world.sends) - before > 150  # with a budget by what the cold ones do it was next to none
+    assert (
+        len(world.sends) - before > 150
+    )  # guards against a budget based on what the cold servers finish, which was close to none
 
 
 def test_kept_connections_that_break_do_not_make_a_server_cold() -> None:
@@ -356,7 +360,10 @@
 
 
 def test_long_aims_leave_room_for_the_class_of_the_shortest() -> None:
-    """One queue serves all: filled to what the longer aim bears, nothing of the shorter one was ever sent."""
+    """Guards against a server's queue, shared by all classes, that is filled up to the longer aim.
+
+    Requests of the class with the shorter aim were then never sent.
+    """
     hasty = api.RequestClass("hasty", 0.5, 4.0, api.Effect.UNSAFE)
     patient = api.RequestClass("patient", 2.0, 1.0, api.Effect.SAFE)
     world = w.World(w.settings(classes=(hasty, patient), plans=(api.Plan("free"),), gateways=1))
@@ -367,7 +374,7 @@
         0.1,
         0.4,
     )
-    for server in gateway.load_balancer.subset:  # 0.25 s of what they do is 2.5; 2.6 is out
+    for server in gateway.load_balancer.subset:  # 0.25 s of their work rates is 2.5; 2.6 is outstanding
         server.work_rate, server.outstanding_work = 2.5, 0.65
     world.feed(w.request(1, "patient"))
     assert world.answered[1] == "refused"
@@ -396,7 +403,7 @@
 
 
 def test_where_one_gateway_alone_serves_an_account_its_store_holds_no_more_than_the_burst() -> None:
-    """Its level grew with the gateway's age, since no reading of a counter ever cut it."""
+    """Guards against a level that grows with the gateway's age: no answer of a counter ever reduced it."""
     world = w.World(w.settings(gateways=1, has_counter=True), now=100.0)
     world.feed(w.servers("s0", "s1", "s2", "s3"))
     world.advance(400.0)
@@ -409,7 +416,7 @@
 def test_an_outage_of_the_counter_leaves_the_rate_of_calls_as_it_was_before() -> None:
     calls = Calls(100.0, 3, 0.0)
     now, before = 100.0, calls.rate
-    for _ in range(40):  # ten seconds of it: one call at a time goes out
+    for _ in range(40):  # a ten-second outage, in which one call at a time is made
         now = max(now, calls.silent_until)
         calls.ask(now, 1, 60.0, 1.0, lambda _now, _ev: None)
         calls.answered(now + 0.05, api.Counted(1, api.Status.TIMEOUT))
@@ -427,19 +434,19 @@
 def test_a_crowded_counter_gets_fewer_calls() -> None:
     calls = Calls(100.0, 3, 0.0)
     before = calls.rate
-    for turn in range(40):  # turned away, or late between two that are answered
+    for turn in range(40):  # refused, or timed out between two that are answered
         calls.ended(101.0 + turn, api.Status.OK, 101.0 + turn)
         calls.ended(101.5 + turn, (api.Status.TIMEOUT, api.Status.FULL)[turn % 2], 101.0 + turn)
     assert calls.rate < 0.05 * before
 
 
-def _calls_made(price: float, over_worth: float = 0.0) -> int:
-    """Calls to a slow counter that a customer near its quota causes, beside those of one of a dear plan."""
+def _count_calls(price: float, over_worth: float = 0.0) -> int:
+    """Return the counter calls for an account near its quota, while another one of a more expensive plan competes."""
     plans = (
         api.Plan("plain", price=price, rate=2.0, burst=5.0, over_cost=0.1, over_worth=over_worth),
         api.Plan("dear", price=3.0, rate=2.0, burst=5.0, over_cost=0.5),
     )
-    world = w.World(w.settings(plans=plans, gateways=20))  # five calls a second for each
+    world = w.World(w.settings(plans=plans, gateways=20))  # five calls per second for each gateway
     world.feed(w.servers("s0", "s1", "s2"))
     asked = Counter[int]()
     for id in range(900):
@@ -453,6 +460,9 @@
 
 
 def test_calls_to_the_counter_go_where_a_wrong_guess_costs_most() -> None:
-    """On days of 14 gateways a fifth of the calls went to a plan whose excess earns more than it costs."""
-    assert _calls_made(price=0.5) < 0.8 * _calls_made(price=3.0)
-    assert _calls_made(price=3.0, over_worth=0.2) < 0.8 * _calls_made(price=3.0)
+    """Guards against calls for requests that are worth sending in any case.
+
+    With 14 gateways a fifth of the calls went to a plan whose excess earns more than it costs.
+    """
+    assert _count_calls(price=0.5) < 0.8 * _count_calls(price=3.0)
+    assert _count_calls(price=3.0, over_worth=0.2) < 0.8 * _count_calls(price=3.0)
