--- a/tests/test_decision_cost.py
+++ b/tests/test_decision_cost.py
@@ -1,7 +1,8 @@
-"""What a request's decisions cost at the usual number of servers and at sixteen times as many.
+"""The cost of a request's decisions with the usual number of servers and with sixteen times as many.
 
-Counted are the interpreter's instructions in the decisions' files: the same on every machine. The page allows a process
-1.4 times the processor time; ``benchmarks/many_servers.py`` measures that on whole processes.
+The tests count the interpreter's instructions in the files of the policy, which are the same on every machine. The
+requirements allow a process 1.4 times the processor time, which ``benchmarks/many_servers.py`` measures on whole
+processes.
 """
 
 from __future__ import annotations
@@ -17,11 +18,11 @@
 from cypresspulley import interface as api
 from cypresspulley.policy.gateway import Gateway
 
-TIMES = 16
-MOST = 1.4
-RATE = 40.0  # requests a second at one limiter
+SERVER_FACTOR = 16
+MAX_COST_FACTOR = 1.4
+REQUEST_RATE = 40.0  # requests per second at one limiter
 WARM_UP, COUNTED = 600, 400  # requests
-FAILING = 0.05  # of the attempts
+FAILURE_SHARE = 0.05  # of the attempts
 
 
 def settings(gateways: int) -> api.Settings:
@@ -35,8 +36,8 @@
     )  # fmt: skip
 
 
-class Counter:
-    """Counts instructions in the decisions' files while it is on."""
+class InstructionCounter:
+    """Counts the interpreter's instructions in the files of the policy while its context is active."""
 
     def __init__(self) -> None:
         self.count = 0
@@ -49,7 +50,7 @@
             self.count += 1
         return self
 
-    def __enter__(self) -> Counter:
+    def __enter__(self) -> InstructionCounter:
         sys.settrace(self)
         return self
 
@@ -58,25 +59,25 @@
 
 
 def instructions(gateways: int, servers: int) -> float:
-    """Of the decisions for a request, with ticks, answers, failures and a change of the list each second."""
+    """Return the instructions per request, including ticks, answers, failures and a server list change per second."""
     rng = Random(5)
     gateway = Gateway(settings(gateways), 1, 0.0)
     entries = [api.ServerEntry(f"s{n}", api.Health.UP, "abc"[n % 3], n // 3) for n in range(servers)]
     gateway.handle(0.0, api.ServerList(tuple(entries), True))
     coming = list[tuple[float, int, api.Event]]()
-    at, counter, number = 0.0, Counter(), 10**6
+    at, counter, number = 0.0, InstructionCounter(), 10**6
     for id in range(WARM_UP + COUNTED):
-        at += rng.expovariate(RATE)
+        at += rng.expovariate(REQUEST_RATE)
         heapq.heappush(
             coming, (at, id, api.Request(id, rng.choice(("lookup", "entry")), "free", 3.0, f"a{id % 50}"))
         )
-        if id % int(RATE) == 0:
+        if id % int(REQUEST_RATE) == 0:
             entry = rng.choice(entries)
             drains = api.ServerEntry(entry.name, api.Health.DRAINING, entry.zone, entry.cell)
             heapq.heappush(coming, (at, number, api.ServerList((drains,), False)))
             heapq.heappush(coming, (at + 0.5, number + 1, api.ServerList((entry,), False)))
             number += 2
-    begin = WARM_UP / RATE
+    begin = WARM_UP / REQUEST_RATE
     while coming:
         now, _, event = heapq.heappop(coming)
         if now < begin:
@@ -87,7 +88,7 @@
         for action in actions:
             number += 1
             if isinstance(action, api.Send):
-                status = api.Status.ERROR if rng.random() < FAILING else api.Status.OK
+                status = api.Status.ERROR if rng.random() < FAILURE_SHARE else api.Status.OK
                 ended = api.Outcome(
                     action.id, 0, action.server, status, 0.1, status is api.Status.OK,
                     {"inflight": float(rng.randint(0, 6))},
@@ -102,18 +103,23 @@
 def test_sixteen_times_the_servers_cost_a_request_no_more_than_the_page_allows(
     gateways: int, servers: int
 ) -> None:
-    usual, many = instructions(gateways, servers), instructions(gateways, TIMES * servers)
-    assert many <= MOST * usual, f"{usual:.0f} instructions at {servers}, {many:.0f} at {TIMES * servers}"
+    usual, many = instructions(gateways, servers), instructions(gateways, SERVER_FACTOR * servers)
+    assert many <= MAX_COST_FACTOR * usual, (
+        f"{usual:.0f} instructions at {servers}, {many:.0f} at {SERVER_FACTOR * servers}"
+    )
 
 
 @pytest.mark.parametrize(("gateways", "servers"), [(200, 200), (12, 20), (3, 12)])
 def test_a_gateways_part_costs_no_more_connections_than_the_page_allows(gateways: int, servers: int) -> None:
-    """Each server of the part costs one at least, of the few of the usual size two or three: 2.5 times and 40 more
-    come to 95 where ``benchmarks/many_servers.py`` counts 22 at the usual size."""
-    parts = list[int]()
-    for count in (servers, TIMES * servers):
+    """The requirements allow 2.5 times the connections and 40 more.
+
+    Each server of the subset costs at least one connection, and two or three with the usual few servers. The limit is
+    95 where ``benchmarks/many_servers.py`` counts 22 connections with the usual number of servers.
+    """
+    sizes = list[int]()
+    for count in (servers, SERVER_FACTOR * servers):
         gateway = Gateway(settings(gateways), 1, 0.0)
         entries = tuple(api.ServerEntry(f"s{n}", api.Health.UP, "a") for n in range(count))
         gateway.handle(0.0, api.ServerList(entries, True))
-        parts.append(len(gateway.load_balancer.subset))
-    assert parts[1] <= 2.5 * parts[0] + 48
+        sizes.append(len(gateway.load_balancer.subset))
+    assert sizes[1] <= 2.5 * sizes[0] + 48
