--- a/tests/test_classes.py
+++ b/tests/test_classes.py
@@ -1,4 +1,4 @@
-"""Which class record binds while settings change in service."""
+"""The class records that are in force while settings change at run time."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 SAFE, KEYED, UNSAFE = api.Effect.SAFE, api.Effect.KEYED, api.Effect.UNSAFE
 BASE = w.settings(plans=(api.Plan("free"),), has_counter=False, max_attempts=3)
-# "read" is safe at first, then unsafe; "entry" is dropped; "scan" is new.
+# The new settings make the class "read" unsafe, drop "entry" and add "scan".
 READ = replace(w.SAFE, effect=UNSAFE, aim=0.5)
 OTHER = replace(BASE, classes=(READ, w.UNSAFE, api.RequestClass("scan", 1.0, 2.0, SAFE)), max_attempts=2)
 
@@ -43,8 +43,8 @@
         )
 
 
-def lost_and_again(world: w.World, id: int, effect: api.Effect, change: api.Settings | None) -> int:
-    """Attempts of a request whose answers all break, with settings that change while the first is out."""
+def count_broken_attempts(world: w.World, id: int, effect: api.Effect, change: api.Settings | None) -> int:
+    """Return the attempts of a request that all break, with settings that change during the first."""
     world.feed(replace(w.request(id), effect=effect))
     if change is not None:
         world.feed(api.Retune(change))
@@ -53,23 +53,25 @@
     return len(world.attempts[id])
 
 
-def started() -> w.World:
+def started_world() -> w.World:
     world = w.World(BASE)
     world.feed(w.servers("s0", "s1", "s2"))
     return world
 
 
 def test_an_open_request_keeps_the_record_and_the_attempts_it_was_let_in_under() -> None:
-    assert lost_and_again(started(), 1, SAFE, None) == 3
-    assert lost_and_again(started(), 1, SAFE, OTHER) == 3, "safe and three attempts, as it was let in"
-    world = started()
+    assert count_broken_attempts(started_world(), 1, SAFE, None) == 3
+    assert count_broken_attempts(started_world(), 1, SAFE, OTHER) == 3, (
+        "safe and three attempts, as it was let in"
+    )
+    world = started_world()
     world.feed(api.Retune(OTHER))
-    assert lost_and_again(world, 1, UNSAFE, BASE) == 1, "unsafe, though safe again meanwhile"
-    assert lost_and_again(world, 2, SAFE, None) == 2, "the fewer of both"
+    assert count_broken_attempts(world, 1, UNSAFE, BASE) == 1, "unsafe, though safe again meanwhile"
+    assert count_broken_attempts(world, 2, SAFE, None) == 2, "the fewer of both"
 
 
 def test_a_request_of_a_class_that_is_dropped_while_it_waits_is_tried_again() -> None:
-    world = started()
+    world = started_world()
     world.feed(replace(w.request(1), effect=SAFE))
     world.feed(api.Retune(replace(OTHER, classes=OTHER.classes[1:])))
     (key,) = world.open_attempts
