--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -1,4 +1,4 @@
-"""Lists of 1,024 limiters and of 1,024 servers find room wherever one stands."""
+"""Every place that takes a list of limiters or servers has room for 1,024 of them."""
 
 from __future__ import annotations
 
@@ -29,24 +29,24 @@
 from tests.plans.disk import Disk
 from tests.plans.test_serve import TOKEN, Followed
 
-MANY = 1024
+LARGE_FLEET_SIZE = 1024
 KEY = "a key of the tests only"
-LONGEST = 1024  # characters of a server's id, as the operators' door takes it
+MAX_ID_LENGTH = 1024  # characters of a server's id that the operators' endpoint accepts
 
 
 def loopback(number: int, port: int = 7000) -> str:
-    """One of as many addresses as a list needs."""
+    """Return a distinct loopback address for each number."""
     return f"127.{1 + number // 65_536}.{number // 256 % 256}.{number % 256}:{port}"
 
 
 def fleet_table(**change: Any) -> dict[str, Any]:
-    seeds = [loopback(number) for number in range(MANY)]
+    seeds = [loopback(number) for number in range(LARGE_FLEET_SIZE)]
     return {"installation": "vadodara", "listen": "127.0.0.1:1", "seeds": seeds} | change
 
 
 def test_every_limiter_of_a_large_fleet_may_be_a_seed() -> None:
     options = options_from(fleet_table(), "operators.toml", KEY)
-    assert options.seeds == tuple(loopback(number) for number in range(MANY))
+    assert options.seeds == tuple(loopback(number) for number in range(LARGE_FLEET_SIZE))
     with pytest.raises(
         OperatorsError, match=rf"fleet\.seeds: expected a list of at most {MOST_MEMBERS} addr"
     ):
@@ -66,45 +66,47 @@
                 peer.bind(("127.0.0.1", 0))
             port = probe.getsockname()[1]
             probe.close()
-            names = [loopback(number) for number in range(MANY - 1)]
+            names = [loopback(number) for number in range(LARGE_FLEET_SIZE - 1)]
             peers = Peers([*names, "{}:{}".format(*last.getsockname())], names[0], hear)
             await peers.listen("127.0.0.1", port)
             last.sendto(b"good", ("127.0.0.1", port))
             await came.wait()
             peers.close()
-        assert heard == [(MANY - 1, "good")]
+        assert heard == [(LARGE_FLEET_SIZE - 1, "good")]
 
     run(main())
 
 
 def test_a_list_of_servers_with_long_names_is_one_message() -> None:
     name, hosts = "s" * 1000, list[dict[str, Any]]()
-    for number in range(MANY):
+    for number in range(LARGE_FLEET_SIZE):
         row = {"host": f"{name}{number}", "dial": loopback(number), "site": "z" * 64, "health": "ready"}
         hosts.append(row)
     line = json.dumps({"seq": 7, "whole": True, "hosts": hosts}, indent=1).encode() + b"\n"
     messages, read = Messages(), 65_536
     (message,) = [one for at in range(0, len(line), read) for one in messages.feed(line[at : at + read])]
     listing = listing_from(message)
-    assert len(listing.servers.entries) == MANY and listing.dials[f"{name}{MANY - 1}"] == loopback(MANY - 1)
+    assert len(listing.servers.entries) == LARGE_FLEET_SIZE and listing.dials[
+        f"{name}{LARGE_FLEET_SIZE - 1}"
+    ] == loopback(LARGE_FLEET_SIZE - 1)
 
 
 def test_every_limiter_of_a_large_fleet_follows_one_plan_book() -> None:
-    """Those that follow already are stood in for: as many real ones would take two descriptors each here."""
+    """Most followers are stubs: as many real ones would take two file descriptors each in this process."""
 
-    class Following:
-        """Who follows already, as the publisher holds it."""
+    class FollowerStub:
+        """A follower as the publisher holds it."""
 
         transport = asyncio.Transport()
 
     async def main() -> None:
         publisher = Publisher(Office(Store(Disk()), "vadodara"), TOKEN, beat=0.05)
         address = await publisher.listen("127.0.0.1", 0)
-        others: list[Any] = [Following() for _ in range(MANY - 1)]
+        others: list[Any] = [FollowerStub() for _ in range(LARGE_FLEET_SIZE - 1)]
         publisher._writers.update(others)
         one = Followed(address)
         await one.until(lambda: one.follower.at is At.CURRENT)
-        assert publisher.followers == MANY <= serve.MOST_FOLLOWERS
+        assert publisher.followers == LARGE_FLEET_SIZE <= serve.MOST_FOLLOWERS
         one.channel.close()
         publisher._writers.difference_update(others)
         await publisher.close()
@@ -115,15 +117,18 @@
 def test_servers_that_were_taken_out_outlast_a_takeover_however_many_and_long_their_names(
     tmp_path: Path,
 ) -> None:
-    """The record is read back whole. A letter beyond ASCII takes six in JSON, the most that any does."""
-    folder, names = Folder(str(tmp_path), "test"), [f"{n:04d}".ljust(LONGEST, "\xe9") for n in range(MANY)]
+    """The record must be read back whole. A character beyond ASCII takes six in JSON, the most that any does."""
+    folder, names = (
+        Folder(str(tmp_path), "test"),
+        [f"{n:04d}".ljust(MAX_ID_LENGTH, "\xe9") for n in range(LARGE_FLEET_SIZE)],
+    )
     folder.write(RECORD, json.dumps({"bans": names, "drained": False}))
     assert json.loads(folder.read(RECORD) or "{}")["bans"] == names
 
 
 def test_a_takeover_hands_over_a_large_fleet_whole() -> None:
-    names = [f"s{number}" for number in range(MANY)]
-    settings = w.settings(gateways=MANY, index=MANY - 1)
+    names = [f"s{number}" for number in range(LARGE_FLEET_SIZE)]
+    settings = w.settings(gateways=LARGE_FLEET_SIZE, index=LARGE_FLEET_SIZE - 1)
     before, after = w.World(settings), w.World(settings)
     before.feed(w.servers(*names))
     before.gateway.load_balancer.bans.update(names)
@@ -135,8 +140,8 @@
 def test_a_cluster_of_the_keeper_has_as_many_nodes_as_it_likes() -> None:
     async def main() -> None:
         counter = EngineCounter(engine_url("redis://127.0.0.1:1/"), 1.0)
-        nodes = {id(counter._node(("127.0.0.1", 1 + number))) for number in range(MANY)}
-        assert len(nodes) == MANY
+        nodes = {id(counter._node(("127.0.0.1", 1 + number))) for number in range(LARGE_FLEET_SIZE)}
+        assert len(nodes) == LARGE_FLEET_SIZE
         counter.close()
 
     run(main())
