--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -1,4 +1,4 @@
-"""The decisions on real sockets against rough peers: what the limiter believes of them must stay true."""
+"""The decisions on real sockets against misbehaving servers and counters: their recorded state must stay correct."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from tests.loopback import OK, SETTINGS, Limiter, Origin, Script, ask, listening, listing, run
 
 
-class Deciding(Script):
-    """The decisions themselves, on a clock that a test may put forward."""
+class GatewayScript(Script):
+    """The gateway itself in place of a script, on a clock that a test can advance."""
 
     def __init__(self, settings: api.Settings = SETTINGS) -> None:
         self.now = 1000.0
@@ -24,8 +24,8 @@
         super().__init__(lambda event: self.gateway.handle(self.now, event))
 
 
-class Door:
-    """Takes connections and, while it is shut, resets each before a byte has passed."""
+class ResettingListener:
+    """Accepts connections and resets each before any data is exchanged."""
 
     def __init__(self, listener: socket.socket) -> None:
         self._listener, self.resets = listener, 0
@@ -39,32 +39,32 @@
 
 
 @contextmanager
-def shut_door() -> Iterator[tuple[Door, str]]:
+def resetting_listener() -> Iterator[tuple[ResettingListener, str]]:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         listener.setblocking(False)
         host, port = listener.getsockname()
-        door = Door(listener)
+        resetter = ResettingListener(listener)
         try:
-            yield door, f"{host}:{port}"
+            yield resetter, f"{host}:{port}"
         finally:
             asyncio.get_running_loop().remove_reader(listener)
 
 
 def test_a_server_that_resets_new_connections_is_there_and_not_lost() -> None:
     async def main() -> None:
-        script = Deciding(replace(SETTINGS, warm_after=60.0))
-        with shut_door() as (door, address):
+        script = GatewayScript(replace(SETTINGS, warm_after=60.0))
+        with resetting_listener() as (resetter, address):
             async with Limiter(script, {"s1": address}) as limiter:
                 for _ in range(60):
                     script.now += 0.1
                     await limiter.fetch(ask())
-                assert door.resets >= 20
+                assert resetter.resets >= 20
         assert {event.status for event in script.events if isinstance(event, api.Outcome)} <= {
             api.Status.DROPPED, api.Status.BROKEN,
         }  # fmt: skip
         assert not script.gateway.load_balancer.servers[
             "s1"
-        ].lost  # its next answer would make it cold for 60 s
+        ].lost  # else its next answer would make it cold for 60 s
 
     run(main())
 
@@ -81,7 +81,7 @@
             await (held if len(writers) < 3 else shaky).talk(reader, writer)
 
         async with listening(first) as one, listening(firm.talk) as two, listening(firm.talk) as three:
-            script = Deciding(replace(SETTINGS, max_attempts=1))
+            script = GatewayScript(replace(SETTINGS, max_attempts=1))
             async with Limiter(script, {"s1": one}) as limiter:
                 lookup = asyncio.create_task(limiter.fetch(ask()))
                 while len(held.seen) < 1:
@@ -108,7 +108,7 @@
 
 
 def test_resets_that_the_whole_fleet_shares_put_no_server_out() -> None:
-    """Of each server's answers one in eight is a reset, now and then two in a row; none of them is dead."""
+    """One in eight answers of each server is a reset, sometimes two in a row; no server is dead."""
 
     async def main() -> None:
         def origin(shift: int) -> Origin:
@@ -117,7 +117,7 @@
         origins = [origin(5 * number) for number in range(3)]
         peers = [listening(origin.talk) for origin in origins]
         async with peers[0] as one, peers[1] as two, peers[2] as three:
-            script = Deciding()
+            script = GatewayScript()
             async with Limiter(script, {"s1": one, "s2": two, "s3": three}) as limiter:
                 servers = script.gateway.load_balancer.servers.values()
                 out = 0
@@ -125,7 +125,7 @@
                     script.now += 0.05
                     await limiter.fetch(ask())
                     out += sum(server.ejected_until > script.now for server in servers)
-        assert out < 120  # of 1200; by two in a row alone it is about half
+        assert out < 120  # of 1200; if two in a row were enough it would be about half
 
     run(main())
 
@@ -140,7 +140,7 @@
             await drop.wait()
 
         async with listening(talk) as one:
-            script = Deciding(replace(SETTINGS, max_attempts=1))
+            script = GatewayScript(replace(SETTINGS, max_attempts=1))
             async with Limiter(script, {"s1": one}) as limiter:
                 tasks = [asyncio.create_task(limiter.fetch(ask())) for _ in range(4)]
                 for _ in tasks:
@@ -150,17 +150,17 @@
                 await asyncio.gather(*tasks)
                 assert (
                     script.gateway.load_balancer.servers["s1"].failure_rate < 0.65
-                )  # as a row of deaths it is 0.8
+                )  # counted as several failures in a row it would be 0.8
 
     run(main())
 
 
 def test_calls_that_end_with_one_connection_of_the_counter_are_one_sign_of_silence() -> None:
     async def main() -> None:
-        # So little that the counter is asked at once.
+        # The quota is so small that the counter is asked at once.
         plans = (api.Plan("basic", rate=1.0, burst=4.0),)
-        script = Deciding(replace(SETTINGS, plans=plans, has_counter=True, counter_timeout=0.05))
-        script.now += 10.0  # what the others used since it was born may be more than is left
+        script = GatewayScript(replace(SETTINGS, plans=plans, has_counter=True, counter_timeout=0.05))
+        script.now += 10.0  # the other gateways may have used more since the start than is left
         accounts, origin = iter(range(1, 9)), Origin()
         connections, lines = asyncio.Queue[asyncio.StreamWriter](), asyncio.Queue[bytes]()
 
@@ -204,11 +204,11 @@
     async def main() -> None:
         origin = Origin(lambda n: OK if n > 1 else None)
         lookup = api.RequestClass("lookup", 0.1, 1.0, api.Effect.SAFE)
-        script = Deciding(replace(SETTINGS, classes=(lookup,), warm_after=60.0, max_attempts=1))
+        script = GatewayScript(replace(SETTINGS, classes=(lookup,), warm_after=60.0, max_attempts=1))
         async with listening(origin.talk) as address, Limiter(script, {"s1": address}) as limiter:
             task = asyncio.create_task(limiter.fetch(ask()))
             await origin.got.wait()
-            script.now += 0.5  # nothing came from it for as long as the request waited
+            script.now += 0.5  # it was silent for as long as the request waited
             assert " 429 " in (await task)[0]
             (outcome,) = await script.until(api.Outcome)
             assert outcome.status is api.Status.TIMEOUT
