--- a/benchmarks/same_actions.py
+++ b/benchmarks/same_actions.py
@@ -1,9 +1,9 @@
-"""Whether the decisions act as they did: recorded event streams fed to the adapter, its replies held to the recorded.
+"""Checks that the decisions are unchanged: replays recorded events to the adapter and compares its replies.
 
     python -m benchmarks.same_actions STREAMS
 
-STREAMS is a folder of pairs NAME.in and NAME.out, what an adapter read and wrote on a simulated day: for instance
-recorded by ``tee`` on both sides of the ``sim`` command of an earlier commit. The baseline is that commit.
+STREAMS is a folder of pairs NAME.in and NAME.out: what the adapter of an earlier commit, the baseline, read and wrote
+on a simulated day. They can be recorded with ``tee`` on both sides of the ``sim`` command of that commit.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def first_difference(old: str, new: str) -> int | None:
-    """The number of the first reply that is another, from 1; None where all are the same."""
+    """Return the number of the first reply that differs, counted from 1; None where all are the same."""
     before, after = old.splitlines(), new.splitlines()
     for number, (a, b) in enumerate(zip(before, after, strict=False), 1):
         if a != b:
