--- a/benchmarks/fleet_size_cpu.py
+++ b/benchmarks/fleet_size_cpu.py
@@ -1,9 +1,9 @@
-"""Processor time of a request's decisions at 12 and at 60 servers: ``python -m benchmarks.fleet_size_cpu``.
+"""Processor time of a request's decisions with 12 and with 60 servers: ``python -m benchmarks.fleet_size_cpu``.
 
-One gateway, no sockets: the same requests at the same rate, sent on, answered with load reports, and ticked; the sizes
-take turns, so that a slow moment of the machine meets both. Prints microseconds a request at each size and their ratio,
-for a limiter that meets each server often (of 3) and one of a large fleet that meets each seldom (of 40). Exit code 1
-where the ratio is over ``--most``.
+One gateway without sockets handles the same requests at the same rate, with answers, load reports and ticks. The sizes
+alternate, so that a slow period of the machine affects both. Prints the microseconds per request at each size and their
+ratio, for one of 3 limiters, which sends to each server often, and for one of 40, which sends to each rarely. The exit
+code is 1 where the ratio is over ``--most``.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 from cypresspulley.policy.gateway import Gateway
 
 SIZES = (12, 60)
-RATE = 60.0  # requests a second: a limiter's share of a busy day
-LATENCY = 0.15  # seconds, mean, of an answer
+REQUEST_RATE = 60.0  # requests per second: a limiter's share of heavy traffic
+MEAN_LATENCY = 0.15  # seconds
 
 
 def settings(gateways: int) -> api.Settings:
@@ -35,16 +35,16 @@
     )  # fmt: skip
 
 
-def play(servers: int, gateways: int, requests: int, seed: int) -> float:
-    """Seconds of processor time that a gateway took for so many requests."""
+def run(servers: int, gateways: int, requests: int, seed: int) -> float:
+    """Return the seconds of processor time that a gateway takes for a number of requests."""
     rng = Random(seed)
     gateway = Gateway(settings(gateways), seed, 0.0)
     entries = tuple(api.ServerEntry(f"s{n}", api.Health.UP, "abc"[n % 3], n // 3) for n in range(servers))
     gateway.handle(0.0, api.ServerList(entries, True))
-    coming = list[tuple[float, int, api.Event]]()  # time, a number that keeps equal times in order, event
+    coming = list[tuple[float, int, api.Event]]()  # time, tie-breaker, event
     at, number = 0.0, 0
     for id in range(requests):
-        at += rng.expovariate(RATE)
+        at += rng.expovariate(REQUEST_RATE)
         kind = "lookup" if rng.random() < 0.7 else "post"
         coming.append((at, id, api.Request(id, kind, "standard", 3.0, f"a{id % 50}", 1.0, 3)))
     number = requests
@@ -55,7 +55,7 @@
         for action in gateway.handle(now, event):
             number += 1
             if isinstance(action, api.Send):
-                took = rng.expovariate(1 / LATENCY)
+                took = rng.expovariate(1 / MEAN_LATENCY)
                 report = {"inflight": float(rng.randint(0, 6))}
                 ended = api.Outcome(action.id, 0, action.server, api.Status.OK, took, True, report)
                 if took < action.timeout:
@@ -76,7 +76,7 @@
         took: dict[int, list[float]] = {size: [] for size in SIZES}
         for seed in range(options.rounds):
             for size in SIZES:
-                took[size].append(play(size, gateways, options.requests, seed) / options.requests * 1e6)
+                took[size].append(run(size, gateways, options.requests, seed) / options.requests * 1e6)
         few, many = (statistics.median(took[size]) for size in SIZES)
         worst = max(worst, many / few)
         spread = ", ".join(f"{size}: {min(took[size]):.0f} to {max(took[size]):.0f}" for size in SIZES)
