--- a/cypresspulley/service.py
+++ b/cypresspulley/service.py
@@ -118,7 +118,9 @@
     def _record(self) -> bool:
         """Write down what has to outlast this process; whether that could be done."""
         if self._folder is not None and self._gateway is not None:
-            text = json.dumps({"bans": sorted(self._gateway.fleet.bans), "drained": self.life.drained})
+            text = json.dumps(
+                {"bans": sorted(self._gateway.load_balancer.bans), "drained": self.life.drained}
+            )
             try:
                 self._folder.write(RECORD, text)
             except OSError as error:
