--- a/tests/test_large_program.py
+++ b/tests/test_large_program.py
@@ -16,7 +16,7 @@
 
 from cypresspulley.rehearsal.standins.discovery import Agent, Host
 from tests.loopback import Origin, ask, read_message, run
-from tests.test_large_lists import KEY, MANY, fleet_table, loopback
+from tests.test_large_lists import KEY, LARGE_FLEET_SIZE, fleet_table, loopback
 from tests.test_program import Program, config, free_port, stand_in_stage
 
 LISTENERS = 16  # that stand behind all servers
@@ -38,7 +38,10 @@
             listener = await asyncio.start_server(talk, f"127.1.0.{1 + number}", 0)
             stack.callback(listener.close)
             dials.append("{}:{}".format(*listener.sockets[0].getsockname()))
-        yield [Host(f"s{n:04d}", dials[n % LISTENERS], "abc"[n % 3], n % 8, "ready") for n in range(MANY)]
+        yield [
+            Host(f"s{n:04d}", dials[n % LISTENERS], "abc"[n % 3], n % 8, "ready")
+            for n in range(LARGE_FLEET_SIZE)
+        ]
 
 
 def large_config(discovery: str, known: list[Host]) -> dict[str, Any]:
@@ -46,14 +49,18 @@
     raw = config("127.0.0.1:1", discovery)
     here = f"127.0.0.1:{free_port()}"
     raw["settings"] = raw["settings"] | {
-        "n_instances": MANY,
-        "me": MANY - 1,
+        "n_instances": LARGE_FLEET_SIZE,
+        "me": LARGE_FLEET_SIZE - 1,
         "specifics": {"inbox_per_s": 60.0},
     }
     raw["settings"]["limits"] = raw["settings"]["limits"] | {"peers": True}
     raw["limits"] = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
     raw["known"] = {"seq": 0, "whole": True, "hosts": [host.row() for host in known]}
-    raw |= {"peer_listen": here, "peers": [loopback(n) for n in range(MANY - 1)] + [here], "peers_all": here}
+    raw |= {
+        "peer_listen": here,
+        "peers": [loopback(n) for n in range(LARGE_FLEET_SIZE - 1)] + [here],
+        "peers_all": here,
+    }
     return raw
 
 
