--- a/tests/world.py
+++ b/tests/world.py
@@ -128,7 +128,7 @@
             assert action.id not in self.answered, "answered twice"
             asked, deadline = self.requests[action.id]
             kind = self._class_of(asked)
-            if isinstance(action, api.Refuse) and action.id in self.ran:
+            if isinstance(action, api.Refuse) and action.id in self.first_runs:
                 everywhere = kind.effect is api.Effect.KEYED and kind.scope is api.Scope.ALL
                 assert kind.effect is api.Effect.SAFE or everywhere, "refused though it may have run"
             assert self.now <= deadline + 1e-6, "answered late"
