--- a/cypresspulley/policy/gate.py
+++ b/cypresspulley/policy/gate.py
@@ -69,7 +69,7 @@
         has_enough = len(self._readings) >= 3 or (self._ticks_held >= 4 and self._readings)
         load = sum(self._readings) / len(self._readings) if has_enough else None
         # The gain is meant for a stream of at least as many requests per second. With the full gain, hundreds of
-        # gateways with little traffic would together switch between open and shut.
+        # gateways with little traffic would together switch between open and closed.
         gain, self.arrived_requests, self.admitted_requests = (
             min(PROPORTIONAL_GAIN, self._arrival_rate),
             0.0,
@@ -93,8 +93,8 @@
 
         ``reserve`` is the share of the bucket, 0 to 1, that is kept for requests of more worth.
         """
-        # A shut gate would get no readings and stay shut, so a part of the arrivals is always admitted. A full bucket
-        # admits any single request and may go into debt.
+        # A closed gate would get no readings and stay closed, so a part of the arrivals is always admitted. A full
+        # bucket admits any single request and may go into debt.
         rate = max(MIN_ADMIT_SHARE * self._arrival_rate, self.admit_rate)
         dt = now - self._filled_at
         self._filled_at = now
