--- a/cypresspulley/net/requests.py
+++ b/cypresspulley/net/requests.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from cypresspulley import interface as api
-from cypresspulley.policy.classes import Classes, Plans
+from cypresspulley.policy.classes import ClassRegistry, PlanRegistry
 
 MAX_TIMEOUT_MS = 60_000
 REQUEST_ID_HEADER = b"x-request-id"
@@ -62,7 +62,7 @@
     """Turns a request's headers and target into an event for the decision module."""
 
     def __init__(self, settings: api.Settings, clock: Callable[[], float]) -> None:
-        self._classes, self._plans = Classes(settings), Plans(settings)
+        self._classes, self._plans = ClassRegistry(settings), PlanRegistry(settings)
         self._clock = clock
         self._gateways, self._max_units = settings.gateways, max(1.0, settings.max_units)
         self._last_id = 0
@@ -72,8 +72,8 @@
 
         Classes and plans that the new settings drop remain valid for a moment, until clients know the new settings.
         """
-        self._classes.change(self._clock(), settings)
-        self._plans.change(self._clock(), settings)
+        self._classes.apply_settings(self._clock(), settings)
+        self._plans.apply_settings(self._clock(), settings)
         self._gateways, self._max_units = settings.gateways, max(1.0, settings.max_units)
 
     def read(self, method: bytes, target: str, fields: dict[bytes, bytes]) -> api.Request:
@@ -84,7 +84,7 @@
         path, _, query = target.partition("?")
         name = path[1:].partition("/")[0]
         now, key = self._clock(), bool(fields.get(IDEMPOTENCY_KEY_HEADER))
-        if not self._classes.known(now, name):
+        if not self._classes.is_known(now, name):
             raise BadRequestError(404, "unknown path")
         if not fields.get(CLASS_HEADER):
             raise BadRequestError(400, "x-priority-class is missing")
@@ -92,8 +92,8 @@
         # deduplicate by idempotency key, so a retry without a key would run twice. Only the class decides whether
         # there are further attempts, so a key on a class without keys is a client error and is not forwarded.
         effect = api.Effect.SAFE if method == b"GET" else api.Effect.KEYED if key else api.Effect.UNSAFE
-        if (effect is api.Effect.SAFE and key) or self._classes.record(now, name, effect) is None:
-            newest = self._classes.record(now, name)
+        if (effect is api.Effect.SAFE and key) or self._classes.find(now, name, effect) is None:
+            newest = self._classes.find(now, name)
             safe = newest is not None and newest.effect is api.Effect.SAFE
             if (method == b"GET") is not safe:
                 raise BadRequestError(405, "the method does not fit the class")
@@ -119,7 +119,7 @@
         if not REQUEST_ID_PATTERN.fullmatch(fields[REQUEST_ID_HEADER]):
             raise BadRequestError(400, "x-request-id is not 16 hexadecimal digits")
         plan = fields[PLAN_HEADER].decode("latin-1")
-        if plan not in self._plans.newest and self._plans.record(self._clock(), plan) is None:
+        if plan not in self._plans.current and self._plans.find(self._clock(), plan) is None:
             raise BadRequestError(400, "unknown plan")
         # If the account were given twice, the limiter and the server could each pick a different one.
         accounts = [part for part in query.split("&") if part.partition("=")[0].lower() == "account"]
--- a/cypresspulley/policy/quota.py
+++ b/cypresspulley/policy/quota.py
@@ -9,7 +9,7 @@
 from cypresspulley.interface import Action, Status
 from cypresspulley.messages import KEY_COUNT
 from cypresspulley.policy.account import Account, Answered, Calls
-from cypresspulley.policy.classes import Plans
+from cypresspulley.policy.classes import PlanRegistry
 from cypresspulley.policy.incarnation import Incarnation
 from cypresspulley.policy.request import Request
 from cypresspulley.policy.slots import LASTS, Slots
@@ -41,7 +41,7 @@
     ) -> None:  # fmt: skip
         self._open, self._launch, self._rng, self._born, self._emit = open_, launch, rng, now, emit
         self._settle(settings)
-        self.dropped_plans = Plans(settings)
+        self.dropped_plans = PlanRegistry(settings)
         self.accounts = dict[tuple[str, str], Account]()
         self.usage: UsageBroadcast | None = None
         self._keys = dict[int, Account]()  # by the part of a name that messages carry
@@ -72,12 +72,12 @@
     def retune(self, now: float, settings: api.Settings) -> None:
         """Other settings. Levels go on, under the new plans' bounds; an account of a dropped plan keeps its own."""
         self._settle(settings)
-        self.dropped_plans.change(now, settings)
+        self.dropped_plans.apply_settings(now, settings)
         for (_, account), a in self.accounts.items():
             a.refill(now)
             a.follow(self._plans.get(a.plan.name, a.plan), f"{a.plan.name} {account}", settings)
         for r in self._open.values():
-            r.slot = r.slot and r.account.slots is not None
+            r.holds_slot = r.holds_slot and r.account.slots is not None
         self.calls.follow(settings.gateways)
         self.incarnation.follow(settings)
         self._follow_usage(now, settings)
@@ -86,7 +86,7 @@
         """The account that a try is of, refilled to now."""
         key = ev.plan, ev.account
         if (a := self.accounts.get(key)) is None:
-            plan = self._plans.get(ev.plan) or self.dropped_plans.record(now, ev.plan) or api.Plan(ev.plan)
+            plan = self._plans.get(ev.plan) or self.dropped_plans.find(now, ev.plan) or api.Plan(ev.plan)
             a = self.accounts[key] = Account(now, ev, plan, self._born, self._set)
             if self.incarnation.first:
                 a.begin_full()
@@ -128,40 +128,44 @@
         """Whether no store of the plan could ever hold it here: waiting for one would be in vain."""
         a, plan = r.account, r.account.plan
         most = max(a.keep * plan.ceiling_burst / a.share, a.window.most if a.window else 0.0)
-        capped = plan.ceiling_rate > 0 and r.most > most + 1e-9
+        capped = plan.ceiling_rate > 0 and r.max_units > most + 1e-9
         return capped or (plan.rate > 0 and r.units > plan.burst + 1e-9)
 
     @staticmethod
     def under_ceiling(r: Request) -> bool:
         """Whether the even share of the ceiling holds it, or a window that was asked."""
-        return r.account.plan.ceiling_rate <= 0 or r.granted is not None or r.account.ceiling >= r.most
+        return (
+            r.account.plan.ceiling_rate <= 0
+            or r.granted_incarnation is not None
+            or r.account.ceiling >= r.max_units
+        )
 
     def window_may_hold(self, now: float, r: Request) -> bool:
         """Whether its window may hold what the even share does not: by the counter, or by what is kept here."""
         window, in_time = r.account.window, r.deadline - now >= 3 * self._set.counter_timeout
         if window is None:
             return False
-        asks = in_time and window.has_room(now, r.most) and self.calls.left(now) >= 1
-        return asks or window.has_credit(now, r.most)
+        asks = in_time and window.has_room(now, r.max_units) and self.calls.left(now) >= 1
+        return asks or window.has_credit(now, r.max_units)
 
     @staticmethod
     def give_back(r: Request) -> None:
         """What a window holds for a try that was not sent on: no count is lowered, which could have ended meanwhile."""
-        if r.granted is not None and r.account.window is not None:
-            r.account.window.keep(r.granted, r.most)
-        r.granted = None
+        if r.granted_incarnation is not None and r.account.window is not None:
+            r.account.window.keep(r.granted_incarnation, r.max_units)
+        r.granted_incarnation = None
 
     def _ask_window(self, now: float, r: Request, window: CeilingWindow) -> None:
         answered = partial(self._window_answered, r, now)
-        self.calls.ask(now, window.name, window.length, r.most, answered)
+        self.calls.ask(now, window.name, window.length, r.max_units, answered)
 
     def _window_answered(self, r: Request, asked: float, now: float, ev: api.Counted) -> None:
         r.account.refill(now)
         if ev.status is Status.OK and (window := r.account.window) is not None:
-            r.granted = window.granted(asked, now, ev.total, r.most, self._rng.random())
+            r.granted_incarnation = window.granted(asked, now, ev.total, r.max_units, self._rng.random())
         if self._open.get(r.id) is not r:
             self.give_back(r)  # its client left meanwhile
-        elif r.granted is not None:
+        elif r.granted_incarnation is not None:
             self._launch(now, r, self._plainly(now, r))
         else:
             self._launch(now, r, Verdict(False, why="ceiling"))
@@ -176,7 +180,7 @@
     def judge(self, now: float, r: Request) -> Verdict | None:
         """Whether a try is inside its quota, by the first who can vouch for its units; None: the counter is asked."""
         a, plan = r.account, r.account.plan
-        self._spare = min(r.worth, self._spare + UNVOUCHED * (1 - self._beyond) * r.worth * (not r.repeat))
+        self._spare = min(r.worth, self._spare + UNVOUCHED * (1 - self._beyond) * r.worth * (not r.is_retry))
         if a.window is not None or (a.low_traffic and plan.ceiling_rate > 0 and self._set.has_counter):
             return self._judge_by_window(now, r)
         expected, calls = min(plan.burst, a.level - a.others * (now - a.synced)), self.calls
@@ -197,7 +201,7 @@
         if late or plan.over_worth > plan.over_cost or chance < max(0.05, self._rng.random()):
             return self._unvouched(r, expected)
         # Near the quota the counter is asked first, with the units where they will likely be granted.
-        step = 0.0 if r.repeat and a.low_traffic else r.units / (max(0.4, chance) if a.low_traffic else 1.0)
+        step = 0.0 if r.is_retry and a.low_traffic else r.units / (max(0.4, chance) if a.low_traffic else 1.0)
         self.count(now, a, r, step)
         return None
 
@@ -208,8 +212,8 @@
             return verdict
         if not verdict.inside and r.account.plan.over_worth <= r.account.plan.over_cost:
             return verdict  # it is refused anyway: it needs nothing of the window
-        r.granted = window.use_credit(now, r.most)
-        if r.granted is not None:
+        r.granted_incarnation = window.use_credit(now, r.max_units)
+        if r.granted_incarnation is not None:
             return verdict
         self._ask_window(now, r, window)
         return None
@@ -219,7 +223,7 @@
         much passes as may cost a part of what is asked inside quotas here: summed over gateways, the same part."""
         a, allowed = r.account, self._spare >= 0
         passes = expected >= r.units and (
-            not a.low_traffic or (allowed and not r.repeat and a.floor >= r.units)
+            not a.low_traffic or (allowed and not r.is_retry and a.floor >= r.units)
         )
         self._spare -= passes * a.low_traffic * self._beyond * a.plan.over_cost * r.worth
         return Verdict(passes, 0.0 if a.low_traffic else None, "nobody")
@@ -227,11 +231,11 @@
     def sent(self, now: float, r: Request, verdict: Verdict) -> None:
         """A try was sent on: it takes its units."""
         a, plan = r.account, r.account.plan
-        if plan.ceiling_rate > 0 and r.granted is None:
-            a.ceiling, a.drawn = a.ceiling - r.most, a.drawn + r.most
+        if plan.ceiling_rate > 0 and r.granted_incarnation is None:
+            a.ceiling, a.drawn = a.ceiling - r.max_units, a.drawn + r.max_units
         if not verdict.inside:
             return
-        counted, r.inside = verdict.counted, True
+        counted, r.in_quota = verdict.counted, True
         a.floor = max(-r.units, a.floor - r.units)
         a.level = max(0.0, a.level - (0.0 if counted else r.units))
         a.pending += r.units * (counted is None)
@@ -261,14 +265,14 @@
         """Whether its customer may have one more out, as far as is known here: the even share, where nobody can be
         asked. With the verdict on its units it then counts as out; None where the counter is asked and it waits."""
         a, most, slots = r.account, r.account.plan.open_limit, r.account.slots
-        if most <= 0 or r.slot:
+        if most <= 0 or r.holds_slot:
             return True
         in_time = r.deadline - now >= 3 * self._set.counter_timeout
         asks = slots is not None and not r.body_pending and in_time and self.calls.left(now) >= 1
         room = (asks or a.open < -(-most // a.share)) and (slots is None or now >= slots.full_until)
         if verdict is None or not room or slots is None or r.body_pending:
             return room
-        r.slot = True
+        r.holds_slot = True
         slots.change(self.wall.at(now), 1)
         if asks:
             self._tell_out(now, slots, partial(self._out_told, r, slots, verdict))
@@ -276,8 +280,8 @@
 
     def whole(self, now: float, r: Request) -> None:
         """The last byte of its body has come: from now on it counts as out."""
-        if r.out and not r.slot and r.account.slots is not None:
-            r.slot = True
+        if r.open_attempts and not r.holds_slot and r.account.slots is not None:
+            r.holds_slot = True
             r.account.slots.change(self.wall.at(now), 1)
 
     def _tell_out(self, now: float, slots: Slots, then: Answered = lambda _now, _ev: None) -> None:
@@ -303,8 +307,8 @@
 
     def free(self, now: float, r: Request) -> None:
         """A try no longer counts among what is out."""
-        if r.slot and (slots := r.account.slots) is not None:
-            r.slot, slots.full_until = False, 0.0
+        if r.holds_slot and (slots := r.account.slots) is not None:
+            r.holds_slot, slots.full_until = False, 0.0
             slots.change(self.wall.at(now), -1)
             if slots.owed and now >= self.calls.silent_until:
                 self._tell_out(now, slots)
@@ -327,7 +331,7 @@
         verdict = self._unvouched(r, left + own) if r is not None and lost else Verdict(left >= -1e-6)
         used = own if verdict.inside else 0.0
         right = used if units == 0 else -units * (used == 0)
-        if r is not None and not r.repeat and ev.status is Status.OK:
+        if r is not None and not r.is_retry and ev.status is Status.OK:
             self._beyond += SAMPLE * ((used == 0) - self._beyond)
         if asked and right:
             self.count(now, a, own=right)
@@ -362,10 +366,10 @@
         a = r.account
         # A figure that cannot be true settles nothing: what was taken stays taken, the ceiling's bound as well.
         true = ev.units if ev.status is Status.OK and ev.units is not None else -1.0
-        known = 0 <= true <= max(self._set.max_units, r.most)
-        if known and r.bound and a.plan.ceiling_rate > 0 and r.granted is None:
-            a.ceiling_back(r.most - true)
-        if known and r.inside:
+        known = 0 <= true <= max(self._set.max_units, r.max_units)
+        if known and r.bound and a.plan.ceiling_rate > 0 and r.granted_incarnation is None:
+            a.ceiling_back(r.max_units - true)
+        if known and r.in_quota:
             a.settled(true - r.units)
             if self.usage is not None:
                 self.usage.owed[a.name] = a
--- a/cypresspulley/service.py
+++ b/cypresspulley/service.py
@@ -68,7 +68,7 @@
         try:
             adopt(gateway, now, state["decisions"])
             dials = {str(k): str(v) for k, v in state["dials"].items()}
-            for server in gateway.fleet.servers.values():
+            for server in gateway.load_balancer.servers.values():
                 name, born = server.entry.name, server.entry.born
                 upstream.update(name, dials.get(name, ""), server.up, born)
             drained = bool(state["drained"])
@@ -76,7 +76,7 @@
             log.error("takeover: %s", error)
             self._successor.reject()
             return False
-        for name in gateway.fleet.bans:
+        for name in gateway.load_balancer.bans:
             upstream.ban(name, True)
         self._drained = drained
         return True
@@ -118,7 +118,9 @@
     def _record(self) -> bool:
         """Write down what has to outlast this process; whether that could be done."""
         if self._folder is not None and self._gateway is not None:
-            text = json.dumps({"bans": sorted(self._gateway.fleet.bans), "drained": self.life.drained})
+            text = json.dumps(
+                {"bans": sorted(self._gateway.load_balancer.bans), "drained": self.life.drained}
+            )
             try:
                 self._folder.write(RECORD, text)
             except OSError as error:
--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -23,13 +23,14 @@
 # Each mapping below goes from the name of a field in the snapshot to the name of the attribute that holds it. The
 # reader may be a process of another build: an attribute may be renamed, the name in the snapshot must stay.
 GATE: Mapping[str, str] = {
-    "sum": "sum", "u": "u", "reading": "reading", "mean": "mean", "_tokens": "_tokens", "_arrivals": "_arrivals",
-    "_filled": "_filled",
+    "sum": "integral", "u": "admit_rate", "reading": "load", "mean": "mean_work", "_tokens": "_tokens",
+    "_arrivals": "_arrival_rate", "_filled": "_filled_at",
 }  # fmt: skip
 SERVER: Mapping[str, str] = {
-    "rate": "rate", "slow": "slow", "fails": "fails", "out_until": "out_until", "out_for": "out_for",
-    "budget": "budget", "budget_at": "budget_at", "trial": "trial", "lost": "lost", "told": "told",
-    "told_at": "told_at", "since": "since", "row": "row", "broke": "broke", "cold_at": "cold_at",
+    "rate": "work_rate", "slow": "latency_ratio", "fails": "failure_rate", "out_until": "ejected_until",
+    "out_for": "ejection_seconds", "budget": "cold_budget", "budget_at": "cold_budget_at", "trial": "on_trial",
+    "lost": "unreachable", "told": "reported_inflight", "told_at": "reported_at", "since": "sent_since_report",
+    "row": "consecutive_breaks", "broke": "last_break_at", "cold_at": "cold_since",
 }  # fmt: skip
 ACCOUNT: Mapping[str, str] = {
     "at": "at", "asked": "asked", "synced": "synced", "level": "level", "floor": "floor", "ceiling": "ceiling",
@@ -49,8 +50,8 @@
     "misses": "misses",
 }
 SIZES: Mapping[str, str] = {
-    "mean": "mean", "slope": "slope", "_spread": "_spread", "_common": "_common", "_latency": "_latency",
-    "_seen": "_seen",
+    "mean": "mean_units", "slope": "slope", "_spread": "_units_variance", "_common": "_covariance",
+    "_latency": "_mean_latency", "_seen": "_samples",
 }  # fmt: skip
 
 
@@ -77,22 +78,22 @@
 
 def take(gateway: Gateway) -> dict[str, Any]:
     """The state of the decisions; nothing is changed by it."""
-    fleet, quotas = gateway.fleet, gateway.quotas
+    load_balancer, quotas = gateway.load_balancer, gateway.quotas
     incarnation, usage = quotas.incarnation, quotas.usage
     accounts = sorted(quotas.accounts.items(), key=lambda each: -each[1].at)[:ACCOUNTS]
     return {
-        "retries": gateway._retries,
-        "seen": list(gateway._seen),
+        "retries": gateway._retry_tokens,
+        "seen": list(gateway._recent_values),
         "gate": _read_attributes(gateway.gate, GATE),
-        "base": fleet.base,
-        "sizes": _read_attributes(fleet.sizes, SIZES),
-        "done_rate": fleet._done_rate,
-        "bans": sorted(fleet.bans),
-        "known": list(fleet.known),
-        "births": fleet.known,
+        "base": load_balancer.idle_latency,
+        "sizes": _read_attributes(load_balancer.unit_cost, SIZES),
+        "done_rate": load_balancer._mean_finish_rate,
+        "bans": sorted(load_balancer.bans),
+        "known": list(load_balancer.births),
+        "births": load_balancer.births,
         "servers": [
             {"entry": asdict(s.entry) | {"health": s.entry.health.value}, "up": s.up, **_read_attributes(s, SERVER)}
-            for s in fleet.servers.values()
+            for s in load_balancer.servers.values()
             if not s.gone
         ],
         "born": quotas._born,
@@ -122,25 +123,25 @@
 
 
 def _adopt(gateway: Gateway, now: float, state: dict[str, Any]) -> None:
-    fleet, quotas = gateway.fleet, gateway.quotas
-    gateway._retries = float(state["retries"])
-    gateway._seen.extend(map(float, state["seen"]))
-    gateway._ranks = sorted(gateway._seen)
+    load_balancer, quotas = gateway.load_balancer, gateway.quotas
+    gateway._retry_tokens = float(state["retries"])
+    gateway._recent_values.extend(map(float, state["seen"]))
+    gateway._sorted_values = sorted(gateway._recent_values)
     _write_attributes(gateway.gate, state["gate"], GATE)
-    fleet.base.update({str(name): float(value) for name, value in state["base"].items()})
-    _write_attributes(fleet.sizes, state["sizes"], SIZES)
-    fleet._done_rate = float(state["done_rate"])
-    fleet.bans.update(map(str, state["bans"]))
+    load_balancer.idle_latency.update({str(name): float(value) for name, value in state["base"].items()})
+    _write_attributes(load_balancer.unit_cost, state["sizes"], SIZES)
+    load_balancer._mean_finish_rate = float(state["done_rate"])
+    load_balancer.bans.update(map(str, state["bans"]))
     births = state.get("births", {})  # a predecessor of an older version tells none
-    fleet.known.update({str(name): births.get(name) for name in state["known"]})
+    load_balancer.births.update({str(name): births.get(name) for name in state["known"]})
     rows = [(_entry(row["entry"]), row) for row in state["servers"]]
-    fleet.listed(now, api.ServerList(tuple(entry for entry, _ in rows), True))
+    load_balancer.update_servers(now, api.ServerList(tuple(entry for entry, _ in rows), True))
     for entry, row in rows:
-        server = fleet.servers[entry.name]
+        server = load_balancer.servers[entry.name]
         _write_attributes(server, row, SERVER)
         server.up = bool(row["up"])
-        server.budget *= 1 - KEPT if server.budget > 0 else 1
-    fleet._arrange(now)
+        server.cold_budget *= 1 - KEPT if server.cold_budget > 0 else 1
+    load_balancer._rebuild(now)
     quotas._born = float(state["born"])
     _write_attributes(quotas.calls, state["calls"], CALLS)
     # A predecessor of an older version tells it as "life".
@@ -173,9 +174,11 @@
             self._given.append((a, given))
             for store, amount in given.items():
                 setattr(a, store, getattr(a, store) - amount)
-        self._budgets = [(s, (1 - KEPT) * max(0.0, s.budget)) for s in gateway.fleet.servers.values()]
+        self._budgets = [
+            (s, (1 - KEPT) * max(0.0, s.cold_budget)) for s in gateway.load_balancer.servers.values()
+        ]
         for server, budget in self._budgets:
-            server.budget -= budget
+            server.cold_budget -= budget
         quotas.incarnation.first = False
         self._wanted, quotas.incarnation.wanted = quotas.incarnation.wanted, False
         self.replan()
@@ -189,7 +192,7 @@
             self._plans.setdefault(a.plan.name, a.plan)  # of one that was dropped
             a.plan = scaled.get(a.plan.name) or self._kept(a.plan)
         quotas._plans = {name: self._nothing(plan) for name, plan in scaled.items()}
-        quotas.dropped_plans.apply(lambda plan: self._nothing(self._kept(plan)))
+        quotas.dropped_plans.transform_dropped(lambda plan: self._nothing(self._kept(plan)))
 
     @staticmethod
     def _nothing(plan: api.Plan) -> api.Plan:
@@ -211,7 +214,7 @@
         if whole:
             quotas.incarnation.first = self._first
             for server, budget in self._budgets:
-                server.budget += budget
+                server.cold_budget += budget
         else:
             quotas._born = now  # what is new here may have drawn on the other side
         for a in quotas.accounts.values():
--- a/tests/explore/mutants.py
+++ b/tests/explore/mutants.py
@@ -21,9 +21,9 @@
 from cypresspulley.net.requests import RequestReader
 from cypresspulley.net.upstream import Upstream
 from cypresspulley.policy.account import Account
-from cypresspulley.policy.classes import Classes
+from cypresspulley.policy.classes import ClassRegistry
 from cypresspulley.policy.gateway import Gateway
-from cypresspulley.policy.load_balancer import Fleet
+from cypresspulley.policy.load_balancer import LoadBalancer
 from cypresspulley.rehearsal.scenario import Scenario, load_scenario, parse_scenario
 from tests.rehearsal.small import small
 
@@ -45,14 +45,14 @@
 
 MUTANTS = (
     Mutant(
-        "a retry after a reset of an unsafe class", Gateway, "_again",
-        "if r.ran is not None and r.cls.effect is not Effect.SAFE:", "if False:",
+        "a retry after a reset of an unsafe class", Gateway, "_retry",
+        "if request.first_run is not None and request.cls.effect is not Effect.SAFE:", "if False:",
         "killed-mid-handover", ("no effect twice",),
         shown_by=3,
     ),
     Mutant(
-        "a refusal where it may have run", Gateway, "_end",
-        "if r.ran is None or effect is Effect.SAFE", "if True or effect is Effect.SAFE",
+        "a refusal where it may have run", Gateway, "_refuse_or_fail",
+        "request.first_run is None", "True",
         "killed-mid-handover", ("no effect twice",),
         shown_by=3,
     ),
@@ -95,20 +95,20 @@
         "slow", ("no request lost", "no effect twice", "log"),
     ),
     Mutant(
-        "a budget that forgets a restart", Fleet, "_cold_room",
-        "return s.budget > s.phase * r.work", "return True",
+        "a budget that forgets a restart", LoadBalancer, "_has_cold_budget",
+        "return server.cold_budget > server.budget_phase * request.work", "return True",
         "cold", ("no cold server pushed over",),
         inside=100.0,
         shown_by=2,
     ),
     Mutant(
-        "a ban lost", Fleet, "_usable",
+        "a ban lost", LoadBalancer, "_is_usable",
         "server.up and server.entry.name not in self.bans", "server.up",
         "by hand", ("drains kept",),
     ),
     Mutant(
-        "a server called back not cold", Fleet, "suspended",
-        "self._begin_slow_start(now, s, now)", "s.cold_at = None",
+        "a server called back not cold", LoadBalancer, "set_ban",
+        "self._begin_slow_start(now, server, now)", "server.cold_since = None",
         "cold by hand", ("no cold server pushed over",),
         inside=100.0,
         shown_by=1,
@@ -121,7 +121,7 @@
         shown_by=2,
     ),
     Mutant(
-        "every class taken for safe to repeat", Classes, "record",
+        "every class taken for safe to repeat", ClassRegistry, "find",
         "record is not None and (effect is None or record.effect is effect):\n        return record",
         "record is not None and (effect is None or record.effect is effect):\n"
         '        return __import__("dataclasses").replace(record, effect=Effect.SAFE)',
--- a/tests/graphql/test_charging.py
+++ b/tests/graphql/test_charging.py
@@ -30,7 +30,7 @@
 def answered(
     world: w.World, id: int, units: float | None, status: api.Status = api.Status.OK, attempt: int = 0
 ) -> None:
-    server = world.out[(id, attempt)][0]
+    server = world.open_attempts[(id, attempt)][0]
     world.feed(api.Outcome(id, attempt, server, status, 0.1, status is api.Status.OK, {}, None, units))
 
 
@@ -87,7 +87,7 @@
         if len(world.sends) > before:
             level -= true
             lowest = min(lowest, level)
-        for id_out, attempt in list(world.out):
+        for id_out, attempt in list(world.open_attempts):
             if rng.random() < 0.7:
                 told = rng.choice((*[trues[id_out]] * 6, -3.0, 1e9, float("nan"), None))
                 status = api.Status.OK if rng.random() < 0.8 else api.Status.BROKEN
@@ -108,7 +108,7 @@
 
 def _expected_only(launch: Any) -> Any:
     def mutant(self: Gateway, now: float, r: Any, *rest: Any, **more: Any) -> None:
-        r.most = r.units
+        r.max_units = r.units
         launch(self, now, r, *rest, **more)
 
     return mutant
@@ -117,7 +117,7 @@
 def _negative_believed(settle: Any) -> Any:
     def mutant(self: Quotas, now: float, r: Any, ev: api.Outcome) -> None:
         if ev.units is not None and ev.units < 0:
-            r.account.ceiling += r.most - ev.units
+            r.account.ceiling += r.max_units - ev.units
         else:
             settle(self, now, r, ev)
 
@@ -127,7 +127,7 @@
 def _given_back_on_a_lost_answer(settle: Any) -> Any:
     def mutant(self: Quotas, now: float, r: Any, ev: api.Outcome) -> None:
         if ev.status is not api.Status.OK:
-            r.account.ceiling += r.most
+            r.account.ceiling += r.max_units
         settle(self, now, r, ev)
 
     return mutant
@@ -144,7 +144,7 @@
 @pytest.mark.parametrize(
     "name, mutant",
     [
-        ("_launch", _expected_only), ("settle", _negative_believed), ("settle", _given_back_on_a_lost_answer),
+        ("_dispatch", _expected_only), ("settle", _negative_believed), ("settle", _given_back_on_a_lost_answer),
         ("settle", _settled_twice),
     ],
 )  # fmt: skip
@@ -211,4 +211,4 @@
 def test_a_plain_request_is_never_too_dear() -> None:
     world = capped()
     world.feed(api.Request(1, "read", "small", 3.0, "acct", 9.0, 3))
-    assert world.answered.get(1) != "too dear" and world.gateway.why.get("too dear", 0) == 0
+    assert world.answered.get(1) != "too dear" and world.gateway.refusal_counts.get("too dear", 0) == 0
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -645,15 +645,15 @@
     world = w.World(w.settings(plans=(api.Plan("free"),), has_counter=False))
     world.feed(w.servers("s0"))
     world.feed(replace(w.request(1, "post"), body_pending=True))
-    server = world.gateway.fleet.servers["s0"]
-    assert world.out and server.open == 0.0 and server.quiet is None
+    server = world.gateway.load_balancer.servers["s0"]
+    assert world.open_attempts and server.outstanding_work == 0.0 and server.silent_since is None
     assert world.gateway._requests[1].account.open == 0, "an attempt is out from its last byte on"
     world.gateway.handle(world.now + 60.0, api.BodyProgress(1, complete=True, replayable=False))
-    assert server.open > 0.0 and server.quiet == world.now + 60.0
+    assert server.outstanding_work > 0.0 and server.silent_since == world.now + 60.0
     request = world.gateway._requests[1]
     assert request.deadline == world.now + 63.0, "its time counts from its last byte"
     world.gateway.handle(world.now + 60.2, api.ResponseStarted(1, 0, "s0", 0.2, {}))
-    assert server.open == 0.0 and server.quiet is None and request.account.open == 1
+    assert server.outstanding_work == 0.0 and server.silent_since is None and request.account.open == 1
     world.gateway.handle(world.now + 99.0, api.Outcome(1, 0, "s0", api.Status.OK, 0.2, True, {}))
     assert request.account.open == 0 and left_of(world.gateway)["work"] == 0
 
@@ -664,6 +664,6 @@
         world.feed(w.servers("s0", "s1"))
         world.feed(replace(w.request(1, "post"), body_pending=True))
         world.gateway.handle(world.now, api.BodyProgress(1, complete=False, replayable=kept))
-        (key,) = world.out
-        world.feed(w.outcome(*key, world.out[key][0], api.Status.UNREACHABLE))
+        (key,) = world.open_attempts
+        world.feed(w.outcome(*key, world.open_attempts[key][0], api.Status.UNREACHABLE))
         assert len(world.attempts[1]) == attempts
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,4 @@
-"""Helpers for the tests: settings and a legal-event driver that checks the five rules as invariants."""
+"""Test helpers: settings, events, and a driver that feeds a gateway legal events and checks the rules as invariants."""
 
 from __future__ import annotations
 
@@ -42,14 +42,14 @@
 
 
 class SharedCounts(dict[int, float]):
-    """The shared counter's totals by name. A name is forgotten when the lifetime is over with which it began."""
+    """The shared counter's totals by name. A name expires after the lifetime that its first call gave."""
 
     def __init__(self) -> None:
         super().__init__()
         self._until = dict[int, float]()
 
     def add(self, now: float, call: api.Count) -> float:
-        """The total after a call that comes at ``now``, in seconds of real time."""
+        """Add a call's amount at ``now``, in seconds of real time, and return the total."""
         if call.name not in self or self._until.get(call.name, inf) <= now:
             self[call.name], self._until[call.name] = 0.0, now + min(60.0, call.lifetime)
         self[call.name] += call.amount
@@ -57,7 +57,7 @@
 
 
 class World:
-    """Feeds one gateway legal events and fails as soon as an answer breaks a rule."""
+    """Feeds one gateway legal events and fails as soon as an action breaks a rule."""
 
     def __init__(self, config: api.Settings, seed: int = 1, now: float = 100.0) -> None:
         self.config, self.now = config, now
@@ -66,8 +66,8 @@
         self.known: set[str] = set()
         self.requests: dict[int, tuple[api.Request, float]] = {}
         self.attempts: dict[int, list[tuple[str, float]]] = {}
-        self.out: dict[tuple[int, int], tuple[str, float]] = {}
-        self.ran: dict[int, tuple[str, float]] = {}
+        self.open_attempts: dict[tuple[int, int], tuple[str, float]] = {}
+        self.first_runs: dict[int, tuple[str, float]] = {}
         self.answered: dict[int, str] = {}
         self.timers: list[tuple[float, int]] = []
         self.counts: list[api.Count] = []
@@ -85,9 +85,9 @@
             self.requests[event.id] = (event, self.now + event.ttl)
             self.attempts[event.id] = []
         if isinstance(event, api.Outcome):
-            server, sent = self.out.pop((event.id, event.attempt))
+            server, sent = self.open_attempts.pop((event.id, event.attempt))
             if event.status not in NEVER_RAN:
-                self.ran.setdefault(event.id, (server, sent))
+                self.first_runs.setdefault(event.id, (server, sent))
             if event.finished:
                 self.answered[event.id] = "served"
         if isinstance(event, api.ClientDisconnected):
@@ -97,7 +97,7 @@
             self._check(action)
         return actions
 
-    def _kind(self, asked: api.Request) -> api.RequestClass:
+    def _class_of(self, asked: api.Request) -> api.RequestClass:
         unknown = api.RequestClass(asked.request_class, 1.0, 1.0, api.Effect.UNSAFE)
         return next((c for c in self.config.classes if c.name == asked.request_class), unknown)
 
@@ -111,34 +111,36 @@
             assert action.id not in self.answered, "sent after the final answer"
             assert 0 < action.timeout <= deadline - self.now + 1e-9
             assert self.up[action.server].health is api.Health.UP, "sent to a draining or gone server"
-            tries = self.attempts[action.id]
-            assert len(tries) < self.config.max_attempts
-            assert not any(key[0] == action.id for key in self.out), "two attempts at once"
-            kind = self._kind(asked)
-            if action.id in self.ran:
+            attempts = self.attempts[action.id]
+            assert len(attempts) < self.config.max_attempts
+            assert not any(key[0] == action.id for key in self.open_attempts), "two attempts at once"
+            kind = self._class_of(asked)
+            if action.id in self.first_runs:
                 assert kind.effect is not api.Effect.UNSAFE, "an unsafe request may have run"
                 if kind.effect is api.Effect.KEYED:
-                    server, sent = self.ran[action.id]
+                    server, sent = self.first_runs[action.id]
                     assert self.up[server].cell == self.up[action.server].cell, "left the group"
                     assert self.now - sent < kind.window, "past the window"
-            self.out[(action.id, len(tries))] = (action.server, self.now)
-            tries.append((action.server, self.now))
+            self.open_attempts[(action.id, len(attempts))] = (action.server, self.now)
+            attempts.append((action.server, self.now))
             self.sends.append((self.now, action.server, asked))
         elif isinstance(action, api.Refuse | api.Fail):
             assert action.id not in self.answered, "answered twice"
             asked, deadline = self.requests[action.id]
-            kind = self._kind(asked)
-            if isinstance(action, api.Refuse) and action.id in self.ran:
+            kind = self._class_of(asked)
+            if isinstance(action, api.Refuse) and action.id in self.first_runs:
                 everywhere = kind.effect is api.Effect.KEYED and kind.scope is api.Scope.ALL
                 assert kind.effect is api.Effect.SAFE or everywhere, "refused though it may have run"
             assert self.now <= deadline + 1e-6, "answered late"
             self.answered[action.id] = "refused" if isinstance(action, api.Refuse) else "failed"
 
     def advance(self, to: float) -> None:
-        """Move the clock, firing timers and clipping attempts at their clients' deadlines."""
+        """Advance the clock; fire timers and time attempts out at their clients' deadlines."""
         while True:
             due = [(at, 0, token, 0) for at, token in self.timers if at <= to]
-            due += [(self.requests[i][1], 1, i, n) for i, n in self.out if self.requests[i][1] <= to]
+            due += [
+                (self.requests[i][1], 1, i, n) for i, n in self.open_attempts if self.requests[i][1] <= to
+            ]
             if not due:
                 break
             at, kind, first, second = min(due)
@@ -147,7 +149,7 @@
                 self.timers.remove((at, first))
                 self.feed(api.TimerFired(first))
             else:
-                server = self.out[(first, second)][0]
+                server = self.open_attempts[(first, second)][0]
                 self.feed(outcome(first, second, server, api.Status.TIMEOUT))
         self.now = to
 
@@ -158,12 +160,12 @@
             self.feed(api.Counted(call.name, status, total))
 
     def serve(self, status: api.Status = api.Status.OK, elapsed: float = 0.1) -> None:
-        for (id, attempt), (server, _) in list(self.out.items()):
+        for (id, attempt), (server, _) in list(self.open_attempts.items()):
             self.feed(outcome(id, attempt, server, status, elapsed))
 
 
 def random_run(seed: int, steps: int, config: api.Settings | None = None) -> list[list[api.Action]]:
-    """A long arbitrary but legal run; returns all actions."""
+    """Run random but legal events and return all actions."""
     rng = Random(seed)
     world = World(config or settings(), seed)
     names = [f"s{i}" for i in range(6)]
@@ -178,12 +180,17 @@
                 step, kind, rng.choice(("free", "small", "odd")), rng.choice("abc"), rng.uniform(0.02, 4)
             )
             log.append(world.feed(asked))
-        elif move < 0.8 and world.out:
-            key = rng.choice(list(world.out))
+        elif move < 0.8 and world.open_attempts:
+            key = rng.choice(list(world.open_attempts))
             ended = world.answered.get(key[0])
             status = api.Status.OK if rng.random() < 0.5 else rng.choice(statuses)
             event = api.Outcome(
-                *key, world.out[key][0], status, 0.1, ended is not None or status is api.Status.OK, {}
+                *key,
+                world.open_attempts[key][0],
+                status,
+                0.1,
+                ended is not None or status is api.Status.OK,
+                {},
             )
             log.append(world.feed(event))
         elif move < 0.9:
@@ -201,7 +208,7 @@
             log.append(world.feed(api.ServerList((entry,), False)))
         elif world.requests:
             gone = rng.choice(list(world.requests))
-            if gone not in world.answered and not any(key[0] == gone for key in world.out):
+            if gone not in world.answered and not any(key[0] == gone for key in world.open_attempts):
                 log.append(world.feed(api.ClientDisconnected(gone)))
     world.answer_counts(api.Status.UNREACHABLE)
     world.advance(world.now + 10)
