--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -48,8 +48,9 @@
         self._recent_values = deque[float](maxlen=300)  # worth per work of recent requests
         self._sorted_values = list[float]()
         self._handlers: dict[type, Callable[[float, Any], None]] = {
-            api.Request: self._handle_request, api.BodyProgress: self._handle_body, api.ResponseStarted: self._handle_began,
-            api.Outcome: self._handle_outcome, api.ServerList: self.load_balancer.update_servers,
+            api.Request: self._handle_request, api.BodyProgress: self._handle_body,
+            api.ResponseStarted: self._handle_began, api.Outcome: self._handle_outcome,
+            api.ServerList: self.load_balancer.update_servers,
             api.Suspend: self._handle_suspend, api.SettingsChanged: self._handle_retune,
             api.Probed: self.load_balancer.record_probe, api.PeerMessage: self.quotas.heard,
             api.Counted: self.quotas.calls.answered,
--- a/cypresspulley/policy/request.py
+++ b/cypresspulley/policy/request.py
@@ -9,9 +9,8 @@
     """State of an open request. Times are of the gateway's clock, ``work`` is in seconds of an idle server."""
 
     __slots__ = (
-        "account", "attempt_deadline", "attempts", "body_pending", "bound", "busy", "deadline", "first_run",
-        "granted_incarnation", "holds_slot", "holds_work",
-        "id", "in_quota", "is_retry", "max_attempts", "max_units",
+        "account", "attempt_deadline", "attempts", "body_pending", "bound", "cls", "deadline", "first_run",
+        "granted_incarnation", "holds_slot", "holds_work", "id", "in_quota", "is_retry", "max_attempts", "max_units",
         "open_attempts", "replayable", "started_at", "ttl", "units", "value_rank", "work", "worth",
     )  # fmt: skip
 
@@ -28,10 +27,9 @@
         self.is_retry = event.repeat  # the client sent it before
         self.in_quota = False
         self.ttl = event.ttl
-        self.body_pending = event.coming
+        self.body_pending = event.body_pending
         self.replayable = True  # its body can be sent again
-        self.holds_work = False,
-        )  # its work counts as outstanding at its server
+        self.holds_work = False  # its work counts as outstanding at its server
         self.start_clock(now)
         self.holds_slot = False  # it counts towards its account's limit on open requests over all gateways
         # Incarnation of the ceiling window's count that granted its units; None where the even share of the ceiling
--- a/tests/test_endings_policy.py
+++ b/tests/test_endings_policy.py
@@ -31,7 +31,10 @@
     first = single_send(world.feed(w.request(1, kind)))
     assert first.latest_start == math.inf
     world.advance(world.now + 0.5)
-    assert single_send(world.feed(w.outcome(1, 0, first.server, api.Status.UNREACHABLE))).latest_start == math.inf
+    assert (
+        single_send(world.feed(w.outcome(1, 0, first.server, api.Status.UNREACHABLE))).latest_start
+        == math.inf
+    )
 
 
 def test_a_repeat_of_a_keyed_request_leaves_inside_the_window_of_the_first_that_may_have_run() -> None:
