--- a/cypresspulley/policy/account.py
+++ b/cypresspulley/policy/account.py
@@ -25,10 +25,14 @@
         self._emit = emit
         # What each answer is for and when it was asked, by name: answers come in the order of the calls for a name.
         self._out = dict[int, deque[tuple[Answered, float]]]()
-        self.rate, self.least = CALLS / gateways, 2 * CALLS / gateways / 100
+        self.rate = CALLS / gateways
+        self.least = 2 * CALLS / gateways / 100
         self._growth = 1.5  # by an answer: no settings tell what it bears; slow start up to a first miss
         self.room = 0.2 * self.rate + draw  # in random debt: fresh fleets call in turn
-        self.at, self.broke, self.silent_until, self.misses = now, now, 0.0, 0
+        self.at = now
+        self.broke = now
+        self.silent_until = 0.0
+        self.misses = 0
 
     def follow(self, gateways: int) -> None:
         """Another number of gateways shares the counter: what was learnt of it goes on, in proportion."""
@@ -86,7 +90,9 @@
     def __init__(
         self, now: float, ev: api.Request, plan: api.Plan, born: float, settings: api.Settings
     ) -> None:
-        self.at, self.asked, self.synced = now, now, born
+        self.at = now
+        self.asked = now
+        self.synced = born
         self.share = share = max(1, ev.gateways)
         label = f"{ev.plan} {ev.account}"
         self.slots: Slots | None = None
@@ -100,9 +106,12 @@
         self.drawn = 0.0  # units taken from it
         self.total: float | None = None
         self.others = plan.rate * (share - 1) / share * 0.3  # their use a second
-        self.pending, self.open = 0.0, 0  # own use that the others have not been told; attempts out
-        # Without a counter: the others' use taken off the level and not yet told; own use a second; since when.
-        self.guessed, self.mine, self.heard = 0.0, 0.0, 0.0
+        self.pending = 0.0  # own use that the others have not been told
+        self.open = 0  # attempts out
+        # Without a counter:
+        self.guessed = 0.0  # the others' use taken off the level and not yet told
+        self.mine = 0.0  # own use a second
+        self.heard = 0.0  # since when
         self.debt = 0.0  # units that turned out to be due when the store held none: the next ones pay them
 
     def follow(self, plan: api.Plan, label: str, settings: api.Settings) -> None:
--- a/cypresspulley/policy/quota.py
+++ b/cypresspulley/policy/quota.py
@@ -17,8 +17,10 @@
 from cypresspulley.policy.walltime import WallTime
 from cypresspulley.policy.windows import CeilingWindow
 
-UNVOUCHED, SAMPLE = 0.08, 0.1  # of the worth asked inside quotas, what the rest may cost; a weight
-FORGET, LIFETIME = 60.0, 60.0  # idle seconds until an account is dropped; seconds that a shared count lives
+UNVOUCHED = 0.08  # of the worth asked inside quotas, what the rest may cost
+SAMPLE = 0.1  # a weight
+FORGET = 60.0  # idle seconds until an account is dropped
+LIFETIME = 60.0  # seconds that a shared count lives
 DEAF = 3.0  # seconds with no message of another gateway after which the even share alone counts
 
 
@@ -39,7 +41,11 @@
         self, settings: api.Settings, rng: Random, now: float, emit: Callable[[Action], None],
         open_: dict[int, Request], launch: Callable[[float, Request, Verdict], None],
     ) -> None:  # fmt: skip
-        self._open, self._launch, self._rng, self._born, self._emit = open_, launch, rng, now, emit
+        self._open = open_
+        self._launch = launch
+        self._rng = rng
+        self._born = now
+        self._emit = emit
         self._settle(settings)
         self.dropped_plans = Plans(settings)
         self.accounts = dict[tuple[str, str], Account]()
@@ -47,11 +53,15 @@
         self._keys = dict[int, Account]()  # by the part of a name that messages carry
         self._follow_usage(now, settings)
         self.calls = Calls(now, settings.gateways, rng.random(), emit)
-        self.incarnation, self.wall = Incarnation(settings, rng, now), WallTime()
-        self._spare, self._young, self._beyond = 0.0, 0.5, 0.2  # left of that; shares of answers
+        self.incarnation = Incarnation(settings, rng, now)
+        self.wall = WallTime()
+        self._spare = 0.0  # left of what the rest may cost
+        self._young = 0.5  # share of answers
+        self._beyond = 0.2  # share of answers
 
     def _settle(self, settings: api.Settings) -> None:
-        self._set, self._plans = settings, {p.name: p for p in settings.plans}
+        self._set = settings
+        self._plans = {p.name: p for p in settings.plans}
         self._price = sum(p.price for p in settings.plans) / max(1, len(settings.plans)) or 1.0
 
     def _follow_usage(self, now: float, settings: api.Settings) -> None:
--- a/cypresspulley/policy/slots.py
+++ b/cypresspulley/policy/slots.py
@@ -15,9 +15,10 @@
     __slots__ = ("_label", "full_until", "held", "owed", "spell")
 
     def __init__(self, label: str) -> None:
-        self._label, self.spell = label, -1
-        # Tries here that are out or wait to be; what the count has not been told.
-        self.held, self.owed = 0, 0.0
+        self._label = label
+        self.spell = -1
+        self.held = 0  # tries here that are out or wait to be
+        self.owed = 0.0  # what the count has not been told
         self.full_until = 0.0  # until then there is most likely no room
 
     def late(self, wall: float) -> bool:
--- a/cypresspulley/policy/usage.py
+++ b/cypresspulley/policy/usage.py
@@ -3,7 +3,8 @@
 from cypresspulley.messages import KEYS, ROWS, STEP, compose, parse, steps
 from cypresspulley.policy.account import Account
 
-TELL_SHARE, IDLE_TELL = 0.6, 1.0  # of what an inbox takes; seconds between two messages with nothing to tell
+TELL_SHARE = 0.6  # of what an inbox takes
+IDLE_TELL = 1.0  # seconds between two messages with nothing to tell
 RECENT_BIRTH = 3.0  # seconds by which another must be older to have been there before
 HEARD_AT_MOST = 4096  # customers of others' messages that have not been met here
 
--- a/tests/stepped_clock.py
+++ b/tests/stepped_clock.py
@@ -24,7 +24,9 @@
 NOTICED = 0.2  # seconds within which a process looks at the wall clock
 TIMEOUT = 0.05  # seconds until a call to the counter is given up
 DEMAND = 5.0  # requests for each unit of the ceiling's rate
-WINDOWS_BEFORE, WINDOWS_AFTER = 6, 8  # lengths of a play around its step, in windows of the ceiling
+# Lengths of a play around its step, in windows of the ceiling.
+WINDOWS_BEFORE = 6
+WINDOWS_AFTER = 8
 
 
 class Trouble(Enum):
@@ -71,7 +73,10 @@
         self.plan = api.Plan("capped", 1.0, rate, BURST, 0, 0.0, 0.5, rate, BURST)
         self._counter, self._serial = w.SharedCounts(), 0
         self._queue = list[tuple[float, int, Callable[[], object]]]()
-        self._store, self._drawn_at, self.lowest, self.sent = BURST, 0.0, BURST, 0
+        self._store = BURST
+        self._drawn_at = 0.0
+        self.lowest = BURST
+        self.sent = 0
         self._ahead = [0.0] * case.gateways  # of each process's clock over the play's
         self._told = [0.0] * case.gateways  # what each process believes the wall clock to be ahead of its own
         self._lives = [0] * case.gateways
--- a/tests/test_quota_bound.py
+++ b/tests/test_quota_bound.py
@@ -15,9 +15,12 @@
 from cypresspulley.policy.gateway import Gateway
 from tests.test_quota_calm import SITE
 
-# The price over_quota may be 0.1 above that of one who sees the true stores late (the gate). What nobody vouches for
-# may cost 0.08 by what limiters expect, which they learn from answers: in a burst more is beyond, fewer can be asked.
-ALLOWED, UNVOUCHED, LEARNT_LATE = 0.1, 0.08, 1.4
+# The price over_quota may be 0.1 above that of one who sees the true stores late (the gate).
+ALLOWED = 0.1
+# What nobody vouches for may cost 0.08 by what limiters expect, which they learn from answers: in a burst more is
+# beyond, fewer can be asked.
+UNVOUCHED = 0.08
+LEARNT_LATE = 1.4
 PLAN = api.Plan("small", rate=1.0, burst=2.0, over_cost=1.2)
 LOOK = api.RequestClass("look", 2.0, 1.0, api.Effect.SAFE)
 
--- a/tests/test_wall_clock_ceilings.py
+++ b/tests/test_wall_clock_ceilings.py
@@ -15,7 +15,9 @@
 PLAN = api.Plan("capped", rate=4.0, burst=16.0, ceiling_rate=4.0, ceiling_burst=16.0)
 SLACK = max(0.1 * PLAN.ceiling_burst, 1.0) + 0.15 * PLAN.ceiling_rate
 WINDOW = PLAN.ceiling_burst / (2 * PLAN.ceiling_rate)  # seconds
-BEGIN, STEP_AT, END = 10_000.0, 20.0, 40.0  # of the decisions' clock; seconds of the play
+BEGIN = 10_000.0  # of the decisions' clock
+STEP_AT = 20.0  # seconds of the play
+END = 40.0  # seconds of the play
 ASKED = 60.0  # requests a second, far beyond the ceiling
 STEPS = [3600.0, -3600.0, 5.0, -5.0, 0.9, 0.0]
 
