--- a/benchmarks/quota_calm.py
+++ b/benchmarks/quota_calm.py
@@ -280,7 +280,7 @@
 
         def watch(sent: Callable[[float, Any, Any], None]) -> Callable[[float, Any, Any], None]:
             def watched(now: float, r: Any, verdict: Any) -> None:
-                voucher[r.id] = verdict.voucher if verdict.inside else "beyond, earns"
+                voucher[r.id] = verdict.basis if verdict.within_quota else "beyond, earns"
                 sent(now, r, verdict)
 
             return watched
@@ -373,7 +373,7 @@
         everyone = api.ServerList(tuple(api.ServerEntry(n, api.Health.UP, "a") for n in names), True)
         for index in range(self.limiters):
             gateway = Gateway(replace(self.settings, index=index), rng.getrandbits(32), base)
-            gateway.quotas.sent = watch(gateway.quotas.sent)  # type: ignore[method-assign, assignment]
+            gateway.quotas.record_sent = watch(gateway.quotas.record_sent)  # type: ignore[method-assign, assignment]
             fleet.append(gateway)
             feed(index, base, everyone)
         for account in self.accounts:
--- a/cypresspulley/plans/limiter.py
+++ b/cypresspulley/plans/limiter.py
@@ -157,7 +157,7 @@
                 ceiling = ceiling.carried(
                     at / 1000, *_limits(terms.ceiling_rate, terms.ceiling_burst, ev.gateways)
                 )
-        new = quotas.account(now, ev)
+        new = quotas.get_or_create_account(now, ev)
         if old is not None:
             old.refill(now)
             new.level, new.floor = min(new.level, old.level), min(new.floor, old.floor)
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -36,8 +36,10 @@
         self._handlers: dict[type, Callable[[float, Any], None]] = {
             api.Request: self._arrive, api.Body: self._body, api.Began: self._began, api.Outcome: self._outcome,
             api.ServerList: self.fleet.listed, api.Suspend: self._suspend, api.Retune: self._retune,
-            api.Probed: self.fleet.probed, api.Heard: self.quotas.heard, api.Counted: self.quotas.calls.answered,
-            api.WallClock: lambda _now, ev: self.quotas.wall.step(ev.shift), api.TimerFired: lambda _now, _ev: None,
+            api.Probed: self.fleet.probed, api.Heard: self.quotas.receive_usage,
+            api.Counted: self.quotas.counter_calls.answered,
+            api.WallClock: lambda _now, ev: self.quotas.wall_time.step(ev.shift),
+            api.TimerFired: lambda _now, _ev: None,
             api.Departed: lambda now, ev: self._forget(now, ev.id),
         }  # fmt: skip
 
@@ -62,32 +64,32 @@
         if self._timer % 10 == 0 and self.why:
             text = ", ".join(f"{k} {n}" for k, n in sorted(self.why.items()))
             load = f"load {self.gate.reading:.2f}, u {self.gate.u:.0f}/s"
-            silent = ", counter silent" * (now < self.quotas.calls.silent_until)
+            silent = ", counter silent" * (now < self.quotas.counter_calls.silent_until)
             self._out.append(api.Log(f"turned away: {text}; {load}{silent}"))
             self.why = {}
         self._out += self.fleet.tick(now, dt, self._requests.values())
-        self.quotas.tell(now)
+        self.quotas.broadcast_usage(now)
         self._ranks = sorted(self._seen)
         self.quotas.tick(now)
 
     def _arrive(self, now: float, ev: api.Request) -> None:
         unknown = api.RequestClass(ev.request_class, max(ev.ttl, 0.01), 1.0, Effect.UNSAFE)
         cls = self._classes.record(now, ev.request_class, ev.effect) or unknown
-        a = self.quotas.account(now, ev)
-        self.quotas.tell(now)
+        a = self.quotas.get_or_create_account(now, ev)
+        self.quotas.broadcast_usage(now)
         r = self._requests[ev.id] = Request(now, ev, cls, a, self._classes.attempts(now))
         r.work = self.fleet.expected(cls, ev.units)
         self.gate.arrived(r.work, not ev.repeat)
         value = r.worth / r.work
         self._seen.append(value)
         r.rank = bisect_left(self._ranks, value) / len(self._ranks) if self._ranks else 1.0
-        if r.bound and self.quotas.too_dear(r):
+        if r.bound and self.quotas.exceeds_capacity(r):
             self._end(now, r, "too dear")
-        elif not (self.quotas.under_ceiling(r) or self.quotas.window_may_hold(now, r)):
+        elif not (self.quotas.ceiling_share_holds(r) or self.quotas.window_may_grant(now, r)):
             self._end(now, r, "ceiling")
         elif not self.gate.passes(now, r.work, RESERVE * (1 - r.rank)):
             self._end(now, r, "gate")
-        elif (verdict := self.quotas.judge(now, r)) is not None:
+        elif (verdict := self.quotas.check_quota(now, r)) is not None:
             self._launch(now, r, verdict)
 
     def _suspend(self, now: float, ev: api.Suspend) -> None:
@@ -99,25 +101,25 @@
         self._set = ev.settings
         self._classes.change(now, ev.settings)
         self.fleet.retune(now, ev.settings)
-        self.quotas.retune(now, ev.settings)
+        self.quotas.update_settings(now, ev.settings)
 
     def _launch(self, now: float, r: Request, verdict: Verdict) -> None:
         plan = r.account.plan
         earns = plan.over_worth > plan.over_cost and 0 < self.gate.reading < 0.6 * REFERENCE
-        room = verdict.inside and self.quotas.room_out(now, r, verdict)
+        room = verdict.within_quota and self.quotas.check_open_limit(now, r, verdict)
         if room is None:
             return None
-        if not room and verdict.inside:
-            verdict = self.quotas.unsent(now, r, verdict)
+        if not room and verdict.within_quota:
+            verdict = self.quotas.revert_charge(now, r, verdict)
         if not (room or earns):
-            return self._end(now, r, verdict.why)
+            return self._end(now, r, verdict.refuse_reason)
         # Requests held for the counter must not draw on the ceiling together.
-        if not self.quotas.under_ceiling(r) or not self._send(now, r):
-            self.quotas.unsent(now, r, verdict)
+        if not self.quotas.ceiling_share_holds(r) or not self._send(now, r):
+            self.quotas.revert_charge(now, r, verdict)
             return self._end(now, r, "no server")
         self.gate.admit(r.work)
         self._retries = min(10.0, self._retries + 0.1)
-        self.quotas.sent(now, r, verdict)
+        self.quotas.record_sent(now, r, verdict)
 
     def _send(self, now: float, r: Request, latest: float = inf) -> bool:
         wait = r.due - now
@@ -148,7 +150,7 @@
         if ev.whole and r.coming:
             r.coming = False
             r.begin(now)
-            self.quotas.whole(now, r)
+            self.quotas.on_body_complete(now, r)
             for s in r.out.values():
                 self._busy(now, r, s)
 
@@ -215,8 +217,8 @@
     def _forget(self, now: float, request: int) -> None:
         if r := self._requests.pop(request, None):
             if not r.tries:
-                self.quotas.give_back(r)
-            self.quotas.free(now, r)
+                self.quotas.return_window_grant(r)
+            self.quotas.release_slot(now, r)
             for s in r.out.values():
                 s.ended(r.work if r.busy else 0.0)
                 r.account.open -= not r.coming
--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -78,7 +78,7 @@
 def take(gateway: Gateway) -> dict[str, Any]:
     """The state of the decisions; nothing is changed by it."""
     fleet, quotas = gateway.fleet, gateway.quotas
-    incarnation, usage = quotas.incarnation, quotas.usage
+    incarnation, usage = quotas.incarnation, quotas.usage_broadcast
     accounts = sorted(quotas.accounts.items(), key=lambda each: -each[1].at)[:ACCOUNTS]
     return {
         "retries": gateway._retries,
@@ -95,8 +95,8 @@
             for s in fleet.servers.values()
             if not s.gone
         ],
-        "born": quotas._born,
-        "calls": _read_attributes(quotas.calls, CALLS),
+        "born": quotas._started_at,
+        "calls": _read_attributes(quotas.counter_calls, CALLS),
         "first": incarnation.first,
         "tells": None if usage is None else [usage.born, usage.late, list(usage.strange.items())],
         "accounts": [
@@ -141,17 +141,22 @@
         server.up = bool(row["up"])
         server.budget *= 1 - KEPT if server.budget > 0 else 1
     fleet._arrange(now)
-    quotas._born = float(state["born"])
-    _write_attributes(quotas.calls, state["calls"], CALLS)
+    quotas._started_at = float(state["born"])
+    _write_attributes(quotas.counter_calls, state["calls"], CALLS)
     # A predecessor of an older version tells it as "life".
     quotas.incarnation.resume(now, bool(state["first"] if "first" in state else state["life"]["vouched"]))
-    if state["tells"] is not None and quotas.usage is not None:
-        quotas.usage.born, quotas.usage.late = float(state["tells"][0]), bool(state["tells"][1])
-        quotas.usage.strange.update({int(key): (float(u), float(at)) for key, (u, at) in state["tells"][2]})
+    if state["tells"] is not None and quotas.usage_broadcast is not None:
+        quotas.usage_broadcast.born, quotas.usage_broadcast.late = (
+            float(state["tells"][0]),
+            bool(state["tells"][1]),
+        )
+        quotas.usage_broadcast.strange.update(
+            {int(key): (float(u), float(at)) for key, (u, at) in state["tells"][2]}
+        )
     for plan, name, share, _open, values, window in state["accounts"]:
         if plan not in quotas._plans:
             continue  # the plan was dropped meanwhile
-        a = quotas.account(now, api.Request(0, "", plan, 1.0, name, gateways=int(share)))
+        a = quotas.get_or_create_account(now, api.Request(0, "", plan, 1.0, name, gateways=int(share)))
         _write_attributes(a, values, ACCOUNT)
         for store in STORES:
             setattr(a, store, (1 - KEPT) * getattr(a, store) if getattr(a, store) > 0 else getattr(a, store))
@@ -213,7 +218,7 @@
             for server, budget in self._budgets:
                 server.budget += budget
         else:
-            quotas._born = now  # what is new here may have drawn on the other side
+            quotas._started_at = now  # what is new here may have drawn on the other side
         for a in quotas.accounts.values():
             if not whole:
                 a.refill(now)
--- a/tests/takeover/test_handover.py
+++ b/tests/takeover/test_handover.py
@@ -189,7 +189,7 @@
             assert new.gateway.fleet.servers["s1"].cold_at == begun
             assert abs(new.clock() - old.clock()) < 1.0
             assert new.gateway.fleet.known == old.gateway.fleet.known
-            assert new.gateway.quotas._born == old.gateway.quotas._born <= new.clock()
+            assert new.gateway.quotas._started_at == old.gateway.quotas._started_at <= new.clock()
             await old.end()
             await new.end()
 
--- a/tests/takeover/test_snapshot.py
+++ b/tests/takeover/test_snapshot.py
@@ -79,7 +79,7 @@
     for name, server in old.fleet.servers.items():
         assert after.fleet.servers[name].rate == server.rate and after.fleet.servers[name].slow == server.slow
     assert repr(after.gate) == repr(old.gate) and after.fleet.base == old.fleet.base
-    assert after.quotas._born == old.quotas._born
+    assert after.quotas._started_at == old.quotas._started_at
 
 
 def test_taking_a_snapshot_changes_nothing() -> None:
@@ -109,7 +109,7 @@
     split.undo(whole=False, now=world.now)
     for key, a in world.gateway.quotas.accounts.items():
         assert a.ceiling == pytest.approx(levels[key]) and a.plan is PLAN
-    fresh = world.gateway.quotas.account(world.now, asked_of(999, "read", "capped", "new"))
+    fresh = world.gateway.quotas.get_or_create_account(world.now, asked_of(999, "read", "capped", "new"))
     assert fresh.ceiling == 0.0, "it may have drawn on the other side"
 
 
@@ -121,7 +121,7 @@
     new: w.World | None = None
     id = 1000
     # What was drawn before counts: begin with what the account itself has left.
-    store = old.gateway.quotas.account(old.now, asked_of(0, "read", "capped", "a0")).ceiling
+    store = old.gateway.quotas.get_or_create_account(old.now, asked_of(0, "read", "capped", "a0")).ceiling
     for step in range(160):
         now = last + (rng.choice((0.01, 0.05, 0.2)) if step not in (40, 100) else 3.0)  # the store fills
         if step in (40, 100):
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -20,13 +20,13 @@
     now, largest = 100.0, 0
     for number in range(ACCOUNTS):
         now += EVERY
-        quotas.account(now, w.request(number, plan="capped", account=f"{number:016x}"))
+        quotas.get_or_create_account(now, w.request(number, plan="capped", account=f"{number:016x}"))
         if number % 5000 == 0:  # every 10 s; in service it is each second
             quotas.tick(now)
             largest = max(largest, len(quotas.accounts))
-    lived = (quota.FORGET + 12.0) / EVERY
+    lived = (quota.ACCOUNT_IDLE_SECONDS + 12.0) / EVERY
     assert largest <= lived, "an account that is idle for a minute and full is forgotten"
-    quotas.tick(now + quota.FORGET + 10.0)
+    quotas.tick(now + quota.ACCOUNT_IDLE_SECONDS + 10.0)
     assert not quotas.accounts
 
 
--- a/tests/test_endings_policy.py
+++ b/tests/test_endings_policy.py
@@ -78,7 +78,7 @@
     world = w.World(w.settings(plans=(plan,)))
     world.feed(w.servers("s0", "s1"))
     quotas = world.gateway.quotas
-    quotas.judge = lambda _now, r: Verdict(True, r.units)  # type: ignore[method-assign, assignment]
+    quotas.check_quota = lambda _now, r: Verdict(True, r.units)  # type: ignore[method-assign, assignment]
     world.feed(w.request(1, plan="small", units=3.0))
     (place,) = world.counts
     assert place.amount == 1.0 and not world.sends
--- a/tests/test_quota_bound.py
+++ b/tests/test_quota_bound.py
@@ -66,7 +66,7 @@
 def first_try(gateway: Gateway, now: float, id: int, repeat: bool = False) -> api.Count:
     """A first try of an account of many limiters, which asks the counter."""
     request = api.Request(id, "look", "small", 6.0, f"a{id}", 1.0, 100, repeat)
-    gateway.quotas.calls.room = 10.0
+    gateway.quotas.counter_calls.room = 10.0
     (call,) = [action for action in gateway.handle(now, request) if isinstance(action, api.Count)]
     return call
 
@@ -106,7 +106,7 @@
     gateway = limiter()
     passed = []
     for id in range(1, 21):
-        gateway.quotas.calls.misses, gateway.quotas.calls.silent_until = 0, 0.0
+        gateway.quotas.counter_calls.misses, gateway.quotas.counter_calls.silent_until = 0, 0.0
         call = first_try(gateway, 0.1, id)
         passed.append(sent(gateway, 0.1, call, status))
     assert passed[0] and sum(passed) * 0.24 < 20 * 0.8 * 0.08 + 0.24
@@ -115,7 +115,7 @@
 def test_a_counter_that_is_down_leaves_the_even_share_and_its_headroom() -> None:
     gateway, now = limiter(), 0.1
     for id in range(1, 9):
-        gateway.quotas.calls.silent_until = 0.0
+        gateway.quotas.counter_calls.silent_until = 0.0
         sent(gateway, now, first_try(gateway, now, id), Status.TIMEOUT)
     request = api.Request(99, "look", "small", 6.0, "another", 1.0, 100)
     assert any(isinstance(action, api.Send) for action in gateway.handle(now, request))
--- a/tests/test_quota_calm.py
+++ b/tests/test_quota_calm.py
@@ -53,7 +53,7 @@
     gateway, sent = Gateway(settings, 1, 0.0), 0
     gateway.handle(0.0, api.ServerList((api.ServerEntry("s1", api.Health.UP, "a"),), True))
     for id in range(1, tries + 1):
-        gateway.quotas.calls.room = -1e9
+        gateway.quotas.counter_calls.room = -1e9
         actions = gateway.handle(0.001 * id, api.Request(id, "look", "small", 6.0, f"{id}", 1.0, 200, repeat))
         assert not any(isinstance(action, api.Count) for action in actions)
         if any(isinstance(action, api.Send) for action in actions):
--- a/tests/test_reload_shared.py
+++ b/tests/test_reload_shared.py
@@ -32,20 +32,20 @@
     world.serve()
     quotas = world.gateway.quotas
     (account,) = quotas.accounts.values()
-    rate = quotas.calls.rate
+    rate = quotas.counter_calls.rate
     world.feed(api.Retune(settings(gateways=200, has_counter=True)))
-    assert quotas.calls.rate == pytest.approx(rate * 3 / 200)
-    assert quotas.calls.least == w.World(settings(gateways=200)).gateway.quotas.calls.least
+    assert quotas.counter_calls.rate == pytest.approx(rate * 3 / 200)
+    assert quotas.counter_calls.least == w.World(settings(gateways=200)).gateway.quotas.counter_calls.least
     assert account.slots is not None, "what is out is counted"
     world.feed(api.Retune(settings(gateways=200)))
     assert account.slots is None
     world.feed(api.Retune(settings(gateways=200, may_tell=True, inbox=40.0)))
-    assert quotas.usage is not None
-    every = quotas.usage.every
+    assert quotas.usage_broadcast is not None
+    every = quotas.usage_broadcast.every
     world.feed(api.Retune(settings(gateways=400, may_tell=True, inbox=40.0)))
-    assert quotas.usage.every == pytest.approx(every * 399 / 199)
+    assert quotas.usage_broadcast.every == pytest.approx(every * 399 / 199)
     world.feed(api.Retune(settings(gateways=400)))
-    assert quotas.usage is None
+    assert quotas.usage_broadcast is None
 
 
 def test_a_reload_brings_the_counter_and_the_other_limiters(tmp_path: Path) -> None:
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -186,10 +186,12 @@
                     script.now += 0.1
 
                 await break_under(3)
-                assert script.gateway.quotas.calls.silent_until < script.now  # the next customer is asked for
+                assert (
+                    script.gateway.quotas.counter_calls.silent_until < script.now
+                )  # the next customer is asked for
                 await break_under(1)
                 assert (
-                    script.gateway.quotas.calls.silent_until > script.now
+                    script.gateway.quotas.counter_calls.silent_until > script.now
                 )  # twice, and no answer in between
             client.close()
 
