--- a/cypresspulley/lanes/stores.py
+++ b/cypresspulley/lanes/stores.py
@@ -25,18 +25,18 @@
 
 def level_at(a: Account, now: float) -> float:
     """Units that an account's store seems to hold at ``now``: what ``Account.refill`` would make of it."""
-    plan, dt = a.plan, max(0.0, now - a.at)
-    if a.heard:
-        used = a.others * RECENT * (1 - math.exp(-dt / RECENT))
+    plan, dt = a.plan, max(0.0, now - a.refilled_at)
+    if a.heard_at:
+        used = a.others_rate * RECENT * (1 - math.exp(-dt / RECENT))
         return min(plan.burst, a.level + plan.rate * dt - used)
     paid = min(a.debt, plan.rate * dt)
-    unread = plan.rate * (now - a.synced) * (a.share > 1)
+    unread = plan.rate * (now - a.synced_at) * (a.gateways > 1)
     return min(plan.burst + unread, a.level + plan.rate * dt - paid)
 
 
 def floor_at(a: Account, now: float) -> float:
     """Units of this limiter's even share of the store."""
-    return min(a.floor_cap, a.floor + a.plan.rate / a.share * max(0.0, now - a.at))
+    return min(a.share_burst, a.share_level + a.plan.rate / a.gateways * max(0.0, now - a.refilled_at))
 
 
 class Stores:
@@ -74,12 +74,12 @@
         a = self._quotas.accounts.get((ev.plan, ev.account))
         plan = a.plan if a is not None else self._plans.get(ev.plan)
         if plan is None or plan.rate <= 0:
-            return a is None or plan is None or not 0 < plan.open_limit <= a.open
+            return a is None or plan is None or not 0 < plan.open_limit <= a.open_attempts
         if (ev.plan, ev.account) in self._turned and self._level(now, plan, ev) < ev.units:
             return False
         if a is None:
             return ev.units <= plan.burst + 1e-9
-        if 0 < plan.open_limit <= a.open:
+        if 0 < plan.open_limit <= a.open_attempts:
             return False
         if level_at(a, now) >= ev.units:
             return True
--- a/cypresspulley/plans/limiter.py
+++ b/cypresspulley/plans/limiter.py
@@ -51,9 +51,13 @@
 
 def _share_of(a: Account) -> Level:
     """An account's even share of its ceiling, as if all of it were kept in shares."""
-    limits = _limits(a.plan.ceiling_rate, a.plan.ceiling_burst, a.share)
-    units = a.ceiling / a.keep if a.plan.ceiling_burst > 0 and a.keep > 0 else limits[1]
-    return Level(units, a.at, *limits)
+    limits = _limits(a.plan.ceiling_rate, a.plan.ceiling_burst, a.gateways)
+    units = (
+        a.ceiling_level / a.local_ceiling_part
+        if a.plan.ceiling_burst > 0 and a.local_ceiling_part > 0
+        else limits[1]
+    )
+    return Level(units, a.refilled_at, *limits)
 
 
 class Planned:
@@ -143,7 +147,7 @@
         quotas = self._gateway.quotas
         key = next((k for k in self._keys(ev) if k in quotas.accounts), None)
         old = quotas.accounts[key] if key is not None else None
-        since = old.at if old is not None else 0.0
+        since = old.refilled_at if old is not None else 0.0
         instants = self.follower.book.instants(ev.account, int(since * 1000), int(now * 1000))
         if not instants and (key is None or key[0] == ev.plan):
             return
@@ -160,11 +164,14 @@
         new = quotas.get_or_create_account(now, ev)
         if old is not None:
             old.refill(now)
-            new.level, new.floor = min(new.level, old.level), min(new.floor, old.floor)
+            new.level, new.share_level = min(new.level, old.level), min(new.share_level, old.share_level)
         if new.plan.ceiling_rate > 0:
-            new.ceiling = min(new.ceiling, new.keep * ceiling.moved(now).units)
+            new.ceiling_level = min(new.ceiling_level, new.local_ceiling_part * ceiling.moved(now).units)
             # A start that is vouched for gives nothing of that back.
-            new.drawn = max(new.drawn, new.keep * new.plan.ceiling_burst / new.share - new.ceiling)
+            new.ceiling_drawn = max(
+                new.ceiling_drawn,
+                new.local_ceiling_part * new.plan.ceiling_burst / new.gateways - new.ceiling_level,
+            )
 
     def _keys(self, ev: api.Request) -> Iterator[tuple[str, str]]:
         """Where the account may be known: under its plan, or under one that it had."""
--- a/cypresspulley/policy/account.py
+++ b/cypresspulley/policy/account.py
@@ -82,113 +82,142 @@
     """A customer's quota as this gateway knows it; many come once only, so it is kept small."""
 
     __slots__ = (
-        "asked", "at", "ceiling", "debt", "drawn", "floor", "floor_cap", "guessed", "heard", "keep", "level",
-        "low_traffic", "mine", "name", "open", "others", "pending", "plan", "share", "slots", "synced", "total",
+        "ceiling_drawn",
+        "ceiling_level",
+        "counter_name",
+        "debt",
+        "extrapolated_use",
+        "gateways",
+        "heard_at",
+        "last_call_at",
+        "last_total",
+        "level",
+        "local_ceiling_part",
+        "low_traffic",
+        "open_attempts",
+        "others_rate",
+        "own_recent_use",
+        "plan",
+        "refilled_at",
+        "share_burst",
+        "share_level",
+        "slots",
+        "synced_at",
+        "unreported",
         "window",
     )  # fmt: skip
 
     def __init__(
         self, now: float, ev: api.Request, plan: api.Plan, born: float, settings: api.Settings
     ) -> None:
-        self.at = now
-        self.asked = now
-        self.synced = born
-        self.share = share = max(1, ev.gateways)
+        self.refilled_at = now
+        self.last_call_at = now
+        self.synced_at = born
+        self.gateways = share = max(1, ev.gateways)
         label = f"{ev.plan} {ev.account}"
         self.slots: Slots | None = None
-        self.follow(plan, label, settings)
-        self.name = int.from_bytes(blake2b(label.encode(), digest_size=8).digest(), "big") >> 1
+        self.apply_plan(plan, label, settings)
+        self.counter_name = int.from_bytes(blake2b(label.encode(), digest_size=8).digest(), "big") >> 1
         # Of the whole store; a reading cuts it. Where nobody else draws on it, it is simply full.
         self.level = plan.burst + plan.rate * (now - born) * (share > 1)
-        self.floor = self.floor_cap
+        self.share_level = self.share_burst
         # A restart finds the ceiling's store used, so the share fills from this instance's birth.
-        self.ceiling = self.keep * min(plan.ceiling_burst, plan.ceiling_rate * (now - born)) / share
-        self.drawn = 0.0  # units taken from it
-        self.total: float | None = None
-        self.others = plan.rate * (share - 1) / share * 0.3  # their use a second
-        self.pending = 0.0  # own use that the others have not been told
-        self.open = 0  # attempts out
+        self.ceiling_level = (
+            self.local_ceiling_part * min(plan.ceiling_burst, plan.ceiling_rate * (now - born)) / share
+        )
+        self.ceiling_drawn = 0.0  # units taken from it
+        self.last_total: float | None = None
+        self.others_rate = plan.rate * (share - 1) / share * 0.3  # their use a second
+        self.unreported = 0.0  # own use that the others have not been told
+        self.open_attempts = 0  # attempts out
         # Without a counter:
-        self.guessed = 0.0  # the others' use taken off the level and not yet told
-        self.mine = 0.0  # own use a second
-        self.heard = 0.0  # since when
+        self.extrapolated_use = 0.0  # the others' use taken off the level and not yet told
+        self.own_recent_use = 0.0  # own use a second
+        self.heard_at = 0.0  # since when
         self.debt = 0.0  # units that turned out to be due when the store held none: the next ones pay them
 
-    def follow(self, plan: api.Plan, label: str, settings: api.Settings) -> None:
+    def apply_plan(self, plan: api.Plan, label: str, settings: api.Settings) -> None:
         """What the plan bounds: at first, and when new settings hold. Levels go on under it."""
         self.plan = plan
-        self.low_traffic = plan.burst < 2 * self.share  # the even share holds next to nothing
-        self.floor_cap = max(plan.burst / self.share, min(settings.max_units, plan.burst) * self.low_traffic)
-        self.keep = kept_alone(plan, self.share, settings.max_units, settings.has_counter)
-        self.window = CeilingWindow(label, plan) if self.keep < 1 else None
-        shared = plan.open_limit > 0 and self.share > 1 and settings.has_counter
+        self.low_traffic = plan.burst < 2 * self.gateways  # the even share holds next to nothing
+        self.share_burst = max(
+            plan.burst / self.gateways, min(settings.max_units, plan.burst) * self.low_traffic
+        )
+        self.local_ceiling_part = kept_alone(plan, self.gateways, settings.max_units, settings.has_counter)
+        self.window = CeilingWindow(label, plan) if self.local_ceiling_part < 1 else None
+        shared = plan.open_limit > 0 and self.gateways > 1 and settings.has_counter
         self.slots = (self.slots or Slots(label)) if shared else None
 
     def refill(self, now: float) -> None:
-        plan, dt, self.at = self.plan, max(0.0, now - self.at), now
-        if self.heard:
-            self._extrapolate(dt)
+        plan, dt, self.refilled_at = self.plan, max(0.0, now - self.refilled_at), now
+        if self.heard_at:
+            self._extrapolate_others(dt)
         else:
             paid = min(self.debt, plan.rate * dt)
             self.debt -= paid
             gain = plan.rate * dt - paid
-            unread = plan.rate * (now - self.synced) * (self.share > 1)
+            unread = plan.rate * (now - self.synced_at) * (self.gateways > 1)
             self.level = min(plan.burst + unread, self.level + gain)
-        self.floor = min(self.floor_cap, self.floor + plan.rate / self.share * dt)
-        whole = self.ceiling * self.share + self.keep * plan.ceiling_rate * dt
-        self.ceiling = min(self.keep * plan.ceiling_burst, whole) / self.share
+        self.share_level = min(self.share_burst, self.share_level + plan.rate / self.gateways * dt)
+        whole = self.ceiling_level * self.gateways + self.local_ceiling_part * plan.ceiling_rate * dt
+        self.ceiling_level = min(self.local_ceiling_part * plan.ceiling_burst, whole) / self.gateways
 
-    def begin_full(self) -> None:
+    def fill_ceiling(self) -> None:
         """No earlier incarnation of this gateway drew on the even share: it was full when this one began."""
-        self.ceiling = max(self.ceiling, self.keep * self.plan.ceiling_burst / self.share - self.drawn)
+        self.ceiling_level = max(
+            self.ceiling_level,
+            self.local_ceiling_part * self.plan.ceiling_burst / self.gateways - self.ceiling_drawn,
+        )
 
-    def ceiling_back(self, units: float) -> None:
+    def return_ceiling_units(self, units: float) -> None:
         """Units that were taken from the even share of the ceiling and not used."""
-        self.ceiling = min(self.keep * self.plan.ceiling_burst / self.share, self.ceiling + units)
+        self.ceiling_level = min(
+            self.local_ceiling_part * self.plan.ceiling_burst / self.gateways, self.ceiling_level + units
+        )
 
-    def _extrapolate(self, dt: float) -> None:
+    def _extrapolate_others(self, dt: float) -> None:
         """Between two messages the others go on as they did, ever less surely."""
         fade = math.exp(-dt / RECENT)
-        use = self.others * RECENT * (1 - fade)
-        self.others, self.mine = self.others * fade, self.mine * fade
-        self.guessed += use
+        use = self.others_rate * RECENT * (1 - fade)
+        self.others_rate, self.own_recent_use = self.others_rate * fade, self.own_recent_use * fade
+        self.extrapolated_use += use
         self.level = min(self.plan.burst, self.level + self.plan.rate * dt - use)
 
-    def settled(self, units: float) -> None:
+    def settle(self, units: float) -> None:
         """A request inside the quota truly cost so many units more than was taken for it (below 0: less)."""
         paid = min(self.debt, max(0.0, -units))
         self.debt -= paid
-        self.level, self.floor = self.level - units - paid, self.floor - units
-        self.pending, self.mine = self.pending + units, max(0.0, self.mine + units)
-        if not self.heard and self.level < 0:
+        self.level, self.share_level = self.level - units - paid, self.share_level - units
+        self.unreported, self.own_recent_use = self.unreported + units, max(0.0, self.own_recent_use + units)
+        if not self.heard_at and self.level < 0:
             self.level, self.debt = 0.0, self.debt - self.level
 
-    def heard_of(self, now: float, units: float) -> None:
+    def add_reported_use(self, now: float, units: float) -> None:
         """Another gateway tells what it sent on since it last told (below 0: what it gives back)."""
-        if not self.heard:  # from now on the level is of the whole store, and no longer grows past it
-            self.level, self.others = min(self.level, self.plan.burst), 0.0
-        self.heard = now
+        if not self.heard_at:  # from now on the level is of the whole store, and no longer grows past it
+            self.level, self.others_rate = min(self.level, self.plan.burst), 0.0
+        self.heard_at = now
         self.refill(now)
-        known = min(self.guessed, max(0.0, units))
-        self.guessed -= known
+        known = min(self.extrapolated_use, max(0.0, units))
+        self.extrapolated_use -= known
         self.level = max(-self.plan.burst, self.level - (units - known))
-        self.others = max(0.0, self.others + units / RECENT)
+        self.others_rate = max(0.0, self.others_rate + units / RECENT)
 
-    def told(self, now: float, total: float, step: float, units: float, young: bool) -> bool | None:
+    def apply_total(self, now: float, total: float, step: float, units: float, young: bool) -> bool | None:
         """The count answers: what the others used since the last total, and so what the store holds. Of a first total:
         whether it is over what a store that was full at this gateway's start gave; ``young``: most are, being older."""
         # A total that fell has expired, was flushed or restarted empty: what it holds came since.
-        fallen = total < (self.total or 0.0) * 0.5
-        others = max(0.0, total - step) if fallen else total - step - (self.total or 0.0)
-        age = max(0.05, now - self.synced)
-        self.others += min(1.0, age / 3) * (max(0.0, others) / age - self.others)
+        fallen = total < (self.last_total or 0.0) * 0.5
+        others = max(0.0, total - step) if fallen else total - step - (self.last_total or 0.0)
+        age = max(0.05, now - self.synced_at)
+        self.others_rate += min(1.0, age / 3) * (max(0.0, others) / age - self.others_rate)
         self.level -= others
-        older = self.level < -self.plan.burst if self.total is None else None
+        older = self.level < -self.plan.burst if self.last_total is None else None
         self.level = self.plan.burst / 2 if older and young else self.level  # such a count tells nothing yet
-        self.total, self.synced = total, now
+        self.last_total, self.synced_at = total, now
         # What a full store could not hold is counted as used: the count alone then tells the store.
         lost = max(0.0, self.level + units - self.plan.burst)
         self.level -= lost
         # Another may tell a thin gate's.
-        self.pending += lost * (not self.low_traffic or lost > 0.5 * self.plan.burst)
+        self.unreported += lost * (not self.low_traffic or lost > 0.5 * self.plan.burst)
         return older
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -139,7 +139,7 @@
 
     def _busy(self, now: float, r: Request, s: Server) -> None:
         """It is out from now on: its work is at the server, which owes an answer."""
-        r.busy, r.account.open = True, r.account.open + 1
+        r.busy, r.account.open_attempts = True, r.account.open_attempts + 1
         self.fleet.begin(now, s, r.work)
 
     def _body(self, now: float, ev: api.Body) -> None:
@@ -175,7 +175,7 @@
         if s is None or r is None:
             return
         if r.out.pop(ev.attempt, None) is not None:
-            r.account.open -= not r.coming
+            r.account.open_attempts -= not r.coming
             if r.busy:
                 self._learn(now, r, s, ev)
             elif r.coming or ev.status is not Status.OK:
@@ -221,5 +221,5 @@
             self.quotas.release_slot(now, r)
             for s in r.out.values():
                 s.ended(r.work if r.busy else 0.0)
-                r.account.open -= not r.coming
+                r.account.open_attempts -= not r.coming
                 s.quiet = s.quiet if s.open > 1e-9 else None  # nobody waits: it owes nothing any more
--- a/cypresspulley/policy/quota.py
+++ b/cypresspulley/policy/quota.py
@@ -72,7 +72,7 @@
             self.usage_broadcast = None
         elif self.usage_broadcast is None:
             self.usage_broadcast = UsageBroadcast(now, settings.gateways, settings.inbox)
-            self._accounts_by_key = {a.name % KEYS: a for a in self.accounts.values()}
+            self._accounts_by_key = {a.counter_name % KEYS: a for a in self.accounts.values()}
         else:
             self.usage_broadcast.follow(settings.gateways, settings.inbox)
 
@@ -82,7 +82,7 @@
         self.dropped_plans.change(now, settings)
         for (_, account), a in self.accounts.items():
             a.refill(now)
-            a.follow(self._plans.get(a.plan.name, a.plan), f"{a.plan.name} {account}", settings)
+            a.apply_plan(self._plans.get(a.plan.name, a.plan), f"{a.plan.name} {account}", settings)
         for r in self._open_requests.values():
             r.slot = r.slot and r.account.slots is not None
         self.counter_calls.follow(settings.gateways)
@@ -96,11 +96,11 @@
             plan = self._plans.get(ev.plan) or self.dropped_plans.record(now, ev.plan) or api.Plan(ev.plan)
             a = self.accounts[key] = Account(now, ev, plan, self._started_at, self._settings)
             if self.incarnation.first:
-                a.begin_full()
+                a.fill_ceiling()
             if self.usage_broadcast is not None:
-                self._accounts_by_key[a.name % KEYS] = a
+                self._accounts_by_key[a.counter_name % KEYS] = a
                 self.usage_broadcast.met(now, a)
-                a.heard = now
+                a.heard_at = now
         a.refill(now)
         self._call_for_incarnation(now)
         return a
@@ -112,18 +112,20 @@
 
     def _on_incarnation_answer(self, now: float, ev: api.Counted) -> None:
         for account in self.accounts.values() if self.incarnation.told(now, ev) else ():
-            account.begin_full()
+            account.fill_ceiling()
 
     def tick(self, now: float) -> None:
         """Once an interval: idle accounts go, what is owed to the counter is told."""
         self._call_for_incarnation(now)
         for key, a in list(self.accounts.items()):
             # A ceiling is full before it is forgotten: a new account would start with more than was left.
-            grown = a.ceiling * a.share + a.keep * a.plan.ceiling_rate * (now - a.at)
-            full = grown >= a.keep * a.plan.ceiling_burst
-            if now - a.at > ACCOUNT_IDLE_SECONDS and not a.open and full:
+            grown = a.ceiling_level * a.gateways + a.local_ceiling_part * a.plan.ceiling_rate * (
+                now - a.refilled_at
+            )
+            full = grown >= a.local_ceiling_part * a.plan.ceiling_burst
+            if now - a.refilled_at > ACCOUNT_IDLE_SECONDS and not a.open_attempts and full:
                 del self.accounts[key]
-                self._accounts_by_key.pop(a.name % KEYS, None)
+                self._accounts_by_key.pop(a.counter_name % KEYS, None)
                 continue
             if (
                 a.slots is not None
@@ -131,21 +133,21 @@
                 and self.counter_calls.left(now) >= 1
             ):
                 self._report_open(now, a.slots)
-            if abs(a.pending) > 1e-9 and now - a.asked > 1.0 and a.level < 0.7 * a.plan.burst:
+            if abs(a.unreported) > 1e-9 and now - a.last_call_at > 1.0 and a.level < 0.7 * a.plan.burst:
                 self.report_use(now, a)
 
     @staticmethod
     def exceeds_capacity(r: Request) -> bool:
         """Whether no store of the plan could ever hold it here: waiting for one would be in vain."""
         a, plan = r.account, r.account.plan
-        most = max(a.keep * plan.ceiling_burst / a.share, a.window.most if a.window else 0.0)
+        most = max(a.local_ceiling_part * plan.ceiling_burst / a.gateways, a.window.most if a.window else 0.0)
         capped = plan.ceiling_rate > 0 and r.most > most + 1e-9
         return capped or (plan.rate > 0 and r.units > plan.burst + 1e-9)
 
     @staticmethod
     def ceiling_share_holds(r: Request) -> bool:
         """Whether the even share of the ceiling holds it, or a window that was asked."""
-        return r.account.plan.ceiling_rate <= 0 or r.granted is not None or r.account.ceiling >= r.most
+        return r.account.plan.ceiling_rate <= 0 or r.granted is not None or r.account.ceiling_level >= r.most
 
     def window_may_grant(self, now: float, r: Request) -> bool:
         """Whether its window may hold what the even share does not: by the counter, or by what is kept here."""
@@ -181,7 +183,7 @@
     def _check_by_level(now: float, r: Request) -> Verdict:
         """Inside its quota as far as is known here: a ceiling kept by its windows bounds what passes unseen."""
         a = r.account
-        level = min(a.plan.burst, a.level - a.others * (now - a.synced))
+        level = min(a.plan.burst, a.level - a.others_rate * (now - a.synced_at))
         return Verdict(a.plan.rate <= 0 or level >= r.units, 0.0, "window")
 
     def check_quota(self, now: float, r: Request) -> Verdict | None:
@@ -194,9 +196,11 @@
         )
         if a.window is not None or (a.low_traffic and plan.ceiling_rate > 0 and self._settings.has_counter):
             return self._check_by_window(now, r)
-        expected, calls = min(plan.burst, a.level - a.others * (now - a.synced)), self.counter_calls
-        worst = min(0.9 * plan.burst * (1 - 1 / a.share), max(a.others, plan.rate) * (now - a.synced))
-        plenty = expected - worst - 0.1 * plan.burst >= r.units or a.share <= 1
+        expected, calls = min(plan.burst, a.level - a.others_rate * (now - a.synced_at)), self.counter_calls
+        worst = min(
+            0.9 * plan.burst * (1 - 1 / a.gateways), max(a.others_rate, plan.rate) * (now - a.synced_at)
+        )
+        plenty = expected - worst - 0.1 * plan.burst >= r.units or a.gateways <= 1
         # The fleet shares the counter: with few calls left one request in so many asks, and counts for all.
         chance = min(1.0, calls.left(now) / 2) * min(1.0, plan.price / self._mean_price)  # and by the stake
         if plan.rate <= 0 or not self.check_open_limit(now, r):
@@ -204,7 +208,7 @@
         if self.usage_broadcast is not None and now - self.usage_broadcast.heard_at < MAX_MESSAGE_GAP_SECONDS:
             return Verdict(a.level >= r.units, basis="message")
         if not self._settings.has_counter or now < calls.silent_until:
-            inside = expected >= r.units if a.low_traffic else a.floor >= r.units * self._rng.random()
+            inside = expected >= r.units if a.low_traffic else a.share_level >= r.units * self._rng.random()
             return Verdict(inside, basis="even share")
         if a.level < r.units or (plenty and not a.low_traffic):
             return Verdict(a.level >= r.units, basis="level")
@@ -234,7 +238,7 @@
         much passes as may cost a part of what is asked inside quotas here: summed over gateways, the same part."""
         a, allowed = r.account, self._unverified_allowance >= 0
         passes = expected >= r.units and (
-            not a.low_traffic or (allowed and not r.repeat and a.floor >= r.units)
+            not a.low_traffic or (allowed and not r.repeat and a.share_level >= r.units)
         )
         self._unverified_allowance -= (
             passes * a.low_traffic * self._over_quota_share * a.plan.over_cost * r.worth
@@ -245,18 +249,18 @@
         """A try was sent on: it takes its units."""
         a, plan = r.account, r.account.plan
         if plan.ceiling_rate > 0 and r.granted is None:
-            a.ceiling, a.drawn = a.ceiling - r.most, a.drawn + r.most
+            a.ceiling_level, a.ceiling_drawn = a.ceiling_level - r.most, a.ceiling_drawn + r.most
         if not verdict.within_quota:
             return
         counted, r.inside = verdict.counted_units, True
-        a.floor = max(-r.units, a.floor - r.units)
+        a.share_level = max(-r.units, a.share_level - r.units)
         a.level = max(0.0, a.level - (0.0 if counted else r.units))
-        a.pending += r.units * (counted is None)
-        a.mine += r.units
+        a.unreported += r.units * (counted is None)
+        a.own_recent_use += r.units
         if self.usage_broadcast is not None:
-            self.usage_broadcast.owed[a.name] = a
-        due = a.pending >= 0.3 * min(a.level, plan.burst) / a.share
-        if counted is None and self._settings.has_counter and due and a.share > 1:
+            self.usage_broadcast.owed[a.counter_name] = a
+        due = a.unreported >= 0.3 * min(a.level, plan.burst) / a.gateways
+        if counted is None and self._settings.has_counter and due and a.gateways > 1:
             self.report_use(now, a)
 
     def revert_charge(self, now: float, r: Request, verdict: Verdict) -> Verdict:
@@ -267,12 +271,12 @@
 
     def report_use(self, now: float, a: Account, r: Request | None = None, own: float = 0.0) -> None:
         """Tell the counter what is owed and ``own`` more, with the try that waits for its answer."""
-        a.pending, a.level = a.pending + own, a.level - own
+        a.unreported, a.level = a.unreported + own, a.level - own
         room = r is not None or own != 0 or self.counter_calls.left(now) >= 1  # what is owed cannot wait
         if room and self._settings.has_counter and a.plan.rate > 0:
-            step, a.pending, a.asked = a.pending, 0.0, now
+            step, a.unreported, a.last_call_at = a.unreported, 0.0, now
             then = partial(self._on_use_counted, a, step, r, own if r is not None else 0.0)
-            self.counter_calls.ask(now, a.name, COUNT_LIFETIME_SECONDS, step, then)
+            self.counter_calls.ask(now, a.counter_name, COUNT_LIFETIME_SECONDS, step, then)
 
     def check_open_limit(self, now: float, r: Request, verdict: Verdict | None = None) -> bool | None:
         """Whether its customer may have one more out, as far as is known here: the even share, where nobody can be
@@ -282,7 +286,9 @@
             return True
         in_time = r.deadline - now >= 3 * self._settings.counter_timeout
         asks = slots is not None and not r.coming and in_time and self.counter_calls.left(now) >= 1
-        room = (asks or a.open < -(-most // a.share)) and (slots is None or now >= slots.full_until)
+        room = (asks or a.open_attempts < -(-most // a.gateways)) and (
+            slots is None or now >= slots.full_until
+        )
         if verdict is None or not room or slots is None or r.coming:
             return room
         r.slot = True
@@ -314,7 +320,7 @@
         if self._open_requests.get(r.id) is not r:
             self.revert_charge(now, r, verdict)  # its client left meanwhile
             return
-        room = ev.total <= most + 1e-6 if ev.status is Status.OK else a.open < -(-most // a.share)
+        room = ev.total <= most + 1e-6 if ev.status is Status.OK else a.open_attempts < -(-most // a.gateways)
         if most > 0 and not room:  # new settings may have taken the limit away
             self.release_slot(now, r)
             slots.full_until = now + r.work / most
@@ -334,13 +340,15 @@
         """The counter's answer; a try that waited for it is launched."""
         a.refill(now)
         if ev.status is Status.OK:
-            if (older := a.told(now, ev.total, step, units, self._older_count_share >= 0.5)) is not None:
+            if (
+                older := a.apply_total(now, ev.total, step, units, self._older_count_share >= 0.5)
+            ) is not None:
                 self._older_count_share += ESTIMATE_WEIGHT * (older - self._older_count_share)
         elif ev.status in api.NEVER_ADDED:  # else it is taken for added: told twice it would be used twice
-            a.pending += step
+            a.unreported += step
         asked, r = r is not None, r if r is not None and self._open_requests.get(r.id) is r else None
         own = r.units if r is not None else 0.0
-        left = a.level + units - own - (0 if ev.status is Status.OK else a.others * (now - a.synced))
+        left = a.level + units - own - (0 if ev.status is Status.OK else a.others_rate * (now - a.synced_at))
         # Where the guess in the step was wrong the count gets the units back, or gets them at all.
         lost = r is not None and a.low_traffic and ev.status is not Status.OK
         verdict = self._check_unverified(r, left + own) if r is not None and lost else Verdict(left >= -1e-6)
@@ -352,7 +360,7 @@
             self.report_use(now, a, own=right)
         if r is not None:
             self._launch(now, r, replace(verdict, counted_units=(units or right) if used else 0.0))
-        if a.pending > 0.25 * a.plan.burst and ev.status is Status.OK:
+        if a.unreported > 0.25 * a.plan.burst and ev.status is Status.OK:
             self.report_use(now, a)
         a.level = max(a.level, 0.0)
 
@@ -372,7 +380,7 @@
                 self.usage_broadcast.doubt(now, account)
         for key, units in rows:
             if (a := self._accounts_by_key.get(key)) is not None:
-                a.heard_of(now, units)
+                a.add_reported_use(now, units)
             else:
                 self.usage_broadcast.keep(now, key, units)
 
@@ -383,8 +391,8 @@
         true = ev.units if ev.status is Status.OK and ev.units is not None else -1.0
         known = 0 <= true <= max(self._settings.max_units, r.most)
         if known and r.bound and a.plan.ceiling_rate > 0 and r.granted is None:
-            a.ceiling_back(r.most - true)
+            a.return_ceiling_units(r.most - true)
         if known and r.inside:
-            a.settled(true - r.units)
+            a.settle(true - r.units)
             if self.usage_broadcast is not None:
-                self.usage_broadcast.owed[a.name] = a
+                self.usage_broadcast.owed[a.counter_name] = a
--- a/cypresspulley/policy/usage.py
+++ b/cypresspulley/policy/usage.py
@@ -31,13 +31,13 @@
     def write(self, now: float) -> str:
         """The largest parts of their quotas first; what finds no room is told the next time."""
         self.at = now
-        used = [a for a in self.owed.values() if abs(a.pending) >= STEP and a.share > 1]
-        used.sort(key=lambda a: (-abs(a.pending) / max(a.plan.burst, STEP), a.name))
-        rows = [(a, steps(a.pending)) for a in used[:ROWS]]
+        used = [a for a in self.owed.values() if abs(a.unreported) >= STEP and a.gateways > 1]
+        used.sort(key=lambda a: (-abs(a.unreported) / max(a.plan.burst, STEP), a.counter_name))
+        rows = [(a, steps(a.unreported)) for a in used[:ROWS]]
         for a, told in rows:
-            a.pending -= told * STEP
-        self.owed = {a.name: a for a in used if abs(a.pending) >= STEP}
-        return compose(now - self.born, ((a.name, told) for a, told in rows))
+            a.unreported -= told * STEP
+        self.owed = {a.counter_name: a for a in used if abs(a.unreported) >= STEP}
+        return compose(now - self.born, ((a.counter_name, told) for a, told in rows))
 
     def read(self, now: float, text: str) -> list[tuple[int, float]]:
         """Keys and units of a message; empty where it is none."""
@@ -56,11 +56,11 @@
 
     def met(self, now: float, a: Account) -> None:
         """A customer comes here for the first time: what others told of it counts."""
-        used, since = self.strange.pop(a.name % KEYS, (0.0, now))
+        used, since = self.strange.pop(a.counter_name % KEYS, (0.0, now))
         a.level = min(a.level, a.plan.burst) - max(0.0, used - a.plan.rate * (now - since))
         if self.late:
             self.doubt(now, a)
 
     def doubt(self, now: float, a: Account) -> None:
         """What was used before this gateway came back is not known: its store is taken to begin at the even share."""
-        a.level = min(a.level, a.plan.burst / a.share + a.plan.rate * (now - self.born))
+        a.level = min(a.level, a.plan.burst / a.gateways + a.plan.rate * (now - self.born))
--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -32,12 +32,14 @@
     "told_at": "told_at", "since": "since", "row": "row", "broke": "broke", "cold_at": "cold_at",
 }  # fmt: skip
 ACCOUNT: Mapping[str, str] = {
-    "at": "at", "asked": "asked", "synced": "synced", "level": "level", "floor": "floor", "ceiling": "ceiling",
-    "drawn": "drawn", "total": "total", "others": "others", "pending": "pending", "guessed": "guessed",
-    "mine": "mine", "heard": "heard", "debt": "debt",
+    "at": "refilled_at", "asked": "last_call_at", "synced": "synced_at",
+    "level": "level", "floor": "share_level", "ceiling": "ceiling_level",
+    "drawn": "ceiling_drawn", "total": "last_total", "others": "others_rate",
+    "pending": "unreported", "guessed": "extrapolated_use",
+    "mine": "own_recent_use", "heard": "heard_at", "debt": "debt",
 }  # fmt: skip
 # Attributes of an account, used only with getattr and setattr: the stores that are split between the processes.
-STORES = ("level", "floor", "ceiling")
+STORES = ("level", "share_level", "ceiling_level")
 WINDOW: Mapping[str, str] = {
     "_seen": "_seen", "_ends_after": "_ends_after", "_ends_by": "_ends_by", "_ask_at": "_ask_at",
     "_retry_by": "_retry_by",
@@ -100,7 +102,7 @@
         "first": incarnation.first,
         "tells": None if usage is None else [usage.born, usage.late, list(usage.strange.items())],
         "accounts": [
-            [*key, a.share, a.open, _read_attributes(a, ACCOUNT), _window(a)]
+            [*key, a.gateways, a.open_attempts, _read_attributes(a, ACCOUNT), _window(a)]
             for key, a in accounts
         ],
     }  # fmt: skip
@@ -174,7 +176,7 @@
         self._given = list[tuple[Account, dict[str, float]]]()
         for a in quotas.accounts.values():
             given = {store: (1 - KEPT) * max(0.0, getattr(a, store)) for store in STORES}
-            given["pending"] = a.pending
+            given["unreported"] = a.unreported
             self._given.append((a, given))
             for store, amount in given.items():
                 setattr(a, store, getattr(a, store) - amount)
@@ -240,13 +242,13 @@
         accounts = self._gateway.quotas.accounts
         for key in {*held, *self._held}:
             if (a := accounts.get(key)) is not None:
-                a.open += held.get(key, 0) - self._held.get(key, 0)
+                a.open_attempts += held.get(key, 0) - self._held.get(key, 0)
         self._held = {key: n for key, n in held.items() if key in accounts}
 
 
 def held(gateway: Gateway) -> list[tuple[str, str, int]]:
     """Attempts that are out here, by plan and account."""
-    return [(*key, a.open) for key, a in gateway.quotas.accounts.items() if a.open > 0]
+    return [(*key, a.open_attempts) for key, a in gateway.quotas.accounts.items() if a.open_attempts > 0]
 
 
 def pack(state: dict[str, Any]) -> tuple[str, str]:
--- a/tests/explore/mutants.py
+++ b/tests/explore/mutants.py
@@ -86,7 +86,8 @@
     ),
     Mutant(
         "a ceiling drawn twice", Account, "refill",
-        "min(self.keep * plan.ceiling_burst, whole) / self.share", "min(self.keep * plan.ceiling_burst, whole)",
+        "min(self.local_ceiling_part * plan.ceiling_burst, whole) / self.gateways",
+        "min(self.local_ceiling_part * plan.ceiling_burst, whole)",
         "small", ("ceilings kept",),
     ),
     Mutant(
--- a/tests/graphql/test_charging.py
+++ b/tests/graphql/test_charging.py
@@ -117,7 +117,7 @@
 def _negative_believed(settle: Any) -> Any:
     def mutant(self: Quotas, now: float, r: Any, ev: api.Outcome) -> None:
         if ev.units is not None and ev.units < 0:
-            r.account.ceiling += r.most - ev.units
+            r.account.ceiling_level += r.most - ev.units
         else:
             settle(self, now, r, ev)
 
@@ -127,7 +127,7 @@
 def _given_back_on_a_lost_answer(settle: Any) -> Any:
     def mutant(self: Quotas, now: float, r: Any, ev: api.Outcome) -> None:
         if ev.status is not api.Status.OK:
-            r.account.ceiling += r.most
+            r.account.ceiling_level += r.most
         settle(self, now, r, ev)
 
     return mutant
@@ -158,16 +158,16 @@
     world.feed(asked(1, 0.3, 15.0))
     answered(world, 1, 15.0)
     a = account(world)
-    assert a.level <= PLAN.burst - 14 and a.pending == pytest.approx(15.0)
+    assert a.level <= PLAN.burst - 14 and a.unreported == pytest.approx(15.0)
 
 
 def test_what_turned_out_cheaper_comes_back_to_quota_and_ceiling() -> None:
     world = capped()
     world.feed(asked(1, 8.0, 16.0))
     a = account(world)
-    before = a.ceiling, a.level
+    before = a.ceiling_level, a.level
     answered(world, 1, 2.0)
-    assert a.ceiling == pytest.approx(before[0] + 14.0) and a.level == pytest.approx(before[1] + 6.0)
+    assert a.ceiling_level == pytest.approx(before[0] + 14.0) and a.level == pytest.approx(before[1] + 6.0)
 
 
 @pytest.mark.parametrize("units", [None, -1.0, 1e9, float("nan")])
@@ -178,9 +178,9 @@
     world = capped(max_attempts=1)
     world.feed(asked(1, 8.0, 16.0))
     a = account(world)
-    before = a.ceiling, a.level
+    before = a.ceiling_level, a.level
     answered(world, 1, units, status)
-    assert (a.ceiling, a.level) == before
+    assert (a.ceiling_level, a.level) == before
 
 
 def test_debt_of_a_settlement_is_paid_by_the_next_refill_not_forgiven() -> None:
--- a/tests/plans/test_limiter.py
+++ b/tests/plans/test_limiter.py
@@ -53,7 +53,7 @@
         return sum(self.world.answered.get(id) == "served" for id in range(first, first + count))
 
     def ceiling(self, plan: str) -> float:
-        return self.gateway.quotas.accounts[plan, "hotel"].ceiling
+        return self.gateway.quotas.accounts[plan, "hotel"].ceiling_level
 
 
 def version(plan: str, seq: int, terms: Terms, at: int = 0) -> Version:
--- a/tests/takeover/test_handover.py
+++ b/tests/takeover/test_handover.py
@@ -217,8 +217,8 @@
             await taken.wait()
             new = await Process(tmp_path, dial).start()
             await until(lambda: old.service.life.handed)
-            ghost = [a.open for a in new.gateway.quotas.accounts.values()]
-            await until(lambda: sum(a.open for a in new.gateway.quotas.accounts.values()) == 1)
+            ghost = [a.open_attempts for a in new.gateway.quotas.accounts.values()]
+            await until(lambda: sum(a.open_attempts for a in new.gateway.quotas.accounts.values()) == 1)
             assert sum(ghost) <= 1
             leaving = asyncio.create_task(old.end())
             await asyncio.sleep(0)
@@ -226,7 +226,7 @@
             assert " 200 " in (await read_message(reader))[0]
             await until(lambda: len(new.frontend._clients) == 1)
             await leaving
-            await until(lambda: sum(a.open for a in new.gateway.quotas.accounts.values()) == 0)
+            await until(lambda: sum(a.open_attempts for a in new.gateway.quotas.accounts.values()) == 0)
             writer.write(ask())
             assert " 200 " in (await read_message(reader))[0]
             writer.close()
--- a/tests/takeover/test_snapshot.py
+++ b/tests/takeover/test_snapshot.py
@@ -105,12 +105,12 @@
 def test_a_successor_that_served_and_died_has_used_what_it_was_given() -> None:
     world = lived()
     split = Split(world.gateway)
-    levels = {key: a.ceiling for key, a in world.gateway.quotas.accounts.items()}
+    levels = {key: a.ceiling_level for key, a in world.gateway.quotas.accounts.items()}
     split.undo(whole=False, now=world.now)
     for key, a in world.gateway.quotas.accounts.items():
-        assert a.ceiling == pytest.approx(levels[key]) and a.plan is PLAN
+        assert a.ceiling_level == pytest.approx(levels[key]) and a.plan is PLAN
     fresh = world.gateway.quotas.get_or_create_account(world.now, asked_of(999, "read", "capped", "new"))
-    assert fresh.ceiling == 0.0, "it may have drawn on the other side"
+    assert fresh.ceiling_level == 0.0, "it may have drawn on the other side"
 
 
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=25)
@@ -160,7 +160,7 @@
     ghosts, account = Ghosts(after), after.quotas.accounts["capped", "a0"]
     for rows_told, wanted in ((rows, 1), (rows, 1), ([], 0), (rows, 1), ([], 0)):
         ghosts.told({(plan, name): n for plan, name, n in rows_told})
-        assert account.open == wanted
+        assert account.open_attempts == wanted
 
 
 def test_a_dropped_plan_is_left_out_and_the_rest_goes_over() -> None:
--- a/tests/test_classes.py
+++ b/tests/test_classes.py
@@ -82,9 +82,9 @@
     for id in range(3):
         world.feed(w.request(id, plan="capped"))
     account = world.gateway.quotas.accounts["capped", "x"]
-    before = account.level, account.open, left_of(world.gateway)["work"]
+    before = account.level, account.open_attempts, left_of(world.gateway)["work"]
     world.feed(api.Retune(replace(OTHER, plans=(replace(plan, rate=5.0),))))
-    assert (account.level, account.open, left_of(world.gateway)["work"]) == before
+    assert (account.level, account.open_attempts, left_of(world.gateway)["work"]) == before
     assert account.plan.rate == 5.0
 
 
@@ -98,7 +98,7 @@
     split.replan()
     account = world.gateway.quotas.accounts["capped", "x"]
     account.refill(world.now + 100.0)
-    assert account.ceiling <= KEPT * 12.0
+    assert account.ceiling_level <= KEPT * 12.0
     split.undo(whole=True, now=world.now + 100.0)
     assert account.plan == changed and world.gateway.quotas._plans == {"capped": changed}
 
--- a/tests/test_endings_policy.py
+++ b/tests/test_endings_policy.py
@@ -91,12 +91,12 @@
         world.feed(api.Departed(1))
         del world.out[1, 0]
     account = quotas.accounts["small", "x"]
-    back = [c.amount for c in world.counts if c.name == account.name]
+    back = [c.amount for c in world.counts if c.name == account.counter_name]
     assert back == ([-3.0] if leaves == "before the answer" else [])
     assert account.slots is not None and account.slots.held == 0
     held = sum(c.amount for c in world.counts if c.name == place.name) + account.slots.owed
     assert held == (0.0 if status is api.Status.UNREACHABLE else -1.0), "the place is free again"
-    assert account.open == 0 and not world.gateway._requests
+    assert account.open_attempts == 0 and not world.gateway._requests
 
 
 def asked_for_three(world: w.World, id: int) -> None:
@@ -364,8 +364,8 @@
     gateway = days.gateway
     assert not gateway._requests
     for account in gateway.quotas.accounts.values():
-        assert account.open == 0, account.name
-        assert account.slots is None or account.slots.held == 0, account.name
+        assert account.open_attempts == 0, account.counter_name
+        assert account.slots is None or account.slots.held == 0, account.counter_name
     for server in gateway.fleet.servers.values():
         assert server.open == 0.0 and server.quiet is None, server.entry.name
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -170,15 +170,15 @@
         for n in range(len(amounts))
     ]
     for account, amount in zip(accounts, amounts, strict=True):
-        account.pending = amount
+        account.unreported = amount
     usage, heard = UsageBroadcast(0.0, 3, 40.0), dict[int, float]()
     for now in (1.0, 2.0):
-        usage.owed = {a.name: a for a in accounts}
+        usage.owed = {a.counter_name: a for a in accounts}
         for key, units in usage.read(now, usage.write(now)):
             heard[key] = heard.get(key, 0.0) + units
     for account, amount in zip(accounts, amounts, strict=True):
-        assert heard.get(account.name % 64**6, 0.0) + account.pending == pytest.approx(amount)
-        assert abs(account.pending) <= STEP
+        assert heard.get(account.counter_name % 64**6, 0.0) + account.unreported == pytest.approx(amount)
+        assert abs(account.unreported) <= STEP
 
 
 def test_messages_are_no_more_than_an_inbox_takes() -> None:
--- a/tests/test_reload_plans.py
+++ b/tests/test_reload_plans.py
@@ -45,7 +45,7 @@
 def shape(account: Account) -> tuple[object, ...]:
     window = account.window
     kept = None if window is None else (window.length, window.most)
-    return account.plan, account.low_traffic, account.floor_cap, account.keep, kept
+    return account.plan, account.low_traffic, account.share_burst, account.local_ceiling_part, kept
 
 
 @pytest.mark.parametrize("new", PLANS)
@@ -58,7 +58,9 @@
         ask(each, 21.0, 2)
     key = "p", "acc"
     assert shape(gateway.quotas.accounts[key]) == shape(fresh.quotas.accounts[key])
-    assert gateway.quotas.accounts[key].ceiling <= new.ceiling_burst / 3, "never more than a start gives"
+    assert gateway.quotas.accounts[key].ceiling_level <= new.ceiling_burst / 3, (
+        "never more than a start gives"
+    )
 
 
 def test_the_count_of_what_is_out_answers_behind_a_plan_that_no_longer_limits_it() -> None:
--- a/tests/test_symptoms.py
+++ b/tests/test_symptoms.py
@@ -442,7 +442,7 @@
         asked.update(call.name for call in world.counts)
         world.answer_counts()
         world.serve()
-    names = {a.plan.name: a.name for a in world.gateway.quotas.accounts.values()}
+    names = {a.plan.name: a.counter_name for a in world.gateway.quotas.accounts.values()}
     return asked[names["plain"]]
 
 
