--- a/cypresspulley/lanes/stores.py
+++ b/cypresspulley/lanes/stores.py
@@ -16,7 +16,7 @@
 from cachetools import LRUCache
 
 from cypresspulley import interface as api
-from cypresspulley.policy.account import RECENT, Account
+from cypresspulley.policy.account import OTHERS_DECAY_SECONDS, Account
 from cypresspulley.policy.quota import Quotas
 
 MOST_STORES = 20_000  # accounts that are kept, the longest unseen forgotten
@@ -27,7 +27,7 @@
     """Units that an account's store seems to hold at ``now``: what ``Account.refill`` would make of it."""
     plan, dt = a.plan, max(0.0, now - a.refilled_at)
     if a.heard_at:
-        used = a.others_rate * RECENT * (1 - math.exp(-dt / RECENT))
+        used = a.others_rate * OTHERS_DECAY_SECONDS * (1 - math.exp(-dt / OTHERS_DECAY_SECONDS))
         return min(plan.burst, a.level + plan.rate * dt - used)
     paid = min(a.debt, plan.rate * dt)
     unread = plan.rate * (now - a.synced_at) * (a.gateways > 1)
--- a/cypresspulley/policy/account.py
+++ b/cypresspulley/policy/account.py
@@ -10,13 +10,17 @@
 from cypresspulley.policy.slots import Slots
 from cypresspulley.policy.windows import CeilingWindow, kept_alone
 
-RECENT = 1.0  # seconds over which the others' use, told by messages, is taken for what they go on using
-SILENT = 0.25  # seconds between two calls to a counter that is silent
-CALLS = 300.0  # calls a second to the counter, thought possible at first by all, and at most by one
-Answered = Callable[[float, api.Counted], None]
+OTHERS_DECAY_SECONDS = (
+    1.0  # seconds over which the others' use, told by messages, is taken for what they go on using
+)
+SILENT_RETRY_SECONDS = 0.25  # seconds between two calls to a counter that is silent
+MAX_CALLS_PER_SECOND = (
+    300.0  # calls a second to the counter, thought possible at first by all, and at most by one
+)
+CountCallback = Callable[[float, api.Counted], None]
 
 
-class Calls:
+class CounterCalls:
     """How many calls the counter bears, and whether it answers at all."""
 
     def __init__(
@@ -24,58 +28,61 @@
     ) -> None:
         self._emit = emit
         # What each answer is for and when it was asked, by name: answers come in the order of the calls for a name.
-        self._out = dict[int, deque[tuple[Answered, float]]]()
-        self.rate = CALLS / gateways
-        self.least = 2 * CALLS / gateways / 100
-        self._growth = 1.5  # by an answer: no settings tell what it bears; slow start up to a first miss
-        self.room = 0.2 * self.rate + draw  # in random debt: fresh fleets call in turn
-        self.at = now
-        self.broke = now
+        self._in_flight = dict[int, deque[tuple[CountCallback, float]]]()
+        self.rate = MAX_CALLS_PER_SECOND / gateways
+        self.min_rate = 2 * MAX_CALLS_PER_SECOND / gateways / 100
+        self._rate_growth = 1.5  # by an answer: no settings tell what it bears; slow start up to a first miss
+        self.tokens = 0.2 * self.rate + draw  # in random debt: fresh fleets call in turn
+        self.refilled_at = now
+        self.broken_at = now
         self.silent_until = 0.0
         self.misses = 0
 
-    def follow(self, gateways: int) -> None:
+    def set_gateways(self, gateways: int) -> None:
         """Another number of gateways shares the counter: what was learnt of it goes on, in proportion."""
-        least = 2 * CALLS / gateways / 100
-        self.rate, self.least = max(least, min(CALLS, self.rate * least / self.least)), least
+        least = 2 * MAX_CALLS_PER_SECOND / gateways / 100
+        self.rate, self.min_rate = (
+            max(least, min(MAX_CALLS_PER_SECOND, self.rate * least / self.min_rate)),
+            least,
+        )
 
-    def left(self, now: float) -> float:
+    def available(self, now: float) -> float:
         """Calls that may be made now."""
-        self.room = min(2 + 0.2 * self.rate, self.room + self.rate * (now - self.at))
-        self.at = now
-        return self.room if now >= self.silent_until else 0.0
+        self.tokens = min(2 + 0.2 * self.rate, self.tokens + self.rate * (now - self.refilled_at))
+        self.refilled_at = now
+        return self.tokens if now >= self.silent_until else 0.0
 
-    def ask(self, now: float, name: int, lifetime: float, amount: float, then: Answered) -> None:
+    def call(self, now: float, name: int, lifetime: float, amount: float, then: CountCallback) -> None:
         """Make a call. After a row of misses they go one at a time, until one is answered."""
-        self.room -= 1
+        self.tokens -= 1
         if self.misses > 1:
-            self.silent_until = now + SILENT
-        self._out.setdefault(name, deque()).append((then, now))
+            self.silent_until = now + SILENT_RETRY_SECONDS
+        self._in_flight.setdefault(name, deque()).append((then, now))
         self._emit(api.Count(name, lifetime, amount))
 
-    def answered(self, now: float, ev: api.Counted) -> None:
+    def on_answer(self, now: float, ev: api.Counted) -> None:
         """The counter's answer, to what asked for it."""
-        if (line := self._out.get(ev.name)) is not None:
+        if (line := self._in_flight.get(ev.name)) is not None:
             then, made = line.popleft()
             if not line:
-                del self._out[ev.name]
-            self.ended(now, ev.status, made)
+                del self._in_flight[ev.name]
+            self.record_result(now, ev.status, made)
             then(now, ev)
 
-    def ended(self, now: float, status: Status, made: float) -> None:
+    def record_result(self, now: float, status: Status, made: float) -> None:
         """One miss is a queue or a break; two with no answer between are silence, which says nothing of how many calls
         the counter bears. Calls that were out together end together when their connection breaks: one miss."""
         if status is Status.OK:
             self.misses, self.silent_until = 0, 0.0
-            self.rate = min(CALLS, self.rate * self._growth)
+            self.rate = min(MAX_CALLS_PER_SECOND, self.rate * self._rate_growth)
         elif status is Status.BROKEN:
-            self.misses, self.broke = self.misses + (made >= self.broke), now
+            self.misses, self.broken_at = self.misses + (made >= self.broken_at), now
         elif status is not Status.SPOILT:
             if status is Status.FULL or self.misses < 2:
-                self.rate, self._growth = max(self.least, self.rate * 0.9), 1.01
+                self.rate, self._rate_growth = max(self.min_rate, self.rate * 0.9), 1.01
             self.misses += status is not Status.FULL
         if status not in (Status.OK, Status.FULL, Status.SPOILT) and self.misses > 1:
-            self.silent_until = now + SILENT
+            self.silent_until = now + SILENT_RETRY_SECONDS
 
 
 class Account:
@@ -177,8 +184,8 @@
 
     def _extrapolate_others(self, dt: float) -> None:
         """Between two messages the others go on as they did, ever less surely."""
-        fade = math.exp(-dt / RECENT)
-        use = self.others_rate * RECENT * (1 - fade)
+        fade = math.exp(-dt / OTHERS_DECAY_SECONDS)
+        use = self.others_rate * OTHERS_DECAY_SECONDS * (1 - fade)
         self.others_rate, self.own_recent_use = self.others_rate * fade, self.own_recent_use * fade
         self.extrapolated_use += use
         self.level = min(self.plan.burst, self.level + self.plan.rate * dt - use)
@@ -201,7 +208,7 @@
         known = min(self.extrapolated_use, max(0.0, units))
         self.extrapolated_use -= known
         self.level = max(-self.plan.burst, self.level - (units - known))
-        self.others_rate = max(0.0, self.others_rate + units / RECENT)
+        self.others_rate = max(0.0, self.others_rate + units / OTHERS_DECAY_SECONDS)
 
     def apply_total(self, now: float, total: float, step: float, units: float, young: bool) -> bool | None:
         """The count answers: what the others used since the last total, and so what the store holds. Of a first total:
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -37,7 +37,7 @@
             api.Request: self._arrive, api.Body: self._body, api.Began: self._began, api.Outcome: self._outcome,
             api.ServerList: self.fleet.listed, api.Suspend: self._suspend, api.Retune: self._retune,
             api.Probed: self.fleet.probed, api.Heard: self.quotas.receive_usage,
-            api.Counted: self.quotas.counter_calls.answered,
+            api.Counted: self.quotas.counter_calls.on_answer,
             api.WallClock: lambda _now, ev: self.quotas.wall_time.step(ev.shift),
             api.TimerFired: lambda _now, _ev: None,
             api.Departed: lambda now, ev: self._forget(now, ev.id),
--- a/cypresspulley/policy/quota.py
+++ b/cypresspulley/policy/quota.py
@@ -8,7 +8,7 @@
 from cypresspulley import interface as api
 from cypresspulley.interface import Action, Status
 from cypresspulley.messages import KEYS
-from cypresspulley.policy.account import Account, Answered, Calls
+from cypresspulley.policy.account import Account, CountCallback, CounterCalls
 from cypresspulley.policy.classes import Plans
 from cypresspulley.policy.incarnation import Incarnation
 from cypresspulley.policy.request import Request
@@ -54,7 +54,7 @@
         self.usage_broadcast: UsageBroadcast | None = None
         self._accounts_by_key = dict[int, Account]()  # by the part of a name that messages carry
         self._configure_usage_broadcast(now, settings)
-        self.counter_calls = Calls(now, settings.gateways, rng.random(), emit)
+        self.counter_calls = CounterCalls(now, settings.gateways, rng.random(), emit)
         self.incarnation = Incarnation(settings, rng, now)
         self.wall_time = WallTime()
         self._unverified_allowance = 0.0  # left of what the rest may cost
@@ -85,7 +85,7 @@
             a.apply_plan(self._plans.get(a.plan.name, a.plan), f"{a.plan.name} {account}", settings)
         for r in self._open_requests.values():
             r.slot = r.slot and r.account.slots is not None
-        self.counter_calls.follow(settings.gateways)
+        self.counter_calls.set_gateways(settings.gateways)
         self.incarnation.follow(settings)
         self._configure_usage_broadcast(now, settings)
 
@@ -108,7 +108,7 @@
     def _call_for_incarnation(self, now: float) -> None:
         """The counter is asked whether this gateway was there before, and told that it is, when that is due."""
         if (call := self.incarnation.call(now)) is not None:
-            self.counter_calls.ask(now, call.name, call.lifetime, call.amount, self._on_incarnation_answer)
+            self.counter_calls.call(now, call.name, call.lifetime, call.amount, self._on_incarnation_answer)
 
     def _on_incarnation_answer(self, now: float, ev: api.Counted) -> None:
         for account in self.accounts.values() if self.incarnation.told(now, ev) else ():
@@ -130,7 +130,7 @@
             if (
                 a.slots is not None
                 and a.slots.late(self.wall_time.at(now))
-                and self.counter_calls.left(now) >= 1
+                and self.counter_calls.available(now) >= 1
             ):
                 self._report_open(now, a.slots)
             if abs(a.unreported) > 1e-9 and now - a.last_call_at > 1.0 and a.level < 0.7 * a.plan.burst:
@@ -154,7 +154,7 @@
         window, in_time = r.account.window, r.deadline - now >= 3 * self._settings.counter_timeout
         if window is None:
             return False
-        asks = in_time and window.has_room(now, r.most) and self.counter_calls.left(now) >= 1
+        asks = in_time and window.has_room(now, r.most) and self.counter_calls.available(now) >= 1
         return asks or window.has_credit(now, r.most)
 
     @staticmethod
@@ -166,7 +166,7 @@
 
     def _request_window_grant(self, now: float, r: Request, window: CeilingWindow) -> None:
         answered = partial(self._on_window_answer, r, now)
-        self.counter_calls.ask(now, window.name, window.length, r.most, answered)
+        self.counter_calls.call(now, window.name, window.length, r.most, answered)
 
     def _on_window_answer(self, r: Request, asked: float, now: float, ev: api.Counted) -> None:
         r.account.refill(now)
@@ -202,7 +202,9 @@
         )
         plenty = expected - worst - 0.1 * plan.burst >= r.units or a.gateways <= 1
         # The fleet shares the counter: with few calls left one request in so many asks, and counts for all.
-        chance = min(1.0, calls.left(now) / 2) * min(1.0, plan.price / self._mean_price)  # and by the stake
+        chance = min(1.0, calls.available(now) / 2) * min(
+            1.0, plan.price / self._mean_price
+        )  # and by the stake
         if plan.rate <= 0 or not self.check_open_limit(now, r):
             return Verdict(bool(self.check_open_limit(now, r)), basis="level")
         if self.usage_broadcast is not None and now - self.usage_broadcast.heard_at < MAX_MESSAGE_GAP_SECONDS:
@@ -272,11 +274,11 @@
     def report_use(self, now: float, a: Account, r: Request | None = None, own: float = 0.0) -> None:
         """Tell the counter what is owed and ``own`` more, with the try that waits for its answer."""
         a.unreported, a.level = a.unreported + own, a.level - own
-        room = r is not None or own != 0 or self.counter_calls.left(now) >= 1  # what is owed cannot wait
+        room = r is not None or own != 0 or self.counter_calls.available(now) >= 1  # what is owed cannot wait
         if room and self._settings.has_counter and a.plan.rate > 0:
             step, a.unreported, a.last_call_at = a.unreported, 0.0, now
             then = partial(self._on_use_counted, a, step, r, own if r is not None else 0.0)
-            self.counter_calls.ask(now, a.counter_name, COUNT_LIFETIME_SECONDS, step, then)
+            self.counter_calls.call(now, a.counter_name, COUNT_LIFETIME_SECONDS, step, then)
 
     def check_open_limit(self, now: float, r: Request, verdict: Verdict | None = None) -> bool | None:
         """Whether its customer may have one more out, as far as is known here: the even share, where nobody can be
@@ -285,7 +287,7 @@
         if most <= 0 or r.slot:
             return True
         in_time = r.deadline - now >= 3 * self._settings.counter_timeout
-        asks = slots is not None and not r.coming and in_time and self.counter_calls.left(now) >= 1
+        asks = slots is not None and not r.coming and in_time and self.counter_calls.available(now) >= 1
         room = (asks or a.open_attempts < -(-most // a.gateways)) and (
             slots is None or now >= slots.full_until
         )
@@ -303,7 +305,7 @@
             r.slot = True
             r.account.slots.change(self.wall_time.at(now), 1)
 
-    def _report_open(self, now: float, slots: Slots, then: Answered = lambda _now, _ev: None) -> None:
+    def _report_open(self, now: float, slots: Slots, then: CountCallback = lambda _now, _ev: None) -> None:
         name, amount, spell = slots.call()
 
         def told(now: float, ev: api.Counted) -> None:
@@ -311,7 +313,7 @@
                 slots.missed(spell, amount)
             then(now, ev)
 
-        self.counter_calls.ask(now, name, 2 * LASTS, amount, told)
+        self.counter_calls.call(now, name, 2 * LASTS, amount, told)
 
     def _on_open_reported(
         self, r: Request, slots: Slots, verdict: Verdict, now: float, ev: api.Counted
--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -46,7 +46,7 @@
 }  # fmt: skip
 CALLS: Mapping[str, str] = {
     "rate": "rate",
-    "room": "room",
+    "room": "tokens",
     "silent_until": "silent_until",
     "misses": "misses",
 }
--- a/tests/test_quota_bound.py
+++ b/tests/test_quota_bound.py
@@ -66,7 +66,7 @@
 def first_try(gateway: Gateway, now: float, id: int, repeat: bool = False) -> api.Count:
     """A first try of an account of many limiters, which asks the counter."""
     request = api.Request(id, "look", "small", 6.0, f"a{id}", 1.0, 100, repeat)
-    gateway.quotas.counter_calls.room = 10.0
+    gateway.quotas.counter_calls.tokens = 10.0
     (call,) = [action for action in gateway.handle(now, request) if isinstance(action, api.Count)]
     return call
 
--- a/tests/test_quota_calm.py
+++ b/tests/test_quota_calm.py
@@ -9,7 +9,7 @@
 from benchmarks.quota_calm import Day
 from cypresspulley import interface as api
 from cypresspulley.interface import Status
-from cypresspulley.policy.account import Calls
+from cypresspulley.policy.account import CounterCalls
 from cypresspulley.policy.gateway import Gateway
 
 MOST = 0.1  # that the price over_quota may be above that of one who sees the true stores late
@@ -53,7 +53,7 @@
     gateway, sent = Gateway(settings, 1, 0.0), 0
     gateway.handle(0.0, api.ServerList((api.ServerEntry("s1", api.Health.UP, "a"),), True))
     for id in range(1, tries + 1):
-        gateway.quotas.counter_calls.room = -1e9
+        gateway.quotas.counter_calls.tokens = -1e9
         actions = gateway.handle(0.001 * id, api.Request(id, "look", "small", 6.0, f"{id}", 1.0, 200, repeat))
         assert not any(isinstance(action, api.Count) for action in actions)
         if any(isinstance(action, api.Send) for action in actions):
@@ -73,14 +73,14 @@
     )
 
 
-def answered(calls: Calls, status: Status, times: int) -> None:
+def answered(calls: CounterCalls, status: Status, times: int) -> None:
     for _ in range(times):
-        calls.ask(0.0, 1, 1.0, 1.0, lambda _now, _ev: None)
-        calls.answered(0.0, api.Counted(1, status))
+        calls.call(0.0, 1, 1.0, 1.0, lambda _now, _ev: None)
+        calls.on_answer(0.0, api.Counted(1, status))
 
 
 def test_what_the_counter_bears_is_found_quickly_until_it_first_misses_and_approached_slowly_after() -> None:
-    calls = Calls(0.0, 200, 0.5)
+    calls = CounterCalls(0.0, 200, 0.5)
     first = calls.rate
     answered(calls, Status.OK, 15)
     assert calls.rate > 2 * first
--- a/tests/test_reload_shared.py
+++ b/tests/test_reload_shared.py
@@ -35,7 +35,9 @@
     rate = quotas.counter_calls.rate
     world.feed(api.Retune(settings(gateways=200, has_counter=True)))
     assert quotas.counter_calls.rate == pytest.approx(rate * 3 / 200)
-    assert quotas.counter_calls.least == w.World(settings(gateways=200)).gateway.quotas.counter_calls.least
+    assert (
+        quotas.counter_calls.min_rate == w.World(settings(gateways=200)).gateway.quotas.counter_calls.min_rate
+    )
     assert account.slots is not None, "what is out is counted"
     world.feed(api.Retune(settings(gateways=200)))
     assert account.slots is None
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -17,7 +17,7 @@
 import pytest
 
 from cypresspulley import interface as api
-from cypresspulley.policy.account import Answered, Calls
+from cypresspulley.policy.account import CountCallback, CounterCalls
 from cypresspulley.policy.incarnation import Incarnation
 from tests.stepped_clock import Case, Play, Trouble, drawn
 
@@ -83,14 +83,14 @@
 
 
 def test_windows_whose_counts_are_forgotten_early_are_convicted(monkeypatch: pytest.MonkeyPatch) -> None:
-    ask = Calls.ask
+    ask = CounterCalls.call
 
     def short_lived(
-        calls: Calls, now: float, name: int, lifetime: float, amount: float, then: Answered
+        calls: CounterCalls, now: float, name: int, lifetime: float, amount: float, then: CountCallback
     ) -> None:
         ask(calls, now, name, lifetime / 2 if lifetime == WINDOW else lifetime, amount, then)
 
-    monkeypatch.setattr(Calls, "ask", short_lived)
+    monkeypatch.setattr(CounterCalls, "call", short_lived)
     assert Play(Case(1, WINDOW, 30, (0.0,))).run().beyond > 0
 
 
--- a/tests/test_symptoms.py
+++ b/tests/test_symptoms.py
@@ -8,7 +8,7 @@
 import pytest
 
 from cypresspulley import interface as api
-from cypresspulley.policy.account import Calls
+from cypresspulley.policy.account import CounterCalls
 from cypresspulley.policy.fleet import Sizes
 from tests import world as w
 
@@ -401,29 +401,29 @@
 
 
 def test_an_outage_of_the_counter_leaves_the_rate_of_calls_as_it_was_before() -> None:
-    calls = Calls(100.0, 3, 0.0)
+    calls = CounterCalls(100.0, 3, 0.0)
     now, before = 100.0, calls.rate
     for _ in range(40):  # ten seconds of it: one call at a time goes out
         now = max(now, calls.silent_until)
-        calls.ask(now, 1, 60.0, 1.0, lambda _now, _ev: None)
-        calls.answered(now + 0.05, api.Counted(1, api.Status.TIMEOUT))
+        calls.call(now, 1, 60.0, 1.0, lambda _now, _ev: None)
+        calls.on_answer(now + 0.05, api.Counted(1, api.Status.TIMEOUT))
         now += 0.05
     assert calls.rate >= 0.8 * before
-    assert calls.left(now) == 0, "the last one is still silence"
+    assert calls.available(now) == 0, "the last one is still silence"
     now = calls.silent_until
-    assert calls.left(now) > 0
-    calls.ask(now, 1, 60.0, 1.0, lambda _now, _ev: None)
-    assert calls.left(now) == 0, "one at a time"
-    calls.answered(now + 0.001, api.Counted(1, api.Status.OK, 1.0))
-    assert calls.left(now + 0.001) > 1, "answered: as before"
+    assert calls.available(now) > 0
+    calls.call(now, 1, 60.0, 1.0, lambda _now, _ev: None)
+    assert calls.available(now) == 0, "one at a time"
+    calls.on_answer(now + 0.001, api.Counted(1, api.Status.OK, 1.0))
+    assert calls.available(now + 0.001) > 1, "answered: as before"
 
 
 def test_a_crowded_counter_gets_fewer_calls() -> None:
-    calls = Calls(100.0, 3, 0.0)
+    calls = CounterCalls(100.0, 3, 0.0)
     before = calls.rate
     for turn in range(40):  # turned away, or late between two that are answered
-        calls.ended(101.0 + turn, api.Status.OK, 101.0 + turn)
-        calls.ended(101.5 + turn, (api.Status.TIMEOUT, api.Status.FULL)[turn % 2], 101.0 + turn)
+        calls.record_result(101.0 + turn, api.Status.OK, 101.0 + turn)
+        calls.record_result(101.5 + turn, (api.Status.TIMEOUT, api.Status.FULL)[turn % 2], 101.0 + turn)
     assert calls.rate < 0.05 * before
 
 
