--- a/cypresspulley/policy/account.py
+++ b/cypresspulley/policy/account.py
@@ -8,7 +8,7 @@
 from cypresspulley import interface as api
 from cypresspulley.interface import Action, Status
 from cypresspulley.policy.slots import Slots
-from cypresspulley.policy.windows import CeilingWindow, kept_alone
+from cypresspulley.policy.windows import CeilingWindow, local_ceiling_part
 
 OTHERS_DECAY_SECONDS = (
     1.0  # seconds over which the others' use, told by messages, is taken for what they go on using
@@ -150,7 +150,9 @@
         self.share_burst = max(
             plan.burst / self.gateways, min(settings.max_units, plan.burst) * self.low_traffic
         )
-        self.local_ceiling_part = kept_alone(plan, self.gateways, settings.max_units, settings.has_counter)
+        self.local_ceiling_part = local_ceiling_part(
+            plan, self.gateways, settings.max_units, settings.has_counter
+        )
         self.window = CeilingWindow(label, plan) if self.local_ceiling_part < 1 else None
         shared = plan.open_limit > 0 and self.gateways > 1 and settings.has_counter
         self.slots = (self.slots or Slots(label)) if shared else None
--- a/cypresspulley/policy/quota.py
+++ b/cypresspulley/policy/quota.py
@@ -140,7 +140,9 @@
     def exceeds_capacity(r: Request) -> bool:
         """Whether no store of the plan could ever hold it here: waiting for one would be in vain."""
         a, plan = r.account, r.account.plan
-        most = max(a.local_ceiling_part * plan.ceiling_burst / a.gateways, a.window.most if a.window else 0.0)
+        most = max(
+            a.local_ceiling_part * plan.ceiling_burst / a.gateways, a.window.capacity if a.window else 0.0
+        )
         capped = plan.ceiling_rate > 0 and r.most > most + 1e-9
         return capped or (plan.rate > 0 and r.units > plan.burst + 1e-9)
 
@@ -154,24 +156,24 @@
         window, in_time = r.account.window, r.deadline - now >= 3 * self._settings.counter_timeout
         if window is None:
             return False
-        asks = in_time and window.has_room(now, r.most) and self.counter_calls.available(now) >= 1
+        asks = in_time and window.may_grant(now, r.most) and self.counter_calls.available(now) >= 1
         return asks or window.has_credit(now, r.most)
 
     @staticmethod
     def return_window_grant(r: Request) -> None:
         """What a window holds for a try that was not sent on: no count is lowered, which could have ended meanwhile."""
         if r.granted is not None and r.account.window is not None:
-            r.account.window.keep(r.granted, r.most)
+            r.account.window.add_credit(r.granted, r.most)
         r.granted = None
 
     def _request_window_grant(self, now: float, r: Request, window: CeilingWindow) -> None:
         answered = partial(self._on_window_answer, r, now)
-        self.counter_calls.call(now, window.name, window.length, r.most, answered)
+        self.counter_calls.call(now, window.counter_name, window.length, r.most, answered)
 
     def _on_window_answer(self, r: Request, asked: float, now: float, ev: api.Counted) -> None:
         r.account.refill(now)
         if ev.status is Status.OK and (window := r.account.window) is not None:
-            r.granted = window.granted(asked, now, ev.total, r.most, self._rng.random())
+            r.granted = window.apply_answer(asked, now, ev.total, r.most, self._rng.random())
         if self._open_requests.get(r.id) is not r:
             self.return_window_grant(r)  # its client left meanwhile
         elif r.granted is not None:
--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -41,8 +41,9 @@
 # Attributes of an account, used only with getattr and setattr: the stores that are split between the processes.
 STORES = ("level", "share_level", "ceiling_level")
 WINDOW: Mapping[str, str] = {
-    "_seen": "_seen", "_ends_after": "_ends_after", "_ends_by": "_ends_by", "_ask_at": "_ask_at",
-    "_retry_by": "_retry_by",
+    "_seen": "_last_total", "_ends_after": "_earliest_end", "_ends_by": "_latest_end",
+    "_ask_at": "_next_call_at",
+    "_retry_by": "_latest_retry",
 }  # fmt: skip
 CALLS: Mapping[str, str] = {
     "rate": "rate",
@@ -74,7 +75,7 @@
 
 def _window(account: Account) -> dict[str, Any] | None:
     window = account.window
-    return _read_attributes(window, WINDOW) if window is not None and window.known else None
+    return _read_attributes(window, WINDOW) if window is not None and window.is_known else None
 
 
 def take(gateway: Gateway) -> dict[str, Any]:
--- a/tests/test_reload_plans.py
+++ b/tests/test_reload_plans.py
@@ -44,7 +44,7 @@
 
 def shape(account: Account) -> tuple[object, ...]:
     window = account.window
-    kept = None if window is None else (window.length, window.most)
+    kept = None if window is None else (window.length, window.capacity)
     return account.plan, account.low_traffic, account.share_burst, account.local_ceiling_part, kept
 
 
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -12,7 +12,7 @@
 from cypresspulley import interface as api
 from cypresspulley.policy.counts import LONGEST_LIFETIME
 from cypresspulley.policy.incarnation import REFRESH, UNANSWERED_MARKS, Incarnation
-from cypresspulley.policy.windows import CeilingWindow, kept_alone
+from cypresspulley.policy.windows import CeilingWindow, local_ceiling_part
 from tests import world as w
 
 PLAN = api.Plan("capped", rate=2.0, burst=13.0, ceiling_rate=4.0, ceiling_burst=24.0)
@@ -23,7 +23,7 @@
 
 
 def count(units: float, window: CeilingWindow) -> api.Count:
-    return api.Count(window.name, window.length, units)
+    return api.Count(window.counter_name, window.length, units)
 
 
 def lowest_store(seed: int, lifetime: float = 1.0) -> float:
@@ -41,15 +41,15 @@
         window, units, sent = gateways[place], rng.choice((1.0, 1.0, 2.0)), 0.0
         if window.use_credit(now, units) is not None:
             sent += units
-        elif window.has_room(now, units):
+        elif window.may_grant(now, units):
             call = replace(count(units, window), lifetime=lifetime * window.length)
             late.append((now + rng.choice((0.0, 0.03)), now, place, totals.add(now, call), units))
         for answer in [answer for answer in late if answer[0] <= now]:
             late.remove(answer)
             _, asked, place, total, units = answer
-            granted = gateways[place].granted(asked, now, total, units, rng.random())
+            granted = gateways[place].apply_answer(asked, now, total, units, rng.random())
             if granted is not None and rng.random() < 0.2:
-                gateways[place].keep(granted, units)
+                gateways[place].add_credit(granted, units)
             elif granted is not None:
                 sent += units
         if sent:
@@ -75,36 +75,36 @@
 
 def asked(window: CeilingWindow, now: float, total: float, units: float = 1.0) -> bool:
     """An answer that comes at once: whether it grants the units."""
-    assert window.has_room(now, units)
-    return window.granted(now, now, total, units, draw=1.0) is not None
+    assert window.may_grant(now, units)
+    return window.apply_answer(now, now, total, units, draw=1.0) is not None
 
 
 def test_a_gateway_that_knows_nothing_reads_from_one_answer_what_is_left() -> None:
     fresh = CeilingWindow("a", PLAN)
     assert asked(fresh, 100.0, 12.0)
     assert not asked(fresh, 100.1, 13.0)
-    assert not fresh.has_room(100.2, 1.0), "a full window is not asked at once"
-    assert fresh.has_room(100.0 + fresh.length, 1.0)
-    assert not fresh.has_room(100.0 + fresh.length, 13.0), "more than a window ever holds"
+    assert not fresh.may_grant(100.2, 1.0), "a full window is not asked at once"
+    assert fresh.may_grant(100.0 + fresh.length, 1.0)
+    assert not fresh.may_grant(100.0 + fresh.length, 13.0), "more than a window ever holds"
 
 
 @pytest.mark.parametrize("draw", [0.0, 0.5, 1.0])
 def test_a_full_window_is_asked_again_by_its_end_and_not_before_it_can_end(draw: float) -> None:
     window = CeilingWindow("a", PLAN)
-    assert window.granted(100.0, 100.0, 1.0, 1.0, draw) is not None, "this call began the count"
-    assert window.granted(100.5, 100.5, 13.0, 1.0, draw) is None
+    assert window.apply_answer(100.0, 100.0, 1.0, 1.0, draw) is not None, "this call began the count"
+    assert window.apply_answer(100.5, 100.5, 13.0, 1.0, draw) is None
     end = 100.0 + window.length
-    assert not window.has_room(end - 0.01, 1.0) and window.has_room(end, 1.0)
+    assert not window.may_grant(end - 0.01, 1.0) and window.may_grant(end, 1.0)
 
 
 def test_of_a_window_that_others_began_the_end_is_found_between_two_looks() -> None:
     window = CeilingWindow("a", PLAN)
     assert not asked(window, 100.0, 13.0)
-    assert window.granted(102.0, 102.0, 14.0, 1.0, 0.5) is None, "still full"
-    assert window.granted(103.0, 103.0, 2.0, 1.0, 0.5) is not None, "a new one, which began behind 102"
-    assert window.granted(103.1, 103.1, 13.0, 1.0, 0.0) is None
-    assert not window.has_room(102.0 + window.length - 0.01, 1.0)
-    assert window.has_room(102.0 + window.length, 1.0)
+    assert window.apply_answer(102.0, 102.0, 14.0, 1.0, 0.5) is None, "still full"
+    assert window.apply_answer(103.0, 103.0, 2.0, 1.0, 0.5) is not None, "a new one, which began behind 102"
+    assert window.apply_answer(103.1, 103.1, 13.0, 1.0, 0.0) is None
+    assert not window.may_grant(102.0 + window.length - 0.01, 1.0)
+    assert window.may_grant(102.0 + window.length, 1.0)
 
 
 def test_what_is_left_of_a_window_that_cannot_hold_a_request_serves_smaller_ones_here() -> None:
@@ -116,12 +116,12 @@
 
 def test_units_that_were_not_sent_on_are_kept_while_their_count_surely_lives() -> None:
     window = CeilingWindow("a", PLAN)
-    granted = window.granted(100.0, 100.0, 1.0, 1.0, 0.5)
+    granted = window.apply_answer(100.0, 100.0, 1.0, 1.0, 0.5)
     assert granted is not None
-    window.keep(granted, 1.0)
+    window.add_credit(granted, 1.0)
     assert window.use_credit(100.0 + window.length, 1.0) is None, "it may have ended"
     assert asked(window, 101.0 + window.length, 1.0), "the next count"
-    window.keep(granted, 1.0)
+    window.add_credit(granted, 1.0)
     assert window.use_credit(101.1 + window.length, 1.0) is None, "units of the count before"
 
 
@@ -129,7 +129,7 @@
     window = CeilingWindow("a", PLAN)
     assert asked(window, 100.0, 3.0, 3.0)
     assert not asked(window, 100.5, 1.0), "less than was granted here"
-    assert not window.has_room(100.0 + window.length - 0.01, 1.0)
+    assert not window.may_grant(100.0 + window.length - 0.01, 1.0)
     assert asked(window, 100.0 + window.length, 1.0)
 
 
@@ -137,9 +137,9 @@
     plan = replace(PLAN, ceiling_rate=0.1)  # half of its store fills in 120 s
     window = CeilingWindow("a", plan)
     assert window.length == LONGEST_LIFETIME
-    assert window.most == pytest.approx(plan.ceiling_rate * LONGEST_LIFETIME)
-    assert kept_alone(plan, 40, 6.0, True) == 0.0
-    assert kept_alone(plan, 40, 6.1, True) == 1.0, "a window would not hold the largest request"
+    assert window.capacity == pytest.approx(plan.ceiling_rate * LONGEST_LIFETIME)
+    assert local_ceiling_part(plan, 40, 6.0, True) == 0.0
+    assert local_ceiling_part(plan, 40, 6.1, True) == 1.0, "a window would not hold the largest request"
 
 
 @pytest.mark.parametrize(
@@ -147,7 +147,7 @@
     [(3, True, 1.0), (12, True, 1.0), (13, True, 0.0), (13, False, 1.0), (40, True, 0.0)],
 )
 def test_what_an_even_share_holds_is_kept_alone(share: int, counter: bool, kept: float) -> None:
-    assert kept_alone(PLAN, share, 1.0, counter) == kept
+    assert local_ceiling_part(PLAN, share, 1.0, counter) == kept
 
 
 SETTINGS = replace(w.settings(plans=(PLAN,)), has_counter=True, index=4)
