--- a/cypresspulley/policy/quota.py
+++ b/cypresspulley/policy/quota.py
@@ -74,7 +74,7 @@
             self.usage_broadcast = UsageBroadcast(now, settings.gateways, settings.inbox)
             self._accounts_by_key = {a.counter_name % KEYS: a for a in self.accounts.values()}
         else:
-            self.usage_broadcast.follow(settings.gateways, settings.inbox)
+            self.usage_broadcast.set_gateways(settings.gateways, settings.inbox)
 
     def update_settings(self, now: float, settings: api.Settings) -> None:
         """Other settings. Levels go on, under the new plans' bounds; an account of a dropped plan keeps its own."""
@@ -99,7 +99,7 @@
                 a.fill_ceiling()
             if self.usage_broadcast is not None:
                 self._accounts_by_key[a.counter_name % KEYS] = a
-                self.usage_broadcast.met(now, a)
+                self.usage_broadcast.apply_unknown_use(now, a)
                 a.heard_at = now
         a.refill(now)
         self._call_for_incarnation(now)
@@ -262,7 +262,7 @@
         a.unreported += r.units * (counted is None)
         a.own_recent_use += r.units
         if self.usage_broadcast is not None:
-            self.usage_broadcast.owed[a.counter_name] = a
+            self.usage_broadcast.unreported_accounts[a.counter_name] = a
         due = a.unreported >= 0.3 * min(a.level, plan.burst) / a.gateways
         if counted is None and self._settings.has_counter and due and a.gateways > 1:
             self.report_use(now, a)
@@ -370,23 +370,23 @@
 
     def broadcast_usage(self, now: float) -> None:
         """A message to the others, where one is due."""
-        if self.usage_broadcast is not None and self.usage_broadcast.due(now):
-            self._emit(api.Tell(self.usage_broadcast.write(now)))
+        if self.usage_broadcast is not None and self.usage_broadcast.is_due(now):
+            self._emit(api.Tell(self.usage_broadcast.write_message(now)))
 
     def receive_usage(self, now: float, ev: api.Heard) -> None:
         """Another gateway's message."""
         if self.usage_broadcast is None or ev.sender == self._settings.index:
             return
-        known, rows = self.usage_broadcast.late, self.usage_broadcast.read(now, ev.text)
-        if self.usage_broadcast.late and not known:
+        known, rows = self.usage_broadcast.was_restarted, self.usage_broadcast.read_message(now, ev.text)
+        if self.usage_broadcast.was_restarted and not known:
             for account in self.accounts.values():
                 account.refill(now)
-                self.usage_broadcast.doubt(now, account)
+                self.usage_broadcast.cap_at_even_share(now, account)
         for key, units in rows:
             if (a := self._accounts_by_key.get(key)) is not None:
                 a.add_reported_use(now, units)
             else:
-                self.usage_broadcast.keep(now, key, units)
+                self.usage_broadcast.store_unknown_use(now, key, units)
 
     def settle(self, _now: float, r: Request, ev: api.Outcome) -> None:
         """What an answer tells of its customer: the request's true units."""
@@ -399,4 +399,4 @@
         if known and r.inside:
             a.settle(true - r.units)
             if self.usage_broadcast is not None:
-                self.usage_broadcast.owed[a.counter_name] = a
+                self.usage_broadcast.unreported_accounts[a.counter_name] = a
--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -101,7 +101,7 @@
         "born": quotas._started_at,
         "calls": _read_attributes(quotas.counter_calls, CALLS),
         "first": incarnation.first,
-        "tells": None if usage is None else [usage.born, usage.late, list(usage.strange.items())],
+        "tells": None if usage is None else [usage.started_at, usage.was_restarted, list(usage.unknown_use.items())],
         "accounts": [
             [*key, a.gateways, a.open_attempts, _read_attributes(a, ACCOUNT), _window(a)]
             for key, a in accounts
@@ -149,11 +149,11 @@
     # A predecessor of an older version tells it as "life".
     quotas.incarnation.resume(now, bool(state["first"] if "first" in state else state["life"]["vouched"]))
     if state["tells"] is not None and quotas.usage_broadcast is not None:
-        quotas.usage_broadcast.born, quotas.usage_broadcast.late = (
+        quotas.usage_broadcast.started_at, quotas.usage_broadcast.was_restarted = (
             float(state["tells"][0]),
             bool(state["tells"][1]),
         )
-        quotas.usage_broadcast.strange.update(
+        quotas.usage_broadcast.unknown_use.update(
             {int(key): (float(u), float(at)) for key, (u, at) in state["tells"][2]}
         )
     for plan, name, share, _open, values, window in state["accounts"]:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -16,7 +16,7 @@
 from cypresspulley.messages import DIGITS, STEP
 from cypresspulley.net.peers import MAX_MESSAGE, Peers
 from cypresspulley.policy.account import Account
-from cypresspulley.policy.usage import HEARD_AT_MOST, UsageBroadcast
+from cypresspulley.policy.usage import MAX_UNKNOWN_ACCOUNTS, UsageBroadcast
 from tests import world as w
 from tests.loopback import Limiter, Origin, Script, ask, listening, run, send_on
 from tests.test_program import config
@@ -156,9 +156,9 @@
 
 def test_messages_of_customers_nobody_meets_do_not_pile_up() -> None:
     usage = UsageBroadcast(0.0, 3, 40.0)
-    for key in range(HEARD_AT_MOST + 500):
-        usage.keep(0.0, key, 1.0)
-    assert len(usage.strange) == HEARD_AT_MOST
+    for key in range(MAX_UNKNOWN_ACCOUNTS + 500):
+        usage.store_unknown_use(0.0, key, 1.0)
+    assert len(usage.unknown_use) == MAX_UNKNOWN_ACCOUNTS
 
 
 @hypothesis.settings(derandomize=True, deadline=None)
@@ -173,8 +173,8 @@
         account.unreported = amount
     usage, heard = UsageBroadcast(0.0, 3, 40.0), dict[int, float]()
     for now in (1.0, 2.0):
-        usage.owed = {a.counter_name: a for a in accounts}
-        for key, units in usage.read(now, usage.write(now)):
+        usage.unreported_accounts = {a.counter_name: a for a in accounts}
+        for key, units in usage.read_message(now, usage.write_message(now)):
             heard[key] = heard.get(key, 0.0) + units
     for account, amount in zip(accounts, amounts, strict=True):
         assert heard.get(account.counter_name % 64**6, 0.0) + account.unreported == pytest.approx(amount)
@@ -183,7 +183,7 @@
 
 def test_messages_are_no_more_than_an_inbox_takes() -> None:
     few, many = UsageBroadcast(0.0, 3, 40.0), UsageBroadcast(0.0, 300, 40.0)
-    assert few.every == 0.25 and 299 / many.every < 40.0
+    assert few.interval == 0.25 and 299 / many.interval < 40.0
 
 
 # On sockets.
--- a/tests/test_reload_shared.py
+++ b/tests/test_reload_shared.py
@@ -43,9 +43,9 @@
     assert account.slots is None
     world.feed(api.Retune(settings(gateways=200, may_tell=True, inbox=40.0)))
     assert quotas.usage_broadcast is not None
-    every = quotas.usage_broadcast.every
+    every = quotas.usage_broadcast.interval
     world.feed(api.Retune(settings(gateways=400, may_tell=True, inbox=40.0)))
-    assert quotas.usage_broadcast.every == pytest.approx(every * 399 / 199)
+    assert quotas.usage_broadcast.interval == pytest.approx(every * 399 / 199)
     world.feed(api.Retune(settings(gateways=400)))
     assert quotas.usage_broadcast is None
 
