--- a/cypresspulley/policy/counts.py
+++ b/cypresspulley/policy/counts.py
@@ -2,7 +2,7 @@
 
 from hashlib import blake2b
 
-LONGEST_LIFETIME = 60.0  # seconds after which the counter forgets a number at the latest
+MAX_LIFETIME_SECONDS = 60.0  # seconds after which the counter forgets a number at the latest
 
 
 def count_name(*parts: object) -> int:
--- a/cypresspulley/policy/quota.py
+++ b/cypresspulley/policy/quota.py
@@ -86,7 +86,7 @@
         for r in self._open_requests.values():
             r.slot = r.slot and r.account.slots is not None
         self.counter_calls.set_gateways(settings.gateways)
-        self.incarnation.follow(settings)
+        self.incarnation.update_settings(settings)
         self._configure_usage_broadcast(now, settings)
 
     def get_or_create_account(self, now: float, ev: api.Request) -> Account:
@@ -95,7 +95,7 @@
         if (a := self.accounts.get(key)) is None:
             plan = self._plans.get(ev.plan) or self.dropped_plans.record(now, ev.plan) or api.Plan(ev.plan)
             a = self.accounts[key] = Account(now, ev, plan, self._started_at, self._settings)
-            if self.incarnation.first:
+            if self.incarnation.is_first:
                 a.fill_ceiling()
             if self.usage_broadcast is not None:
                 self._accounts_by_key[a.counter_name % KEYS] = a
@@ -107,11 +107,11 @@
 
     def _call_for_incarnation(self, now: float) -> None:
         """The counter is asked whether this gateway was there before, and told that it is, when that is due."""
-        if (call := self.incarnation.call(now)) is not None:
+        if (call := self.incarnation.next_call(now)) is not None:
             self.counter_calls.call(now, call.name, call.lifetime, call.amount, self._on_incarnation_answer)
 
     def _on_incarnation_answer(self, now: float, ev: api.Counted) -> None:
-        for account in self.accounts.values() if self.incarnation.told(now, ev) else ():
+        for account in self.accounts.values() if self.incarnation.on_answer(now, ev) else ():
             account.fill_ceiling()
 
     def tick(self, now: float) -> None:
--- a/cypresspulley/policy/windows.py
+++ b/cypresspulley/policy/windows.py
@@ -9,7 +9,7 @@
 from math import inf
 
 from cypresspulley import interface as api
-from cypresspulley.policy.counts import LONGEST_LIFETIME, count_name
+from cypresspulley.policy.counts import MAX_LIFETIME_SECONDS, count_name
 
 LOCAL_SHARE_MIN_REQUESTS = (
     2.0  # of the largest request: an even share that holds so much is kept alone, without the counter
@@ -19,7 +19,7 @@
 
 def window_length(plan: api.Plan) -> float:
     """Seconds of a window of a plan's ceiling: half of the time in which its store fills, as far as counts live."""
-    return min(LONGEST_LIFETIME, plan.ceiling_burst / (2 * plan.ceiling_rate))
+    return min(MAX_LIFETIME_SECONDS, plan.ceiling_burst / (2 * plan.ceiling_rate))
 
 
 def local_ceiling_part(plan: api.Plan, share: int, largest: float, counter: bool) -> float:
--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -100,7 +100,7 @@
         ],
         "born": quotas._started_at,
         "calls": _read_attributes(quotas.counter_calls, CALLS),
-        "first": incarnation.first,
+        "first": incarnation.is_first,
         "tells": None if usage is None else [usage.started_at, usage.was_restarted, list(usage.unknown_use.items())],
         "accounts": [
             [*key, a.gateways, a.open_attempts, _read_attributes(a, ACCOUNT), _window(a)]
@@ -173,7 +173,7 @@
 
     def __init__(self, gateway: Gateway) -> None:
         self._gateway, quotas = gateway, gateway.quotas
-        self._plans, self._first = dict[str, api.Plan](), quotas.incarnation.first
+        self._plans, self._first = dict[str, api.Plan](), quotas.incarnation.is_first
         self._given = list[tuple[Account, dict[str, float]]]()
         for a in quotas.accounts.values():
             given = {store: (1 - KEPT) * max(0.0, getattr(a, store)) for store in STORES}
@@ -184,8 +184,8 @@
         self._budgets = [(s, (1 - KEPT) * max(0.0, s.budget)) for s in gateway.fleet.servers.values()]
         for server, budget in self._budgets:
             server.budget -= budget
-        quotas.incarnation.first = False
-        self._wanted, quotas.incarnation.wanted = quotas.incarnation.wanted, False
+        quotas.incarnation.is_first = False
+        self._wanted, quotas.incarnation.is_enabled = quotas.incarnation.is_enabled, False
         self.replan()
 
     def replan(self) -> None:
@@ -215,9 +215,9 @@
         """Serve alone again. ``whole``: nothing was drawn on the other side; else what was given is taken for used."""
         quotas = self._gateway.quotas
         plans = {name: self._plans[name] for name in quotas._plans}
-        quotas._plans, quotas.incarnation.wanted = plans, self._wanted
+        quotas._plans, quotas.incarnation.is_enabled = plans, self._wanted
         if whole:
-            quotas.incarnation.first = self._first
+            quotas.incarnation.is_first = self._first
             for server, budget in self._budgets:
                 server.budget += budget
         else:
--- a/tests/graphql/test_charging.py
+++ b/tests/graphql/test_charging.py
@@ -63,7 +63,7 @@
         while world.now < known:
             world.advance(world.now + 0.5)
             world.answer_counts()
-        assert world.gateway.quotas.incarnation.first
+        assert world.gateway.quotas.incarnation.is_first
     level, lowest, last, now = PLAN.ceiling_burst, 0.0, known, known
     trues = dict[int, float]()
     for id in range(400):
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -101,7 +101,7 @@
 
     def first(incarnation: Incarnation, settings: api.Settings, rng: Random, now: float) -> None:
         begin(incarnation, settings, rng, now)
-        incarnation.first, incarnation.asking = True, False
+        incarnation.is_first, incarnation.is_undecided = True, False
 
     monkeypatch.setattr(Incarnation, "__init__", first)
     assert Play(Case(1, WINDOW, 3, (-3600.0,), restarted=1.0)).run().beyond > 0
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 
 from cypresspulley import interface as api
-from cypresspulley.policy.counts import LONGEST_LIFETIME
-from cypresspulley.policy.incarnation import REFRESH, UNANSWERED_MARKS, Incarnation
+from cypresspulley.policy.counts import MAX_LIFETIME_SECONDS
+from cypresspulley.policy.incarnation import MARK_INTERVAL_SECONDS, MAX_UNANSWERED_MARKS, Incarnation
 from cypresspulley.policy.windows import CeilingWindow, local_ceiling_part
 from tests import world as w
 
@@ -136,8 +136,8 @@
 def test_a_window_that_lasts_longer_than_a_count_lives_is_cut() -> None:
     plan = replace(PLAN, ceiling_rate=0.1)  # half of its store fills in 120 s
     window = CeilingWindow("a", plan)
-    assert window.length == LONGEST_LIFETIME
-    assert window.capacity == pytest.approx(plan.ceiling_rate * LONGEST_LIFETIME)
+    assert window.length == MAX_LIFETIME_SECONDS
+    assert window.capacity == pytest.approx(plan.ceiling_rate * MAX_LIFETIME_SECONDS)
     assert local_ceiling_part(plan, 40, 6.0, True) == 0.0
     assert local_ceiling_part(plan, 40, 6.1, True) == 1.0, "a window would not hold the largest request"
 
@@ -171,22 +171,22 @@
         self.calls = 0
         for step in range(round((end - begin) * 10) + 1):
             now = begin + step / 10
-            if (call := self.incarnation.call(now)) is None:
+            if (call := self.incarnation.next_call(now)) is None:
                 continue
             self.calls += 1
             if self.calls <= refused:
-                self.incarnation.told(now, api.Counted(call.name, api.Status.FULL))
+                self.incarnation.on_answer(now, api.Counted(call.name, api.Status.FULL))
                 continue
             total = counts.add(now, call) if added else 0.0
             status = api.Status.TIMEOUT if self.calls <= refused + lost else api.Status.OK
-            self.incarnation.told(now, api.Counted(call.name, status, total))
+            self.incarnation.on_answer(now, api.Counted(call.name, status, total))
 
 
 @pytest.mark.parametrize("lost, refused", [(0, 0), (2, 0), (0, 9), (1, 3)])
 def test_a_first_incarnation_is_known_and_a_second_one_is_not(lost: int, refused: int) -> None:
     counts = w.SharedCounts()
-    assert Lived(counts, 20.0, 26.0, lost, refused).incarnation.first
-    assert not Lived(counts, 26.1, 32.0).incarnation.first
+    assert Lived(counts, 20.0, 26.0, lost, refused).incarnation.is_first
+    assert not Lived(counts, 26.1, 32.0).incarnation.is_first
 
 
 @pytest.mark.parametrize("lived", [0.6, 5.0, 29.0, 31.0, 59.0, 61.0, 89.0, 91.0, 200.0])
@@ -195,40 +195,40 @@
     lived: float, away: float
 ) -> None:
     counts = w.SharedCounts()
-    assert Lived(counts, 100.0, 100.0 + lived).incarnation.first
-    assert not Lived(counts, 100.0 + lived + away, 110.0 + lived + away).incarnation.first
+    assert Lived(counts, 100.0, 100.0 + lived).incarnation.is_first
+    assert not Lived(counts, 100.0 + lived + away, 110.0 + lived + away).incarnation.is_first
 
 
 @pytest.mark.parametrize("lived", [1.0, 29.0, 31.0, 100.0])
 def test_each_of_many_in_a_row_sees_the_one_before(lived: float) -> None:
     counts, begin = w.SharedCounts(), 100.0
     for number in range(6):
-        assert Lived(counts, begin, begin + lived).incarnation.first == (number == 0)
+        assert Lived(counts, begin, begin + lived).incarnation.is_first == (number == 0)
         begin += lived + 3.0
 
 
 def test_one_that_was_long_ago_is_forgotten() -> None:
     counts = w.SharedCounts()
-    assert Lived(counts, 100.0, 130.0).incarnation.first
-    assert Lived(counts, 130.0 + LONGEST_LIFETIME + 1.0, 200.0).incarnation.first
+    assert Lived(counts, 100.0, 130.0).incarnation.is_first
+    assert Lived(counts, 130.0 + MAX_LIFETIME_SECONDS + 1.0, 200.0).incarnation.is_first
 
 
 def test_marks_cost_a_call_in_thirty_seconds() -> None:
-    lived = Lived(w.SharedCounts(), 100.0, 100.0 + 20 * REFRESH)
-    assert lived.incarnation.first and lived.calls <= 23
+    lived = Lived(w.SharedCounts(), 100.0, 100.0 + 20 * MARK_INTERVAL_SECONDS)
+    assert lived.incarnation.is_first and lived.calls <= 23
 
 
 @pytest.mark.parametrize("added", [True, False])
 def test_without_answers_nobody_is_known_to_be_the_first_and_the_calls_end(added: bool) -> None:
     lived = Lived(w.SharedCounts(), 20.0, 26.0, lost=99, added=added)
-    assert not lived.incarnation.first
-    assert lived.calls == UNANSWERED_MARKS
+    assert not lived.incarnation.is_first
+    assert lived.calls == MAX_UNANSWERED_MARKS
 
 
 def test_a_successor_whose_answers_were_lost_leaves_marks() -> None:
     counts = w.SharedCounts()
-    assert not Lived(counts, 20.0, 26.0, lost=99).incarnation.first
-    assert not Lived(counts, 27.0, 40.0).incarnation.first
+    assert not Lived(counts, 20.0, 26.0, lost=99).incarnation.is_first
+    assert not Lived(counts, 27.0, 40.0).incarnation.is_first
 
 
 def served_by_forty(restart: bool) -> int:
