--- a/cypresspulley/explore/examine.py
+++ b/cypresspulley/explore/examine.py
@@ -44,7 +44,7 @@
     return {
         "requests": len(gateway._requests),
         "of accounts": sum(a.open_attempts for a in accounts),
-        "slots": sum(a.slots.held for a in accounts if a.slots is not None),
+        "slots": sum(a.slots.open_attempts for a in accounts if a.slots is not None),
         "work": sum(s.open for s in gateway.fleet.servers.values()),
     }
 
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -38,7 +38,7 @@
             api.ServerList: self.fleet.listed, api.Suspend: self._suspend, api.Retune: self._retune,
             api.Probed: self.fleet.probed, api.Heard: self.quotas.receive_usage,
             api.Counted: self.quotas.counter_calls.on_answer,
-            api.WallClock: lambda _now, ev: self.quotas.wall_time.step(ev.shift),
+            api.WallClock: lambda _now, ev: self.quotas.wall_time.set_offset(ev.shift),
             api.TimerFired: lambda _now, _ev: None,
             api.Departed: lambda now, ev: self._forget(now, ev.id),
         }  # fmt: skip
--- a/cypresspulley/policy/quota.py
+++ b/cypresspulley/policy/quota.py
@@ -12,7 +12,7 @@
 from cypresspulley.policy.classes import Plans
 from cypresspulley.policy.incarnation import Incarnation
 from cypresspulley.policy.request import Request
-from cypresspulley.policy.slots import LASTS, Slots
+from cypresspulley.policy.slots import PERIOD_SECONDS, Slots
 from cypresspulley.policy.usage import UsageBroadcast
 from cypresspulley.policy.walltime import WallTime
 from cypresspulley.policy.windows import CeilingWindow
@@ -129,7 +129,7 @@
                 continue
             if (
                 a.slots is not None
-                and a.slots.late(self.wall_time.at(now))
+                and a.slots.has_unreported(self.wall_time.at(now))
                 and self.counter_calls.available(now) >= 1
             ):
                 self._report_open(now, a.slots)
@@ -296,7 +296,7 @@
         if verdict is None or not room or slots is None or r.coming:
             return room
         r.slot = True
-        slots.change(self.wall_time.at(now), 1)
+        slots.add_open(self.wall_time.at(now), 1)
         if asks:
             self._report_open(now, slots, partial(self._on_open_reported, r, slots, verdict))
         return None if asks else True  # unasked, it is told with the next call
@@ -305,17 +305,17 @@
         """The last byte of its body has come: from now on it counts as out."""
         if r.out and not r.slot and r.account.slots is not None:
             r.slot = True
-            r.account.slots.change(self.wall_time.at(now), 1)
+            r.account.slots.add_open(self.wall_time.at(now), 1)
 
     def _report_open(self, now: float, slots: Slots, then: CountCallback = lambda _now, _ev: None) -> None:
-        name, amount, spell = slots.call()
+        name, amount, period = slots.take_report()
 
         def told(now: float, ev: api.Counted) -> None:
             if ev.status in api.NEVER_ADDED:
-                slots.missed(spell, amount)
+                slots.restore_report(period, amount)
             then(now, ev)
 
-        self.counter_calls.call(now, name, 2 * LASTS, amount, told)
+        self.counter_calls.call(now, name, 2 * PERIOD_SECONDS, amount, told)
 
     def _on_open_reported(
         self, r: Request, slots: Slots, verdict: Verdict, now: float, ev: api.Counted
@@ -334,8 +334,8 @@
         """A try no longer counts among what is out."""
         if r.slot and (slots := r.account.slots) is not None:
             r.slot, slots.full_until = False, 0.0
-            slots.change(self.wall_time.at(now), -1)
-            if slots.owed and now >= self.counter_calls.silent_until:
+            slots.add_open(self.wall_time.at(now), -1)
+            if slots.unreported and now >= self.counter_calls.silent_until:
                 self._report_open(now, slots)
 
     def _on_use_counted(
--- a/tests/test_endings_policy.py
+++ b/tests/test_endings_policy.py
@@ -93,8 +93,8 @@
     account = quotas.accounts["small", "x"]
     back = [c.amount for c in world.counts if c.name == account.counter_name]
     assert back == ([-3.0] if leaves == "before the answer" else [])
-    assert account.slots is not None and account.slots.held == 0
-    held = sum(c.amount for c in world.counts if c.name == place.name) + account.slots.owed
+    assert account.slots is not None and account.slots.open_attempts == 0
+    held = sum(c.amount for c in world.counts if c.name == place.name) + account.slots.unreported
     assert held == (0.0 if status is api.Status.UNREACHABLE else -1.0), "the place is free again"
     assert account.open_attempts == 0 and not world.gateway._requests
 
@@ -365,7 +365,7 @@
     assert not gateway._requests
     for account in gateway.quotas.accounts.values():
         assert account.open_attempts == 0, account.counter_name
-        assert account.slots is None or account.slots.held == 0, account.counter_name
+        assert account.slots is None or account.slots.open_attempts == 0, account.counter_name
     for server in gateway.fleet.servers.values():
         assert server.open == 0.0 and server.quiet is None, server.entry.name
 
--- a/tests/test_endings_servers.py
+++ b/tests/test_endings_servers.py
@@ -1124,7 +1124,7 @@
     def settled(self) -> None:
         assert not self.node.open_requests and not self.gateway._requests
         for account in self.gateway.quotas.accounts.values():
-            assert account.open_attempts == 0 and (account.slots is None or account.slots.held == 0)
+            assert account.open_attempts == 0 and (account.slots is None or account.slots.open_attempts == 0)
         assert all(s.open == 0.0 and s.quiet is None for s in self.gateway.fleet.servers.values())
         assert not self.upstream._dials and not self.upstream.streaming and self.upstream.relay.active == 0
         servers = self.upstream._servers.values()
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -11,13 +11,13 @@
 from cypresspulley.explore.examine import left_of
 from cypresspulley.interface import Status
 from cypresspulley.policy.counts import count_name
-from cypresspulley.policy.slots import LASTS
+from cypresspulley.policy.slots import PERIOD_SECONDS
 from tests import world as w
 
 LIMIT = 3
 PLAN = api.Plan("chain", open_limit=LIMIT, over_cost=0.5)
 SETTINGS = w.settings(plans=(PLAN,), max_attempts=2)
-BEGIN = 125 * LASTS + 0.5  # soon after a spell's begin
+BEGIN = 125 * PERIOD_SECONDS + 0.5  # soon after a spell's begin
 
 
 class Fleet:
@@ -61,7 +61,7 @@
         for at, id in self.out:
             self.end(at, id)
         self.advance(1.1)
-        told = self.totals.get(count_name("out chain hotel", int(self.now // LASTS)), 0.0)
+        told = self.totals.get(count_name("out chain hotel", int(self.now // PERIOD_SECONDS)), 0.0)
         return told == 0 and not any(any(left_of(e.gateway).values()) for e in self.worlds)
 
 
@@ -89,8 +89,8 @@
             fleet.end(*rng.choice(fleet.out))
         most = max(most, len(fleet.out))
         if rng.random() < 0.2:  # but for the second after a spell's begin, in which not all is told yet
-            fleet.advance(0.05 if fleet.now % LASTS < LASTS - 0.1 else 1.3)
-            while fleet.out and fleet.now % LASTS < 1.3:
+            fleet.advance(0.05 if fleet.now % PERIOD_SECONDS < PERIOD_SECONDS - 0.1 else 1.3)
+            while fleet.out and fleet.now % PERIOD_SECONDS < 1.3:
                 fleet.end(*fleet.out[0])
     assert most == LIMIT
     assert fleet.ends_clean()
@@ -101,7 +101,7 @@
     fleet = Fleet(settings)
     for _ in range(LIMIT):
         fleet.ask(0, ttl=30.0)
-    fleet.advance(LASTS)
+    fleet.advance(PERIOD_SECONDS)
     fleet.advance(1.1)  # the new spell has been told
     fleet.ask(1)
     assert [at for at, _ in fleet.out] == [0] * LIMIT
