--- a/cypresspulley/policy/quota.py
+++ b/cypresspulley/policy/quota.py
@@ -1,4 +1,4 @@
-"""Quotas and what gateways tell each other of them: the accounts, the counter's calls, the messages."""
+"""Quota checks: accounts, calls to the shared counter, and usage messages between gateways."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -17,33 +17,36 @@
 from cypresspulley.policy.walltime import WallTime
 from cypresspulley.policy.windows import CeilingWindow
 
-UNVERIFIED_COST_SHARE = 0.08  # of the worth asked inside quotas, what the rest may cost
-ESTIMATE_WEIGHT = 0.1  # a weight
-ACCOUNT_IDLE_SECONDS = 60.0  # idle seconds until an account is dropped
-COUNT_LIFETIME_SECONDS = 60.0  # seconds that a shared count lives
-MAX_MESSAGE_GAP_SECONDS = (
-    3.0  # seconds with no message of another gateway after which the even share alone counts
-)
+# Expected cost of requests that are sent without verification, as a share of the worth requested within quotas.
+UNVERIFIED_COST_SHARE = 0.08
+ESTIMATE_WEIGHT = 0.1  # weight of a new sample in an exponential moving average
+ACCOUNT_IDLE_SECONDS = 60.0  # an account that is idle for longer is dropped
+COUNT_LIFETIME_SECONDS = 60.0  # lifetime of an account's usage count at the counter
+MAX_MESSAGE_GAP_SECONDS = 3.0  # without a message from another gateway for longer, only the even share counts
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """Whether a try is inside its quota. ``counted``: what the counter was told of it already, None for nothing."""
+    """The result of the quota check of one request.
+
+    ``counted_units`` is what the counter was told of the request in advance: above 0, its level is charged already;
+    0 means that nothing was told and nothing will be; None means that its units are reported later.
+    """
 
     within_quota: bool
     counted_units: float | None = None
-    basis: str = "count"  # who vouches for its units: that, window, message, even share, level, nobody
-    refuse_reason: str = "quota"  # what it is refused for where it is not
+    basis: str = "count"  # what the verdict rests on: count, window, message, even share, level, or nobody
+    refuse_reason: str = "quota"
 
 
 class Quotas:
-    """``emit`` takes the actions; they are this gateway's alone, and so are all accounts here."""
+    """The quotas of all accounts at one gateway; actions are passed to ``emit``."""
 
     def __init__(
         self, settings: api.Settings, rng: Random, now: float, emit: Callable[[Action], None],
-        open_: dict[int, Request], launch: Callable[[float, Request, Verdict], None],
+        open_requests: dict[int, Request], launch: Callable[[float, Request, Verdict], None],
     ) -> None:  # fmt: skip
-        self._open_requests = open_
+        self._open_requests = open_requests
         self._launch = launch
         self._rng = rng
         self._started_at = now
@@ -52,351 +55,447 @@
         self.dropped_plans = Plans(settings)
         self.accounts = dict[tuple[str, str], Account]()
         self.usage_broadcast: UsageBroadcast | None = None
-        self._accounts_by_key = dict[int, Account]()  # by the part of a name that messages carry
+        self._accounts_by_key = dict[int, Account]()  # by the part of the counter name that messages carry
         self._configure_usage_broadcast(now, settings)
         self.counter_calls = CounterCalls(now, settings.gateways, rng.random(), emit)
         self.incarnation = Incarnation(settings, rng, now)
         self.wall_time = WallTime()
-        self._unverified_allowance = 0.0  # left of what the rest may cost
-        self._older_count_share = 0.5  # share of answers
-        self._over_quota_share = 0.2  # share of answers
+        self._unverified_allowance = 0.0  # worth that unverified requests may still cost
+        self._older_count_share = 0.5  # moving share of first totals that began before this gateway started
+        self._over_quota_share = 0.2  # moving share of counted first requests that were over quota
 
     def _apply_settings(self, settings: api.Settings) -> None:
         self._settings = settings
-        self._plans = {p.name: p for p in settings.plans}
-        self._mean_price = sum(p.price for p in settings.plans) / max(1, len(settings.plans)) or 1.0
+        self._plans = {plan.name: plan for plan in settings.plans}
+        self._mean_price = sum(plan.price for plan in settings.plans) / max(1, len(settings.plans)) or 1.0
 
     def _configure_usage_broadcast(self, now: float, settings: api.Settings) -> None:
-        """Messages between gateways, where there is a way for them and no counter."""
+        """Usage messages are used where gateways can send them and there is no counter."""
         if not settings.may_tell or settings.inbox <= 0 or settings.gateways < 2 or settings.has_counter:
             self.usage_broadcast = None
         elif self.usage_broadcast is None:
             self.usage_broadcast = UsageBroadcast(now, settings.gateways, settings.inbox)
-            self._accounts_by_key = {a.counter_name % KEYS: a for a in self.accounts.values()}
+            self._accounts_by_key = {
+                account.counter_name % KEYS: account for account in self.accounts.values()
+            }
         else:
             self.usage_broadcast.set_gateways(settings.gateways, settings.inbox)
 
     def update_settings(self, now: float, settings: api.Settings) -> None:
-        """Other settings. Levels go on, under the new plans' bounds; an account of a dropped plan keeps its own."""
+        """Apply new settings. Accounts keep their levels, bounded by the new plans; the accounts of a dropped plan
+        keep that plan."""
         self._apply_settings(settings)
         self.dropped_plans.change(now, settings)
-        for (_, account), a in self.accounts.items():
-            a.refill(now)
-            a.apply_plan(self._plans.get(a.plan.name, a.plan), f"{a.plan.name} {account}", settings)
-        for r in self._open_requests.values():
-            r.slot = r.slot and r.account.slots is not None
+        for (_, name), account in self.accounts.items():
+            account.refill(now)
+            account.apply_plan(
+                self._plans.get(account.plan.name, account.plan), f"{account.plan.name} {name}", settings
+            )
+        for request in self._open_requests.values():
+            request.slot = request.slot and request.account.slots is not None
         self.counter_calls.set_gateways(settings.gateways)
         self.incarnation.update_settings(settings)
         self._configure_usage_broadcast(now, settings)
 
-    def get_or_create_account(self, now: float, ev: api.Request) -> Account:
-        """The account that a try is of, refilled to now."""
-        key = ev.plan, ev.account
-        if (a := self.accounts.get(key)) is None:
-            plan = self._plans.get(ev.plan) or self.dropped_plans.record(now, ev.plan) or api.Plan(ev.plan)
-            a = self.accounts[key] = Account(now, ev, plan, self._started_at, self._settings)
+    def get_or_create_account(self, now: float, event: api.Request) -> Account:
+        """Return the account of a request, refilled up to ``now``."""
+        key = event.plan, event.account
+        if (account := self.accounts.get(key)) is None:
+            plan = (
+                self._plans.get(event.plan)
+                or self.dropped_plans.record(now, event.plan)
+                or api.Plan(event.plan)
+            )
+            account = self.accounts[key] = Account(now, event, plan, self._started_at, self._settings)
             if self.incarnation.is_first:
-                a.fill_ceiling()
+                account.fill_ceiling()
             if self.usage_broadcast is not None:
-                self._accounts_by_key[a.counter_name % KEYS] = a
-                self.usage_broadcast.apply_unknown_use(now, a)
-                a.heard_at = now
-        a.refill(now)
+                self._accounts_by_key[account.counter_name % KEYS] = account
+                self.usage_broadcast.apply_unknown_use(now, account)
+                account.heard_at = now
+        account.refill(now)
         self._call_for_incarnation(now)
-        return a
+        return account
 
     def _call_for_incarnation(self, now: float) -> None:
-        """The counter is asked whether this gateway was there before, and told that it is, when that is due."""
+        """Make the call that asks the counter for an earlier incarnation, or marks this one, if one is due."""
         if (call := self.incarnation.next_call(now)) is not None:
             self.counter_calls.call(now, call.name, call.lifetime, call.amount, self._on_incarnation_answer)
 
-    def _on_incarnation_answer(self, now: float, ev: api.Counted) -> None:
-        for account in self.accounts.values() if self.incarnation.on_answer(now, ev) else ():
+    def _on_incarnation_answer(self, now: float, event: api.Counted) -> None:
+        for account in self.accounts.values() if self.incarnation.on_answer(now, event) else ():
             account.fill_ceiling()
 
     def tick(self, now: float) -> None:
-        """Once an interval: idle accounts go, what is owed to the counter is told."""
+        """Once per interval, drop idle accounts and report to the counter what is still unreported."""
         self._call_for_incarnation(now)
-        for key, a in list(self.accounts.items()):
-            # A ceiling is full before it is forgotten: a new account would start with more than was left.
-            grown = a.ceiling_level * a.gateways + a.local_ceiling_part * a.plan.ceiling_rate * (
-                now - a.refilled_at
+        for key, account in list(self.accounts.items()):
+            # An account is dropped only when its ceiling is full again, because a new account may start with more
+            # than was left in it.
+            ceiling_units = (
+                account.ceiling_level * account.gateways
+                + account.local_ceiling_part * account.plan.ceiling_rate * (now - account.refilled_at)
             )
-            full = grown >= a.local_ceiling_part * a.plan.ceiling_burst
-            if now - a.refilled_at > ACCOUNT_IDLE_SECONDS and not a.open_attempts and full:
+            is_full = ceiling_units >= account.local_ceiling_part * account.plan.ceiling_burst
+            if now - account.refilled_at > ACCOUNT_IDLE_SECONDS and not account.open_attempts and is_full:
                 del self.accounts[key]
-                self._accounts_by_key.pop(a.counter_name % KEYS, None)
+                self._accounts_by_key.pop(account.counter_name % KEYS, None)
                 continue
             if (
-                a.slots is not None
-                and a.slots.has_unreported(self.wall_time.at(now))
+                account.slots is not None
+                and account.slots.has_unreported(self.wall_time.at(now))
                 and self.counter_calls.available(now) >= 1
             ):
-                self._report_open(now, a.slots)
-            if abs(a.unreported) > 1e-9 and now - a.last_call_at > 1.0 and a.level < 0.7 * a.plan.burst:
-                self.report_use(now, a)
+                self._report_open(now, account.slots)
+            if (
+                abs(account.unreported) > 1e-9
+                and now - account.last_call_at > 1.0
+                and account.level < 0.7 * account.plan.burst
+            ):
+                self.report_use(now, account)
 
     @staticmethod
-    def exceeds_capacity(r: Request) -> bool:
-        """Whether no store of the plan could ever hold it here: waiting for one would be in vain."""
-        a, plan = r.account, r.account.plan
-        most = max(
-            a.local_ceiling_part * plan.ceiling_burst / a.gateways, a.window.capacity if a.window else 0.0
+    def exceeds_capacity(request: Request) -> bool:
+        """Return whether the request needs more than the plan's buckets can ever hold here, so that a retry would
+        never succeed."""
+        account, plan = request.account, request.account.plan
+        ceiling_capacity = max(
+            account.local_ceiling_part * plan.ceiling_burst / account.gateways,
+            account.window.capacity if account.window else 0.0,
         )
-        capped = plan.ceiling_rate > 0 and r.most > most + 1e-9
-        return capped or (plan.rate > 0 and r.units > plan.burst + 1e-9)
+        over_ceiling = plan.ceiling_rate > 0 and request.most > ceiling_capacity + 1e-9
+        return over_ceiling or (plan.rate > 0 and request.units > plan.burst + 1e-9)
 
     @staticmethod
-    def ceiling_share_holds(r: Request) -> bool:
-        """Whether the even share of the ceiling holds it, or a window that was asked."""
-        return r.account.plan.ceiling_rate <= 0 or r.granted is not None or r.account.ceiling_level >= r.most
+    def ceiling_share_holds(request: Request) -> bool:
+        """Return whether the even share of the ceiling covers the request, or a window has granted it."""
+        return (
+            request.account.plan.ceiling_rate <= 0
+            or request.granted is not None
+            or request.account.ceiling_level >= request.most
+        )
 
-    def window_may_grant(self, now: float, r: Request) -> bool:
-        """Whether its window may hold what the even share does not: by the counter, or by what is kept here."""
-        window, in_time = r.account.window, r.deadline - now >= 3 * self._settings.counter_timeout
+    def window_may_grant(self, now: float, request: Request) -> bool:
+        """Return whether the ceiling's window may cover the request, by a call to the counter or by local credit."""
+        window, in_time = (
+            request.account.window,
+            request.deadline - now >= 3 * self._settings.counter_timeout,
+        )
         if window is None:
             return False
-        asks = in_time and window.may_grant(now, r.most) and self.counter_calls.available(now) >= 1
-        return asks or window.has_credit(now, r.most)
+        can_call = in_time and window.may_grant(now, request.most) and self.counter_calls.available(now) >= 1
+        return can_call or window.has_credit(now, request.most)
 
     @staticmethod
-    def return_window_grant(r: Request) -> None:
-        """What a window holds for a try that was not sent on: no count is lowered, which could have ended meanwhile."""
-        if r.granted is not None and r.account.window is not None:
-            r.account.window.add_credit(r.granted, r.most)
-        r.granted = None
-
-    def _request_window_grant(self, now: float, r: Request, window: CeilingWindow) -> None:
-        answered = partial(self._on_window_answer, r, now)
-        self.counter_calls.call(now, window.counter_name, window.length, r.most, answered)
-
-    def _on_window_answer(self, r: Request, asked: float, now: float, ev: api.Counted) -> None:
-        r.account.refill(now)
-        if ev.status is Status.OK and (window := r.account.window) is not None:
-            r.granted = window.apply_answer(asked, now, ev.total, r.most, self._rng.random())
-        if self._open_requests.get(r.id) is not r:
-            self.return_window_grant(r)  # its client left meanwhile
-        elif r.granted is not None:
-            self._launch(now, r, self._check_by_level(now, r))
+    def return_window_grant(request: Request) -> None:
+        """Keep the units that a window granted to a request that was not sent, as local credit. The count itself is
+        not decremented, because it may have ended and a new one may have begun."""
+        if request.granted is not None and request.account.window is not None:
+            request.account.window.add_credit(request.granted, request.most)
+        request.granted = None
+
+    def _request_window_grant(self, now: float, request: Request, window: CeilingWindow) -> None:
+        on_answer = partial(self._on_window_answer, request, now)
+        self.counter_calls.call(now, window.counter_name, window.length, request.most, on_answer)
+
+    def _on_window_answer(self, request: Request, asked: float, now: float, event: api.Counted) -> None:
+        request.account.refill(now)
+        if event.status is Status.OK and (window := request.account.window) is not None:
+            request.granted = window.apply_answer(asked, now, event.total, request.most, self._rng.random())
+        if self._open_requests.get(request.id) is not request:
+            self.return_window_grant(request)  # the client disconnected while the call was in flight
+        elif request.granted is not None:
+            self._launch(now, request, self._check_by_level(now, request))
         else:
-            self._launch(now, r, Verdict(False, refuse_reason="ceiling"))
+            self._launch(now, request, Verdict(False, refuse_reason="ceiling"))
 
     @staticmethod
-    def _check_by_level(now: float, r: Request) -> Verdict:
-        """Inside its quota as far as is known here: a ceiling kept by its windows bounds what passes unseen."""
-        a = r.account
-        level = min(a.plan.burst, a.level - a.others_rate * (now - a.synced_at))
-        return Verdict(a.plan.rate <= 0 or level >= r.units, 0.0, "window")
-
-    def check_quota(self, now: float, r: Request) -> Verdict | None:
-        """Whether a try is inside its quota, by the first who can vouch for its units; None: the counter is asked."""
-        a, plan = r.account, r.account.plan
+    def _check_by_level(now: float, request: Request) -> Verdict:
+        """Check the quota by the local level alone. A ceiling that is kept by windows already bounds the use that
+        this gateway does not see."""
+        account = request.account
+        level = min(account.plan.burst, account.level - account.others_rate * (now - account.synced_at))
+        return Verdict(account.plan.rate <= 0 or level >= request.units, 0.0, "window")
+
+    def check_quota(self, now: float, request: Request) -> Verdict | None:
+        """Check a request against its quota by the best source of information at hand.
+
+        Returns None where the counter is called first; its answer launches the request.
+        """
+        account, plan = request.account, request.account.plan
         self._unverified_allowance = min(
-            r.worth,
+            request.worth,
             self._unverified_allowance
-            + UNVERIFIED_COST_SHARE * (1 - self._over_quota_share) * r.worth * (not r.repeat),
+            + UNVERIFIED_COST_SHARE * (1 - self._over_quota_share) * request.worth * (not request.repeat),
         )
-        if a.window is not None or (a.low_traffic and plan.ceiling_rate > 0 and self._settings.has_counter):
-            return self._check_by_window(now, r)
-        expected, calls = min(plan.burst, a.level - a.others_rate * (now - a.synced_at)), self.counter_calls
-        worst = min(
-            0.9 * plan.burst * (1 - 1 / a.gateways), max(a.others_rate, plan.rate) * (now - a.synced_at)
+        if account.window is not None or (
+            account.low_traffic and plan.ceiling_rate > 0 and self._settings.has_counter
+        ):
+            return self._check_by_window(now, request)
+        expected, calls = (
+            min(plan.burst, account.level - account.others_rate * (now - account.synced_at)),
+            self.counter_calls,
         )
-        plenty = expected - worst - 0.1 * plan.burst >= r.units or a.gateways <= 1
-        # The fleet shares the counter: with few calls left one request in so many asks, and counts for all.
-        chance = min(1.0, calls.available(now) / 2) * min(
-            1.0, plan.price / self._mean_price
-        )  # and by the stake
-        if plan.rate <= 0 or not self.check_open_limit(now, r):
-            return Verdict(bool(self.check_open_limit(now, r)), basis="level")
+        # What the other gateways may have drawn at most since the last total.
+        worst_case_use = min(
+            0.9 * plan.burst * (1 - 1 / account.gateways),
+            max(account.others_rate, plan.rate) * (now - account.synced_at),
+        )
+        is_ample = expected - worst_case_use - 0.1 * plan.burst >= request.units or account.gateways <= 1
+        # All gateways share the counter. When few calls are left, only a random part of the requests calls it, and
+        # each call also stands for the requests that did not. Plans of a low price call less often.
+        call_chance = min(1.0, calls.available(now) / 2) * min(1.0, plan.price / self._mean_price)
+        if plan.rate <= 0 or not self.check_open_limit(now, request):
+            return Verdict(bool(self.check_open_limit(now, request)), basis="level")
         if self.usage_broadcast is not None and now - self.usage_broadcast.heard_at < MAX_MESSAGE_GAP_SECONDS:
-            return Verdict(a.level >= r.units, basis="message")
+            return Verdict(account.level >= request.units, basis="message")
         if not self._settings.has_counter or now < calls.silent_until:
-            inside = expected >= r.units if a.low_traffic else a.share_level >= r.units * self._rng.random()
-            return Verdict(inside, basis="even share")
-        if a.level < r.units or (plenty and not a.low_traffic):
-            return Verdict(a.level >= r.units, basis="level")
-        late = r.deadline - now < 3 * self._settings.counter_timeout
-        if late or plan.over_worth > plan.over_cost or chance < max(0.05, self._rng.random()):
-            return self._check_unverified(r, expected)
-        # Near the quota the counter is asked first, with the units where they will likely be granted.
-        step = 0.0 if r.repeat and a.low_traffic else r.units / (max(0.4, chance) if a.low_traffic else 1.0)
-        self.report_use(now, a, r, step)
+            within_share = (
+                expected >= request.units
+                if account.low_traffic
+                else account.share_level >= request.units * self._rng.random()
+            )
+            return Verdict(within_share, basis="even share")
+        if account.level < request.units or (is_ample and not account.low_traffic):
+            return Verdict(account.level >= request.units, basis="level")
+        too_late = request.deadline - now < 3 * self._settings.counter_timeout
+        if too_late or plan.over_worth > plan.over_cost or call_chance < max(0.05, self._rng.random()):
+            return self._check_unverified(request, expected)
+        # Close to the quota, the counter is asked before the request is sent. The call already adds the request's
+        # units where they will most likely be granted.
+        advance_units = (
+            0.0
+            if request.repeat and account.low_traffic
+            else request.units / (max(0.4, call_chance) if account.low_traffic else 1.0)
+        )
+        self.report_use(now, account, request, advance_units)
         return None
 
-    def _check_by_window(self, now: float, r: Request) -> Verdict | None:
-        """The verdict on a try whose ceiling is kept by a window, or by an even share of which little is known."""
-        window, verdict = r.account.window, self._check_by_level(now, r)
-        if window is None or self.ceiling_share_holds(r):
+    def _check_by_window(self, now: float, request: Request) -> Verdict | None:
+        """Check a request whose ceiling is kept by a window, or whose account has too little traffic here for its
+        even share to mean much. Returns None where the counter is called first."""
+        window, verdict = request.account.window, self._check_by_level(now, request)
+        if window is None or self.ceiling_share_holds(request):
             return verdict
-        if not verdict.within_quota and r.account.plan.over_worth <= r.account.plan.over_cost:
-            return verdict  # it is refused anyway: it needs nothing of the window
-        r.granted = window.use_credit(now, r.most)
-        if r.granted is not None:
+        if not verdict.within_quota and request.account.plan.over_worth <= request.account.plan.over_cost:
+            return verdict  # it is refused in any case, so no units of the window are spent on it
+        request.granted = window.use_credit(now, request.most)
+        if request.granted is not None:
             return verdict
-        self._request_window_grant(now, r, window)
+        self._request_window_grant(now, request, window)
         return None
 
-    def _check_unverified(self, r: Request, expected: float) -> Verdict:
-        """Nobody vouches for its units. What comes again or often here is most likely beyond its quota; of the rest so
-        much passes as may cost a part of what is asked inside quotas here: summed over gateways, the same part."""
-        a, allowed = r.account, self._unverified_allowance >= 0
-        passes = expected >= r.units and (
-            not a.low_traffic or (allowed and not r.repeat and a.share_level >= r.units)
+    def _check_unverified(self, request: Request, expected: float) -> Verdict:
+        """Check a request whose units no source can verify.
+
+        On accounts with low traffic, retries and further requests here are most likely over quota and are refused.
+        The rest is sent as long as its expected cost stays within a share of the worth requested within quotas at
+        this gateway; summed over all gateways, it then stays within the same share.
+        """
+        account, has_allowance = request.account, self._unverified_allowance >= 0
+        passes = expected >= request.units and (
+            not account.low_traffic
+            or (has_allowance and not request.repeat and account.share_level >= request.units)
         )
         self._unverified_allowance -= (
-            passes * a.low_traffic * self._over_quota_share * a.plan.over_cost * r.worth
+            passes * account.low_traffic * self._over_quota_share * account.plan.over_cost * request.worth
         )
-        return Verdict(passes, 0.0 if a.low_traffic else None, "nobody")
-
-    def record_sent(self, now: float, r: Request, verdict: Verdict) -> None:
-        """A try was sent on: it takes its units."""
-        a, plan = r.account, r.account.plan
-        if plan.ceiling_rate > 0 and r.granted is None:
-            a.ceiling_level, a.ceiling_drawn = a.ceiling_level - r.most, a.ceiling_drawn + r.most
+        return Verdict(passes, 0.0 if account.low_traffic else None, "nobody")
+
+    def record_sent(self, now: float, request: Request, verdict: Verdict) -> None:
+        """Charge a request that has been sent to its account."""
+        account, plan = request.account, request.account.plan
+        if plan.ceiling_rate > 0 and request.granted is None:
+            account.ceiling_level, account.ceiling_drawn = (
+                account.ceiling_level - request.most,
+                account.ceiling_drawn + request.most,
+            )
         if not verdict.within_quota:
             return
-        counted, r.inside = verdict.counted_units, True
-        a.share_level = max(-r.units, a.share_level - r.units)
-        a.level = max(0.0, a.level - (0.0 if counted else r.units))
-        a.unreported += r.units * (counted is None)
-        a.own_recent_use += r.units
+        counted_units, request.inside = verdict.counted_units, True
+        account.share_level = max(-request.units, account.share_level - request.units)
+        account.level = max(0.0, account.level - (0.0 if counted_units else request.units))
+        account.unreported += request.units * (counted_units is None)
+        account.own_recent_use += request.units
         if self.usage_broadcast is not None:
-            self.usage_broadcast.unreported_accounts[a.counter_name] = a
-        due = a.unreported >= 0.3 * min(a.level, plan.burst) / a.gateways
-        if counted is None and self._settings.has_counter and due and a.gateways > 1:
-            self.report_use(now, a)
-
-    def revert_charge(self, now: float, r: Request, verdict: Verdict) -> Verdict:
-        """A try is not sent on inside its quota after all: the count gets back what it was told."""
+            self.usage_broadcast.unreported_accounts[account.counter_name] = account
+        is_due = account.unreported >= 0.3 * min(account.level, plan.burst) / account.gateways
+        if counted_units is None and self._settings.has_counter and is_due and account.gateways > 1:
+            self.report_use(now, account)
+
+    def revert_charge(self, now: float, request: Request, verdict: Verdict) -> Verdict:
+        """Take back the units that the counter was told in advance, for a request that is not sent within its quota
+        after all."""
         if verdict.counted_units:
-            self.report_use(now, r.account, own=-verdict.counted_units)
+            self.report_use(now, request.account, extra_units=-verdict.counted_units)
         return Verdict(False)
 
-    def report_use(self, now: float, a: Account, r: Request | None = None, own: float = 0.0) -> None:
-        """Tell the counter what is owed and ``own`` more, with the try that waits for its answer."""
-        a.unreported, a.level = a.unreported + own, a.level - own
-        room = r is not None or own != 0 or self.counter_calls.available(now) >= 1  # what is owed cannot wait
-        if room and self._settings.has_counter and a.plan.rate > 0:
-            step, a.unreported, a.last_call_at = a.unreported, 0.0, now
-            then = partial(self._on_use_counted, a, step, r, own if r is not None else 0.0)
-            self.counter_calls.call(now, a.counter_name, COUNT_LIFETIME_SECONDS, step, then)
-
-    def check_open_limit(self, now: float, r: Request, verdict: Verdict | None = None) -> bool | None:
-        """Whether its customer may have one more out, as far as is known here: the even share, where nobody can be
-        asked. With the verdict on its units it then counts as out; None where the counter is asked and it waits."""
-        a, most, slots = r.account, r.account.plan.open_limit, r.account.slots
-        if most <= 0 or r.slot:
+    def report_use(
+        self, now: float, account: Account, request: Request | None = None, extra_units: float = 0.0
+    ) -> None:
+        """Report the account's unreported use and ``extra_units`` to the counter. ``request`` waits for the answer.
+
+        Without a free call the units stay unreported, unless a request waits or ``extra_units`` is not 0.
+        """
+        account.unreported, account.level = account.unreported + extra_units, account.level - extra_units
+        # A waiting request and units told in advance cannot be postponed.
+        may_call = request is not None or extra_units != 0 or self.counter_calls.available(now) >= 1
+        if may_call and self._settings.has_counter and account.plan.rate > 0:
+            reported, account.unreported, account.last_call_at = account.unreported, 0.0, now
+            on_answer = partial(
+                self._on_use_counted, account, reported, request, extra_units if request is not None else 0.0
+            )
+            self.counter_calls.call(now, account.counter_name, COUNT_LIFETIME_SECONDS, reported, on_answer)
+
+    def check_open_limit(self, now: float, request: Request, verdict: Verdict | None = None) -> bool | None:
+        """Return whether the account may have one more attempt open.
+
+        Where the counter cannot be asked, the even share of the limit decides. With the verdict on its units, the
+        request then occupies a slot; None is returned where it waits for the counter's answer.
+        """
+        account, limit, slots = request.account, request.account.plan.open_limit, request.account.slots
+        if limit <= 0 or request.slot:
             return True
-        in_time = r.deadline - now >= 3 * self._settings.counter_timeout
-        asks = slots is not None and not r.coming and in_time and self.counter_calls.available(now) >= 1
-        room = (asks or a.open_attempts < -(-most // a.gateways)) and (
+        in_time = request.deadline - now >= 3 * self._settings.counter_timeout
+        can_call = (
+            slots is not None and not request.coming and in_time and self.counter_calls.available(now) >= 1
+        )
+        has_room = (can_call or account.open_attempts < -(-limit // account.gateways)) and (
             slots is None or now >= slots.full_until
         )
-        if verdict is None or not room or slots is None or r.coming:
-            return room
-        r.slot = True
+        if verdict is None or not has_room or slots is None or request.coming:
+            return has_room
+        request.slot = True
         slots.add_open(self.wall_time.at(now), 1)
-        if asks:
-            self._report_open(now, slots, partial(self._on_open_reported, r, slots, verdict))
-        return None if asks else True  # unasked, it is told with the next call
-
-    def on_body_complete(self, now: float, r: Request) -> None:
-        """The last byte of its body has come: from now on it counts as out."""
-        if r.out and not r.slot and r.account.slots is not None:
-            r.slot = True
-            r.account.slots.add_open(self.wall_time.at(now), 1)
-
-    def _report_open(self, now: float, slots: Slots, then: CountCallback = lambda _now, _ev: None) -> None:
+        if can_call:
+            self._report_open(now, slots, partial(self._on_open_reported, request, slots, verdict))
+        return None if can_call else True  # without a call now, the slot is reported with the next one
+
+    def on_body_complete(self, now: float, request: Request) -> None:
+        """Occupy a slot for a request whose body has arrived completely; until then it does not count as open."""
+        if request.out and not request.slot and request.account.slots is not None:
+            request.slot = True
+            request.account.slots.add_open(self.wall_time.at(now), 1)
+
+    def _report_open(
+        self, now: float, slots: Slots, callback: CountCallback = lambda _now, _event: None
+    ) -> None:
         name, amount, period = slots.take_report()
 
-        def told(now: float, ev: api.Counted) -> None:
-            if ev.status in api.NEVER_ADDED:
+        def on_answer(now: float, event: api.Counted) -> None:
+            if event.status in api.NEVER_ADDED:
                 slots.restore_report(period, amount)
-            then(now, ev)
+            callback(now, event)
 
-        self.counter_calls.call(now, name, 2 * PERIOD_SECONDS, amount, told)
+        self.counter_calls.call(now, name, 2 * PERIOD_SECONDS, amount, on_answer)
 
     def _on_open_reported(
-        self, r: Request, slots: Slots, verdict: Verdict, now: float, ev: api.Counted
+        self, request: Request, slots: Slots, verdict: Verdict, now: float, event: api.Counted
     ) -> None:
-        a, most = r.account, r.account.plan.open_limit
-        if self._open_requests.get(r.id) is not r:
-            self.revert_charge(now, r, verdict)  # its client left meanwhile
+        account, limit = request.account, request.account.plan.open_limit
+        if self._open_requests.get(request.id) is not request:
+            self.revert_charge(now, request, verdict)  # the client disconnected while the call was in flight
             return
-        room = ev.total <= most + 1e-6 if ev.status is Status.OK else a.open_attempts < -(-most // a.gateways)
-        if most > 0 and not room:  # new settings may have taken the limit away
-            self.release_slot(now, r)
-            slots.full_until = now + r.work / most
-        self._launch(now, r, verdict)
-
-    def release_slot(self, now: float, r: Request) -> None:
-        """A try no longer counts among what is out."""
-        if r.slot and (slots := r.account.slots) is not None:
-            r.slot, slots.full_until = False, 0.0
+        has_room = (
+            event.total <= limit + 1e-6
+            if event.status is Status.OK
+            else account.open_attempts < -(-limit // account.gateways)
+        )
+        if limit > 0 and not has_room:  # new settings may have removed the limit meanwhile
+            self.release_slot(now, request)
+            slots.full_until = now + request.work / limit
+        self._launch(now, request, verdict)
+
+    def release_slot(self, now: float, request: Request) -> None:
+        """Release the slot that a request occupies under its plan's open limit, if any."""
+        if request.slot and (slots := request.account.slots) is not None:
+            request.slot, slots.full_until = False, 0.0
             slots.add_open(self.wall_time.at(now), -1)
             if slots.unreported and now >= self.counter_calls.silent_until:
                 self._report_open(now, slots)
 
     def _on_use_counted(
-        self, a: Account, step: float, r: Request | None, units: float, now: float, ev: api.Counted
+        self, account: Account, reported: float, request: Request | None, advance_units: float, now: float,
+        event: api.Counted,
     ) -> None:  # fmt: skip
-        """The counter's answer; a try that waited for it is launched."""
-        a.refill(now)
-        if ev.status is Status.OK:
+        """Apply the counter's answer to a report of use, and launch the request that waited for it."""
+        account.refill(now)
+        if event.status is Status.OK:
             if (
-                older := a.apply_total(now, ev.total, step, units, self._older_count_share >= 0.5)
+                is_older := account.apply_total(
+                    now, event.total, reported, advance_units, self._older_count_share >= 0.5
+                )
             ) is not None:
-                self._older_count_share += ESTIMATE_WEIGHT * (older - self._older_count_share)
-        elif ev.status in api.NEVER_ADDED:  # else it is taken for added: told twice it would be used twice
-            a.unreported += step
-        asked, r = r is not None, r if r is not None and self._open_requests.get(r.id) is r else None
-        own = r.units if r is not None else 0.0
-        left = a.level + units - own - (0 if ev.status is Status.OK else a.others_rate * (now - a.synced_at))
-        # Where the guess in the step was wrong the count gets the units back, or gets them at all.
-        lost = r is not None and a.low_traffic and ev.status is not Status.OK
-        verdict = self._check_unverified(r, left + own) if r is not None and lost else Verdict(left >= -1e-6)
-        used = own if verdict.within_quota else 0.0
-        right = used if units == 0 else -units * (used == 0)
-        if r is not None and not r.repeat and ev.status is Status.OK:
-            self._over_quota_share += ESTIMATE_WEIGHT * ((used == 0) - self._over_quota_share)
-        if asked and right:
-            self.report_use(now, a, own=right)
-        if r is not None:
-            self._launch(now, r, replace(verdict, counted_units=(units or right) if used else 0.0))
-        if a.unreported > 0.25 * a.plan.burst and ev.status is Status.OK:
-            self.report_use(now, a)
-        a.level = max(a.level, 0.0)
+                self._older_count_share += ESTIMATE_WEIGHT * (is_older - self._older_count_share)
+        elif event.status in api.NEVER_ADDED:
+            # After any other failure the units count as added, because reporting them twice would charge them twice.
+            account.unreported += reported
+        had_request, request = (
+            request is not None,
+            request if request is not None and self._open_requests.get(request.id) is request else None,
+        )
+        request_units = request.units if request is not None else 0.0
+        remaining = (
+            account.level
+            + advance_units
+            - request_units
+            - (0 if event.status is Status.OK else account.others_rate * (now - account.synced_at))
+        )
+        is_unverified = request is not None and account.low_traffic and event.status is not Status.OK
+        verdict = (
+            self._check_unverified(request, remaining + request_units)
+            if request is not None and is_unverified
+            else Verdict(remaining >= -1e-6)
+        )
+        charged = request_units if verdict.within_quota else 0.0
+        # Where the units told in advance turn out wrong, the counter gets them back, or is told them now.
+        correction = charged if advance_units == 0 else -advance_units * (charged == 0)
+        if request is not None and not request.repeat and event.status is Status.OK:
+            self._over_quota_share += ESTIMATE_WEIGHT * ((charged == 0) - self._over_quota_share)
+        if had_request and correction:
+            self.report_use(now, account, extra_units=correction)
+        if request is not None:
+            self._launch(
+                now,
+                request,
+                replace(verdict, counted_units=(advance_units or correction) if charged else 0.0),
+            )
+        if account.unreported > 0.25 * account.plan.burst and event.status is Status.OK:
+            self.report_use(now, account)
+        account.level = max(account.level, 0.0)
 
     def broadcast_usage(self, now: float) -> None:
-        """A message to the others, where one is due."""
+        """Send a usage message to the other gateways, if one is due."""
         if self.usage_broadcast is not None and self.usage_broadcast.is_due(now):
             self._emit(api.Tell(self.usage_broadcast.write_message(now)))
 
-    def receive_usage(self, now: float, ev: api.Heard) -> None:
-        """Another gateway's message."""
-        if self.usage_broadcast is None or ev.sender == self._settings.index:
+    def receive_usage(self, now: float, event: api.Heard) -> None:
+        """Apply another gateway's usage message; a text that is not a valid message changes nothing."""
+        if self.usage_broadcast is None or event.sender == self._settings.index:
             return
-        known, rows = self.usage_broadcast.was_restarted, self.usage_broadcast.read_message(now, ev.text)
-        if self.usage_broadcast.was_restarted and not known:
-            for account in self.accounts.values():
-                account.refill(now)
-                self.usage_broadcast.cap_at_even_share(now, account)
+        was_restarted, rows = (
+            self.usage_broadcast.was_restarted,
+            self.usage_broadcast.read_message(now, event.text),
+        )
+        if self.usage_broadcast.was_restarted and not was_restarted:
+            for known_account in self.accounts.values():
+                known_account.refill(now)
+                self.usage_broadcast.cap_at_even_share(now, known_account)
         for key, units in rows:
-            if (a := self._accounts_by_key.get(key)) is not None:
-                a.add_reported_use(now, units)
+            if (account := self._accounts_by_key.get(key)) is not None:
+                account.add_reported_use(now, units)
             else:
                 self.usage_broadcast.store_unknown_use(now, key, units)
 
-    def settle(self, _now: float, r: Request, ev: api.Outcome) -> None:
-        """What an answer tells of its customer: the request's true units."""
-        a = r.account
-        # A figure that cannot be true settles nothing: what was taken stays taken, the ceiling's bound as well.
-        true = ev.units if ev.status is Status.OK and ev.units is not None else -1.0
-        known = 0 <= true <= max(self._settings.max_units, r.most)
-        if known and r.bound and a.plan.ceiling_rate > 0 and r.granted is None:
-            a.return_ceiling_units(r.most - true)
-        if known and r.inside:
-            a.settle(true - r.units)
+    def settle(self, _now: float, request: Request, event: api.Outcome) -> None:
+        """Correct the charge of a request by the true units that its answer reports."""
+        account = request.account
+        # An implausible figure corrects nothing: the units charged stay charged, to the ceiling as well.
+        true_units = event.units if event.status is Status.OK and event.units is not None else -1.0
+        is_plausible = 0 <= true_units <= max(self._settings.max_units, request.most)
+        if is_plausible and request.bound and account.plan.ceiling_rate > 0 and request.granted is None:
+            account.return_ceiling_units(request.most - true_units)
+        if is_plausible and request.inside:
+            account.settle(true_units - request.units)
             if self.usage_broadcast is not None:
-                self.usage_broadcast.unreported_accounts[a.counter_name] = a
+                self.usage_broadcast.unreported_accounts[account.counter_name] = account
