--- a/cypresspulley/policy/account.py
+++ b/cypresspulley/policy/account.py
@@ -1,4 +1,4 @@
-"""One customer's quota at one gateway, and how many calls the shared counter bears."""
+"""One account's quota at one gateway, and the rate limit on calls to the shared counter."""
 
 import math
 from collections import deque
@@ -10,73 +10,78 @@
 from cypresspulley.policy.slots import Slots
 from cypresspulley.policy.windows import CeilingWindow, local_ceiling_part
 
-OTHERS_DECAY_SECONDS = (
-    1.0  # seconds over which the others' use, told by messages, is taken for what they go on using
-)
-SILENT_RETRY_SECONDS = 0.25  # seconds between two calls to a counter that is silent
-MAX_CALLS_PER_SECOND = (
-    300.0  # calls a second to the counter, thought possible at first by all, and at most by one
-)
+OTHERS_DECAY_SECONDS = 1.0  # time constant with which use reported by other gateways is extrapolated
+SILENT_RETRY_SECONDS = 0.25  # between two calls to a counter that does not answer
+# Calls to the counter that all gateways together assume it takes at first, and the most that one gateway makes.
+MAX_CALLS_PER_SECOND = 300.0
 CountCallback = Callable[[float, api.Counted], None]
 
 
 class CounterCalls:
-    """How many calls the counter bears, and whether it answers at all."""
+    """Makes the calls to the shared counter, at an adaptive rate that its answers raise and its failures lower."""
 
     def __init__(
         self, now: float, gateways: int, draw: float, emit: Callable[[Action], None] = lambda _action: None
     ) -> None:
         self._emit = emit
-        # What each answer is for and when it was asked, by name: answers come in the order of the calls for a name.
+        # Callback and time of each call, by name; answers arrive in the order of the calls for a name.
         self._in_flight = dict[int, deque[tuple[CountCallback, float]]]()
         self.rate = MAX_CALLS_PER_SECOND / gateways
         self.min_rate = 2 * MAX_CALLS_PER_SECOND / gateways / 100
-        self._rate_growth = 1.5  # by an answer: no settings tell what it bears; slow start up to a first miss
-        self.tokens = 0.2 * self.rate + draw  # in random debt: fresh fleets call in turn
+        # Factor per answer. The settings don't state the counter's capacity, so the rate starts with a slow-start
+        # phase that ends with the first miss.
+        self._rate_growth = 1.5
+        # A random part of a token keeps the gateways of a freshly started fleet from all calling at once.
+        self.tokens = 0.2 * self.rate + draw
         self.refilled_at = now
-        self.broken_at = now
-        self.silent_until = 0.0
-        self.misses = 0
+        self.broken_at = now  # time of the last call that ended with a broken connection
+        self.silent_until = 0.0  # no call is made before
+        self.misses = 0  # failed calls since the last answer
 
     def set_gateways(self, gateways: int) -> None:
-        """Another number of gateways shares the counter: what was learnt of it goes on, in proportion."""
-        least = 2 * MAX_CALLS_PER_SECOND / gateways / 100
+        """Scale the learned rate to another number of gateways that share the counter."""
+        min_rate = 2 * MAX_CALLS_PER_SECOND / gateways / 100
         self.rate, self.min_rate = (
-            max(least, min(MAX_CALLS_PER_SECOND, self.rate * least / self.min_rate)),
-            least,
+            max(min_rate, min(MAX_CALLS_PER_SECOND, self.rate * min_rate / self.min_rate)),
+            min_rate,
         )
 
     def available(self, now: float) -> float:
-        """Calls that may be made now."""
+        """Return the number of calls that may be made now."""
         self.tokens = min(2 + 0.2 * self.rate, self.tokens + self.rate * (now - self.refilled_at))
         self.refilled_at = now
         return self.tokens if now >= self.silent_until else 0.0
 
-    def call(self, now: float, name: int, lifetime: float, amount: float, then: CountCallback) -> None:
-        """Make a call. After a row of misses they go one at a time, until one is answered."""
+    def call(self, now: float, name: int, lifetime: float, amount: float, callback: CountCallback) -> None:
+        """Add ``amount`` to a count at the counter. After several misses in a row, calls go out one at a time until
+        one is answered."""
         self.tokens -= 1
         if self.misses > 1:
             self.silent_until = now + SILENT_RETRY_SECONDS
-        self._in_flight.setdefault(name, deque()).append((then, now))
+        self._in_flight.setdefault(name, deque()).append((callback, now))
         self._emit(api.Count(name, lifetime, amount))
 
-    def on_answer(self, now: float, ev: api.Counted) -> None:
-        """The counter's answer, to what asked for it."""
-        if (line := self._in_flight.get(ev.name)) is not None:
-            then, made = line.popleft()
-            if not line:
-                del self._in_flight[ev.name]
-            self.record_result(now, ev.status, made)
-            then(now, ev)
-
-    def record_result(self, now: float, status: Status, made: float) -> None:
-        """One miss is a queue or a break; two with no answer between are silence, which says nothing of how many calls
-        the counter bears. Calls that were out together end together when their connection breaks: one miss."""
+    def on_answer(self, now: float, event: api.Counted) -> None:
+        """Pass the end of a call to its callback."""
+        if (calls := self._in_flight.get(event.name)) is not None:
+            callback, called_at = calls.popleft()
+            if not calls:
+                del self._in_flight[event.name]
+            self.record_result(now, event.status, called_at)
+            callback(now, event)
+
+    def record_result(self, now: float, status: Status, called_at: float) -> None:
+        """Adapt the rate to the result of a call made at ``called_at``.
+
+        One miss is a sign of a queue or a broken connection. Two misses without an answer between them mean that the
+        counter is silent, which says nothing about its capacity. The calls in flight on a connection that breaks end
+        together and count as one miss.
+        """
         if status is Status.OK:
             self.misses, self.silent_until = 0, 0.0
             self.rate = min(MAX_CALLS_PER_SECOND, self.rate * self._rate_growth)
         elif status is Status.BROKEN:
-            self.misses, self.broken_at = self.misses + (made >= self.broken_at), now
+            self.misses, self.broken_at = self.misses + (called_at >= self.broken_at), now
         elif status is not Status.SPOILT:
             if status is Status.FULL or self.misses < 2:
                 self.rate, self._rate_growth = max(self.min_rate, self.rate * 0.9), 1.01
@@ -86,7 +91,10 @@
 
 
 class Account:
-    """A customer's quota as this gateway knows it; many come once only, so it is kept small."""
+    """An account's quota as this gateway knows it.
+
+    Many accounts send only one request, so an instance is kept small. Levels are in units of the plan.
+    """
 
     __slots__ = (
         "ceiling_drawn",
@@ -112,41 +120,49 @@
         "synced_at",
         "unreported",
         "window",
-    )  # fmt: skip
+    )
 
     def __init__(
-        self, now: float, ev: api.Request, plan: api.Plan, born: float, settings: api.Settings
+        self, now: float, event: api.Request, plan: api.Plan, started_at: float, settings: api.Settings
     ) -> None:
         self.refilled_at = now
-        self.last_call_at = now
-        self.synced_at = born
-        self.gateways = share = max(1, ev.gateways)
-        label = f"{ev.plan} {ev.account}"
+        self.last_call_at = now  # time of the last report to the counter
+        self.synced_at = started_at  # time of the last total that the counter answered
+        self.gateways = gateways = max(1, event.gateways)  # number of gateways that serve this account
+        label = f"{event.plan} {event.account}"
         self.slots: Slots | None = None
         self.apply_plan(plan, label, settings)
         self.counter_name = int.from_bytes(blake2b(label.encode(), digest_size=8).digest(), "big") >> 1
-        # Of the whole store; a reading cuts it. Where nobody else draws on it, it is simply full.
-        self.level = plan.burst + plan.rate * (now - born) * (share > 1)
-        self.share_level = self.share_burst
-        # A restart finds the ceiling's store used, so the share fills from this instance's birth.
+        # Level of the whole token bucket, which may exceed its burst until the first total is known, because the
+        # total is deducted from it. Where no other gateway draws on the bucket, it starts full.
+        self.level = plan.burst + plan.rate * (now - started_at) * (gateways > 1)
+        self.share_level = self.share_burst  # level of this gateway's even share of the bucket
+        # Level of this gateway's even share of the ceiling. It fills from this process's start, because the process
+        # before a restart may have used up the bucket.
         self.ceiling_level = (
-            self.local_ceiling_part * min(plan.ceiling_burst, plan.ceiling_rate * (now - born)) / share
+            self.local_ceiling_part
+            * min(plan.ceiling_burst, plan.ceiling_rate * (now - started_at))
+            / gateways
         )
-        self.ceiling_drawn = 0.0  # units taken from it
-        self.last_total: float | None = None
-        self.others_rate = plan.rate * (share - 1) / share * 0.3  # their use a second
-        self.unreported = 0.0  # own use that the others have not been told
-        self.open_attempts = 0  # attempts out
-        # Without a counter:
-        self.extrapolated_use = 0.0  # the others' use taken off the level and not yet told
-        self.own_recent_use = 0.0  # own use a second
-        self.heard_at = 0.0  # since when
-        self.debt = 0.0  # units that turned out to be due when the store held none: the next ones pay them
+        self.ceiling_drawn = 0.0  # units taken from it since
+        self.last_total: float | None = None  # the last total that the counter answered
+        self.others_rate = (
+            plan.rate * (gateways - 1) / gateways * 0.3
+        )  # the other gateways' use, in units per second
+        self.unreported = 0.0  # own use that the counter or the other gateways have not been told
+        self.open_attempts = 0
+        # The three below serve usage messages, where there is no counter.
+        self.extrapolated_use = 0.0  # others' use that was deducted before they reported it
+        self.own_recent_use = 0.0  # own use, decaying like the others'
+        self.heard_at = 0.0  # time of the last message; 0 where messages are not used
+        self.debt = 0.0  # units charged when the bucket was empty; deducted from the next refills
 
     def apply_plan(self, plan: api.Plan, label: str, settings: api.Settings) -> None:
-        """What the plan bounds: at first, and when new settings hold. Levels go on under it."""
+        """Set what depends on the plan and the settings, initially and after each change. Levels are kept."""
         self.plan = plan
-        self.low_traffic = plan.burst < 2 * self.gateways  # the even share holds next to nothing
+        self.low_traffic = (
+            plan.burst < 2 * self.gateways
+        )  # an even share of the bucket holds less than 2 units
         self.share_burst = max(
             plan.burst / self.gateways, min(settings.max_units, plan.burst) * self.low_traffic
         )
@@ -154,46 +170,49 @@
             plan, self.gateways, settings.max_units, settings.has_counter
         )
         self.window = CeilingWindow(label, plan) if self.local_ceiling_part < 1 else None
-        shared = plan.open_limit > 0 and self.gateways > 1 and settings.has_counter
-        self.slots = (self.slots or Slots(label)) if shared else None
+        limits_open_globally = plan.open_limit > 0 and self.gateways > 1 and settings.has_counter
+        self.slots = (self.slots or Slots(label)) if limits_open_globally else None
 
     def refill(self, now: float) -> None:
-        plan, dt, self.refilled_at = self.plan, max(0.0, now - self.refilled_at), now
+        """Refill all levels up to ``now``."""
+        plan, elapsed, self.refilled_at = self.plan, max(0.0, now - self.refilled_at), now
         if self.heard_at:
-            self._extrapolate_others(dt)
+            self._extrapolate_others(elapsed)
         else:
-            paid = min(self.debt, plan.rate * dt)
+            paid = min(self.debt, plan.rate * elapsed)
             self.debt -= paid
-            gain = plan.rate * dt - paid
-            unread = plan.rate * (now - self.synced_at) * (self.gateways > 1)
-            self.level = min(plan.burst + unread, self.level + gain)
-        self.share_level = min(self.share_burst, self.share_level + plan.rate / self.gateways * dt)
-        whole = self.ceiling_level * self.gateways + self.local_ceiling_part * plan.ceiling_rate * dt
+            gain = plan.rate * elapsed - paid
+            # Until the next total arrives, the level may exceed the burst by what was refilled since the last one.
+            refilled_since_sync = plan.rate * (now - self.synced_at) * (self.gateways > 1)
+            self.level = min(plan.burst + refilled_since_sync, self.level + gain)
+        self.share_level = min(self.share_burst, self.share_level + plan.rate / self.gateways * elapsed)
+        whole = self.ceiling_level * self.gateways + self.local_ceiling_part * plan.ceiling_rate * elapsed
         self.ceiling_level = min(self.local_ceiling_part * plan.ceiling_burst, whole) / self.gateways
 
     def fill_ceiling(self) -> None:
-        """No earlier incarnation of this gateway drew on the even share: it was full when this one began."""
+        """Fill the even share of the ceiling, less what was drawn since. No earlier incarnation of this gateway drew
+        on it, so it was full when this one started."""
         self.ceiling_level = max(
             self.ceiling_level,
             self.local_ceiling_part * self.plan.ceiling_burst / self.gateways - self.ceiling_drawn,
         )
 
     def return_ceiling_units(self, units: float) -> None:
-        """Units that were taken from the even share of the ceiling and not used."""
+        """Return units that were taken from the even share of the ceiling and not used."""
         self.ceiling_level = min(
             self.local_ceiling_part * self.plan.ceiling_burst / self.gateways, self.ceiling_level + units
         )
 
-    def _extrapolate_others(self, dt: float) -> None:
-        """Between two messages the others go on as they did, ever less surely."""
-        fade = math.exp(-dt / OTHERS_DECAY_SECONDS)
-        use = self.others_rate * OTHERS_DECAY_SECONDS * (1 - fade)
-        self.others_rate, self.own_recent_use = self.others_rate * fade, self.own_recent_use * fade
-        self.extrapolated_use += use
-        self.level = min(self.plan.burst, self.level + self.plan.rate * dt - use)
+    def _extrapolate_others(self, elapsed: float) -> None:
+        """Deduct the use to expect from the other gateways between two messages: their last rate, decaying."""
+        decay = math.exp(-elapsed / OTHERS_DECAY_SECONDS)
+        expected_use = self.others_rate * OTHERS_DECAY_SECONDS * (1 - decay)
+        self.others_rate, self.own_recent_use = self.others_rate * decay, self.own_recent_use * decay
+        self.extrapolated_use += expected_use
+        self.level = min(self.plan.burst, self.level + self.plan.rate * elapsed - expected_use)
 
     def settle(self, units: float) -> None:
-        """A request inside the quota truly cost so many units more than was taken for it (below 0: less)."""
+        """Charge the difference between a request's true units and those charged for it (below 0: a refund)."""
         paid = min(self.debt, max(0.0, -units))
         self.debt -= paid
         self.level, self.share_level = self.level - units - paid, self.share_level - units
@@ -202,31 +221,41 @@
             self.level, self.debt = 0.0, self.debt - self.level
 
     def add_reported_use(self, now: float, units: float) -> None:
-        """Another gateway tells what it sent on since it last told (below 0: what it gives back)."""
-        if not self.heard_at:  # from now on the level is of the whole store, and no longer grows past it
+        """Deduct what another gateway reports as used since its last message (below 0: a refund)."""
+        if not self.heard_at:
+            # With messages, the level is that of the whole bucket and no longer exceeds the burst.
             self.level, self.others_rate = min(self.level, self.plan.burst), 0.0
         self.heard_at = now
         self.refill(now)
-        known = min(self.extrapolated_use, max(0.0, units))
-        self.extrapolated_use -= known
-        self.level = max(-self.plan.burst, self.level - (units - known))
+        already_deducted = min(self.extrapolated_use, max(0.0, units))
+        self.extrapolated_use -= already_deducted
+        self.level = max(-self.plan.burst, self.level - (units - already_deducted))
         self.others_rate = max(0.0, self.others_rate + units / OTHERS_DECAY_SECONDS)
 
-    def apply_total(self, now: float, total: float, step: float, units: float, young: bool) -> bool | None:
-        """The count answers: what the others used since the last total, and so what the store holds. Of a first total:
-        whether it is over what a store that was full at this gateway's start gave; ``young``: most are, being older."""
-        # A total that fell has expired, was flushed or restarted empty: what it holds came since.
-        fallen = total < (self.last_total or 0.0) * 0.5
-        others = max(0.0, total - step) if fallen else total - step - (self.last_total or 0.0)
+    def apply_total(
+        self, now: float, total: float, reported: float, advance_units: float, most_are_older: bool
+    ) -> bool | None:
+        """Deduct what the other gateways used since the last total, from the counter's new ``total``.
+
+        ``reported`` is what the call itself added, ``advance_units`` the part of it for a request that is not sent
+        yet. Of a first total, returns whether it exceeds what a bucket can have given that was full when this gateway
+        started, so that the count is older than the gateway; None otherwise. ``most_are_older`` says that most first
+        totals were: then such a count is no evidence of overuse.
+        """
+        # A total that has dropped has expired, was flushed, or restarted at 0: all that it holds came since.
+        has_dropped = total < (self.last_total or 0.0) * 0.5
+        others_use = (
+            max(0.0, total - reported) if has_dropped else total - reported - (self.last_total or 0.0)
+        )
         age = max(0.05, now - self.synced_at)
-        self.others_rate += min(1.0, age / 3) * (max(0.0, others) / age - self.others_rate)
-        self.level -= others
-        older = self.level < -self.plan.burst if self.last_total is None else None
-        self.level = self.plan.burst / 2 if older and young else self.level  # such a count tells nothing yet
+        self.others_rate += min(1.0, age / 3) * (max(0.0, others_use) / age - self.others_rate)
+        self.level -= others_use
+        is_older = self.level < -self.plan.burst if self.last_total is None else None
+        self.level = self.plan.burst / 2 if is_older and most_are_older else self.level
         self.last_total, self.synced_at = total, now
-        # What a full store could not hold is counted as used: the count alone then tells the store.
-        lost = max(0.0, self.level + units - self.plan.burst)
+        # Refill beyond a full bucket is lost. It is reported as used, so that the count alone tells the level.
+        lost = max(0.0, self.level + advance_units - self.plan.burst)
         self.level -= lost
-        # Another may tell a thin gate's.
+        # With low traffic here, another gateway may report the loss: only a large one is reported.
         self.unreported += lost * (not self.low_traffic or lost > 0.5 * self.plan.burst)
-        return older
+        return is_older
