--- a/cypresspulley/policy/incarnation.py
+++ b/cypresspulley/policy/incarnation.py
@@ -1,9 +1,10 @@
-"""Whether a process is the first of its place for so long that all stores of ceilings are full again.
+"""Finds out whether a process is the first in its position for so long that all ceilings' buckets are full again.
 
-Two counts by the shared counter tell it, whose names say the place and nothing else. An incarnation marks each of them
-by a random amount that it adds. A count is forgotten ``MAX_LIFETIME_SECONDS`` after the mark that began it, by the
-counter's own clock, and an incarnation begins them ``MARK_INTERVAL_SECONDS`` apart: at any instant of its time one of them lives for
-``MARK_INTERVAL_SECONDS`` more, however the wall clock steps. A new incarnation that finds both empty is the first one.
+Two counts at the shared counter tell it; their names hold the gateway's index and nothing else. An incarnation marks
+each of them by adding a random amount. A count expires ``MAX_LIFETIME_SECONDS`` after the mark that started it, by the
+counter's own clock, and an incarnation starts the two ``MARK_INTERVAL_SECONDS`` apart. So at any time of its life one
+of them lives for another ``MARK_INTERVAL_SECONDS``, however the wall clock steps, and a new incarnation that finds
+both empty is the first one.
 """
 
 from itertools import combinations
@@ -13,55 +14,54 @@
 from cypresspulley.interface import Status
 from cypresspulley.policy.counts import MAX_LIFETIME_SECONDS, count_name
 
-MARK_INTERVAL_SECONDS = MAX_LIFETIME_SECONDS / 2  # seconds between the beginnings of the two counts
-CALL_JITTER_SECONDS = 0.4  # seconds over which the calls of gateways that start together are spread
-MAX_UNANSWERED_MARKS = 4  # of a count in a row, after which nothing is learnt from it
-MAX_UNANSWERED_READS = 12
-READ_LIFETIME_SECONDS = 0.001  # seconds that a count lives which is only read
+MARK_INTERVAL_SECONDS = MAX_LIFETIME_SECONDS / 2  # between the starts of the two counts
+CALL_JITTER_SECONDS = 0.4  # spreads the calls of gateways that start together
+MAX_UNANSWERED_MARKS = 4  # of one count in a row; nothing is learned from it after that
+MAX_UNANSWERED_READS = 12  # of one count in a row; nothing is learned from it after that
+READ_LIFETIME_SECONDS = 0.001  # lifetime of a count that a read creates
 MAX_MARK_AMOUNT = 9999
 
 
 class Mark:
-    """One of the two counts as its incarnation knows it."""
+    """One of the two counts, as the incarnation that marks it knows it."""
 
     __slots__ = ("counter_name", "due_at", "unanswered_amounts")
 
     def __init__(self, name: int) -> None:
         self.counter_name = name
-        self.due_at = 0.0  # the instant at which it is marked again
+        self.due_at = 0.0  # when it is marked again
         self.unanswered_amounts = list[float]()  # amounts that may have been added since the last answer
 
     def __repr__(self) -> str:
         return f"<Mark due {self.due_at:.3f}, unanswered {self.unanswered_amounts}>"
 
-    def is_own(self, others: float) -> bool:
-        """Whether so much, besides what was added last, can have come from this incarnation alone."""
+    def is_own(self, remainder: float) -> bool:
+        """Return whether the amount beside the one added last can have come from this incarnation alone."""
         amounts = [amount for amount in self.unanswered_amounts if amount]
-        sums = (sum(some) for n in range(len(amounts) + 1) for some in combinations(amounts, n))
-        return any(abs(others - own) < 1e-3 for own in sums)
+        sums = (sum(subset) for n in range(len(amounts) + 1) for subset in combinations(amounts, n))
+        return any(abs(remainder - own_sum) < 1e-3 for own_sum in sums)
 
 
 class Incarnation:
-    """The calls by which a process finds out whether it is the first of its place, and by which it tells its successor.
+    """Makes the calls by which a process learns whether it is the first in its position, and marks that it lives for
+    its successor.
 
-    ``is_enabled`` is whether there is a counter and a ceiling that fills within ``MARK_INTERVAL_SECONDS``.
+    ``is_enabled`` says whether there is a counter and a ceiling, and all ceilings fill within
+    ``MARK_INTERVAL_SECONDS``.
     """
 
     def __init__(self, settings: api.Settings, rng: Random, now: float) -> None:
         fill_times = [p.ceiling_burst / p.ceiling_rate for p in settings.plans if p.ceiling_rate > 0]
-        longest = max(fill_times, default=0.0)
-        self.is_enabled = settings.has_counter and 0 < longest <= MARK_INTERVAL_SECONDS
+        longest_fill = max(fill_times, default=0.0)
+        self.is_enabled = settings.has_counter and 0 < longest_fill <= MARK_INTERVAL_SECONDS
         self.is_first = False
         self.marks = tuple(Mark(count_name("incarnation", settings.index, number)) for number in range(2))
-        self.is_undecided = True  # it is not known yet whether this is the first one
+        self.is_undecided = True  # whether this is the first one is not known yet
         self._rng = rng
-        self._retry_seconds = max(
-            1.0, MARK_INTERVAL_SECONDS - longest
-        )  # seconds until a count that another began is marked again
+        # Time until a count that another process started is marked again.
+        self._retry_seconds = max(1.0, MARK_INTERVAL_SECONDS - longest_fill)
         self._next_call_at = now + rng.random() * CALL_JITTER_SECONDS
-        self._pending_call: tuple[Mark, float] | None = (
-            None  # the mark and amount of the call that is under way
-        )
+        self._pending_call: tuple[Mark, float] | None = None  # mark and amount of the call in flight
 
     def __repr__(self) -> str:
         state = (
@@ -70,22 +70,23 @@
         return f"<Incarnation {state}, {self.marks}>"
 
     def update_settings(self, settings: api.Settings) -> None:
-        """Without a counter nobody is asked; with one that came later nothing is known of the time before."""
+        """Stop calling where there is no counter any more. One that is added later changes nothing, because it knows
+        nothing of the time before."""
         self.is_enabled = self.is_enabled and settings.has_counter
 
     def resume(self, now: float, is_first: bool) -> None:
-        """Go on for another process of this incarnation, whose marks will be forgotten in their time."""
+        """Continue for another process of the same incarnation, whose marks expire in time."""
         self.is_first, self.is_undecided = is_first, False
         for number, mark in enumerate(self.marks):
             mark.due_at = now + self._retry_seconds * (number + 1) / 2
 
     def next_call(self, now: float) -> api.Count | None:
-        """The call that is due."""
+        """Return the call that is due, or None."""
         if not self.is_enabled or self._pending_call is not None or now < self._next_call_at:
             return None
         if not self.is_undecided:
-            due = [mark for mark in self.marks if mark.due_at <= now]
-            return self._mark_count(due[0]) if due else None
+            due_marks = [mark for mark in self.marks if mark.due_at <= now]
+            return self._mark_count(due_marks[0]) if due_marks else None
         if self.marks[0].due_at <= now:
             return self._mark_count(self.marks[0])
         self._pending_call = self.marks[1], 0.0
@@ -96,31 +97,31 @@
         self._pending_call = mark, amount
         return api.Count(mark.counter_name, MAX_LIFETIME_SECONDS, amount)
 
-    def on_answer(self, now: float, answer: api.Counted) -> bool:
-        """The counter's answer; whether it tells that this incarnation is the first one."""
+    def on_answer(self, now: float, event: api.Counted) -> bool:
+        """Apply the counter's answer. Returns whether it shows that this incarnation is the first one."""
         if self._pending_call is None:
             return False
         (mark, amount), self._pending_call = self._pending_call, None
         self._next_call_at = now + self._rng.random() * CALL_JITTER_SECONDS
-        if answer.status is not Status.OK:
-            self._on_unanswered(now, mark, amount, answer.status)
+        if event.status is not Status.OK:
+            self._on_unanswered(now, mark, amount, event.status)
             return False
-        own = mark.is_own(answer.total - amount)
+        is_own = mark.is_own(event.total - amount)
         mark.unanswered_amounts = []
         if amount:
-            mark.due_at = now + (MAX_LIFETIME_SECONDS if own else self._retry_seconds)
+            mark.due_at = now + (MAX_LIFETIME_SECONDS if is_own else self._retry_seconds)
         if not self.is_undecided:
             return False
-        if own and amount:
-            return False  # the other count is still to be read
-        self.is_undecided, self.is_first = False, own
-        self.marks[1].due_at = now + (MARK_INTERVAL_SECONDS if own else self._retry_seconds / 2)
+        if is_own and amount:
+            return False  # the other count has still to be read
+        self.is_undecided, self.is_first = False, is_own
+        self.marks[1].due_at = now + (MARK_INTERVAL_SECONDS if is_own else self._retry_seconds / 2)
         return self.is_first
 
     def _on_unanswered(self, now: float, mark: Mark, amount: float, status: Status) -> None:
         if status in api.NEVER_ADDED:
             return
-        mark.unanswered_amounts.append(amount)  # 0 of a read
+        mark.unanswered_amounts.append(amount)  # a read adds 0
         if len(mark.unanswered_amounts) < (MAX_UNANSWERED_MARKS if amount else MAX_UNANSWERED_READS):
             return
         mark.unanswered_amounts, mark.due_at = [], now + self._retry_seconds
--- a/cypresspulley/policy/walltime.py
+++ b/cypresspulley/policy/walltime.py
@@ -1,19 +1,20 @@
-"""Wall time, by which all gateways name the spells of what is out alike, over steps of the wall clock."""
+"""Wall time, by which all gateways agree on the periods of open attempts even when the wall clock steps."""
 
 
 class WallTime:
-    """The wall clock as the decisions follow it. All machines read one clock: a step reaches all gateways at once."""
+    """Wall time on the clock of the decision module. All machines follow one time source, so that a step reaches all
+    gateways at once."""
 
     def __init__(self) -> None:
-        self._offset = 0.0  # seconds by which wall time is ahead of the decisions' clock
+        self._offset = 0.0  # seconds by which wall time is ahead of the decision clock
 
     def __repr__(self) -> str:
         return f"<WallTime {self._offset:+.3f} s>"
 
     def at(self, now: float) -> float:
-        """Wall time at an instant of the decisions' clock."""
+        """Return the wall time at a time of the decision clock."""
         return now + self._offset
 
     def set_offset(self, offset: float) -> None:
-        """The wall clock is ``offset`` seconds ahead from now on."""
+        """Set how many seconds the wall clock is ahead of the decision clock from now on."""
         self._offset = offset
