--- a/tests/test_quota_audit.py
+++ b/tests/test_quota_audit.py
@@ -1,4 +1,4 @@
-"""The audit of quotas tells inside from beyond, and takes units for what was sent inside alone."""
+"""The quota audit tells requests within quota from those over it, and charges only sent ones that are within."""
 
 from __future__ import annotations
 
@@ -37,6 +37,6 @@
     audited = Audited(Scripted(), lambda _now, request, became: told.append((request.id, became)))  # type: ignore[arg-type]
     for id in (1, 2, 3):
         audited.handle(0.0, w.request(id))
-    audited.handle(0.0, api.Body(1, True, True))  # sent once more
+    audited.handle(0.0, api.Body(1, True, True))  # sent again
     audited.handle(0.0, api.Departed(3))
     assert told == [(1, "sent"), (2, "refused: quota")] and not audited._open
--- a/tests/test_quota_bound.py
+++ b/tests/test_quota_bound.py
@@ -1,4 +1,4 @@
-"""What many limiters and one counter let in beyond quotas: a bound on what nobody vouches for, over all of them."""
+"""What many limiters with one counter send over quota: a bound on the cost of unverified requests, over all of them."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 from cypresspulley.policy.gateway import Gateway
 from tests.test_quota_calm import SITE
 
-# The price over_quota may be 0.1 above that of one who sees the true stores late (the gate).
-ALLOWED = 0.1
-# What nobody vouches for may cost 0.08 by what limiters expect, which they learn from answers: in a burst more is
-# beyond, fewer can be asked.
-UNVOUCHED = 0.08
-LEARNT_LATE = 1.4
+# The price over_quota may be 0.1 above that of a policy that sees the true levels late, as the gate requires.
+MAX_EXTRA_PRICE = 0.1
+# Unverified requests may cost 0.08 by what limiters expect. They learn their expectation from answers, which lags in a
+# burst, when more requests are over quota and fewer can be verified.
+UNVERIFIED_COST = 0.08
+LEARNING_LAG = 1.4
 PLAN = api.Plan("small", rate=1.0, burst=2.0, over_cost=1.2)
 LOOK = api.RequestClass("look", 2.0, 1.0, api.Effect.SAFE)
 
 
 @st.composite
 def sites(draw: st.DrawFn) -> dict[str, Any]:
-    """Deployments: dear excess or not, stores of one second's use or of five, a counter that bears little or all."""
+    """Draw a deployment: excess of any cost, bursts of one to five seconds' use, a counter of low or ample capacity."""
     site = copy.deepcopy(SITE)
     low = draw(st.floats(1.0, 3.0))
     for plan in site["fam"]["plan"]:
         plan["rate"] *= draw(st.floats(0.5, 1.5))
         plan["burst_s"] = max(
             draw(st.floats(low, low + 2)), 2 / plan["rate"]
-        )  # two requests, by the bench's page
+        )  # the benchmark's rules require two requests at least
         plan["over_cost"] = draw(st.floats(0.3, 1.5))
         plan["spread"] = [draw(st.sampled_from([0.3, 0.6, 1.0])), 1.0]
     site["fam"] |= {
@@ -47,7 +47,7 @@
 @pytest.mark.long
 @settings(
     max_examples=5, derandomize=True, deadline=None, suppress_health_check=list(HealthCheck),
-    phases=[Phase.generate],  # a day takes a second: a failing one is shown as it was drawn
+    phases=[Phase.generate],  # no shrinking, because a day takes a second
 )  # fmt: skip
 @given(sites(), st.integers(1, 1000))
 def test_whatever_the_deployment_what_passes_beyond_quotas_stays_within_the_bound(
@@ -55,16 +55,16 @@
 ) -> None:
     figures = Day(site, 80, seed, 10.0).play()
     assert sum(figures.vouched.values()) > 1000 and figures.other_price > 0
-    nobody = sum(cost for (_, voucher, _), cost in figures.cost.items() if voucher == "nobody")
-    assert nobody <= UNVOUCHED * LEARNT_LATE * figures.offered
-    assert figures.price - figures.other_price <= ALLOWED * figures.offered
+    unverified_price = sum(cost for (_, voucher, _), cost in figures.cost.items() if voucher == "nobody")
+    assert unverified_price <= UNVERIFIED_COST * LEARNING_LAG * figures.offered
+    assert figures.price - figures.other_price <= MAX_EXTRA_PRICE * figures.offered
     assert abs(sum(figures.cost.values()) - figures.price) < 1e-6 * figures.offered, (
         "the table is the whole price"
     )
 
 
-def first_try(gateway: Gateway, now: float, id: int, repeat: bool = False) -> api.Count:
-    """A first try of an account of many limiters, which asks the counter."""
+def first_request(gateway: Gateway, now: float, id: int, repeat: bool = False) -> api.Count:
+    """Feed the first request of an account of many limiters and return the counter call that it makes."""
     request = api.Request(id, "look", "small", 6.0, f"a{id}", 1.0, 100, repeat)
     gateway.quotas.counter_calls.tokens = 10.0
     (call,) = [action for action in gateway.handle(now, request) if isinstance(action, api.Count)]
@@ -78,8 +78,8 @@
     return gateway
 
 
-def sent(gateway: Gateway, now: float, call: api.Count, status: Status, total: float = 0.0) -> bool:
-    """Whether the call's answer sends its try on; the server then answers at once."""
+def is_sent(gateway: Gateway, now: float, call: api.Count, status: Status, total: float = 0.0) -> bool:
+    """Return whether the call's answer sends its request; the server then answers at once."""
     actions = gateway.handle(now, api.Counted(call.name, status, total))
     sends = [action for action in actions if isinstance(action, api.Send)]
     for send in sends:
@@ -89,26 +89,26 @@
 
 def test_an_overdrawn_count_vouches_for_nothing_where_the_others_are_no_older_than_this_limiter() -> None:
     gateway = limiter()
-    for id in range(1, 6):  # first totals of a fresh fleet: what a full store can have given
-        assert sent(gateway, 0.1, first_try(gateway, 0.1, id), Status.OK, 1.0)
-    call = first_try(gateway, 0.2, 6)
-    assert not sent(gateway, 0.2, call, Status.OK, 9.0), "each of a hundred limiters would let one in"
+    for id in range(1, 6):  # first totals of a fresh fleet: no more than a full bucket can have given
+        assert is_sent(gateway, 0.1, first_request(gateway, 0.1, id), Status.OK, 1.0)
+    call = first_request(gateway, 0.2, 6)
+    assert not is_sent(gateway, 0.2, call, Status.OK, 9.0), "each of a hundred limiters would let one in"
 
 
 def test_where_all_counts_are_older_than_this_limiter_their_first_totals_refuse_nobody() -> None:
     gateway = limiter()
-    assert all(sent(gateway, 0.1, first_try(gateway, 0.1, id), Status.OK, 40.0) for id in range(1, 6))
+    assert all(is_sent(gateway, 0.1, first_request(gateway, 0.1, id), Status.OK, 40.0) for id in range(1, 6))
 
 
 @pytest.mark.parametrize("status", [Status.TIMEOUT, Status.FULL, Status.BROKEN])
 def test_a_lost_answer_vouches_for_nothing(status: Status) -> None:
-    """One try passes; from then on none until enough has been asked inside quotas."""
+    """One request passes; after it none does until enough worth has been requested within quotas."""
     gateway = limiter()
     passed = []
     for id in range(1, 21):
         gateway.quotas.counter_calls.misses, gateway.quotas.counter_calls.silent_until = 0, 0.0
-        call = first_try(gateway, 0.1, id)
-        passed.append(sent(gateway, 0.1, call, status))
+        call = first_request(gateway, 0.1, id)
+        passed.append(is_sent(gateway, 0.1, call, status))
     assert passed[0] and sum(passed) * 0.24 < 20 * 0.8 * 0.08 + 0.24
 
 
@@ -116,20 +116,20 @@
     gateway, now = limiter(), 0.1
     for id in range(1, 9):
         gateway.quotas.counter_calls.silent_until = 0.0
-        sent(gateway, now, first_try(gateway, now, id), Status.TIMEOUT)
+        is_sent(gateway, now, first_request(gateway, now, id), Status.TIMEOUT)
     request = api.Request(99, "look", "small", 6.0, "another", 1.0, 100)
     assert any(isinstance(action, api.Send) for action in gateway.handle(now, request))
 
 
 def test_a_day_of_the_bench_reads_as_a_site() -> None:
-    """The form is the bench's; the figures are made up here. Its times are microseconds."""
+    """The format is the benchmark's, with times in microseconds; the figures are made up."""
     plan = {"burst": 4.0, "ceiling_rate": 2.0, "customers": 7, "open": 3, "over_cost": 1.2, "over_worth": 0.0,
             "price": 0.9, "rate": 1.0, "spread": [0.5, 1.0]}  # fmt: skip
-    fam = {"heavy": 0.1, "full": 0.2, "spiky": 0.2, "heavy_x": [2, 4], "spike_x": [2, 6], "spike_s": [1, 4],
+    family = {"heavy": 0.1, "full": 0.2, "spiky": 0.2, "heavy_x": [2, 4], "spike_x": [2, 6], "spike_s": [1, 4],
            "spike_every_s": 20.0, "skew": 1.5, "shift_s": 9.0, "elsewhere": 0.1, "calm": 0.3, "plans": [plan],
            "peer_in_per_s": 60.0, "peer_loss": 0.0,
            "counter": {"per_s": 900.0, "parts": 2, "base": 1500.0, "timeout": 50000, "queue": 100000}}  # fmt: skip
-    day = {"site": "x", "fam": fam, "balancers": [{}] * 20, "length": 5e6,
+    day = {"site": "x", "fam": family, "balancers": [{}] * 20, "length": 5e6,
            "allow": {"max_attempts": 3, "peers": False},
            "clients": {"retries": 1, "try_share": 0.7, "backoff_us": 200000.0},
            "classes": [{"name": "look", "share": 1, "work": 150000.0, "aim": 2e6, "deadline": 6e6, "worth": 1.0}],
--- a/tests/test_quota_calm.py
+++ b/tests/test_quota_calm.py
@@ -1,4 +1,4 @@
-"""What a quiet day of many limiters lets through beyond quotas, and how soon they find what the counter bears."""
+"""What many limiters send over quota on a quiet day, and how soon they find the counter's capacity."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from cypresspulley.policy.account import CounterCalls
 from cypresspulley.policy.gateway import Gateway
 
-MOST = 0.1  # that the price over_quota may be above that of one who sees the true stores late
+MOST = 0.1  # the price over_quota may exceed that of a policy that sees the true levels late by this much
 
-# Dear excess, and accounts of which each limiter sees next to nothing.
+# Excess is costly, and each limiter sees next to no traffic of an account.
 SITE: dict[str, Any] = {
     "name": "thin",
     "allow": {"max_attempts": 3},
@@ -44,8 +44,8 @@
     assert figures.inside > 0.8 * figures.offered
 
 
-def unasked(over_cost: float, tries: int, repeat: bool = False) -> int:
-    """Of so many tries, each of another customer and with no call left to ask by, how many are sent on."""
+def sent_unverified(over_cost: float, tries: int, repeat: bool = False) -> int:
+    """Return how many of the requests are sent, each of another account and with no counter call available."""
     settings = api.Settings(
         0, 200, "a", (api.RequestClass("look", 2.0, 1.0, api.Effect.SAFE),),
         (api.Plan("small", rate=0.8, burst=4.0, over_cost=over_cost),), has_counter=True, counter_timeout=0.05,
@@ -63,17 +63,17 @@
 
 
 def test_what_goes_unasked_beyond_quota_is_bounded_by_what_it_may_cost() -> None:
-    """One try in five is taken for beyond, until the counter has shown it: dear, it costs 0.24 of its worth, and the
-    bound is a part of the four in five that are asked inside."""
+    """Until the counter has answered, one request in five is assumed to be over quota. At a cost of 1.2 that is 0.24 of
+    a request's worth, and the bound is a share of the other four in five, which are within quota."""
     bound = 200 * 0.8 * 0.08
-    assert 0.9 * bound < unasked(1.2, 200) * 0.2 * 1.2 < bound + 0.24
-    assert unasked(0.0, 200) == 200, "what costs nothing needs no bound"
-    assert unasked(1.2, 200, repeat=True) == 0, (
+    assert 0.9 * bound < sent_unverified(1.2, 200) * 0.2 * 1.2 < bound + 0.24
+    assert sent_unverified(0.0, 200) == 200, "what costs nothing needs no bound"
+    assert sent_unverified(1.2, 200, repeat=True) == 0, (
         "what comes again is not vouched for, and adds nothing to the bound"
     )
 
 
-def answered(calls: CounterCalls, status: Status, times: int) -> None:
+def feed_answers(calls: CounterCalls, status: Status, times: int) -> None:
     for _ in range(times):
         calls.call(0.0, 1, 1.0, 1.0, lambda _now, _ev: None)
         calls.on_answer(0.0, api.Counted(1, status))
@@ -81,10 +81,10 @@
 
 def test_what_the_counter_bears_is_found_quickly_until_it_first_misses_and_approached_slowly_after() -> None:
     calls = CounterCalls(0.0, 200, 0.5)
-    first = calls.rate
-    answered(calls, Status.OK, 15)
-    assert calls.rate > 2 * first
-    answered(calls, Status.FULL, 1)
-    cut = calls.rate
-    answered(calls, Status.OK, 15)
-    assert cut < calls.rate < 1.2 * cut
+    first_rate = calls.rate
+    feed_answers(calls, Status.OK, 15)
+    assert calls.rate > 2 * first_rate
+    feed_answers(calls, Status.FULL, 1)
+    lowered_rate = calls.rate
+    feed_answers(calls, Status.OK, 15)
+    assert lowered_rate < calls.rate < 1.2 * lowered_rate
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -1,4 +1,4 @@
-"""Limits on what is out over all gateways: counted on the counter, whose answers come late, wrong or not at all."""
+"""Limits on open attempts over all gateways, kept by a counter whose answers come late, wrong or not at all."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 LIMIT = 3
 PLAN = api.Plan("chain", open_limit=LIMIT, over_cost=0.5)
 SETTINGS = w.settings(plans=(PLAN,), max_attempts=2)
-BEGIN = 125 * PERIOD_SECONDS + 0.5  # soon after a spell's begin
+BEGIN = 125 * PERIOD_SECONDS + 0.5  # soon after the start of a period
 
 
 class Fleet:
-    """Three gateways and one counter. ``exact``: each call is answered before anything else happens."""
+    """Three gateways and one counter. With ``exact``, each call is answered before anything else happens."""
 
     def __init__(self, settings: api.Settings = SETTINGS, exact: bool = True) -> None:
         self.now, self.exact, self.totals, self.id = BEGIN, exact, w.SharedCounts(), 0
@@ -41,7 +41,7 @@
             world.answer_counts(status)
 
     def ask(self, at: int, kind: str = "read", **changes: object) -> int:
-        """A try at one gateway; its id."""
+        """Feed a request to one gateway and return its id."""
         self.id += 1
         self.worlds[at].feed(replace(w.request(self.id, kind, "chain", "hotel"), **changes))  # type: ignore[arg-type]
         self.settle()
@@ -54,15 +54,15 @@
 
     @property
     def out(self) -> list[tuple[int, int]]:
-        """Gateway and id of what is out."""
+        """Gateway and id of each open attempt."""
         return [(n, id) for n, world in enumerate(self.worlds) for id, _ in world.out]
 
     def ends_clean(self) -> bool:
         for at, id in self.out:
             self.end(at, id)
         self.advance(1.1)
-        told = self.totals.get(count_name("out chain hotel", int(self.now // PERIOD_SECONDS)), 0.0)
-        return told == 0 and not any(any(left_of(e.gateway).values()) for e in self.worlds)
+        counted = self.totals.get(count_name("out chain hotel", int(self.now // PERIOD_SECONDS)), 0.0)
+        return counted == 0 and not any(any(left_of(e.gateway).values()) for e in self.worlds)
 
 
 def test_one_gateway_may_use_all_that_the_others_leave() -> None:
@@ -81,18 +81,20 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_no_more_are_out_than_the_limit_while_the_counter_answers(seed: int) -> None:
-    fleet, rng, most = Fleet(), Random(seed), 0
+    fleet, rng, max_open = Fleet(), Random(seed), 0
     for _ in range(400):
         if rng.random() < 0.5:
             fleet.ask(rng.choice((0, 0, 0, 1, 2)))
         elif fleet.out:
             fleet.end(*rng.choice(fleet.out))
-        most = max(most, len(fleet.out))
-        if rng.random() < 0.2:  # but for the second after a spell's begin, in which not all is told yet
+        max_open = max(max_open, len(fleet.out))
+        if (
+            rng.random() < 0.2
+        ):  # not in the second after a period starts, while not everything is reported yet
             fleet.advance(0.05 if fleet.now % PERIOD_SECONDS < PERIOD_SECONDS - 0.1 else 1.3)
             while fleet.out and fleet.now % PERIOD_SECONDS < 1.3:
                 fleet.end(*fleet.out[0])
-    assert most == LIMIT
+    assert max_open == LIMIT
     assert fleet.ends_clean()
 
 
@@ -102,7 +104,7 @@
     for _ in range(LIMIT):
         fleet.ask(0, ttl=30.0)
     fleet.advance(PERIOD_SECONDS)
-    fleet.advance(1.1)  # the new spell has been told
+    fleet.advance(1.1)  # the new period's count has been told
     fleet.ask(1)
     assert [at for at, _ in fleet.out] == [0] * LIMIT
     assert fleet.ends_clean()
@@ -141,7 +143,7 @@
     world = fleet.worlds[0]
     world.feed(w.request(1, "read", "chain", "hotel"))
     (call,) = (call for call in world.counts if call.amount)
-    fleet.totals[call.name] = 1.0  # added, and the answer came too late
+    fleet.totals[call.name] = 1.0  # added, but the answer came too late
     world.answer_counts(Status.TIMEOUT)
     assert len(world.out) == 1
     fleet.exact = True
@@ -187,18 +189,18 @@
 
 
 def test_no_more_are_out_than_the_limit_where_a_step_of_the_wall_clock_enters_a_spell_again() -> None:
-    """A spell's count lives for two spells, so that one that is entered again by a step back of more than one spell may
-    be forgotten in its middle, with all that is out and was told of."""
+    """A period's count lives for two periods. Where the clock steps back by more than one period and enters one again,
+    its count may therefore expire in the middle, with all open attempts that were reported to it."""
     settings = replace(SETTINGS, classes=(replace(w.SAFE, aim=60.0),))
     fleet = Fleet(settings)
-    fleet.ask(1, ttl=1.0)  # the first spell's count begins
-    fleet.advance(14.0)  # into the next spell
+    fleet.ask(1, ttl=1.0)  # the first period's count starts
+    fleet.advance(14.0)  # into the next period
     for world in fleet.worlds:
         world.feed(api.WallClock(-11.0))  # back into the first one
     for _ in range(LIMIT):
         fleet.ask(0, ttl=40.0)
     fleet.advance(1.0)
     assert len(fleet.out) == LIMIT
-    fleet.advance(1.5)  # by now the count has been forgotten
+    fleet.advance(1.5)  # the count has expired by now
     fleet.ask(1, ttl=40.0)
     assert len(fleet.out) == LIMIT
