--- a/tests/test_quota_bound.py
+++ b/tests/test_quota_bound.py
@@ -20,7 +20,7 @@
 # Unverified requests may cost 0.08 by what limiters expect. They learn their expectation from answers, which lags in a
 # burst, when more requests are over quota and fewer can be verified.
 UNVERIFIED_COST = 0.08
-LEARNING_LAG = 1.4
+LEARNING_LAG_FACTOR = 1.4
 PLAN = api.Plan("small", rate=1.0, burst=2.0, over_cost=1.2)
 LOOK = api.RequestClass("look", 2.0, 1.0, api.Effect.SAFE)
 
@@ -32,9 +32,8 @@
     low = draw(st.floats(1.0, 3.0))
     for plan in site["fam"]["plan"]:
         plan["rate"] *= draw(st.floats(0.5, 1.5))
-        plan["burst_s"] = max(
-            draw(st.floats(low, low + 2)), 2 / plan["rate"]
-        )  # the benchmark's rules require two requests at least
+        # The benchmark's rules require a burst of two requests at least.
+        plan["burst_s"] = max(draw(st.floats(low, low + 2)), 2 / plan["rate"])
         plan["over_cost"] = draw(st.floats(0.3, 1.5))
         plan["spread"] = [draw(st.sampled_from([0.3, 0.6, 1.0])), 1.0]
     site["fam"] |= {
@@ -56,7 +55,7 @@
     figures = Day(site, 80, seed, 10.0).play()
     assert sum(figures.vouched.values()) > 1000 and figures.other_price > 0
     unverified_price = sum(cost for (_, voucher, _), cost in figures.cost.items() if voucher == "nobody")
-    assert unverified_price <= UNVERIFIED_COST * LEARNING_LAG * figures.offered
+    assert unverified_price <= UNVERIFIED_COST * LEARNING_LAG_FACTOR * figures.offered
     assert figures.price - figures.other_price <= MAX_EXTRA_PRICE * figures.offered
     assert abs(sum(figures.cost.values()) - figures.price) < 1e-6 * figures.offered, (
         "the table is the whole price"
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -88,9 +88,8 @@
         elif fleet.out:
             fleet.end(*rng.choice(fleet.out))
         max_open = max(max_open, len(fleet.out))
-        if (
-            rng.random() < 0.2
-        ):  # not in the second after a period starts, while not everything is reported yet
+        # Not in the second after a period starts, while not everything is reported yet.
+        if rng.random() < 0.2:
             fleet.advance(0.05 if fleet.now % PERIOD_SECONDS < PERIOD_SECONDS - 0.1 else 1.3)
             while fleet.out and fleet.now % PERIOD_SECONDS < 1.3:
                 fleet.end(*fleet.out[0])
--- a/tests/test_wall_clock_ceilings.py
+++ b/tests/test_wall_clock_ceilings.py
@@ -18,7 +18,7 @@
 BEGIN = 10_000.0  # seconds of the decision clock
 STEP_AT = 20.0  # seconds after the start
 END = 40.0  # seconds after the start
-REQUESTS_PER_SECOND = 60.0  # requests a second, far beyond the ceiling
+REQUESTS_PER_SECOND = 60.0  # far beyond the ceiling
 STEPS = [3600.0, -3600.0, 5.0, -5.0, 0.9, 0.0]
 
 
