--- a/cypresspulley/lanes/stores.py
+++ b/cypresspulley/lanes/stores.py
@@ -83,7 +83,7 @@
             return False
         if level_at(a, now) >= ev.units:
             return True
-        alone = a.low_traffic or not self._set.has_counter or now < self._quotas.calls.silent_until
+        alone = a.low_traffic or not self._set.has_counter or now < self._quotas.counter_calls.silent_until
         return alone and floor_at(a, now) >= ev.units
 
     def short(self, now: float, ev: api.Request) -> float:
--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -82,7 +82,7 @@
     """The state of the decisions; nothing is changed by it."""
     fleet, quotas = gateway.fleet, gateway.quotas
     incarnation, usage = quotas.incarnation, quotas.usage_broadcast
-    accounts = sorted(quotas.accounts.items(), key=lambda each: -each[1].at)[:ACCOUNTS]
+    accounts = sorted(quotas.accounts.items(), key=lambda each: -each[1].refilled_at)[:ACCOUNTS]
     return {
         "retries": gateway._retries,
         "seen": list(gateway._seen),
--- a/tests/takeover/test_snapshot.py
+++ b/tests/takeover/test_snapshot.py
@@ -121,7 +121,9 @@
     new: w.World | None = None
     id = 1000
     # What was drawn before counts: begin with what the account itself has left.
-    store = old.gateway.quotas.get_or_create_account(old.now, asked_of(0, "read", "capped", "a0")).ceiling
+    store = old.gateway.quotas.get_or_create_account(
+        old.now, asked_of(0, "read", "capped", "a0")
+    ).ceiling_level
     for step in range(160):
         now = last + (rng.choice((0.01, 0.05, 0.2)) if step not in (40, 100) else 3.0)  # the store fills
         if step in (40, 100):
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -647,15 +647,15 @@
     world.feed(replace(w.request(1, "post"), coming=True))
     server = world.gateway.fleet.servers["s0"]
     assert world.out and server.open == 0.0 and server.quiet is None
-    assert world.gateway._requests[1].account.open == 0, "an attempt is out from its last byte on"
+    assert world.gateway._requests[1].account.open_attempts == 0, "an attempt is out from its last byte on"
     world.gateway.handle(world.now + 60.0, api.Body(1, whole=True, kept=False))
     assert server.open > 0.0 and server.quiet == world.now + 60.0
     request = world.gateway._requests[1]
     assert request.deadline == world.now + 63.0, "its time counts from its last byte"
     world.gateway.handle(world.now + 60.2, api.Began(1, 0, "s0", 0.2, {}))
-    assert server.open == 0.0 and server.quiet is None and request.account.open == 1
+    assert server.open == 0.0 and server.quiet is None and request.account.open_attempts == 1
     world.gateway.handle(world.now + 99.0, api.Outcome(1, 0, "s0", api.Status.OK, 0.2, True, {}))
-    assert request.account.open == 0 and left_of(world.gateway)["work"] == 0
+    assert request.account.open_attempts == 0 and left_of(world.gateway)["work"] == 0
 
 
 def test_a_body_that_is_spent_is_not_tried_again() -> None:
