--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -52,9 +52,9 @@
             api.ResponseStarted: self._handle_began, api.Outcome: self._handle_outcome,
             api.ServerList: self.load_balancer.update_servers,
             api.Suspend: self._handle_suspend, api.SettingsChanged: self._handle_retune,
-            api.Probed: self.load_balancer.record_probe, api.PeerMessage: self.quotas.heard,
-            api.Counted: self.quotas.calls.answered,
-            api.WallClockStep: lambda _now, event: self.quotas.wall.step(event.shift),
+            api.Probed: self.load_balancer.record_probe, api.PeerMessage: self.quotas.receive_usage,
+            api.Counted: self.quotas.counter_calls.on_answer,
+            api.WallClockStep: lambda _now, event: self.quotas.wall_time.set_offset(event.shift),
             api.TimerFired: lambda _now, _event: None,
             api.ClientDisconnected: lambda now, event: self._remove_request(now, event.id),
         }  # fmt: skip
@@ -81,19 +81,19 @@
         if self._timer_token % 10 == 0 and self.refusal_counts:
             text = ", ".join(f"{k} {n}" for k, n in sorted(self.refusal_counts.items()))
             load = f"load {self.gate.load:.2f}, u {self.gate.admit_rate:.0f}/s"  # u: the admit rate
-            silent = ", counter silent" * (now < self.quotas.calls.silent_until)
+            silent = ", counter silent" * (now < self.quotas.counter_calls.silent_until)
             self._actions.append(api.Log(f"turned away: {text}; {load}{silent}"))
             self.refusal_counts = {}
         self._actions += self.load_balancer.tick(now, dt, self._requests.values())
-        self.quotas.tell(now)
+        self.quotas.broadcast_usage(now)
         self._sorted_values = sorted(self._recent_values)
         self.quotas.tick(now)
 
     def _handle_request(self, now: float, event: api.Request) -> None:
         unknown = api.RequestClass(event.request_class, max(event.ttl, 0.01), 1.0, Effect.UNSAFE)
         cls = self._classes.find(now, event.request_class, event.effect) or unknown
-        account = self.quotas.account(now, event)
-        self.quotas.tell(now)
+        account = self.quotas.get_or_create_account(now, event)
+        self.quotas.broadcast_usage(now)
         request = self._requests[event.id] = Request(
             now, event, cls, account, self._classes.max_attempts(now)
         )
@@ -104,13 +104,13 @@
         request.value_rank = (
             bisect_left(self._sorted_values, value) / len(self._sorted_values) if self._sorted_values else 1.0
         )
-        if request.bound and self.quotas.too_dear(request):
+        if request.bound and self.quotas.exceeds_capacity(request):
             self._refuse_or_fail(now, request, "too dear")
-        elif not (self.quotas.under_ceiling(request) or self.quotas.window_may_hold(now, request)):
+        elif not (self.quotas.ceiling_share_holds(request) or self.quotas.window_may_grant(now, request)):
             self._refuse_or_fail(now, request, "ceiling")
         elif not self.gate.allows(now, request.work, MAX_RESERVE_SHARE * (1 - request.value_rank)):
             self._refuse_or_fail(now, request, "gate")
-        elif (verdict := self.quotas.judge(now, request)) is not None:
+        elif (verdict := self.quotas.check_quota(now, request)) is not None:
             self._dispatch(now, request, verdict)
 
     def _handle_suspend(self, now: float, event: api.Suspend) -> None:
@@ -122,26 +122,26 @@
         self._settings = event.settings
         self._classes.apply_settings(now, event.settings)
         self.load_balancer.apply_settings(now, event.settings)
-        self.quotas.retune(now, event.settings)
+        self.quotas.update_settings(now, event.settings)
 
     def _dispatch(self, now: float, request: Request, verdict: Verdict) -> None:
         """Send a request whose quota verdict is known, or refuse it."""
         plan = request.account.plan
         earns = plan.over_worth > plan.over_cost and 0 < self.gate.load < 0.6 * REFERENCE_LOAD
-        room = verdict.inside and self.quotas.room_out(now, request, verdict)
+        room = verdict.within_quota and self.quotas.check_open_limit(now, request, verdict)
         if room is None:
             return None
-        if not room and verdict.inside:
-            verdict = self.quotas.unsent(now, request, verdict)
+        if not room and verdict.within_quota:
+            verdict = self.quotas.revert_charge(now, request, verdict)
         if not (room or earns):
-            return self._refuse_or_fail(now, request, verdict.why)
+            return self._refuse_or_fail(now, request, verdict.refuse_reason)
         # The ceiling is checked again: requests that waited for the counter must not draw on it together.
-        if not self.quotas.under_ceiling(request) or not self._send_attempt(now, request):
-            self.quotas.unsent(now, request, verdict)
+        if not self.quotas.ceiling_share_holds(request) or not self._send_attempt(now, request):
+            self.quotas.revert_charge(now, request, verdict)
             return self._refuse_or_fail(now, request, "no server")
         self.gate.charge(request.work)
         self._retry_tokens = min(10.0, self._retry_tokens + 0.1)
-        self.quotas.sent(now, request, verdict)
+        self.quotas.record_sent(now, request, verdict)
 
     def _send_attempt(self, now: float, request: Request, latest: float = inf) -> bool:
         """Send an attempt, not after ``latest``; return False where no server should get it."""
@@ -169,7 +169,7 @@
 
     def _begin_work(self, now: float, request: Request, server: Server) -> None:
         """Count the request as outstanding at its server and its account."""
-        request.holds_work, request.account.open = True, request.account.open + 1
+        request.holds_work, request.account.open_attempts = True, request.account.open_attempts + 1
         self.load_balancer.begin_attempt(now, server, request.work)
 
     def _handle_body(self, now: float, event: api.BodyProgress) -> None:
@@ -183,7 +183,7 @@
         if event.complete and request.body_pending:
             request.body_pending = False
             request.start_clock(now)
-            self.quotas.whole(now, request)
+            self.quotas.on_body_complete(now, request)
             for s in request.open_attempts.values():
                 self._begin_work(now, request, s)
 
@@ -210,7 +210,7 @@
         if server is None or request is None:
             return
         if request.open_attempts.pop(event.attempt, None) is not None:
-            request.account.open -= not request.body_pending
+            request.account.open_attempts -= not request.body_pending
             if request.holds_work:
                 self._record_outcome(now, request, server, event)
             elif request.body_pending or event.status is not Status.OK:
@@ -278,10 +278,10 @@
         """Forget a request that has ended, and release what it holds."""
         if request := self._requests.pop(id, None):
             if not request.attempts:
-                self.quotas.give_back(request)
-            self.quotas.free(now, request)
+                self.quotas.return_window_grant(request)
+            self.quotas.release_slot(now, request)
             for s in request.open_attempts.values():
                 s.release_work(request.work if request.holds_work else 0.0)
-                request.account.open -= not request.body_pending
+                request.account.open_attempts -= not request.body_pending
                 # Nobody waits for an answer any more, so the server owes none.
                 s.silent_since = s.silent_since if s.outstanding_work > 1e-9 else None
--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -33,19 +33,22 @@
     "row": "consecutive_breaks", "broke": "last_break_at", "cold_at": "cold_since",
 }  # fmt: skip
 ACCOUNT: Mapping[str, str] = {
-    "at": "at", "asked": "asked", "synced": "synced", "level": "level", "floor": "floor", "ceiling": "ceiling",
-    "drawn": "drawn", "total": "total", "others": "others", "pending": "pending", "guessed": "guessed",
-    "mine": "mine", "heard": "heard", "debt": "debt",
+    "at": "refilled_at", "asked": "last_call_at", "synced": "synced_at",
+    "level": "level", "floor": "share_level", "ceiling": "ceiling_level",
+    "drawn": "ceiling_drawn", "total": "last_total", "others": "others_rate",
+    "pending": "unreported", "guessed": "extrapolated_use",
+    "mine": "own_recent_use", "heard": "heard_at", "debt": "debt",
 }  # fmt: skip
 # Attributes of an account, used only with getattr and setattr: the stores that are split between the processes.
-STORES = ("level", "floor", "ceiling")
+STORES = ("level", "share_level", "ceiling_level")
 WINDOW: Mapping[str, str] = {
-    "_seen": "_seen", "_ends_after": "_ends_after", "_ends_by": "_ends_by", "_ask_at": "_ask_at",
-    "_retry_by": "_retry_by",
+    "_seen": "_last_total", "_ends_after": "_earliest_end", "_ends_by": "_latest_end",
+    "_ask_at": "_next_call_at",
+    "_retry_by": "_latest_retry",
 }  # fmt: skip
 CALLS: Mapping[str, str] = {
     "rate": "rate",
-    "room": "room",
+    "room": "tokens",
     "silent_until": "silent_until",
     "misses": "misses",
 }
@@ -73,14 +76,14 @@
 
 def _window(account: Account) -> dict[str, Any] | None:
     window = account.window
-    return _read_attributes(window, WINDOW) if window is not None and window.known else None
+    return _read_attributes(window, WINDOW) if window is not None and window.is_known else None
 
 
 def take(gateway: Gateway) -> dict[str, Any]:
     """The state of the decisions; nothing is changed by it."""
     load_balancer, quotas = gateway.load_balancer, gateway.quotas
-    incarnation, usage = quotas.incarnation, quotas.usage
-    accounts = sorted(quotas.accounts.items(), key=lambda each: -each[1].at)[:ACCOUNTS]
+    incarnation, usage = quotas.incarnation, quotas.usage_broadcast
+    accounts = sorted(quotas.accounts.items(), key=lambda each: -each[1].refilled_at)[:ACCOUNTS]
     return {
         "retries": gateway._retry_tokens,
         "seen": list(gateway._recent_values),
@@ -96,12 +99,12 @@
             for s in load_balancer.servers.values()
             if not s.gone
         ],
-        "born": quotas._born,
-        "calls": _read_attributes(quotas.calls, CALLS),
-        "first": incarnation.first,
-        "tells": None if usage is None else [usage.born, usage.late, list(usage.strange.items())],
+        "born": quotas._started_at,
+        "calls": _read_attributes(quotas.counter_calls, CALLS),
+        "first": incarnation.is_first,
+        "tells": None if usage is None else [usage.started_at, usage.was_restarted, list(usage.unknown_use.items())],
         "accounts": [
-            [*key, a.share, a.open, _read_attributes(a, ACCOUNT), _window(a)]
+            [*key, a.gateways, a.open_attempts, _read_attributes(a, ACCOUNT), _window(a)]
             for key, a in accounts
         ],
     }  # fmt: skip
@@ -142,17 +145,22 @@
         server.up = bool(row["up"])
         server.cold_budget *= 1 - KEPT if server.cold_budget > 0 else 1
     load_balancer._rebuild(now)
-    quotas._born = float(state["born"])
-    _write_attributes(quotas.calls, state["calls"], CALLS)
+    quotas._started_at = float(state["born"])
+    _write_attributes(quotas.counter_calls, state["calls"], CALLS)
     # A predecessor of an older version tells it as "life".
     quotas.incarnation.resume(now, bool(state["first"] if "first" in state else state["life"]["vouched"]))
-    if state["tells"] is not None and quotas.usage is not None:
-        quotas.usage.born, quotas.usage.late = float(state["tells"][0]), bool(state["tells"][1])
-        quotas.usage.strange.update({int(key): (float(u), float(at)) for key, (u, at) in state["tells"][2]})
+    if state["tells"] is not None and quotas.usage_broadcast is not None:
+        quotas.usage_broadcast.started_at, quotas.usage_broadcast.was_restarted = (
+            float(state["tells"][0]),
+            bool(state["tells"][1]),
+        )
+        quotas.usage_broadcast.unknown_use.update(
+            {int(key): (float(u), float(at)) for key, (u, at) in state["tells"][2]}
+        )
     for plan, name, share, _open, values, window in state["accounts"]:
         if plan not in quotas._plans:
             continue  # the plan was dropped meanwhile
-        a = quotas.account(now, api.Request(0, "", plan, 1.0, name, gateways=int(share)))
+        a = quotas.get_or_create_account(now, api.Request(0, "", plan, 1.0, name, gateways=int(share)))
         _write_attributes(a, values, ACCOUNT)
         for store in STORES:
             setattr(a, store, (1 - KEPT) * getattr(a, store) if getattr(a, store) > 0 else getattr(a, store))
@@ -166,11 +174,11 @@
 
     def __init__(self, gateway: Gateway) -> None:
         self._gateway, quotas = gateway, gateway.quotas
-        self._plans, self._first = dict[str, api.Plan](), quotas.incarnation.first
+        self._plans, self._first = dict[str, api.Plan](), quotas.incarnation.is_first
         self._given = list[tuple[Account, dict[str, float]]]()
         for a in quotas.accounts.values():
             given = {store: (1 - KEPT) * max(0.0, getattr(a, store)) for store in STORES}
-            given["pending"] = a.pending
+            given["unreported"] = a.unreported
             self._given.append((a, given))
             for store, amount in given.items():
                 setattr(a, store, getattr(a, store) - amount)
@@ -179,8 +187,8 @@
         ]
         for server, budget in self._budgets:
             server.cold_budget -= budget
-        quotas.incarnation.first = False
-        self._wanted, quotas.incarnation.wanted = quotas.incarnation.wanted, False
+        quotas.incarnation.is_first = False
+        self._wanted, quotas.incarnation.is_enabled = quotas.incarnation.is_enabled, False
         self.replan()
 
     def replan(self) -> None:
@@ -210,13 +218,13 @@
         """Serve alone again. ``whole``: nothing was drawn on the other side; else what was given is taken for used."""
         quotas = self._gateway.quotas
         plans = {name: self._plans[name] for name in quotas._plans}
-        quotas._plans, quotas.incarnation.wanted = plans, self._wanted
+        quotas._plans, quotas.incarnation.is_enabled = plans, self._wanted
         if whole:
-            quotas.incarnation.first = self._first
+            quotas.incarnation.is_first = self._first
             for server, budget in self._budgets:
                 server.cold_budget += budget
         else:
-            quotas._born = now  # what is new here may have drawn on the other side
+            quotas._started_at = now  # what is new here may have drawn on the other side
         for a in quotas.accounts.values():
             if not whole:
                 a.refill(now)
@@ -238,13 +246,13 @@
         accounts = self._gateway.quotas.accounts
         for key in {*held, *self._held}:
             if (a := accounts.get(key)) is not None:
-                a.open += held.get(key, 0) - self._held.get(key, 0)
+                a.open_attempts += held.get(key, 0) - self._held.get(key, 0)
         self._held = {key: n for key, n in held.items() if key in accounts}
 
 
 def held(gateway: Gateway) -> list[tuple[str, str, int]]:
     """Attempts that are out here, by plan and account."""
-    return [(*key, a.open) for key, a in gateway.quotas.accounts.items() if a.open > 0]
+    return [(*key, a.open_attempts) for key, a in gateway.quotas.accounts.items() if a.open_attempts > 0]
 
 
 def pack(state: dict[str, Any]) -> tuple[str, str]:
--- a/tests/takeover/test_snapshot.py
+++ b/tests/takeover/test_snapshot.py
@@ -85,7 +85,7 @@
         repr(after.gate) == repr(old.gate)
         and after.load_balancer.idle_latency == old.load_balancer.idle_latency
     )
-    assert after.quotas._born == old.quotas._born
+    assert after.quotas._started_at == old.quotas._started_at
 
 
 def test_taking_a_snapshot_changes_nothing() -> None:
@@ -111,12 +111,12 @@
 def test_a_successor_that_served_and_died_has_used_what_it_was_given() -> None:
     world = lived()
     split = Split(world.gateway)
-    levels = {key: a.ceiling for key, a in world.gateway.quotas.accounts.items()}
+    levels = {key: a.ceiling_level for key, a in world.gateway.quotas.accounts.items()}
     split.undo(whole=False, now=world.now)
     for key, a in world.gateway.quotas.accounts.items():
-        assert a.ceiling == pytest.approx(levels[key]) and a.plan is PLAN
-    fresh = world.gateway.quotas.account(world.now, asked_of(999, "read", "capped", "new"))
-    assert fresh.ceiling == 0.0, "it may have drawn on the other side"
+        assert a.ceiling_level == pytest.approx(levels[key]) and a.plan is PLAN
+    fresh = world.gateway.quotas.get_or_create_account(world.now, asked_of(999, "read", "capped", "new"))
+    assert fresh.ceiling_level == 0.0, "it may have drawn on the other side"
 
 
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=25)
@@ -127,7 +127,9 @@
     new: w.World | None = None
     id = 1000
     # What was drawn before counts: begin with what the account itself has left.
-    store = old.gateway.quotas.account(old.now, asked_of(0, "read", "capped", "a0")).ceiling
+    store = old.gateway.quotas.get_or_create_account(
+        old.now, asked_of(0, "read", "capped", "a0")
+    ).ceiling_level
     for step in range(160):
         now = last + (rng.choice((0.01, 0.05, 0.2)) if step not in (40, 100) else 3.0)  # the store fills
         if step in (40, 100):
@@ -166,7 +168,7 @@
     ghosts, account = Ghosts(after), after.quotas.accounts["capped", "a0"]
     for rows_told, wanted in ((rows, 1), (rows, 1), ([], 0), (rows, 1), ([], 0)):
         ghosts.told({(plan, name): n for plan, name, n in rows_told})
-        assert account.open == wanted
+        assert account.open_attempts == wanted
 
 
 def test_a_dropped_plan_is_left_out_and_the_rest_goes_over() -> None:
--- a/tests/test_endings_policy.py
+++ b/tests/test_endings_policy.py
@@ -81,7 +81,7 @@
     world = w.World(w.settings(plans=(plan,)))
     world.feed(w.servers("s0", "s1"))
     quotas = world.gateway.quotas
-    quotas.judge = lambda _now, r: Verdict(True, r.units)  # type: ignore[method-assign, assignment]
+    quotas.check_quota = lambda _now, r: Verdict(True, r.units)  # type: ignore[method-assign, assignment]
     world.feed(w.request(1, plan="small", units=3.0))
     (place,) = world.counts
     assert place.amount == 1.0 and not world.sends
@@ -94,12 +94,12 @@
         world.feed(api.ClientDisconnected(1))
         del world.open_attempts[1, 0]
     account = quotas.accounts["small", "x"]
-    back = [c.amount for c in world.counts if c.name == account.name]
+    back = [c.amount for c in world.counts if c.name == account.counter_name]
     assert back == ([-3.0] if leaves == "before the answer" else [])
-    assert account.slots is not None and account.slots.held == 0
-    held = sum(c.amount for c in world.counts if c.name == place.name) + account.slots.owed
+    assert account.slots is not None and account.slots.open_attempts == 0
+    held = sum(c.amount for c in world.counts if c.name == place.name) + account.slots.unreported
     assert held == (0.0 if status is api.Status.UNREACHABLE else -1.0), "the place is free again"
-    assert account.open == 0 and not world.gateway._requests
+    assert account.open_attempts == 0 and not world.gateway._requests
 
 
 def request_three_units(world: w.World, id: int) -> None:
@@ -388,8 +388,8 @@
     gateway = simulation.gateway
     assert not gateway._requests
     for account in gateway.quotas.accounts.values():
-        assert account.open == 0, account.name
-        assert account.slots is None or account.slots.held == 0, account.name
+        assert account.open_attempts == 0, account.counter_name
+        assert account.slots is None or account.slots.open_attempts == 0, account.counter_name
     for server in gateway.load_balancer.servers.values():
         assert server.outstanding_work == 0.0 and server.silent_since is None, server.entry.name
 
--- a/tests/test_endings_servers.py
+++ b/tests/test_endings_servers.py
@@ -367,7 +367,7 @@
 
     def at_rest(self) -> None:
         assert not self.node.open_requests and not self.gateway._requests
-        assert all(a.open == 0 for a in self.gateway.quotas.accounts.values())
+        assert all(a.open_attempts == 0 for a in self.gateway.quotas.accounts.values())
         assert all(s.outstanding_work == 0.0 for s in self.gateway.load_balancer.servers.values())
 
 
@@ -1124,7 +1124,7 @@
     def settled(self) -> None:
         assert not self.node.open_requests and not self.gateway._requests
         for account in self.gateway.quotas.accounts.values():
-            assert account.open == 0 and (account.slots is None or account.slots.held == 0)
+            assert account.open_attempts == 0 and (account.slots is None or account.slots.open_attempts == 0)
         assert all(
             s.outstanding_work == 0.0 and s.silent_since is None
             for s in self.gateway.load_balancer.servers.values()
