--- a/cypresspulley/policy/quota.py
+++ b/cypresspulley/policy/quota.py
@@ -179,7 +179,6 @@
             or request.granted_incarnation is not None
             or request.account.ceiling_level >= request.max_units
         )
-        )
 
     def window_may_grant(self, now: float, request: Request) -> bool:
         """Return whether the ceiling's window may cover the request, by a call to the counter or by local credit."""
@@ -189,7 +188,9 @@
         )
         if window is None:
             return False
-        can_call = in_time and window.may_grant(now, request.max_units) and self.counter_calls.available(now) >= 1
+        can_call = (
+            in_time and window.may_grant(now, request.max_units) and self.counter_calls.available(now) >= 1
+        )
         return can_call or window.has_credit(now, request.max_units)
 
     @staticmethod
@@ -207,7 +208,9 @@
     def _on_window_answer(self, request: Request, asked: float, now: float, event: api.Counted) -> None:
         request.account.refill(now)
         if event.status is Status.OK and (window := request.account.window) is not None:
-            request.granted_incarnation = window.apply_answer(asked, now, event.total, request.max_units, self._rng.random())
+            request.granted_incarnation = window.apply_answer(
+                asked, now, event.total, request.max_units, self._rng.random()
+            )
         if self._open_requests.get(request.id) is not request:
             self.return_window_grant(request)  # the client disconnected while the call was in flight
         elif request.granted_incarnation is not None:
@@ -314,7 +317,7 @@
         if plan.ceiling_rate > 0 and request.granted_incarnation is None:
             account.ceiling_level, account.ceiling_drawn = (
                 account.ceiling_level - request.max_units,
-                account.ceiling_drawn + request.most,
+                account.ceiling_drawn + request.max_units,
             )
         if not verdict.within_quota:
             return
@@ -364,7 +367,10 @@
             return True
         in_time = request.deadline - now >= 3 * self._settings.counter_timeout
         can_call = (
-            slots is not None and not request.body_pending and in_time and self.counter_calls.available(now) >= 1
+            slots is not None
+            and not request.body_pending
+            and in_time
+            and self.counter_calls.available(now) >= 1
         )
         has_room = (can_call or account.open_attempts < -(-limit // account.gateways)) and (
             slots is None or now >= slots.full_until
@@ -499,7 +505,12 @@
         # An implausible figure corrects nothing: the units charged stay charged, to the ceiling as well.
         true_units = event.units if event.status is Status.OK and event.units is not None else -1.0
         is_plausible = 0 <= true_units <= max(self._settings.max_units, request.max_units)
-        if is_plausible and request.bound and account.plan.ceiling_rate > 0 and request.granted_incarnation is None:
+        if (
+            is_plausible
+            and request.bound
+            and account.plan.ceiling_rate > 0
+            and request.granted_incarnation is None
+        ):
             account.return_ceiling_units(request.max_units - true_units)
         if is_plausible and request.in_quota:
             account.settle(true_units - request.units)
--- a/cypresspulley/policy/usage.py
+++ b/cypresspulley/policy/usage.py
@@ -47,7 +47,11 @@
         """Write a message with the accounts that used the largest part of their burst; the rest waits for the next
         one."""
         self.sent_at = now
-        used = [a for a in self.unreported_accounts.values() if abs(a.unreported) >= UNITS_PER_STEP and a.gateways > 1]
+        used = [
+            a
+            for a in self.unreported_accounts.values()
+            if abs(a.unreported) >= UNITS_PER_STEP and a.gateways > 1
+        ]
         used.sort(key=lambda a: (-abs(a.unreported) / max(a.plan.burst, UNITS_PER_STEP), a.counter_name))
         rows = [(account, units_to_steps(account.unreported)) for account in used[:MAX_ROWS]]
         for account, reported_steps in rows:
--- a/tests/stepped_clock.py
+++ b/tests/stepped_clock.py
@@ -1,8 +1,8 @@
 """Simulates one account at many gateways while the wall clock steps, gateways restart and the counter fails.
 
 ``Play`` drives real gateways in virtual time. Each process reads the wall clock once, when it starts, and follows real
-time from there; ``api.WallClockStep`` tells it of a step within ``STEP_NOTICE_SECONDS``. The counter expires counts by real
-time. The true level of the account's ceiling is tracked beside it, and a run is judged by its lowest value.
+time from there; ``api.WallClockStep`` tells it of a step within ``STEP_NOTICE_SECONDS``. The counter expires counts by
+real time. The true level of the account's ceiling is tracked beside it, and a run is judged by its lowest value.
 """
 
 from __future__ import annotations
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -653,7 +653,9 @@
     request = world.gateway._requests[1]
     assert request.deadline == world.now + 63.0, "its time counts from its last byte"
     world.gateway.handle(world.now + 60.2, api.ResponseStarted(1, 0, "s0", 0.2, {}))
-    assert server.outstanding_work == 0.0 and server.silent_since is None and request.account.open_attempts == 1
+    assert (
+        server.outstanding_work == 0.0 and server.silent_since is None and request.account.open_attempts == 1
+    )
     world.gateway.handle(world.now + 99.0, api.Outcome(1, 0, "s0", api.Status.OK, 0.2, True, {}))
     assert request.account.open_attempts == 0 and left_of(world.gateway)["work"] == 0
 
