--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -24,7 +24,8 @@
 
 log = logging.getLogger(__name__)
 
-MARGIN, MARGIN_SHARE = 0.02, 0.1  # seconds kept for the way back of an answer; their share of a short time
+MARGIN = 0.02  # seconds kept for the way back of an answer
+MARGIN_SHARE = 0.1  # their share of a short time
 SILENT_SHARE = 0.5  # of the margin that the decisions have for their answer at the deadline
 WALL_STEP = 0.05  # seconds: clocks that are kept right are slewed, and drift less than this in a minute
 LEAST_LEFT = 0.001  # seconds: a request that lay in the machine for all of its time is answered at once
@@ -61,7 +62,8 @@
     __slots__ = ("attempts", "begun", "deadline", "request", "timer")
 
     def __init__(self, request: ClientRequest, deadline: float) -> None:
-        self.request, self.deadline = request, deadline
+        self.request = request
+        self.deadline = deadline
         self.attempts = list[Exchange]()
         self.timer: asyncio.TimerHandle | None = None
         self.begun = False  # an answer reaches the client already
@@ -78,15 +80,19 @@
         upstream: Upstream,
         counter: Counter | None,
     ) -> None:
-        self._settings, self._gateway, self._clock = settings, gateway, clock
+        self._settings = settings
+        self._gateway = gateway
+        self._clock = clock
         self._shift = 0.0  # seconds by which it was ahead of the decisions' clock
-        self._upstream, self._counter = upstream, counter
+        self._upstream = upstream
+        self._counter = counter
         self._most_attempts = settings.max_attempts
         self._loop = asyncio.get_running_loop()
         self._open = dict[int, _Open]()
         self._events = deque[api.Event]()
         self.tell: Callable[[str], None] | None = None  # sends to the other limiters, where there is a way
-        self._busy = self._ruled = False
+        self._busy = False
+        self._ruled = False
         self._word_at: float | None = None  # when discovery spoke last
         self._actions: dict[type, Callable[[Any], None]] = {
             api.Send: self._send, api.Refuse: self._refuse, api.Fail: self._fail, api.Cancel: self._cancel,
--- a/cypresspulley/net/upstream.py
+++ b/cypresspulley/net/upstream.py
@@ -47,8 +47,10 @@
     errno.ENETDOWN, errno.EPERM,
 })  # fmt: skip
 LENGTH = re.compile(rb"[0-9]{1,9}")
-LOAD, NOT_PROCESSED = b"x-server-load", b"x-not-processed"
-USED, CHARGED = b"x-quota-used", b"x-units-charged"
+LOAD = b"x-server-load"
+NOT_PROCESSED = b"x-not-processed"
+USED = b"x-quota-used"
+CHARGED = b"x-units-charged"
 FIGURE = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
 Clock = Callable[[], float]
 
@@ -130,25 +132,39 @@
     """A connection to a server; it carries one exchange at a time."""
 
     def __init__(self, upstream: Upstream, server: _Server) -> None:
-        self._upstream, self.server, self.life = upstream, server, server.life
+        self._upstream = upstream
+        self.server = server
+        self.life = server.life
         self.transport: asyncio.Transport | None = None
         self.exchange: Exchange | None = None
         self.idle_since: float | None = None  # None: it carries its first request
         self.rested = 0.0
         self._parser = httptools.HttpResponseParser(self)
-        self.unwritten = self._keep_alive = self._begun = self._flows = self._eof = False
+        self.unwritten = False
+        self._keep_alive = False
+        self._begun = False
+        self._flows = False
+        self._eof = False
         self._late: asyncio.TimerHandle | None = None
-        self.held, self.moved = False, 0.0  # the client waits to be read; when a byte last came
+        self.held = False  # the client waits to be read
+        self.moved = 0.0  # when a byte last came
         self._clear()
 
     def _clear(self) -> None:
-        self._headers, self._body = list[bytes](), list[bytes]()
-        self._head_size = self._size = self._received = 0
+        self._headers = list[bytes]()
+        self._body = list[bytes]()
+        self._head_size = 0
+        self._size = 0
+        self._received = 0
         self._load: bytes | None = None
-        self._used = self._charged = b""
+        self._used = b""
+        self._charged = b""
         self._length: int | None = None
-        self._chunked = self._head_read = self._to_the_end = False
-        self._not_processed = self._surplus = False
+        self._chunked = False
+        self._head_read = False
+        self._to_the_end = False
+        self._not_processed = False
+        self._surplus = False
         self._code: int | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -479,13 +495,17 @@
     """The servers by name and the connections to them."""
 
     def __init__(self, clock: Clock, dial_timeout: float, conn_idle: float, max_connections: int) -> None:
-        self._clock, self._dial_timeout, self._max = clock, dial_timeout, max_connections
+        self._clock = clock
+        self._dial_timeout = dial_timeout
+        self._max = max_connections
         self._idle_for = conn_idle * IDLE_SHARE
         self._servers = dict[str, _Server]()
-        self.relay, self.streaming = Relay(), set[_Connection]()  # connections with a large answer under way
+        self.relay = Relay()
+        self.streaming = set[_Connection]()  # connections with a large answer under way
         self.now = clock
         self._banned = set[str]()  # names that operators took out, listed or not
-        self._open = self.dials = 0  # connections; dials begun so far
+        self._open = 0  # connections
+        self.dials = 0  # dials begun so far
         self._dials = set[asyncio.Task[None]]()
         self._sweep_at = asyncio.get_running_loop().call_later(SWEEP, self._sweep)
 
