--- a/cypresspulley/accesslog.py
+++ b/cypresspulley/accesslog.py
@@ -149,7 +149,7 @@
             size = attempt.download.size
             self._told(opened.request, len(opened.attempts), "served" if whole else "failed", 200, why, size)
         elif opened is not None and attempt.status is api.Status.OK:
-            self._told(opened.request, len(opened.attempts), "served", 200, "", len(attempt.answer))
+            self._told(opened.request, len(opened.attempts), "served", 200, "", len(attempt.response_body))
         super()._attempted(id, number, attempt)
 
     def _refuse(self, action: api.Refuse) -> None:
--- a/cypresspulley/closing/node.py
+++ b/cypresspulley/closing/node.py
@@ -101,9 +101,9 @@
                 lookup = self._lookups.get(id)
                 sent = lookup.sent.get(number) if lookup is not None else None
                 if lookup is not None and sent is not None and attempt.download is None:
-                    headers = attempt.answer_headers
+                    headers = attempt.response_headers
                     if not PRIVATE_ANSWER.search(headers):
-                        closing.answered(lookup.account, lookup.key, sent, headers, attempt.answer)
+                        closing.answered(lookup.account, lookup.key, sent, headers, attempt.response_body)
                 self._sure = id in self._changing
             try:
                 super()._attempted(id, number, attempt)
--- a/cypresspulley/graphql/front.py
+++ b/cypresspulley/graphql/front.py
@@ -94,7 +94,7 @@
         most = max(self.priced.price.bound, self._options.minimum_points)
         inside = self._options.cost == "extensions"
         if inside or self._options.never_ran_codes:
-            told = read_answer(exchange.answer, frozenset(self._options.never_ran_codes), most, inside)
+            told = read_answer(exchange.response_body, frozenset(self._options.never_ran_codes), most, inside)
             if told.never_ran:
                 exchange.status, exchange.units = api.Status.FULL, None
                 return
--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -296,7 +296,7 @@
             if (opened := self._close(id)) is not None:
                 opened.request.ended(attempt.status is api.Status.OK)
         elif attempt.status is api.Status.OK and (opened := self._close(id)) is not None:
-            opened.request.respond(200, attempt.answer, attempt.answer_headers)
+            opened.request.respond(200, attempt.response_body, attempt.response_headers)
         finished = id not in self._open
         told = attempt.report, attempt.used, attempt.units
         self.feed(api.Outcome(id, number, attempt.server, attempt.status, attempt.elapsed, finished, *told))
@@ -340,7 +340,7 @@
     def _probed(self, probe: Exchange) -> None:
         report = probe.report
         if self._settings.load_on_probe and probe.status is api.Status.OK and not report:
-            report = load_report(probe.answer.decode("latin-1"))
+            report = load_report(probe.response_body.decode("latin-1"))
         self.feed(api.Probed(probe.server, probe.status, probe.elapsed, report))
 
     def _ban(self, action: api.Ban) -> None:
--- a/cypresspulley/net/upstream.py
+++ b/cypresspulley/net/upstream.py
@@ -94,8 +94,8 @@
     ended: bool = False
     status: Status = Status.NOT_SENT
     elapsed: float = 0.0
-    answer_headers: bytes = b""
-    answer: bytes = b""
+    response_headers: bytes = b""
+    response_body: bytes = b""
     report: dict[str, float] = field(default_factory=dict)
     used: float | None = None  # the customer's use, a share of its rate
     units: float | None = None  # the request's true units
@@ -465,7 +465,7 @@
         self.leave()
         self.exchange = exchange.connection = None
         if exchange.download is None:
-            exchange.answer_headers, exchange.answer = b"".join(self._headers), b"".join(self._body)
+            exchange.response_headers, exchange.response_body = b"".join(self._headers), b"".join(self._body)
             self._read_figures(exchange, code)
         else:
             exchange.download.whole = True
--- a/tests/test_endings_servers.py
+++ b/tests/test_endings_servers.py
@@ -172,7 +172,7 @@
         if flows:
             assert done.download is not None and done.download.whole is (end == "FIN")
         else:
-            assert done.answer == (b"hello" if end == "FIN" else b"")
+            assert done.response_body == (b"hello" if end == "FIN" else b"")
         await pool.at_rest()
         pool.upstream.close()
         peer.close()
@@ -214,7 +214,7 @@
             await asyncio.sleep(0.001)
         assert exchange.connection.transport is not None
         getattr(exchange.connection.transport, end)()
-        assert (await ended).status is Status.BROKEN and exchange.answer == b""
+        assert (await ended).status is Status.BROKEN and exchange.response_body == b""
         await pool.at_rest()
         pool.upstream.close()
         peer.close()
@@ -239,7 +239,7 @@
         body.finish()
         assert not exchange.written
         sock.send(b"lo")
-        assert (await ended).status is Status.DROPPED and exchange.answer == b""
+        assert (await ended).status is Status.DROPPED and exchange.response_body == b""
         await pool.at_rest()
         pool.upstream.close()
         peer.close()
@@ -274,7 +274,7 @@
         else:
             await read_head(sock)
         sock.send(OK)
-        assert (await answered).answer == b"hi"
+        assert (await answered).response_body == b"hi"
         pool.upstream.close()
         for each in peer.taken:
             each.close()
@@ -499,7 +499,7 @@
         sock, _ = await peer.request()
         tell(pool.upstream, peer.dial)
         sock.send(OK)
-        assert (await ended).answer == b"hi"
+        assert (await ended).response_body == b"hi"
         assert await asyncio.get_running_loop().sock_recv(sock, 10) == b"", "kept"
         await pool.at_rest()
         pool.upstream.close()
@@ -530,7 +530,7 @@
             got += await asyncio.get_running_loop().sock_recv(sock, 65536)
         assert got == b"a" * 100_000 + b"b" * 100_000
         sock.send(OK)
-        assert (await ended).answer == b"hi"
+        assert (await ended).response_body == b"hi"
         pool.upstream.close()
         await pool.at_rest()
         peer.close()
@@ -689,7 +689,7 @@
         sock.send(b"0\r\n\r\n")
         done = await ended
         assert done.status is (Status.ERROR if status[0] == "5" else Status.REJECTED)
-        assert done.answer == b"no" and done.download is None and not pool.flow
+        assert done.response_body == b"no" and done.download is None and not pool.flow
         pool.upstream.close()
         await pool.at_rest()
         peer.close()
@@ -723,7 +723,7 @@
         _, ended = pool.start()
         fresh, _ = await peer.request()  # on a connection of its own
         fresh.send(OK)
-        assert (await ended).answer == b"hi"
+        assert (await ended).response_body == b"hi"
         assert await end_of(sock) in ("FIN", "RST")
         pool.upstream.close()
         fresh.close()
@@ -754,7 +754,7 @@
         pool = Pool(peer)
         _, ended = pool.start()
         done = await ended
-        assert done.status is Status.DROPPED and done.answer == b""
+        assert done.status is Status.DROPPED and done.response_body == b""
         sock = peer.taken[0]
         sock.setblocking(False)
         with contextlib.suppress(ConnectionResetError):
@@ -784,7 +784,7 @@
         sock.send(COPY)
         while not exchange.ended:
             await asyncio.sleep(0.001)
-        assert exchange.status is Status.DROPPED and exchange.answer == b""
+        assert exchange.status is Status.DROPPED and exchange.response_body == b""
         await pool.at_rest()
         pool.upstream.close()
         peer.close()
@@ -851,7 +851,7 @@
         body.feed(b"x" * 32_000_000)
         assert exchange.connection is not None and exchange.connection.unwritten
         sock.send(f"HTTP/1.1 {answer} X\r\nContent-Length: 2\r\n\r\nhi".encode())
-        assert (await ended).answer == b"hi"
+        assert (await ended).response_body == b"hi"
         await pool.at_rest()
         body.feed(b"x" * 32_000_000)  # goes nowhere
         body.finish()
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -88,7 +88,7 @@
             pool = Pool(dial)
             done = await pool.fetch(0.3 if status is Status.TIMEOUT else 10.0)
             assert done.status is status
-            assert done.answer == (b"hi" if status is Status.OK else b"")
+            assert done.response_body == (b"hi" if status is Status.OK else b"")
             pool.upstream.close()
 
     run(main())
@@ -161,7 +161,7 @@
             pool = Pool(dial)
             for _ in range(2):
                 done = await pool.fetch()
-                assert (done.status, done.answer) == (Status.OK, b"hi")
+                assert (done.status, done.response_body) == (Status.OK, b"hi")
             pool.upstream.close()
 
     run(main())
@@ -244,7 +244,7 @@
             answers, finished = list[bytes](), asyncio.Event()
 
             def again(done: Exchange) -> None:
-                answers.append(done.answer)
+                answers.append(done.response_body)
                 if len(answers) == 2:
                     finished.set()
                 else:  # in the very call that tells of the first answer
@@ -312,10 +312,10 @@
 
         async with listening(talk) as dial:
             pool = Pool(dial)
-            assert (await pool.fetch()).answer == b"hi"
+            assert (await pool.fetch()).response_body == b"hi"
             _, second = pool.start()  # at once, before the copy has come
             release.set()
-            assert (await second).answer == b"hi"
+            assert (await second).response_body == b"hi"
             pool.upstream.close()
 
     run(main())
@@ -333,7 +333,7 @@
             server, _ = await loop.sock_accept(listener)
             await loop.sock_recv(server, 4096)
             await loop.sock_sendall(server, OK)
-            assert (await answered).answer == b"hi"
+            assert (await answered).response_body == b"hi"
             server.send(OK.replace(b"hi", b"no"))  # and no turn of the loop until the next request
         pool.upstream.close()
         listener.close()
