--- a/cypresspulley/net/upstream.py
+++ b/cypresspulley/net/upstream.py
@@ -87,7 +87,7 @@
     head: bytes
     body: bytes
     expires: float  # infinite while an upload comes
-    done: Callable[[Exchange], None]
+    on_done: Callable[[Exchange], None]
     latest: float = math.inf  # its first byte goes out by then, or it never runs
     started: float = 0.0
     written: bool = False
@@ -568,7 +568,7 @@
         self._drop(server)
 
     def start(self, exchange: Exchange) -> None:
-        """Send a request; ``exchange.done`` is called once, maybe before this returns."""
+        """Send a request; ``exchange.on_done`` is called once, maybe before this returns."""
         exchange.started = self._clock()
         server, left = self._servers.get(exchange.server), exchange.expires - exchange.started
         if server is None or not server.usable or left <= 0:
@@ -607,7 +607,7 @@
             exchange.elapsed = self._clock() - exchange.started
         if exchange.timer is not None:
             exchange.timer.cancel()
-        exchange.done(exchange)
+        exchange.on_done(exchange)
 
     def release(self, connection: _Connection, reusable: bool) -> None:
         """A connection whose exchange is over goes back to the idle ones, or is closed."""
