--- a/cypresspulley/net/upstream.py
+++ b/cypresspulley/net/upstream.py
@@ -28,10 +28,10 @@
 
 PER_SERVER = 64  # connections to one server
 IDLE_SHARE = 0.5  # of the time after which servers close: a request must not cross that closing
-SWEEP = 1.0  # seconds between two looks for idle connections
+SWEEP_INTERVAL_SECONDS = 1.0  # seconds between two looks for idle connections
 # Seconds that a connection rests before its next request: what a server sends behind an answer (a second
 # copy, noise) comes when nothing waits there, and closes it. On a fresh one it would answer the next request.
-REST = 0.03
+REUSE_DELAY_SECONDS = 0.03
 # Seconds from an answer's first byte to its last. A length that promises more than comes would else end as a
 # time-out, much later, and that speaks of a server that gives no sign of life.
 BEGUN = 0.5
@@ -507,7 +507,7 @@
         self._open = 0  # connections
         self.dials = 0  # dials begun so far
         self._dials = set[asyncio.Task[None]]()
-        self._sweep_at = asyncio.get_running_loop().call_later(SWEEP, self._sweep)
+        self._sweep_at = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
 
     def retune(self, dial_timeout: float, conn_idle: float) -> None:
         """Other connection times, in seconds."""
@@ -719,7 +719,7 @@
         for at in range(len(server.idle) - 1, -1, -1):
             connection = server.idle[at]
             connection.rested = now - (connection.idle_since or 0.0)
-            if connection.rested < REST:
+            if connection.rested < REUSE_DELAY_SECONDS:
                 continue
             del server.idle[at]
             if connection.transport is None or connection.transport.is_closing():
@@ -750,7 +750,7 @@
                 connection.transport.close()
 
     def _sweep(self) -> None:
-        self._sweep_at = asyncio.get_running_loop().call_later(SWEEP, self._sweep)
+        self._sweep_at = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
         for server in self._servers.values():
             self._close_idle(server, self._clock() - self._idle_for)
         now = self._clock()
--- a/tests/takeover/test_handover.py
+++ b/tests/takeover/test_handover.py
@@ -16,7 +16,7 @@
 from cypresspulley.net.frontend import Frontend
 from cypresspulley.net.listener import SocketListener
 from cypresspulley.net.node import Node, UnixClock
-from cypresspulley.net.upstream import REST, Upstream
+from cypresspulley.net.upstream import REUSE_DELAY_SECONDS, Upstream
 from cypresspulley.policy.gateway import Gateway
 from cypresspulley.service import Service
 from cypresspulley.takeover import handover
@@ -143,7 +143,7 @@
             for expected in (1, 1):  # the first list after the takeover says what is known
                 writer.write(ask())
                 assert " 200 " in (await read_message(reader))[0]
-                await asyncio.sleep(2 * REST)  # a connection rests before its next request
+                await asyncio.sleep(2 * REUSE_DELAY_SECONDS)  # a connection rests before its next request
                 new.node.listed(news)
                 assert origin.connections == expected
             writer.close()
--- a/tests/test_endings_servers.py
+++ b/tests/test_endings_servers.py
@@ -181,7 +181,7 @@
 
 
 def test_a_stalled_transfer_without_a_length_is_not_whole(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(net_upstream, "SWEEP", 0.01)
+    monkeypatch.setattr(net_upstream, "SWEEP_INTERVAL_SECONDS", 0.01)
     monkeypatch.setattr(net_upstream, "STALL", 0.05)
 
     async def main() -> None:
@@ -310,7 +310,7 @@
 def test_a_loop_held_behind_the_latest_instant_writes_nothing(
     kept: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(net_upstream, "REST", 0.0)
+    monkeypatch.setattr(net_upstream, "REUSE_DELAY_SECONDS", 0.0)
 
     async def main() -> None:
         peer = Peer()
@@ -818,7 +818,7 @@
 
 @pytest.mark.parametrize("flows", [False, True], ids=["held", "flowing"])
 def test_half_an_answer_and_then_nothing_is_left(flows: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    for name, value in (("BEGUN", 0.02), ("HOLD", 0.02), ("SWEEP", 0.02), ("STALL", 0.05)):
+    for name, value in (("BEGUN", 0.02), ("HOLD", 0.02), ("SWEEP_INTERVAL_SECONDS", 0.02), ("STALL", 0.05)):
         monkeypatch.setattr(net_upstream, name, value)
 
     async def main() -> None:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -345,7 +345,7 @@
 
 def test_a_server_that_stalls_mid_answer_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(net_upstream, "STALL", 0.05)
-    monkeypatch.setattr(net_upstream, "SWEEP", 0.02)
+    monkeypatch.setattr(net_upstream, "SWEEP_INTERVAL_SECONDS", 0.02)
 
     async def main() -> None:
         async def talk(reader: Reader, writer: Writer) -> None:
@@ -501,7 +501,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(net_upstream, "STALL", 0.05)
-    monkeypatch.setattr(net_upstream, "SWEEP", 0.02)
+    monkeypatch.setattr(net_upstream, "SWEEP_INTERVAL_SECONDS", 0.02)
 
     async def main() -> None:
         async def talk(reader: Reader, writer: Writer) -> None:
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -322,7 +322,9 @@
 
 
 def test_nor_one_that_this_process_was_too_slow_to_read(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream, "REST", 0.0)  # as after a stall, when the rest is over and nothing was read
+    monkeypatch.setattr(
+        upstream, "REUSE_DELAY_SECONDS", 0.0
+    )  # as after a stall, when the rest is over and nothing was read
 
     async def main() -> None:
         loop, listener = asyncio.get_running_loop(), socket.create_server(("127.0.0.1", 0))
@@ -360,7 +362,7 @@
 def test_connections_are_used_again_the_freshest_first_until_they_age(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(upstream, "REST", 0.0)
+    monkeypatch.setattr(upstream, "REUSE_DELAY_SECONDS", 0.0)
 
     async def main() -> None:
         origin = Origin()
@@ -525,7 +527,7 @@
 def test_where_kept_connections_break_at_the_next_request_none_is_kept(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(upstream, "REST", 0.0)
+    monkeypatch.setattr(upstream, "REUSE_DELAY_SECONDS", 0.0)
 
     async def main() -> None:
         async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
