--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -130,7 +130,7 @@
                 self._upstream.keep_only(set(listing.dials))
             for entry in listing.servers.entries:
                 up = entry.health is api.Health.UP
-                self._upstream.update(entry.name, listing.dials[entry.name], up, entry.born)
+                self._upstream.update_server(entry.name, listing.dials[entry.name], up, entry.born)
         finally:
             self._busy = held
         self._work_off()
@@ -344,7 +344,7 @@
         self.feed(api.Probed(probe.server, probe.status, probe.elapsed, report))
 
     def _ban(self, action: api.Ban) -> None:
-        self._upstream.ban(action.server, action.out)
+        self._upstream.set_banned(action.server, action.out)
         self._ruled = True
 
     def _set_timer(self, action: api.SetTimer) -> None:
--- a/cypresspulley/net/upstream.py
+++ b/cypresspulley/net/upstream.py
@@ -513,7 +513,7 @@
         """Other connection times, in seconds."""
         self._dial_timeout, self._idle_for = dial_timeout, conn_idle * IDLE_SHARE
 
-    def update(self, name: str, dial: str, up: bool, born: float = 0.0) -> None:
+    def update_server(self, name: str, dial: str, up: bool, born: float = 0.0) -> None:
         """What discovery says of a server: where it is dialled, whether it is up, when it last started."""
         address = split_address(dial) if dial else None
         server = self._servers.get(name)
@@ -530,7 +530,7 @@
             self._leave(server)
         self._drop(server)
 
-    def ban(self, name: str, out: bool) -> None:
+    def set_banned(self, name: str, out: bool) -> None:
         """Nothing new goes to a server that operators took out: no dial, no kept connection, none that waits."""
         (self._banned.add if out else self._banned.discard)(name)
         if (server := self._servers.get(name)) is not None:
--- a/cypresspulley/service.py
+++ b/cypresspulley/service.py
@@ -70,14 +70,14 @@
             dials = {str(k): str(v) for k, v in state["dials"].items()}
             for server in gateway.fleet.servers.values():
                 name, born = server.entry.name, server.entry.born
-                upstream.update(name, dials.get(name, ""), server.up, born)
+                upstream.update_server(name, dials.get(name, ""), server.up, born)
             drained = bool(state["drained"])
         except (SnapshotError, KeyError, TypeError, ValueError, AttributeError) as error:
             log.error("takeover: %s", error)
             self._successor.reject()
             return False
         for name in gateway.fleet.bans:
-            upstream.ban(name, True)
+            upstream.set_banned(name, True)
         self._drained = drained
         return True
 
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -61,7 +61,7 @@
 @contextmanager
 def drained_server_used() -> Iterator[None]:
     """What the list says of a server's health is passed over."""
-    update = Upstream.update
+    update = Upstream.update_server
 
     def up(upstream: Upstream, name: str, dial: str, _up: bool, born: float = 0.0) -> None:
         update(upstream, name, dial, True, born)
@@ -69,7 +69,7 @@
     def usable(_fleet: Fleet, server: Any) -> bool:
         return not server.gone
 
-    with patch.object(Upstream, "update", up), patch.object(Fleet, "_usable", usable):
+    with patch.object(Upstream, "update_server", up), patch.object(Fleet, "_usable", usable):
         yield
 
 
--- a/tests/test_endings_servers.py
+++ b/tests/test_endings_servers.py
@@ -111,7 +111,7 @@
     def __init__(self, peer: Peer, dial_timeout: float = 10.0, most: int = 64) -> None:
         self.clock = UnixClock()
         self.upstream = Upstream(self.clock, dial_timeout, 1000.0, most)
-        self.upstream.update("s1", peer.dial, True)
+        self.upstream.update_server("s1", peer.dial, True)
         self.flow = bytearray()  # what a client got of an answer that flowed
         self.flowing = asyncio.Event()
 
@@ -431,12 +431,12 @@
 
 ELSEWHERE = "127.0.0.1:1"
 LEAVE: dict[str, Callable[[Upstream, str], None]] = {
-    "drains": lambda u, dial: u.update("s1", dial, False, 5.0),
-    "gone": lambda u, _dial: u.update("s1", "", False),
+    "drains": lambda u, dial: u.update_server("s1", dial, False, 5.0),
+    "gone": lambda u, _dial: u.update_server("s1", "", False),
     "off the list": lambda u, _dial: u.keep_only({"s2"}),
-    "banned": lambda u, _dial: u.ban("s1", True),
-    "moved": lambda u, _dial: u.update("s1", ELSEWHERE, True, 5.0),
-    "restarted": lambda u, dial: u.update("s1", dial, True, 9.0),
+    "banned": lambda u, _dial: u.set_banned("s1", True),
+    "moved": lambda u, _dial: u.update_server("s1", ELSEWHERE, True, 5.0),
+    "restarted": lambda u, dial: u.update_server("s1", dial, True, 9.0),
 }
 
 
@@ -448,7 +448,7 @@
         peer = Peer()
         peer.fill()
         pool = Pool(peer)
-        pool.upstream.update("s1", peer.dial, True, 5.0)
+        pool.upstream.update_server("s1", peer.dial, True, 5.0)
         exchange, ended = pool.start()
         for _ in range(3):  # the dial is on its way
             await asyncio.sleep(0)
@@ -470,13 +470,13 @@
     async def main() -> None:
         peer = Peer()
         pool = Pool(peer)
-        pool.upstream.update("s1", peer.dial, True, 5.0)
+        pool.upstream.update_server("s1", peer.dial, True, 5.0)
         _, ended = pool.start()
         sock, _ = await peer.request()
         sock.send(OK)
         await ended
         assert len(pool.server.idle) == 1
-        pool.upstream.update("s1", peer.dial, True, 5.0)  # the same once more says nothing new
+        pool.upstream.update_server("s1", peer.dial, True, 5.0)  # the same once more says nothing new
         assert len(pool.server.idle) == 1
         tell(pool.upstream, peer.dial)
         assert await asyncio.get_running_loop().sock_recv(sock, 10) == b""
@@ -494,7 +494,7 @@
     async def main() -> None:
         peer = Peer()
         pool = Pool(peer)
-        pool.upstream.update("s1", peer.dial, True, 5.0)
+        pool.upstream.update_server("s1", peer.dial, True, 5.0)
         _, ended = pool.start()
         sock, _ = await peer.request()
         tell(pool.upstream, peer.dial)
@@ -517,7 +517,7 @@
     async def main() -> None:
         peer = Peer()
         pool = Pool(peer)
-        pool.upstream.update("s1", peer.dial, True, 5.0)
+        pool.upstream.update_server("s1", peer.dial, True, 5.0)
         body = Upload(200_000, lambda _held: None)
         _, ended = pool.start(upload=body, wait=15.0)
         sock, _ = await peer.request()
@@ -872,7 +872,7 @@
         peer, late = Peer(), Peer()
         late.fill()
         pool = Pool(peer)
-        pool.upstream.update("s2", late.dial, True)
+        pool.upstream.update_server("s2", late.dial, True)
         _, ended = pool.start()
         kept, _ = await peer.request()
         kept.send(OK)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -27,7 +27,7 @@
     ) -> None:
         self.clock: Callable[[], float] = UnixClock()
         self.upstream = Upstream(self.clock, dial_timeout, conn_idle, most)
-        self.upstream.update("s1", dial, True)
+        self.upstream.update_server("s1", dial, True)
 
     def start(
         self, timeout: float = 10.0, server: str = "s1", body: bytes = b""
@@ -398,8 +398,8 @@
 @pytest.mark.parametrize(
     "tell",
     [
-        lambda u: u.update("s1", "127.0.0.1:1", False),
-        lambda u: u.update("s1", "", False),
+        lambda u: u.update_server("s1", "127.0.0.1:1", False),
+        lambda u: u.update_server("s1", "", False),
         lambda u: u.keep_only({"s2"}),
     ],
 )
@@ -424,7 +424,7 @@
         async with listening(origin.talk) as dial:
             pool = Pool(dial)
             _, ended = pool.start()
-            pool.upstream.update("s1", dial, False)
+            pool.upstream.update_server("s1", dial, False)
             assert (await ended).status is Status.NOT_SENT
             assert not origin.seen
             pool.upstream.close()
@@ -438,7 +438,7 @@
         async with listening(old.talk) as first, listening(new.talk) as second:
             pool = Pool(first)
             await pool.fetch()
-            pool.upstream.update("s1", second, True)
+            pool.upstream.update_server("s1", second, True)
             await pool.fetch()
             assert (len(old.seen), len(new.seen)) == (1, 1)
             pool.upstream.close()
@@ -453,7 +453,7 @@
             pool = Pool(dial, most=PER_SERVER + 1)
             out = [pool.start()[0] for _ in range(PER_SERVER)]
             assert (await pool.fetch()).status is Status.FULL
-            pool.upstream.update("s2", dial, True)
+            pool.upstream.update_server("s2", dial, True)
             out.append(pool.start(server="s2")[0])
             assert (await pool.fetch(server="s2")).status is Status.FULL
             for exchange in out:
@@ -469,7 +469,7 @@
         origin = Origin()
         async with listening(origin.talk) as dial:
             pool = Pool(dial, most=1)
-            pool.upstream.update("s2", dial, True)
+            pool.upstream.update_server("s2", dial, True)
             assert (await pool.fetch()).status is Status.OK
             assert (await pool.fetch(server="s2")).status is Status.OK
             pool.upstream.close()
@@ -508,7 +508,7 @@
             while not busy.written:
                 await asyncio.sleep(0.001)
             for at in range(100):
-                pool.upstream.update(f"t{at}", dial, True)
+                pool.upstream.update_server(f"t{at}", dial, True)
                 pool.upstream.keep_only({f"t{at}"})
             assert set(pool.upstream._servers) == {"s1", "t99"}
             release.set()
@@ -516,7 +516,9 @@
             while "s1" in pool.upstream._servers:
                 await asyncio.sleep(0.001)
             assert (await pool.fetch()).status is Status.NOT_SENT
-            pool.upstream.update("s1", dial, True)  # a return, at an old address: it starts with nothing
+            pool.upstream.update_server(
+                "s1", dial, True
+            )  # a return, at an old address: it starts with nothing
             assert pool.upstream._servers["s1"].open == 0
             assert (await pool.fetch()).status is Status.OK
             pool.upstream.close()
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -115,11 +115,11 @@
     async def main() -> None:
         origin, birth = Origin(), 7200.0
         async with listening(origin.talk) as dial, Limiter(Script(send_on), {}) as limiter:
-            limiter.upstream.update("s1", dial, True, birth)
+            limiter.upstream.update_server("s1", dial, True, birth)
             assert "200" in (await limiter.fetch(ask()))[0]
             for count, step in enumerate((5.0, -5.0, 3600.0, -3600.0), 2):
                 await asyncio.sleep(0.05)  # behind the rest of a kept connection
-                limiter.upstream.update("s1", dial, True, birth + step)
+                limiter.upstream.update_server("s1", dial, True, birth + step)
                 birth += step
                 assert "200" in (await limiter.fetch(ask()))[0]
                 assert origin.connections == count
