--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -144,7 +144,9 @@
     if operators.tally is not None:
         from cypresspulley.tally import Tally
 
-        decisions = Tally(decisions, operators.tally, config.settings.warm_after, lambda: upstream.dials)
+        decisions = Tally(
+            decisions, operators.tally, config.settings.warm_after, lambda: upstream.dials_started
+        )
     node, access_log = _node(config.settings, decisions, clock, upstream, counter, operators, together)
     if config.known is not None and offer is None:
         node.listed(config.known)
--- a/cypresspulley/net/upstream.py
+++ b/cypresspulley/net/upstream.py
@@ -247,7 +247,7 @@
             self._spoilt(TimeoutError("it began and stalled"))
         else:  # the request's last byte never left
             log.warning("%s took nothing of an upload for %g s", exchange.server, STALL)
-            self._upstream.give_up(exchange, Status.DROPPED)
+            self._upstream.abort_exchange(exchange, Status.DROPPED)
 
     def leave(self) -> None:
         """The exchange no longer has this connection."""
@@ -505,7 +505,7 @@
         self.now = clock
         self._banned = set[str]()  # names that operators took out, listed or not
         self._open = 0  # connections
-        self.dials = 0  # dials begun so far
+        self.dials_started = 0  # dials begun so far
         self._dials = set[asyncio.Task[None]]()
         self._sweep_at = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
 
@@ -538,7 +538,7 @@
             if out:
                 self._leave(server)
 
-    def dials_by_name(self) -> dict[str, str]:
+    def server_addresses(self) -> dict[str, str]:
         """Where each server is dialled."""
         return {name: join_address(server.address) for name, server in self._servers.items()}
 
@@ -556,7 +556,7 @@
         self._close_idle(server)
         waiting, server.waiting = server.waiting, {}
         for exchange in waiting:
-            self.give_up(exchange, Status.NOT_SENT)
+            self.abort_exchange(exchange, Status.NOT_SENT)
 
     def _drop(self, server: _Server) -> None:
         """Forget what is not up once nothing is open there: ids are ever new, the table would grow."""
@@ -580,7 +580,7 @@
         if server.open >= PER_SERVER or (self._open >= self._max and not self._make_room()):
             return self.end(exchange, Status.FULL)
         self._time(exchange, min(left, exchange.latest - exchange.started))
-        server.open, self._open, self.dials = server.open + 1, self._open + 1, self.dials + 1
+        server.open, self._open, self.dials_started = server.open + 1, self._open + 1, self.dials_started + 1
         server.waiting[exchange] = None
         dial = asyncio.get_running_loop().create_task(self._dial(server, exchange))
         self._dials.add(dial)
@@ -596,7 +596,7 @@
 
     def cancel(self, exchange: Exchange) -> None:
         """Stop waiting; the connection goes with it, so that no late answer meets another request."""
-        self.give_up(exchange, Status.CANCELLED)
+        self.abort_exchange(exchange, Status.CANCELLED)
 
     def end(self, exchange: Exchange, status: Status) -> None:
         """Report an exchange once."""
@@ -700,9 +700,9 @@
 
     def _expired(self, exchange: Exchange) -> None:
         # Not yet written on a connection, it is known not to have run, and says nothing of the server.
-        self.give_up(exchange, Status.NOT_SENT if exchange.connection is None else Status.TIMEOUT)
+        self.abort_exchange(exchange, Status.NOT_SENT if exchange.connection is None else Status.TIMEOUT)
 
-    def give_up(self, exchange: Exchange, status: Status) -> None:
+    def abort_exchange(self, exchange: Exchange, status: Status) -> None:
         """End an exchange that is still out; its connection goes with it."""
         if exchange.ended:
             return
--- a/cypresspulley/service.py
+++ b/cypresspulley/service.py
@@ -207,7 +207,7 @@
         assert self._gateway is not None and self._upstream is not None
         offset = self._clock.offset if isinstance(self._clock, UnixClock) else None
         return {
-            "decisions": take(self._gateway), "dials": self._upstream.dials_by_name(), "drained": self.life.drained,
+            "decisions": take(self._gateway), "dials": self._upstream.server_addresses(), "drained": self.life.drained,
             CLOCK_OFFSET: offset,
         }  # fmt: skip
 
--- a/tests/explore/mutants.py
+++ b/tests/explore/mutants.py
@@ -90,7 +90,7 @@
         "small", ("ceilings kept",),
     ),
     Mutant(
-        "a pool that hands out a half-read connection", Upstream, "give_up",
+        "a pool that hands out a half-read connection", Upstream, "abort_exchange",
         "connection.abort()", "self.release(connection, True)",
         "slow", ("no request lost", "no effect twice", "log"),
     ),
