--- a/cypresspulley/net/upstream.py
+++ b/cypresspulley/net/upstream.py
@@ -504,7 +504,7 @@
         self.streaming = set[_Connection]()  # connections with a large answer under way
         self.now = clock
         self._banned = set[str]()  # names that operators took out, listed or not
-        self._open = 0  # connections
+        self._open_connections = 0  # connections
         self.dials_started = 0  # dials begun so far
         self._dials = set[asyncio.Task[None]]()
         self._sweep_at = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
@@ -564,7 +564,7 @@
             del self._servers[server.name]
 
     def _closed(self, server: _Server) -> None:
-        server.open, self._open = server.open - 1, self._open - 1
+        server.open, self._open_connections = server.open - 1, self._open_connections - 1
         self._drop(server)
 
     def start(self, exchange: Exchange) -> None:
@@ -577,10 +577,14 @@
             return None
         if (connection := self._take_idle(server)) is not None:
             return self._write(connection, exchange)
-        if server.open >= PER_SERVER or (self._open >= self._max and not self._make_room()):
+        if server.open >= PER_SERVER or (self._open_connections >= self._max and not self._make_room()):
             return self.end(exchange, Status.FULL)
-        self._time(exchange, min(left, exchange.latest - exchange.started))
-        server.open, self._open, self.dials_started = server.open + 1, self._open + 1, self.dials_started + 1
+        self._set_timeout(exchange, min(left, exchange.latest - exchange.started))
+        server.open, self._open_connections, self.dials_started = (
+            server.open + 1,
+            self._open_connections + 1,
+            self.dials_started + 1,
+        )
         server.waiting[exchange] = None
         dial = asyncio.get_running_loop().create_task(self._dial(server, exchange))
         self._dials.add(dial)
@@ -592,7 +596,7 @@
             now = exchange.started = self._clock()
             exchange.expires = now + exchange.wait
             latest = exchange.latest - now if exchange.connection is None else math.inf
-            self._time(exchange, min(exchange.wait, latest))
+            self._set_timeout(exchange, min(exchange.wait, latest))
 
     def cancel(self, exchange: Exchange) -> None:
         """Stop waiting; the connection goes with it, so that no late answer meets another request."""
@@ -685,20 +689,20 @@
             self.release(connection, True)
             return self.end(exchange, Status.NOT_SENT)
         if exchange.timer is None or exchange.latest < exchange.expires:
-            self._time(exchange, left)  # a dial was timed by its latest instant, an answer has longer
+            self._set_timeout(exchange, left)  # a dial was timed by its latest instant, an answer has longer
         # What is left, or, of a body that still comes, what there will be from its last byte on.
         timeout = b"X-Timeout-Ms: %d\r\n\r\n" % max(1, int(min(left, exchange.wait) * 1000))
         connection.send(exchange, exchange.head + timeout + exchange.body)
 
-    def _time(self, exchange: Exchange, wait: float) -> None:
+    def _set_timeout(self, exchange: Exchange, wait: float) -> None:
         """From now on it has so many seconds; infinite: as long as it takes."""
         if exchange.timer is not None:
             exchange.timer.cancel()
             exchange.timer = None
         if wait < math.inf:
-            exchange.timer = asyncio.get_running_loop().call_later(wait, self._expired, exchange)
+            exchange.timer = asyncio.get_running_loop().call_later(wait, self._on_timeout, exchange)
 
-    def _expired(self, exchange: Exchange) -> None:
+    def _on_timeout(self, exchange: Exchange) -> None:
         # Not yet written on a connection, it is known not to have run, and says nothing of the server.
         self.abort_exchange(exchange, Status.NOT_SENT if exchange.connection is None else Status.TIMEOUT)
 
--- a/tests/test_dial_errors.py
+++ b/tests/test_dial_errors.py
@@ -38,7 +38,7 @@
             (outcome,) = await script.until(api.Outcome)
         finally:
             loop.create_connection = made  # type: ignore
-        assert limiter.upstream._open == 0
+        assert limiter.upstream._open_connections == 0
         peer.socket.close()
     status: api.Status = outcome.status
     return status
--- a/tests/test_endings_servers.py
+++ b/tests/test_endings_servers.py
@@ -139,7 +139,7 @@
 
     async def at_rest(self) -> None:
         """Nothing is open, nothing is timed; only a hang keeps this from its end."""
-        while self.upstream._open or self.upstream._dials:
+        while self.upstream._open_connections or self.upstream._dials:
             await asyncio.sleep(0.001)
         assert not self.upstream.streaming and self.upstream.relay.active == 0
         assert all(s.open == 0 and not s.idle for s in self.upstream._servers.values())
@@ -1129,7 +1129,7 @@
         assert not self.upstream._dials and not self.upstream.streaming and self.upstream.relay.active == 0
         servers = self.upstream._servers.values()
         assert all(s.open == len(s.idle) and not s.waiting for s in servers)
-        assert self.upstream._open == sum(s.open for s in servers)
+        assert self.upstream._open_connections == sum(s.open for s in servers)
         assert not self.counter._order and not self.counter._left
         for client in self.clients:
             got, id = client["got"], client["id"]
--- a/tests/test_endings_times.py
+++ b/tests/test_endings_times.py
@@ -179,13 +179,13 @@
             peer = Peer(limiter)
             await until(lambda: limiter.frontend._clients)
             timed = list[float]()
-            keep: Callable[..., None] = limiter.upstream._time
+            keep: Callable[..., None] = limiter.upstream._set_timeout
 
             def timing(exchange: Exchange, wait: float) -> None:
                 timed.append(wait)
                 keep(exchange, wait)
 
-            monkeypatch.setattr(limiter.upstream, "_time", timing)
+            monkeypatch.setattr(limiter.upstream, "_set_timeout", timing)
             the_one(limiter).data_received(ask(POST, b"x" * (KEEP + 2000), ttl=int(TTL * 1000)))
             assert min(window, TTL) - 0.5 < timed[-1] <= min(window, TTL)
             await server.request(await server.accept())
