--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -149,12 +149,12 @@
         )
     node, access_log = _node(config.settings, decisions, clock, upstream, counter, operators, together)
     if config.known is not None and offer is None:
-        node.listed(config.known)
+        node.apply_listing(config.known)
     between = PeerLink(node)
     await between.follow(config)
     other = _other_front(config.settings, operators, clock)
     frontend = Frontend(node, config.settings, clients, other, time.monotonic if alone else clock)
-    frontend.on_sweep = partial(node.look_at, time.time) if alone else None
+    frontend.on_sweep = partial(node.check_wall_clock, time.time) if alone else None
     frontend.relay = upstream.relay
     try:
         if config.operator is None:
@@ -164,7 +164,9 @@
     except OSError as error:
         raise ConfigError(f"cannot listen: {error}") from None
     since = config.known.version if config.known else None
-    follower = Follower(node.listed, Random(config.seed).random, timing.pushed, node.confirmed)
+    follower = Follower(
+        node.apply_listing, Random(config.seed).random, timing.pushed, node.record_discovery_contact
+    )
     follower.follow(*config.discovery, since)
     if counter is not None:
         counter.start()
--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -93,7 +93,7 @@
         self.tell: Callable[[str], None] | None = None  # sends to the other limiters, where there is a way
         self._busy = False
         self._ruled = False
-        self._word_at: float | None = None  # when discovery spoke last
+        self._discovery_contact_at: float | None = None  # when discovery spoke last
         self._actions: dict[type, Callable[[Any], None]] = {
             api.Send: self._send, api.Refuse: self._refuse, api.Fail: self._fail, api.Cancel: self._cancel,
             api.Count: self._count, api.Tell: self._tell, api.Probe: self._probe, api.Ban: self._ban,
@@ -119,11 +119,11 @@
         finally:
             self._busy = False
 
-    def listed(self, listing: Listing) -> None:
+    def apply_listing(self, listing: Listing) -> None:
         """Discovery has told something: the sockets heed all of it before the decisions hear of it, and these hear
         of it before what it ended: else they would send that on to the next server that drains."""
-        self._events.append(replace(listing.servers, previous=self._word_at))
-        self.confirmed()
+        self._events.append(replace(listing.servers, previous=self._discovery_contact_at))
+        self.record_discovery_contact()
         held, self._busy = self._busy, True
         try:
             if listing.servers.complete:
@@ -139,9 +139,9 @@
         """Calls go to this counter from now on."""
         self._counter = counter
 
-    def confirmed(self) -> None:
+    def record_discovery_contact(self) -> None:
         """Discovery has said something: until now nothing else has changed than what it told."""
-        self._word_at = self._clock()
+        self._discovery_contact_at = self._clock()
 
     def arrived(self, request: ClientRequest) -> None:
         event = request.event
@@ -206,7 +206,7 @@
         for id in list(self._open):
             self._abandon(id, 504)
 
-    def look_at(self, wall: Callable[[], float]) -> None:
+    def check_wall_clock(self, wall: Callable[[], float]) -> None:
         """Tell the decisions where the wall clock has stepped: all limiters name what they share by it. To be called
         some times in the shortest window of a ceiling."""
         shift = wall() - self._clock()
--- a/tests/closing/test_node.py
+++ b/tests/closing/test_node.py
@@ -58,7 +58,7 @@
         arguments: list[Any] = [SETTINGS, self.script, clock, self.upstream, None]
         self.node = kind(*arguments, *([file] if file is not None else []))
         self.frontend = Frontend(self.node, SETTINGS, max_connections=64)
-        self.node.listed(listing({"s1": dial}))
+        self.node.apply_listing(listing({"s1": dial}))
         self.address = ("", 0)
 
     async def fetch(self, request: bytes | None = None) -> tuple[str, dict[str, str], bytes]:
--- a/tests/explore/mutants.py
+++ b/tests/explore/mutants.py
@@ -59,8 +59,8 @@
     Mutant(
         "a drain heeded late",
         Node,
-        "listed",
-        "self._events.append(replace(listing.servers, previous=self._word_at))",
+        "apply_listing",
+        "self._events.append(replace(listing.servers, previous=self._discovery_contact_at))",
         "if any(entry.health is api.Health.DRAINING for entry in listing.servers.entries):\n"
         "        return  # until the next news\n"
         "    self._events.append(listing.servers)",
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -169,7 +169,7 @@
         self.upstream = Upstream(clock, dial_timeout=0.25, conn_idle=conn_idle, max_connections=64)
         self.node = Node(SETTINGS, script, clock, self.upstream, counter)
         self.frontend = Frontend(self.node, SETTINGS, max_connections=64)
-        self.node.listed(listing(dials))
+        self.node.apply_listing(listing(dials))
         self._address = ("", 0)
 
     async def __aenter__(self) -> Limiter:
--- a/tests/takeover/test_handover.py
+++ b/tests/takeover/test_handover.py
@@ -49,7 +49,7 @@
             offer = None
         self.inherited = offer is not None
         if offer is None:
-            self.node.listed(listing({"s1": self.dial, "s2": self.dial}))
+            self.node.apply_listing(listing({"s1": self.dial, "s2": self.dial}))
         listener = offer.listener if offer is not None else None
         self.address = await self.frontend.listen_shared("127.0.0.1", port, listener)
         self.service.serve(self.node, self.frontend, self.gateway, self.upstream, self.clock, self.inherited)
@@ -137,14 +137,14 @@
             old = await Process(tmp_path, dial).start()
             row = api.ServerEntry("s1", api.Health.UP, "a", born=100.0)
             news = Listing(2, api.ServerList((row,), True), {"s1": dial})
-            old.node.listed(news)
+            old.node.apply_listing(news)
             new = await Process(tmp_path, dial).start()
             reader, writer = await asyncio.open_connection(*new.address)
             for expected in (1, 1):  # the first list after the takeover says what is known
                 writer.write(ask())
                 assert " 200 " in (await read_message(reader))[0]
                 await asyncio.sleep(2 * REUSE_DELAY_SECONDS)  # a connection rests before its next request
-                new.node.listed(news)
+                new.node.apply_listing(news)
                 assert origin.connections == expected
             writer.close()
             await old.end()
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -204,7 +204,7 @@
             for _ in range(12):
                 assert " 200 " in (await limiter.fetch(ask()))[0]
             assert len(first.seen) == before and len(second.seen) >= 12
-            limiter.node.listed(listing({"s1": one, "s2": two}))  # whatever the list says
+            limiter.node.apply_listing(listing({"s1": one, "s2": two}))  # whatever the list says
             assert " 200 " in (await limiter.fetch(ask()))[0] and len(first.seen) == before
             assert (await call(door, "PUT", "/v1/servers/s1/resume"))[0] == 200
             while len(first.seen) == before:
--- a/tests/test_endings_servers.py
+++ b/tests/test_endings_servers.py
@@ -350,7 +350,7 @@
         self.gateway = Gateway(settings, 1, clock())
         self.node = Node(settings, self.gateway, clock, self.upstream, counter)
         self.frontend = Frontend(self.node, settings, max_connections=64)
-        self.node.listed(listing(dials))
+        self.node.apply_listing(listing(dials))
 
     async def __aenter__(self) -> Whole:
         self._address = await self.frontend.listen("127.0.0.1", 0)
@@ -381,7 +381,7 @@
             asked = ask("/entry?account=00000000b4d65521", b"x", ttl=3000, Idempotency_Key="k1")
             reader, writer = await limiter.ask(asked)
             sock, _ = await first.request()
-            limiter.node.listed(listing({"s1": first.dial, "s2": second.dial}))
+            limiter.node.apply_listing(listing({"s1": first.dial, "s2": second.dial}))
             reset(sock)
             while len(limiter.upstream._dials) != 1 or limiter.upstream._servers["s2"].open != 1:
                 await asyncio.sleep(0.001)
@@ -390,7 +390,7 @@
             late = await second.accept()
             while limiter.upstream._dials:
                 await asyncio.sleep(0.001)
-            limiter.node.listed(listing({}))  # ends what the dial has brought
+            limiter.node.apply_listing(listing({}))  # ends what the dial has brought
             assert await asyncio.get_running_loop().sock_recv(late, 10) == b"", (
                 "it was sent behind its window"
             )
@@ -413,7 +413,7 @@
             asked = ask("/entry?account=00000000b4d65521", b"x", ttl=15000, Idempotency_Key="k1")
             reader, writer = await limiter.ask(asked)
             sock, _ = await first.request()
-            limiter.node.listed(listing({"s1": first.dial, "s2": second.dial}))
+            limiter.node.apply_listing(listing({"s1": first.dial, "s2": second.dial}))
             (opened,) = limiter.node._open.values()
             reset(sock)
             status, _, _ = await read_message(reader)
@@ -567,12 +567,12 @@
             reader, writer = await limiter.ask(ask(ttl=15000))
             while not limiter.upstream._dials:
                 await asyncio.sleep(0.001)
-            limiter.node.listed(listing({name: dials[name] for name in list(dials)[:5]}))
+            limiter.node.apply_listing(listing({name: dials[name] for name in list(dials)[:5]}))
             told = tuple(
                 api.ServerEntry(name, api.Health.UP if name == "s5" else api.Health.DRAINING, "a")
                 for name in dials
             )
-            limiter.node.listed(Listing(2, api.ServerList(told, False), dials))
+            limiter.node.apply_listing(Listing(2, api.ServerList(told, False), dials))
             sock, _ = await peers[5].request()
             (opened,) = limiter.node._open.values()
             assert UnixClock()() < opened.deadline - 6.0, "it waited for the dial"
@@ -1032,7 +1032,7 @@
     def tell(self, health: api.Health, which: Iterable[int], whole: bool) -> None:
         names = [f"s{n}" for n in which]
         entries = tuple(api.ServerEntry(name, health, "a", 0, 1.0, self.born) for name in names)
-        self.node.listed(
+        self.node.apply_listing(
             Listing(1, api.ServerList(entries, whole), {name: self.dials[name] for name in names})
         )
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -182,7 +182,7 @@
         async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             assert " 200 " in (await limiter.fetch(ask()))[0]
             told = listing({} if whole else {"s1": dial}, api.Health.DRAINING, whole)
-            limiter.node.listed(told)
+            limiter.node.apply_listing(told)
             await origin.left.wait()
             assert " 429 " in (await limiter.fetch(ask()))[0]
             assert len(origin.seen) == 1
@@ -202,7 +202,7 @@
             (good,) = await script.until(api.Probed)
             assert (good.server, good.status) == ("s1", api.Status.OK)
             assert origin.seen[0][0] == "GET /healthz HTTP/1.1"
-            limiter.node.listed(listing({"s1": dial}))
+            limiter.node.apply_listing(listing({"s1": dial}))
             assert (await script.until(api.Probed, 2))[1].status is api.Status.ERROR
             assert script.events.count(api.Counted(5, api.Status.UNREACHABLE)) == 2  # there is no counter
 
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -90,7 +90,7 @@
                 for writer, task in zip(writers, (lookup, post), strict=True):
                     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
                     await task
-                limiter.node.listed(listing({"s1": one, "s2": two, "s3": three}))
+                limiter.node.apply_listing(listing({"s1": one, "s2": two, "s3": three}))
                 server = script.gateway.fleet.servers["s1"]
                 while not server.trial:
                     script.now += 0.1
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -146,13 +146,20 @@
         async with listening(talk) as address, Limiter(script, {}) as limiter:
             clock = limiter.node._clock
             host, port = address.split(":")
-            follower = Follower(limiter.node.listed, lambda: 0.5, lived=limiter.node.confirmed)
+            follower = Follower(
+                limiter.node.apply_listing, lambda: 0.5, lived=limiter.node.record_discovery_contact
+            )
             follower.follow(host, int(port))
             await until(lambda: len(lists(script)) == 2)
             first_at = clock()
             said.set()
-            await until(lambda: limiter.node._word_at is not None and limiter.node._word_at > first_at)
-            beat_at = limiter.node._word_at
+            await until(
+                lambda: (
+                    limiter.node._discovery_contact_at is not None
+                    and limiter.node._discovery_contact_at > first_at
+                )
+            )
+            beat_at = limiter.node._discovery_contact_at
             release.set()
             await until(lambda: len(lists(script)) == 3)
             last = lists(script)[-1]
@@ -179,7 +186,9 @@
         script = Script(lambda event: [api.Refuse(event.id, 0.1)] if isinstance(event, api.Request) else [])
         async with Limiter(script, {}) as limiter:
             ahead = [0.0]
-            limiter.frontend.on_sweep = lambda: limiter.node.look_at(lambda: limiter.node._clock() + ahead[0])
+            limiter.frontend.on_sweep = lambda: limiter.node.check_wall_clock(
+                lambda: limiter.node._clock() + ahead[0]
+            )
             await limiter.fetch(ask())
             ahead[0] = step
             await script.until(api.WallClock)
