--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -215,7 +215,7 @@
     if not service.leave():
         await asyncio.sleep(ACCEPT_FOR)  # clients do not know yet: what they still open is taken and answered
     await frontend.close(answer_within(timing.longest_deadline))
-    node.abandon_all()
+    node.fail_open_requests()
     await frontend.close(FLUSH_WITHIN)
     hangup.close()
     service.close()
@@ -367,7 +367,7 @@
             await peers.listen(*addresses.listen)
         except OSError as error:
             raise ConfigError(f"cannot listen for messages of limiters: {error}") from None
-        self._peers, self._listen, self._node.tell = peers, addresses.listen, peers.tell
+        self._peers, self._listen, self._node.broadcast = peers, addresses.listen, peers.tell
 
     def follow_later(self, config: Config) -> None:
         """The same from a reload: an address that cannot be had is told in the log, and messages are off."""
@@ -386,7 +386,7 @@
     def _leave(self) -> None:
         if self._peers is not None:
             self._peers.close()
-        self._peers, self._listen, self._node.tell = None, None, None
+        self._peers, self._listen, self._node.broadcast = None, None, None
 
     def close(self) -> None:
         if self._task is not None:
--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -90,7 +90,9 @@
         self._loop = asyncio.get_running_loop()
         self._open = dict[int, _Open]()
         self._events = deque[api.Event]()
-        self.tell: Callable[[str], None] | None = None  # sends to the other limiters, where there is a way
+        self.broadcast: Callable[[str], None] | None = (
+            None  # sends to the other limiters, where there is a way
+        )
         self._busy = False
         self._ruled = False
         self._discovery_contact_at: float | None = None  # when discovery spoke last
@@ -201,7 +203,7 @@
         self.feed(api.Suspend(server, out, sure))
         return self._ruled
 
-    def abandon_all(self) -> None:
+    def fail_open_requests(self) -> None:
         """Fail what is still open: the process is about to end, and a request must not end with it."""
         for id in list(self._open):
             self._abandon(id, 504)
@@ -328,8 +330,8 @@
             )
 
     def _tell(self, action: api.Tell) -> None:
-        if self.tell is not None:
-            self.tell(action.text)
+        if self.broadcast is not None:
+            self.broadcast(action.text)
 
     def _probe(self, action: api.Probe) -> None:
         path = b"/load" if self._settings.load_on_probe else b"/healthz"
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -236,7 +236,7 @@
             await origin.got.wait()
             limiter.frontend.drain()
             await limiter.frontend.close(0.01)
-            limiter.node.abandon_all()
+            limiter.node.fail_open_requests()
             assert " 504 " in (await read_message(reader))[0]
             await script.until(api.Departed)
             await limiter.frontend.close(10)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -230,7 +230,7 @@
         script = Script(lambda event: [api.Tell("AAAAAAgg")] if isinstance(event, api.Request) else [])
         async with Limiter(script, {}) as limiter:
             await limiter.fetch(ask(ttl=50))  # with no way to the others it is dropped
-            limiter.node.tell = sent.append
+            limiter.node.broadcast = sent.append
             await limiter.fetch(ask(ttl=50))
         assert sent == ["AAAAAAgg"]
 
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -222,7 +222,7 @@
             client.send(ask(POST, b"x" * LARGE)[:100_000])
             await script.until(api.Request)
             await ending(limiter, 0.05)
-            limiter.node.abandon_all()
+            limiter.node.fail_open_requests()
             closing = asyncio.create_task(limiter.frontend.close(10))
             client.send(b"x" * 1000)
             assert await client.end() == [504] and not client.reset()
@@ -286,7 +286,7 @@
             taken.send(ask())
             await script.until(api.Request)
             await ending(limiter, 0.05)
-            limiter.node.abandon_all()
+            limiter.node.fail_open_requests()
             fresh.send(ask())  # both before the loop has a turn
             half.send(ask()[20:])
             await limiter.frontend.close(0.1)
