--- a/cypresspulley/accesslog.py
+++ b/cypresspulley/accesslog.py
@@ -130,19 +130,19 @@
         self._told(request, 0, "served", 200, "kept", size)
 
     def departed(self, request: ClientRequest) -> None:
-        opened = self._open.get(request.event.id) if request.event is not None else None
+        opened = self._open_requests.get(request.event.id) if request.event is not None else None
         super().departed(request)
         if opened is not None:
             self._told(opened.request, len(opened.attempts), "left", 0, "")
 
-    def _abandon(self, id: int, status: int) -> None:
-        opened = self._open.get(id)
-        super()._abandon(id, status)
+    def _respond_for_gateway(self, id: int, status: int) -> None:
+        opened = self._open_requests.get(id)
+        super()._respond_for_gateway(id, status)
         if opened is not None:
             self._told(opened.request, len(opened.attempts), "failed", status, "no decision in time")
 
-    def _attempted(self, id: int, number: int, attempt: Exchange) -> None:
-        opened = self._open.get(id)
+    def _handle_attempt_end(self, id: int, number: int, attempt: Exchange) -> None:
+        opened = self._open_requests.get(id)
         if opened is not None and attempt.download is not None:
             whole = attempt.status is api.Status.OK
             why = "" if whole else "the answer broke off"
@@ -150,16 +150,16 @@
             self._told(opened.request, len(opened.attempts), "served" if whole else "failed", 200, why, size)
         elif opened is not None and attempt.status is api.Status.OK:
             self._told(opened.request, len(opened.attempts), "served", 200, "", len(attempt.response_body))
-        super()._attempted(id, number, attempt)
+        super()._handle_attempt_end(id, number, attempt)
 
     def _refuse(self, action: api.Refuse) -> None:
-        opened = self._open.get(action.id)
+        opened = self._open_requests.get(action.id)
         super()._refuse(action)
         if opened is not None:
             self._told(opened.request, len(opened.attempts), "refused", 429, action.why)
 
     def _fail(self, action: api.Fail) -> None:
-        opened = self._open.get(action.id)
+        opened = self._open_requests.get(action.id)
         super()._fail(action)
         if opened is not None:
             self._told(opened.request, len(opened.attempts), "failed", 502, action.why)
--- a/cypresspulley/closing/node.py
+++ b/cypresspulley/closing/node.py
@@ -91,13 +91,13 @@
             return True
 
         def _send(self, action: api.Send) -> None:
-            lookup, opened = self._lookups.get(action.id), self._open.get(action.id)
+            lookup, opened = self._lookups.get(action.id), self._open_requests.get(action.id)
             if lookup is not None and opened is not None:
                 lookup.sent[len(opened.attempts)] = closing.sending(lookup.account)
             super()._send(action)
 
-        def _attempted(self, id: int, number: int, attempt: Exchange) -> None:
-            if attempt.status is api.Status.OK and id in self._open:
+        def _handle_attempt_end(self, id: int, number: int, attempt: Exchange) -> None:
+            if attempt.status is api.Status.OK and id in self._open_requests:
                 lookup = self._lookups.get(id)
                 sent = lookup.sent.get(number) if lookup is not None else None
                 if lookup is not None and sent is not None and attempt.download is None:
@@ -106,12 +106,12 @@
                         closing.answered(lookup.account, lookup.key, sent, headers, attempt.response_body)
                 self._sure = id in self._changing
             try:
-                super()._attempted(id, number, attempt)
+                super()._handle_attempt_end(id, number, attempt)
             finally:
                 self._sure = False
 
-        def _close(self, id: int) -> Any:
-            opened = super()._close(id)
+        def _remove_request(self, id: int) -> Any:
+            opened = super()._remove_request(id)
             if opened is not None:
                 self._lookups.pop(id, None)
                 if (account := self._changing.pop(id, None)) is not None:
--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -88,7 +88,7 @@
         self._counter = counter
         self._most_attempts = settings.max_attempts
         self._loop = asyncio.get_running_loop()
-        self._open = dict[int, _Open]()
+        self._open_requests = dict[int, _Open]()
         self._events = deque[api.Event]()
         self.broadcast: Callable[[str], None] | None = (
             None  # sends to the other limiters, where there is a way
@@ -104,7 +104,7 @@
 
     @property
     def open_requests(self) -> int:
-        return len(self._open)
+        return len(self._open_requests)
 
     def feed(self, event: api.Event) -> None:
         """Hand an event to the decisions and carry out their actions; events that these cause follow on."""
@@ -150,7 +150,7 @@
         assert event is not None
         left = max(LEAST_LEFT, event.ttl - request.waited)
         margin = min(MARGIN, MARGIN_SHARE * left)
-        opened = self._open[event.id] = _Open(request, float("inf"))
+        opened = self._open_requests[event.id] = _Open(request, float("inf"))
         if request.upload is None or request.upload.whole:
             self._time(opened, event, margin)
         else:
@@ -163,11 +163,11 @@
         left = max(LEAST_LEFT, event.ttl - opened.request.waited)
         opened.deadline = self._clock() + left - margin
         last = left - SILENT_SHARE * margin
-        opened.timer = self._loop.call_later(last, self._abandon, event.id, 504)
+        opened.timer = self._loop.call_later(last, self._respond_for_gateway, event.id, 504)
 
     def _body(self, event: api.Request, margin: float, whole: bool, kept: bool) -> None:
         """A body that flows is whole, or can no longer be sent again."""
-        opened = self._open.get(event.id)
+        opened = self._open_requests.get(event.id)
         if opened is None:
             return
         if whole and opened.timer is None and not opened.begun:
@@ -178,7 +178,7 @@
 
     def _began(self, id: int, number: int, attempt: Exchange, download: Download) -> None:
         """A large answer comes: the client gets it as it does."""
-        opened = self._open.get(id)
+        opened = self._open_requests.get(id)
         if opened is None:
             return download.drop()
         opened.begun = True
@@ -188,7 +188,7 @@
         self.feed(api.Began(id, number, attempt.server, attempt.elapsed, attempt.report))
 
     def departed(self, request: ClientRequest) -> None:
-        if request.event is not None and self._close(request.event.id) is not None:
+        if request.event is not None and self._remove_request(request.event.id) is not None:
             self.feed(api.Departed(request.event.id))
 
     def retune(self, settings: api.Settings) -> None:
@@ -205,8 +205,8 @@
 
     def fail_open_requests(self) -> None:
         """Fail what is still open: the process is about to end, and a request must not end with it."""
-        for id in list(self._open):
-            self._abandon(id, 504)
+        for id in list(self._open_requests):
+            self._respond_for_gateway(id, 504)
 
     def check_wall_clock(self, wall: Callable[[], float]) -> None:
         """Tell the decisions where the wall clock has stepped: all limiters name what they share by it. To be called
@@ -223,7 +223,7 @@
         except Exception:
             log.exception("the decisions failed on %s", type(event).__name__)
             if isinstance(event, api.Request):
-                self._abandon(event.id, 500)
+                self._respond_for_gateway(event.id, 500)
             elif isinstance(event, api.TimerFired):
                 # The next timer was to come with these actions: without it they would never tick again.
                 self._loop.call_later(1.0, self.feed, event)
@@ -234,9 +234,9 @@
             except Exception:
                 log.exception("an action failed: %s", action)
 
-    def _close(self, id: int) -> _Open | None:
+    def _remove_request(self, id: int) -> _Open | None:
         """Take a request off the table; attempts that are out are of no more use."""
-        opened = self._open.pop(id, None)
+        opened = self._open_requests.pop(id, None)
         if opened is not None:
             if opened.timer is not None:
                 opened.timer.cancel()
@@ -244,9 +244,9 @@
                 self._upstream.cancel(attempt)
         return opened
 
-    def _abandon(self, id: int, status: int) -> None:
+    def _respond_for_gateway(self, id: int, status: int) -> None:
         """Answer for decisions that are silent or broken."""
-        if (opened := self._close(id)) is not None:
+        if (opened := self._remove_request(id)) is not None:
             log.warning("a request was answered %d in place of the decisions", status)
             if opened.begun:
                 opened.request.ended(False)
@@ -257,7 +257,7 @@
     # Actions.
 
     def _send(self, action: api.Send) -> None:
-        opened = self._open.get(action.id)
+        opened = self._open_requests.get(action.id)
         if opened is None:
             log.error("a send for a request that has ended was dropped")
             return
@@ -265,7 +265,7 @@
         request, wait = opened.request, action.timeout or float("inf")
         coming = request.upload is not None and not request.upload.whole
         expires = float("inf") if coming else min(opened.deadline, self._clock() + wait)
-        told = self._attempted if request.dialect is None else self._answered
+        told = self._handle_attempt_end if request.dialect is None else self._answered
         done = partial(told, action.id, number)
         attempt = Exchange(action.server, request.head, request.body, expires, done, action.latest)
         attempt.present = request.present
@@ -285,35 +285,35 @@
 
     def _answered(self, id: int, number: int, attempt: Exchange) -> None:
         """An attempt of a request with a dialect: its answer may say more than its status does."""
-        opened = self._open.get(id)
+        opened = self._open_requests.get(id)
         if opened is not None and opened.request.dialect is not None and attempt.status is api.Status.OK:
             try:
                 opened.request.dialect.answered(attempt)
             except Exception:
                 log.exception("an answer was passed on unread")
-        self._attempted(id, number, attempt)
+        self._handle_attempt_end(id, number, attempt)
 
-    def _attempted(self, id: int, number: int, attempt: Exchange) -> None:
+    def _handle_attempt_end(self, id: int, number: int, attempt: Exchange) -> None:
         if attempt.download is not None:
-            if (opened := self._close(id)) is not None:
+            if (opened := self._remove_request(id)) is not None:
                 opened.request.ended(attempt.status is api.Status.OK)
-        elif attempt.status is api.Status.OK and (opened := self._close(id)) is not None:
+        elif attempt.status is api.Status.OK and (opened := self._remove_request(id)) is not None:
             opened.request.respond(200, attempt.response_body, attempt.response_headers)
-        finished = id not in self._open
+        finished = id not in self._open_requests
         told = attempt.report, attempt.used, attempt.units
         self.feed(api.Outcome(id, number, attempt.server, attempt.status, attempt.elapsed, finished, *told))
 
     def _refuse(self, action: api.Refuse) -> None:
-        if (opened := self._close(action.id)) is not None:
+        if (opened := self._remove_request(action.id)) is not None:
             wait = max(0.0, action.retry_after)
             opened.request.respond(429, retry_after=wait, why=action.why, left=action.left)
 
     def _fail(self, action: api.Fail) -> None:
-        if (opened := self._close(action.id)) is not None:
+        if (opened := self._remove_request(action.id)) is not None:
             opened.request.respond(502)
 
     def _cancel(self, action: api.Cancel) -> None:
-        opened = self._open.get(action.id)
+        opened = self._open_requests.get(action.id)
         if opened is not None and action.attempt < len(opened.attempts):
             self._upstream.cancel(opened.attempts[action.attempt])
 
--- a/tests/explore/mutants.py
+++ b/tests/explore/mutants.py
@@ -80,7 +80,7 @@
         "calm-morning", ("no request lost", "no effect twice", "leak", "log"),
     ),
     Mutant(
-        "a timer not cancelled", Node, "_close",
+        "a timer not cancelled", Node, "_remove_request",
         "opened.timer.cancel()", "pass",
         "calm-morning", ("leak",),
     ),
--- a/tests/rehearsal/virtual/test_play.py
+++ b/tests/rehearsal/virtual/test_play.py
@@ -78,7 +78,7 @@
 
 
 def _refuse_in_place_of(node: Any, action: Any) -> None:
-    opened = node._close(action.id)
+    opened = node._remove_request(action.id)
     if opened is not None:
         opened.request.respond(429, retry_after=0.1)
 
--- a/tests/test_endings_servers.py
+++ b/tests/test_endings_servers.py
@@ -414,7 +414,7 @@
             reader, writer = await limiter.ask(asked)
             sock, _ = await first.request()
             limiter.node.apply_listing(listing({"s1": first.dial, "s2": second.dial}))
-            (opened,) = limiter.node._open.values()
+            (opened,) = limiter.node._open_requests.values()
             reset(sock)
             status, _, _ = await read_message(reader)
             assert " 429 " in status and limiter.upstream._dials
@@ -574,7 +574,7 @@
             )
             limiter.node.apply_listing(Listing(2, api.ServerList(told, False), dials))
             sock, _ = await peers[5].request()
-            (opened,) = limiter.node._open.values()
+            (opened,) = limiter.node._open_requests.values()
             assert UnixClock()() < opened.deadline - 6.0, "it waited for the dial"
             sock.send(OK)
             assert (await read_message(reader))[2] == b"hi"
--- a/tests/test_endings_times.py
+++ b/tests/test_endings_times.py
@@ -128,7 +128,7 @@
             head = await server.request(await server.accept())
             assert clock.jumped == 1.0
             assert TTL - 1.5 < told(head) <= TTL - 1.0
-            (opened,) = limiter.node._open.values()
+            (opened,) = limiter.node._open_requests.values()
             assert opened.attempts[-1].timer is not None
             assert opened.attempts[-1].expires <= opened.deadline + 0.01
             peer.socket.close()
@@ -153,7 +153,7 @@
             peer.send(request[2000:])
             await script.until(api.Body)
             await until(lambda: script.events[-1] == api.Body(1, True, False))
-            (opened,) = limiter.node._open.values()
+            (opened,) = limiter.node._open_requests.values()
             (attempt,) = opened.attempts
             assert attempt.timer is not None
             assert clock() + TTL - 0.5 < attempt.expires <= opened.deadline + 0.01
