--- a/benchmarks/lanes_shed.py
+++ b/benchmarks/lanes_shed.py
@@ -20,7 +20,7 @@
 from cypresspulley.histories.events import Kind
 from cypresspulley.lanes.limiter import inversion_bound
 from cypresspulley.lanes.share import fill
-from cypresspulley.net.node import Decisions
+from cypresspulley.net.node import DecisionModule
 from tests.lanes.day import LANES, MIX, PLANS, START, Day, Limiter, Shape, no_lanes, span, with_lanes
 
 GUESS, CALM, SPANS = 66.0, 0.6, (20.0, 60.0, 20.0)
@@ -92,7 +92,7 @@
 def play(job: Job) -> tuple[Job, Figures]:
     wanted = shape(job.mix, job.load, job.bears)
 
-    def before(limiter: Limiter, settings: api.Settings) -> Decisions:
+    def before(limiter: Limiter, settings: api.Settings) -> DecisionModule:
         if job.mode == "fixed":
             return Partition(limiter, wanted.mix, job.load, job.bears)
         return with_lanes(limiter, settings) if job.mode == "lanes" else no_lanes(limiter, settings)
--- a/benchmarks/quota_audit.py
+++ b/benchmarks/quota_audit.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from cypresspulley import interface as api
-from cypresspulley.net.node import Decisions
+from cypresspulley.net.node import DecisionModule
 from cypresspulley.plans.carry import Level
 from cypresspulley.policy.gateway import Gateway
 from cypresspulley.rehearsal.scenario import PlanRow, load_scenario
@@ -31,7 +31,7 @@
         self._stores = dict[tuple[str, str], Level]()
         self.seen = Counter[tuple[str, str, bool]]()  # plan, what became of it, whether it was inside
 
-    def watched(self, name: str, gateway: Gateway) -> Decisions:
+    def watched(self, name: str, gateway: Gateway) -> DecisionModule:
         return Audited(gateway, self.tried)
 
     def tried(self, now: float, request: api.Request, became: str) -> None:
--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -25,7 +25,7 @@
 from cypresspulley.net.door import Door
 from cypresspulley.net.frontend import Frontend, OtherFront
 from cypresspulley.net.http import split_address
-from cypresspulley.net.node import Decisions, Node, UnixClock
+from cypresspulley.net.node import DecisionModule, Node, UnixClock
 from cypresspulley.net.upstream import Upstream
 from cypresspulley.operators import Operators, OperatorsError, load_operators
 from cypresspulley.policy.gateway import Gateway
@@ -97,7 +97,7 @@
     operators: Operators,
     clock: Callable[[], float] | None = None,
     reread: Callable[[], Config] = configured,
-    watched: Callable[[Gateway], Decisions] | None = None,
+    watched: Callable[[Gateway], DecisionModule] | None = None,
     opened: Callable[[Service], None] | None = None,
     wall: Callable[[], float] = time.time,
     history: AnyHistory | None = None,
@@ -131,7 +131,7 @@
     gateway = _gateway(config, clock)
     if offer is not None and not service.adopt(gateway, clock(), offer, upstream):
         gateway, offer = _gateway(config, clock), None
-    decisions: Decisions = gateway if watched is None else watched(gateway)
+    decisions: DecisionModule = gateway if watched is None else watched(gateway)
     plans = None
     if operators.plans is not None:
         decisions, plans = _plans(config, operators.plans, decisions, gateway, clock)
@@ -235,8 +235,12 @@
 
 
 def _plans(
-    config: Config, table: tuple[str, str], decisions: Decisions, gateway: Gateway, clock: Callable[[], float]
-) -> tuple[Decisions, Plans]:
+    config: Config,
+    table: tuple[str, str],
+    decisions: DecisionModule,
+    gateway: Gateway,
+    clock: Callable[[], float],
+) -> tuple[DecisionModule, Plans]:
     """The decisions by a plan book, where the operators name its writer; what is off is not even imported."""
     try:
         from cypresspulley.plans.limiter import Plans
@@ -395,7 +399,7 @@
 
 
 def _node(
-    settings: api.Settings, gateway: Decisions, clock: Callable[[], float], upstream: Upstream,
+    settings: api.Settings, gateway: DecisionModule, clock: Callable[[], float], upstream: Upstream,
     counter: Counter | None, operators: Operators, together: Together | None,
 ) -> tuple[Node, LogFile | None]:  # fmt: skip
     """The node, with an access log where the operators want one; what is off is not even imported."""
--- a/cypresspulley/accesslog.py
+++ b/cypresspulley/accesslog.py
@@ -15,7 +15,7 @@
 from cypresspulley import interface as api
 from cypresspulley.net.counter import Counter
 from cypresspulley.net.frontend import ClientRequest
-from cypresspulley.net.node import Decisions, Node
+from cypresspulley.net.node import DecisionModule, Node
 from cypresspulley.net.upstream import Exchange, Upstream
 
 log = logging.getLogger(__name__)
@@ -104,7 +104,7 @@
     """A node that tells each request's end to the access log; the plain one pays nothing for it."""
 
     def __init__(
-        self, settings: api.Settings, gateway: Decisions, clock: Callable[[], float], upstream: Upstream,
+        self, settings: api.Settings, gateway: DecisionModule, clock: Callable[[], float], upstream: Upstream,
         counter: Counter | None, file: LogFile,
     ) -> None:  # fmt: skip
         super().__init__(settings, gateway, clock, upstream, counter)
--- a/cypresspulley/lanes/limiter.py
+++ b/cypresspulley/lanes/limiter.py
@@ -26,7 +26,7 @@
 from cypresspulley.lanes.states import Machine, signal_of
 from cypresspulley.lanes.stores import Stores
 from cypresspulley.lanes.way import Way
-from cypresspulley.net.node import Decisions
+from cypresspulley.net.node import DecisionModule
 from cypresspulley.policy.gateway import Gateway
 
 log = logging.getLogger(__name__)
@@ -65,7 +65,7 @@
     def __repr__(self) -> str:
         return f"<Lanes {self.machine!r}, {self.course!r}, {self.heard!r}>"
 
-    def deciding(self, decide: Decisions) -> Decisions:
+    def deciding(self, decide: DecisionModule) -> DecisionModule:
         """``decide`` with lanes before it."""
         self.way.decide = decide
         return self.way
--- a/cypresspulley/lanes/way.py
+++ b/cypresspulley/lanes/way.py
@@ -10,7 +10,7 @@
 from cypresspulley.lanes.options import LanesOptions
 from cypresspulley.lanes.stores import Stores
 from cypresspulley.lanes.who import passes
-from cypresspulley.net.node import Decisions
+from cypresspulley.net.node import DecisionModule
 
 LEAST_WAIT = 0.1  # seconds of Retry-After
 
@@ -22,7 +22,7 @@
         self, options: LanesOptions, settings: api.Settings, stores: Stores, meter: Meter, course: Course,
         history: AnyHistory,
     ) -> None:  # fmt: skip
-        self.decide: Decisions | None = None
+        self.decide: DecisionModule | None = None
         self._names, self._most_wait = [lane.name for lane in options.lanes], settings.max_retry_after
         self._stores, self._meter, self._course, self._history = stores, meter, course, history
         self._lane_of = {plan: n for n, lane in enumerate(options.lanes) for plan in lane.plans}
--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -50,7 +50,7 @@
         return self.offset + time.monotonic()
 
 
-class Decisions(Protocol):
+class DecisionModule(Protocol):
     """What answers events with actions: ``policy.gateway.Gateway``."""
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]: ...
@@ -75,7 +75,7 @@
     def __init__(
         self,
         settings: api.Settings,
-        gateway: Decisions,
+        gateway: DecisionModule,
         clock: Callable[[], float],
         upstream: Upstream,
         counter: Counter | None,
--- a/cypresspulley/rehearsal/virtual/play.py
+++ b/cypresspulley/rehearsal/virtual/play.py
@@ -27,7 +27,7 @@
 from cypresspulley.histories.read import from_memory
 from cypresspulley.histories.writer import MemoryHistory
 from cypresspulley.net.door import Reply, route
-from cypresspulley.net.node import Decisions
+from cypresspulley.net.node import DecisionModule
 from cypresspulley.operators import Operators, load_operators
 from cypresspulley.policy.gateway import Gateway
 from cypresspulley.rehearsal import records as log
@@ -54,7 +54,7 @@
 
     now: Callable[[], float]  # seconds of the day, set once there is one
 
-    def watched(self, name: str, gateway: Gateway) -> Decisions:
+    def watched(self, name: str, gateway: Gateway) -> DecisionModule:
         """What stands in for a limiter's decisions."""
         return gateway
 
--- a/cypresspulley/together.py
+++ b/cypresspulley/together.py
@@ -16,7 +16,7 @@
 from cypresspulley.fleet.options import options_from as fleet_options
 from cypresspulley.histories.clock import ShiftedClock
 from cypresspulley.histories.writer import AnyHistory, History, NoHistory
-from cypresspulley.net.node import Decisions, Node
+from cypresspulley.net.node import DecisionModule, Node
 from cypresspulley.operators import Operators, OperatorsError
 from cypresspulley.policy.gateway import Gateway
 
@@ -71,7 +71,7 @@
             named = len({options.advertise, *options.seeds})
             self.closing = Closing(keeping, self.fleet.view, clock, wall, self.history, named)
 
-    def deciding(self, decide: Decisions, gateway: Gateway) -> Decisions:
+    def deciding(self, decide: DecisionModule, gateway: Gateway) -> DecisionModule:
         """The decisions with lanes before them, where the operators want these."""
         if self._operators.lanes is None:
             return decide
--- a/tests/lanes/day.py
+++ b/tests/lanes/day.py
@@ -21,7 +21,7 @@
 from cypresspulley.histories.writer import NoHistory
 from cypresspulley.lanes.limiter import Lanes
 from cypresspulley.lanes.options import Lane, LanesOptions
-from cypresspulley.net.node import Decisions
+from cypresspulley.net.node import DecisionModule
 from cypresspulley.policy.gateway import Gateway
 from cypresspulley.rehearsal.standins.processor import Job, Machine, Processor
 from tests.lanes.fabric import Fabric
@@ -209,7 +209,7 @@
         self.history = History(lambda: day.now)
         self.lanes: Lanes | None = None
         self.forced = list[tuple[float, bool]]()  # when lanes came into force here, and ended
-        self.decide: Decisions = before(self, settings)
+        self.decide: DecisionModule = before(self, settings)
         self.open = dict[int, Ask]()
         self.out = dict[int, list[Attempt]]()
         self._events, self._busy = deque[api.Event](), False
@@ -225,7 +225,7 @@
         self._busy = False
 
 
-Before = Callable[[Limiter, api.Settings], Decisions]
+Before = Callable[[Limiter, api.Settings], DecisionModule]
 
 
 class Day:
@@ -418,11 +418,11 @@
         self.at(self.now + phase * LANES.period, tick)
 
 
-def no_lanes(limiter: Limiter, settings: api.Settings) -> Decisions:
+def no_lanes(limiter: Limiter, settings: api.Settings) -> DecisionModule:
     return limiter.gateway
 
 
-def with_lanes(limiter: Limiter, settings: api.Settings) -> Decisions:
+def with_lanes(limiter: Limiter, settings: api.Settings) -> DecisionModule:
     day = limiter.day
     view = day.fabric.join(limiter.name)
     limiter.lanes = Lanes(LANES, view, limiter.gateway, settings, limiter.history, lambda: day.now)
