--- a/cypresspulley/graphql/front.py
+++ b/cypresspulley/graphql/front.py
@@ -96,12 +96,12 @@
         if inside or self._options.never_ran_codes:
             told = read_answer(exchange.response_body, frozenset(self._options.never_ran_codes), most, inside)
             if told.never_ran:
-                exchange.status, exchange.units = api.Status.FULL, None
+                exchange.status, exchange.charged_units = api.Status.FULL, None
                 return
             if inside:
-                exchange.units = None if told.cost is None else told.cost / points
+                exchange.charged_units = None if told.cost is None else told.cost / points
         if not inside:
-            exchange.units = believed(exchange.units, most / points)
+            exchange.charged_units = believed(exchange.charged_units, most / points)
 
 
 @dataclass(slots=True)
--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -300,7 +300,7 @@
         elif attempt.status is api.Status.OK and (opened := self._remove_request(id)) is not None:
             opened.request.respond(200, attempt.response_body, attempt.response_headers)
         finished = id not in self._open_requests
-        told = attempt.report, attempt.used, attempt.units
+        told = attempt.report, attempt.used, attempt.charged_units
         self.feed(api.Outcome(id, number, attempt.server, attempt.status, attempt.elapsed, finished, *told))
 
     def _refuse(self, action: api.Refuse) -> None:
--- a/cypresspulley/net/upstream.py
+++ b/cypresspulley/net/upstream.py
@@ -98,7 +98,7 @@
     response_body: bytes = b""
     report: dict[str, float] = field(default_factory=dict)
     used: float | None = None  # the customer's use, a share of its rate
-    units: float | None = None  # the request's true units
+    charged_units: float | None = None  # the request's true units
     upload: Upload | None = None  # in place of a body that is there
     wait: float = math.inf  # seconds for an answer, from the upload's last byte
     present: Callable[[], bool] | None = None  # a look whether its client is still there; None: it has none
@@ -480,7 +480,7 @@
         if self._used and (used := _figure(self._used)) is not None:
             exchange.used = used / 100
         if self._charged and code == 200:
-            exchange.units = _figure(self._charged)
+            exchange.charged_units = _figure(self._charged)
 
     def _outcome(self, code: int) -> Status:
         if code == 200:
