--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -20,7 +20,7 @@
 from cypresspulley.net.discovery import Listing
 from cypresspulley.net.frontend import ClientRequest
 from cypresspulley.net.relay import Download
-from cypresspulley.net.upstream import Exchange, Upstream, load_report
+from cypresspulley.net.upstream import Exchange, Upstream, parse_load_report
 
 log = logging.getLogger(__name__)
 
@@ -129,7 +129,7 @@
         held, self._busy = self._busy, True
         try:
             if listing.servers.complete:
-                self._upstream.keep_only(set(listing.dials))
+                self._upstream.retain_servers(set(listing.dials))
             for entry in listing.servers.entries:
                 up = entry.health is api.Health.UP
                 self._upstream.update_server(entry.name, listing.dials[entry.name], up, entry.born)
@@ -173,7 +173,7 @@
         if whole and opened.timer is None and not opened.begun:
             self._time(opened, event, margin)
             for attempt in opened.attempts:
-                self._upstream.whole(attempt)  # one that waits for its dial still
+                self._upstream.start_response_timeout(attempt)  # one that waits for its dial still
         self.feed(api.Body(event.id, whole, kept))
 
     def _began(self, id: int, number: int, attempt: Exchange, download: Download) -> None:
@@ -268,20 +268,20 @@
         told = self._handle_attempt_end if request.dialect is None else self._answered
         done = partial(told, action.id, number)
         attempt = Exchange(action.server, request.head, request.body, expires, done, action.latest)
-        attempt.present = request.present
+        attempt.check_client_present = request.present
         if (upload := request.upload) is not None:
             assert request.event is not None
-            attempt.upload, attempt.wait = (
+            attempt.upload, attempt.response_timeout = (
                 upload,
                 min(wait, max(LEAST_LEFT, request.event.ttl - request.waited)),
             )
         if request.dialect is None:
-            attempt.begun = partial(self._began, action.id, number)
+            attempt.on_download = partial(self._began, action.id, number)
         opened.attempts.append(attempt)
         if number < self._most_attempts:
             self._upstream.start(attempt)
         else:
-            self._upstream.end(attempt, api.Status.NOT_SENT)
+            self._upstream.finish(attempt, api.Status.NOT_SENT)
 
     def _answered(self, id: int, number: int, attempt: Exchange) -> None:
         """An attempt of a request with a dialect: its answer may say more than its status does."""
@@ -300,7 +300,7 @@
         elif attempt.status is api.Status.OK and (opened := self._remove_request(id)) is not None:
             opened.request.respond(200, attempt.response_body, attempt.response_headers)
         finished = id not in self._open_requests
-        told = attempt.report, attempt.used, attempt.charged_units
+        told = attempt.report, attempt.quota_used_share, attempt.charged_units
         self.feed(api.Outcome(id, number, attempt.server, attempt.status, attempt.elapsed, finished, *told))
 
     def _refuse(self, action: api.Refuse) -> None:
@@ -342,7 +342,7 @@
     def _probed(self, probe: Exchange) -> None:
         report = probe.report
         if self._settings.load_on_probe and probe.status is api.Status.OK and not report:
-            report = load_report(probe.response_body.decode("latin-1"))
+            report = parse_load_report(probe.response_body.decode("latin-1"))
         self.feed(api.Probed(probe.server, probe.status, probe.elapsed, report))
 
     def _ban(self, action: api.Ban) -> None:
--- a/cypresspulley/net/upstream.py
+++ b/cypresspulley/net/upstream.py
@@ -1,7 +1,8 @@
-"""Connections to servers: one exchange at a time on each, and how it ended.
+"""Connection pool to the servers. Each connection carries one exchange at a time.
 
-An exchange that has not reached its server whole proves that the request never ran; from the last
-byte on it may have. Nothing here sends anything twice: what to do next is the caller's decision.
+The status of an exchange tells what is known about its execution: a request that did not reach the server completely
+never ran; once its last byte has left this process, it may have run. Nothing is sent twice here. Whether to retry is
+the caller's decision.
 """
 
 from __future__ import annotations
@@ -26,84 +27,92 @@
 
 log = logging.getLogger(__name__)
 
-PER_SERVER = 64  # connections to one server
-IDLE_SHARE = 0.5  # of the time after which servers close: a request must not cross that closing
-SWEEP_INTERVAL_SECONDS = 1.0  # seconds between two looks for idle connections
-# Seconds that a connection rests before its next request: what a server sends behind an answer (a second
-# copy, noise) comes when nothing waits there, and closes it. On a fresh one it would answer the next request.
+MAX_CONNECTIONS_PER_SERVER = 64
+# Share of the servers' idle timeout after which a pooled connection is closed here, so that a request does not cross
+# the server's own close.
+IDLE_TIMEOUT_SHARE = 0.5
+SWEEP_INTERVAL_SECONDS = 1.0  # between two checks for expired idle connections and stalled transfers
+# Minimum idle time of a connection before its next request. Bytes that a server sends after its response (a second
+# copy, garbage) then arrive while no request is pending and close the connection. On a connection that is reused at
+# once they would be taken for the response to the next request.
 REUSE_DELAY_SECONDS = 0.03
-# Seconds from an answer's first byte to its last. A length that promises more than comes would else end as a
-# time-out, much later, and that speaks of a server that gives no sign of life.
-BEGUN = 0.5
-HOLD = 0.05  # seconds that an answer of unknown length is held, to be handed over whole if it is small
-# Where kept connections break at their next request, before any byte of an answer, they were closed in
-# silence: for so many seconds none is kept that has been idle for so long.
-DISTRUST = 10.0
-MAX_ANSWER = MAX_HEAD + 2 * MAX_BODY  # all bytes of an answer: interim ones, chunk sizes and trailers too
-SAME_BIRTH = 1e-6  # seconds by which two births may differ and be one
-# Failures of connect that are this machine's own: no descriptor, buffer, port or route. They say nothing of a server.
-OWN_FAILURES = frozenset({
+# Longest time without a new byte of a response that has begun. A response shorter than its Content-Length would
+# otherwise end much later as a timeout, which indicates an unresponsive server.
+RESPONSE_PROGRESS_TIMEOUT_SECONDS = 0.5
+# Time for which a response of unknown length is buffered. A small one is usually complete by then and is
+# passed on whole.
+UNSIZED_RESPONSE_HOLD_SECONDS = 0.05
+# When a pooled connection breaks at its next request before any byte of the response, the server had closed it
+# silently. For this time, connections to that server are not reused after half that idle time.
+IDLE_LIMIT_LIFETIME_SECONDS = 10.0
+# All bytes of a response, including interim responses, chunk sizes and trailers.
+MAX_RESPONSE_BYTES = MAX_HEAD + 2 * MAX_BODY
+START_TIME_TOLERANCE_SECONDS = 1e-6  # two start times of a server that differ by less are the same start
+# Errors of connect() that are caused by this machine (no descriptor, buffer, port or route) and say nothing about the
+# server.
+LOCAL_DIAL_ERRNOS = frozenset({
     errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.EADDRINUSE, errno.ENETUNREACH,
     errno.ENETDOWN, errno.EPERM,
 })  # fmt: skip
-LENGTH = re.compile(rb"[0-9]{1,9}")
-LOAD = b"x-server-load"
-NOT_PROCESSED = b"x-not-processed"
-USED = b"x-quota-used"
-CHARGED = b"x-units-charged"
-FIGURE = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
+CONTENT_LENGTH_PATTERN = re.compile(rb"[0-9]{1,9}")
+SERVER_LOAD_HEADER = b"x-server-load"
+NOT_PROCESSED_HEADER = b"x-not-processed"
+QUOTA_USED_HEADER = b"x-quota-used"
+UNITS_CHARGED_HEADER = b"x-units-charged"
+DECIMAL_PATTERN = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
 Clock = Callable[[], float]
 
 
-def load_report(text: str) -> dict[str, float]:
-    """``inflight=7,queue=2`` as numbers; empty where it cannot be read."""
+def parse_load_report(text: str) -> dict[str, float]:
+    """Parse a load report such as ``inflight=7,queue=2``; return an empty dict if it is malformed."""
     report = {}
     try:
         for part in text.split(","):
             name, _, value = part.partition("=")
             number = float(value)
             if not name.strip() or not math.isfinite(number):
-                raise ValueError("not a number")
+                raise ValueError("load report has a field without a name or without a finite number")
             report[name.strip()] = number
     except ValueError:
-        log.warning("dropped an unreadable load report: %.80r", text)
+        log.warning("ignored a malformed load report: %.80r", text)
         return {}
     return report
 
 
-def _figure(text: bytes) -> float | None:
-    """A number of a header; None where it cannot be read: the answer is good all the same."""
-    if FIGURE.fullmatch(text):
+def _parse_decimal(text: bytes) -> float | None:
+    """Parse the decimal value of a response header. A malformed value gives None and does not fail the response."""
+    if DECIMAL_PATTERN.fullmatch(text):
         return float(text)
-    log.warning("passed over a figure on use that cannot be read: %.40r", text)
+    log.warning("ignored a malformed number in a quota header: %.40r", text)
     return None
 
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """One request on its way to one server, and what came of it."""
+    """One request sent to one server, and its result."""
 
     server: str
     head: bytes
     body: bytes
-    expires: float  # infinite while an upload comes
+    expires: float  # deadline for the response, by the clock of ``Upstream``; infinite while an upload is incomplete
     on_done: Callable[[Exchange], None]
-    latest: float = math.inf  # its first byte goes out by then, or it never runs
-    started: float = 0.0
-    written: bool = False
+    latest_start: float = math.inf  # if its first byte has not been written by then, it is not sent
+    started_at: float = 0.0
+    written: bool = False  # its last byte has been passed to the kernel
     ended: bool = False
     status: Status = Status.NOT_SENT
     elapsed: float = 0.0
     response_headers: bytes = b""
     response_body: bytes = b""
     report: dict[str, float] = field(default_factory=dict)
-    used: float | None = None  # the customer's use, a share of its rate
-    charged_units: float | None = None  # the request's true units
-    upload: Upload | None = None  # in place of a body that is there
-    wait: float = math.inf  # seconds for an answer, from the upload's last byte
-    present: Callable[[], bool] | None = None  # a look whether its client is still there; None: it has none
-    # Takes a large answer as it comes; where it is None, an answer is whole or spoilt.
-    begun: Callable[[Exchange, Download], None] | None = None
+    quota_used_share: float | None = None  # the account's use over all gateways, as a share of its rate
+    charged_units: float | None = None  # actual cost of the request in units
+    upload: Upload | None = None  # streams the body; ``body`` is empty then
+    response_timeout: float = math.inf  # seconds, counted from the last byte of the upload
+    # Returns whether the client is still connected; None for an exchange without a client (a probe).
+    check_client_present: Callable[[], bool] | None = None
+    # Receives a large response as a stream. If None, a response that exceeds the limits is an error.
+    on_download: Callable[[Exchange, Download], None] | None = None
     download: Download | None = None
     connection: _Connection | None = None
     timer: asyncio.TimerHandle | None = None
@@ -113,15 +122,15 @@
 class _Server:
     name: str
     address: tuple[str, int]
-    up: bool = True  # as the list has it
-    banned: bool = False  # by operators
-    open: int = 0
-    stale_after: float = math.inf  # idle seconds that a kept connection here has not outlived
-    stale_until: float = 0.0
-    idle: list[_Connection] = field(default_factory=list)  # the freshest last
-    born: float = 0.0  # as the list has it
-    life: int = 0  # counts its moves and restarts: what was dialled in another one is not used again
-    waiting: dict[Exchange, None] = field(default_factory=dict)  # for dials
+    up: bool = True  # as listed by discovery
+    banned: bool = False  # by an operator
+    open_connections: int = 0
+    stale_idle_limit: float = math.inf  # seconds; connections idle for longer are not reused
+    stale_limit_expires_at: float = 0.0
+    idle: list[_Connection] = field(default_factory=list)  # the most recently used one last
+    born: float = 0.0  # Unix time of its last start, as listed by discovery; 0: unknown
+    generation: int = 0  # address changes and restarts so far; connections of an earlier one are not reused
+    waiting_for_dial: dict[Exchange, None] = field(default_factory=dict)  # ordered set of exchanges
 
     @property
     def usable(self) -> bool:
@@ -129,100 +138,102 @@
 
 
 class _Connection(asyncio.Protocol):
-    """A connection to a server; it carries one exchange at a time."""
+    """A connection to a server, which carries one exchange at a time."""
 
     def __init__(self, upstream: Upstream, server: _Server) -> None:
         self._upstream = upstream
         self.server = server
-        self.life = server.life
+        self.generation = server.generation
         self.transport: asyncio.Transport | None = None
         self.exchange: Exchange | None = None
-        self.idle_since: float | None = None  # None: it carries its first request
-        self.rested = 0.0
+        self.idle_since: float | None = None  # None until its first exchange has ended
+        self.idle_seconds = 0.0
         self._parser = httptools.HttpResponseParser(self)
-        self.unwritten = False
+        self.has_unwritten_data = False
         self._keep_alive = False
-        self._begun = False
-        self._flows = False
-        self._eof = False
-        self._late: asyncio.TimerHandle | None = None
-        self.held = False  # the client waits to be read
-        self.moved = 0.0  # when a byte last came
-        self._clear()
-
-    def _clear(self) -> None:
+        self._response_started = False
+        self._is_streaming = False
+        self._got_eof = False
+        self._progress_timer: asyncio.TimerHandle | None = None
+        self.is_reading_paused = False  # the client reads slower than the server sends
+        self.last_progress_at = 0.0  # when a byte of the transfer last moved or reading was paused or resumed
+        self._reset_response()
+
+    def _reset_response(self) -> None:
         self._headers = list[bytes]()
         self._body = list[bytes]()
-        self._head_size = 0
-        self._size = 0
-        self._received = 0
-        self._load: bytes | None = None
-        self._used = b""
-        self._charged = b""
-        self._length: int | None = None
-        self._chunked = False
-        self._head_read = False
-        self._to_the_end = False
+        self._header_bytes = 0
+        self._body_bytes = 0
+        self._received_bytes = 0
+        self._load_value: bytes | None = None
+        self._quota_used_value = b""
+        self._units_charged_value = b""
+        self._content_length: int | None = None
+        self._is_chunked = False
+        self._is_head_complete = False
+        self._ends_with_connection = False
         self._not_processed = False
-        self._surplus = False
-        self._code: int | None = None
+        self._has_surplus_data = False
+        self._status_code: int | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
+        # uvloop's transports are not a subclass of asyncio.Transport.
+        transport = cast(asyncio.Transport, transport)
         self.transport = transport
-        # At 0 a write goes out in the call itself, and pause_writing tells that some of it did not.
+        # With a high-water mark of 0, write() passes the data to the kernel at once, and pause_writing() is called if
+        # some of it had to be buffered.
         transport.set_write_buffer_limits(high=0)
         bound_kernel(transport.get_extra_info("socket"))
 
     def pause_writing(self) -> None:
-        self.unwritten = True
+        self.has_unwritten_data = True
 
     def resume_writing(self) -> None:
-        self.unwritten = False
+        self.has_unwritten_data = False
         exchange = self.exchange
         if exchange is None:
             return
         if exchange.upload is None or exchange.upload.whole:
             exchange.written = True
         else:
-            self.moved = self._upstream.now()
+            self.last_progress_at = self._upstream.now()
             exchange.upload.hold(False)
 
     def send(self, exchange: Exchange, data: bytes) -> None:
         assert self.transport is not None
-        self._clear()
+        self._reset_response()
         self.exchange, exchange.connection = exchange, self
         self.transport.write(data)
-        if self.transport.is_closing():  # the write itself failed: nothing has left
-            self._upstream.end(exchange, Status.DROPPED)
+        if self.transport.is_closing():  # the write itself failed, so nothing was sent
+            self._upstream.finish(exchange, Status.DROPPED)
         elif exchange.upload is None:
-            exchange.written = not self.unwritten
+            exchange.written = not self.has_unwritten_data
         else:
-            self._begin_flow()
+            self._begin_transfer()
             if not exchange.upload.attach(self):
                 self._upstream.cancel(exchange)
 
-    # An upload's sink.
+    # Protocol ``relay.Sink`` (uploads).
 
     def put(self, data: bytes) -> None:
         exchange = self.exchange
         if self.transport is None or exchange is None or self.transport.is_closing():
             return
         self.transport.write(data)
-        if self.unwritten and exchange.upload is not None and not exchange.upload.whole:
+        if self.has_unwritten_data and exchange.upload is not None and not exchange.upload.whole:
             exchange.upload.hold(True)
 
     def put_end(self) -> None:
         if (exchange := self.exchange) is not None:
-            exchange.written = not self.unwritten
-            self._upstream.whole(exchange)
+            exchange.written = not self.has_unwritten_data
+            self._upstream.start_response_timeout(exchange)
 
-    # A download's source.
+    # Protocol ``relay.Source`` (downloads).
 
     def hold(self, held: bool) -> None:
-        if self.transport is None or held is self.held:
+        if self.transport is None or held is self.is_reading_paused:
             return
-        self.held, self.moved = held, self._upstream.now()
+        self.is_reading_paused, self.last_progress_at = held, self._upstream.now()
         if held:
             self.transport.pause_reading()
         else:
@@ -232,146 +243,155 @@
         if self.exchange is not None:
             self._upstream.cancel(self.exchange)
 
-    def stalled(self, now: float) -> bool:
-        """Whether a server gives nothing of a large answer, though it is read, or takes nothing of an upload."""
+    def is_stalled(self, now: float) -> bool:
+        """Return whether the server has sent nothing of a large response that is being read, or has accepted nothing
+        of an upload, for ``STALL`` seconds."""
         exchange = self.exchange
-        if exchange is None or now - self.moved <= STALL:
+        if exchange is None or now - self.last_progress_at <= STALL:
             return False
-        return not self.held if exchange.download is not None else self.unwritten
+        return not self.is_reading_paused if exchange.download is not None else self.has_unwritten_data
 
-    def stall(self) -> None:
-        """Leave a server that has stalled."""
+    def abort_stalled(self) -> None:
+        """End the exchange of a connection for which ``is_stalled`` holds."""
         exchange = self.exchange
         assert exchange is not None
         if exchange.download is not None:
-            self._spoilt(TimeoutError("it began and stalled"))
-        else:  # the request's last byte never left
-            log.warning("%s took nothing of an upload for %g s", exchange.server, STALL)
+            self._fail_response(TimeoutError("the response stalled after it had begun"))
+        else:  # the last byte of the request was never sent
+            log.warning("server %s accepted no data of an upload for %g s", exchange.server, STALL)
             self._upstream.abort_exchange(exchange, Status.DROPPED)
 
-    def leave(self) -> None:
-        """The exchange no longer has this connection."""
-        if self._flows and self.exchange is not None and self.exchange.upload is not None:
+    def detach_exchange(self) -> None:
+        """Stop the transfers of the exchange, which gives up this connection."""
+        if self._is_streaming and self.exchange is not None and self.exchange.upload is not None:
             self.exchange.upload.detach(self)
-        if self._flows:
-            self._flows = False
-            self._upstream.streaming.discard(self)
+        if self._is_streaming:
+            self._is_streaming = False
+            self._upstream.streaming_connections.discard(self)
             self._upstream.relay.end()
-        if self.held and self.transport is not None and not self.transport.is_closing():
-            self.held = False
+        if self.is_reading_paused and self.transport is not None and not self.transport.is_closing():
+            self.is_reading_paused = False
             self.transport.resume_reading()
 
     def eof_received(self) -> None:
-        # A close or an abort of our own brings None to ``connection_lost`` as well, and is no end of an answer.
-        self._eof = True
+        # A local close() or abort() also calls ``connection_lost`` with None, but does not end a response.
+        self._got_eof = True
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        if self.exchange is not None and self.idle_since is not None and self._received == 0:
-            self._upstream.was_stale(self)
-        self._upstream.lost(self)
-        self._calm()
+        if self.exchange is not None and self.idle_since is not None and self._received_bytes == 0:
+            self._upstream.record_stale_connection(self)
+        self._upstream.remove_connection(self)
+        self._cancel_progress_timer()
         if (exchange := self.exchange) is not None:
-            if exc is None and self._eof and self._to_the_end and self._code is None:
-                # It ends with its connection, and the server ended that in order.
-                return self._complete(self._parser.get_status_code())
-            self.leave()
+            if exc is None and self._got_eof and self._ends_with_connection and self._status_code is None:
+                # The response is delimited by the end of the connection, which the server closed properly.
+                return self._complete_response(self._parser.get_status_code())
+            self.detach_exchange()
             self.exchange = None
-            self._upstream.end(exchange, Status.BROKEN if exchange.written else Status.DROPPED)
+            self._upstream.finish(exchange, Status.BROKEN if exchange.written else Status.DROPPED)
 
     def data_received(self, data: bytes) -> None:
         if self.exchange is None:
-            self.abort()  # nobody asked: whatever it is, it must not meet the next request
+            self.abort()  # unsolicited data must not be taken for the response to the next request
             return
         exchange = self.exchange
         if not exchange.written and (exchange.upload is None or exchange.upload.whole):
-            return self.abort()  # an answer before its request is whole is none, and the request never ran
-        self._received += len(data)
+            return self.abort()  # not a valid response: the request is incomplete and never ran
+        self._received_bytes += len(data)
         if exchange.download is not None:
-            self.moved = self._upstream.now()
+            self.last_progress_at = self._upstream.now()
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            if self._code is None:
-                return self._spoilt(error.__context__ or error)
-            self._surplus = True
-        # Only now, with all input read, may the connection be used again.
-        if self._code is not None:
-            self._complete(self._code)
+            if self._status_code is None:
+                return self._fail_response(error.__context__ or error)
+            self._has_surplus_data = True
+        # The connection may be reused only now, when all input has been parsed.
+        if self._status_code is not None:
+            self._complete_response(self._status_code)
         elif exchange.download is not None or self.exchange is None:
             pass
-        elif self._received > MAX_ANSWER:
-            self._spoilt(ValueError("an answer without an end"))  # its head would grow inside the parser
-        elif self._begun and self._late is None:
-            wait = HOLD if self._unknown and exchange.begun is not None else BEGUN
-            self._late = asyncio.get_running_loop().call_later(
-                wait, self._never_whole, exchange, self._received
+        elif self._received_bytes > MAX_RESPONSE_BYTES:
+            # The parser buffers an incomplete header without a limit.
+            self._fail_response(ValueError("response exceeds the size limit"))
+        elif self._response_started and self._progress_timer is None:
+            wait = (
+                UNSIZED_RESPONSE_HOLD_SECONDS
+                if self._has_unknown_length and exchange.on_download is not None
+                else RESPONSE_PROGRESS_TIMEOUT_SECONDS
+            )
+            self._progress_timer = asyncio.get_running_loop().call_later(
+                wait, self._check_progress, exchange, self._received_bytes
             )
 
-    def _never_whole(self, exchange: Exchange, received: int) -> None:
+    def _check_progress(self, exchange: Exchange, received: int) -> None:
         if self.exchange is not exchange or exchange.download is not None:
             return
-        self._late = None
-        if self._unknown and exchange.begun is not None:
-            self._flow()
-        elif self._received > received:  # it still comes, slowly
-            self._late = asyncio.get_running_loop().call_later(
-                BEGUN, self._never_whole, exchange, self._received
+        self._progress_timer = None
+        if self._has_unknown_length and exchange.on_download is not None:
+            self._start_streaming()
+        elif self._received_bytes > received:  # slow, but still arriving
+            self._progress_timer = asyncio.get_running_loop().call_later(
+                RESPONSE_PROGRESS_TIMEOUT_SECONDS, self._check_progress, exchange, self._received_bytes
             )
         else:
-            self._spoilt(TimeoutError("it began and was not finished"))
+            self._fail_response(TimeoutError("the response is incomplete and no more of it arrives"))
 
     @property
-    def _unknown(self) -> bool:
-        """Whether a good answer is coming whose length nobody knows."""
-        good = self._head_read and self._parser.get_status_code() == 200
-        return good and (self._chunked or self._to_the_end)
+    def _has_unknown_length(self) -> bool:
+        """Whether a response with status 200 and without a Content-Length is being received."""
+        is_ok = self._is_head_complete and self._parser.get_status_code() == 200
+        return is_ok and (self._is_chunked or self._ends_with_connection)
 
-    def _flow(self) -> None:
-        """The answer is large, or may be: pass it on as it comes."""
+    def _start_streaming(self) -> None:
+        """Pass a response that is or may be large on to the client as it arrives."""
         exchange = self.exchange
-        assert exchange is not None and exchange.begun is not None and self.transport is not None
-        self._calm()
-        self._begin_flow()
-        self._read_figures(exchange, 200)
+        assert exchange is not None and exchange.on_download is not None and self.transport is not None
+        self._cancel_progress_timer()
+        self._begin_transfer()
+        self._read_metadata(exchange, 200)
         if exchange.timer is not None:
-            exchange.timer.cancel()  # the rest takes what it takes
-        exchange.elapsed = self._upstream.now() - exchange.started
+            exchange.timer.cancel()  # the rest of the response has no deadline
+        exchange.elapsed = self._upstream.now() - exchange.started_at
         body, self._body = b"".join(self._body), []
-        download = exchange.download = Download(self._length, b"".join(self._headers), self)
-        exchange.begun(exchange, download)
+        download = exchange.download = Download(self._content_length, b"".join(self._headers), self)
+        exchange.on_download(exchange, download)
         if body and exchange.download is not None:
             download.put(body)
 
-    def _begin_flow(self) -> None:
-        """A large body is under way here, one way or the other."""
+    def _begin_transfer(self) -> None:
+        """Register a streamed body, in either direction, with the relay and the sweep."""
         assert self.transport is not None
-        self.moved = self._upstream.now()
-        if not self._flows:
-            self._flows = True
+        self.last_progress_at = self._upstream.now()
+        if not self._is_streaming:
+            self._is_streaming = True
             self._upstream.relay.begin(self.transport.get_extra_info("socket"))
-            self._upstream.streaming.add(self)
+            self._upstream.streaming_connections.add(self)
+
+    def _cancel_progress_timer(self) -> None:
+        if self._progress_timer is not None:
+            self._progress_timer.cancel()
+            self._progress_timer = None
 
-    def _calm(self) -> None:
-        if self._late is not None:
-            self._late.cancel()
-            self._late = None
+    def _fail_response(self, error: BaseException) -> None:
+        """End the exchange with ``Status.ERROR`` because its response is malformed or stalled.
 
-    def _spoilt(self, error: BaseException) -> None:
-        """An answer that cannot be read: the request may have run, and the server lives. All of them may
-        answer like that on a bad day, so it must not count as a break, which speaks of a dead server."""
+        The request may have run, and the server is alive. A fault may make all servers respond like that, so it must
+        not count as a broken connection, which is a sign of a dead server.
+        """
         exchange = self.exchange
         assert exchange is not None
-        self.leave()
+        self.detach_exchange()
         self.exchange = None
-        log.warning("an answer of %s could not be read: %s", exchange.server, error)
+        log.warning("invalid response from server %s: %s", exchange.server, error)
         exchange.connection = None
         self.abort()
-        self._upstream.end(exchange, Status.ERROR)
+        self._upstream.finish(exchange, Status.ERROR)
 
     @property
-    def unread(self) -> bool:
-        """Whether bytes have come that the loop has not read yet."""
+    def has_unread_data(self) -> bool:
+        """Whether the kernel holds received bytes that the event loop has not read yet."""
         assert self.transport is not None
         size = fcntl.ioctl(self.transport.get_extra_info("socket").fileno(), termios.FIONREAD, b"\0" * 4)
         return bool(struct.unpack("i", size)[0])
@@ -380,141 +400,162 @@
         if self.transport is not None:
             self.transport.abort()
 
-    # The parser's callbacks.
+    # Callbacks of httptools.HttpResponseParser.
 
     def on_header(self, name: bytes, value: bytes) -> None:
         key = name.lower()
-        if self._surplus or self._head_read:
-            return  # trailers say nothing that is read here
-        self._head_size += len(name) + len(value)
-        if self._head_size > MAX_HEAD:
-            raise ValueError("too large")
-        value = value.rstrip(b" \t")  # no part of it, and the parser leaves it there
+        if self._has_surplus_data or self._is_head_complete:
+            return  # trailers are ignored
+        self._header_bytes += len(name) + len(value)
+        if self._header_bytes > MAX_HEAD:
+            raise ValueError("header section is too large")
+        value = value.rstrip(b" \t")  # trailing whitespace is not part of the value, but the parser keeps it
         if key == b"content-length":
-            # The first length that does not fit is enough: nothing of 3 GB need come before it is known.
-            if self._length is not None or not LENGTH.fullmatch(value) or int(value) > LARGEST:
-                raise ValueError("a length that is wrong, stands twice or is too large")
-            self._length = int(value)
+            # An invalid length is rejected before any of the body arrives, which may be 3 GB.
+            if (
+                self._content_length is not None
+                or not CONTENT_LENGTH_PATTERN.fullmatch(value)
+                or int(value) > LARGEST
+            ):
+                raise ValueError("Content-Length is malformed, repeated or too large")
+            self._content_length = int(value)
         elif key == b"transfer-encoding":
-            if self._chunked or value.lower() != b"chunked":
-                raise ValueError("an unknown transfer coding")
-            self._chunked = True
-        elif key == LOAD:
-            self._load = value
-        elif key == USED:
-            self._used = value
-        elif key == CHARGED:
-            self._charged = value
-        elif key == NOT_PROCESSED:
+            if self._is_chunked or value.lower() != b"chunked":
+                raise ValueError("Transfer-Encoding is not supported or repeated")
+            self._is_chunked = True
+        elif key == SERVER_LOAD_HEADER:
+            self._load_value = value
+        elif key == QUOTA_USED_HEADER:
+            self._quota_used_value = value
+        elif key == UNITS_CHARGED_HEADER:
+            self._units_charged_value = value
+        elif key == NOT_PROCESSED_HEADER:
             self._not_processed = value == b"1"
         elif key not in NOT_FORWARDED:
             self._headers.append(b"%b: %b\r\n" % (name, value))
 
     def on_headers_complete(self) -> None:
         code = self._parser.get_status_code()
-        if self._surplus or code < 200:
+        if self._has_surplus_data or code < 200:
             return
-        self._head_read = True
+        self._is_head_complete = True
         exchange = self.exchange
-        bare = code in (204, 304)  # they have no body, whatever their head says
-        if self._chunked and self._length is not None:
-            raise ValueError("an answer has a length or chunks, and not both")
-        if not self._chunked and self._length is None and not bare:
-            # The end of the connection is the answer's, where the head says that it will end.
+        has_no_body = code in (204, 304)  # these have no body, whatever their headers say
+        if self._is_chunked and self._content_length is not None:
+            raise ValueError("response has both Content-Length and Transfer-Encoding")
+        if not self._is_chunked and self._content_length is None and not has_no_body:
+            # The body is delimited by the end of the connection, provided that the headers announce the close.
             if self._parser.should_keep_alive():
-                raise ValueError("an answer needs a length, chunks or an end of its connection")
-            self._to_the_end = True
-        flows = exchange is not None and exchange.begun is not None and code == 200
-        if self._length is not None and self._length > MAX_BODY:
-            if not flows:
-                raise ValueError("too large")
-            self._flow()
+                raise ValueError(
+                    "response has no Content-Length, no Transfer-Encoding and keeps its connection open"
+                )
+            self._ends_with_connection = True
+        may_stream = exchange is not None and exchange.on_download is not None and code == 200
+        if self._content_length is not None and self._content_length > MAX_BODY:
+            if not may_stream:
+                raise ValueError("body is too large for a response that is not streamed")
+            self._start_streaming()
 
     def on_body(self, body: bytes) -> None:
         exchange = self.exchange
-        if self._surplus or exchange is None:
+        if self._has_surplus_data or exchange is None:
             return
-        self._size += len(body)
-        if self._size > LARGEST:
-            raise ValueError("too large")
+        self._body_bytes += len(body)
+        if self._body_bytes > LARGEST:
+            raise ValueError("body is too large")
         if exchange.download is not None:
             return exchange.download.put(body)
         self._body.append(body)
-        if self._size > MAX_BODY:
-            if exchange.begun is None or not self._unknown:
-                raise ValueError("too large")
-            self._flow()
+        if self._body_bytes > MAX_BODY:
+            if exchange.on_download is None or not self._has_unknown_length:
+                raise ValueError("body is too large for a response that is not streamed")
+            self._start_streaming()
 
     def on_message_begin(self) -> None:
-        self._surplus, self._begun = self._code is not None, True
+        self._has_surplus_data, self._response_started = self._status_code is not None, True
 
     def on_message_complete(self) -> None:
-        self._begun, code = False, self._parser.get_status_code()
-        if self._surplus or code >= 200:
-            self._code, self._keep_alive = self._code or code, self._parser.should_keep_alive()
+        self._response_started, code = False, self._parser.get_status_code()
+        if self._has_surplus_data or code >= 200:
+            self._status_code, self._keep_alive = self._status_code or code, self._parser.should_keep_alive()
         else:
-            received = self._received
-            self._clear()  # an interim answer; the real one follows, and the bound is on all of them
-            self._received = received
+            received = self._received_bytes
+            # An interim response; the final one follows, and the size limit applies to all of them together.
+            self._reset_response()
+            self._received_bytes = received
 
-    def _complete(self, code: int) -> None:
+    def _complete_response(self, code: int) -> None:
         exchange = self.exchange
         assert exchange is not None
-        self._calm()
-        reusable = self._keep_alive and not self._surplus and not self.unwritten and exchange.written
-        self.leave()
+        self._cancel_progress_timer()
+        reusable = (
+            self._keep_alive
+            and not self._has_surplus_data
+            and not self.has_unwritten_data
+            and exchange.written
+        )
+        self.detach_exchange()
         self.exchange = exchange.connection = None
         if exchange.download is None:
             exchange.response_headers, exchange.response_body = b"".join(self._headers), b"".join(self._body)
-            self._read_figures(exchange, code)
+            self._read_metadata(exchange, code)
         else:
             exchange.download.whole = True
-        # Bytes behind the answer, or of a request not yet out whole, must not meet the next request.
+        # A connection with bytes after the response, or with unsent bytes of its request, is not reused: they would be
+        # mixed up with the next exchange.
         self._upstream.release(self, reusable)
-        self._upstream.end(exchange, self._outcome(code))
-
-    def _read_figures(self, exchange: Exchange, code: int) -> None:
-        """What the head tells beside the answer."""
-        if self._load is not None:
-            exchange.report = load_report(self._load.decode("latin-1"))
-        if self._used and (used := _figure(self._used)) is not None:
-            exchange.used = used / 100
-        if self._charged and code == 200:
-            exchange.charged_units = _figure(self._charged)
-
-    def _outcome(self, code: int) -> Status:
+        self._upstream.finish(exchange, self._status_for(code))
+
+    def _read_metadata(self, exchange: Exchange, code: int) -> None:
+        """Store the load report and the quota figures of the response headers in the exchange."""
+        if self._load_value is not None:
+            exchange.report = parse_load_report(self._load_value.decode("latin-1"))
+        if self._quota_used_value and (used := _parse_decimal(self._quota_used_value)) is not None:
+            exchange.quota_used_share = used / 100
+        if self._units_charged_value and code == 200:
+            exchange.charged_units = _parse_decimal(self._units_charged_value)
+
+    def _status_for(self, code: int) -> Status:
         if code == 200:
             return Status.OK
         if 400 <= code < 500:
             return Status.REJECTED
-        # Without the mark a 503 or 504 says nothing about whether the request ran.
+        # Without the X-Not-Processed header, a 503 or 504 does not tell whether the request ran.
         return Status.FULL if code in (503, 504) and self._not_processed else Status.ERROR
 
 
 class Upstream:
-    """The servers by name and the connections to them."""
+    """The servers known by name and the pooled connections to them.
+
+    All times are in seconds; instants are by ``clock``.
+    """
 
     def __init__(self, clock: Clock, dial_timeout: float, conn_idle: float, max_connections: int) -> None:
         self._clock = clock
         self._dial_timeout = dial_timeout
-        self._max = max_connections
-        self._idle_for = conn_idle * IDLE_SHARE
+        self._max_connections = max_connections
+        self._idle_timeout = conn_idle * IDLE_TIMEOUT_SHARE
         self._servers = dict[str, _Server]()
         self.relay = Relay()
-        self.streaming = set[_Connection]()  # connections with a large answer under way
+        self.streaming_connections = set[_Connection]()  # with a streamed body in progress
         self.now = clock
-        self._banned = set[str]()  # names that operators took out, listed or not
-        self._open_connections = 0  # connections
-        self.dials_started = 0  # dials begun so far
-        self._dials = set[asyncio.Task[None]]()
-        self._sweep_at = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
+        self._banned = set[str]()  # servers banned by an operator, whether listed or not
+        self._open_connections = 0  # including dials in progress
+        self.dials_started = 0  # since the start of the process
+        self._dial_tasks = set[asyncio.Task[None]]()
+        self._sweep_timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
 
     def retune(self, dial_timeout: float, conn_idle: float) -> None:
-        """Other connection times, in seconds."""
-        self._dial_timeout, self._idle_for = dial_timeout, conn_idle * IDLE_SHARE
+        """Change the timeout of dials and the idle timeout of the servers, both in seconds."""
+        self._dial_timeout, self._idle_timeout = dial_timeout, conn_idle * IDLE_TIMEOUT_SHARE
 
     def update_server(self, name: str, dial: str, up: bool, born: float = 0.0) -> None:
-        """What discovery says of a server: where it is dialled, whether it is up, when it last started."""
+        """Apply what discovery says about a server.
+
+        ``dial`` is its address as ``host:port``, or empty if discovery gives none; ``up`` says whether it takes new
+        requests; ``born`` is the Unix time of its last start, or 0 if unknown. Raises ``ValueError`` for a malformed
+        address.
+        """
         address = split_address(dial) if dial else None
         server = self._servers.get(name)
         if server is None:
@@ -522,125 +563,144 @@
                 self._servers[name] = _Server(name, address, up, name in self._banned, born=born)
             return
         moved, server.up = address not in (None, server.address), up
-        restarted = born > 0 and abs(born - server.born) > SAME_BIRTH  # also where the wall clock went back
-        if anew := moved or restarted:
-            server.address, server.life = address or server.address, server.life + 1
+        # An earlier start time also means a restart: the server's wall clock may have been set back.
+        restarted = born > 0 and abs(born - server.born) > START_TIME_TOLERANCE_SECONDS
+        if is_replaced := moved or restarted:
+            server.address, server.generation = address or server.address, server.generation + 1
             server.born = born or server.born
-        if anew or not up:
-            self._leave(server)
-        self._drop(server)
+        if is_replaced or not up:
+            self._stop_using(server)
+        self._forget_if_unused(server)
 
-    def set_banned(self, name: str, out: bool) -> None:
-        """Nothing new goes to a server that operators took out: no dial, no kept connection, none that waits."""
-        (self._banned.add if out else self._banned.discard)(name)
+    def set_banned(self, name: str, is_banned: bool) -> None:
+        """Ban a server, or lift its ban with ``is_banned`` false.
+
+        A banned server gets no new requests: its idle connections are closed, and exchanges that wait for a dial end
+        unsent.
+        """
+        (self._banned.add if is_banned else self._banned.discard)(name)
         if (server := self._servers.get(name)) is not None:
-            server.banned = out
-            if out:
-                self._leave(server)
+            server.banned = is_banned
+            if is_banned:
+                self._stop_using(server)
 
     def server_addresses(self) -> dict[str, str]:
-        """Where each server is dialled."""
+        """Return the address of each server, by name."""
         return {name: join_address(server.address) for name, server in self._servers.items()}
 
-    def keep_only(self, names: set[str]) -> None:
-        """A whole list: servers that it leaves out are gone."""
+    def retain_servers(self, names: set[str]) -> None:
+        """Remove all servers that a complete list does not name."""
         for name, server in list(self._servers.items()):
             if name not in names:
                 server.up = False
-                self._leave(server)
-                self._drop(server)
+                self._stop_using(server)
+                self._forget_if_unused(server)
+
+    def _stop_using(self, server: _Server) -> None:
+        """Close the idle connections of a server and end the exchanges that wait for a dial.
 
-    def _leave(self, server: _Server) -> None:
-        """Nothing new goes to a server as it was: what waits for a dial ends unsent, at once, while there is time
-        to send it elsewhere. What is out there goes on."""
+        They end at once as not sent, while there is time to send them to another server. Requests that have been sent
+        go on.
+        """
         self._close_idle(server)
-        waiting, server.waiting = server.waiting, {}
+        waiting, server.waiting_for_dial = server.waiting_for_dial, {}
         for exchange in waiting:
             self.abort_exchange(exchange, Status.NOT_SENT)
 
-    def _drop(self, server: _Server) -> None:
-        """Forget what is not up once nothing is open there: ids are ever new, the table would grow."""
-        if not server.up and server.open == 0 and self._servers.get(server.name) is server:
+    def _forget_if_unused(self, server: _Server) -> None:
+        """Remove a server that is not up once it has no open connections. Server ids are not reused, so the table
+        would grow without bound."""
+        if not server.up and server.open_connections == 0 and self._servers.get(server.name) is server:
             del self._servers[server.name]
 
-    def _closed(self, server: _Server) -> None:
-        server.open, self._open_connections = server.open - 1, self._open_connections - 1
-        self._drop(server)
+    def _count_closed(self, server: _Server) -> None:
+        server.open_connections, self._open_connections = (
+            server.open_connections - 1,
+            self._open_connections - 1,
+        )
+        self._forget_if_unused(server)
 
     def start(self, exchange: Exchange) -> None:
-        """Send a request; ``exchange.on_done`` is called once, maybe before this returns."""
-        exchange.started = self._clock()
-        server, left = self._servers.get(exchange.server), exchange.expires - exchange.started
+        """Send a request. ``exchange.on_done`` is called exactly once, possibly before this method returns."""
+        exchange.started_at = self._clock()
+        server, left = self._servers.get(exchange.server), exchange.expires - exchange.started_at
         if server is None or not server.usable or left <= 0:
-            return self.end(exchange, Status.NOT_SENT)
-        if self._left(exchange):
+            return self.finish(exchange, Status.NOT_SENT)
+        if self._cancel_if_client_left(exchange):
             return None
-        if (connection := self._take_idle(server)) is not None:
-            return self._write(connection, exchange)
-        if server.open >= PER_SERVER or (self._open_connections >= self._max and not self._make_room()):
-            return self.end(exchange, Status.FULL)
-        self._set_timeout(exchange, min(left, exchange.latest - exchange.started))
-        server.open, self._open_connections, self.dials_started = (
-            server.open + 1,
+        if (connection := self._take_idle_connection(server)) is not None:
+            return self._send_request(connection, exchange)
+        if server.open_connections >= MAX_CONNECTIONS_PER_SERVER or (
+            self._open_connections >= self._max_connections and not self._close_oldest_idle()
+        ):
+            return self.finish(exchange, Status.FULL)
+        self._set_timeout(exchange, min(left, exchange.latest_start - exchange.started_at))
+        server.open_connections, self._open_connections, self.dials_started = (
+            server.open_connections + 1,
             self._open_connections + 1,
             self.dials_started + 1,
         )
-        server.waiting[exchange] = None
+        server.waiting_for_dial[exchange] = None
         dial = asyncio.get_running_loop().create_task(self._dial(server, exchange))
-        self._dials.add(dial)
-        dial.add_done_callback(self._dials.discard)
+        self._dial_tasks.add(dial)
+        dial.add_done_callback(self._dial_tasks.discard)
 
-    def whole(self, exchange: Exchange) -> None:
-        """An upload's last byte is on its way: the time for its answer begins, be its dial up or not."""
-        if exchange.wait < math.inf and not exchange.ended and exchange.expires == math.inf:
-            now = exchange.started = self._clock()
-            exchange.expires = now + exchange.wait
-            latest = exchange.latest - now if exchange.connection is None else math.inf
-            self._set_timeout(exchange, min(exchange.wait, latest))
+    def start_response_timeout(self, exchange: Exchange) -> None:
+        """Start the response timeout of an upload whose last byte has arrived, whether or not it is connected."""
+        if exchange.response_timeout < math.inf and not exchange.ended and exchange.expires == math.inf:
+            now = exchange.started_at = self._clock()
+            exchange.expires = now + exchange.response_timeout
+            time_to_send = exchange.latest_start - now if exchange.connection is None else math.inf
+            self._set_timeout(exchange, min(exchange.response_timeout, time_to_send))
 
     def cancel(self, exchange: Exchange) -> None:
-        """Stop waiting; the connection goes with it, so that no late answer meets another request."""
+        """Cancel an exchange and close its connection, so that a late response is not taken for that of another
+        request."""
         self.abort_exchange(exchange, Status.CANCELLED)
 
-    def end(self, exchange: Exchange, status: Status) -> None:
-        """Report an exchange once."""
+    def finish(self, exchange: Exchange, status: Status) -> None:
+        """Report the end of an exchange, unless that has been done already."""
         if exchange.ended:
             return
         exchange.ended, exchange.status = True, status
         if exchange.download is None:
-            exchange.elapsed = self._clock() - exchange.started
+            exchange.elapsed = self._clock() - exchange.started_at
         if exchange.timer is not None:
             exchange.timer.cancel()
         exchange.on_done(exchange)
 
     def release(self, connection: _Connection, reusable: bool) -> None:
-        """A connection whose exchange is over goes back to the idle ones, or is closed."""
+        """Return a connection whose exchange has ended to the pool, or close it."""
         server, transport = connection.server, connection.transport
         if transport is None or transport.is_closing():
             return
-        if reusable and server.usable and connection.life == server.life:
+        if reusable and server.usable and connection.generation == server.generation:
             connection.idle_since = self._clock()
             server.idle.append(connection)
-        elif connection.unwritten:
-            connection.abort()  # a close would wait for a server that has answered and reads no more
+        elif connection.has_unwritten_data:
+            connection.abort()  # close() would wait for a server that has responded and reads no more
         else:
             transport.close()
 
-    def was_stale(self, connection: _Connection) -> None:
-        """A kept connection broke under its next request."""
+    def record_stale_connection(self, connection: _Connection) -> None:
+        """Shorten the idle time after which connections to this server are reused, because one broke at its next
+        request."""
         server, now = connection.server, self._clock()
-        known = server.stale_after if now < server.stale_until else math.inf
-        server.stale_after, server.stale_until = min(known, 0.5 * connection.rested), now + DISTRUST
+        current_limit = server.stale_idle_limit if now < server.stale_limit_expires_at else math.inf
+        server.stale_idle_limit, server.stale_limit_expires_at = (
+            min(current_limit, 0.5 * connection.idle_seconds),
+            now + IDLE_LIMIT_LIFETIME_SECONDS,
+        )
 
-    def lost(self, connection: _Connection) -> None:
-        """A connection has ended."""
+    def remove_connection(self, connection: _Connection) -> None:
+        """Forget a connection that has ended."""
         if connection in connection.server.idle:
             connection.server.idle.remove(connection)
-        self._closed(connection.server)
+        self._count_closed(connection.server)
 
     def close(self) -> None:
-        self._sweep_at.cancel()
-        for dial in self._dials:
+        self._sweep_timer.cancel()
+        for dial in self._dial_tasks:
             dial.cancel()
         for server in self._servers.values():
             self._close_idle(server)
@@ -648,54 +708,55 @@
     async def _dial(self, server: _Server, exchange: Exchange) -> None:
         connection = _Connection(self, server)
         loop = asyncio.get_running_loop()
-        if exchange.ended:  # before its first turn
-            server.waiting.pop(exchange, None)
-            return self._closed(server)
+        if exchange.ended:  # before this task first ran
+            server.waiting_for_dial.pop(exchange, None)
+            return self._count_closed(server)
         try:
             async with asyncio.timeout(self._dial_timeout):
                 await loop.create_connection(lambda: connection, *server.address)
         except (OSError, TimeoutError) as error:
             connection.abort()
-            if connection.transport is None:  # no connection_lost will count it off
-                self._closed(server)
-            if isinstance(error, OSError) and error.errno in OWN_FAILURES:
-                return self.end(exchange, Status.FULL)
-            # Only who has taken a connection can reset it; a port where nobody listens refuses.
+            if connection.transport is None:  # connection_lost will not be called
+                self._count_closed(server)
+            if isinstance(error, OSError) and error.errno in LOCAL_DIAL_ERRNOS:
+                return self.finish(exchange, Status.FULL)
+            # A reset shows that the connection had been accepted; a port without a listener refuses it.
             reset = isinstance(error, ConnectionResetError)
-            return self.end(exchange, Status.DROPPED if reset else Status.UNREACHABLE)
+            return self.finish(exchange, Status.DROPPED if reset else Status.UNREACHABLE)
         finally:
-            server.waiting.pop(exchange, None)
-        if exchange.ended or self._left(exchange):
-            self.release(connection, True)  # nothing was written on it
-        elif connection.transport is not None and connection.unread:
-            connection.abort()  # an answer before there is a request is none
-            self.end(exchange, Status.DROPPED)
+            server.waiting_for_dial.pop(exchange, None)
+        if exchange.ended or self._cancel_if_client_left(exchange):
+            self.release(connection, True)  # nothing was written to it
+        elif connection.transport is not None and connection.has_unread_data:
+            connection.abort()  # not a response: no request has been sent
+            self.finish(exchange, Status.DROPPED)
         else:
-            self._write(connection, exchange)
+            self._send_request(connection, exchange)
 
-    def _left(self, exchange: Exchange) -> bool:
-        """Whether the client has closed, maybe unread yet: then the attempt ends before its first byte."""
-        if exchange.present is None or exchange.present():
+    def _cancel_if_client_left(self, exchange: Exchange) -> bool:
+        """Return whether the client has disconnected, even if its FIN has not been read yet. The exchange is then
+        cancelled before its first byte is sent."""
+        if exchange.check_client_present is None or exchange.check_client_present():
             return False
         self.cancel(exchange)
         return True
 
-    def _write(self, connection: _Connection, exchange: Exchange) -> None:
-        # Time has passed if this waited for a dial: the server may drain, the try may be over.
+    def _send_request(self, connection: _Connection, exchange: Exchange) -> None:
+        # After a dial the server may be draining or the deadline may have passed.
         now, server = self._clock(), connection.server
         left = exchange.expires - now
-        late = left <= 0 or now >= exchange.latest
-        if late or not server.usable or connection.life != server.life:
+        late = left <= 0 or now >= exchange.latest_start
+        if late or not server.usable or connection.generation != server.generation:
             self.release(connection, True)
-            return self.end(exchange, Status.NOT_SENT)
-        if exchange.timer is None or exchange.latest < exchange.expires:
-            self._set_timeout(exchange, left)  # a dial was timed by its latest instant, an answer has longer
-        # What is left, or, of a body that still comes, what there will be from its last byte on.
-        timeout = b"X-Timeout-Ms: %d\r\n\r\n" % max(1, int(min(left, exchange.wait) * 1000))
+            return self.finish(exchange, Status.NOT_SENT)
+        if exchange.timer is None or exchange.latest_start < exchange.expires:
+            self._set_timeout(exchange, left)  # the dial was limited by latest_start
+        # The time left; for an incomplete body the time that there will be from its last byte on.
+        timeout = b"X-Timeout-Ms: %d\r\n\r\n" % max(1, int(min(left, exchange.response_timeout) * 1000))
         connection.send(exchange, exchange.head + timeout + exchange.body)
 
     def _set_timeout(self, exchange: Exchange, wait: float) -> None:
-        """From now on it has so many seconds; infinite: as long as it takes."""
+        """Restart the timeout of an exchange, in seconds from now; infinite removes it."""
         if exchange.timer is not None:
             exchange.timer.cancel()
             exchange.timer = None
@@ -703,39 +764,45 @@
             exchange.timer = asyncio.get_running_loop().call_later(wait, self._on_timeout, exchange)
 
     def _on_timeout(self, exchange: Exchange) -> None:
-        # Not yet written on a connection, it is known not to have run, and says nothing of the server.
+        # Without a connection it was not sent: it did not run, and this says nothing about the server.
         self.abort_exchange(exchange, Status.NOT_SENT if exchange.connection is None else Status.TIMEOUT)
 
     def abort_exchange(self, exchange: Exchange, status: Status) -> None:
-        """End an exchange that is still out; its connection goes with it."""
+        """End an exchange that is still in progress and close its connection."""
         if exchange.ended:
             return
         if (connection := exchange.connection) is not None:
-            connection.leave()
+            connection.detach_exchange()
             connection.exchange = exchange.connection = None
             connection.abort()
-        self.end(exchange, status)
+        self.finish(exchange, status)
 
-    def _take_idle(self, server: _Server) -> _Connection | None:
-        """The freshest connection that has rested: the least likely to be closing at the other end."""
+    def _take_idle_connection(self, server: _Server) -> _Connection | None:
+        """Take the most recently used connection that has been idle for ``REUSE_DELAY_SECONDS``: it is the one least
+        likely to be closed by the server right now."""
         now = self._clock()
-        longest = min(self._idle_for, server.stale_after) if now < server.stale_until else self._idle_for
-        for at in range(len(server.idle) - 1, -1, -1):
-            connection = server.idle[at]
-            connection.rested = now - (connection.idle_since or 0.0)
-            if connection.rested < REUSE_DELAY_SECONDS:
+        max_idle = (
+            min(self._idle_timeout, server.stale_idle_limit)
+            if now < server.stale_limit_expires_at
+            else self._idle_timeout
+        )
+        for index in range(len(server.idle) - 1, -1, -1):
+            connection = server.idle[index]
+            connection.idle_seconds = now - (connection.idle_since or 0.0)
+            if connection.idle_seconds < REUSE_DELAY_SECONDS:
                 continue
-            del server.idle[at]
+            del server.idle[index]
             if connection.transport is None or connection.transport.is_closing():
                 continue
-            # After a stall of this process a rest is over at once, with what came in it still unread.
-            if connection.rested < longest and not connection.unread:
+            # If this process was stalled, the reuse delay has passed, but bytes that arrived meanwhile are unread.
+            if connection.idle_seconds < max_idle and not connection.has_unread_data:
                 return connection
             connection.transport.close()
         return None
 
-    def _make_room(self) -> bool:
-        """Close the longest idle connection of all, for the limit on descriptors."""
+    def _close_oldest_idle(self) -> bool:
+        """Close the longest idle connection of all servers to stay within the limit on descriptors; return whether
+        there was one."""
         oldest = min(
             (s.idle[0] for s in self._servers.values() if s.idle),
             key=lambda c: c.idle_since or 0.0,
@@ -754,9 +821,9 @@
                 connection.transport.close()
 
     def _sweep(self) -> None:
-        self._sweep_at = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
+        self._sweep_timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
         for server in self._servers.values():
-            self._close_idle(server, self._clock() - self._idle_for)
+            self._close_idle(server, self._clock() - self._idle_timeout)
         now = self._clock()
-        for connection in [each for each in self.streaming if each.stalled(now)]:
-            connection.stall()
+        for connection in [each for each in self.streaming_connections if each.is_stalled(now)]:
+            connection.abort_stalled()
--- a/tests/test_endings_servers.py
+++ b/tests/test_endings_servers.py
@@ -121,7 +121,7 @@
         ended = asyncio.get_running_loop().create_future()
         exchange = Exchange(server, HEAD, b"", self.clock() + timeout, ended.set_result, **more)
         if flows:
-            exchange.begun = self._begun
+            exchange.on_download = self._begun
         self.upstream.start(exchange)
         return exchange, ended
 
@@ -139,10 +139,10 @@
 
     async def at_rest(self) -> None:
         """Nothing is open, nothing is timed; only a hang keeps this from its end."""
-        while self.upstream._open_connections or self.upstream._dials:
+        while self.upstream._open_connections or self.upstream._dial_tasks:
             await asyncio.sleep(0.001)
-        assert not self.upstream.streaming and self.upstream.relay.active == 0
-        assert all(s.open == 0 and not s.idle for s in self.upstream._servers.values())
+        assert not self.upstream.streaming_connections and self.upstream.relay.active == 0
+        assert all(s.open_connections == 0 and not s.idle for s in self.upstream._servers.values())
 
 
 # An answer without a length ends with its connection: only an end of file that was received is its end.
@@ -162,7 +162,7 @@
         if end == "FIN":
             sock.close()
         elif end == "nothing":
-            while not exchange.connection or not exchange.connection._received:
+            while not exchange.connection or not exchange.connection._received_bytes:
                 await asyncio.sleep(0.001)
             pool.upstream.cancel(exchange)
         else:
@@ -210,7 +210,7 @@
         exchange, ended = pool.start()
         sock, _ = await peer.request()
         sock.send(ENDLESS + b"hello")
-        while not exchange.connection or not exchange.connection._received:
+        while not exchange.connection or not exchange.connection._received_bytes:
             await asyncio.sleep(0.001)
         assert exchange.connection.transport is not None
         getattr(exchange.connection.transport, end)()
@@ -230,10 +230,10 @@
         peer = Peer()
         pool = Pool(peer)
         body = Upload(64_000_000, lambda _held: None)
-        exchange, ended = pool.start(upload=body, wait=15.0)
+        exchange, ended = pool.start(upload=body, response_timeout=15.0)
         sock, _ = await peer.request()
         sock.send(ENDLESS + b"hel")
-        while not exchange.connection or not exchange.connection._received:
+        while not exchange.connection or not exchange.connection._received_bytes:
             await asyncio.sleep(0.001)
         body.feed(b"x" * 64_000_000)  # more than the kernel takes, and the peer reads nothing
         body.finish()
@@ -255,10 +255,10 @@
         peer = Peer()
         peer.fill()
         pool = Pool(peer)
-        exchange, ended = pool.start(latest=pool.clock() + 0.2)
+        exchange, ended = pool.start(latest_start=pool.clock() + 0.2)
         done = await ended
         assert (
-            done.status is Status.NOT_SENT and pool.upstream._dials
+            done.status is Status.NOT_SENT and pool.upstream._dial_tasks
         )  # said at once, not when the dial is over
         assert exchange.timer is not None and exchange.timer.cancelled()
         await peer.admit()
@@ -289,7 +289,7 @@
         peer = Peer()
         peer.fill()
         pool = Pool(peer)
-        exchange, ended = pool.start(latest=pool.clock() + 5.0)
+        exchange, ended = pool.start(latest_start=pool.clock() + 5.0)
         await peer.admit()
         sock, _ = await peer.request()
         assert exchange.timer is not None
@@ -321,14 +321,14 @@
             sock.send(OK)
             await ended
         held = pool.clock() - 0.001 if kept else pool.clock() + 10.0
-        exchange, ended = pool.start(latest=held)
+        exchange, ended = pool.start(latest_start=held)
         if not kept:
             await asyncio.sleep(0)  # the dial is begun
-            exchange.latest = pool.clock()  # and nobody looks until it is up
+            exchange.latest_start = pool.clock()  # and nobody looks until it is up
         assert (await ended).status is Status.NOT_SENT
         if not kept:
             sock = await peer.accept()
-        while pool.upstream._dials:
+        while pool.upstream._dial_tasks:
             await asyncio.sleep(0.001)
         pool.upstream.close()
         assert await asyncio.get_running_loop().sock_recv(sock, 10) == b"", "it saw bytes"
@@ -383,12 +383,15 @@
             sock, _ = await first.request()
             limiter.node.apply_listing(listing({"s1": first.dial, "s2": second.dial}))
             reset(sock)
-            while len(limiter.upstream._dials) != 1 or limiter.upstream._servers["s2"].open != 1:
+            while (
+                len(limiter.upstream._dial_tasks) != 1
+                or limiter.upstream._servers["s2"].open_connections != 1
+            ):
                 await asyncio.sleep(0.001)
             await asyncio.sleep(0.5)  # the window ends
             await second.admit()
             late = await second.accept()
-            while limiter.upstream._dials:
+            while limiter.upstream._dial_tasks:
                 await asyncio.sleep(0.001)
             limiter.node.apply_listing(listing({}))  # ends what the dial has brought
             assert await asyncio.get_running_loop().sock_recv(late, 10) == b"", (
@@ -417,7 +420,7 @@
             (opened,) = limiter.node._open_requests.values()
             reset(sock)
             status, _, _ = await read_message(reader)
-            assert " 429 " in status and limiter.upstream._dials
+            assert " 429 " in status and limiter.upstream._dial_tasks
             assert UnixClock()() < opened.deadline - 5.0
             limiter.at_rest()
             writer.close()
@@ -433,7 +436,7 @@
 LEAVE: dict[str, Callable[[Upstream, str], None]] = {
     "drains": lambda u, dial: u.update_server("s1", dial, False, 5.0),
     "gone": lambda u, _dial: u.update_server("s1", "", False),
-    "off the list": lambda u, _dial: u.keep_only({"s2"}),
+    "off the list": lambda u, _dial: u.retain_servers({"s2"}),
     "banned": lambda u, _dial: u.set_banned("s1", True),
     "moved": lambda u, _dial: u.update_server("s1", ELSEWHERE, True, 5.0),
     "restarted": lambda u, dial: u.update_server("s1", dial, True, 9.0),
@@ -453,7 +456,7 @@
         for _ in range(3):  # the dial is on its way
             await asyncio.sleep(0)
         tell(pool.upstream, peer.dial)
-        assert ended.done() and exchange.status is Status.NOT_SENT and pool.upstream._dials
+        assert ended.done() and exchange.status is Status.NOT_SENT and pool.upstream._dial_tasks
         assert exchange.timer is not None and exchange.timer.cancelled()
         await peer.admit()
         sock = await peer.accept()
@@ -519,7 +522,7 @@
         pool = Pool(peer)
         pool.upstream.update_server("s1", peer.dial, True, 5.0)
         body = Upload(200_000, lambda _held: None)
-        _, ended = pool.start(upload=body, wait=15.0)
+        _, ended = pool.start(upload=body, response_timeout=15.0)
         sock, _ = await peer.request()
         body.feed(b"a" * 100_000)
         tell(pool.upstream, peer.dial)
@@ -565,7 +568,7 @@
         slow = api.RequestClass("lookup", 15.0, 1.0, api.Effect.SAFE)
         async with Whole({"s0": dials["s0"]}, dial_timeout=15.0, classes=(slow,)) as limiter:
             reader, writer = await limiter.ask(ask(ttl=15000))
-            while not limiter.upstream._dials:
+            while not limiter.upstream._dial_tasks:
                 await asyncio.sleep(0.001)
             limiter.node.apply_listing(listing({name: dials[name] for name in list(dials)[:5]}))
             told = tuple(
@@ -601,14 +604,14 @@
         peer.fill()
         async with Whole({"s1": peer.dial}) as limiter:
             _, writer = await limiter.ask(ask())
-            while not limiter.upstream._dials:
+            while not limiter.upstream._dial_tasks:
                 await asyncio.sleep(0.001)
             if first == "client":
                 writer.close()
                 while limiter.node.open_requests:
                     await asyncio.sleep(0.001)
                 limiter.at_rest()
-                assert limiter.upstream._dials, "the dial is not over"
+                assert limiter.upstream._dial_tasks, "the dial is not over"
             await peer.admit()
             sock = await peer.accept()
             if first == "dial":  # the request is out: leaving ends its connection
@@ -621,9 +624,9 @@
                 (server,) = limiter.upstream._servers.values()
                 while not server.idle:
                     await asyncio.sleep(0.001)
-                assert server.open == 1 and not server.waiting
+                assert server.open_connections == 1 and not server.waiting_for_dial
                 server.idle[0].idle_since = 0.0  # it has rested, whatever this machine has to do
-                limiter.upstream._idle_for = math.inf
+                limiter.upstream._idle_timeout = math.inf
                 reader, writer = await limiter.ask(ask())
                 head = await read_head(sock)
                 assert head.count(b"HTTP/1.1") == 1, "it carries one request, the second"
@@ -652,8 +655,8 @@
 )
 def test_only_a_good_answer_flows(head: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     """What takes longer than an answer is held is passed on as it comes, if it is one."""
-    monkeypatch.setattr(net_upstream, "HOLD", 0.01)
-    monkeypatch.setattr(net_upstream, "BEGUN", 0.05)
+    monkeypatch.setattr(net_upstream, "UNSIZED_RESPONSE_HOLD_SECONDS", 0.01)
+    monkeypatch.setattr(net_upstream, "RESPONSE_PROGRESS_TIMEOUT_SECONDS", 0.05)
 
     async def main() -> None:
         peer = Peer()
@@ -675,7 +678,7 @@
 def test_an_answer_that_is_no_good_one_is_read_to_its_end(
     status: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(net_upstream, "HOLD", 0.01)
+    monkeypatch.setattr(net_upstream, "UNSIZED_RESPONSE_HOLD_SECONDS", 0.01)
 
     async def main() -> None:
         peer = Peer()
@@ -683,7 +686,7 @@
         exchange, ended = pool.start(flows=True)
         sock, _ = await peer.request()
         sock.send(f"HTTP/1.1 {status}\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nno\r\n".encode())
-        while not exchange.connection or exchange.connection._late is None:
+        while not exchange.connection or exchange.connection._progress_timer is None:
             await asyncio.sleep(0.001)
         await asyncio.sleep(0.02)  # the time for which a good one would be held
         sock.send(b"0\r\n\r\n")
@@ -718,7 +721,7 @@
         if when != "in the same piece":
             sock.send(COPY)
         if when == "read while it rests":
-            while pool.server.open:
+            while pool.server.open_connections:
                 await asyncio.sleep(0.001)
         _, ended = pool.start()
         fresh, _ = await peer.request()  # on a connection of its own
@@ -818,7 +821,12 @@
 
 @pytest.mark.parametrize("flows", [False, True], ids=["held", "flowing"])
 def test_half_an_answer_and_then_nothing_is_left(flows: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    for name, value in (("BEGUN", 0.02), ("HOLD", 0.02), ("SWEEP_INTERVAL_SECONDS", 0.02), ("STALL", 0.05)):
+    for name, value in (
+        ("RESPONSE_PROGRESS_TIMEOUT_SECONDS", 0.02),
+        ("UNSIZED_RESPONSE_HOLD_SECONDS", 0.02),
+        ("SWEEP_INTERVAL_SECONDS", 0.02),
+        ("STALL", 0.05),
+    ):
         monkeypatch.setattr(net_upstream, name, value)
 
     async def main() -> None:
@@ -846,10 +854,10 @@
         peer = Peer()
         pool = Pool(peer)
         body = Upload(64_000_000, lambda _held: None)
-        exchange, ended = pool.start(upload=body, wait=15.0)
+        exchange, ended = pool.start(upload=body, response_timeout=15.0)
         sock, _ = await peer.request()
         body.feed(b"x" * 32_000_000)
-        assert exchange.connection is not None and exchange.connection.unwritten
+        assert exchange.connection is not None and exchange.connection.has_unwritten_data
         sock.send(f"HTTP/1.1 {answer} X\r\nContent-Length: 2\r\n\r\nhi".encode())
         assert (await ended).response_body == b"hi"
         await pool.at_rest()
@@ -886,7 +894,7 @@
         waiting, _ = pool.start(server="s2")
         begun, _ = pool.start()
         sock = await peer.accept()
-        while pool.upstream._dials:
+        while pool.upstream._dial_tasks:
             await asyncio.sleep(0.001)
         assert await end_of(kept) == "FIN" and not waiting.written and not begun.written
         assert await asyncio.get_running_loop().sock_recv(sock, 10) == b"", "it saw bytes"
@@ -1126,10 +1134,14 @@
         for account in self.gateway.quotas.accounts.values():
             assert account.open == 0 and (account.slots is None or account.slots.held == 0)
         assert all(s.open == 0.0 and s.quiet is None for s in self.gateway.fleet.servers.values())
-        assert not self.upstream._dials and not self.upstream.streaming and self.upstream.relay.active == 0
+        assert (
+            not self.upstream._dial_tasks
+            and not self.upstream.streaming_connections
+            and self.upstream.relay.active == 0
+        )
         servers = self.upstream._servers.values()
-        assert all(s.open == len(s.idle) and not s.waiting for s in servers)
-        assert self.upstream._open_connections == sum(s.open for s in servers)
+        assert all(s.open_connections == len(s.idle) and not s.waiting_for_dial for s in servers)
+        assert self.upstream._open_connections == sum(s.open_connections for s in servers)
         assert not self.counter._order and not self.counter._left
         for client in self.clients:
             got, id = client["got"], client["id"]
@@ -1210,7 +1222,7 @@
                 await asyncio.sleep(0.001)
             (client,) = limiter.frontend._clients  # all of it comes with one read
             client.data_received(ask("/post?account=00000000b4d65521", b"x" * (KEEP + 2000), ttl=500))
-            assert " 429 " in (await read_message(reader))[0] and limiter.upstream._dials
+            assert " 429 " in (await read_message(reader))[0] and limiter.upstream._dial_tasks
             limiter.at_rest()
             writer.close()
         peer.close()
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -13,7 +13,7 @@
 from cypresspulley.interface import Status
 from cypresspulley.net import upstream
 from cypresspulley.net.node import UnixClock
-from cypresspulley.net.upstream import PER_SERVER, Exchange, Upstream, load_report
+from cypresspulley.net.upstream import MAX_CONNECTIONS_PER_SERVER, Exchange, Upstream, parse_load_report
 from tests.loopback import OK, Origin, listening, read_message, run
 
 HEAD = b"GET /lookup HTTP/1.1\r\nHost: x\r\n"
@@ -269,7 +269,7 @@
 def test_an_answer_that_begins_and_does_not_end_is_spoilt_and_no_silence(
     begun: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(upstream, "BEGUN", 0.05)
+    monkeypatch.setattr(upstream, "RESPONSE_PROGRESS_TIMEOUT_SECONDS", 0.05)
 
     async def main() -> None:
         async with listening(Origin(lambda _n: begun).talk) as dial:
@@ -281,7 +281,7 @@
 
 
 def test_an_interim_answer_is_no_beginning(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream, "BEGUN", 0.02)
+    monkeypatch.setattr(upstream, "RESPONSE_PROGRESS_TIMEOUT_SECONDS", 0.02)
 
     async def main() -> None:
         async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -400,7 +400,7 @@
     [
         lambda u: u.update_server("s1", "127.0.0.1:1", False),
         lambda u: u.update_server("s1", "", False),
-        lambda u: u.keep_only({"s2"}),
+        lambda u: u.retain_servers({"s2"}),
     ],
 )
 def test_a_drain_closes_idle_connections_and_stops_sends_at_once(tell: Callable[[Upstream], None]) -> None:
@@ -450,8 +450,8 @@
     async def main() -> None:
         silent = Origin(lambda _n: None)
         async with listening(silent.talk) as dial:
-            pool = Pool(dial, most=PER_SERVER + 1)
-            out = [pool.start()[0] for _ in range(PER_SERVER)]
+            pool = Pool(dial, most=MAX_CONNECTIONS_PER_SERVER + 1)
+            out = [pool.start()[0] for _ in range(MAX_CONNECTIONS_PER_SERVER)]
             assert (await pool.fetch()).status is Status.FULL
             pool.upstream.update_server("s2", dial, True)
             out.append(pool.start(server="s2")[0])
@@ -478,9 +478,9 @@
 
 
 def test_load_reports_are_read_and_odd_ones_dropped() -> None:
-    assert load_report("inflight=7,queue=2,util=0.61") == {"inflight": 7.0, "queue": 2.0, "util": 0.61}
+    assert parse_load_report("inflight=7,queue=2,util=0.61") == {"inflight": 7.0, "queue": 2.0, "util": 0.61}
     for odd in ("", "queue", "queue=nan", "=3", "queue=2,,"):
-        assert load_report(odd) == {}
+        assert parse_load_report(odd) == {}
 
     async def main() -> None:
         origin = Origin(lambda _n: reply("200 OK", "X-Server-Load: queue=2\r\n"))
@@ -509,7 +509,7 @@
                 await asyncio.sleep(0.001)
             for at in range(100):
                 pool.upstream.update_server(f"t{at}", dial, True)
-                pool.upstream.keep_only({f"t{at}"})
+                pool.upstream.retain_servers({f"t{at}"})
             assert set(pool.upstream._servers) == {"s1", "t99"}
             release.set()
             assert (await answered).status is Status.OK  # what is out there may end
@@ -519,7 +519,7 @@
             pool.upstream.update_server(
                 "s1", dial, True
             )  # a return, at an old address: it starts with nothing
-            assert pool.upstream._servers["s1"].open == 0
+            assert pool.upstream._servers["s1"].open_connections == 0
             assert (await pool.fetch()).status is Status.OK
             pool.upstream.close()
 
