--- a/cypresspulley/net/upstream.py
+++ b/cypresspulley/net/upstream.py
@@ -614,10 +614,8 @@
             del self._servers[server.name]
 
     def _count_closed(self, server: _Server) -> None:
-        server.open_connections, self._open_connections = (
-            server.open_connections - 1,
-            self._open_connections - 1,
-        )
+        server.open_connections -= 1
+        self._open_connections -= 1
         self._forget_if_unused(server)
 
     def start(self, exchange: Exchange) -> None:
@@ -635,11 +633,9 @@
         ):
             return self.finish(exchange, Status.FULL)
         self._set_timeout(exchange, min(left, exchange.latest_start - exchange.started_at))
-        server.open_connections, self._open_connections, self.dials_started = (
-            server.open_connections + 1,
-            self._open_connections + 1,
-            self.dials_started + 1,
-        )
+        server.open_connections += 1
+        self._open_connections += 1
+        self.dials_started += 1
         server.waiting_for_dial[exchange] = None
         dial = asyncio.get_running_loop().create_task(self._dial(server, exchange))
         self._dial_tasks.add(dial)
@@ -687,10 +683,8 @@
         request."""
         server, now = connection.server, self._clock()
         current_limit = server.stale_idle_limit if now < server.stale_limit_expires_at else math.inf
-        server.stale_idle_limit, server.stale_limit_expires_at = (
-            min(current_limit, 0.5 * connection.idle_seconds),
-            now + IDLE_LIMIT_LIFETIME_SECONDS,
-        )
+        server.stale_idle_limit = min(current_limit, 0.5 * connection.idle_seconds)
+        server.stale_limit_expires_at = now + IDLE_LIMIT_LIFETIME_SECONDS
 
     def remove_connection(self, connection: _Connection) -> None:
         """Forget a connection that has ended."""
