--- a/cypresspulley/explore/examine.py
+++ b/cypresspulley/explore/examine.py
@@ -151,7 +151,7 @@
 def _of_probe(handle: VirtualHandle) -> bool:
     """A probe may be out at the end: no request waits for it."""
     done = getattr(handle.args[0], "on_done", None) if handle.args else None
-    return called(handle) == "Upstream._on_timeout" and getattr(done, "__name__", "") == "_probed"
+    return called(handle) == "Upstream._expired" and getattr(done, "__name__", "") == "_probed"
 
 
 def called(handle: VirtualHandle) -> str:
--- a/cypresspulley/net/upstream.py
+++ b/cypresspulley/net/upstream.py
@@ -755,9 +755,9 @@
             exchange.timer.cancel()
             exchange.timer = None
         if wait < math.inf:
-            exchange.timer = asyncio.get_running_loop().call_later(wait, self._on_timeout, exchange)
+            exchange.timer = asyncio.get_running_loop().call_later(wait, self._expired, exchange)
 
-    def _on_timeout(self, exchange: Exchange) -> None:
+    def _expired(self, exchange: Exchange) -> None:
         # Without a connection it was not sent: it did not run, and this says nothing about the server.
         self.abort_exchange(exchange, Status.NOT_SENT if exchange.connection is None else Status.TIMEOUT)
 
