--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -1,7 +1,7 @@
-"""Events in, actions out: the only caller of the decisions, and the table of open requests.
+"""Runs the decision module on real sockets: passes events to it, carries out its actions, and keeps the open requests.
 
-No policy lives here. Every request that comes in gets exactly one final answer: the decisions',
-or, if they are silent, a failure just before the client's time is up.
+No policy lives here. Every request gets exactly one final response: the one that the decision module chooses or, if it
+stays silent, an error just before the client's deadline.
 """
 
 from __future__ import annotations
@@ -24,20 +24,22 @@
 
 log = logging.getLogger(__name__)
 
-MARGIN = 0.02  # seconds kept for the way back of an answer
-MARGIN_SHARE = 0.1  # their share of a short time
-SILENT_SHARE = 0.5  # of the margin that the decisions have for their answer at the deadline
-WALL_STEP = 0.05  # seconds: clocks that are kept right are slewed, and drift less than this in a minute
-LEAST_LEFT = 0.001  # seconds: a request that lay in the machine for all of its time is answered at once
-PROBE_TIMEOUT = 0.25
+RESPONSE_MARGIN_SECONDS = 0.02  # taken off a request's time for the way of the response back to the client
+RESPONSE_MARGIN_SHARE = 0.1  # largest share of the request's time that the margin may take
+GATEWAY_WAIT_SHARE = 0.5  # share of the margin for which the gateway may respond after the deadline
+# Smaller changes are drift: a synchronized clock is slewed, which changes it by less than this in a minute.
+MIN_WALL_CLOCK_STEP_SECONDS = 0.05
+# A request whose time passed before it was read is responded to after this time.
+MIN_TIME_LEFT_SECONDS = 0.001
+PROBE_TIMEOUT_SECONDS = 0.25
 
 
 class UnixClock:
-    """Unix time that never jumps: it is read once, and goes on by the monotonic clock.
+    """Unix time that never steps: the wall clock is read once, and the monotonic clock is added to it.
 
-    ``offset`` is what lies between the two, in seconds. A process that goes on with another one's state goes on with
-    its offset as well: the wall clock may have stepped between the starts of the two, and the monotonic clock is the
-    machine's.
+    ``offset`` is the difference between the two clocks, in seconds. A process that takes over the state of a
+    predecessor takes over its offset as well: the wall clock may have stepped between the two starts, while the
+    monotonic clock is the same for all processes of the machine.
     """
 
     def __init__(self) -> None:
@@ -51,26 +53,26 @@
 
 
 class DecisionModule(Protocol):
-    """What answers events with actions: ``policy.gateway.Gateway``."""
+    """Responds to events with actions; implemented by ``policy.gateway.Gateway``."""
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]: ...
 
 
-class _Open:
-    """A request that has no final answer yet."""
+class _OpenRequest:
+    """A request without a final response."""
 
-    __slots__ = ("attempts", "begun", "deadline", "request", "timer")
+    __slots__ = ("attempts", "deadline", "request", "response_started", "timer")
 
     def __init__(self, request: ClientRequest, deadline: float) -> None:
         self.request = request
         self.deadline = deadline
         self.attempts = list[Exchange]()
         self.timer: asyncio.TimerHandle | None = None
-        self.begun = False  # an answer reaches the client already
+        self.response_started = False  # a streamed response has begun to reach the client
 
 
 class Node:
-    """The decisions on real sockets."""
+    """Connects a decision module to the clients' and the servers' side of this process."""
 
     def __init__(
         self,
@@ -83,20 +85,19 @@
         self._settings = settings
         self._gateway = gateway
         self._clock = clock
-        self._shift = 0.0  # seconds by which it was ahead of the decisions' clock
+        self._wall_clock_shift = 0.0  # seconds by which the wall clock was last seen ahead of ``clock``
         self._upstream = upstream
         self._counter = counter
-        self._most_attempts = settings.max_attempts
+        self._max_attempts = settings.max_attempts
         self._loop = asyncio.get_running_loop()
-        self._open_requests = dict[int, _Open]()
+        self._open_requests = dict[int, _OpenRequest]()
         self._events = deque[api.Event]()
-        self.broadcast: Callable[[str], None] | None = (
-            None  # sends to the other limiters, where there is a way
-        )
-        self._busy = False
-        self._ruled = False
-        self._discovery_contact_at: float | None = None  # when discovery spoke last
-        self._actions: dict[type, Callable[[Any], None]] = {
+        # Sends a text to the other limiters; None if no addresses of them are configured.
+        self.broadcast: Callable[[str], None] | None = None
+        self._is_handling_events = False
+        self._ban_applied = False
+        self._discovery_contact_at: float | None = None  # when discovery was last heard from
+        self._action_handlers: dict[type, Callable[[Any], None]] = {
             api.Send: self._send, api.Refuse: self._refuse, api.Fail: self._fail, api.Cancel: self._cancel,
             api.Count: self._count, api.Tell: self._tell, api.Probe: self._probe, api.Ban: self._ban,
             api.SetTimer: self._set_timer, api.Log: self._log,
@@ -107,26 +108,30 @@
         return len(self._open_requests)
 
     def feed(self, event: api.Event) -> None:
-        """Hand an event to the decisions and carry out their actions; events that these cause follow on."""
+        """Pass an event to the decision module and carry out its actions, then those of the events that they cause."""
         self._events.append(event)
-        self._work_off()
+        self._handle_pending_events()
 
-    def _work_off(self) -> None:
-        if self._busy:
+    def _handle_pending_events(self) -> None:
+        if self._is_handling_events:
             return
-        self._busy = True
+        self._is_handling_events = True
         try:
             while self._events:
-                self._step(self._events.popleft())
+                self._handle_event(self._events.popleft())
         finally:
-            self._busy = False
+            self._is_handling_events = False
 
     def apply_listing(self, listing: Listing) -> None:
-        """Discovery has told something: the sockets heed all of it before the decisions hear of it, and these hear
-        of it before what it ended: else they would send that on to the next server that drains."""
+        """Apply a server list or an update of it from discovery.
+
+        The connection pool applies all of it before the decision module handles the list, and the module handles the
+        list before the outcomes of the attempts that it ended. Otherwise it would retry those on the next server that
+        is draining.
+        """
         self._events.append(replace(listing.servers, previous=self._discovery_contact_at))
         self.record_discovery_contact()
-        held, self._busy = self._busy, True
+        was_handling, self._is_handling_events = self._is_handling_events, True
         try:
             if listing.servers.complete:
                 self._upstream.retain_servers(set(listing.dials))
@@ -134,54 +139,54 @@
                 up = entry.health is api.Health.UP
                 self._upstream.update_server(entry.name, listing.dials[entry.name], up, entry.born)
         finally:
-            self._busy = held
-        self._work_off()
+            self._is_handling_events = was_handling
+        self._handle_pending_events()
 
     def use_counter(self, counter: Counter) -> None:
-        """Calls go to this counter from now on."""
+        """Send calls to this counter from now on."""
         self._counter = counter
 
     def record_discovery_contact(self) -> None:
-        """Discovery has said something: until now nothing else has changed than what it told."""
+        """Record that discovery was heard from: the server list is known to be current up to now."""
         self._discovery_contact_at = self._clock()
 
     def arrived(self, request: ClientRequest) -> None:
         event = request.event
         assert event is not None
-        left = max(LEAST_LEFT, event.ttl - request.waited)
-        margin = min(MARGIN, MARGIN_SHARE * left)
-        opened = self._open_requests[event.id] = _Open(request, float("inf"))
+        left = max(MIN_TIME_LEFT_SECONDS, event.ttl - request.waited)
+        margin = min(RESPONSE_MARGIN_SECONDS, RESPONSE_MARGIN_SHARE * left)
+        opened = self._open_requests[event.id] = _OpenRequest(request, float("inf"))
         if request.upload is None or request.upload.whole:
-            self._time(opened, event, margin)
+            self._set_deadline(opened, event, margin)
         else:
             event = replace(event, coming=True)
-            request.upload.told = partial(self._body, event, margin)
+            request.upload.told = partial(self._handle_body_progress, event, margin)
         self.feed(replace(event, ttl=left - margin))
 
-    def _time(self, opened: _Open, event: api.Request, margin: float) -> None:
-        """A request's time counts from when its last byte came to the machine."""
-        left = max(LEAST_LEFT, event.ttl - opened.request.waited)
+    def _set_deadline(self, opened: _OpenRequest, event: api.Request, margin: float) -> None:
+        """Set the deadline of a request, which counts from the arrival of its last byte at this machine."""
+        left = max(MIN_TIME_LEFT_SECONDS, event.ttl - opened.request.waited)
         opened.deadline = self._clock() + left - margin
-        last = left - SILENT_SHARE * margin
-        opened.timer = self._loop.call_later(last, self._respond_for_gateway, event.id, 504)
+        respond_after = left - GATEWAY_WAIT_SHARE * margin
+        opened.timer = self._loop.call_later(respond_after, self._respond_for_gateway, event.id, 504)
 
-    def _body(self, event: api.Request, margin: float, whole: bool, kept: bool) -> None:
-        """A body that flows is whole, or can no longer be sent again."""
+    def _handle_body_progress(self, event: api.Request, margin: float, whole: bool, kept: bool) -> None:
+        """Handle a streamed body that is complete or can no longer be sent again."""
         opened = self._open_requests.get(event.id)
         if opened is None:
             return
-        if whole and opened.timer is None and not opened.begun:
-            self._time(opened, event, margin)
+        if whole and opened.timer is None and not opened.response_started:
+            self._set_deadline(opened, event, margin)
             for attempt in opened.attempts:
-                self._upstream.start_response_timeout(attempt)  # one that waits for its dial still
+                self._upstream.start_response_timeout(attempt)  # it may still wait for its dial
         self.feed(api.Body(event.id, whole, kept))
 
-    def _began(self, id: int, number: int, attempt: Exchange, download: Download) -> None:
-        """A large answer comes: the client gets it as it does."""
+    def _handle_response_start(self, id: int, number: int, attempt: Exchange, download: Download) -> None:
+        """Stream a large response to the client as it arrives."""
         opened = self._open_requests.get(id)
         if opened is None:
             return download.drop()
-        opened.begun = True
+        opened.response_started = True
         if opened.timer is not None:
             opened.timer.cancel()
         opened.request.begin(download)
@@ -192,50 +197,57 @@
             self.feed(api.Departed(request.event.id))
 
     def retune(self, settings: api.Settings) -> None:
-        """Other settings hold from now on. Attempts: those of open requests are the decisions' affair."""
-        self._most_attempts = max(self._settings.max_attempts, settings.max_attempts)
+        """Replace the settings.
+
+        The larger of the old and the new ``max_attempts`` applies, because the decision module may go on with open
+        requests by the old settings.
+        """
+        self._max_attempts = max(self._settings.max_attempts, settings.max_attempts)
         self._settings = settings
         self.feed(api.Retune(settings))
 
     def suspend(self, server: str, out: bool, sure: bool = False) -> bool:
-        """Operators take a server out or call it back. Whether the call is in force: not for an unknown id."""
-        self._ruled = False
+        """Ban a server, or lift its ban with ``out`` false; return whether it took effect, which it does not for an
+        unknown id unless ``sure`` is set."""
+        self._ban_applied = False
         self.feed(api.Suspend(server, out, sure))
-        return self._ruled
+        return self._ban_applied
 
     def fail_open_requests(self) -> None:
-        """Fail what is still open: the process is about to end, and a request must not end with it."""
+        """Respond to all open requests with 504 before the process exits, so that none is lost."""
         for id in list(self._open_requests):
             self._respond_for_gateway(id, 504)
 
     def check_wall_clock(self, wall: Callable[[], float]) -> None:
-        """Tell the decisions where the wall clock has stepped: all limiters name what they share by it. To be called
-        some times in the shortest window of a ceiling."""
+        """Report a step of the wall clock to the decision module, because all limiters use it to name shared counts.
+
+        To be called several times in the shortest window of a ceiling.
+        """
         shift = wall() - self._clock()
-        if abs(shift - self._shift) > WALL_STEP:
-            log.warning("the wall clock has stepped by %.3f s", shift - self._shift)
-            self._shift = shift
+        if abs(shift - self._wall_clock_shift) > MIN_WALL_CLOCK_STEP_SECONDS:
+            log.warning("wall clock stepped by %.3f s", shift - self._wall_clock_shift)
+            self._wall_clock_shift = shift
             self.feed(api.WallClock(shift))
 
-    def _step(self, event: api.Event) -> None:
+    def _handle_event(self, event: api.Event) -> None:
         try:
             actions = self._gateway.handle(self._clock(), event)
         except Exception:
-            log.exception("the decisions failed on %s", type(event).__name__)
+            log.exception("the decision module failed on %s", type(event).__name__)
             if isinstance(event, api.Request):
                 self._respond_for_gateway(event.id, 500)
             elif isinstance(event, api.TimerFired):
-                # The next timer was to come with these actions: without it they would never tick again.
+                # These actions would have set the next timer; without it the module would never tick again.
                 self._loop.call_later(1.0, self.feed, event)
             return
         for action in actions:
             try:
-                self._actions[type(action)](action)
+                self._action_handlers[type(action)](action)
             except Exception:
                 log.exception("an action failed: %s", action)
 
-    def _remove_request(self, id: int) -> _Open | None:
-        """Take a request off the table; attempts that are out are of no more use."""
+    def _remove_request(self, id: int) -> _OpenRequest | None:
+        """Remove a request from the open ones and cancel its attempts."""
         opened = self._open_requests.pop(id, None)
         if opened is not None:
             if opened.timer is not None:
@@ -245,10 +257,10 @@
         return opened
 
     def _respond_for_gateway(self, id: int, status: int) -> None:
-        """Answer for decisions that are silent or broken."""
+        """Respond to a request for which the decision module failed or made no decision in time."""
         if (opened := self._remove_request(id)) is not None:
-            log.warning("a request was answered %d in place of the decisions", status)
-            if opened.begun:
+            log.warning("responded %d to a request without a decision of the gateway", status)
+            if opened.response_started:
                 opened.request.ended(False)
             else:
                 opened.request.respond(status)
@@ -259,38 +271,39 @@
     def _send(self, action: api.Send) -> None:
         opened = self._open_requests.get(action.id)
         if opened is None:
-            log.error("a send for a request that has ended was dropped")
+            log.error("ignored a send action for a request that is not open")
             return
         number = len(opened.attempts)
         request, wait = opened.request, action.timeout or float("inf")
-        coming = request.upload is not None and not request.upload.whole
-        expires = float("inf") if coming else min(opened.deadline, self._clock() + wait)
-        told = self._handle_attempt_end if request.dialect is None else self._answered
-        done = partial(told, action.id, number)
-        attempt = Exchange(action.server, request.head, request.body, expires, done, action.latest)
+        upload_incomplete = request.upload is not None and not request.upload.whole
+        expires = float("inf") if upload_incomplete else min(opened.deadline, self._clock() + wait)
+        handler = self._handle_attempt_end if request.dialect is None else self._handle_dialect_attempt_end
+        on_done = partial(handler, action.id, number)
+        attempt = Exchange(action.server, request.head, request.body, expires, on_done, action.latest)
         attempt.check_client_present = request.present
         if (upload := request.upload) is not None:
             assert request.event is not None
             attempt.upload, attempt.response_timeout = (
                 upload,
-                min(wait, max(LEAST_LEFT, request.event.ttl - request.waited)),
+                min(wait, max(MIN_TIME_LEFT_SECONDS, request.event.ttl - request.waited)),
             )
         if request.dialect is None:
-            attempt.on_download = partial(self._began, action.id, number)
+            attempt.on_download = partial(self._handle_response_start, action.id, number)
         opened.attempts.append(attempt)
-        if number < self._most_attempts:
+        if number < self._max_attempts:
             self._upstream.start(attempt)
         else:
             self._upstream.finish(attempt, api.Status.NOT_SENT)
 
-    def _answered(self, id: int, number: int, attempt: Exchange) -> None:
-        """An attempt of a request with a dialect: its answer may say more than its status does."""
+    def _handle_dialect_attempt_end(self, id: int, number: int, attempt: Exchange) -> None:
+        """Let the request's dialect examine the response, which may say more than its status, before the attempt
+        ends."""
         opened = self._open_requests.get(id)
         if opened is not None and opened.request.dialect is not None and attempt.status is api.Status.OK:
             try:
                 opened.request.dialect.answered(attempt)
             except Exception:
-                log.exception("an answer was passed on unread")
+                log.exception("could not examine a response; it is passed on as it is")
         self._handle_attempt_end(id, number, attempt)
 
     def _handle_attempt_end(self, id: int, number: int, attempt: Exchange) -> None:
@@ -300,8 +313,10 @@
         elif attempt.status is api.Status.OK and (opened := self._remove_request(id)) is not None:
             opened.request.respond(200, attempt.response_body, attempt.response_headers)
         finished = id not in self._open_requests
-        told = attempt.report, attempt.quota_used_share, attempt.charged_units
-        self.feed(api.Outcome(id, number, attempt.server, attempt.status, attempt.elapsed, finished, *told))
+        reported = attempt.report, attempt.quota_used_share, attempt.charged_units
+        self.feed(
+            api.Outcome(id, number, attempt.server, attempt.status, attempt.elapsed, finished, *reported)
+        )
 
     def _refuse(self, action: api.Refuse) -> None:
         if (opened := self._remove_request(action.id)) is not None:
@@ -336,7 +351,7 @@
     def _probe(self, action: api.Probe) -> None:
         path = b"/load" if self._settings.load_on_probe else b"/healthz"
         head = b"GET %b HTTP/1.1\r\nHost: %b\r\n" % (path, action.server.encode())
-        expires = self._clock() + PROBE_TIMEOUT
+        expires = self._clock() + PROBE_TIMEOUT_SECONDS
         self._upstream.start(Exchange(action.server, head, b"", expires, self._probed))
 
     def _probed(self, probe: Exchange) -> None:
@@ -347,7 +362,7 @@
 
     def _ban(self, action: api.Ban) -> None:
         self._upstream.set_banned(action.server, action.out)
-        self._ruled = True
+        self._ban_applied = True
 
     def _set_timer(self, action: api.SetTimer) -> None:
         self._loop.call_later(action.delay, self.feed, api.TimerFired(action.token))
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -155,7 +155,7 @@
             assert " 200 " in (await limiter.fetch(ask()))[0]
 
     run(main())
-    assert "the decisions failed on Request" in caplog.text
+    assert "the decision module failed on Request" in caplog.text
 
 
 def test_timers_fire_and_a_failed_tick_comes_again() -> None:
