--- a/tests/test_dial_errors.py
+++ b/tests/test_dial_errors.py
@@ -1,4 +1,4 @@
-"""A dial that fails by this machine's own doing says nothing of the server that it was for."""
+"""A dial that fails because of this machine must not count against the server that it was for."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests.loopback import Limiter, Script, ask, run, send_on
 from tests.test_endings_clients import Peer
 
-OWN = (
+LOCAL_ERRNOS = (
     errno.ENOBUFS,
     errno.ENOMEM,
     errno.EADDRNOTAVAIL,
@@ -19,11 +19,11 @@
     errno.ENETDOWN,
     errno.EPERM,
 )
-SERVERS = (errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.ETIMEDOUT)
+SERVER_ERRNOS = (errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.ETIMEDOUT)
 
 
 async def outcome_of(error: int) -> api.Status:
-    """What the decisions are told of an attempt whose dial fails so."""
+    """Return the status that the decision module gets for an attempt whose dial fails with this errno."""
     script = Script(send_on)
     async with Limiter(script, {"s1": "127.0.0.1:1"}) as limiter:
         loop = asyncio.get_running_loop()
@@ -31,13 +31,13 @@
         async def create_connection(*_: object) -> None:
             raise OSError(error, os.strerror(error))
 
-        made, loop.create_connection = loop.create_connection, create_connection  # type: ignore
+        original, loop.create_connection = loop.create_connection, create_connection  # type: ignore
         try:
             peer = Peer(limiter)
             peer.send(ask())
             (outcome,) = await script.until(api.Outcome)
         finally:
-            loop.create_connection = made  # type: ignore
+            loop.create_connection = original  # type: ignore
         assert limiter.upstream._open_connections == 0
         peer.socket.close()
     status: api.Status = outcome.status
@@ -46,7 +46,7 @@
 
 def test_a_dial_that_fails_by_our_own_doing_is_no_sign_of_its_server() -> None:
     async def main() -> None:
-        for error in OWN:
+        for error in LOCAL_ERRNOS:
             assert await outcome_of(error) is api.Status.FULL, errno.errorcode[error]
 
     run(main())
@@ -54,7 +54,7 @@
 
 def test_a_dial_that_its_server_or_the_way_to_it_fails_is_one() -> None:
     async def main() -> None:
-        for error in SERVERS:
+        for error in SERVER_ERRNOS:
             assert await outcome_of(error) is api.Status.UNREACHABLE, errno.errorcode[error]
 
     run(main())
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""Events in, actions out over loopback sockets: one final answer, deadlines, containment."""
+"""Tests of the node over loopback sockets: one final response, deadlines, failures of the decision module."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
             began = time.monotonic()
             assert " 504 " in (await limiter.fetch(ask(ttl=300)))[0]
             assert time.monotonic() - began > 0.2
-            await script.until(api.Departed)  # so that the decisions forget it
+            await script.until(api.Departed)  # so that the decision module forgets the request
 
     run(main())
 
@@ -67,14 +67,15 @@
     async def main() -> None:
         origin = Origin(lambda _n: None)
 
-        def long_wait(event: api.Event) -> list[api.Action]:
+        def send_with_long_timeout(event: api.Event) -> list[api.Action]:
             if isinstance(event, api.Request):
                 return [api.Send(event.id, "s1", 60.0)]
             return send_on(event)
 
-        script = Script(long_wait)
+        script = Script(send_with_long_timeout)
         async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
-            assert " 429 " in (await limiter.fetch(ask(ttl=400)))[0]  # the decisions', told of the time-out
+            # The decision module refuses the request after the timeout.
+            assert " 429 " in (await limiter.fetch(ask(ttl=400)))[0]
             (outcome,) = await script.until(api.Outcome)
             assert outcome.status is api.Status.TIMEOUT and outcome.elapsed < 0.4
             assert int(origin.seen[0][1]["x-timeout-ms"]) < 400
@@ -104,7 +105,7 @@
     async def main() -> None:
         origin = Origin()
 
-        def confused(event: api.Event) -> list[api.Action]:
+        def send_contradictory_actions(event: api.Event) -> list[api.Action]:
             if not isinstance(event, api.Request):
                 return []
             return [
@@ -112,7 +113,10 @@
                 api.Cancel(event.id, 0), api.Send(99, "nobody", 1.0), api.Refuse(99, 0.1),
             ]  # fmt: skip
 
-        async with listening(origin.talk) as dial, Limiter(Script(confused), {"s1": dial}) as limiter:
+        async with (
+            listening(origin.talk) as dial,
+            Limiter(Script(send_contradictory_actions), {"s1": dial}) as limiter,
+        ):
             reader, writer = await limiter.connect()
             writer.write(ask() + ask(Connection="close"))
             answers = (await reader.read()).count(b"HTTP/1.1 429")
@@ -204,7 +208,8 @@
             assert origin.seen[0][0] == "GET /healthz HTTP/1.1"
             limiter.node.apply_listing(listing({"s1": dial}))
             assert (await script.until(api.Probed, 2))[1].status is api.Status.ERROR
-            assert script.events.count(api.Counted(5, api.Status.UNREACHABLE)) == 2  # there is no counter
+            # No counter is configured.
+            assert script.events.count(api.Counted(5, api.Status.UNREACHABLE)) == 2
 
     run(main())
 
@@ -244,37 +249,39 @@
     run(main())
 
 
-def real_decisions() -> Script:
-    """The module itself, with servers that start cold and fall over easily."""
+def real_decision_module() -> Script:
+    """The real decision module, with servers that start cold and are overloaded easily."""
     clock, settings = UnixClock(), replace(SETTINGS, cold_share=0.15, warm_after=15.0, fall_multiple=2.5)
     gateway = Gateway(settings, 1, clock())
     return Script(lambda event: gateway.handle(clock(), event))
 
 
 def test_spoilt_answers_of_all_servers_put_none_of_them_out() -> None:
-    """Counted as breaks they made each server lost, and cold for 15 s when it answered again."""
+    """Guards against counting malformed responses as broken connections: each server was then taken for dead, and for
+    cold for 15 s once it responded again."""
 
     async def main() -> None:
         spoilt = b"HTTP/1.1 200 OK\r\nContent-Length: 1x\r\n\r\nhi"
         origin = Origin(lambda n: spoilt if n % 6 == 0 else OK)
         async with (
             listening(origin.talk) as dial,
-            Limiter(real_decisions(), {"s1": dial, "s2": dial, "s3": dial}) as limiter,
+            Limiter(real_decision_module(), {"s1": dial, "s2": dial, "s3": dial}) as limiter,
         ):
-            answers = [(await limiter.fetch(ask()))[0] for _ in range(30)]  # within the even share
-            assert all(" 200 " in answer for answer in answers)  # a lookup may be asked again elsewhere
+            answers = [(await limiter.fetch(ask()))[0] for _ in range(30)]  # within its even share
+            assert all(" 200 " in answer for answer in answers)  # a lookup may be retried on another server
 
     run(main())
 
 
 def test_single_broken_connections_make_no_server_dead() -> None:
-    """Each was a death, and the next answer a restart: cold for 15 s, and so all of them before long."""
+    """Guards against taking each broken connection for the death of a server and the next response for its restart:
+    soon all servers were cold for 15 s."""
 
     async def main() -> None:
         origin = Origin(lambda n: b"" if n % 6 == 0 else OK)
         async with (
             listening(origin.talk) as dial,
-            Limiter(real_decisions(), {"s1": dial, "s2": dial, "s3": dial}) as limiter,
+            Limiter(real_decision_module(), {"s1": dial, "s2": dial, "s3": dial}) as limiter,
         ):
             answers = [(await limiter.fetch(ask()))[0] for _ in range(30)]
             assert all(" 200 " in answer for answer in answers)
@@ -288,7 +295,7 @@
         origin = Origin(lambda n: rejected if n <= 8 else OK)
         async with (
             listening(origin.talk) as dial,
-            Limiter(real_decisions(), {"s1": dial, "s2": dial}) as limiter,
+            Limiter(real_decision_module(), {"s1": dial, "s2": dial}) as limiter,
         ):
             for attempts in range(1, 9):
                 assert " 502 " in (await limiter.fetch(ask()))[0] and len(origin.seen) == attempts
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""The servers' side over loopback sockets: what each ending proves, pooling, drains, limits."""
+"""Tests of the connections to servers over loopback sockets: exchange statuses, pooling, drains and limits."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 
 class Pool:
-    """An upstream with one server, ``s1``, and exchanges to wait for."""
+    """An ``Upstream`` with one server, ``s1``, and exchanges that can be awaited."""
 
     def __init__(
-        self, dial: str, conn_idle: float = 30.0, most: int = 200, dial_timeout: float = 5.0
+        self, dial: str, conn_idle: float = 30.0, max_connections: int = 200, dial_timeout: float = 5.0
     ) -> None:
         self.clock: Callable[[], float] = UnixClock()
-        self.upstream = Upstream(self.clock, dial_timeout, conn_idle, most)
+        self.upstream = Upstream(self.clock, dial_timeout, conn_idle, max_connections)
         self.upstream.update_server("s1", dial, True)
 
     def start(
@@ -61,7 +61,7 @@
         (reply("503 Full", "X-Not-Processed: 0\r\n"), Status.ERROR),
         (b"", Status.BROKEN),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\nhi", Status.TIMEOUT),
-        # Spoilt: it may have run, and the server is not dead. Each is judged without waiting for its end.
+        # Malformed: the request may have run, and the server is alive. Each is detected before the response ends.
         (b"what is this\r\n\r\n", Status.ERROR),
         (b"\x00\xff\x13\x37", Status.ERROR),
         (b"HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nhi", Status.ERROR),
@@ -97,7 +97,7 @@
 def test_a_refused_connection_never_ran() -> None:
     async def main() -> None:
         with socket.socket() as taken:
-            taken.bind(("127.0.0.1", 0))  # bound and not listening: refused
+            taken.bind(("127.0.0.1", 0))  # bound but not listening: connections are refused
             pool = Pool(f"127.0.0.1:{taken.getsockname()[1]}")
             assert (await pool.fetch()).status is Status.UNREACHABLE
             pool.upstream.close()
@@ -116,8 +116,8 @@
 def test_whatever_error_ends_a_connection_what_was_written_tells_whether_it_ran(
     whole: bool, number: int
 ) -> None:
-    """Read or write errors that Linux documents for an open connection: none of them proves that nothing ran once the
-    last byte has left, and each proves it before."""
+    """These are the read and write errors that Linux documents for an open connection. Before the last byte of the
+    request has been sent, each proves that it did not run; afterwards none does."""
 
     async def main() -> None:
         asked = asyncio.Event()
@@ -168,7 +168,7 @@
 
 
 def full_backlog() -> tuple[socket.socket, list[socket.socket]]:
-    """A listener that takes no more connections: a dial to it never comes up."""
+    """A listener whose backlog is full: a dial to it never completes."""
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen(0)
@@ -199,7 +199,8 @@
 
 
 def test_bytes_still_in_the_buffer_are_not_written() -> None:
-    """A break before the last byte has left proves that the request never ran; after it, nothing."""
+    """A connection that breaks before the last byte has been sent proves that the request never ran; afterwards it
+    proves nothing."""
 
     async def main() -> None:
         accepted, drop = asyncio.Event(), asyncio.Event()
@@ -211,7 +212,7 @@
 
         async with listening(talk) as dial:
             pool = Pool(dial)
-            huge, ended = pool.start(body=b"x" * 32_000_000)  # more than the sockets' buffers hold
+            huge, ended = pool.start(body=b"x" * 32_000_000)  # more than the socket buffers hold
             await accepted.wait()
             assert not huge.written
             drop.set()
@@ -247,7 +248,7 @@
                 answers.append(done.response_body)
                 if len(answers) == 2:
                     finished.set()
-                else:  # in the very call that tells of the first answer
+                else:  # within the callback of the first response
                     pool.upstream.start(Exchange("s1", HEAD, b"", pool.clock() + 10, again))
 
             pool.upstream.start(Exchange("s1", HEAD, b"", pool.clock() + 10, again))
@@ -259,7 +260,7 @@
 
 
 @pytest.mark.parametrize(
-    "begun",
+    "partial_response",
     [
         b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi",
         b"HTTP/1.1 200 OK\r\nX:",
@@ -267,14 +268,14 @@
     ],
 )
 def test_an_answer_that_begins_and_does_not_end_is_spoilt_and_no_silence(
-    begun: bytes, monkeypatch: pytest.MonkeyPatch
+    partial_response: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(upstream, "RESPONSE_PROGRESS_TIMEOUT_SECONDS", 0.05)
 
     async def main() -> None:
-        async with listening(Origin(lambda _n: begun).talk) as dial:
+        async with listening(Origin(lambda _n: partial_response).talk) as dial:
             pool = Pool(dial)
-            assert (await pool.fetch()).status is Status.ERROR  # well before its time is up
+            assert (await pool.fetch()).status is Status.ERROR  # long before its deadline
             pool.upstream.close()
 
     run(main())
@@ -313,7 +314,7 @@
         async with listening(talk) as dial:
             pool = Pool(dial)
             assert (await pool.fetch()).response_body == b"hi"
-            _, second = pool.start()  # at once, before the copy has come
+            _, second = pool.start()  # at once, before the copy has been sent
             release.set()
             assert (await second).response_body == b"hi"
             pool.upstream.close()
@@ -322,9 +323,8 @@
 
 
 def test_nor_one_that_this_process_was_too_slow_to_read(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(
-        upstream, "REUSE_DELAY_SECONDS", 0.0
-    )  # as after a stall, when the rest is over and nothing was read
+    # As after a stall of the process: the reuse delay is over, but nothing has been read.
+    monkeypatch.setattr(upstream, "REUSE_DELAY_SECONDS", 0.0)
 
     async def main() -> None:
         loop, listener = asyncio.get_running_loop(), socket.create_server(("127.0.0.1", 0))
@@ -336,7 +336,7 @@
             await loop.sock_recv(server, 4096)
             await loop.sock_sendall(server, OK)
             assert (await answered).response_body == b"hi"
-            server.send(OK.replace(b"hi", b"no"))  # and no turn of the loop until the next request
+            server.send(OK.replace(b"hi", b"no"))  # the event loop does not run before the next request
         pool.upstream.close()
         listener.close()
 
@@ -374,7 +374,7 @@
             pool.clock = pool.upstream._clock = lambda: 2e9 + 16.0
             for server in pool.upstream._servers.values():
                 for at, connection in enumerate(server.idle):
-                    connection.idle_since = 2e9 + at * 1e-6  # 16 s idle: past half of conn_idle
+                    connection.idle_since = 2e9 + at * 1e-6  # 16 s idle, more than half of conn_idle
             await pool.fetch()
             assert origin.connections == 3
             pool.upstream.close()
@@ -450,7 +450,7 @@
     async def main() -> None:
         silent = Origin(lambda _n: None)
         async with listening(silent.talk) as dial:
-            pool = Pool(dial, most=MAX_CONNECTIONS_PER_SERVER + 1)
+            pool = Pool(dial, max_connections=MAX_CONNECTIONS_PER_SERVER + 1)
             out = [pool.start()[0] for _ in range(MAX_CONNECTIONS_PER_SERVER)]
             assert (await pool.fetch()).status is Status.FULL
             pool.upstream.update_server("s2", dial, True)
@@ -468,7 +468,7 @@
     async def main() -> None:
         origin = Origin()
         async with listening(origin.talk) as dial:
-            pool = Pool(dial, most=1)
+            pool = Pool(dial, max_connections=1)
             pool.upstream.update_server("s2", dial, True)
             assert (await pool.fetch()).status is Status.OK
             assert (await pool.fetch(server="s2")).status is Status.OK
@@ -512,13 +512,12 @@
                 pool.upstream.retain_servers({f"t{at}"})
             assert set(pool.upstream._servers) == {"s1", "t99"}
             release.set()
-            assert (await answered).status is Status.OK  # what is out there may end
+            assert (await answered).status is Status.OK  # a request in progress may complete
             while "s1" in pool.upstream._servers:
                 await asyncio.sleep(0.001)
             assert (await pool.fetch()).status is Status.NOT_SENT
-            pool.upstream.update_server(
-                "s1", dial, True
-            )  # a return, at an old address: it starts with nothing
+            # It is listed again at an old address and starts without connections.
+            pool.upstream.update_server("s1", dial, True)
             assert pool.upstream._servers["s1"].open_connections == 0
             assert (await pool.fetch()).status is Status.OK
             pool.upstream.close()
@@ -535,12 +534,12 @@
         async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_message(reader)
             writer.write(OK)
-            await read_message(reader)  # and at the second request it breaks
+            await read_message(reader)  # returns, which closes the connection at the second request
 
         async with listening(talk) as dial:
             pool = Pool(dial)
             results = list[Status]()
-            for second in range(6):  # each rest is as long as the others, whatever this machine has to do
+            for second in range(6):  # equal idle times, however busy the machine is
                 pool.clock = pool.upstream._clock = lambda now=float(second): now  # type: ignore[misc]
                 results.append((await pool.fetch()).status)
             assert results == [Status.OK, Status.BROKEN, *[Status.OK] * 4]
