--- a/tests/test_endings_servers.py
+++ b/tests/test_endings_servers.py
@@ -1,4 +1,4 @@
-"""How exchanges with servers end: each crossing is forced on loopback sockets, in both orders."""
+"""How exchanges with servers end. Each race is forced on loopback sockets, in both orders."""
 
 from __future__ import annotations
 
@@ -33,11 +33,12 @@
 from tests.loopback import OK, SETTINGS, ask, listing, read_message, run
 
 HEAD = b"GET /lookup HTTP/1.1\r\nHost: x\r\n"
-ENDLESS = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"  # its end is its connection's
+# The response is delimited by the end of the connection.
+UNSIZED_RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
 
 
 class Peer:
-    """A server that a test plays by hand: it accepts, reads and writes when the test says so."""
+    """A server that is controlled by the test, which accepts, reads and writes on its sockets."""
 
     def __init__(self, backlog: int = 16) -> None:
         self.listener = socket.socket()
@@ -49,7 +50,7 @@
         self.held = list[socket.socket]()
 
     def fill(self) -> None:
-        """Take up the backlog: a dial from now on waits until ``admit``, and then for the next SYN (1 s)."""
+        """Fill the backlog: a dial from now on waits until ``admit``, and then for the next SYN (1 s)."""
         self.listener.listen(0)
         while True:
             client = socket.socket()
@@ -60,7 +61,7 @@
             self.held.append(client)
 
     async def admit(self) -> None:
-        """Make room: what waits comes up."""
+        """Empty the backlog, so that waiting dials complete."""
         for _ in self.held:
             (await self.accept()).close()
         self.listener.listen(16)
@@ -72,7 +73,7 @@
         return sock
 
     async def request(self) -> tuple[socket.socket, bytes]:
-        """A new connection and the head that comes on it."""
+        """Accept a connection; return it and the request head that arrives on it."""
         sock = await self.accept()
         return sock, await read_head(sock)
 
@@ -91,7 +92,7 @@
 
 
 async def end_of(sock: socket.socket) -> str:
-    """How the limiter ended a connection, whatever came before."""
+    """Discard what the limiter sends until it ends a connection; return how it did."""
     try:
         while await asyncio.get_running_loop().sock_recv(sock, 65536):
             pass
@@ -106,14 +107,14 @@
 
 
 class Pool:
-    """An upstream that knows the peer as ``s1``, and exchanges to wait for."""
+    """An ``Upstream`` that knows the peer as ``s1``, and exchanges that can be awaited."""
 
-    def __init__(self, peer: Peer, dial_timeout: float = 10.0, most: int = 64) -> None:
+    def __init__(self, peer: Peer, dial_timeout: float = 10.0, max_connections: int = 64) -> None:
         self.clock = UnixClock()
-        self.upstream = Upstream(self.clock, dial_timeout, 1000.0, most)
+        self.upstream = Upstream(self.clock, dial_timeout, 1000.0, max_connections)
         self.upstream.update_server("s1", peer.dial, True)
-        self.flow = bytearray()  # what a client got of an answer that flowed
-        self.flowing = asyncio.Event()
+        self.streamed = bytearray()  # what the client received of a streamed response
+        self.streaming_started = asyncio.Event()
 
     def start(
         self, timeout: float = 15.0, flows: bool = False, server: str = "s1", **more: Any
@@ -121,31 +122,31 @@
         ended = asyncio.get_running_loop().create_future()
         exchange = Exchange(server, HEAD, b"", self.clock() + timeout, ended.set_result, **more)
         if flows:
-            exchange.on_download = self._begun
+            exchange.on_download = self._on_download
         self.upstream.start(exchange)
         return exchange, ended
 
-    def _begun(self, _exchange: Exchange, download: Download) -> None:
+    def _on_download(self, _exchange: Exchange, download: Download) -> None:
         def write(data: bytes) -> None:
-            self.flow.extend(data)
-            self.flowing.set()
+            self.streamed.extend(data)
+            self.streaming_started.set()
 
         download.turn(write, chunked=False)
-        self.flowing.set()
+        self.streaming_started.set()
 
     @property
     def server(self) -> Any:
         return self.upstream._servers["s1"]
 
     async def at_rest(self) -> None:
-        """Nothing is open, nothing is timed; only a hang keeps this from its end."""
+        """Wait until no connection and no dial is open. This does not return if something is leaked."""
         while self.upstream._open_connections or self.upstream._dial_tasks:
             await asyncio.sleep(0.001)
         assert not self.upstream.streaming_connections and self.upstream.relay.active == 0
         assert all(s.open_connections == 0 and not s.idle for s in self.upstream._servers.values())
 
 
-# An answer without a length ends with its connection: only an end of file that was received is its end.
+# A response without a length is delimited by the end of its connection, and only a received EOF counts as that.
 
 
 @pytest.mark.parametrize("flows", [False, True], ids=["held", "flowing"])
@@ -156,9 +157,9 @@
         pool = Pool(peer)
         exchange, ended = pool.start(flows=flows)
         sock, _ = await peer.request()
-        sock.send(ENDLESS + (b"hel" if end == "RST before it" else b"hello"))
+        sock.send(UNSIZED_RESPONSE_HEAD + (b"hel" if end == "RST before it" else b"hello"))
         if flows:
-            await pool.flowing.wait()
+            await pool.streaming_started.wait()
         if end == "FIN":
             sock.close()
         elif end == "nothing":
@@ -189,7 +190,7 @@
         pool = Pool(peer)
         _, ended = pool.start(flows=True)
         sock, _ = await peer.request()
-        sock.send(ENDLESS + b"hello")
+        sock.send(UNSIZED_RESPONSE_HEAD + b"hello")
         done = await ended
         assert done.status is Status.ERROR and done.download is not None and not done.download.whole
         assert await end_of(sock) in ("FIN", "RST")
@@ -202,14 +203,14 @@
 
 @pytest.mark.parametrize("end", ["abort", "close"])
 def test_our_own_end_of_a_connection_ends_no_answer(end: str) -> None:
-    """Whoever shuts the transport under an exchange, for whatever reason, now or later."""
+    """A transport that this process closes or aborts during an exchange, for whatever reason, is not a received EOF."""
 
     async def main() -> None:
         peer = Peer()
         pool = Pool(peer)
         exchange, ended = pool.start()
         sock, _ = await peer.request()
-        sock.send(ENDLESS + b"hello")
+        sock.send(UNSIZED_RESPONSE_HEAD + b"hello")
         while not exchange.connection or not exchange.connection._received_bytes:
             await asyncio.sleep(0.001)
         assert exchange.connection.transport is not None
@@ -223,8 +224,8 @@
 
 
 def test_an_early_answer_whose_connection_we_abort_is_none() -> None:
-    """An answer without a length comes before its upload is whole; what comes behind the upload's last byte while
-    that still waits to be written makes us abort."""
+    """A response without a length begins before the upload is complete. Data that arrives after the last byte of the
+    upload, while that is still unwritten, makes this process abort the connection."""
 
     async def main() -> None:
         peer = Peer()
@@ -232,10 +233,10 @@
         body = Upload(64_000_000, lambda _held: None)
         exchange, ended = pool.start(upload=body, response_timeout=15.0)
         sock, _ = await peer.request()
-        sock.send(ENDLESS + b"hel")
+        sock.send(UNSIZED_RESPONSE_HEAD + b"hel")
         while not exchange.connection or not exchange.connection._received_bytes:
             await asyncio.sleep(0.001)
-        body.feed(b"x" * 64_000_000)  # more than the kernel takes, and the peer reads nothing
+        body.feed(b"x" * 64_000_000)  # more than the kernel buffers, and the peer does not read
         body.finish()
         assert not exchange.written
         sock.send(b"lo")
@@ -247,7 +248,7 @@
     run(main())
 
 
-# A send's first byte leaves by its latest instant, or never.
+# The first byte of a request is written by its ``latest_start``, or the request is not sent.
 
 
 def test_a_dial_that_comes_up_behind_the_latest_instant_of_its_send_carries_nothing() -> None:
@@ -257,19 +258,17 @@
         pool = Pool(peer)
         exchange, ended = pool.start(latest_start=pool.clock() + 0.2)
         done = await ended
-        assert (
-            done.status is Status.NOT_SENT and pool.upstream._dial_tasks
-        )  # said at once, not when the dial is over
+        # It is reported at once, not when the dial ends.
+        assert done.status is Status.NOT_SENT and pool.upstream._dial_tasks
         assert exchange.timer is not None and exchange.timer.cancelled()
         await peer.admit()
         sock = await peer.accept()
         while not pool.server.idle:
             await asyncio.sleep(0.001)
-        again, answered = (
-            pool.start()
-        )  # the connection is kept for the next one, which is the first to be seen
+        # The connection is kept for the next request, which is the first one that the peer sees.
+        again, answered = pool.start()
         assert again.connection is None or len(pool.server.idle) == 0
-        if again.connection is None:  # it has not rested yet: this is a dial of its own
+        if again.connection is None:  # the reuse delay is not over, so it has dialled
             sock, _ = await peer.request()
         else:
             await read_head(sock)
@@ -293,9 +292,8 @@
         await peer.admit()
         sock, _ = await peer.request()
         assert exchange.timer is not None
-        assert (
-            exchange.timer.when() > asyncio.get_running_loop().time() + 8.0
-        )  # of its time-out, not of its send
+        # The timer is that of the response, no longer that of the send.
+        assert exchange.timer.when() > asyncio.get_running_loop().time() + 8.0
         sock.send(OK)
         assert (await ended).status is Status.OK
         pool.upstream.close()
@@ -323,23 +321,23 @@
         held = pool.clock() - 0.001 if kept else pool.clock() + 10.0
         exchange, ended = pool.start(latest_start=held)
         if not kept:
-            await asyncio.sleep(0)  # the dial is begun
-            exchange.latest_start = pool.clock()  # and nobody looks until it is up
+            await asyncio.sleep(0)  # the dial task starts
+            exchange.latest_start = pool.clock()  # not checked before the dial completes
         assert (await ended).status is Status.NOT_SENT
         if not kept:
             sock = await peer.accept()
         while pool.upstream._dial_tasks:
             await asyncio.sleep(0.001)
         pool.upstream.close()
-        assert await asyncio.get_running_loop().sock_recv(sock, 10) == b"", "it saw bytes"
+        assert await asyncio.get_running_loop().sock_recv(sock, 10) == b"", "it received data"
         await pool.at_rest()
         peer.close()
 
     run(main())
 
 
-class Whole:
-    """A limiter with the real decisions, in this process."""
+class FullLimiter:
+    """A limiter with the real decision module, in this process."""
 
     def __init__(
         self, dials: dict[str, str], counter: Any = None, dial_timeout: float = 5.0, **more: Any
@@ -352,7 +350,7 @@
         self.frontend = Frontend(self.node, settings, max_connections=64)
         self.node.apply_listing(listing(dials))
 
-    async def __aenter__(self) -> Whole:
+    async def __aenter__(self) -> FullLimiter:
         self._address = await self.frontend.listen("127.0.0.1", 0)
         return self
 
@@ -377,7 +375,7 @@
     async def main() -> None:
         first, second = Peer(), Peer()
         second.fill()
-        async with Whole({"s1": first.dial}, classes=(keyed,)) as limiter:
+        async with FullLimiter({"s1": first.dial}, classes=(keyed,)) as limiter:
             asked = ask("/entry?account=00000000b4d65521", b"x", ttl=3000, Idempotency_Key="k1")
             reader, writer = await limiter.ask(asked)
             sock, _ = await first.request()
@@ -388,15 +386,13 @@
                 or limiter.upstream._servers["s2"].open_connections != 1
             ):
                 await asyncio.sleep(0.001)
-            await asyncio.sleep(0.5)  # the window ends
+            await asyncio.sleep(0.5)  # until the window has ended
             await second.admit()
             late = await second.accept()
             while limiter.upstream._dial_tasks:
                 await asyncio.sleep(0.001)
-            limiter.node.apply_listing(listing({}))  # ends what the dial has brought
-            assert await asyncio.get_running_loop().sock_recv(late, 10) == b"", (
-                "it was sent behind its window"
-            )
+            limiter.node.apply_listing(listing({}))  # closes the connection that the dial made
+            assert await asyncio.get_running_loop().sock_recv(late, 10) == b"", "it was sent after its window"
             assert " 429 " in (await read_message(reader))[0]
             limiter.at_rest()
             writer.close()
@@ -412,7 +408,7 @@
     async def main() -> None:
         first, second = Peer(), Peer()
         second.fill()
-        async with Whole({"s1": first.dial}, dial_timeout=15.0, classes=(keyed,)) as limiter:
+        async with FullLimiter({"s1": first.dial}, dial_timeout=15.0, classes=(keyed,)) as limiter:
             asked = ask("/entry?account=00000000b4d65521", b"x", ttl=15000, Idempotency_Key="k1")
             reader, writer = await limiter.ask(asked)
             sock, _ = await first.request()
@@ -430,10 +426,10 @@
     run(main())
 
 
-# A server that is told to drain, gone, banned, moved or restarted.
+# A server that drains, is gone, is banned, has moved or has restarted.
 
 ELSEWHERE = "127.0.0.1:1"
-LEAVE: dict[str, Callable[[Upstream, str], None]] = {
+REMOVALS: dict[str, Callable[[Upstream, str], None]] = {
     "drains": lambda u, dial: u.update_server("s1", dial, False, 5.0),
     "gone": lambda u, _dial: u.update_server("s1", "", False),
     "off the list": lambda u, _dial: u.retain_servers({"s2"}),
@@ -443,7 +439,7 @@
 }
 
 
-@pytest.mark.parametrize("tell", LEAVE.values(), ids=LEAVE)
+@pytest.mark.parametrize("tell", REMOVALS.values(), ids=REMOVALS)
 def test_what_waits_for_a_dial_to_a_server_that_leaves_ends_at_once_and_unsent(
     tell: Callable[[Upstream, str], None],
 ) -> None:
@@ -453,14 +449,16 @@
         pool = Pool(peer)
         pool.upstream.update_server("s1", peer.dial, True, 5.0)
         exchange, ended = pool.start()
-        for _ in range(3):  # the dial is on its way
+        for _ in range(3):  # until the dial is in progress
             await asyncio.sleep(0)
         tell(pool.upstream, peer.dial)
         assert ended.done() and exchange.status is Status.NOT_SENT and pool.upstream._dial_tasks
         assert exchange.timer is not None and exchange.timer.cancelled()
         await peer.admit()
         sock = await peer.accept()
-        assert await asyncio.get_running_loop().sock_recv(sock, 10) == b"", "it saw bytes, or is kept"
+        assert await asyncio.get_running_loop().sock_recv(sock, 10) == b"", (
+            "it received data, or the connection is kept"
+        )
         await pool.at_rest()
         pool.upstream.close()
         peer.close()
@@ -468,7 +466,7 @@
     run(main())
 
 
-@pytest.mark.parametrize("tell", LEAVE.values(), ids=LEAVE)
+@pytest.mark.parametrize("tell", REMOVALS.values(), ids=REMOVALS)
 def test_a_kept_connection_to_a_server_that_leaves_is_closed(tell: Callable[[Upstream, str], None]) -> None:
     async def main() -> None:
         peer = Peer()
@@ -479,7 +477,7 @@
         sock.send(OK)
         await ended
         assert len(pool.server.idle) == 1
-        pool.upstream.update_server("s1", peer.dial, True, 5.0)  # the same once more says nothing new
+        pool.upstream.update_server("s1", peer.dial, True, 5.0)  # an unchanged entry has no effect
         assert len(pool.server.idle) == 1
         tell(pool.upstream, peer.dial)
         assert await asyncio.get_running_loop().sock_recv(sock, 10) == b""
@@ -490,7 +488,7 @@
     run(main())
 
 
-@pytest.mark.parametrize("tell", LEAVE.values(), ids=LEAVE)
+@pytest.mark.parametrize("tell", REMOVALS.values(), ids=REMOVALS)
 def test_a_request_that_is_out_at_a_server_that_leaves_is_answered_and_its_connection_not_kept(
     tell: Callable[[Upstream, str], None],
 ) -> None:
@@ -503,7 +501,7 @@
         tell(pool.upstream, peer.dial)
         sock.send(OK)
         assert (await ended).response_body == b"hi"
-        assert await asyncio.get_running_loop().sock_recv(sock, 10) == b"", "kept"
+        assert await asyncio.get_running_loop().sock_recv(sock, 10) == b"", "the connection is kept"
         await pool.at_rest()
         pool.upstream.close()
         peer.close()
@@ -511,11 +509,11 @@
     run(main())
 
 
-@pytest.mark.parametrize("tell", LEAVE.values(), ids=LEAVE)
+@pytest.mark.parametrize("tell", REMOVALS.values(), ids=REMOVALS)
 def test_a_request_whose_first_bytes_have_left_goes_on_when_its_server_leaves(
     tell: Callable[[Upstream, str], None],
 ) -> None:
-    """For drains a send counts from its first byte."""
+    """A request counts as sent before a drain once its first byte has been sent."""
 
     async def main() -> None:
         peer = Peer()
@@ -558,15 +556,15 @@
 
 
 def test_a_request_that_waits_for_a_dial_to_a_server_that_drains_is_served_elsewhere_in_time() -> None:
-    """The decisions hear of the whole list before they hear what it ended: the second attempt, the last that this
-    request has, goes to the one server that does not drain."""
+    """The decision module handles the complete list before the outcomes of the attempts that it ended. Otherwise the
+    second and last attempt of this request would go to another server that drains."""
 
     async def main() -> None:
         peers = [Peer() for _ in range(6)]
         peers[0].fill()
         dials = {f"s{n}": peer.dial for n, peer in enumerate(peers)}
         slow = api.RequestClass("lookup", 15.0, 1.0, api.Effect.SAFE)
-        async with Whole({"s0": dials["s0"]}, dial_timeout=15.0, classes=(slow,)) as limiter:
+        async with FullLimiter({"s0": dials["s0"]}, dial_timeout=15.0, classes=(slow,)) as limiter:
             reader, writer = await limiter.ask(ask(ttl=15000))
             while not limiter.upstream._dial_tasks:
                 await asyncio.sleep(0.001)
@@ -583,7 +581,9 @@
             assert (await read_message(reader))[2] == b"hi"
             await peers[0].admit()
             late = await peers[0].accept()
-            assert await asyncio.get_running_loop().sock_recv(late, 10) == b"", "it saw bytes, or is kept"
+            assert await asyncio.get_running_loop().sock_recv(late, 10) == b"", (
+                "it received data, or the connection is kept"
+            )
             limiter.at_rest()
             writer.close()
         for peer in peers:
@@ -592,17 +592,18 @@
     run(main())
 
 
-# A client that leaves while its request waits.
+# A client that disconnects while its request waits.
 
 
 @pytest.mark.parametrize("first", ["client", "dial"])
 def test_nothing_is_sent_for_a_client_that_left_while_its_dial_waited(first: str) -> None:
-    """In both orders; the connection that comes up is kept, and serves the next request."""
+    """The dial may complete before or after the client disconnects. A connection without a request is kept and
+    serves the next one."""
 
     async def main() -> None:
         peer = Peer()
         peer.fill()
-        async with Whole({"s1": peer.dial}) as limiter:
+        async with FullLimiter({"s1": peer.dial}) as limiter:
             _, writer = await limiter.ask(ask())
             while not limiter.upstream._dial_tasks:
                 await asyncio.sleep(0.001)
@@ -614,7 +615,7 @@
                 assert limiter.upstream._dial_tasks, "the dial is not over"
             await peer.admit()
             sock = await peer.accept()
-            if first == "dial":  # the request is out: leaving ends its connection
+            if first == "dial":  # the request has been sent, so the disconnect closes its connection
                 await read_head(sock)
                 writer.close()
                 assert await end_of(sock) in ("FIN", "RST")
@@ -625,7 +626,7 @@
                 while not server.idle:
                     await asyncio.sleep(0.001)
                 assert server.open_connections == 1 and not server.waiting_for_dial
-                server.idle[0].idle_since = 0.0  # it has rested, whatever this machine has to do
+                server.idle[0].idle_since = 0.0  # the reuse delay is over, however busy the machine is
                 limiter.upstream._idle_timeout = math.inf
                 reader, writer = await limiter.ask(ask())
                 head = await read_head(sock)
@@ -639,7 +640,7 @@
     run(main())
 
 
-# Answers that never end, or that are none.
+# Responses that never end, and data that is not a valid response.
 
 
 @pytest.mark.parametrize(
@@ -654,7 +655,7 @@
     ids=["500 in chunks", "503 to the end", "404, half a head", "200, half a head", "103, half a head"],
 )
 def test_only_a_good_answer_flows(head: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    """What takes longer than an answer is held is passed on as it comes, if it is one."""
+    """A response that takes longer than it is buffered is streamed only if its status is 200."""
     monkeypatch.setattr(net_upstream, "UNSIZED_RESPONSE_HOLD_SECONDS", 0.01)
     monkeypatch.setattr(net_upstream, "RESPONSE_PROGRESS_TIMEOUT_SECONDS", 0.05)
 
@@ -665,7 +666,7 @@
         sock, _ = await peer.request()
         sock.send(head)
         done = await ended
-        assert done.status is Status.ERROR and done.download is None and not pool.flow
+        assert done.status is Status.ERROR and done.download is None and not pool.streamed
         assert await end_of(sock) in ("FIN", "RST")
         await pool.at_rest()
         pool.upstream.close()
@@ -688,11 +689,11 @@
         sock.send(f"HTTP/1.1 {status}\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nno\r\n".encode())
         while not exchange.connection or exchange.connection._progress_timer is None:
             await asyncio.sleep(0.001)
-        await asyncio.sleep(0.02)  # the time for which a good one would be held
+        await asyncio.sleep(0.02)  # the time for which a response with status 200 would be buffered
         sock.send(b"0\r\n\r\n")
         done = await ended
         assert done.status is (Status.ERROR if status[0] == "5" else Status.REJECTED)
-        assert done.response_body == b"no" and done.download is None and not pool.flow
+        assert done.response_body == b"no" and done.download is None and not pool.streamed
         pool.upstream.close()
         await pool.at_rest()
         peer.close()
@@ -700,31 +701,31 @@
     run(main())
 
 
-COPY = OK.replace(b"hi", b"no")
+SECOND_RESPONSE = OK.replace(b"hi", b"no")
 
 
 @pytest.mark.parametrize("when", ["unread when it is taken", "read while it rests", "in the same piece"])
 def test_a_second_copy_of_an_answer_meets_no_other_request(
     when: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A loop that is held between the answer and the next request looks at what came meanwhile."""
+    """An event loop that is blocked between a response and the next request checks for data that arrived meanwhile."""
 
     async def main() -> None:
         peer = Peer()
         pool = Pool(peer)
         _, ended = pool.start()
         sock, _ = await peer.request()
-        sock.send(OK + COPY if when == "in the same piece" else OK)
+        sock.send(OK + SECOND_RESPONSE if when == "in the same piece" else OK)
         await ended
         for connection in pool.server.idle:
-            connection.idle_since -= 1.0  # it has rested
+            connection.idle_since -= 1.0  # the reuse delay is over
         if when != "in the same piece":
-            sock.send(COPY)
+            sock.send(SECOND_RESPONSE)
         if when == "read while it rests":
             while pool.server.open_connections:
                 await asyncio.sleep(0.001)
         _, ended = pool.start()
-        fresh, _ = await peer.request()  # on a connection of its own
+        fresh, _ = await peer.request()  # on a new connection
         fresh.send(OK)
         assert (await ended).response_body == b"hi"
         assert await end_of(sock) in ("FIN", "RST")
@@ -740,13 +741,13 @@
 def test_what_a_server_says_before_it_is_asked_answers_nothing(
     first: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """On a new connection: it comes in the turn of the loop in which the dial is known to be up."""
+    """The data arrives on a new connection in the loop iteration in which the dial completes."""
     peer = Peer()
     connect = uvloop.Loop.create_connection
 
     async def up(*where: Any) -> Any:
         made = await connect(*where)
-        sock, _ = peer.listener.accept()  # the loop stands still, and the peer does not
+        sock, _ = peer.listener.accept()  # the peer goes on while the event loop is blocked
         peer.taken.append(sock)
         sock.send(first)
         return made
@@ -761,7 +762,7 @@
         sock = peer.taken[0]
         sock.setblocking(False)
         with contextlib.suppress(ConnectionResetError):
-            assert await asyncio.get_running_loop().sock_recv(sock, 10) == b"", "it was asked"
+            assert await asyncio.get_running_loop().sock_recv(sock, 10) == b"", "it received a request"
         await pool.at_rest()
         pool.upstream.close()
         peer.close()
@@ -770,7 +771,7 @@
 
 
 def test_an_answer_to_a_request_that_is_not_out_whole_is_none_also_on_a_kept_connection() -> None:
-    """A late copy that comes while the next request is still on its way: that one never ran."""
+    """A late copy of a response arrives while the next request is still being written: that request never ran."""
 
     async def main() -> None:
         peer = Peer()
@@ -784,7 +785,7 @@
         exchange = Exchange("s1", HEAD, b"x" * 32_000_000, pool.clock() + 15.0, lambda _done: None)
         pool.upstream.start(exchange)
         assert exchange.connection is not None and not exchange.written
-        sock.send(COPY)
+        sock.send(SECOND_RESPONSE)
         while not exchange.ended:
             await asyncio.sleep(0.001)
         assert exchange.status is Status.DROPPED and exchange.response_body == b""
@@ -848,7 +849,8 @@
 
 @pytest.mark.parametrize("answer", ["500", "413", "200"])
 def test_an_early_answer_to_an_upload_leaves_no_connection_that_waits_to_be_read(answer: str) -> None:
-    """The server answers before the upload is whole, and reads no more of it: what waits to be written never goes."""
+    """The server responds before the upload is complete and reads no more of it, so that the unwritten rest can never
+    be sent."""
 
     async def main() -> None:
         peer = Peer()
@@ -861,7 +863,7 @@
         sock.send(f"HTTP/1.1 {answer} X\r\nContent-Length: 2\r\n\r\nhi".encode())
         assert (await ended).response_body == b"hi"
         await pool.at_rest()
-        body.feed(b"x" * 32_000_000)  # goes nowhere
+        body.feed(b"x" * 32_000_000)  # is discarded
         body.finish()
         pool.upstream.close()
         peer.close()
@@ -869,11 +871,11 @@
     run(main())
 
 
-# The process ends.
+# The process exits.
 
 
 def test_a_process_that_ends_leaves_no_dial_and_no_kept_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    """One dial does not come up; one is up at that moment, and its request does not know yet."""
+    """One dial does not complete; another has just completed, but its request has not been written yet."""
     made = net_upstream._Connection.connection_made
 
     async def main() -> None:
@@ -897,7 +899,7 @@
         while pool.upstream._dial_tasks:
             await asyncio.sleep(0.001)
         assert await end_of(kept) == "FIN" and not waiting.written and not begun.written
-        assert await asyncio.get_running_loop().sock_recv(sock, 10) == b"", "it saw bytes"
+        assert await asyncio.get_running_loop().sock_recv(sock, 10) == b"", "it received data"
         peer.close()
         late.close()
 
@@ -906,7 +908,7 @@
 
 @pytest.mark.parametrize("side", ["server", "counter"])
 def test_small_writes_are_not_held_back(side: str) -> None:
-    """uvloop sets TCP_NODELAY on every connection that it makes."""
+    """TCP_NODELAY is set on connections to servers and to the counter; uvloop does so on each connection it makes."""
 
     async def main() -> None:
         peer = Peer()
@@ -934,14 +936,14 @@
     run(main())
 
 
-# All of it together, in random order, on a loop in virtual time.
+# All of these events in random order, on an event loop in virtual time.
 
 ANSWERS: tuple[Callable[[Any], None], ...] = (
     lambda t: t.write(OK),
     lambda t: t.write(OK),
     lambda t: t.write(b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"),
     lambda t: t.write(b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"),
-    lambda t: t.write(OK + COPY),
+    lambda t: t.write(OK + SECOND_RESPONSE),
     lambda t: t.write(b"what is this\r\n\r\n"),
     lambda t: t.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal"),
     lambda t: t.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n"),
@@ -951,11 +953,11 @@
     lambda t: reset_of(t),
     lambda t: t.close(),
 )
-NOT_RUN = 3  # the one of them that proves it
+NOT_RUN = 3  # index of the answer that proves that the request did not run
 
 
 def end_with(transport: Any, body: bytes, end: Callable[[], None]) -> None:
-    transport.write(ENDLESS + body)
+    transport.write(UNSIZED_RESPONSE_HEAD + body)
     end()
 
 
@@ -966,8 +968,8 @@
     transport.abort()
 
 
-class Backend(asyncio.Protocol):
-    """A server's connection: what comes whole waits for the play's answer."""
+class ServerProtocol(asyncio.Protocol):
+    """A server's connection: complete requests wait until ``Play`` responds to them."""
 
     def __init__(self, play: Play) -> None:
         self.play, self.data = play, b""
@@ -986,8 +988,8 @@
             self.play.came(id[1].decode(), self.transport)
 
 
-class Tally(asyncio.Protocol):
-    """A counter's connection: lines wait for the play's answer."""
+class CounterProtocol(asyncio.Protocol):
+    """A counter's connection: lines wait until ``Play`` answers them."""
 
     def __init__(self, play: Play) -> None:
         self.play, self.data = play, b""
@@ -1001,17 +1003,16 @@
 
 
 class Play:
-    """One limiter between scripted clients, servers and counter."""
+    """One limiter with scripted clients, servers and a scripted counter."""
 
     def __init__(self, loop: Any, config: api.Settings) -> None:
         self.loop, self.config = loop, config
-        self.asked = list[tuple[str, Any]]()  # whole at a server, and not answered
-        self.seen = dict[
-            str, list[tuple[float, bool]]
-        ]()  # when each came whole, and whether it surely did not run
+        self.asked = list[tuple[str, Any]]()  # complete at a server, without a response
+        # By request id: when each attempt had arrived completely, and whether it certainly did not run.
+        self.seen = dict[str, list[tuple[float, bool]]]()
         self.lines, self.totals = list[tuple[bytes, Any]](), dict[bytes, float]()
         self.clients = list[dict[str, Any]]()
-        self.late = 0.0  # seconds by which dials to servers come up late; below 0: never
+        self.late = 0.0  # seconds by which dials to servers are delayed; they never complete if negative
         self.born = 0.0
         clock = loop.time
         self.upstream = Upstream(clock, 2.0, 30.0, 64)
@@ -1031,8 +1032,8 @@
 
         self.loop.network.connect = dial
         for address in self.dials.values():
-            await self.loop.create_server(lambda: Backend(self), *split_address(address))
-        await self.loop.create_server(lambda: Tally(self), "10.0.9.9", 9000)
+            await self.loop.create_server(lambda: ServerProtocol(self), *split_address(address))
+        await self.loop.create_server(lambda: CounterProtocol(self), "10.0.9.9", 9000)
         self.counter.start()
         self.address = await self.frontend.listen("10.0.0.1", 80)
         self.tell(api.Health.UP, range(4), True)
@@ -1048,7 +1049,7 @@
         self.seen.setdefault(id, []).append((self.loop.time(), False))
         self.asked.append((id, transport))
 
-    # Moves.
+    # Steps, called by name.
 
     def client_comes(self, a: int, b: int) -> None:
         kind = ("lookup", "entry", "post")[a % 3]
@@ -1127,7 +1128,7 @@
     def counter_moves(self, a: int, _b: int) -> None:
         self.counter.move(("10.0.9.9", "10.0.9.8")[a % 2], 9000)
 
-    # The end.
+    # The final state.
 
     def settled(self) -> None:
         assert not self.node.open_requests and not self.gateway._requests
@@ -1146,22 +1147,22 @@
         for client in self.clients:
             got, id = client["got"], client["id"]
             assert got.count(b"HTTP/1.1 ") == 1 if not client["left"] else not got, f"{id}: {got!r:.200}"
-            assert b" 200 " not in got[:15] or b"no" not in got, "it met another request's answer"
+            assert b" 200 " not in got[:15] or b"no" not in got, "it got another request's response"
             came = self.seen.get(id, [])
-            assert all(at <= client["over"] + 0.01 for at, _ in came), f"{id} was sent behind its end"
+            assert all(at <= client["over"] + 0.01 for at, _ in came), f"{id} was sent after its end"
             unsafe = self.config.classes[-1].name == client["kind"] and not self.retuned
             assert not unsafe or sum(not unrun for _, unrun in came) <= 1, f"{id} ran twice"
 
     retuned = False
 
 
-TURNS = (
+STEPS = (
     *["client_comes"] * 6, *["server_answers"] * 5, *["counter_answers"] * 4, "client_leaves", "client_leaves",
     "list_changes", "operators", "dials_change", "retune", "counter_moves",
 )  # fmt: skip
 turns = st.lists(
     st.tuples(
-        st.sampled_from(TURNS), st.integers(0, 1000), st.integers(0, 1000), st.sampled_from((0.0, 0.001, 0.05, 0.4))
+        st.sampled_from(STEPS), st.integers(0, 1000), st.integers(0, 1000), st.sampled_from((0.0, 0.001, 0.05, 0.4))
     ),
     min_size=30, max_size=90,
 )  # fmt: skip
@@ -1197,7 +1198,7 @@
         for _ in range(70):
             play.counter_answers(4, 2)
             await asyncio.sleep(0.25)
-        # A call that a tick just made is owed its answer, or, where nobody is at the counter's address, its time.
+        # A counter call of the last tick gets its answer or, if nothing listens at the counter's address, times out.
         await asyncio.sleep(2 * config.counter_timeout)
         while play.lines:
             play.counter_answers(4, 2)
@@ -1211,16 +1212,17 @@
 
 
 def test_an_upload_that_is_whole_before_its_dial_is_up_has_a_time_for_its_answer() -> None:
-    """Else the decisions never hear of it, and the node answers 504 for them: a failure for a request never sent."""
+    """Otherwise the decision module would not be told, and the node would respond 504 for a request that was never
+    sent."""
 
     async def main() -> None:
         peer = Peer()
         peer.fill()
-        async with Whole({"s1": peer.dial}, dial_timeout=15.0) as limiter:
+        async with FullLimiter({"s1": peer.dial}, dial_timeout=15.0) as limiter:
             reader, writer = await limiter.ask(b"")
             while not limiter.frontend._clients:
                 await asyncio.sleep(0.001)
-            (client,) = limiter.frontend._clients  # all of it comes with one read
+            (client,) = limiter.frontend._clients  # one read delivers the whole request
             client.data_received(ask("/post?account=00000000b4d65521", b"x" * (KEEP + 2000), ttl=500))
             assert " 429 " in (await read_message(reader))[0] and limiter.upstream._dial_tasks
             limiter.at_rest()
