--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -151,6 +151,7 @@
         self._discovery_contact_at = self._clock()
 
     def arrived(self, request: ClientRequest) -> None:
+        """Open a client's request, whose body may still be incomplete, and pass it to the decision module."""
         event = request.event
         assert event is not None
         left = max(MIN_TIME_LEFT_SECONDS, event.ttl - request.waited)
@@ -193,6 +194,7 @@
         self.feed(api.Began(id, number, attempt.server, attempt.elapsed, attempt.report))
 
     def departed(self, request: ClientRequest) -> None:
+        """Drop a request whose client has disconnected, and tell the decision module."""
         if request.event is not None and self._remove_request(request.event.id) is not None:
             self.feed(api.Departed(request.event.id))
 
--- a/cypresspulley/net/upstream.py
+++ b/cypresspulley/net/upstream.py
@@ -200,6 +200,7 @@
             exchange.upload.hold(False)
 
     def send(self, exchange: Exchange, data: bytes) -> None:
+        """Write the request of an exchange, or its head if the body is an upload, and receive its response."""
         assert self.transport is not None
         self._reset_response()
         self.exchange, exchange.connection = exchange, self
@@ -693,6 +694,7 @@
         self._count_closed(connection.server)
 
     def close(self) -> None:
+        """Cancel all dials and close all idle connections; exchanges in progress are left alone."""
         self._sweep_timer.cancel()
         for dial in self._dial_tasks:
             dial.cancel()
