--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -25,7 +25,7 @@
 from cypresspulley.net.door import Door
 from cypresspulley.net.frontend import Frontend, PathHandler
 from cypresspulley.net.http import split_address
-from cypresspulley.net.node import Decisions, Node, UnixClock
+from cypresspulley.net.node import DecisionModule, Node, UnixClock
 from cypresspulley.net.upstream import Upstream
 from cypresspulley.operators import Operators, OperatorsError, load_operators
 from cypresspulley.policy.gateway import Gateway
@@ -97,7 +97,7 @@
     operators: Operators,
     clock: Callable[[], float] | None = None,
     reread: Callable[[], Config] = configured,
-    watched: Callable[[Gateway], Decisions] | None = None,
+    watched: Callable[[Gateway], DecisionModule] | None = None,
     opened: Callable[[Service], None] | None = None,
     wall: Callable[[], float] = time.time,
     history: AnyHistory | None = None,
@@ -131,7 +131,7 @@
     gateway = _gateway(config, clock)
     if offer is not None and not service.adopt(gateway, clock(), offer, upstream):
         gateway, offer = _gateway(config, clock), None
-    decisions: Decisions = gateway if watched is None else watched(gateway)
+    decisions: DecisionModule = gateway if watched is None else watched(gateway)
     plans = None
     if operators.plans is not None:
         decisions, plans = _plans(config, operators.plans, decisions, gateway, clock)
@@ -144,15 +144,17 @@
     if operators.tally is not None:
         from cypresspulley.tally import Tally
 
-        decisions = Tally(decisions, operators.tally, config.settings.warm_after, lambda: upstream.dials)
+        decisions = Tally(
+            decisions, operators.tally, config.settings.warm_after, lambda: upstream.dials_started
+        )
     node, access_log = _node(config.settings, decisions, clock, upstream, counter, operators, together)
     if config.known is not None and offer is None:
-        node.listed(config.known)
+        node.apply_listing(config.known)
     between = PeerLink(node)
     await between.follow(config)
     other = _other_front(config.settings, operators, clock)
     frontend = Frontend(node, config.settings, clients, other, time.monotonic if alone else clock)
-    frontend.on_sweep = partial(node.look_at, time.time) if alone else None
+    frontend.on_sweep = partial(node.check_wall_clock, time.time) if alone else None
     frontend.relay = upstream.relay
     try:
         if config.operator is None:
@@ -162,7 +164,9 @@
     except OSError as error:
         raise ConfigError(f"cannot listen: {error}") from None
     since = config.known.version if config.known else None
-    follower = Follower(node.listed, Random(config.seed).random, timing.discovery_pushes, node.confirmed)
+    follower = Follower(
+        node.apply_listing, Random(config.seed).random, timing.discovery_pushes, node.record_discovery_contact
+    )
     follower.follow(*config.discovery, since)
     if counter is not None:
         counter.start()
@@ -211,7 +215,7 @@
     if not service.leave():
         await asyncio.sleep(ACCEPT_FOR)  # clients do not know yet: what they still open is taken and answered
     await frontend.close(answer_within(timing.longest_deadline))
-    node.abandon_all()
+    node.fail_open_requests()
     await frontend.close(FLUSH_WITHIN)
     hangup.close()
     service.close()
@@ -231,8 +235,12 @@
 
 
 def _plans(
-    config: Config, table: tuple[str, str], decisions: Decisions, gateway: Gateway, clock: Callable[[], float]
-) -> tuple[Decisions, Plans]:
+    config: Config,
+    table: tuple[str, str],
+    decisions: DecisionModule,
+    gateway: Gateway,
+    clock: Callable[[], float],
+) -> tuple[DecisionModule, Plans]:
     """The decisions by a plan book, where the operators name its writer; what is off is not even imported."""
     try:
         from cypresspulley.plans.limiter import Plans
@@ -363,7 +371,7 @@
             await peers.listen(*addresses.listen)
         except OSError as error:
             raise ConfigError(f"cannot listen for messages of limiters: {error}") from None
-        self._peers, self._listen, self._node.tell = peers, addresses.listen, peers.tell
+        self._peers, self._listen, self._node.broadcast = peers, addresses.listen, peers.tell
 
     def follow_later(self, config: Config) -> None:
         """The same from a reload: an address that cannot be had is told in the log, and messages are off."""
@@ -382,7 +390,7 @@
     def _leave(self) -> None:
         if self._peers is not None:
             self._peers.close()
-        self._peers, self._listen, self._node.tell = None, None, None
+        self._peers, self._listen, self._node.broadcast = None, None, None
 
     def close(self) -> None:
         if self._task is not None:
@@ -391,7 +399,7 @@
 
 
 def _node(
-    settings: api.Settings, gateway: Decisions, clock: Callable[[], float], upstream: Upstream,
+    settings: api.Settings, gateway: DecisionModule, clock: Callable[[], float], upstream: Upstream,
     counter: Counter | None, operators: Operators, together: Together | None,
 ) -> tuple[Node, LogFile | None]:  # fmt: skip
     """The node, with an access log where the operators want one; what is off is not even imported."""
--- a/cypresspulley/service.py
+++ b/cypresspulley/service.py
@@ -70,14 +70,14 @@
             dials = {str(k): str(v) for k, v in state["dials"].items()}
             for server in gateway.load_balancer.servers.values():
                 name, born = server.entry.name, server.entry.born
-                upstream.update(name, dials.get(name, ""), server.up, born)
+                upstream.update_server(name, dials.get(name, ""), server.up, born)
             drained = bool(state["drained"])
         except (SnapshotError, KeyError, TypeError, ValueError, AttributeError) as error:
             log.error("takeover: %s", error)
             self._successor.reject()
             return False
         for name in gateway.load_balancer.bans:
-            upstream.ban(name, True)
+            upstream.set_banned(name, True)
         self._drained = drained
         return True
 
@@ -209,7 +209,7 @@
         assert self._gateway is not None and self._upstream is not None
         offset = self._clock.offset if isinstance(self._clock, UnixClock) else None
         return {
-            "decisions": take(self._gateway), "dials": self._upstream.dials_by_name(), "drained": self.life.drained,
+            "decisions": take(self._gateway), "dials": self._upstream.server_addresses(), "drained": self.life.drained,
             CLOCK_OFFSET: offset,
         }  # fmt: skip
 
--- a/tests/explore/mutants.py
+++ b/tests/explore/mutants.py
@@ -59,8 +59,8 @@
     Mutant(
         "a drain heeded late",
         Node,
-        "listed",
-        "self._events.append(replace(listing.servers, previous=self._word_at))",
+        "apply_listing",
+        "self._events.append(replace(listing.servers, previous=self._discovery_contact_at))",
         "if any(entry.health is api.Health.DRAINING for entry in listing.servers.entries):\n"
         "        return  # until the next news\n"
         "    self._events.append(listing.servers)",
@@ -80,7 +80,7 @@
         "calm-morning", ("no request lost", "no effect twice", "leak", "log"),
     ),
     Mutant(
-        "a timer not cancelled", Node, "_close",
+        "a timer not cancelled", Node, "_remove_request",
         "opened.timer.cancel()", "pass",
         "calm-morning", ("leak",),
     ),
@@ -91,7 +91,7 @@
         "small", ("ceilings kept",),
     ),
     Mutant(
-        "a pool that hands out a half-read connection", Upstream, "give_up",
+        "a pool that hands out a half-read connection", Upstream, "abort_exchange",
         "connection.abort()", "self.release(connection, True)",
         "slow", ("no request lost", "no effect twice", "log"),
     ),
--- a/tests/test_endings_times.py
+++ b/tests/test_endings_times.py
@@ -128,7 +128,7 @@
             head = await server.request(await server.accept())
             assert clock.jumped == 1.0
             assert TTL - 1.5 < timeout_in(head) <= TTL - 1.0
-            (opened,) = limiter.node._open.values()
+            (opened,) = limiter.node._open_requests.values()
             assert opened.attempts[-1].timer is not None
             assert opened.attempts[-1].expires <= opened.deadline + 0.01
             peer.socket.close()
@@ -153,7 +153,7 @@
             peer.send(request[2000:])
             await script.until(api.BodyProgress)
             await until(lambda: script.events[-1] == api.BodyProgress(1, True, False))
-            (opened,) = limiter.node._open.values()
+            (opened,) = limiter.node._open_requests.values()
             (attempt,) = opened.attempts
             assert attempt.timer is not None
             assert clock() + TTL - 0.5 < attempt.expires <= opened.deadline + 0.01
@@ -179,13 +179,13 @@
             peer = Peer(limiter)
             await until(lambda: limiter.frontend._clients)
             waits = list[float]()
-            set_timer: Callable[..., None] = limiter.upstream._time
+            set_timer: Callable[..., None] = limiter.upstream._set_timeout
 
             def recording_timer(exchange: Exchange, wait: float) -> None:
                 waits.append(wait)
                 set_timer(exchange, wait)
 
-            monkeypatch.setattr(limiter.upstream, "_time", recording_timer)
+            monkeypatch.setattr(limiter.upstream, "_set_timeout", recording_timer)
             only_client(limiter).data_received(ask(POST, b"x" * (KEEP + 2000), ttl=int(TTL * 1000)))
             assert min(window, TTL) - 0.5 < waits[-1] <= min(window, TTL)
             await server.request(await server.accept())
