--- a/cypresspulley/net/upstream.py
+++ b/cypresspulley/net/upstream.py
@@ -52,7 +52,7 @@
 # silently. For this time, connections to that server are not reused after half that idle time.
 IDLE_LIMIT_LIFETIME_SECONDS = 10.0
 # All bytes of a response, including interim responses, chunk sizes and trailers.
-MAX_RESPONSE_BYTES = MAX_HEAD + 2 * MAX_BODY
+MAX_RESPONSE_BYTES = MAX_HEAD_BYTES + 2 * MAX_BODY_BYTES
 START_TIME_TOLERANCE_SECONDS = 1e-6  # two start times of a server that differ by less are the same start
 # Errors of connect() that are caused by this machine (no descriptor, buffer, port or route) and say nothing about the
 # server.
@@ -263,7 +263,7 @@
         exchange = self.exchange
         assert exchange is not None
         if exchange.download is not None:
-            self._fail_response(TimeoutError("the response stalled after it had begun"))
+            self._fail_response(TimeoutError("it began and stalled"))
         else:  # the last byte of the request was never sent
             log.warning("server %s accepted no data of an upload for %g s", exchange.server, STALL)
             self._upstream.abort_exchange(exchange, Status.DROPPED)
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -243,7 +243,9 @@
 
 
 def test_a_client_that_does_not_read_is_not_read_either(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream, "REUSE_DELAY_SECONDS", 0.0)  # a kept connection to the server may be reused at once
+    monkeypatch.setattr(
+        upstream, "REUSE_DELAY_SECONDS", 0.0
+    )  # a kept connection to the server may be reused at once
 
     async def main() -> None:
         large = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60_000
