--- a/cypresspulley/closing/book.py
+++ b/cypresspulley/closing/book.py
@@ -15,7 +15,7 @@
 from cypresspulley.closing.calendar import Calendar, Place
 from cypresspulley.closing.options import DAYS, calendar_from
 from cypresspulley.closing.row import ACCOUNT_BYTES, pack
-from cypresspulley.fleet.records import MOST_DOCUMENT
+from cypresspulley.fleet.records import MAX_DOCUMENT_BYTES
 from cypresspulley.operators import OperatorsError
 
 
@@ -35,9 +35,9 @@
     for account, place in sorted(calendar.accounts.items()):
         accounts[place] += pack(account)
     body = msgspec.msgpack.encode([calendar.version, calendar.in_force, places, accounts])
-    if len(body) > MOST_DOCUMENT:
+    if len(body) > MAX_DOCUMENT_BYTES:
         raise OperatorsError(
-            f"calendar {calendar.version}: expected at most {MOST_DOCUMENT} bytes of places and accounts, "
+            f"calendar {calendar.version}: expected at most {MAX_DOCUMENT_BYTES} bytes of places and accounts, "
             f"got {len(body)}"
         )
     return body
--- a/cypresspulley/closing/options.py
+++ b/cypresspulley/closing/options.py
@@ -39,7 +39,7 @@
 
 from cypresspulley import interface as api
 from cypresspulley.closing.calendar import Calendar, Place, zone_of
-from cypresspulley.fleet.records import NAME_FORM
+from cypresspulley.fleet.records import NAME_PATTERN
 from cypresspulley.operators import OperatorsError
 
 MOST_FILE = 1 << 20  # bytes of a calendar file
@@ -164,7 +164,7 @@
 
 def _place(check: _Check, name: str, raw: Any) -> Place:
     key = f"places.{name:.40}"
-    if not re.fullmatch(NAME_FORM, name):
+    if not re.fullmatch(NAME_PATTERN, name):
         raise check.fail(key, "a name of at most 40 letters, digits, dots and dashes", name)
     table = check.table(key, raw, 8)
     check.keys(key + ".", table, ("zone", "weekdays", "holidays", "special", "changes"))
--- a/cypresspulley/closing/row.py
+++ b/cypresspulley/closing/row.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from cypresspulley.fleet.records import MOST_ROW
+from cypresspulley.fleet.records import MAX_ROW_BYTES
 
 MOST_RECENT = 16  # accounts of purges that a row names
 ACCOUNT_BYTES = 5  # an account is a number below 2**33
@@ -54,7 +54,7 @@
 
 def encode(said: Said) -> bytes:
     body = _ENCODER.encode(said)
-    assert len(body) <= MOST_ROW
+    assert len(body) <= MAX_ROW_BYTES
     return body
 
 
--- a/cypresspulley/fleet/documents.py
+++ b/cypresspulley/fleet/documents.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from hashlib import blake2b
 
-from cypresspulley.fleet.records import MOST_DOCUMENT
+from cypresspulley.fleet.records import MAX_DOCUMENT_BYTES
 from cypresspulley.fleet.wire import DIGEST, PART, Fetch, Part
 
 MOST_HELD = 16  # documents; the one that was longest not asked for goes first
@@ -28,8 +28,8 @@
         return f"<Documents: {len(self._held)} held, {len(self._wanted)} wanted>"
 
     def offer(self, body: bytes) -> str:
-        if len(body) > MOST_DOCUMENT:
-            raise ValueError(f"document: expected at most {MOST_DOCUMENT} bytes, got {len(body)}")
+        if len(body) > MAX_DOCUMENT_BYTES:
+            raise ValueError(f"document: expected at most {MAX_DOCUMENT_BYTES} bytes, got {len(body)}")
         digest = blake2b(body, digest_size=DIGEST).digest()
         self._wanted.pop(digest, None)
         self._held[digest] = body
@@ -98,7 +98,7 @@
         if len(parts) < part.of:
             return len(parts) % AT_ONCE == 0
         body = b"".join(parts[number] for number in range(part.of))
-        if blake2b(body, digest_size=DIGEST).digest() == part.digest and len(body) <= MOST_DOCUMENT:
+        if blake2b(body, digest_size=DIGEST).digest() == part.digest and len(body) <= MAX_DOCUMENT_BYTES:
             self.offer(body)
         else:
             self._wanted[part.digest] = (0, {})
--- a/cypresspulley/fleet/limiter.py
+++ b/cypresspulley/fleet/limiter.py
@@ -31,7 +31,7 @@
 from cypresspulley.fleet.addresses import Addresses
 from cypresspulley.fleet.detector import Detector
 from cypresspulley.fleet.options import FleetOptions
-from cypresspulley.fleet.records import NAME_FORM, Member, Row, State
+from cypresspulley.fleet.records import NAME_PATTERN, Member, Row, State
 from cypresspulley.fleet.wire import Codec
 from cypresspulley.histories.events import Kind
 from cypresspulley.histories.writer import AnyHistory
@@ -56,7 +56,7 @@
         clock: Callable[[], float], wall: Callable[[], float], history: AnyHistory,
         bounds: Mapping[str, float] | None = None, size: int = SIZE,
     ) -> None:  # fmt: skip
-        if not re.fullmatch(NAME_FORM, name):
+        if not re.fullmatch(NAME_PATTERN, name):
             raise OperatorsError(
                 f"LB_NAME: expected at most 40 letters, digits, dots and dashes, got {name!r:.60}"
             )
--- a/cypresspulley/fleet/options.py
+++ b/cypresspulley/fleet/options.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from cypresspulley.fleet.records import NAME_FORM
+from cypresspulley.fleet.records import NAME_PATTERN
 from cypresspulley.fleet.view import MOST_MEMBERS
 from cypresspulley.net.http import split_address
 from cypresspulley.operators import OperatorsError
@@ -48,7 +48,7 @@
     if extra := set(table) - set(known):
         raise OperatorsError(f"{path}: fleet.{min(extra)}: unknown; expected {', '.join(known)}")
     installation, listen = table.get("installation"), table.get("listen")
-    if not isinstance(installation, str) or not re.fullmatch(NAME_FORM, installation):
+    if not isinstance(installation, str) or not re.fullmatch(NAME_PATTERN, installation):
         raise fail("installation", "a name of at most 40 letters, digits, dots and dashes")
     advertise, seeds = table.get("advertise", listen), table.get("seeds")
     for name, address in (("listen", listen), ("advertise", advertise)):
--- a/cypresspulley/fleet/records.py
+++ b/cypresspulley/fleet/records.py
@@ -11,10 +11,10 @@
 from enum import IntEnum
 from typing import NamedTuple, Protocol
 
-MOST_ROW = 200  # bytes of one subsystem's row
-MOST_SUBSYSTEMS = 4
-MOST_DOCUMENT = 65_536  # bytes of a document, which rows name by its digest
-NAME_FORM = r"[A-Za-z0-9][A-Za-z0-9._-]{0,39}"
+MAX_ROW_BYTES = 200  # bytes of one subsystem's row
+MAX_SUBSYSTEMS = 4
+MAX_DOCUMENT_BYTES = 65_536  # bytes of a document, which rows name by its digest
+NAME_PATTERN = r"[A-Za-z0-9][A-Za-z0-9._-]{0,39}"
 
 
 class State(IntEnum):
--- a/cypresspulley/fleet/view.py
+++ b/cypresspulley/fleet/view.py
@@ -26,7 +26,7 @@
 from msgspec import Raw
 
 from cypresspulley.fleet import timing
-from cypresspulley.fleet.records import MOST_ROW, MOST_SUBSYSTEMS, Member, Rank, Row, State
+from cypresspulley.fleet.records import MAX_ROW_BYTES, MAX_SUBSYSTEMS, Member, Rank, Row, State
 from cypresspulley.fleet.wire import BUCKETS, Cell, Entry, raw, size
 
 MOST_MEMBERS = 4096  # present ones; a new name beyond is not taken
@@ -161,11 +161,11 @@
 
     def publish(self, now: float, subsystem: str, body: bytes) -> None:
         """A row of this member's own. ``ValueError`` where it is too long or one subsystem too many."""
-        if len(body) > MOST_ROW:
-            raise ValueError(f"row of {subsystem}: expected at most {MOST_ROW} bytes, got {len(body)}")
+        if len(body) > MAX_ROW_BYTES:
+            raise ValueError(f"row of {subsystem}: expected at most {MAX_ROW_BYTES} bytes, got {len(body)}")
         mine = self._rows.setdefault(self.me, {})
-        if subsystem not in mine and len(mine) >= MOST_SUBSYSTEMS:
-            raise ValueError(f"row of {subsystem}: expected at most {MOST_SUBSYSTEMS} subsystems")
+        if subsystem not in mine and len(mine) >= MAX_SUBSYSTEMS:
+            raise ValueError(f"row of {subsystem}: expected at most {MAX_SUBSYSTEMS} subsystems")
         version = mine[subsystem].version + 1 if subsystem in mine else 1
         self._hold(now, self.me, subsystem, Held(self.myself.life, version, body, now, now))
 
@@ -181,7 +181,7 @@
             return False
         rows = self._rows.setdefault(cell.owner, {})
         held = rows.get(cell.subsystem)
-        if held is None and len(rows) >= MOST_SUBSYSTEMS:
+        if held is None and len(rows) >= MAX_SUBSYSTEMS:
             return False
         confirmed = now - cell.age / 1000
         if held is not None:
--- a/cypresspulley/fleet/wire.py
+++ b/cypresspulley/fleet/wire.py
@@ -18,7 +18,7 @@
 import msgspec
 from msgspec import Meta, Raw, Struct
 
-from cypresspulley.fleet.records import MOST_ROW, NAME_FORM, Member, State
+from cypresspulley.fleet.records import MAX_ROW_BYTES, NAME_PATTERN, Member, State
 
 FORM = 1
 MOST_BYTES = 1200  # of a datagram: below the least path that IPv6 promises (1280), with room for headers
@@ -29,7 +29,7 @@
 MOST_PARTS = 73  # ceil(MOST_DOCUMENT / PART)
 MOST_ENTRIES = 64  # in one datagram; a record of a true member takes more than 20 bytes
 
-Name = Annotated[str, Meta(min_length=1, max_length=40, pattern=f"^{NAME_FORM}$")]
+Name = Annotated[str, Meta(min_length=1, max_length=40, pattern=f"^{NAME_PATTERN}$")]
 NoName = Annotated[str, Meta(max_length=40)]
 Zone = Annotated[str, Meta(max_length=64)]
 Address = Annotated[str, Meta(max_length=80)]
@@ -61,7 +61,7 @@
     life: Count
     version: Count
     age: Count
-    body: Annotated[bytes, Meta(max_length=MOST_ROW)]
+    body: Annotated[bytes, Meta(max_length=MAX_ROW_BYTES)]
 
 
 class Ping(Struct, array_like=True, frozen=True, tag=1, forbid_unknown_fields=True):
--- a/cypresspulley/lanes/options.py
+++ b/cypresspulley/lanes/options.py
@@ -33,7 +33,7 @@
 from typing import Any
 
 from cypresspulley import interface as api
-from cypresspulley.fleet.records import NAME_FORM
+from cypresspulley.fleet.records import NAME_PATTERN
 from cypresspulley.operators import OperatorsError
 
 MOST_LANES = 6  # a row of the fleet's view has room for no more
@@ -101,7 +101,7 @@
     if extra := set(row) - set(LANE_KEYS):
         raise OperatorsError(f"{path}: lanes.{place}.{min(extra)}: unknown; expected {', '.join(LANE_KEYS)}")
     name, plans = row.get("name"), row.get("plans")
-    if not isinstance(name, str) or not re.fullmatch(NAME_FORM, name):
+    if not isinstance(name, str) or not re.fullmatch(NAME_PATTERN, name):
         raise _wrong(path, f"{place}.name", "a name of at most 40 letters, digits, dots and dashes", name)
     if not isinstance(plans, list) or not plans or not all(isinstance(plan, str) for plan in plans):
         raise _wrong(path, f"{place}.plans", "a list of names of plans", plans)
--- a/cypresspulley/lanes/rows.py
+++ b/cypresspulley/lanes/rows.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from cypresspulley.fleet.records import MOST_ROW
+from cypresspulley.fleet.records import MAX_ROW_BYTES
 from cypresspulley.lanes.options import MOST_LANES
 from cypresspulley.lanes.spells import WHOLE, Spell
 
@@ -96,13 +96,13 @@
     load = max(0, min(WHOLE, round(row.load * WHOLE)))
     figures = [n >> scale for n in tenths]
     body = _encoder.encode(_Row(VERSION, row.state, _tenths(row.rate), load, scale, figures, told))
-    assert len(body) <= MOST_ROW
+    assert len(body) <= MAX_ROW_BYTES
     return body
 
 
 def decode(body: bytes, lanes: int) -> LanesRow | None:
     """A row with so many lanes; None for what is none, or is of another form or another table of lanes."""
-    if len(body) > MOST_ROW:
+    if len(body) > MAX_ROW_BYTES:
         return None
     try:
         row = _decoder.decode(body)
--- a/tests/closing/test_parts.py
+++ b/tests/closing/test_parts.py
@@ -22,7 +22,7 @@
 from cypresspulley.closing.row import MOST_RECENT, Said
 from cypresspulley.closing.row import decode as read_row
 from cypresspulley.closing.row import encode as write_row
-from cypresspulley.fleet.records import MOST_DOCUMENT, MOST_ROW, Member, State
+from cypresspulley.fleet.records import MAX_DOCUMENT_BYTES, MAX_ROW_BYTES, Member, State
 from cypresspulley.operators import OperatorsError
 from tests.closing.world import BEGIN
 
@@ -136,7 +136,7 @@
         b"\xff" * 5 * MOST_RECENT,
         b"e" * 33,
     )
-    assert len(write_row(most)) <= MOST_ROW and read_row(write_row(most)) == most
+    assert len(write_row(most)) <= MAX_ROW_BYTES and read_row(write_row(most)) == most
 
 
 @settings(derandomize=True, deadline=None, max_examples=200)
@@ -328,7 +328,7 @@
 def test_as_many_accounts_as_a_file_may_have_fit_into_a_document() -> None:
     assert (
         len(encode(calendar(7, BEGIN, accounts={f"{n:016x}": "v" for n in range(MOST_ACCOUNTS)})))
-        <= MOST_DOCUMENT
+        <= MAX_DOCUMENT_BYTES
     )
 
 
--- a/tests/lanes/fabric.py
+++ b/tests/lanes/fabric.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field, replace
 from random import Random
 
-from cypresspulley.fleet.records import MOST_ROW, Member, Row, State
+from cypresspulley.fleet.records import MAX_ROW_BYTES, Member, Row, State
 
 
 @dataclass(slots=True)
@@ -99,8 +99,8 @@
         return tuple(rows)
 
     def publish(self, subsystem: str, body: bytes) -> None:
-        if len(body) > MOST_ROW:
-            raise ValueError(f"a row of {len(body)} bytes; expected at most {MOST_ROW}")
+        if len(body) > MAX_ROW_BYTES:
+            raise ValueError(f"a row of {len(body)} bytes; expected at most {MAX_ROW_BYTES}")
         fabric, now = self._fabric, self._fabric.clock()
         self._version += 1
         held = self._held[self.me] = _Held(self.life, self._version, now, body)
--- a/tests/lanes/test_rows.py
+++ b/tests/lanes/test_rows.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cypresspulley.fleet.records import MOST_ROW
+from cypresspulley.fleet.records import MAX_ROW_BYTES
 from cypresspulley.lanes.options import MOST_LANES
 from cypresspulley.lanes.rows import Figures, LanesRow, decode, encode
 from cypresspulley.lanes.spells import Spell, first, maker_of, opened, revised
@@ -35,7 +35,7 @@
 @given(rows())
 def test_a_row_fits_and_is_read_back(row: LanesRow) -> None:
     body = encode(row)
-    assert len(body) <= MOST_ROW
+    assert len(body) <= MAX_ROW_BYTES
     told = decode(body, len(row.figures))
     assert told is not None
     assert (told.state, told.spell.key, told.spell.inside) == (row.state, row.spell.key, row.spell.inside)
@@ -47,7 +47,7 @@
 def test_the_largest_row_fits() -> None:
     spell = Spell(2**32 - 1, 65_535, 2**32 - 1, 2**53, 2**32 - 1, (999,) * MOST_LANES, (999,) * MOST_LANES)
     row = LanesRow(3, 1e12, 1.0, (Figures(*[1e12] * 5),) * MOST_LANES, spell, 600.0)
-    assert len(encode(row)) <= MOST_ROW
+    assert len(encode(row)) <= MAX_ROW_BYTES
 
 
 @given(st.binary(max_size=300), st.integers(1, MOST_LANES))
