--- a/benchmarks/fleet_bed.py
+++ b/benchmarks/fleet_bed.py
@@ -24,7 +24,7 @@
     Tick,
 )
 from cypresspulley.fleet.detector import Detector
-from cypresspulley.fleet.records import Member, State
+from cypresspulley.fleet.records import Member, MemberState
 from cypresspulley.fleet.wire import Codec
 
 EPOCH = 1_800_000_000.0  # Unix seconds at the bed's zero
@@ -86,7 +86,7 @@
     ) -> Host:  # fmt: skip
         """A process of this name begins now; ``seeds`` are names, ``known`` members it holds from the start."""
         life = round((EPOCH + self.now + offset) * 1000)
-        me = Member(name, life, 0, State.JOINING, "abc"[len(self.hosts) % 3], address(name))
+        me = Member(name, life, 0, MemberState.JOINING, "abc"[len(self.hosts) % 3], address(name))
         rng = Random(self.rng.getrandbits(64))
         seeded = tuple(address(seed) for seed in seeds)
         detector = Detector(me, Codec(installation, key), seeded, self.period, rng)
@@ -106,7 +106,8 @@
         names = [f"l{n}" for n in range(size)]
         life = round(EPOCH * 1000)
         known = [
-            Member(name, life, 0, State.ALIVE, "abc"[n % 3], address(name)) for n, name in enumerate(names)
+            Member(name, life, 0, MemberState.ALIVE, "abc"[n % 3], address(name))
+            for n, name in enumerate(names)
         ]
         for name in names:
             self.start(name, names[:seeds], known=known if warm else ())
@@ -185,9 +186,9 @@
         return first.present == len(live) and all(h.detector.view.digest == first.digest for h in live)
 
     def deaths(self) -> list[News]:
-        return [news for news in self.news if news.member.state is State.DEAD]
+        return [news for news in self.news if news.member.state is MemberState.DEAD]
 
-    def states(self, name: str) -> set[State | None]:
+    def states(self, name: str) -> set[MemberState | None]:
         """The states in which the live ones hold a member."""
         held = [host.detector.view.get(name) for host in self.live() if host.name != name]
         return {member.state if member else None for member in held}
--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -32,7 +32,7 @@
 from cypresspulley.fleet import timing, wire
 from cypresspulley.fleet.limiter import Fleet
 from cypresspulley.fleet.options import FleetOptions
-from cypresspulley.fleet.records import Member, State
+from cypresspulley.fleet.records import Member, MemberState
 from cypresspulley.histories.writer import NoHistory
 
 PERIOD = 0.5  # seconds
@@ -54,7 +54,7 @@
     bed = grown(size, seed, loss)
     victim = f"l{Random(seed).randrange(size)}"
     bed.kill(victim)
-    return _until(bed, lambda: bed.states(victim) == {State.DEAD}, timing.detect_bound(size, PERIOD))
+    return _until(bed, lambda: bed.states(victim) == {MemberState.DEAD}, timing.detect_bound(size, PERIOD))
 
 
 def mass(task: Task) -> float:
@@ -102,7 +102,7 @@
     bed.at(begin, lambda: bed.pause(paused))
     bed.at(begin + 5, lambda: bed.resume(paused))
     bed.run(length)
-    suspected = [news.member.name for news in bed.news if news.member.state is State.SUSPECTED]
+    suspected = [news.member.name for news in bed.news if news.member.state is MemberState.SUSPECTED]
     return len(bed.deaths()), suspected.count(paused), len(suspected) - suspected.count(paused)
 
 
@@ -138,7 +138,7 @@
     """The baseline: each member sends one keyed record of itself to every other each period."""
     codec, sent, total = wire.Codec("bed", KEY), 0, 0
     for beat in range(4):
-        me = wire.raw(wire.Entry("l1", round(EPOCH * 1000), 0, State.ALIVE, "a", address("l1")))
+        me = wire.raw(wire.Entry("l1", round(EPOCH * 1000), 0, MemberState.ALIVE, "a", address("l1")))
         for _ in range(size - 1):
             data = codec.encode((beat, round(EPOCH * 1000), 0, 0, 0), me, wire.raw(wire.Gossip()), [], [])
             sent, total = sent + 1, total + len(data)
@@ -177,7 +177,7 @@
     fleet = [_member(f"l{n}", port, ports[0]) for n, port in enumerate(ports[1:])]
     life = round(time.time() * 1000)
     known = [
-        Member(one.view.me, life, 0, State.ALIVE, "a", f"127.0.0.1:{p}")
+        Member(one.view.me, life, 0, MemberState.ALIVE, "a", f"127.0.0.1:{p}")
         for one, p in zip(fleet, ports[1:], strict=True)
     ]
     for one in fleet:  # they know each other from the start: what is measured is the one that joins them
--- a/benchmarks/together_mutants.py
+++ b/benchmarks/together_mutants.py
@@ -28,7 +28,7 @@
 from cypresspulley.closing.purging import Purging
 from cypresspulley.fleet import detector
 from cypresspulley.fleet.detector import Detector
-from cypresspulley.fleet.records import State
+from cypresspulley.fleet.records import MemberState
 from cypresspulley.fleet.view import Held, View
 from cypresspulley.histories.check import CHECKERS
 from cypresspulley.lanes import share, spells
@@ -47,7 +47,7 @@
 def _incarnation_not_raised() -> None:
     def of_me(self: Detector, claim: Any) -> None:
         me = self.view.myself
-        if claim.life == me.life and claim.rank > me.rank and claim.state >= State.SUSPECTED:
+        if claim.life == me.life and claim.rank > me.rank and claim.state >= MemberState.SUSPECTED:
             self._become(replace(me, incarnation=claim.incarnation), "refuted")
 
     Detector._take_of_me = of_me  # type: ignore[method-assign]
@@ -58,7 +58,7 @@
         probe = self._probes.end(int(key))
         held = self.view.get(probe.target) if probe is not None and probe.counts else None
         if probe is not None and held is not None and held.life == probe.life and held.state.present:
-            self._hold(replace(held, state=State.DEAD), "probe", self.view.me)
+            self._hold(replace(held, state=MemberState.DEAD), "probe", self.view.me)
 
     detector._TIMERS["failed"] = failed
 
--- a/cypresspulley/closing/roster.py
+++ b/cypresspulley/closing/roster.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable
 
 from cypresspulley.closing.lease import Life
-from cypresspulley.fleet.records import Member, State
+from cypresspulley.fleet.records import Member, MemberState
 
 FORGET = 3600.0  # seconds after which a lost limiter no longer counts for the half
 MOST = 4096  # names
@@ -50,7 +50,9 @@
         for name in [name for name in self._lives if name not in here]:
             member = known(name)
             since = self._since.setdefault(name, now)
-            if (member is not None and member.state is State.LEFT) or now - since > max(FORGET, self._lost):
+            if (member is not None and member.state is MemberState.LEFT) or now - since > max(
+                FORGET, self._lost
+            ):
                 del self._lives[name], self._since[name]
         for name in here:
             self._since.pop(name, None)
--- a/cypresspulley/fleet/detector.py
+++ b/cypresspulley/fleet/detector.py
@@ -70,7 +70,7 @@
 from cypresspulley.fleet.outbox import Outbox
 from cypresspulley.fleet.peers import Peers
 from cypresspulley.fleet.probes import Calls, Probes, Relay
-from cypresspulley.fleet.records import Member, State
+from cypresspulley.fleet.records import Member, MemberState
 from cypresspulley.fleet.suspicion import Suspicions
 from cypresspulley.fleet.timers import Health, Timers
 from cypresspulley.fleet.view import View
@@ -111,7 +111,7 @@
 
     @property
     def ended(self) -> bool:
-        return self.view.myself.state is State.LEFT
+        return self.view.myself.state is MemberState.LEFT
 
     @property
     def due(self) -> float:
@@ -144,7 +144,7 @@
 
     def settled(self) -> bool:
         """Whether every other present member has last told the digest that is this one's own."""
-        return self.view.myself.state is not State.JOINING and self.peers.agree()
+        return self.view.myself.state is not MemberState.JOINING and self.peers.agree()
 
     @property
     def _now(self) -> float:
@@ -166,26 +166,26 @@
 
     def _seed(self, _: str) -> None:
         """Knock at some seeds, ever more seldom, until there is somebody."""
-        if self.view.present > 1 and self.view.myself.state is not State.JOINING:
+        if self.view.present > 1 and self.view.myself.state is not MemberState.JOINING:
             return
         for address in self._calls.knock():
             self._ping("", address, counts=False)
         self._after(self._calls.pause(), "seed")
 
     def _arrive(self) -> None:
-        if self.view.myself.state is State.JOINING:
-            self._become(replace(self.view.myself, state=State.ALIVE), "self")
+        if self.view.myself.state is MemberState.JOINING:
+            self._become(replace(self.view.myself, state=MemberState.ALIVE), "self")
 
     def _leave(self) -> None:
         me = self.view.myself
-        if me.state < State.LEAVING:
-            self._become(replace(me, incarnation=me.incarnation + 1, state=State.LEAVING), "self")
+        if me.state < MemberState.LEAVING:
+            self._become(replace(me, incarnation=me.incarnation + 1, state=MemberState.LEAVING), "self")
             self._part()
 
     def _end(self) -> None:
         me = self.view.myself
-        raised = me.incarnation + (me.state < State.LEAVING)
-        self._become(replace(me, incarnation=raised, state=State.LEFT), "self")
+        raised = me.incarnation + (me.state < MemberState.LEAVING)
+        self._become(replace(me, incarnation=raised, state=MemberState.LEFT), "self")
         self._part()
 
     def _part(self) -> None:
@@ -256,7 +256,7 @@
             self._after(timing.DIRECT * stretch, "direct", str(nonce))
         self._after(timing.WHOLE * stretch, "failed", str(nonce))
         held = self.view.get(name)
-        doubted = [name] if held is not None and held.state >= State.SUSPECTED else []
+        doubted = [name] if held is not None and held.state >= MemberState.SUSPECTED else []
         self._outbox.post(address, wire.Ping(nonce, name), doubted)
 
     def _direct_over(self, key: str) -> None:
@@ -280,10 +280,10 @@
         held = self.view.get(probe.target)
         if held is None or held.life != probe.life:
             return
-        if held.state is State.LEAVING:
+        if held.state is MemberState.LEAVING:
             self._miss(held.name)
-        elif held.state <= State.SUSPECTED:
-            self._take(replace(held, state=State.SUSPECTED), "probe", self.view.me)
+        elif held.state <= MemberState.SUSPECTED:
+            self._take(replace(held, state=MemberState.SUSPECTED), "probe", self.view.me)
 
     def _relay_over(self, key: str) -> None:
         if relay := self._probes.end_relay(int(key)):
@@ -300,7 +300,7 @@
             return
         suspicion = self._suspicions.end(name)
         cause = "told" if suspicion is not None and suspicion.told else "probe"
-        over = State.LEFT if held.state is State.LEAVING else State.DEAD
+        over = MemberState.LEFT if held.state is MemberState.LEAVING else MemberState.DEAD
         self._hold(replace(held, state=over), cause, self.view.me)
 
     def _miss(self, name: str) -> None:
@@ -312,7 +312,7 @@
     def _found(self, name: str) -> None:
         """It has just answered: a leaver is no longer missed. Of one that is suspected, only a refutation tells."""
         held = self.view.get(name)
-        if held is not None and held.state is State.LEAVING:
+        if held is not None and held.state is MemberState.LEAVING:
             self._suspicions.end(name)
 
     def _watch(self, name: str, until: float) -> None:
@@ -339,8 +339,8 @@
         suspicion = self._suspicions.get(entry.name)
         if suspicion is None:
             return entry.state == held.state and entry.zone == held.zone and entry.address == held.address
-        dead = suspicion.told and entry.state is State.DEAD
-        return suspicion.accused(by) and (entry.state is State.SUSPECTED or dead)
+        dead = suspicion.told and entry.state is MemberState.DEAD
+        return suspicion.accused(by) and (entry.state is MemberState.SUSPECTED or dead)
 
     def _take(self, claim: Member, cause: str, by: str) -> None:
         """A claim about a member, ``by`` its maker where it accuses."""
@@ -348,23 +348,28 @@
             self._take_of_me(claim)
             return
         held = self.view.get(claim.name)
-        if claim.state is State.DEAD and held is not None and held.state.present and claim.rank > held.rank:
+        if (
+            claim.state is MemberState.DEAD
+            and held is not None
+            and held.state.present
+            and claim.rank > held.rank
+        ):
             self._take_death(held, claim, cause, by)
             return
         if held is not None and claim.rank == held.rank:
-            if claim.state is State.SUSPECTED:
+            if claim.state is MemberState.SUSPECTED:
                 self._accuse(claim.name, by, False)
             if self.view.merge(self._now, claim):  # another zone or address: the same life has spoken twice
                 self.view.queue.add((claim.name, ""), self.view.entry(claim.name, by))
             return
         self._hold(claim, cause, by)
-        if claim.state is State.SUSPECTED and self.view.get(claim.name) == claim:
+        if claim.state is MemberState.SUSPECTED and self.view.get(claim.name) == claim:
             self._accuse(claim.name, by, False)
 
     def _take_death(self, held: Member, claim: Member, cause: str, by: str) -> None:
         """A death that is told of one who is present here is a suspicion first. One that it has refuted meanwhile is
         none: it hears of it itself, and goes on in a new life."""
-        said = replace(claim, state=State.SUSPECTED)
+        said = replace(claim, state=MemberState.SUSPECTED)
         if claim.life == held.life and claim.incarnation < held.incarnation:
             return
         if said.rank > held.rank:
@@ -375,11 +380,11 @@
         held = self.view.get(claim.name)
         if not self.view.merge(self._now, claim):
             return
-        if claim.state is not State.SUSPECTED or (held is not None and held.rank[:3] != claim.rank[:3]):
+        if claim.state is not MemberState.SUSPECTED or (held is not None and held.rank[:3] != claim.rank[:3]):
             self._suspicions.end(claim.name)
         if held is not None and held.life != claim.life:
             self._forget(claim.name)
-        if held is not None and held.life == claim.life and claim.state < State.SUSPECTED <= held.state:
+        if held is not None and held.life == claim.life and claim.state < MemberState.SUSPECTED <= held.state:
             cause = "refuted"
         self.view.queue.add((claim.name, ""), self.view.entry(claim.name, by))
         if held is None and claim.state.present:
@@ -399,7 +404,7 @@
             if self.counts["risen"] <= MOST_RISES:
                 self._become(replace(me, life=claim.life + 1, incarnation=0), "self")
         elif claim.life == me.life and claim.rank > me.rank:
-            if claim.state >= State.SUSPECTED:
+            if claim.state >= MemberState.SUSPECTED:
                 self.health.feel(1)
             if claim.state.present:
                 self._become(replace(me, incarnation=claim.incarnation + 1), "refuted")
@@ -465,7 +470,7 @@
         better = [] if isinstance(envelope.message, wire.Ping) else self._better_of(sender)
         if better and self.peers.may_amend(self._now, sender, self._timers.period):
             self._outbox.post(sender.address, wire.Gossip(), better)
-        joining = self.view.myself.state is State.JOINING
+        joining = self.view.myself.state is MemberState.JOINING
         differ = (envelope.members, envelope.rows) != (self.view.digest, self.view.rows_digest)
         if (differ or joining) and held.state.present and self._exchange.due(joining):
             self._exchange.begin(self._timers.number(), sender.address)
@@ -532,7 +537,7 @@
             return
         if envelope.message.last:
             more = self._exchange.goes_on(envelope.message)
-            if more and self.view.myself.state is State.JOINING:
+            if more and self.view.myself.state is MemberState.JOINING:
                 self._exchange.begin(self._timers.number(), envelope.me.address)
             else:
                 self._arrive()
--- a/cypresspulley/fleet/limiter.py
+++ b/cypresspulley/fleet/limiter.py
@@ -31,7 +31,7 @@
 from cypresspulley.fleet.addresses import Addresses
 from cypresspulley.fleet.detector import Detector
 from cypresspulley.fleet.options import FleetOptions
-from cypresspulley.fleet.records import NAME_PATTERN, Member, Row, State
+from cypresspulley.fleet.records import NAME_PATTERN, Member, MemberState, Row
 from cypresspulley.fleet.wire import Codec
 from cypresspulley.histories.events import Kind
 from cypresspulley.histories.writer import AnyHistory
@@ -65,7 +65,7 @@
         self._options, self._clock, self._wall, self._history = options, clock, wall, history
         self._bounds, self._size = dict(bounds or {}), max(size, len(options.seeds))
         self._zone, self._me = zone, name
-        me = Member(name, max(1, round(wall() * 1000)), 0, State.JOINING, zone, options.advertise)
+        me = Member(name, max(1, round(wall() * 1000)), 0, MemberState.JOINING, zone, options.advertise)
         codec = Codec(options.installation, options.key)
         self.detector = Detector(me, codec, options.seeds, options.period, Random(f"{seed}/{name}"))
         self.view = Seen(self.detector, clock, wall)
--- a/cypresspulley/fleet/records.py
+++ b/cypresspulley/fleet/records.py
@@ -17,7 +17,7 @@
 NAME_PATTERN = r"[A-Za-z0-9][A-Za-z0-9._-]{0,39}"
 
 
-class State(IntEnum):
+class MemberState(IntEnum):
     """A member's state; of one life and incarnation the higher one holds."""
 
     JOINING = 0  # it has said that it is here, and has not yet the others' view
@@ -30,7 +30,7 @@
     @property
     def present(self) -> bool:
         """Whether it counts as running: all but those that have left or are dead."""
-        return self < State.LEFT
+        return self < MemberState.LEFT
 
 
 class Rank(NamedTuple):
@@ -42,7 +42,7 @@
     life: int
     ended: bool
     incarnation: int
-    state: State
+    state: MemberState
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
     name: str
     life: int
     incarnation: int
-    state: State
+    state: MemberState
     zone: str = ""
     address: str = ""
 
@@ -71,7 +71,7 @@
     owner: str
     life: int
     version: int
-    state: State
+    state: MemberState
     age: float
     body: bytes
 
--- a/cypresspulley/fleet/view.py
+++ b/cypresspulley/fleet/view.py
@@ -26,7 +26,7 @@
 from msgspec import Raw
 
 from cypresspulley.fleet import timing
-from cypresspulley.fleet.records import MAX_ROW_BYTES, MAX_SUBSYSTEMS, Member, Rank, Row, State
+from cypresspulley.fleet.records import MAX_ROW_BYTES, MAX_SUBSYSTEMS, Member, MemberState, Rank, Row
 from cypresspulley.fleet.wire import BUCKETS, Cell, Entry, raw, size
 
 MOST_MEMBERS = 4096  # present ones; a new name beyond is not taken
@@ -108,7 +108,7 @@
     def ended(self, now: float, within: float) -> list[Member]:
         """Members that are held dead since so many seconds at most."""
         recent = (self._members[name] for name, at in self._ended.items() if now - at <= within)
-        return [member for member in recent if member.state is State.DEAD]
+        return [member for member in recent if member.state is MemberState.DEAD]
 
     def merge(self, now: float, member: Member) -> bool:
         """Join a claim into the view; whether this changed it."""
--- a/cypresspulley/fleet/wire.py
+++ b/cypresspulley/fleet/wire.py
@@ -18,7 +18,7 @@
 import msgspec
 from msgspec import Meta, Raw, Struct
 
-from cypresspulley.fleet.records import MAX_ROW_BYTES, NAME_PATTERN, Member, State
+from cypresspulley.fleet.records import MAX_ROW_BYTES, NAME_PATTERN, Member, MemberState
 
 FORM = 1
 MOST_BYTES = 1200  # of a datagram: below the least path that IPv6 promises (1280), with room for headers
@@ -44,7 +44,7 @@
     name: Name
     life: Count
     incarnation: Count
-    state: State
+    state: MemberState
     zone: Zone
     address: Address
     by: NoName = ""
--- a/cypresspulley/lanes/heard.py
+++ b/cypresspulley/lanes/heard.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from cypresspulley.fleet.records import Member, Row, State
+from cypresspulley.fleet.records import Member, MemberState, Row
 from cypresspulley.lanes.rows import LanesRow, decode
 from cypresspulley.lanes.share import Told
 
@@ -57,7 +57,7 @@
 
     def _missing(self, now: float, owner: str, found: Member | None) -> None:
         kept = self._kept[owner]
-        if found is None or found.life > kept.life or found.state is State.LEFT:
+        if found is None or found.life > kept.life or found.state is MemberState.LEFT:
             del self._kept[
                 owner
             ]  # forgotten, begun anew without a row yet, or ended in order: nothing passes there
--- a/tests/closing/test_parts.py
+++ b/tests/closing/test_parts.py
@@ -22,7 +22,7 @@
 from cypresspulley.closing.row import MOST_RECENT, Said
 from cypresspulley.closing.row import decode as read_row
 from cypresspulley.closing.row import encode as write_row
-from cypresspulley.fleet.records import MAX_DOCUMENT_BYTES, MAX_ROW_BYTES, Member, State
+from cypresspulley.fleet.records import MAX_DOCUMENT_BYTES, MAX_ROW_BYTES, Member, MemberState
 from cypresspulley.operators import OperatorsError
 from tests.closing.world import BEGIN
 
@@ -273,12 +273,12 @@
 # Who is needed.
 
 
-def member(name: str, life: int = 1, state: State = State.ALIVE) -> Member:
+def member(name: str, life: int = 1, state: MemberState = MemberState.ALIVE) -> Member:
     return Member(name, life, 0, state)
 
 
 def test_a_lost_limiter_is_needed_for_a_while_and_counts_for_the_half_for_longer() -> None:
-    roster, gone = Roster(30.0, 1), {"c": member("c", 1, State.DEAD)}
+    roster, gone = Roster(30.0, 1), {"c": member("c", 1, MemberState.DEAD)}
     assert not roster.look(0.0, [member("a"), member("b"), member("c")], gone.get)
     assert roster.look(1.0, [member("a"), member("b")], gone.get) == {Life("c", 1)}
     assert Life("c", 1) in roster.needed
@@ -290,7 +290,7 @@
 
 
 def test_one_that_left_is_not_waited_for_and_a_new_life_is_another() -> None:
-    roster, gone = Roster(30.0, 1), {"c": member("c", 1, State.LEFT)}
+    roster, gone = Roster(30.0, 1), {"c": member("c", 1, MemberState.LEFT)}
     roster.look(0.0, [member("a"), member("c")], gone.get)
     roster.look(1.0, [member("a")], gone.get)
     assert roster.needed == {Life("a", 1)} and roster.size == 1
--- a/tests/closing/world.py
+++ b/tests/closing/world.py
@@ -19,7 +19,7 @@
 from cypresspulley.closing.keep import Kept, Key, Sent
 from cypresspulley.closing.limiter import TICK, Closing
 from cypresspulley.closing.options import Options
-from cypresspulley.fleet.records import Member, Row, State
+from cypresspulley.fleet.records import Member, MemberState, Row
 from cypresspulley.histories.events import FACTS, Kind
 from cypresspulley.histories.writer import NoHistory
 
@@ -65,7 +65,7 @@
 
     def __init__(self, limiter: Limiter, life: int) -> None:
         self._limiter, self.me, self.life = limiter, limiter.name, life
-        self.known = {self.me: Known(Member(self.me, life, 0, State.ALIVE), 0, limiter.mono())}
+        self.known = {self.me: Known(Member(self.me, life, 0, MemberState.ALIVE), 0, limiter.mono())}
         self.documents, self.wanted = dict[str, bytes](), set[str]()
         self._version = 0
 
@@ -139,7 +139,7 @@
         known = self.known.get(name)
         if known is None or (told.member.life, told.beat) > (known.member.life, known.beat):
             clock = known.clock if known is not None and known.member.life == told.member.life else None
-            state = State.LEFT if told.member.state is State.LEFT else State.ALIVE
+            state = MemberState.LEFT if told.member.state is MemberState.LEFT else MemberState.ALIVE
             member = Member(name, told.member.life, 0, state)
             self.known[name] = Known(member, told.beat, now, told.row, clock)
 
@@ -150,7 +150,13 @@
             if name == self.me or not k.member.state.present:
                 continue
             silent = now - k.at
-            state = State.DEAD if silent > DEAD else State.SUSPECTED if silent > SUSPECT else State.ALIVE
+            state = (
+                MemberState.DEAD
+                if silent > DEAD
+                else MemberState.SUSPECTED
+                if silent > SUSPECT
+                else MemberState.ALIVE
+            )
             if state is not k.member.state:
                 k.member = Member(name, k.member.life, 0, state)
 
--- a/tests/fleet/test_bed.py
+++ b/tests/fleet/test_bed.py
@@ -8,7 +8,7 @@
 
 from benchmarks.fleet_bed import Bed, address
 from cypresspulley.fleet import timing
-from cypresspulley.fleet.records import State
+from cypresspulley.fleet.records import MemberState
 from cypresspulley.fleet.view import QUIET
 
 
@@ -30,7 +30,9 @@
     bed = grown(40, loss=0.05, double=0.02, warm=True)
     bed.run(30)
     assert bed.deaths() == []
-    assert sum(news.member.state is State.SUSPECTED for news in bed.news) > 0  # there was something to refute
+    assert (
+        sum(news.member.state is MemberState.SUSPECTED for news in bed.news) > 0
+    )  # there was something to refute
     wait_agreed(bed, 10)
 
 
@@ -69,7 +71,9 @@
     for _ in range(40):
         bed.run(bed.now + 1)
         health.append(bed.hosts["l5"].detector.health.value)
-    wrong = [news for news in bed.news if news.observer == "l5" and news.member.state is State.SUSPECTED]
+    wrong = [
+        news for news in bed.news if news.observer == "l5" and news.member.state is MemberState.SUSPECTED
+    ]
     assert wrong  # it did accuse
     assert bed.deaths() == [] and max(health) >= 3
 
@@ -94,7 +98,7 @@
     bed.tap = lambda source, target, data: caught.append((target, data))
     bed.run(10)
     bed.kill("l4")
-    assert bed.run(40, lambda: bed.states("l4") == {State.DEAD})
+    assert bed.run(40, lambda: bed.states("l4") == {MemberState.DEAD})
     bed.run(bed.now + 10)
     bed.tap = None
     before = [(host.detector.view.digest, host.detector.view.members()) for host in bed.live()]
@@ -108,7 +112,7 @@
         bed.carry("nobody", target, bytes([data[0], *(byte ^ 1 for byte in data[1:])]))
     bed.run(began + 5)
     assert [(host.detector.view.digest, host.detector.view.members()) for host in bed.live()] == before
-    assert len(bed.news) == taken and bed.states("l4") == {State.DEAD}
+    assert len(bed.news) == taken and bed.states("l4") == {MemberState.DEAD}
     counts = bed.hosts["l0"].detector.counts
     assert counts["replayed"] > 50 and counts["long"] > 50 and counts["digest"] > 50
 
@@ -119,11 +123,11 @@
     bed.run(5)
     bed.pause("l3")
     bed.run(10)
-    assert State.SUSPECTED in bed.states("l3")
+    assert MemberState.SUSPECTED in bed.states("l3")
     bed.resume("l3")
     wait_agreed(bed, timing.agree_bound(size, 0.5))
     assert bed.deaths() == []
-    accused = {news.member.name for news in bed.news if news.member.state is State.SUSPECTED}
+    accused = {news.member.name for news in bed.news if news.member.state is MemberState.SUSPECTED}
     assert accused == {"l3"}  # it woke, and accused nobody of its own silence
     assert any(news.cause == "refuted" and news.member.name == "l3" for news in bed.news)
 
@@ -137,7 +141,7 @@
     bed.start("l2", ["l0", "l1"], offset=-3600.0)
     wait_agreed(bed, timing.agree_bound(8, 0.5))
     lives = {member.life for host in bed.live() if (member := host.detector.view.get("l2"))}
-    assert lives == {old + 1} and bed.states("l2") == {State.ALIVE}
+    assert lives == {old + 1} and bed.states("l2") == {MemberState.ALIVE}
     bed.run(bed.now + 30)
     at = [news.member.life for news in bed.news if news.member.name == "l2" and news.observer != "l2"]
     assert bed.agree() and sorted(at) == at
@@ -183,8 +187,8 @@
     bed.leave("l4", after=1.0)
     bed.run(bed.now + 30)
     seen = {news.member.state for news in bed.news if news.member.name == "l4" and news.observer != "l4"}
-    assert seen <= {State.JOINING, State.ALIVE, State.LEAVING, State.LEFT}
-    assert bed.states("l4") == {State.LEFT} and bed.agree()
+    assert seen <= {MemberState.JOINING, MemberState.ALIVE, MemberState.LEAVING, MemberState.LEFT}
+    assert bed.states("l4") == {MemberState.LEFT} and bed.agree()
 
 
 def test_a_leaver_whose_last_words_are_lost_is_left_not_dead() -> None:
@@ -192,7 +196,7 @@
     bed.leave("l4", after=1.5)
     bed.at(bed.now + 1.4, lambda: bed.cuts.append(lambda a, b: a == "l4"))
     bed.run(bed.now + 30)
-    assert bed.states("l4") == {State.LEFT} and bed.deaths() == []
+    assert bed.states("l4") == {MemberState.LEFT} and bed.deaths() == []
 
 
 def test_all_but_one_restarted_at_once_are_one_fleet_in_new_lives() -> None:
--- a/tests/fleet/test_detector.py
+++ b/tests/fleet/test_detector.py
@@ -9,7 +9,7 @@
 from cypresspulley.fleet import timing, wire
 from cypresspulley.fleet.actions import Begin, Changed, Datagram, Leave, Rose, Send, Tick
 from cypresspulley.fleet.detector import STALE, Detector
-from cypresspulley.fleet.records import Member, State
+from cypresspulley.fleet.records import Member, MemberState
 
 KEY = b"0123456789abcdef"
 CODEC = wire.Codec("bed", KEY)
@@ -22,10 +22,10 @@
 
     def __init__(self, *others: str, seeds: tuple[str, ...] = (), period: float = 1.0) -> None:
         self.now, self.number = 0.0, 100
-        me = Member("me", LIFE, 0, State.JOINING, "a", "me:1")
+        me = Member("me", LIFE, 0, MemberState.JOINING, "a", "me:1")
         self.detector = Detector(me, CODEC, seeds, period, Random(1))
         self.sent = list[tuple[str, wire.Envelope]]()
-        self.changes = list[tuple[str, State, str]]()
+        self.changes = list[tuple[str, MemberState, str]]()
         self.rose = list[int]()
         self.do(Begin())
         for name in others:
@@ -44,7 +44,7 @@
                     self.rose.append(life)
 
     def hear(
-        self, name: str, message: wire.Message | None = None, state: State = State.ALIVE, incarnation: int = 0,
+        self, name: str, message: wire.Message | None = None, state: MemberState = MemberState.ALIVE, incarnation: int = 0,
         told: tuple[wire.Entry, ...] = (), life: int = LIFE, number: int | None = None, wall: float = WALL,
         digest: int | None = None,
     ) -> bytes:  # fmt: skip
@@ -70,7 +70,7 @@
             self.do(Tick())
         self.now = end
 
-    def state(self, name: str) -> State | None:
+    def state(self, name: str) -> MemberState | None:
         held = self.detector.view.get(name)
         return held.state if held else None
 
@@ -79,16 +79,16 @@
         return [m for m in messages if isinstance(m, wire.Ping) and m.to == name]
 
 
-def claim(name: str, state: State, incarnation: int = 0, by: str = "", life: int = LIFE) -> wire.Entry:
+def claim(name: str, state: MemberState, incarnation: int = 0, by: str = "", life: int = LIFE) -> wire.Entry:
     return wire.Entry(name, life, incarnation, state, "b", f"{name}:1", by)
 
 
 def test_one_that_no_probe_reaches_is_suspected_and_then_dead() -> None:
     one = One("x")
     one.wait(2.5)
-    assert one.changes == [("x", State.SUSPECTED, "probe")]
+    assert one.changes == [("x", MemberState.SUSPECTED, "probe")]
     one.wait(timing.suspicion(2, 0))
-    assert one.changes[1:] == [("x", State.DEAD, "probe")]
+    assert one.changes[1:] == [("x", MemberState.DEAD, "probe")]
 
 
 def test_others_are_asked_to_probe_and_their_word_counts() -> None:
@@ -103,7 +103,7 @@
     assert helper != target
     one.hear(helper, wire.Reached(nonce))
     one.wait(0.5)
-    assert one.state(target) is not State.SUSPECTED
+    assert one.state(target) is not MemberState.SUSPECTED
 
 
 def test_an_answer_counts_only_from_the_one_that_was_asked() -> None:
@@ -122,13 +122,13 @@
 
 def test_a_death_that_is_told_is_a_suspicion_first() -> None:
     one = One("x", "y", "z")
-    one.hear("y", told=(claim("x", State.DEAD, by="y"),))
-    assert one.state("x") is State.SUSPECTED
+    one.hear("y", told=(claim("x", MemberState.DEAD, by="y"),))
+    assert one.state("x") is MemberState.SUSPECTED
     one.hear("x", incarnation=1)
-    assert one.changes == [("x", State.SUSPECTED, "told"), ("x", State.ALIVE, "refuted")]
-    one.hear("y", told=(claim("x", State.DEAD, incarnation=1, by="y"),))
+    assert one.changes == [("x", MemberState.SUSPECTED, "told"), ("x", MemberState.ALIVE, "refuted")]
+    one.hear("y", told=(claim("x", MemberState.DEAD, incarnation=1, by="y"),))
     one.wait(timing.told(4) + 0.1)
-    assert one.state("x") is State.DEAD and one.changes[-1] == ("x", State.DEAD, "told")
+    assert one.state("x") is MemberState.DEAD and one.changes[-1] == ("x", MemberState.DEAD, "told")
 
 
 def test_more_accusers_shorten_a_suspicion_and_the_same_one_twice_does_not() -> None:
@@ -138,8 +138,8 @@
             "x"
         ] * 99  # its own probes are of x only: nobody else falls under suspicion
         for name in accusers:
-            one.hear(name, told=(claim("x", State.SUSPECTED, by=name),))
-        while one.state("x") is not State.DEAD:
+            one.hear(name, told=(claim("x", MemberState.SUSPECTED, by=name),))
+        while one.state("x") is not MemberState.DEAD:
             one.wait(0.05)
         return one.now
 
@@ -149,110 +149,110 @@
 
 def test_of_itself_it_refutes_above_what_is_told() -> None:
     one = One("x")
-    one.hear("x", told=(claim("me", State.SUSPECTED, 4, by="x"),))
+    one.hear("x", told=(claim("me", MemberState.SUSPECTED, 4, by="x"),))
     me = one.detector.view.myself
-    assert (me.incarnation, me.state) == (5, State.ALIVE) or me.state is State.JOINING
-    one.hear("x", told=(claim("me", State.SUSPECTED, 5, by="x"),))
+    assert (me.incarnation, me.state) == (5, MemberState.ALIVE) or me.state is MemberState.JOINING
+    one.hear("x", told=(claim("me", MemberState.SUSPECTED, 5, by="x"),))
     assert one.detector.view.myself.incarnation == 6
-    one.hear("x", told=(claim("me", State.SUSPECTED, 5, by="x"),))
+    one.hear("x", told=(claim("me", MemberState.SUSPECTED, 5, by="x"),))
     assert one.detector.view.myself.incarnation == 6
     one.hear(
-        "x", told=(claim("me", State.DEAD, 5, by="x"),)
+        "x", told=(claim("me", MemberState.DEAD, 5, by="x"),)
     )  # an end is final in a life, whatever the incarnation
     assert one.detector.view.myself.rank[:3] == (LIFE + 1, False, 0)
-    one.hear("x", told=(claim("me", State.DEAD, 5, by="x"),))
+    one.hear("x", told=(claim("me", MemberState.DEAD, 5, by="x"),))
     assert one.detector.view.myself.rank[:3] == (LIFE + 1, False, 0)
 
 
 def test_a_later_life_of_its_name_lifts_its_own_above_and_says_its_rows_anew() -> None:
     one = One("x")
     one.detector.view.publish(0.0, "lanes", b"row")
-    one.hear("x", told=(claim("me", State.DEAD, 7, by="x", life=LIFE + 3_600_000),))
+    one.hear("x", told=(claim("me", MemberState.DEAD, 7, by="x", life=LIFE + 3_600_000),))
     assert one.rose == [LIFE + 3_600_001]
     assert [row.life for row in one.detector.view.rows(0.0, "lanes")] == [LIFE + 3_600_001]
     for n in range(20):
-        one.hear("x", told=(claim("me", State.ALIVE, 0, life=LIFE + 4_000_000 + n * 10),))
+        one.hear("x", told=(claim("me", MemberState.ALIVE, 0, life=LIFE + 4_000_000 + n * 10),))
     assert len(one.rose) == 8 and one.detector.counts["risen"] == 21
 
 
 def test_a_leaver_is_left_when_it_no_longer_answers_and_never_suspected() -> None:
     one = One("x", "y")
-    one.hear("x", state=State.LEAVING, incarnation=1)
-    one.hear("y", told=(claim("x", State.SUSPECTED, 0, by="y"),))
+    one.hear("x", state=MemberState.LEAVING, incarnation=1)
+    one.hear("y", told=(claim("x", MemberState.SUSPECTED, 0, by="y"),))
     one.wait(40)
     assert [change for change in one.changes if change[0] == "x"] == [
-        ("x", State.LEAVING, "told"),
-        ("x", State.LEFT, "probe"),
+        ("x", MemberState.LEAVING, "told"),
+        ("x", MemberState.LEFT, "probe"),
     ]
 
 
 def test_a_leaver_that_missed_a_probe_and_speaks_again_was_never_left() -> None:
     one = One("x")
-    one.hear("x", state=State.LEAVING, incarnation=1)
+    one.hear("x", state=MemberState.LEAVING, incarnation=1)
     for _ in range(4):  # the longest suspicion is over within each two: only its word keeps it
         one.wait(timing.suspicion(2, 0) - 2)
-        assert one.state("x") is State.LEAVING
-        one.hear("x", state=State.LEAVING, incarnation=1)
+        assert one.state("x") is MemberState.LEAVING
+        one.hear("x", state=MemberState.LEAVING, incarnation=1)
     missed = one.now
     one.wait(timing.suspicion(2, 0) - 1)
-    assert [change for change in one.changes if change[0] == "x"] == [("x", State.LEAVING, "told")]
+    assert [change for change in one.changes if change[0] == "x"] == [("x", MemberState.LEAVING, "told")]
     one.wait(5)
-    assert one.now - missed > timing.suspicion(2, 0) and one.state("x") is State.LEFT
+    assert one.now - missed > timing.suspicion(2, 0) and one.state("x") is MemberState.LEFT
 
 
 def test_a_leaver_that_a_helper_reaches_is_no_longer_missed() -> None:
     one = One("x", "y")
-    one.hear("x", state=State.LEAVING, incarnation=1)
+    one.hear("x", state=MemberState.LEAVING, incarnation=1)
     one.wait(8)
     assert one.detector._suspicions.get("x") is not None
     one.sent.clear()
     while not (asked := [e.message.nonce for _, e in one.sent if isinstance(e.message, wire.Ask)]):
         one.wait(0.05)
     one.hear("y", wire.Reached(asked[-1]))
-    assert one.state("x") is State.LEAVING and one.detector._suspicions.get("x") is None
+    assert one.state("x") is MemberState.LEAVING and one.detector._suspicions.get("x") is None
 
 
 def test_leaving_is_said_at_once_above_any_suspicion() -> None:
     one = One("x", "y")
     one.do(Leave())
     assert {where for where, _ in one.sent} == {"x:1", "y:1"}
-    assert all(e.me.state is State.LEAVING and e.me.incarnation == 1 for _, e in one.sent)
+    assert all(e.me.state is MemberState.LEAVING and e.me.incarnation == 1 for _, e in one.sent)
 
 
 def test_one_that_stood_still_accuses_nobody_of_what_it_did_not_hear() -> None:
     one = One("x", "y", "z")
     while not any(isinstance(e.message, wire.Ping) for _, e in one.sent):
         one.wait(0.05)
-    assert one.state("x") is one.state("y") is one.state("z") is State.ALIVE
+    assert one.state("x") is one.state("y") is one.state("z") is MemberState.ALIVE
     target = next(e.message.to for _, e in one.sent if isinstance(e.message, wire.Ping))
     other = "x" if target != "x" else "y"
-    one.hear("z", told=(claim(other, State.SUSPECTED, by="z"),))
+    one.hear("z", told=(claim(other, MemberState.SUSPECTED, by="z"),))
     one.now += 60
     one.do(Tick())
     assert one.detector.counts["stalls"] == 1 and one.detector.health.value > 0
-    one.hear("z", told=(claim(other, State.SUSPECTED, by="w"),))
+    one.hear("z", told=(claim(other, MemberState.SUSPECTED, by="w"),))
     one.wait(1.2)
-    assert one.state(target) is State.ALIVE  # the probe of it was out
+    assert one.state(target) is MemberState.ALIVE  # the probe of it was out
     one.wait(2.0)
-    assert one.state(other) is State.SUSPECTED  # as told, and not dead for the time that was lost
+    assert one.state(other) is MemberState.SUSPECTED  # as told, and not dead for the time that was lost
     one.hear(other, incarnation=1)
-    assert one.state(other) is State.ALIVE
+    assert one.state(other) is MemberState.ALIVE
 
 
 def test_one_that_wakes_at_the_end_of_a_suspicion_hears_first_what_was_said_meanwhile() -> None:
     one = One("x")
     one.detector._probes.round = ["x"] * 99
-    one.hear("x", told=(claim("x", State.SUSPECTED, by="x"),))
+    one.hear("x", told=(claim("x", MemberState.SUSPECTED, by="x"),))
     until = one.detector._suspicions.until("x", 2)
     assert until is not None
     one.wait(until - one.now - 0.1)
     one.now += 60
     one.do(Tick())
     one.wait(0.9)
-    assert one.state("x") is State.SUSPECTED
+    assert one.state("x") is MemberState.SUSPECTED
     one.hear("x", incarnation=1)
     one.wait(0.5)
-    assert one.state("x") is State.ALIVE
+    assert one.state("x") is MemberState.ALIVE
 
 
 def test_a_replayed_datagram_changes_nothing() -> None:
@@ -280,7 +280,7 @@
     assert not one.detector.settled()
     one.hear("x")
     assert one.detector.settled()
-    one.hear("z", state=State.LEFT, incarnation=1)
+    one.hear("z", state=MemberState.LEFT, incarnation=1)
     assert one.detector.settled()  # one that has left need not agree
     one.hear("z", life=LIFE + 1)
     assert not one.detector.settled()
@@ -305,19 +305,19 @@
     one.hear("y", wall=WALL + STALE + 10)
     assert one.detector.counts["stale"] == 2 and one.state("x") is None and one.state("y") is None
     one.hear("x", wall=WALL - 3600)
-    assert one.state("x") is State.ALIVE
+    assert one.state("x") is MemberState.ALIVE
 
 
 def test_seeds_are_asked_ever_more_seldom_but_always() -> None:
     one = One(seeds=("s:1", "me:1"))
     one.wait(200)
     knocks = sum(1 for where, e in one.sent if where == "s:1" and isinstance(e.message, wire.Ping))
-    assert 10 <= knocks <= 60 and one.detector.view.myself.state is State.JOINING
+    assert 10 <= knocks <= 60 and one.detector.view.myself.state is MemberState.JOINING
     assert {where for where, _ in one.sent} == {"s:1"}
 
 
 def test_one_without_other_seeds_is_alive_at_once() -> None:
-    assert One(seeds=("me:1",)).detector.view.myself.state is State.ALIVE
+    assert One(seeds=("me:1",)).detector.view.myself.state is MemberState.ALIVE
 
 
 def test_a_ping_meant_for_another_is_not_answered() -> None:
@@ -332,6 +332,6 @@
     one = One("x")
     for n in range(300):
         one.hear("x", wire.Ask(n, "y", "y:1"))
-        one.hear("x", told=(claim("z", State.DEAD, n, by="x"), claim("x", State.SUSPECTED, n)))
+        one.hear("x", told=(claim("z", MemberState.DEAD, n, by="x"), claim("x", MemberState.SUSPECTED, n)))
     assert one.detector.counts["relays refused"] == 300 - 64
     assert len(one.detector._timers) < 1_000
--- a/tests/fleet/test_exchange.py
+++ b/tests/fleet/test_exchange.py
@@ -8,7 +8,7 @@
 from cypresspulley.fleet import exchange, wire
 from cypresspulley.fleet.exchange import Exchange
 from cypresspulley.fleet.outbox import MOST_PIECES
-from cypresspulley.fleet.records import Member, State
+from cypresspulley.fleet.records import Member, MemberState
 from cypresspulley.fleet.view import QUIET, Queue
 
 MANY = 1024
@@ -20,7 +20,7 @@
 
 def large(bed: Bed, size: int = MANY, rows: bool = True) -> Host:
     """The one member of a large fleet that answers in this bed."""
-    known = [Member(f"l{n}", LIFE, 0, State.ALIVE, "zone", address(f"l{n}")) for n in range(size)]
+    known = [Member(f"l{n}", LIFE, 0, MemberState.ALIVE, "zone", address(f"l{n}")) for n in range(size)]
     host = bed.start("l0", known=known)
     view = host.detector.view
     for n in range(1, size if rows else 0):
@@ -43,7 +43,7 @@
     large(bed)
     new = bed.start("new", ["l0"])
     began = bed.now
-    assert bed.run(began + 1.0, lambda: new.detector.view.myself.state is State.ALIVE, every=0.001)
+    assert bed.run(began + 1.0, lambda: new.detector.view.myself.state is MemberState.ALIVE, every=0.001)
     assert held(new) == (MANY + 1, 2 * (MANY - 1)) and bed.now - began < 0.5
 
 
@@ -94,7 +94,7 @@
     bed = Bed(1, delay=IN_ORDER)
     large(bed)
     new = bed.start("new", ["l0"])
-    assert bed.run(bed.now + 0.4, lambda: new.detector.view.myself.state is State.ALIVE, every=0.001)
+    assert bed.run(bed.now + 0.4, lambda: new.detector.view.myself.state is MemberState.ALIVE, every=0.001)
     assert new.detector.counts["sent"] < 20
 
 
@@ -109,5 +109,5 @@
     assert held(new)[0] < MANY
     bed.run(bed.now + 0.01)
     again = bed.start("new", ["l0"])
-    assert bed.run(bed.now + 0.4, lambda: again.detector.view.myself.state is State.ALIVE, every=0.001)
+    assert bed.run(bed.now + 0.4, lambda: again.detector.view.myself.state is MemberState.ALIVE, every=0.001)
     assert held(again) == (MANY + 1, 2 * (MANY - 1))
--- a/tests/fleet/test_final_death.py
+++ b/tests/fleet/test_final_death.py
@@ -15,7 +15,7 @@
 
 from cypresspulley.explore.examine import examine
 from cypresspulley.explore.schedule import drawn_day, kinds_of, small_day
-from cypresspulley.fleet.records import Member, State
+from cypresspulley.fleet.records import Member, MemberState
 from cypresspulley.fleet.view import View
 from cypresspulley.rehearsal.scenario import load_scenario
 from tests.fleet.test_detector import One, claim
@@ -23,31 +23,35 @@
 LIFE = 1_700_000_000_000  # as ``claim`` says
 
 
-@pytest.mark.parametrize("ended", [State.LEFT, State.DEAD])
-def test_no_incarnation_brings_a_life_back_in_whatever_order_it_is_told(ended: State) -> None:
-    told = [Member("x", 7, 0, ended), Member("x", 7, 1, State.ALIVE), Member("x", 7, 4, State.SUSPECTED)]
+@pytest.mark.parametrize("ended", [MemberState.LEFT, MemberState.DEAD])
+def test_no_incarnation_brings_a_life_back_in_whatever_order_it_is_told(ended: MemberState) -> None:
+    told = [
+        Member("x", 7, 0, ended),
+        Member("x", 7, 1, MemberState.ALIVE),
+        Member("x", 7, 4, MemberState.SUSPECTED),
+    ]
     for order in permutations(told):
-        view = View(Member("me", 1, 0, State.ALIVE))
+        view = View(Member("me", 1, 0, MemberState.ALIVE))
         for member in order:
             view.merge(1.0, member)
         held = view.get("x")
         assert held is not None and held.state is ended, order
-        assert view.merge(2.0, Member("x", 8, 0, State.ALIVE)), "a new life does"
+        assert view.merge(2.0, Member("x", 8, 0, MemberState.ALIVE)), "a new life does"
 
 
 def test_who_is_told_that_it_is_dead_goes_on_in_a_new_life() -> None:
     one = One("x")
-    one.hear("x", told=(claim("me", State.DEAD, 0, by="x"),))
+    one.hear("x", told=(claim("me", MemberState.DEAD, 0, by="x"),))
     me = one.detector.view.myself
     assert (me.life, me.incarnation) == (LIFE + 1, 0) and me.state.present
 
 
 def test_a_death_that_is_older_than_a_refutation_suspects_nobody() -> None:
     one = One("x", "y")
-    one.hear("y", told=(claim("x", State.ALIVE, 2),))
-    one.hear("y", told=(claim("x", State.DEAD, 1, by="y"),))
+    one.hear("y", told=(claim("x", MemberState.ALIVE, 2),))
+    one.hear("y", told=(claim("x", MemberState.DEAD, 1, by="y"),))
     held = one.detector.view.get("x")
-    assert held is not None and held.state is State.ALIVE
+    assert held is not None and held.state is MemberState.ALIVE
     assert one.detector._suspicions.get("x") is None, "and no time runs against it"
 
 
--- a/tests/fleet/test_limiter.py
+++ b/tests/fleet/test_limiter.py
@@ -15,7 +15,7 @@
 from cypresspulley.fleet.actions import Datagram
 from cypresspulley.fleet.limiter import Fleet
 from cypresspulley.fleet.options import FleetOptions
-from cypresspulley.fleet.records import Member, State
+from cypresspulley.fleet.records import Member, MemberState
 from cypresspulley.fleet.wire import Codec, Entry, Gossip, raw
 from cypresspulley.histories.events import FACTS, Kind
 from cypresspulley.histories.writer import AnyHistory, History, MemoryHistory, NoHistory
@@ -77,7 +77,9 @@
         await asyncio.sleep(PERIOD)
         await all_of[2].close()
         await until(
-            lambda: all((m := view.member("l2")) is not None and m.state is State.LEFT for view in views[:2])
+            lambda: all(
+                (m := view.member("l2")) is not None and m.state is MemberState.LEFT for view in views[:2]
+            )
         )
         await all_of[0].close()
         await all_of[1].close()
@@ -110,7 +112,9 @@
         await asyncio.sleep(PERIOD)
         await again.start()
         await until(
-            lambda: (m := a.view.member("b")) is not None and m.life == life + 1 and m.state is State.ALIVE
+            lambda: (
+                (m := a.view.member("b")) is not None and m.life == life + 1 and m.state is MemberState.ALIVE
+            )
         )
         assert again.view.life == life + 1
         await until(lambda: again.view.clock_error(time.monotonic()) is not None)
@@ -135,14 +139,14 @@
 
         def hear(number: int, *told: Entry) -> None:
             head = (number, round(time.time() * 1000), 1, 1, 0)
-            x = Entry("x", 7, 0, State.ALIVE, "b", "127.0.0.1:9", "")
+            x = Entry("x", 7, 0, MemberState.ALIVE, "b", "127.0.0.1:9", "")
             one.take(Datagram(codec.encode(head, raw(x), raw(Gossip()), [raw(entry) for entry in told], [])))
 
-        y = Entry("y", 7, 0, State.ALIVE, "b", "127.0.0.1:9", "")
-        gone = Entry("gone", 7, 3, State.DEAD, "b", "127.0.0.1:9", "x")
+        y = Entry("y", 7, 0, MemberState.ALIVE, "b", "127.0.0.1:9", "")
+        gone = Entry("gone", 7, 3, MemberState.DEAD, "b", "127.0.0.1:9", "x")
         hear(1, y, gone)
-        me = Entry("me", life + 9, 0, State.ALIVE, "a", "127.0.0.1:9", "x")
-        y_doubted = Entry("y", 7, 0, State.SUSPECTED, "b", "127.0.0.1:9", "x")
+        me = Entry("me", life + 9, 0, MemberState.ALIVE, "a", "127.0.0.1:9", "x")
+        y_doubted = Entry("y", 7, 0, MemberState.SUSPECTED, "b", "127.0.0.1:9", "x")
         hear(2, me, y_doubted)
         await one.close()
         start, *seen = history.lives[1][:6]
@@ -182,7 +186,7 @@
         await until(lambda: a.view.settled(0.0) and len(a.view.members()) == 2)
         await until(lambda: sum(a.detector.counts[cause] for cause in ("cut", "long", "digest")) >= 3)
         assert heard  # all that b hears came through the relay
-        a.detector.view.merge(0.0, Member("bad", 1, 0, State.ALIVE, "", "no address"))
+        a.detector.view.merge(0.0, Member("bad", 1, 0, MemberState.ALIVE, "", "no address"))
         await until(lambda: a.detector.counts["no address"] > 0)
         for one in (a, b):
             await one.close()
--- a/tests/fleet/test_view.py
+++ b/tests/fleet/test_view.py
@@ -10,14 +10,14 @@
 from hypothesis import strategies as st
 
 from cypresspulley.fleet import view as module
-from cypresspulley.fleet.records import Member, State
+from cypresspulley.fleet.records import Member, MemberState
 from cypresspulley.fleet.view import QUIET, TOMBSTONE, View
 from cypresspulley.fleet.wire import Cell
 
-ME = Member("me", 10, 0, State.ALIVE, "a", "me:1")
+ME = Member("me", 10, 0, MemberState.ALIVE, "a", "me:1")
 
 members = st.builds(
-    Member, st.sampled_from(["x", "y", "z"]), st.integers(1, 3), st.integers(0, 2), st.sampled_from(State),
+    Member, st.sampled_from(["x", "y", "z"]), st.integers(1, 3), st.integers(0, 2), st.sampled_from(MemberState),
     st.sampled_from("ab"), st.sampled_from("pq"),
 )  # fmt: skip
 cells = st.builds(
@@ -66,7 +66,7 @@
 def test_any_order_and_any_doubling_of_rows_ends_in_one_view(
     claims: list[Member | Cell], rng: random.Random
 ) -> None:
-    first = [Member(name, 1, 0, State.ALIVE) for name in "xyz"]
+    first = [Member(name, 1, 0, MemberState.ALIVE) for name in "xyz"]
     mixed = [*claims, *rng.choices(claims, k=len(claims))] if claims else []
     rng.shuffle(mixed)
     one, other = View(ME), View(ME)
@@ -105,19 +105,19 @@
 
 
 def test_a_row_ends_with_its_life() -> None:
-    view = put(View(ME), [Member("x", 5, 0, State.ALIVE), Cell("x", "lanes", 5, 9, 250, b"old")])
+    view = put(View(ME), [Member("x", 5, 0, MemberState.ALIVE), Cell("x", "lanes", 5, 9, 250, b"old")])
     assert [(row.owner, row.body) for row in view.rows(1.0, "lanes")] == [("x", b"old")]
     assert view.rows(1.0, "lanes")[0].age == pytest.approx(1.25)
-    view.merge(1.0, Member("x", 5, 0, State.DEAD))
+    view.merge(1.0, Member("x", 5, 0, MemberState.DEAD))
     assert view.rows(1.0, "lanes") == ()
-    view.merge(2.0, Member("x", 6, 0, State.ALIVE))
+    view.merge(2.0, Member("x", 6, 0, MemberState.ALIVE))
     assert not view.merge_row(2.0, Cell("x", "lanes", 5, 10, 0, b"older still"))
     assert view.rows(2.0, "lanes") == ()
     assert view.merge_row(2.0, Cell("x", "closing", 7, 1, 0, b"of a life not heard of yet"))
     assert view.rows(2.0, "closing") == ()
     view.merge_row(2.0, Cell("x", "lanes", 6, 1, 0, b"new"))
     assert [row.body for row in view.rows(2.0, "lanes")] == [b"new"]
-    view.merge(3.0, Member("x", 7, 0, State.ALIVE))
+    view.merge(3.0, Member("x", 7, 0, MemberState.ALIVE))
     assert [row.life for row in view.rows(3.0, "closing")] == [7] and view.rows(3.0, "lanes") == ()
 
 
@@ -135,7 +135,7 @@
 
 
 def test_an_owner_that_names_its_versions_makes_its_rows_young() -> None:
-    view = put(View(ME), [Member("x", 5, 0, State.ALIVE), Cell("x", "lanes", 5, 9, 0, b"")])
+    view = put(View(ME), [Member("x", 5, 0, MemberState.ALIVE), Cell("x", "lanes", 5, 9, 0, b"")])
     view.confirm(30.0, "x", 5, 8)
     assert view.rows(30.0, "lanes")[0].age == 30.0
     view.confirm(30.0, "x", 5, 9)
@@ -157,10 +157,10 @@
     monkeypatch.setattr(module, "MOST_TOMBSTONES", 3)
     view = View(ME)
     for n in range(5):
-        view.merge(n, Member(f"x{n}", 5, 0, State.DEAD))
+        view.merge(n, Member(f"x{n}", 5, 0, MemberState.DEAD))
     assert [name for n in range(5) if view.get(name := f"x{n}")] == ["x2", "x3", "x4"]
-    assert not view.merge(9.0, Member("x4", 5, 0, State.SUSPECTED)) and not view.merge(
-        9.0, Member("x4", 4, 7, State.ALIVE)
+    assert not view.merge(9.0, Member("x4", 5, 0, MemberState.SUSPECTED)) and not view.merge(
+        9.0, Member("x4", 4, 7, MemberState.ALIVE)
     )
     view.turn(TOMBSTONE + 3.5)
     assert view.get("x3") is None and view.get("x4") is not None
@@ -169,14 +169,14 @@
 def test_the_view_takes_no_more_members_than_it_has_room_for(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, "MOST_MEMBERS", 3)
     view = View(ME)
-    taken = [view.merge(0.0, Member(f"x{n}", 5, 0, State.ALIVE)) for n in range(4)]
+    taken = [view.merge(0.0, Member(f"x{n}", 5, 0, MemberState.ALIVE)) for n in range(4)]
     assert taken == [True, True, False, False] and view.present == 3
 
 
 def test_what_was_sent_least_goes_first_and_so_often_as_the_size_asks() -> None:
     view = View(ME)
     for n in range(8):
-        view.merge(0.0, Member(f"x{n}", 5, 0, State.ALIVE))
+        view.merge(0.0, Member(f"x{n}", 5, 0, MemberState.ALIVE))
         view.queue.add((f"x{n}", ""), view.entry(f"x{n}"))
     one = len(view.entry("x0"))
     sent = list[bytes]()
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -9,11 +9,11 @@
 
 from benchmarks.fleet_bed import Bed
 from cypresspulley.fleet import wire
-from cypresspulley.fleet.records import State
+from cypresspulley.fleet.records import MemberState
 
 KEY = b"0123456789abcdef"
 CODEC = wire.Codec("vadodara", KEY)
-ME = wire.Entry("l1", 5, 0, State.ALIVE, "a", "10.0.0.1:8700")
+ME = wire.Entry("l1", 5, 0, MemberState.ALIVE, "a", "10.0.0.1:8700")
 
 
 def datagram(codec: wire.Codec = CODEC, message: wire.Message | None = None) -> bytes:
--- a/tests/lanes/fabric.py
+++ b/tests/lanes/fabric.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field, replace
 from random import Random
 
-from cypresspulley.fleet.records import MAX_ROW_BYTES, Member, Row, State
+from cypresspulley.fleet.records import MAX_ROW_BYTES, Member, MemberState, Row
 
 
 @dataclass(slots=True)
@@ -85,7 +85,7 @@
         since, now = self._fabric.since(self.me, name), self._fabric.clock()
         over = since is not None and now - since >= self._fabric.detect
         suspected = since is not None and now - since >= self._fabric.detect / 2
-        state = State.DEAD if over else State.SUSPECTED if suspected else State.ALIVE
+        state = MemberState.DEAD if over else MemberState.SUSPECTED if suspected else MemberState.ALIVE
         return Member(name, view.life, 0, state)
 
     def rows(self, now: float, subsystem: str) -> tuple[Row, ...]:
--- a/tests/lanes/test_limiter.py
+++ b/tests/lanes/test_limiter.py
@@ -10,7 +10,7 @@
 import pytest
 
 from cypresspulley import interface as api
-from cypresspulley.fleet.records import Member, Row, State
+from cypresspulley.fleet.records import Member, MemberState, Row
 from cypresspulley.histories.events import FACTS, Kind
 from cypresspulley.lanes.heard import Heard
 from cypresspulley.lanes.limiter import LOST, Lanes, inversion_bound
@@ -375,11 +375,11 @@
 
 
 def test_a_row_of_an_earlier_life_does_not_come_back() -> None:
-    heard, member = Heard(1, 4.0, 5.0), Member("b", 2, 0, State.ALIVE)
+    heard, member = Heard(1, 4.0, 5.0), Member("b", 2, 0, MemberState.ALIVE)
 
     def body(sent: float) -> bytes:
         return encode(LanesRow(0, 0.0, 0.0, (Figures(sent=sent),), first(1), 0.0))
 
     for life, sent in ((2, 7.0), (1, 99.0)):
-        heard.update(0.0, "a", [Row("b", life, 1, State.ALIVE, 0.1, body(sent))], lambda _name: member)
+        heard.update(0.0, "a", [Row("b", life, 1, MemberState.ALIVE, 0.1, body(sent))], lambda _name: member)
     assert [row.figures[0].sent for row in heard.told()] == [7.0]
