--- a/cypresspulley/fleet/options.py
+++ b/cypresspulley/fleet/options.py
@@ -17,12 +17,12 @@
 from typing import Any
 
 from cypresspulley.fleet.records import NAME_PATTERN
-from cypresspulley.fleet.view import MOST_MEMBERS
+from cypresspulley.fleet.view import MAX_MEMBERS
 from cypresspulley.net.http import split_address
 from cypresspulley.operators import OperatorsError
 
 LEAST_KEY = 16  # characters
-MOST_SEEDS = MOST_MEMBERS  # every member may be named; more than these no view holds
+MOST_SEEDS = MAX_MEMBERS  # every member may be named; more than these no view holds
 PERIODS = (50, 10_000)  # ms
 
 
--- a/cypresspulley/fleet/view.py
+++ b/cypresspulley/fleet/view.py
@@ -29,8 +29,8 @@
 from cypresspulley.fleet.records import MAX_ROW_BYTES, MAX_SUBSYSTEMS, Member, MemberState, Rank, Row
 from cypresspulley.fleet.wire import BUCKETS, Cell, Entry, raw, size
 
-MOST_MEMBERS = 4096  # present ones; a new name beyond is not taken
-MOST_TOMBSTONES = 4096
+MAX_MEMBERS = 4096  # present ones; a new name beyond is not taken
+MAX_TOMBSTONES = 4096
 TOMBSTONE = 48 * 3600.0  # seconds: twice what a datagram's clock may be off (``detector.STALE``)
 # Seconds after which a row that has not changed counts for the digest, in a fleet of ``QUIET_SIZE`` members at most. In
 # a larger one rows take longer to go round, as each member sends no more than in a small one.
@@ -114,7 +114,7 @@
         """Join a claim into the view; whether this changed it."""
         held = self._members.get(member.name)
         if held is None:
-            if member.state.present and self._present >= MOST_MEMBERS:
+            if member.state.present and self._present >= MAX_MEMBERS:
                 return False
         elif _order(member) <= _order(held):
             return False
@@ -149,7 +149,7 @@
         """Forget tombstones that are old, or the oldest where there are too many."""
         while self._ended:
             name, at = next(iter(self._ended.items()))
-            if now - at < TOMBSTONE and len(self._ended) <= MOST_TOMBSTONES:
+            if now - at < TOMBSTONE and len(self._ended) <= MAX_TOMBSTONES:
                 return
             del self._ended[name], self._members[name]
             self._rows.pop(name, None)
@@ -385,7 +385,7 @@
         self._at[key] = level + 1
 
 
-@lru_cache(maxsize=2 * (MOST_MEMBERS + MOST_TOMBSTONES))
+@lru_cache(maxsize=2 * (MAX_MEMBERS + MAX_TOMBSTONES))
 def bucket(name: str) -> int:
     """The bucket of a name, the same at all members."""
     return blake2b(name.encode(), digest_size=1).digest()[0] % BUCKETS
--- a/tests/fleet/test_view.py
+++ b/tests/fleet/test_view.py
@@ -154,7 +154,7 @@
 
 
 def test_tombstones_hold_against_old_claims_and_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "MOST_TOMBSTONES", 3)
+    monkeypatch.setattr(module, "MAX_TOMBSTONES", 3)
     view = View(ME)
     for n in range(5):
         view.merge(n, Member(f"x{n}", 5, 0, MemberState.DEAD))
@@ -167,7 +167,7 @@
 
 
 def test_the_view_takes_no_more_members_than_it_has_room_for(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "MOST_MEMBERS", 3)
+    monkeypatch.setattr(module, "MAX_MEMBERS", 3)
     view = View(ME)
     taken = [view.merge(0.0, Member(f"x{n}", 5, 0, MemberState.ALIVE)) for n in range(4)]
     assert taken == [True, True, False, False] and view.present == 3
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -11,7 +11,7 @@
 import pytest
 
 from cypresspulley.fleet.options import MOST_SEEDS, options_from
-from cypresspulley.fleet.view import MOST_MEMBERS
+from cypresspulley.fleet.view import MAX_MEMBERS
 from cypresspulley.keeper.engine import EngineCounter, engine_url
 from cypresspulley.net.discovery import Messages, listing_from
 from cypresspulley.net.peers import Peers
@@ -47,9 +47,7 @@
 def test_every_limiter_of_a_large_fleet_may_be_a_seed() -> None:
     options = options_from(fleet_table(), "operators.toml", KEY)
     assert options.seeds == tuple(loopback(number) for number in range(MANY))
-    with pytest.raises(
-        OperatorsError, match=rf"fleet\.seeds: expected a list of at most {MOST_MEMBERS} addr"
-    ):
+    with pytest.raises(OperatorsError, match=rf"fleet\.seeds: expected a list of at most {MAX_MEMBERS} addr"):
         options_from(fleet_table(seeds=[loopback(0)] * (MOST_SEEDS + 1)), "operators.toml", KEY)
 
 
