--- a/benchmarks/fleet_bed.py
+++ b/benchmarks/fleet_bed.py
@@ -13,15 +13,15 @@
 
 from cypresspulley.fleet.actions import (
     Action,
-    Begin,
-    Changed,
-    Datagram,
-    End,
+    DatagramReceived,
     Event,
-    Leave,
+    LeaveRequested,
+    MemberChanged,
     Send,
     Settled,
-    Tick,
+    Started,
+    Stopped,
+    TimerFired,
 )
 from cypresspulley.fleet.detector import Detector
 from cypresspulley.fleet.records import Member, MemberState
@@ -98,7 +98,7 @@
                 detector.view.merge(self.now, member)
         for subsystem, body in (rows or {}).items():
             detector.view.publish(self.now, subsystem, body)
-        self._hand(host, Begin())
+        self._hand(host, Started())
         return host
 
     def fleet(self, size: int, warm: bool = True, seeds: int = 2) -> list[str]:
@@ -124,16 +124,16 @@
         host.paused = False
         waiting, host.buffer = host.buffer, []
         for data in waiting:
-            self._hand(host, Datagram(data))
+            self._hand(host, DatagramReceived(data))
         self._due(host)
 
     def leave(self, name: str, after: float = 1.0) -> None:
         """It says that it ends, and ends so many seconds later."""
         host = self.hosts[name]
-        self._hand(host, Leave())
+        self._hand(host, LeaveRequested())
 
         def end() -> None:
-            self._hand(host, End())
+            self._hand(host, Stopped())
             host.running = False
 
         self.at(self.now + after, end)
@@ -169,9 +169,9 @@
             if what == "tick":
                 if host.timer == when and not host.paused:
                     host.timer = float("inf")
-                    self._hand(host, Tick())
+                    self._hand(host, TimerFired())
             elif not host.paused:
-                self._hand(host, Datagram(data))
+                self._hand(host, DatagramReceived(data))
             elif len(host.buffer) < BUFFERED:
                 host.buffer.append(data)
         self.now = until
@@ -214,7 +214,7 @@
         match action:
             case Send(where, data):
                 self.carry(host.name, where.partition(":")[0], data)
-            case Changed(member, cause):
+            case MemberChanged(member, cause):
                 self.news.append(News(self.now, host.name, member, cause))
             case Settled(settled, _, _):
                 self.settled.append((self.now, host.name, settled))
--- a/benchmarks/together_plays.py
+++ b/benchmarks/together_plays.py
@@ -24,7 +24,7 @@
 from cypresspulley.closing.limiter import Closing
 from cypresspulley.closing.options import DRIFT, Options, calendar_from
 from cypresspulley.fleet import timing
-from cypresspulley.fleet.actions import Action, Changed, Rose, RowTaken, Settled
+from cypresspulley.fleet.actions import Action, LifeRaised, MemberChanged, RowAccepted, Settled
 from cypresspulley.histories.events import Kind
 from cypresspulley.histories.read import HARNESS, Histories, from_memory
 from cypresspulley.histories.writer import MemoryHistory
@@ -96,17 +96,17 @@
 
     def _do(self, host: Host, action: Action) -> None:
         history = self._told[host.name]
-        if not history.lives or isinstance(action, Rose):
+        if not history.lives or isinstance(action, LifeRaised):
             size = self._size
             bounds = {"detect": timing.detect_bound(size, 0.5), "settle": timing.settle_bound(size, 0.5)}
             begin(history, host.name, host.detector.view.myself.life, bounds)
         match action:
-            case Changed(member, cause):
+            case MemberChanged(member, cause):
                 history.put(
                     Kind.MEMBER, member=member.name, life=member.life, incarnation=member.incarnation,
                     state=member.state.name.lower(), cause=cause,
                 )  # fmt: skip
-            case RowTaken(owner, life, subsystem):
+            case RowAccepted(owner, life, subsystem):
                 history.put(Kind.ROW, owner=owner, life=life, subsystem=subsystem)
             case Settled(settled, digest, members):
                 history.put(Kind.SETTLED, settled=settled, digest=f"{digest:016x}", members=members)
--- a/cypresspulley/fleet/actions.py
+++ b/cypresspulley/fleet/actions.py
@@ -10,31 +10,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Begin:
+class Started:
     """The channel is open."""
 
 
 @dataclass(frozen=True, slots=True)
-class Tick:
+class TimerFired:
     """``Detector.due`` has come."""
 
 
 @dataclass(frozen=True, slots=True)
-class Datagram:
+class DatagramReceived:
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Leave:
+class LeaveRequested:
     """This process has begun to end."""
 
 
 @dataclass(frozen=True, slots=True)
-class End:
+class Stopped:
     """This process is about to end."""
 
 
-Event = Begin | Tick | Datagram | Leave | End
+Event = Started | TimerFired | DatagramReceived | LeaveRequested | Stopped
 
 # Actions
 
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
+class MemberChanged:
     """The view has another state of a member. ``cause`` as in ``histories.events``: self, probe, told or refuted."""
 
     member: Member
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rose:
+class LifeRaised:
     """This member has a new life, in which ``held`` is what it holds of the others, tombstones among it."""
 
     life: int
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RowTaken:
+class RowAccepted:
     """Another's row is held now, of another life than the one that was held of it."""
 
     owner: str
@@ -80,4 +80,4 @@
     subsystem: str
 
 
-Action = Send | Changed | Rose | Settled | RowTaken
+Action = Send | MemberChanged | LifeRaised | Settled | RowAccepted
--- a/cypresspulley/fleet/detector.py
+++ b/cypresspulley/fleet/detector.py
@@ -53,16 +53,16 @@
 from cypresspulley.fleet import timing, wire
 from cypresspulley.fleet.actions import (
     Action,
-    Begin,
-    Changed,
-    Datagram,
-    End,
+    DatagramReceived,
     Event,
-    Leave,
-    Rose,
-    RowTaken,
+    LeaveRequested,
+    LifeRaised,
+    MemberChanged,
+    RowAccepted,
     Settled,
-    Tick,
+    Started,
+    Stopped,
+    TimerFired,
 )
 from cypresspulley.fleet.clocks import Clocks
 from cypresspulley.fleet.documents import Documents
@@ -129,16 +129,16 @@
             self.health.stood_still(now, late, self._timers.period)
             self.counts["stalls"] += 1
         match event:
-            case Datagram(data):
+            case DatagramReceived(data):
                 self._receive(data)
-            case Tick():
+            case TimerFired():
                 while timer := self._timers.pop(now):
                     _TIMERS[timer[0]](self, timer[1])
-            case Begin():
+            case Started():
                 self._begin()
-            case Leave():
+            case LeaveRequested():
                 self._leave()
-            case End():
+            case Stopped():
                 self._end()
         return self._outbox.empty()
 
@@ -200,7 +200,7 @@
         record = self._outbox.introduce(rose)
         if rose:
             self.view.relive(self._now)
-            self._outbox.act(Rose(me.life, self.view.all_others(), self._as_settled()))
+            self._outbox.act(LifeRaised(me.life, self.view.all_others(), self._as_settled()))
         self.view.queue.add((me.name, ""), record)
         self._changed(me, cause)
 
@@ -412,7 +412,7 @@
                 self._become(replace(me, life=me.life + 1, incarnation=0), "refuted")
 
     def _changed(self, member: Member, cause: str) -> None:
-        self._outbox.act(Changed(member, cause))
+        self._outbox.act(MemberChanged(member, cause))
         if self.peers.settled:
             self._see_settled()
 
@@ -445,7 +445,7 @@
         for cell in envelope.cells:
             before = self.view.row_life(cell.owner, cell.subsystem)
             if self.view.merge_row(self._now, cell) and before != cell.life:
-                self._outbox.act(RowTaken(cell.owner, cell.life, cell.subsystem))
+                self._outbox.act(RowAccepted(cell.owner, cell.life, cell.subsystem))
         held = self.view.get(sender.name)
         if held is None:  # no room for it
             self.counts["full"] += 1
--- a/cypresspulley/fleet/limiter.py
+++ b/cypresspulley/fleet/limiter.py
@@ -16,17 +16,17 @@
 from cypresspulley.fleet import timing
 from cypresspulley.fleet.actions import (
     Action,
-    Begin,
-    Changed,
-    Datagram,
-    End,
+    DatagramReceived,
     Event,
-    Leave,
-    Rose,
-    RowTaken,
+    LeaveRequested,
+    LifeRaised,
+    MemberChanged,
+    RowAccepted,
     Send,
     Settled,
-    Tick,
+    Started,
+    Stopped,
+    TimerFired,
 )
 from cypresspulley.fleet.addresses import Addresses
 from cypresspulley.fleet.detector import Detector
@@ -88,17 +88,17 @@
         if sock is not None:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
         self._open_history(self.view.life)
-        self.take(Begin())
+        self.take(Started())
 
     def leave(self) -> None:
         """Say that this process ends, so that nobody suspects it."""
-        self.take(Leave())
+        self.take(LeaveRequested())
 
     async def close(self) -> None:
         """Say that it has ended, and close the socket. No other call after it does anything."""
         if self._transport is None:
             return
-        self.take(End())
+        self.take(Stopped())
         if self._timer is not None:
             self._timer.cancel()
         self._addresses.close()
@@ -120,16 +120,16 @@
         match action:
             case Send(address, data):
                 self._send(address, data)
-            case Changed(member, cause):
+            case MemberChanged(member, cause):
                 log.info(
                     "%s of life %d is %s (%s)", member.name, member.life, member.state.name.lower(), cause
                 )
                 self._put_member(member, cause)
             case Settled():
                 self._put_settled(action)
-            case RowTaken(owner, life, subsystem):
+            case RowAccepted(owner, life, subsystem):
                 self._history.put(Kind.ROW, owner=owner, life=life, subsystem=subsystem)
-            case Rose(life, held, settled):
+            case LifeRaised(life, held, settled):
                 log.warning("others know a later life of %s: this one is %d from here on", self._me, life)
                 self._history.put(Kind.END, reason="life")
                 self._open_history(life)
@@ -187,7 +187,7 @@
     def _tick(self) -> None:
         self._timer = None
         if self.detector.due <= self._clock():
-            self.take(Tick())
+            self.take(TimerFired())
         else:
             self._set_timer()
 
@@ -248,7 +248,7 @@
         self._fleet = fleet
 
     def datagram_received(self, data: bytes, addr: object) -> None:
-        self._fleet.take(Datagram(data))
+        self._fleet.take(DatagramReceived(data))
 
     def error_received(self, exc: Exception) -> None:
         self._fleet.detector.counts["refused"] += 1
--- a/tests/fleet/test_detector.py
+++ b/tests/fleet/test_detector.py
@@ -7,7 +7,15 @@
 import pytest
 
 from cypresspulley.fleet import timing, wire
-from cypresspulley.fleet.actions import Begin, Changed, Datagram, Leave, Rose, Send, Tick
+from cypresspulley.fleet.actions import (
+    DatagramReceived,
+    LeaveRequested,
+    LifeRaised,
+    MemberChanged,
+    Send,
+    Started,
+    TimerFired,
+)
 from cypresspulley.fleet.detector import STALE, Detector
 from cypresspulley.fleet.records import Member, MemberState
 
@@ -27,20 +35,20 @@
         self.sent = list[tuple[str, wire.Envelope]]()
         self.changes = list[tuple[str, MemberState, str]]()
         self.rose = list[int]()
-        self.do(Begin())
+        self.do(Started())
         for name in others:
             self.hear(name)
         self.sent.clear()
         self.changes.clear()
 
-    def do(self, event: Begin | Tick | Datagram | Leave) -> None:
+    def do(self, event: Started | TimerFired | DatagramReceived | LeaveRequested) -> None:
         for action in self.detector.handle(self.now, WALL + self.now, event):
             match action:
                 case Send(address, data):
                     self.sent.append((address, CODEC.decode(data)))
-                case Changed(member, cause):
+                case MemberChanged(member, cause):
                     self.changes.append((member.name, member.state, cause))
-                case Rose(life):
+                case LifeRaised(life):
                     self.rose.append(life)
 
     def hear(
@@ -60,14 +68,14 @@
         )
         records = [wire.raw(entry) for entry in told]
         data = CODEC.encode(head, wire.raw(me), wire.raw(message or wire.Gossip()), records, [])
-        self.do(Datagram(data))
+        self.do(DatagramReceived(data))
         return data
 
     def wait(self, seconds: float) -> None:
         end = self.now + seconds
         while self.detector.due <= end:
             self.now = max(self.now, self.detector.due)
-            self.do(Tick())
+            self.do(TimerFired())
         self.now = end
 
     def state(self, name: str) -> MemberState | None:
@@ -214,7 +222,7 @@
 
 def test_leaving_is_said_at_once_above_any_suspicion() -> None:
     one = One("x", "y")
-    one.do(Leave())
+    one.do(LeaveRequested())
     assert {where for where, _ in one.sent} == {"x:1", "y:1"}
     assert all(e.me.state is MemberState.LEAVING and e.me.incarnation == 1 for _, e in one.sent)
 
@@ -228,7 +236,7 @@
     other = "x" if target != "x" else "y"
     one.hear("z", told=(claim(other, MemberState.SUSPECTED, by="z"),))
     one.now += 60
-    one.do(Tick())
+    one.do(TimerFired())
     assert one.detector.counts["stalls"] == 1 and one.detector.health.value > 0
     one.hear("z", told=(claim(other, MemberState.SUSPECTED, by="w"),))
     one.wait(1.2)
@@ -247,7 +255,7 @@
     assert until is not None
     one.wait(until - one.now - 0.1)
     one.now += 60
-    one.do(Tick())
+    one.do(TimerFired())
     one.wait(0.9)
     assert one.state("x") is MemberState.SUSPECTED
     one.hear("x", incarnation=1)
@@ -263,7 +271,7 @@
     detector = one.detector
     before = (detector.view.digest, detector.peers.heard(one.now, 0.0), detector.settled(), len(one.changes))
     one.wait(0.3)
-    one.do(Datagram(data))
+    one.do(DatagramReceived(data))
     assert detector.counts["replayed"] == 1 and detector.peers.heard(one.now, 0.2) == 0
     assert before[0] == detector.view.digest and before[2:] == (detector.settled(), len(one.changes))
 
@@ -292,7 +300,7 @@
     old = one.hear("x", number=5_000)
     one.hear("x", life=LIFE + 1)
     one.hear("x", life=life, incarnation=99)
-    one.do(Datagram(old))
+    one.do(DatagramReceived(old))
     held = one.detector.view.get("x")
     assert held is not None and (held.life, held.incarnation) == (LIFE + 1, 0)
     told = [e.entries for where, e in one.sent if where == "x:1" and e.entries]
--- a/tests/fleet/test_limiter.py
+++ b/tests/fleet/test_limiter.py
@@ -12,7 +12,7 @@
 import msgspec
 import pytest
 
-from cypresspulley.fleet.actions import Datagram
+from cypresspulley.fleet.actions import DatagramReceived
 from cypresspulley.fleet.limiter import Fleet
 from cypresspulley.fleet.options import FleetOptions
 from cypresspulley.fleet.records import Member, MemberState
@@ -140,7 +140,11 @@
         def hear(number: int, *told: Entry) -> None:
             head = (number, round(time.time() * 1000), 1, 1, 0)
             x = Entry("x", 7, 0, MemberState.ALIVE, "b", "127.0.0.1:9", "")
-            one.take(Datagram(codec.encode(head, raw(x), raw(Gossip()), [raw(entry) for entry in told], [])))
+            one.take(
+                DatagramReceived(
+                    codec.encode(head, raw(x), raw(Gossip()), [raw(entry) for entry in told], [])
+                )
+            )
 
         y = Entry("y", 7, 0, MemberState.ALIVE, "b", "127.0.0.1:9", "")
         gone = Entry("gone", 7, 3, MemberState.DEAD, "b", "127.0.0.1:9", "x")
