--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -177,12 +177,14 @@
     fleet = [_member(f"l{n}", port, ports[0]) for n, port in enumerate(ports[1:])]
     life = round(time.time() * 1000)
     known = [
-        Member(one.view.me, life, 0, MemberState.ALIVE, "a", f"127.0.0.1:{p}")
+        Member(one.view.local_name, life, 0, MemberState.ALIVE, "a", f"127.0.0.1:{p}")
         for one, p in zip(fleet, ports[1:], strict=True)
     ]
     for one in fleet:  # they know each other from the start: what is measured is the one that joins them
         for member in known:
-            (one.detector.view.put if member.name == one.view.me else one.detector.view.merge)(0.0, member)
+            (one.detector.view.put if member.name == one.view.local_name else one.detector.view.merge)(
+                0.0, member
+            )
         await one.start()
     for port in (0, ports[0]):
         command = [sys.executable, "-m", "benchmarks.fleet_view", "one", "--port", str(port)]
--- a/benchmarks/together_mutants.py
+++ b/benchmarks/together_mutants.py
@@ -58,14 +58,14 @@
         probe = self._probes.end(int(key))
         held = self.view.get(probe.target) if probe is not None and probe.counts else None
         if probe is not None and held is not None and held.life == probe.life and held.state.present:
-            self._hold(replace(held, state=MemberState.DEAD), "probe", self.view.me)
+            self._hold(replace(held, state=MemberState.DEAD), "probe", self.view.local_name)
 
     detector._TIMERS["failed"] = failed
 
 
 def _old_rows_taken() -> None:
     def merge_row(self: View, now: float, cell: Any) -> bool:
-        if self.get(cell.owner) is None or cell.owner == self.me:
+        if self.get(cell.owner) is None or cell.owner == self.local_name:
             return False
         held = self._rows.setdefault(cell.owner, {}).get(cell.subsystem)
         if held is not None and (held.version, held.body) >= (cell.version, cell.body):
--- a/benchmarks/together_plays.py
+++ b/benchmarks/together_plays.py
@@ -190,7 +190,7 @@
     ) -> Closing:  # fmt: skip
         told = MemoryHistory(lambda: self.world.now, wall)
         bounds = {"clock": options.clock_bound, "purge": DRIFT * options.lease + 0.5}
-        self._lives.append(begin(told, view.me, view.life, bounds))
+        self._lives.append(begin(told, view.local_name, view.life, bounds))
         return Closing(options, view, clock, wall, told, named)
 
     def lookup(self, limiter: closing_world.Limiter, account: str) -> None:
--- a/cypresspulley/closing/peers.py
+++ b/cypresspulley/closing/peers.py
@@ -38,7 +38,7 @@
 
     @property
     def me(self) -> Life:
-        return Life(self._view.me, self._view.life)
+        return Life(self._view.local_name, self._view.life)
 
     def alone(self) -> bool:
         """Whether no other limiter belongs to the installation: none is named, and none was ever seen."""
@@ -51,15 +51,15 @@
         if members != self._members or self.roster.lost:
             gone, self._members = self.roster.look(now, members, self._view.member), members
         rows = self._view.rows(now, SUBSYSTEM)
-        self._read = {row.owner: self._reading(row) for row in rows if row.owner != self._view.me}
+        self._read = {row.owner: self._reading(row) for row in rows if row.owner != self._view.local_name}
         self.rows = {
             Life(member.name, member.life): self._of(member.name, member.life)
             for member in members
-            if member.name != self._view.me
+            if member.name != self._view.local_name
         }
         self.roster.told(said.roster for said in self.rows.values() if said is not None)
         self.applied.forget(set(self.rows))
-        return any(life.name != self._view.me for life in gone)
+        return any(life.name != self._view.local_name for life in gone)
 
     def _reading(self, row: Row) -> tuple[int, int, Said | None]:
         known = self._read.get(row.owner)
@@ -86,7 +86,7 @@
 
     def needed(self) -> dict[Life, Said | None] | None:
         """The rows of all that have to agree; None where they are no majority, or nobody else was ever seen."""
-        others = [life for life in self.roster.needed if life.name != self._view.me]
+        others = [life for life in self.roster.needed if life.name != self._view.local_name]
         if not others or not self.roster.enough(len(others) + 1):
             return None
         return {life: self.rows.get(life) for life in others}
@@ -95,7 +95,7 @@
         """What this limiter agrees to: who is needed, which calendar is the newest, and by which bounds it reckons."""
         of = (self.roster.needed, self.me, book.rank)
         if self._agreed[0] != of:
-            lives = {life for life in self.roster.needed if life.name != self._view.me} | {self.me}
+            lives = {life for life in self.roster.needed if life.name != self._view.local_name} | {self.me}
             text = repr((sorted(map(tuple, lives)), book.rank, self._ground))
             self._agreed = of, blake2s(text.encode(), digest_size=AGREED).digest()
         return self._agreed[1]
--- a/cypresspulley/fleet/detector.py
+++ b/cypresspulley/fleet/detector.py
@@ -283,7 +283,7 @@
         if held.state is MemberState.LEAVING:
             self._miss(held.name)
         elif held.state <= MemberState.SUSPECTED:
-            self._take(replace(held, state=MemberState.SUSPECTED), "probe", self.view.me)
+            self._take(replace(held, state=MemberState.SUSPECTED), "probe", self.view.local_name)
 
     def _relay_over(self, key: str) -> None:
         if relay := self._probes.end_relay(int(key)):
@@ -301,11 +301,11 @@
         suspicion = self._suspicions.end(name)
         cause = "told" if suspicion is not None and suspicion.told else "probe"
         over = MemberState.LEFT if held.state is MemberState.LEAVING else MemberState.DEAD
-        self._hold(replace(held, state=over), cause, self.view.me)
+        self._hold(replace(held, state=over), cause, self.view.local_name)
 
     def _miss(self, name: str) -> None:
         """A leaver does not answer: a suspicion that is kept to myself, and ends in ``left``."""
-        _, until = self._suspicions.accuse(self._now, name, self.view.me, False, self.view.present)
+        _, until = self._suspicions.accuse(self._now, name, self.view.local_name, False, self.view.present)
         if until is not None:
             self._watch(name, until)
 
@@ -344,7 +344,7 @@
 
     def _take(self, claim: Member, cause: str, by: str) -> None:
         """A claim about a member, ``by`` its maker where it accuses."""
-        if claim.name == self.view.me:
+        if claim.name == self.view.local_name:
             self._take_of_me(claim)
             return
         held = self.view.get(claim.name)
@@ -427,7 +427,7 @@
         sender = envelope.me
         if abs(envelope.wall / 1000 - self._outbox.wall) > STALE:
             self.counts["stale"] += 1
-        elif sender.name == self.view.me:  # an echo, or another life of mine that still speaks
+        elif sender.name == self.view.local_name:  # an echo, or another life of mine that still speaks
             self.counts["own"] += 1
             self._take_of_me(sender.member())
         elif not self.peers.fresh(envelope):
@@ -478,7 +478,7 @@
     def _on_ping(self, envelope: Envelope) -> None:
         ping, sender = envelope.message, envelope.me
         assert isinstance(ping, wire.Ping)
-        if ping.to and ping.to != self.view.me:
+        if ping.to and ping.to != self.view.local_name:
             self.counts["astray"] += 1
             return
         self._outbox.post(sender.address, wire.Ack(ping.nonce), self._better_of(sender))
--- a/cypresspulley/fleet/limiter.py
+++ b/cypresspulley/fleet/limiter.py
@@ -202,8 +202,8 @@
         return f"<Seen {self._detector!r}>"
 
     @property
-    def me(self) -> str:
-        return self._detector.view.me
+    def local_name(self) -> str:
+        return self._detector.view.local_name
 
     @property
     def life(self) -> int:
--- a/cypresspulley/fleet/outbox.py
+++ b/cypresspulley/fleet/outbox.py
@@ -22,7 +22,7 @@
         self._codec, self._view, self._counts = codec, view, counts
         self._number = 0
         self._actions = list[Action]()
-        self._me = view.entry(view.me)
+        self._me = view.entry(view.local_name)
         self.now = self.wall = 0.0
 
     def __repr__(self) -> str:
@@ -37,7 +37,7 @@
 
     def introduce(self, new_life: bool = False) -> Raw:
         """Take this member's own record anew from the view; a new life counts its datagrams from 0."""
-        self._me = self._view.entry(self._view.me)
+        self._me = self._view.entry(self._view.local_name)
         if new_life:
             self._number = 0
         return self._me
--- a/cypresspulley/fleet/records.py
+++ b/cypresspulley/fleet/records.py
@@ -80,7 +80,7 @@
     """What ``lanes`` and ``closing`` may ask of the view, and say through it."""
 
     @property
-    def me(self) -> str:
+    def local_name(self) -> str:
         """This limiter's own name."""
         ...
 
--- a/cypresspulley/fleet/view.py
+++ b/cypresspulley/fleet/view.py
@@ -53,7 +53,7 @@
     """``me`` is this limiter as it starts."""
 
     def __init__(self, me: Member) -> None:
-        self.me = me.name
+        self.local_name = me.name
         self.queue = Queue()
         self.changed = float("-inf")  # when the digest of members last changed
         self.digest = self.rows_digest = 0
@@ -70,11 +70,11 @@
 
     def __repr__(self) -> str:
         ended = len(self._ended)
-        return f"<View of {self.me}: {self._present} present, {ended} tombstones, digest {self.digest:016x}>"
+        return f"<View of {self.local_name}: {self._present} present, {ended} tombstones, digest {self.digest:016x}>"
 
     @property
     def myself(self) -> Member:
-        return self._members[self.me]
+        return self._members[self.local_name]
 
     @property
     def present(self) -> int:
@@ -93,7 +93,9 @@
         """Names of all other present members, in the order in which they were first heard of."""
         if self._others is None:
             held = self._members.items()
-            self._others = tuple(name for name, member in held if member.state.present and name != self.me)
+            self._others = tuple(
+                name for name, member in held if member.state.present and name != self.local_name
+            )
         return self._others
 
     def members(self) -> tuple[Member, ...]:
@@ -102,7 +104,7 @@
 
     def all_others(self) -> tuple[Member, ...]:
         """All that is held of others, tombstones among it, sorted by name."""
-        found = (member for name, member in self._members.items() if name != self.me)
+        found = (member for name, member in self._members.items() if name != self.local_name)
         return tuple(sorted(found, key=attrgetter("name")))
 
     def ended(self, now: float, within: float) -> list[Member]:
@@ -133,7 +135,7 @@
         if not member.state.present:
             self._ended[name] = now
         if (
-            name != self.me
+            name != self.local_name
             and held is not None
             and held.life != member.life
             and (rows := self._rows.get(name))
@@ -163,11 +165,11 @@
         """A row of this member's own. ``ValueError`` where it is too long or one subsystem too many."""
         if len(body) > MAX_ROW_BYTES:
             raise ValueError(f"row of {subsystem}: expected at most {MAX_ROW_BYTES} bytes, got {len(body)}")
-        mine = self._rows.setdefault(self.me, {})
+        mine = self._rows.setdefault(self.local_name, {})
         if subsystem not in mine and len(mine) >= MAX_SUBSYSTEMS:
             raise ValueError(f"row of {subsystem}: expected at most {MAX_SUBSYSTEMS} subsystems")
         version = mine[subsystem].version + 1 if subsystem in mine else 1
-        self._hold(now, self.me, subsystem, Held(self.myself.life, version, body, now, now))
+        self._hold(now, self.local_name, subsystem, Held(self.myself.life, version, body, now, now))
 
     def row_life(self, owner: str, subsystem: str) -> int | None:
         """The life of which a row is held; None where none is."""
@@ -177,7 +179,7 @@
     def merge_row(self, now: float, cell: Cell) -> bool:
         """Join a row that another told; whether it changed what is held. Nobody tells this member its own."""
         member = self._members.get(cell.owner)
-        if member is None or cell.owner == self.me or cell.life < member.life:
+        if member is None or cell.owner == self.local_name or cell.life < member.life:
             return False
         rows = self._rows.setdefault(cell.owner, {})
         held = rows.get(cell.subsystem)
@@ -205,21 +207,23 @@
 
     def versions(self) -> int:
         """The sum of this member's own rows' versions, as told in each datagram."""
-        return sum(row.version for row in self._rows.get(self.me, {}).values())
+        return sum(row.version for row in self._rows.get(self.local_name, {}).values())
 
     def relive(self, now: float) -> None:
         """This member has a new life: its own rows are said again in it."""
-        rows = self._rows.pop(self.me, {})
-        self._rows[self.me] = {}
+        rows = self._rows.pop(self.local_name, {})
+        self._rows[self.local_name] = {}
         for key, row in rows.items():
-            self._hold(now, self.me, key, replace(row, life=self.myself.life, confirmed=now, changed=now))
+            self._hold(
+                now, self.local_name, key, replace(row, life=self.myself.life, confirmed=now, changed=now)
+            )
 
     def rows(self, now: float, subsystem: str) -> tuple[Row, ...]:
         found = list[Row]()
         for name, rows in self._rows.items():
             row, member = rows.get(subsystem), self._members[name]
             if row is not None and member.state.present and row.life == member.life:
-                age = 0.0 if name == self.me else max(0.0, now - row.confirmed)
+                age = 0.0 if name == self.local_name else max(0.0, now - row.confirmed)
                 found.append(Row(name, row.life, row.version, member.state, age, row.body))
         return tuple(sorted(found, key=attrgetter("owner")))
 
@@ -272,7 +276,7 @@
         row = self._valid_rows(name).get(subsystem)
         if row is None or not self._members[name].state.present:
             return None
-        age = 0 if name == self.me else max(0, round((now - row.confirmed) * 1000))
+        age = 0 if name == self.local_name else max(0, round((now - row.confirmed) * 1000))
         return raw(Cell(name, subsystem, row.life, row.version, age, row.body))
 
     def better_row(self, name: str, subsystem: str, cell: Cell | None) -> bool:
--- a/cypresspulley/lanes/limiter.py
+++ b/cypresspulley/lanes/limiter.py
@@ -90,8 +90,8 @@
     def period(self, now: float) -> None:
         """What is done once a period."""
         done, course, view = self.meter.cut(now), self.course, self._view
-        self.heard.update(now, view.me, view.rows(now, SUBSYSTEM), view.member)
-        mine = Told(view.me, self.meter.figures(), self._gateway.gate.reading)
+        self.heard.update(now, view.local_name, view.rows(now, SUBSYSTEM), view.member)
+        mine = Told(view.local_name, self.meter.figures(), self._gateway.gate.reading)
         told = [mine, *self.heard.told()]
         found = pressure(told)
         course.off = self._viewless(now, told)
@@ -120,12 +120,12 @@
             self._held(found)
         elif course.in_force:  # it may have been without a view
             self._held(found)
-        before = sum(owner < self._view.me for owner in self.heard.fresh())
+        before = sum(owner < self._view.local_name for owner in self.heard.fresh())
         value = found.value(course.bears if course.in_force else None)
         if machine.heard(signal_of(value)):
             self._state(found)
         if course.due(now, machine.state, found, told, min(before, MOST_PATIENT)):
-            maker = spells.maker_of(self._view.me, self._view.life)
+            maker = spells.maker_of(self._view.local_name, self._view.life)
             course.turn(now, machine.state, told, maker)
             self.meter.changed()
             self._held(found)
@@ -148,7 +148,7 @@
 
     def _report(self, done: Period, found: Shares, told: list[Told]) -> None:
         """One event for a period in which anything was asked. Floors are by what is asked, not by what was given."""
-        lanes, me = self._options.lanes, self._view.me
+        lanes, me = self._options.lanes, self._view.local_name
         names = [lane.name for lane in lanes]
         own = found.at[me]
         asked = [sum(row.figures[n].asked for row in told if not row.stale) for n in range(len(lanes))]
--- a/tests/closing/world.py
+++ b/tests/closing/world.py
@@ -64,8 +64,10 @@
     """A stand-in for the fleet's view: it gossips, and finds out by silence who is gone."""
 
     def __init__(self, limiter: Limiter, life: int) -> None:
-        self._limiter, self.me, self.life = limiter, limiter.name, life
-        self.known = {self.me: Known(Member(self.me, life, 0, MemberState.ALIVE), 0, limiter.mono())}
+        self._limiter, self.local_name, self.life = limiter, limiter.name, life
+        self.known = {
+            self.local_name: Known(Member(self.local_name, life, 0, MemberState.ALIVE), 0, limiter.mono())
+        }
         self.documents, self.wanted = dict[str, bytes](), set[str]()
         self._version = 0
 
@@ -87,13 +89,13 @@
     def publish(self, subsystem: str, body: bytes) -> None:
         assert len(body) <= 200
         self._version += 1
-        self.known[self.me].row = (self._version, body)
+        self.known[self.local_name].row = (self._version, body)
 
     def settled(self, now: float) -> bool:
         return True
 
     def heard(self, now: float, within: float) -> int:
-        return sum(now - k.at <= within for name, k in self.known.items() if name != self.me)
+        return sum(now - k.at <= within for name, k in self.known.items() if name != self.local_name)
 
     def clock_error(self, now: float) -> tuple[float, float] | None:
         found = [k.clock for k in self.known.values() if k.clock is not None and now - k.clock[2] <= MEASURED]
@@ -116,7 +118,7 @@
 
     def says(self) -> tuple[float, list[Known], dict[str, bytes]]:
         """A datagram: this wall clock, all that is known, and the documents."""
-        me = self.known[self.me]
+        me = self.known[self.local_name]
         me.beat, me.at = me.beat + 1, self._limiter.mono()
         rows = [Known(k.member, k.beat, k.at, k.row) for k in self.known.values()]
         return self._limiter.wall(), rows, dict(self.documents)
@@ -134,7 +136,7 @@
 
     def _hear(self, now: float, told: Known) -> None:
         name = told.member.name
-        if name == self.me:
+        if name == self.local_name:
             return
         known = self.known.get(name)
         if known is None or (told.member.life, told.beat) > (known.member.life, known.beat):
@@ -147,7 +149,7 @@
         """Who has been silent for too long is suspected, then dead."""
         now = self._limiter.mono()
         for name, k in self.known.items():
-            if name == self.me or not k.member.state.present:
+            if name == self.local_name or not k.member.state.present:
                 continue
             silent = now - k.at
             state = (
--- a/tests/lanes/fabric.py
+++ b/tests/lanes/fabric.py
@@ -68,7 +68,7 @@
     """One member's view; see ``FleetView`` for what each method promises."""
 
     def __init__(self, fabric: Fabric, name: str, life: int) -> None:
-        self._fabric, self.me, self.life = fabric, name, life
+        self._fabric, self.local_name, self.life = fabric, name, life
         self._version = 0
         self._held = dict[str, _Held]()
         self._coming = list[tuple[float, str, _Held]]()
@@ -82,7 +82,7 @@
         view = self._fabric.views.get(name)
         if view is None:
             return None
-        since, now = self._fabric.since(self.me, name), self._fabric.clock()
+        since, now = self._fabric.since(self.local_name, name), self._fabric.clock()
         over = since is not None and now - since >= self._fabric.detect
         suspected = since is not None and now - since >= self._fabric.detect / 2
         state = MemberState.DEAD if over else MemberState.SUSPECTED if suspected else MemberState.ALIVE
@@ -94,7 +94,7 @@
         for owner, held in sorted(self._held.items()):
             member = self.member(owner)
             if member is not None and member.state.present and member.life == held.life:
-                age = 0.0 if owner == self.me else now - held.made + self.age_by
+                age = 0.0 if owner == self.local_name else now - held.made + self.age_by
                 rows.append(Row(owner, held.life, held.version, member.state, age, held.body))
         return tuple(rows)
 
@@ -103,12 +103,16 @@
             raise ValueError(f"a row of {len(body)} bytes; expected at most {MAX_ROW_BYTES}")
         fabric, now = self._fabric, self._fabric.clock()
         self._version += 1
-        held = self._held[self.me] = _Held(self.life, self._version, now, body)
+        held = self._held[self.local_name] = _Held(self.life, self._version, now, body)
         for name, view in fabric.views.items():
             arrives = fabric.rng.uniform(0.1, 1.0) * fabric.spread
-            if name == self.me or fabric.apart(self.me, name) or fabric.rng.random() < fabric.loss:
+            if (
+                name == self.local_name
+                or fabric.apart(self.local_name, name)
+                or fabric.rng.random() < fabric.loss
+            ):
                 continue
-            view._coming.append((now + arrives, self.me, replace(held)))
+            view._coming.append((now + arrives, self.local_name, replace(held)))
 
     def _take(self, now: float) -> None:
         due = [one for one in self._coming if one[0] <= now]
@@ -123,7 +127,7 @@
 
     def heard(self, now: float, within: float) -> int:
         self._take(now)
-        return sum(now - h.made <= within for owner, h in self._held.items() if owner != self.me)
+        return sum(now - h.made <= within for owner, h in self._held.items() if owner != self.local_name)
 
     def clock_error(self, now: float) -> tuple[float, float] | None:
         return None
