--- a/benchmarks/closing_stale.py
+++ b/benchmarks/closing_stale.py
@@ -66,7 +66,7 @@
     def tell(self, calendar: Calendar) -> None:
         """Take a calendar, and say so."""
         self._calendar = calendar
-        digest = bytes.fromhex(self._view.offer(encode(calendar)))
+        digest = bytes.fromhex(self._view.store_document(encode(calendar)))
         self._view.publish(
             "closing", write_row(Said(0, 0, b"12345678", calendar.version, digest, 0, 0, b"", b""))
         )
@@ -79,9 +79,9 @@
         for row in self._view.rows(self._clock(), "closing"):
             said = read_row(row.body)
             if said is not None and said.version > self._calendar.version:
-                body = self._view.document(said.digest.hex())
+                body = self._view.get_document(said.digest.hex())
                 if body is None:
-                    self._view.want(said.digest.hex())
+                    self._view.request_document(said.digest.hex())
                 else:
                     self.tell(decode(body))
         self._fire()
--- a/cypresspulley/closing/calendars.py
+++ b/cypresspulley/closing/calendars.py
@@ -45,7 +45,7 @@
         """A calendar of this limiter's operators; ``OperatorsError`` says why it cannot be taken."""
         body, source = encode(calendar), self._options.path or f"calendar {calendar.version}"
         known, ahead = self._book.rank[0], calendar.in_force - wall
-        digest = self._view.offer(body)
+        digest = self._view.store_document(body)
         if (calendar.version, digest) == self._book.rank:
             return
         if calendar.version <= known:
@@ -60,7 +60,7 @@
 
     def take(self, calendar: Calendar, body: bytes, highest: float) -> None:
         """Hold a calendar, if it is newer. ``highest``: the latest instant that is surely over."""
-        taken = self._book.take(calendar, self._view.offer(body), highest)
+        taken = self._book.take(calendar, self._view.store_document(body), highest)
         if taken in (Taken.HELD, Taken.FORCE):
             self.told(calendar, taken)
             if taken is Taken.FORCE:
@@ -82,9 +82,9 @@
         if highest == -math.inf and now < self._since + 2 * self._options.lease:
             return
         version, digest = newest
-        body = self._view.document(digest)
+        body = self._view.get_document(digest)
         if body is None:
-            return self._view.want(digest)
+            return self._view.request_document(digest)
         try:
             calendar = decode(body)
             if calendar.version != version:
--- a/cypresspulley/fleet/limiter.py
+++ b/cypresspulley/fleet/limiter.py
@@ -231,13 +231,13 @@
         detector = self._detector
         return detector.clocks.error(now, self._wall(), len(detector.view.others()))
 
-    def offer(self, body: bytes) -> str:
+    def store_document(self, body: bytes) -> str:
         return self._detector.documents.offer(body)
 
-    def want(self, digest: str) -> None:
+    def request_document(self, digest: str) -> None:
         self._detector.documents.want(digest)
 
-    def document(self, digest: str) -> bytes | None:
+    def get_document(self, digest: str) -> bytes | None:
         return self._detector.documents.get(digest)
 
 
--- a/cypresspulley/fleet/records.py
+++ b/cypresspulley/fleet/records.py
@@ -118,14 +118,14 @@
         None where too few of the others are known. ``low > 0`` means: this clock is surely ahead by at least that."""
         ...
 
-    def offer(self, body: bytes) -> str:
+    def store_document(self, body: bytes) -> str:
         """Hold a document for others to fetch; its digest, 32 hex digits. ``ValueError`` over ``MOST_DOCUMENT``."""
         ...
 
-    def want(self, digest: str) -> None:
+    def request_document(self, digest: str) -> None:
         """Fetch a document from whichever member has it; ``document`` gives it once it is here."""
         ...
 
-    def document(self, digest: str) -> bytes | None:
+    def get_document(self, digest: str) -> bytes | None:
         """A document that is held, checked against its digest."""
         ...
--- a/tests/closing/test_together.py
+++ b/tests/closing/test_together.py
@@ -244,7 +244,7 @@
     day = Day(2)
     day.until(BEGIN + 8)
     view = day[1].view
-    digest = view.offer(b"no calendar")
+    digest = view.store_document(b"no calendar")
     day[1].closing.sure.book.newest = calendar(9, BEGIN)
     day[1].closing.sure.book.digest = digest
     day.run(10)
--- a/tests/closing/world.py
+++ b/tests/closing/world.py
@@ -103,15 +103,15 @@
             return None
         return median(each[0] for each in found), median(each[1] for each in found)
 
-    def offer(self, body: bytes) -> str:
+    def store_document(self, body: bytes) -> str:
         digest = blake2s(body, digest_size=16).hexdigest()
         self.documents[digest] = body
         return digest
 
-    def want(self, digest: str) -> None:
+    def request_document(self, digest: str) -> None:
         self.wanted.add(digest)
 
-    def document(self, digest: str) -> bytes | None:
+    def get_document(self, digest: str) -> bytes | None:
         return self.documents.get(digest)
 
     # Between views.
--- a/tests/fleet/test_limiter.py
+++ b/tests/fleet/test_limiter.py
@@ -65,10 +65,10 @@
             lambda: all(len(view.members()) == 3 and view.settled(time.monotonic()) for view in views)
         )
         views[2].publish("lanes", b"row of l2")
-        digest = views[1].offer(b"calendar" * 5_000)
-        views[0].want(digest)
+        digest = views[1].store_document(b"calendar" * 5_000)
+        views[0].request_document(digest)
         await until(lambda: any(row.body == b"row of l2" for row in views[0].rows(time.monotonic(), "lanes")))
-        await until(lambda: views[0].document(digest) == b"calendar" * 5_000)
+        await until(lambda: views[0].get_document(digest) == b"calendar" * 5_000)
         await until(lambda: views[0].clock_error(time.monotonic()) is not None)
         low, high = views[0].clock_error(time.monotonic()) or (1.0, -1.0)
         assert low <= 0.05 and high >= -0.05 and high - low < 1.0
--- a/tests/lanes/fabric.py
+++ b/tests/lanes/fabric.py
@@ -132,11 +132,11 @@
     def clock_error(self, now: float) -> tuple[float, float] | None:
         return None
 
-    def offer(self, body: bytes) -> str:
+    def store_document(self, body: bytes) -> str:
         raise NotImplementedError
 
-    def want(self, digest: str) -> None:
+    def request_document(self, digest: str) -> None:
         raise NotImplementedError
 
-    def document(self, digest: str) -> bytes | None:
+    def get_document(self, digest: str) -> bytes | None:
         return None
