--- a/cypresspulley/closing/peers.py
+++ b/cypresspulley/closing/peers.py
@@ -49,7 +49,7 @@
         members = self._view.members()
         gone = frozenset[Life]()
         if members != self._members or self.roster.lost:
-            gone, self._members = self.roster.look(now, members, self._view.member), members
+            gone, self._members = self.roster.look(now, members, self._view.get_member), members
         rows = self._view.rows(now, SUBSYSTEM)
         self._read = {row.owner: self._reading(row) for row in rows if row.owner != self._view.local_name}
         self.rows = {
--- a/cypresspulley/fleet/limiter.py
+++ b/cypresspulley/fleet/limiter.py
@@ -212,7 +212,7 @@
     def members(self) -> tuple[Member, ...]:
         return self._detector.view.members()
 
-    def member(self, name: str) -> Member | None:
+    def get_member(self, name: str) -> Member | None:
         return self._detector.view.get(name)
 
     def rows(self, now: float, subsystem: str) -> tuple[Row, ...]:
@@ -221,10 +221,10 @@
     def publish(self, subsystem: str, body: bytes) -> None:
         self._detector.view.publish(self._clock(), subsystem, body)
 
-    def settled(self, now: float) -> bool:
+    def is_settled(self, now: float) -> bool:
         return self._detector.settled()
 
-    def heard(self, now: float, within: float) -> int:
+    def count_heard(self, now: float, within: float) -> int:
         return self._detector.peers.heard(now, within)
 
     def clock_error(self, now: float) -> tuple[float, float] | None:
--- a/cypresspulley/fleet/records.py
+++ b/cypresspulley/fleet/records.py
@@ -93,7 +93,7 @@
         """All members that are present, this one among them, sorted by name."""
         ...
 
-    def member(self, name: str) -> Member | None:
+    def get_member(self, name: str) -> Member | None:
         """What is known of one, dead ones included; None for one that was never heard of or is forgotten."""
         ...
 
@@ -105,11 +105,11 @@
         """Say this in place of what was said before. ``ValueError`` over ``MOST_ROW`` bytes."""
         ...
 
-    def settled(self, now: float) -> bool:
+    def is_settled(self, now: float) -> bool:
         """Whether this digest equals that of every member that is held alive, as last told by them."""
         ...
 
-    def heard(self, now: float, within: float) -> int:
+    def count_heard(self, now: float, within: float) -> int:
         """How many other present members have been heard from directly in so many seconds."""
         ...
 
--- a/cypresspulley/lanes/limiter.py
+++ b/cypresspulley/lanes/limiter.py
@@ -90,7 +90,7 @@
     def period(self, now: float) -> None:
         """What is done once a period."""
         done, course, view = self.meter.cut(now), self.course, self._view
-        self.heard.update(now, view.local_name, view.rows(now, SUBSYSTEM), view.member)
+        self.heard.update(now, view.local_name, view.rows(now, SUBSYSTEM), view.get_member)
         mine = Told(view.local_name, self.meter.figures(), self._gateway.gate.reading)
         told = [mine, *self.heard.told()]
         found = pressure(told)
@@ -108,7 +108,7 @@
 
     def _viewless(self, now: float, told: list[Told]) -> bool:
         """Whether there is nobody to agree with: alone, or nobody heard for long."""
-        if self._view.heard(now, self._options.period * STALE) > 0:
+        if self._view.count_heard(now, self._options.period * STALE) > 0:
             self._heard_at = now
         return len(told) < 2 or now - self._heard_at > LOST
 
--- a/tests/closing/world.py
+++ b/tests/closing/world.py
@@ -76,7 +76,7 @@
             self.known[name].member for name in sorted(self.known) if self.known[name].member.state.present
         )
 
-    def member(self, name: str) -> Member | None:
+    def get_member(self, name: str) -> Member | None:
         return self.known[name].member if name in self.known else None
 
     def rows(self, now: float, subsystem: str) -> tuple[Row, ...]:
@@ -91,10 +91,10 @@
         self._version += 1
         self.known[self.local_name].row = (self._version, body)
 
-    def settled(self, now: float) -> bool:
+    def is_settled(self, now: float) -> bool:
         return True
 
-    def heard(self, now: float, within: float) -> int:
+    def count_heard(self, now: float, within: float) -> int:
         return sum(now - k.at <= within for name, k in self.known.items() if name != self.local_name)
 
     def clock_error(self, now: float) -> tuple[float, float] | None:
--- a/tests/fleet/test_limiter.py
+++ b/tests/fleet/test_limiter.py
@@ -62,7 +62,7 @@
             await one.start()
         views = [one.view for one in all_of]
         await until(
-            lambda: all(len(view.members()) == 3 and view.settled(time.monotonic()) for view in views)
+            lambda: all(len(view.members()) == 3 and view.is_settled(time.monotonic()) for view in views)
         )
         views[2].publish("lanes", b"row of l2")
         digest = views[1].store_document(b"calendar" * 5_000)
@@ -72,13 +72,13 @@
         await until(lambda: views[0].clock_error(time.monotonic()) is not None)
         low, high = views[0].clock_error(time.monotonic()) or (1.0, -1.0)
         assert low <= 0.05 and high >= -0.05 and high - low < 1.0
-        assert views[0].heard(time.monotonic(), 60.0) == 2
+        assert views[0].count_heard(time.monotonic(), 60.0) == 2
         all_of[2].leave()
         await asyncio.sleep(PERIOD)
         await all_of[2].close()
         await until(
             lambda: all(
-                (m := view.member("l2")) is not None and m.state is MemberState.LEFT for view in views[:2]
+                (m := view.get_member("l2")) is not None and m.state is MemberState.LEFT for view in views[:2]
             )
         )
         await all_of[0].close()
@@ -113,7 +113,9 @@
         await again.start()
         await until(
             lambda: (
-                (m := a.view.member("b")) is not None and m.life == life + 1 and m.state is MemberState.ALIVE
+                (m := a.view.get_member("b")) is not None
+                and m.life == life + 1
+                and m.state is MemberState.ALIVE
             )
         )
         assert again.view.life == life + 1
@@ -187,7 +189,7 @@
         await b.start()
         for rubbish in (b"", b"\x01", bytes(2_000), b"\x01" + bytes(100)):
             out.sendto(rubbish, ("127.0.0.1", first))
-        await until(lambda: a.view.settled(0.0) and len(a.view.members()) == 2)
+        await until(lambda: a.view.is_settled(0.0) and len(a.view.members()) == 2)
         await until(lambda: sum(a.detector.counts[cause] for cause in ("cut", "long", "digest")) >= 3)
         assert heard  # all that b hears came through the relay
         a.detector.view.merge(0.0, Member("bad", 1, 0, MemberState.ALIVE, "", "no address"))
@@ -211,7 +213,7 @@
         b = Fleet(options, "b", "a", 1, time.monotonic, time.time, NoHistory())
         await a.start()
         await b.start()
-        await until(lambda: a.view.settled(0.0) and b.view.settled(0.0) and len(a.view.members()) == 2)
+        await until(lambda: a.view.is_settled(0.0) and b.view.is_settled(0.0) and len(a.view.members()) == 2)
         await a.close()
         await b.close()
 
--- a/tests/lanes/fabric.py
+++ b/tests/lanes/fabric.py
@@ -75,10 +75,10 @@
         self.age_by = 0.0  # seconds by which every row seems older: a view that lags
 
     def members(self) -> tuple[Member, ...]:
-        found = [self.member(name) for name in sorted(self._fabric.views)]
+        found = [self.get_member(name) for name in sorted(self._fabric.views)]
         return tuple(m for m in found if m is not None and m.state.present)
 
-    def member(self, name: str) -> Member | None:
+    def get_member(self, name: str) -> Member | None:
         view = self._fabric.views.get(name)
         if view is None:
             return None
@@ -92,7 +92,7 @@
         self._take(now)
         rows = list[Row]()
         for owner, held in sorted(self._held.items()):
-            member = self.member(owner)
+            member = self.get_member(owner)
             if member is not None and member.state.present and member.life == held.life:
                 age = 0.0 if owner == self.local_name else now - held.made + self.age_by
                 rows.append(Row(owner, held.life, held.version, member.state, age, held.body))
@@ -122,10 +122,10 @@
             if known is None or (held.life, held.version) > (known.life, known.version):
                 self._held[owner] = held
 
-    def settled(self, now: float) -> bool:
+    def is_settled(self, now: float) -> bool:
         return True
 
-    def heard(self, now: float, within: float) -> int:
+    def count_heard(self, now: float, within: float) -> int:
         self._take(now)
         return sum(now - h.made <= within for owner, h in self._held.items() if owner != self.local_name)
 
