--- a/cypresspulley/fleet/detector.py
+++ b/cypresspulley/fleet/detector.py
@@ -10,7 +10,7 @@
     joining        says alive                                        alive
     joining,alive  a probe fails, direct and by others               suspected, by me
     joining,alive  told suspected                                    suspected, by the teller
-    joining,alive  told dead                                         suspected, for a shorter time (see ``timing.told``)
+    joining,alive  told dead                                         suspected, for a shorter time (see ``timing.reported_death_periods``)
     joining,alive  says leaving (incarnation + 1)                    leaving
     suspected      says alive with a larger incarnation              alive (refuted)
     suspected      told suspected by one more, or my probe fails     suspected, for a shorter time
--- a/cypresspulley/fleet/suspicion.py
+++ b/cypresspulley/fleet/suspicion.py
@@ -17,9 +17,9 @@
 
     def until(self, members: int, period: float) -> float:
         """When it ends in a fleet of so many members."""
-        periods = timing.suspicion(members, max(0, len(self.accusers) - 1))
+        periods = timing.suspicion_periods(members, max(0, len(self.accusers) - 1))
         if self.told:
-            periods = min(periods, timing.told(members))
+            periods = min(periods, timing.reported_death_periods(members))
         return self.since + periods * period
 
     def accused(self, by: str) -> bool:
--- a/cypresspulley/fleet/timing.py
+++ b/cypresspulley/fleet/timing.py
@@ -28,14 +28,14 @@
 FIRST = 10  # periods in which at least one of many members probes a given one: all miss it with exp(-10)
 
 
-def size_log(members: int) -> float:
+def size_factor(members: int) -> float:
     """The factor by size: 1 at 8 members, 3 at 998."""
     return max(1.0, math.log10(members + 2))
 
 
-def suspicion(members: int, accusers: int) -> float:
+def suspicion_periods(members: int, accusers: int) -> float:
     """Periods from a suspicion's beginning to death; ``accusers`` counts those beside the first."""
-    least = SUSPICION * size_log(members)
+    least = SUSPICION * size_factor(members)
     wanted = min(ACCUSERS, members - 2)
     if wanted <= 0:  # nobody else could accuse
         return least
@@ -43,17 +43,17 @@
     return least * (STRETCH - (STRETCH - 1) * share)
 
 
-def told(members: int) -> float:
+def reported_death_periods(members: int) -> float:
     """Periods that a death that another tells of is held as a suspicion."""
-    return SUSPICION * size_log(members) * TOLD
+    return SUSPICION * size_factor(members) * TOLD
 
 
-def times_sent(members: int) -> int:
+def transmission_limit(members: int) -> int:
     """How often each member sends a change on."""
     return math.ceil(SENT * math.log10(members + 2))
 
 
-def spread(members: int) -> float:
+def spread_periods(members: int) -> float:
     """Periods in which a change that all send on has reached all: the rounds of one epidemic, doubled for losses."""
     return 2 * math.ceil(math.log2(members + 1))
 
@@ -65,7 +65,11 @@
     """
     first = min(FIRST, 2 * members)
     periods = (
-        first + (1 + MOST_HEALTH) + STRETCH * SUSPICION * size_log(members) + spread(members) + told(members)
+        first
+        + (1 + MOST_HEALTH)
+        + STRETCH * SUSPICION * size_factor(members)
+        + spread_periods(members)
+        + reported_death_periods(members)
     )
     return periods * period
 
@@ -74,7 +78,7 @@
     """Seconds from the last fault, no death among its kind, until all digests agree: a word across the old cut, the
     claims of death spread, their refutations spread, and twice as long again for what bounded datagrams put off."""
     carried = math.ceil(members / 20)  # periods: some 80 records a period that each can send
-    return (RECALL + 1 + 2 * (2 * spread(members) + carried)) * period
+    return (RECALL + 1 + 2 * (2 * spread_periods(members) + carried)) * period
 
 
 def settle_bound(members: int, period: float) -> float:
--- a/cypresspulley/fleet/view.py
+++ b/cypresspulley/fleet/view.py
@@ -350,7 +350,7 @@
 
     def take(self, now: float, view: View, room: int) -> tuple[list[Raw], list[Raw]]:
         """Records of members and rows for one datagram, ``room`` bytes at most; each counts as sent once."""
-        most = timing.times_sent(view.present)
+        most = timing.transmission_limit(view.present)
         told: tuple[list[Raw], list[Raw]] = ([], [])
         sent = list[tuple[tuple[str, str], Raw | None]]()
         for kind in (0, 1):
--- a/cypresspulley/together.py
+++ b/cypresspulley/together.py
@@ -59,7 +59,7 @@
             from cypresspulley.lanes.options import options_from as lanes_options
 
             path, table = operators.lanes
-            spread = timing.spread(max(SIZE, len(options.seeds))) * options.period
+            spread = timing.spread_periods(max(SIZE, len(options.seeds))) * options.period
             bounds |= {"inversion": inversion_bound(lanes_options(table, path, settings), spread)}
         self.fleet = Fleet(options, name, settings.zone, seed, clock, wall, self.history, bounds)
         self._clock, self._wall, self._settings, self._operators = clock, wall, settings, operators
--- a/tests/fleet/test_detector.py
+++ b/tests/fleet/test_detector.py
@@ -95,7 +95,7 @@
     one = One("x")
     one.wait(2.5)
     assert one.changes == [("x", MemberState.SUSPECTED, "probe")]
-    one.wait(timing.suspicion(2, 0))
+    one.wait(timing.suspicion_periods(2, 0))
     assert one.changes[1:] == [("x", MemberState.DEAD, "probe")]
 
 
@@ -135,7 +135,7 @@
     one.hear("x", incarnation=1)
     assert one.changes == [("x", MemberState.SUSPECTED, "told"), ("x", MemberState.ALIVE, "refuted")]
     one.hear("y", told=(claim("x", MemberState.DEAD, incarnation=1, by="y"),))
-    one.wait(timing.told(4) + 0.1)
+    one.wait(timing.reported_death_periods(4) + 0.1)
     assert one.state("x") is MemberState.DEAD and one.changes[-1] == ("x", MemberState.DEAD, "told")
 
 
@@ -152,7 +152,7 @@
         return one.now
 
     alone, three = lasts("a"), lasts("a", "b", "c")
-    assert lasts("a", "a", "a") == alone > three >= timing.suspicion(8, 3)
+    assert lasts("a", "a", "a") == alone > three >= timing.suspicion_periods(8, 3)
 
 
 def test_of_itself_it_refutes_above_what_is_told() -> None:
@@ -198,14 +198,14 @@
     one = One("x")
     one.hear("x", state=MemberState.LEAVING, incarnation=1)
     for _ in range(4):  # the longest suspicion is over within each two: only its word keeps it
-        one.wait(timing.suspicion(2, 0) - 2)
+        one.wait(timing.suspicion_periods(2, 0) - 2)
         assert one.state("x") is MemberState.LEAVING
         one.hear("x", state=MemberState.LEAVING, incarnation=1)
     missed = one.now
-    one.wait(timing.suspicion(2, 0) - 1)
+    one.wait(timing.suspicion_periods(2, 0) - 1)
     assert [change for change in one.changes if change[0] == "x"] == [("x", MemberState.LEAVING, "told")]
     one.wait(5)
-    assert one.now - missed > timing.suspicion(2, 0) and one.state("x") is MemberState.LEFT
+    assert one.now - missed > timing.suspicion_periods(2, 0) and one.state("x") is MemberState.LEFT
 
 
 def test_a_leaver_that_a_helper_reaches_is_no_longer_missed() -> None:
--- a/tests/fleet/test_parts.py
+++ b/tests/fleet/test_parts.py
@@ -104,6 +104,8 @@
 
 
 def test_suspicion_is_shorter_with_each_accuser_and_longer_with_size() -> None:
-    assert [timing.suspicion(8, n) for n in range(5)] == pytest.approx([15, 12.5, 11.04, 10, 10], abs=0.01)
-    assert timing.suspicion(2, 0) == 10 and timing.suspicion(998, 3) == pytest.approx(30)
+    assert [timing.suspicion_periods(8, n) for n in range(5)] == pytest.approx(
+        [15, 12.5, 11.04, 10, 10], abs=0.01
+    )
+    assert timing.suspicion_periods(2, 0) == 10 and timing.suspicion_periods(998, 3) == pytest.approx(30)
     assert timing.detect_bound(8, 0.5) < timing.detect_bound(40, 0.5) < timing.detect_bound(1000, 0.5)
