--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -30,7 +30,7 @@
 
 from benchmarks.fleet_bed import EPOCH, KEY, Bed, address
 from cypresspulley.fleet import timing, wire
-from cypresspulley.fleet.limiter import Fleet
+from cypresspulley.fleet.limiter import FleetMember
 from cypresspulley.fleet.options import FleetOptions
 from cypresspulley.fleet.records import Member, MemberState
 from cypresspulley.histories.writer import NoHistory
@@ -154,10 +154,10 @@
         return int(sock.getsockname()[1])
 
 
-def _member(name: str, port: int, seed: int) -> Fleet:
+def _member(name: str, port: int, seed: int) -> FleetMember:
     seeds = (f"127.0.0.1:{seed}",)
     options = FleetOptions("bench", ("127.0.0.1", port), f"127.0.0.1:{port}", seeds, PERIOD, KEY)
-    return Fleet(options, name, "a", port, time.monotonic, time.time, NoHistory())
+    return FleetMember(options, name, "a", port, time.monotonic, time.time, NoHistory())
 
 
 async def _one(port: int, seed: int, seconds: float) -> None:
--- a/cypresspulley/fleet/limiter.py
+++ b/cypresspulley/fleet/limiter.py
@@ -39,12 +39,12 @@
 
 log = logging.getLogger(__name__)
 
-SIZE = 12  # members for which the stated bounds are, where there are not more seeds
+DEFAULT_FLEET_SIZE = 12  # members for which the stated bounds are, where there are not more seeds
 MOST_ZONE = 64  # characters
 BUFFER = 1 << 20  # bytes of the socket's receive buffer: a second of a burst of whole exchanges
 
 
-class Fleet:
+class FleetMember:
     """This process's member of the fleet. ``clock`` never steps, ``wall`` is Unix seconds as the machine has it.
 
     ``bounds`` are other rooms' stated bounds in seconds, by the names in ``histories.events.BOUNDS``; ``size`` is how
@@ -54,7 +54,7 @@
     def __init__(
         self, options: FleetOptions, name: str, zone: str, seed: int,
         clock: Callable[[], float], wall: Callable[[], float], history: AnyHistory,
-        bounds: Mapping[str, float] | None = None, size: int = SIZE,
+        bounds: Mapping[str, float] | None = None, size: int = DEFAULT_FLEET_SIZE,
     ) -> None:  # fmt: skip
         if not re.fullmatch(NAME_PATTERN, name):
             raise OperatorsError(
@@ -68,7 +68,7 @@
         me = Member(name, max(1, round(wall() * 1000)), 0, MemberState.JOINING, zone, options.advertise)
         codec = Codec(options.installation, options.key)
         self.detector = Detector(me, codec, options.seeds, options.period, Random(f"{seed}/{name}"))
-        self.view = Seen(self.detector, clock, wall)
+        self.view = DetectorView(self.detector, clock, wall)
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._due = float("inf")
@@ -192,7 +192,7 @@
             self._set_timer()
 
 
-class Seen:
+class DetectorView:
     """The view as other rooms see it: ``records.FleetView``."""
 
     def __init__(self, detector: Detector, clock: Callable[[], float], wall: Callable[[], float]) -> None:
@@ -244,7 +244,7 @@
 class _Receiver(asyncio.DatagramProtocol):
     """Hands datagrams to the fleet. An error that the machine tells of (a port that is shut) is no news of a member."""
 
-    def __init__(self, fleet: Fleet) -> None:
+    def __init__(self, fleet: FleetMember) -> None:
         self._fleet = fleet
 
     def datagram_received(self, data: bytes, addr: object) -> None:
--- a/cypresspulley/together.py
+++ b/cypresspulley/together.py
@@ -12,7 +12,7 @@
 
 from cypresspulley import interface as api
 from cypresspulley.fleet import timing
-from cypresspulley.fleet.limiter import SIZE, Fleet
+from cypresspulley.fleet.limiter import DEFAULT_FLEET_SIZE, FleetMember
 from cypresspulley.fleet.options import options_from as fleet_options
 from cypresspulley.histories.clock import ShiftedClock
 from cypresspulley.histories.writer import AnyHistory, History, NoHistory
@@ -59,9 +59,9 @@
             from cypresspulley.lanes.options import options_from as lanes_options
 
             path, table = operators.lanes
-            spread = timing.spread_periods(max(SIZE, len(options.seeds))) * options.period
+            spread = timing.spread_periods(max(DEFAULT_FLEET_SIZE, len(options.seeds))) * options.period
             bounds |= {"inversion": inversion_bound(lanes_options(table, path, settings), spread)}
-        self.fleet = Fleet(options, name, settings.zone, seed, clock, wall, self.history, bounds)
+        self.fleet = FleetMember(options, name, settings.zone, seed, clock, wall, self.history, bounds)
         self._clock, self._wall, self._settings, self._operators = clock, wall, settings, operators
         self.lanes: Lanes | None = None
         self.closing: Closing | None = None
--- a/tests/fleet/test_limiter.py
+++ b/tests/fleet/test_limiter.py
@@ -13,7 +13,7 @@
 import pytest
 
 from cypresspulley.fleet.actions import DatagramReceived
-from cypresspulley.fleet.limiter import Fleet
+from cypresspulley.fleet.limiter import FleetMember
 from cypresspulley.fleet.options import FleetOptions
 from cypresspulley.fleet.records import Member, MemberState
 from cypresspulley.fleet.wire import Codec, Entry, Gossip, raw
@@ -35,12 +35,12 @@
 def fleet(
     name: str, at: int, *seeds: int, history: AnyHistory | None = None, back: float = 0.0,
     advertise: int | None = None,
-) -> Fleet:  # fmt: skip
+) -> FleetMember:  # fmt: skip
     addresses = tuple(f"127.0.0.1:{seed}" for seed in seeds)
     own = f"127.0.0.1:{advertise or at}"
     options = FleetOptions("test", ("127.0.0.1", at), own, addresses, PERIOD, KEY)
     wall = (lambda: time.time() - back) if back else time.time
-    return Fleet(options, name, "a", 1, time.monotonic, wall, history or NoHistory())
+    return FleetMember(options, name, "a", 1, time.monotonic, wall, history or NoHistory())
 
 
 async def until(what: Callable[[], bool]) -> None:
@@ -210,7 +210,7 @@
         options = FleetOptions(
             "test", ("127.0.0.1", second), f"localhost:{second}", (f"localhost:{first}",), PERIOD, KEY
         )
-        b = Fleet(options, "b", "a", 1, time.monotonic, time.time, NoHistory())
+        b = FleetMember(options, "b", "a", 1, time.monotonic, time.time, NoHistory())
         await a.start()
         await b.start()
         await until(lambda: a.view.is_settled(0.0) and b.view.is_settled(0.0) and len(a.view.members()) == 2)
