--- a/cypresspulley/fleet/addresses.py
+++ b/cypresspulley/fleet/addresses.py
@@ -9,11 +9,13 @@
 
 from cypresspulley.net.http import split_address
 
-MOST = 4096  # addresses that are remembered
-MOST_LOOKUPS = 8  # under way
-AGAIN = 30.0  # seconds after which a name is looked up anew; the last answer holds meanwhile
+MAX_ADDRESSES = 4096  # addresses that are remembered
+MAX_LOOKUPS = 8  # under way
+LOOKUP_INTERVAL_SECONDS = (
+    30.0  # seconds after which a name is looked up anew; the last answer holds meanwhile
+)
 
-Where = tuple[str, int]
+SocketAddress = tuple[str, int]
 
 
 class Addresses:
@@ -22,17 +24,17 @@
     def __init__(self, clock: Callable[[], float], listen: str) -> None:
         self._clock = clock
         self._family = socket.AF_INET6 if ":" in listen else socket.AF_INET
-        self._known = dict[str, Where | None]()  # None: no address, or a name that is not yet known
+        self._known = dict[str, SocketAddress | None]()  # None: no address, or a name that is not yet known
         self._names = dict[str, float]()  # when to look a name up again
         self._lookups = dict[str, asyncio.Task[None]]()
 
     def __repr__(self) -> str:
         return f"<Addresses: {len(self._known)} known, {len(self._lookups)} looked up>"
 
-    def get(self, address: str) -> Where | None:
+    def get(self, address: str) -> SocketAddress | None:
         """Where to send; None for what is no address and while a name is looked up."""
         if address not in self._known:
-            if len(self._known) >= MOST:
+            if len(self._known) >= MAX_ADDRESSES:
                 self._known.clear()
                 self._names.clear()
             self._known[address] = self._literal(address)
@@ -44,7 +46,7 @@
         for task in self._lookups.values():
             task.cancel()
 
-    def _literal(self, address: str) -> Where | None:
+    def _literal(self, address: str) -> SocketAddress | None:
         try:
             host, port = split_address(address)
         except ValueError:
@@ -59,9 +61,9 @@
         return host, port
 
     def _look_up(self, address: str) -> None:
-        if address in self._lookups or len(self._lookups) >= MOST_LOOKUPS:
+        if address in self._lookups or len(self._lookups) >= MAX_LOOKUPS:
             return
-        self._names[address] = self._clock() + AGAIN
+        self._names[address] = self._clock() + LOOKUP_INTERVAL_SECONDS
         task = asyncio.get_running_loop().create_task(self._answer(address))
         self._lookups[address] = task
 
--- a/cypresspulley/fleet/clocks.py
+++ b/cypresspulley/fleet/clocks.py
@@ -9,11 +9,11 @@
 
 from statistics import median
 
-AGE = 60.0  # seconds that an estimate counts
-ENOUGH = 8  # estimates that do for a fleet of any size; of a small one half of the others
+ESTIMATE_LIFETIME_SECONDS = 60.0  # seconds that an estimate counts
+SUFFICIENT_ESTIMATES = 8  # estimates that do for a fleet of any size; of a small one half of the others
 
 
-class Clocks:
+class ClockEstimates:
     """Bounds on the others' clocks, one for each member: at most as many as the view holds."""
 
     def __init__(self) -> None:
@@ -36,8 +36,12 @@
         true median lies between the median of the lows and that of the highs. None where fewer than half of the others
         (or ``ENOUGH``) have answered in ``AGE`` seconds.
         """
-        fresh = [(least, most) for least, most, at in self._bounds.values() if now - at <= AGE]
-        if not fresh or len(fresh) < min(ENOUGH, (others + 1) // 2):
+        fresh = [
+            (least, most)
+            for least, most, at in self._bounds.values()
+            if now - at <= ESTIMATE_LIFETIME_SECONDS
+        ]
+        if not fresh or len(fresh) < min(SUFFICIENT_ESTIMATES, (others + 1) // 2):
             return None
         mine = wall - now
         return mine - median(most for _, most in fresh), mine - median(least for least, _ in fresh)
--- a/cypresspulley/fleet/detector.py
+++ b/cypresspulley/fleet/detector.py
@@ -64,7 +64,7 @@
     Stopped,
     TimerFired,
 )
-from cypresspulley.fleet.clocks import Clocks
+from cypresspulley.fleet.clocks import ClockEstimates
 from cypresspulley.fleet.documents import Documents
 from cypresspulley.fleet.exchange import Exchange
 from cypresspulley.fleet.outbox import Outbox
@@ -76,11 +76,11 @@
 from cypresspulley.fleet.view import View
 from cypresspulley.fleet.wire import Envelope
 
-STALE = 24 * 3600.0  # seconds that a datagram's wall clock may differ from this one
-MOST_RISES = 8  # of this process's life: beyond, another process has its name
-RECALLED = 3600.0  # seconds after its death that a member is still called
-GOSSIPS = 2  # datagrams a period that carry nothing but news
-LEAVE_WORDS = 8  # members that are told of an end directly
+MAX_CLOCK_DIFFERENCE_SECONDS = 24 * 3600.0  # seconds that a datagram's wall clock may differ from this one
+MAX_LIFE_INCREASES = 8  # of this process's life: beyond, another process has its name
+DEAD_RECALL_SECONDS = 3600.0  # seconds after its death that a member is still called
+GOSSIP_FANOUT = 2  # datagrams a period that carry nothing but news
+LEAVE_FANOUT = 8  # members that are told of an end directly
 
 
 class Detector:
@@ -93,7 +93,7 @@
         self, me: Member, codec: wire.Codec, seeds: tuple[str, ...], period: float, rng: Random
     ) -> None:
         self.view = View(me)
-        self.clocks = Clocks()
+        self.clocks = ClockEstimates()
         self.documents = Documents()
         self.counts = Counter[str]()  # datagrams sent, taken, and dropped by cause
         self.health = Health()
@@ -190,7 +190,7 @@
 
     def _part(self) -> None:
         """Tell some members of this one's end directly: the rest hear it from them."""
-        for name in self._probes.others(LEAVE_WORDS):
+        for name in self._probes.others(LEAVE_FANOUT):
             self._outbox.say(name, wire.Gossip())
 
     def _become(self, me: Member, cause: str) -> None:
@@ -213,13 +213,13 @@
         if target := self._probes.next_target():
             self._ping(target, self._address(target))
         if len(self.view.queue):
-            for name in self._probes.others(GOSSIPS):
+            for name in self._probes.others(GOSSIP_FANOUT):
                 self._outbox.say(name, wire.Gossip())
-        recent = self._now - self.view.changed <= timing.CHECKED * self._timers.period
+        recent = self._now - self.view.changed <= timing.DIGEST_CHECK_PERIODS * self._timers.period
         if recent and not self._suspicions:  # what is in suspense changes again
-            for name in self.peers.differing(timing.CHECKS):
+            for name in self.peers.differing(timing.DIGEST_CHECKS_PER_PERIOD):
                 self._ping(name, self._address(name), counts=False)
-        if self._calls.periods % timing.RECALL == 0:
+        if self._calls.periods % timing.RECALL_PERIODS == 0:
             self._recall()
         for digest in self.documents.wanted():
             self._fetch(digest)
@@ -227,7 +227,7 @@
 
     def _recall(self) -> None:
         """A word to one that is not in the view, so that a cut that ends is noticed."""
-        dead = [(m.name, m.address) for m in self.view.ended(self._now, RECALLED)]
+        dead = [(m.name, m.address) for m in self.view.ended(self._now, DEAD_RECALL_SECONDS)]
         held = {m.address for m in self.view.members()} if self._calls.seeds else set()
         if call := self._calls.recall(dead, held):
             self._ping(*call, counts=False)
@@ -253,8 +253,8 @@
         nonce = self._probes.begin(self._now, self._timers.number(), name, counts)
         stretch = 1 + self.health.value
         if counts:
-            self._after(timing.DIRECT * stretch, "direct", str(nonce))
-        self._after(timing.WHOLE * stretch, "failed", str(nonce))
+            self._after(timing.DIRECT_TIMEOUT_PERIODS * stretch, "direct", str(nonce))
+        self._after(timing.PROBE_TIMEOUT_PERIODS * stretch, "failed", str(nonce))
         held = self.view.get(name)
         doubted = [name] if held is not None and held.state >= MemberState.SUSPECTED else []
         self._outbox.post(address, wire.Ping(nonce, name), doubted)
@@ -263,8 +263,8 @@
         probe = self._probes.get(int(key))
         if probe is None or not probe.counts:
             return
-        drawn = self._probes.others(timing.ASKED + 1)
-        helpers = [name for name in drawn if name != probe.target][: timing.ASKED]
+        drawn = self._probes.others(timing.INDIRECT_PROBES + 1)
+        helpers = [name for name in drawn if name != probe.target][: timing.INDIRECT_PROBES]
         probe.asked = len(helpers)
         for name in helpers:
             self._outbox.say(name, wire.Ask(int(key), probe.target, self._address(probe.target)))
@@ -401,7 +401,7 @@
         me = self.view.myself
         if claim.life > me.life:
             self.counts["risen"] += 1
-            if self.counts["risen"] <= MOST_RISES:
+            if self.counts["risen"] <= MAX_LIFE_INCREASES:
                 self._become(replace(me, life=claim.life + 1, incarnation=0), "self")
         elif claim.life == me.life and claim.rank > me.rank:
             if claim.state >= MemberState.SUSPECTED:
@@ -425,7 +425,7 @@
             self.counts[error.cause] += 1
             return
         sender = envelope.me
-        if abs(envelope.wall / 1000 - self._outbox.wall) > STALE:
+        if abs(envelope.wall / 1000 - self._outbox.wall) > MAX_CLOCK_DIFFERENCE_SECONDS:
             self.counts["stale"] += 1
         elif sender.name == self.view.local_name:  # an echo, or another life of mine that still speaks
             self.counts["own"] += 1
@@ -507,7 +507,7 @@
         if nonce is None:
             self.counts["relays refused"] += 1
             return
-        self._after(timing.DIRECT, "relay", str(nonce))
+        self._after(timing.DIRECT_TIMEOUT_PERIODS, "relay", str(nonce))
         self._outbox.post(ask.address, wire.Ping(nonce, ask.to))
 
     def _on_reached(self, envelope: Envelope) -> None:
--- a/cypresspulley/fleet/documents.py
+++ b/cypresspulley/fleet/documents.py
@@ -6,12 +6,14 @@
 from hashlib import blake2b
 
 from cypresspulley.fleet.records import MAX_DOCUMENT_BYTES
-from cypresspulley.fleet.wire import DIGEST, PART, Fetch, Part
+from cypresspulley.fleet.wire import DIGEST_BYTES, PART_BYTES, Fetch, Part
 
-MOST_HELD = 16  # documents; the one that was longest not asked for goes first
-MOST_WANTED = 8
-AT_ONCE = 8  # parts that one request asks for
-TRIES = 8  # members a period that are asked anew because the one asked before lacked the document
+MAX_DOCUMENTS = 16  # documents; the one that was longest not asked for goes first
+MAX_REQUESTED = 8
+PARTS_PER_FETCH = 8  # parts that one request asks for
+RETRIES_PER_PERIOD = (
+    8  # members a period that are asked anew because the one asked before lacked the document
+)
 
 
 class Documents:
@@ -30,21 +32,23 @@
     def offer(self, body: bytes) -> str:
         if len(body) > MAX_DOCUMENT_BYTES:
             raise ValueError(f"document: expected at most {MAX_DOCUMENT_BYTES} bytes, got {len(body)}")
-        digest = blake2b(body, digest_size=DIGEST).digest()
+        digest = blake2b(body, digest_size=DIGEST_BYTES).digest()
         self._wanted.pop(digest, None)
         self._held[digest] = body
         self._held.move_to_end(digest)
-        while len(self._held) > MOST_HELD:
+        while len(self._held) > MAX_DOCUMENTS:
             self._held.popitem(last=False)
         return digest.hex()
 
     def want(self, digest: str) -> None:
         """``ValueError`` for what is no digest. Of more than ``MOST_WANTED`` the oldest wish is given up."""
         key = bytes.fromhex(digest)
-        if len(key) != DIGEST:
-            raise ValueError(f"document: expected a digest of {2 * DIGEST} hex digits, got {digest!r:.60}")
+        if len(key) != DIGEST_BYTES:
+            raise ValueError(
+                f"document: expected a digest of {2 * DIGEST_BYTES} hex digits, got {digest!r:.60}"
+            )
         if key not in self._held and key not in self._wanted:
-            while len(self._wanted) >= MOST_WANTED:
+            while len(self._wanted) >= MAX_REQUESTED:
                 del self._wanted[next(iter(self._wanted))]
             self._wanted[key] = (0, {})
 
@@ -63,14 +67,14 @@
     def try_another(self) -> bool:
         """Whether another member may be asked in this period, the last having lacked the document."""
         self._tried += 1
-        return self._tried <= TRIES
+        return self._tried <= RETRIES_PER_PERIOD
 
     def request(self, digest: bytes) -> Fetch | None:
         """What to ask for next; None for what is not wanted."""
         if digest not in self._wanted:
             return None
         of, parts = self._wanted[digest]
-        missing = [number for number in range(of or AT_ONCE) if number not in parts][:AT_ONCE]
+        missing = [number for number in range(of or PARTS_PER_FETCH) if number not in parts][:PARTS_PER_FETCH]
         mask = sum(1 << number for number in missing)
         return Fetch(digest, mask.to_bytes((max(missing, default=0) + 8) // 8, "little"))
 
@@ -80,10 +84,10 @@
         if body is None:
             return None
         self._held.move_to_end(request.digest)
-        of = max(1, -(-len(body) // PART))
+        of = max(1, -(-len(body) // PART_BYTES))
         mask = int.from_bytes(request.parts, "little")
-        asked = [number for number in range(of) if mask >> number & 1][:AT_ONCE]
-        return [Part(request.digest, n, of, body[n * PART : (n + 1) * PART]) for n in asked]
+        asked = [number for number in range(of) if mask >> number & 1][:PARTS_PER_FETCH]
+        return [Part(request.digest, n, of, body[n * PART_BYTES : (n + 1) * PART_BYTES]) for n in asked]
 
     def take(self, part: Part) -> bool:
         """Lay a part to the others; whether the next ones may be asked for now (all that were asked for are here)."""
@@ -96,9 +100,12 @@
         parts[part.number] = part.body
         self._wanted[part.digest] = (part.of, parts)
         if len(parts) < part.of:
-            return len(parts) % AT_ONCE == 0
+            return len(parts) % PARTS_PER_FETCH == 0
         body = b"".join(parts[number] for number in range(part.of))
-        if blake2b(body, digest_size=DIGEST).digest() == part.digest and len(body) <= MAX_DOCUMENT_BYTES:
+        if (
+            blake2b(body, digest_size=DIGEST_BYTES).digest() == part.digest
+            and len(body) <= MAX_DOCUMENT_BYTES
+        ):
             self.offer(body)
         else:
             self._wanted[part.digest] = (0, {})
--- a/cypresspulley/fleet/exchange.py
+++ b/cypresspulley/fleet/exchange.py
@@ -16,16 +16,16 @@
 from msgspec import Raw
 
 from cypresspulley.fleet import wire
-from cypresspulley.fleet.outbox import MOST_PIECES, Outbox
+from cypresspulley.fleet.outbox import MAX_RESPONSE_DATAGRAMS, Outbox
 from cypresspulley.fleet.records import Member
 from cypresspulley.fleet.view import View, bucket
 from cypresspulley.fleet.wire import Envelope, Key
 
-KEYS = 200  # bytes that two keys of a piece may take
-MOVING = 2  # periods after a change in which others still hear of it
-SELDOM = 4  # periods between comparisons meanwhile
-START: Key = (0, "", "")
-END: Key = (wire.BUCKETS, "", "")
+PIECE_KEY_BYTES = 200  # bytes that two keys of a piece may take
+SPREADING_PERIODS = 2  # periods after a change in which others still hear of it
+SPREADING_INTERVAL_PERIODS = 4  # periods between comparisons meanwhile
+FIRST_KEY: Key = (0, "", "")
+END_KEY: Key = (wire.BUCKET_COUNT, "", "")
 
 
 class Exchange:
@@ -35,7 +35,7 @@
         self._view, self._outbox, self._period = view, outbox, period
         self._compared = float("-inf")
         self._awaited = 0  # number of the comparison that is under way
-        self._reached = START  # where the last answer here ended; ``START`` where it was whole
+        self._reached = FIRST_KEY  # where the last answer here ended; ``START`` where it was whole
         self._cursors = dict[str, Key]()  # by asker, of its present life: where my last answer stopped short
 
     def __repr__(self) -> str:
@@ -44,8 +44,8 @@
     def due(self, joining: bool) -> bool:
         """Whether a comparison may begin: one a period, fewer while news is on its way anyhow."""
         now = self._outbox.now
-        moving = now - self._view.changed < MOVING * self._period and not joining
-        return now - self._compared >= (SELDOM if moving else 1) * self._period
+        moving = now - self._view.changed < SPREADING_PERIODS * self._period and not joining
+        return now - self._compared >= (SPREADING_INTERVAL_PERIODS if moving else 1) * self._period
 
     def begin(self, number: int, address: str) -> None:
         self._compared, self._awaited = self._outbox.now, number
@@ -56,8 +56,11 @@
         compare, asker, out = envelope.message, envelope.me, self._outbox
         assert isinstance(compare, wire.Compare)
         address, mask = asker.address, self._view.differing(compare.buckets)
-        after = self._cursors.pop(asker.name, START)
-        room = out.room(wire.raw(wire.Piece(compare.number, 2**64 - 1, START, END, False))) - KEYS
+        after = self._cursors.pop(asker.name, FIRST_KEY)
+        room = (
+            out.room(wire.raw(wire.Piece(compare.number, 2**64 - 1, FIRST_KEY, END_KEY, False)))
+            - PIECE_KEY_BYTES
+        )
         entries, cells, used, sent, upto = list[Raw](), list[Raw](), 0, 0, after
         for key in self._view.keys(mask):
             if key <= after:
@@ -67,7 +70,7 @@
                 continue
             if used + wire.size(record) > room:
                 sent += 1
-                done = sent == MOST_PIECES
+                done = sent == MAX_RESPONSE_DATAGRAMS
                 piece = wire.Piece(compare.number, mask, after, upto, done)
                 out.send(address, wire.raw(piece), entries, cells)
                 if done:
@@ -77,7 +80,7 @@
             (cells if key[2] else entries).append(record)
             used += wire.size(record)
             upto = key
-        out.send(address, wire.raw(wire.Piece(compare.number, mask, after, END, True)), entries, cells)
+        out.send(address, wire.raw(wire.Piece(compare.number, mask, after, END_KEY, True)), entries, cells)
 
     def takes(self, piece: wire.Piece) -> bool:
         """Whether it is of the comparison that is under way, which ends with the last."""
@@ -90,7 +93,7 @@
     def goes_on(self, last: wire.Piece) -> bool:
         """Whether there is more behind the last piece of an answer, and it came further than the answer before: one who
         always begins at the start would be asked for ever."""
-        before, self._reached = self._reached, last.upto if last.upto < END else START
+        before, self._reached = self._reached, last.upto if last.upto < END_KEY else FIRST_KEY
         return before < self._reached
 
     def forget(self, name: str) -> None:
--- a/cypresspulley/fleet/limiter.py
+++ b/cypresspulley/fleet/limiter.py
@@ -40,8 +40,8 @@
 log = logging.getLogger(__name__)
 
 DEFAULT_FLEET_SIZE = 12  # members for which the stated bounds are, where there are not more seeds
-MOST_ZONE = 64  # characters
-BUFFER = 1 << 20  # bytes of the socket's receive buffer: a second of a burst of whole exchanges
+MAX_ZONE_CHARACTERS = 64  # characters
+RECEIVE_BUFFER_BYTES = 1 << 20  # bytes of the socket's receive buffer: a second of a burst of whole exchanges
 
 
 class FleetMember:
@@ -60,8 +60,8 @@
             raise OperatorsError(
                 f"LB_NAME: expected at most 40 letters, digits, dots and dashes, got {name!r:.60}"
             )
-        if len(zone) > MOST_ZONE:
-            raise OperatorsError(f"zone: expected at most {MOST_ZONE} characters, got {zone!r:.80}")
+        if len(zone) > MAX_ZONE_CHARACTERS:
+            raise OperatorsError(f"zone: expected at most {MAX_ZONE_CHARACTERS} characters, got {zone!r:.80}")
         self._options, self._clock, self._wall, self._history = options, clock, wall, history
         self._bounds, self._size = dict(bounds or {}), max(size, len(options.seeds))
         self._zone, self._me = zone, name
@@ -86,7 +86,7 @@
         self._transport = transport
         sock = transport.get_extra_info("socket")
         if sock is not None:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         self._open_history(self.view.life)
         self.take(Started())
 
--- a/cypresspulley/fleet/options.py
+++ b/cypresspulley/fleet/options.py
@@ -21,9 +21,9 @@
 from cypresspulley.net.http import split_address
 from cypresspulley.operators import OperatorsError
 
-LEAST_KEY = 16  # characters
-MOST_SEEDS = MAX_MEMBERS  # every member may be named; more than these no view holds
-PERIODS = (50, 10_000)  # ms
+MIN_KEY_CHARACTERS = 16  # characters
+MAX_SEEDS = MAX_MEMBERS  # every member may be named; more than these no view holds
+PERIOD_MS_RANGE = (50, 10_000)  # ms
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,14 +54,20 @@
     for name, address in (("listen", listen), ("advertise", advertise)):
         if not _address(address):
             raise fail(name, "an address host:port")
-    whole = isinstance(seeds, list) and len(seeds) <= MOST_SEEDS and all(_address(seed) for seed in seeds)
+    whole = isinstance(seeds, list) and len(seeds) <= MAX_SEEDS and all(_address(seed) for seed in seeds)
     if not isinstance(seeds, list) or not whole:
-        raise fail("seeds", f"a list of at most {MOST_SEEDS} addresses host:port")
+        raise fail("seeds", f"a list of at most {MAX_SEEDS} addresses host:port")
     period = table.get("period_ms", 500)
-    if not isinstance(period, int) or isinstance(period, bool) or not PERIODS[0] <= period <= PERIODS[1]:
-        raise fail("period_ms", f"whole milliseconds from {PERIODS[0]} to {PERIODS[1]}")
-    if len(key) < LEAST_KEY:
-        raise OperatorsError(f"FAWNSEAM_FLEET_KEY: expected a key of at least {LEAST_KEY} characters")
+    if (
+        not isinstance(period, int)
+        or isinstance(period, bool)
+        or not PERIOD_MS_RANGE[0] <= period <= PERIOD_MS_RANGE[1]
+    ):
+        raise fail("period_ms", f"whole milliseconds from {PERIOD_MS_RANGE[0]} to {PERIOD_MS_RANGE[1]}")
+    if len(key) < MIN_KEY_CHARACTERS:
+        raise OperatorsError(
+            f"FAWNSEAM_FLEET_KEY: expected a key of at least {MIN_KEY_CHARACTERS} characters"
+        )
     return FleetOptions(
         installation, split_address(str(listen)), str(advertise), tuple(seeds), period / 1000, key.encode()
     )
--- a/cypresspulley/fleet/outbox.py
+++ b/cypresspulley/fleet/outbox.py
@@ -11,8 +11,8 @@
 from cypresspulley.fleet.actions import Action, Send
 from cypresspulley.fleet.view import View
 
-MOST_PIECES = 24  # datagrams of one answer
-ENVELOPE = 140  # bytes: more than an envelope takes beside its message, its sender and the records
+MAX_RESPONSE_DATAGRAMS = 24  # datagrams of one answer
+ENVELOPE_BYTES = 140  # bytes: more than an envelope takes beside its message, its sender and the records
 
 
 class Outbox:
@@ -58,7 +58,13 @@
 
     def room(self, told: Raw) -> int:
         """Bytes for records beside a message."""
-        return wire.MOST_BYTES - wire.HEAD - ENVELOPE - wire.size(self._me) - wire.size(told)
+        return (
+            wire.MAX_DATAGRAM_BYTES
+            - wire.HEADER_BYTES
+            - ENVELOPE_BYTES
+            - wire.size(self._me)
+            - wire.size(told)
+        )
 
     def send(self, address: str, told: Raw, entries: Sequence[Raw], cells: Sequence[Raw]) -> None:
         view = self._view
@@ -83,7 +89,7 @@
                 if wire.size(record) > room:
                     self.send(address, told, *parts)
                     parts, room, sent = ([], []), whole, sent + 1
-                    if sent == MOST_PIECES:
+                    if sent == MAX_RESPONSE_DATAGRAMS:
                         return
                 parts[kind].append(record)
                 room -= wire.size(record)
--- a/cypresspulley/fleet/probes.py
+++ b/cypresspulley/fleet/probes.py
@@ -9,7 +9,7 @@
 
 from cypresspulley.fleet.view import View
 
-MOST_RELAYS = 64  # indirect probes under way for others
+MAX_RELAYS = 64  # indirect probes under way for others
 
 
 @dataclass(slots=True)
@@ -96,7 +96,7 @@
 
     def relay(self, number: int, relay: Relay) -> int | None:
         """Probe for another; the nonce, None where too many are under way."""
-        if len(self._relays) >= MOST_RELAYS:
+        if len(self._relays) >= MAX_RELAYS:
             return None
         nonce = self._nonce(number)
         self._relays[nonce] = relay
--- a/cypresspulley/fleet/suspicion.py
+++ b/cypresspulley/fleet/suspicion.py
@@ -24,7 +24,7 @@
 
     def accused(self, by: str) -> bool:
         """Whether this one's word would change nothing."""
-        return by in self.accusers or len(self.accusers) > timing.ACCUSERS
+        return by in self.accusers or len(self.accusers) > timing.SUSPICION_CONFIRMATIONS
 
 
 class Suspicions:
--- a/cypresspulley/fleet/timers.py
+++ b/cypresspulley/fleet/timers.py
@@ -47,7 +47,7 @@
     def stalled(self, now: float) -> float:
         """Seconds by which the process is so late that it must have stood still, else 0; all timers move by them."""
         late = now - self.due
-        if late <= max(timing.STALL * self.period, timing.STALL_LEAST):
+        if late <= max(timing.STALL_PERIODS * self.period, timing.MIN_STALL_SECONDS):
             return 0.0
         self._heap = [(at + late, number, kind, key) for at, number, kind, key in self._heap]
         heapq.heapify(self._heap)
@@ -65,7 +65,7 @@
         return f"<Health {self.value}>"
 
     def feel(self, change: int) -> None:
-        self.value = min(timing.MOST_HEALTH, max(0, self.value + change))
+        self.value = min(timing.MAX_HEALTH_SCORE, max(0, self.value + change))
 
     def stood_still(self, now: float, late: float, period: float) -> None:
         """The process was late by so many seconds: what it did not hear meanwhile says nothing of others."""
--- a/cypresspulley/fleet/view.py
+++ b/cypresspulley/fleet/view.py
@@ -27,15 +27,15 @@
 
 from cypresspulley.fleet import timing
 from cypresspulley.fleet.records import MAX_ROW_BYTES, MAX_SUBSYSTEMS, Member, MemberState, Rank, Row
-from cypresspulley.fleet.wire import BUCKETS, Cell, Entry, raw, size
+from cypresspulley.fleet.wire import BUCKET_COUNT, Cell, Entry, raw, size
 
 MAX_MEMBERS = 4096  # present ones; a new name beyond is not taken
 MAX_TOMBSTONES = 4096
-TOMBSTONE = 48 * 3600.0  # seconds: twice what a datagram's clock may be off (``detector.STALE``)
+TOMBSTONE_SECONDS = 48 * 3600.0  # seconds: twice what a datagram's clock may be off (``detector.STALE``)
 # Seconds after which a row that has not changed counts for the digest, in a fleet of ``QUIET_SIZE`` members at most. In
 # a larger one rows take longer to go round, as each member sends no more than in a small one.
-QUIET = 10.0
-QUIET_SIZE = 40
+ROW_QUIET_SECONDS = 10.0
+ROW_QUIET_MEMBERS = 40
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,8 +61,8 @@
         self._rows = dict[str, dict[str, Held]]()
         self._ended = dict[str, float]()  # tombstones by name, in order of their instants
         self._marks = dict[str, tuple[int, int]]()  # what each name adds to the two digests
-        self._buckets = [0] * BUCKETS
-        self._in_bucket = [set[str]() for _ in range(BUCKETS)]
+        self._buckets = [0] * BUCKET_COUNT
+        self._in_bucket = [set[str]() for _ in range(BUCKET_COUNT)]
         self._soon_quiet = dict[str, float]()  # when to look whether a name's rows have gone quiet
         self._present = 0
         self._others: tuple[str, ...] | None = None  # until who is present changes
@@ -84,7 +84,7 @@
     @property
     def quiet(self) -> float:
         """Seconds without a change after which a row counts for the digest."""
-        return QUIET * max(1.0, self._present / QUIET_SIZE)
+        return ROW_QUIET_SECONDS * max(1.0, self._present / ROW_QUIET_MEMBERS)
 
     def get(self, name: str) -> Member | None:
         return self._members.get(name)
@@ -151,7 +151,7 @@
         """Forget tombstones that are old, or the oldest where there are too many."""
         while self._ended:
             name, at = next(iter(self._ended.items()))
-            if now - at < TOMBSTONE and len(self._ended) <= MAX_TOMBSTONES:
+            if now - at < TOMBSTONE_SECONDS and len(self._ended) <= MAX_TOMBSTONES:
                 return
             del self._ended[name], self._members[name]
             self._rows.pop(name, None)
@@ -251,12 +251,14 @@
     def differing(self, buckets: bytes) -> int:
         """The mask of buckets whose digests are not these."""
         mine = self.bucket_digests()
-        return sum(1 << n for n in range(BUCKETS) if mine[8 * n : 8 * n + 8] != buckets[8 * n : 8 * n + 8])
+        return sum(
+            1 << n for n in range(BUCKET_COUNT) if mine[8 * n : 8 * n + 8] != buckets[8 * n : 8 * n + 8]
+        )
 
     def keys(self, mask: int) -> list[tuple[int, str, str]]:
         """Keys of what is held of present members in these buckets, in order."""
         found = list[tuple[int, str, str]]()
-        for number in range(BUCKETS):
+        for number in range(BUCKET_COUNT):
             if mask >> number & 1:
                 for name in sorted(self._in_bucket[number]):
                     if self._members[name].state.present:
@@ -392,7 +394,7 @@
 @lru_cache(maxsize=2 * (MAX_MEMBERS + MAX_TOMBSTONES))
 def bucket(name: str) -> int:
     """The bucket of a name, the same at all members."""
-    return blake2b(name.encode(), digest_size=1).digest()[0] % BUCKETS
+    return blake2b(name.encode(), digest_size=1).digest()[0] % BUCKET_COUNT
 
 
 def _hash(data: bytes) -> int:
--- a/cypresspulley/fleet/wire.py
+++ b/cypresspulley/fleet/wire.py
@@ -20,14 +20,16 @@
 
 from cypresspulley.fleet.records import MAX_ROW_BYTES, NAME_PATTERN, Member, MemberState
 
-FORM = 1
-MOST_BYTES = 1200  # of a datagram: below the least path that IPv6 promises (1280), with room for headers
-DIGEST = 16  # bytes
-HEAD = 1 + DIGEST
-BUCKETS = 64  # of names, by which two members compare what they hold
-PART = 900  # bytes of a document in one datagram
-MOST_PARTS = 73  # ceil(MOST_DOCUMENT / PART)
-MOST_ENTRIES = 64  # in one datagram; a record of a true member takes more than 20 bytes
+FORMAT_VERSION = 1
+MAX_DATAGRAM_BYTES = (
+    1200  # of a datagram: below the least path that IPv6 promises (1280), with room for headers
+)
+DIGEST_BYTES = 16  # bytes
+HEADER_BYTES = 1 + DIGEST_BYTES
+BUCKET_COUNT = 64  # of names, by which two members compare what they hold
+PART_BYTES = 900  # bytes of a document in one datagram
+MAX_PARTS = 73  # ceil(MOST_DOCUMENT / PART)
+MAX_RECORDS = 64  # in one datagram; a record of a true member takes more than 20 bytes
 
 Name = Annotated[str, Meta(min_length=1, max_length=40, pattern=f"^{NAME_PATTERN}$")]
 NoName = Annotated[str, Meta(max_length=40)]
@@ -101,10 +103,12 @@
     """Digests of all buckets of names, 8 bytes each; asks for ``Piece`` datagrams of those that differ."""
 
     number: Count
-    buckets: Annotated[bytes, Meta(min_length=BUCKETS * 8, max_length=BUCKETS * 8)]
+    buckets: Annotated[bytes, Meta(min_length=BUCKET_COUNT * 8, max_length=BUCKET_COUNT * 8)]
 
 
-Key = tuple[Annotated[int, Meta(ge=0, le=BUCKETS)], NoName, NoName]  # bucket, name, subsystem ("" its member)
+Key = tuple[
+    Annotated[int, Meta(ge=0, le=BUCKET_COUNT)], NoName, NoName
+]  # bucket, name, subsystem ("" its member)
 
 
 class Piece(Struct, array_like=True, frozen=True, tag=8, forbid_unknown_fields=True):
@@ -125,14 +129,14 @@
     """Asks for parts of a document: those whose bit is set."""
 
     digest: Hash
-    parts: Annotated[bytes, Meta(max_length=(MOST_PARTS + 7) // 8)]
+    parts: Annotated[bytes, Meta(max_length=(MAX_PARTS + 7) // 8)]
 
 
 class Part(Struct, array_like=True, frozen=True, tag=11, forbid_unknown_fields=True):
     digest: Hash
-    number: Annotated[int, Meta(ge=0, lt=MOST_PARTS)]
-    of: Annotated[int, Meta(ge=1, le=MOST_PARTS)]
-    body: Annotated[bytes, Meta(max_length=PART)]
+    number: Annotated[int, Meta(ge=0, lt=MAX_PARTS)]
+    of: Annotated[int, Meta(ge=1, le=MAX_PARTS)]
+    body: Annotated[bytes, Meta(max_length=PART_BYTES)]
 
 
 class Lacks(Struct, array_like=True, frozen=True, tag=12, forbid_unknown_fields=True):
@@ -157,8 +161,8 @@
     versions: Count
     me: Entry
     message: Message
-    entries: Annotated[list[Entry], Meta(max_length=MOST_ENTRIES)]
-    cells: Annotated[list[Cell], Meta(max_length=MOST_ENTRIES)]
+    entries: Annotated[list[Entry], Meta(max_length=MAX_RECORDS)]
+    cells: Annotated[list[Cell], Meta(max_length=MAX_RECORDS)]
 
 
 class Unreadable(Exception):  # noqa: N818 - it names a datagram, no fault of this program
@@ -205,20 +209,20 @@
     ) -> bytes:
         """``head`` is number, wall, members, rows and versions, as in ``Envelope``; the caller minds the size."""
         body = _encoder.encode((self._installation, *head, me, message, entries, cells))
-        form = bytes((FORM,))
+        form = bytes((FORMAT_VERSION,))
         return form + self._digest(form, body) + body
 
     def decode(self, data: bytes) -> Envelope:
         """What a datagram says; ``Unreadable`` with the cause ``long``, ``cut``, ``form``, ``digest``, ``garbled`` or
         ``foreign``."""
-        if len(data) > MOST_BYTES:
+        if len(data) > MAX_DATAGRAM_BYTES:
             raise Unreadable("long")
-        if len(data) <= HEAD:
+        if len(data) <= HEADER_BYTES:
             raise Unreadable("cut")
-        if data[0] != FORM:
+        if data[0] != FORMAT_VERSION:
             raise Unreadable("form")
-        body = data[HEAD:]
-        if not hmac.compare_digest(self._digest(data[:1], body), data[1:HEAD]):
+        body = data[HEADER_BYTES:]
+        if not hmac.compare_digest(self._digest(data[:1], body), data[1:HEADER_BYTES]):
             raise Unreadable("digest")
         try:
             envelope = _decoder.decode(body)
@@ -229,6 +233,6 @@
         return envelope
 
     def _digest(self, form: bytes, body: bytes) -> bytes:
-        keyed = blake2b(form, key=self._key, digest_size=DIGEST)
+        keyed = blake2b(form, key=self._key, digest_size=DIGEST_BYTES)
         keyed.update(body)
         return keyed.digest()
--- a/tests/fleet/test_bed.py
+++ b/tests/fleet/test_bed.py
@@ -9,7 +9,7 @@
 from benchmarks.fleet_bed import Bed, address
 from cypresspulley.fleet import timing
 from cypresspulley.fleet.records import MemberState
-from cypresspulley.fleet.view import QUIET
+from cypresspulley.fleet.view import ROW_QUIET_SECONDS
 
 
 def wait_agreed(bed: Bed, within: float) -> float:
@@ -259,7 +259,7 @@
     bed.cuts.clear()
     row = bed.hosts["l3"].detector.view.rows
     assert row(bed.now, "closing") == () and len(bed.hosts["l4"].detector.view.rows(bed.now, "closing")) == 1
-    assert bed.run(bed.now + 2 * QUIET, lambda: row(bed.now, "closing") != ())
+    assert bed.run(bed.now + 2 * ROW_QUIET_SECONDS, lambda: row(bed.now, "closing") != ())
 
 
 def test_a_document_reaches_all_that_want_it() -> None:
--- a/tests/fleet/test_detector.py
+++ b/tests/fleet/test_detector.py
@@ -16,7 +16,7 @@
     Started,
     TimerFired,
 )
-from cypresspulley.fleet.detector import STALE, Detector
+from cypresspulley.fleet.detector import MAX_CLOCK_DIFFERENCE_SECONDS, Detector
 from cypresspulley.fleet.records import Member, MemberState
 
 KEY = b"0123456789abcdef"
@@ -309,8 +309,8 @@
 
 def test_a_datagram_of_another_day_is_dropped() -> None:
     one = One()
-    one.hear("x", wall=WALL - STALE - 10)
-    one.hear("y", wall=WALL + STALE + 10)
+    one.hear("x", wall=WALL - MAX_CLOCK_DIFFERENCE_SECONDS - 10)
+    one.hear("y", wall=WALL + MAX_CLOCK_DIFFERENCE_SECONDS + 10)
     assert one.detector.counts["stale"] == 2 and one.state("x") is None and one.state("y") is None
     one.hear("x", wall=WALL - 3600)
     assert one.state("x") is MemberState.ALIVE
--- a/tests/fleet/test_exchange.py
+++ b/tests/fleet/test_exchange.py
@@ -7,9 +7,9 @@
 from benchmarks.fleet_bed import EPOCH, Bed, Host, address
 from cypresspulley.fleet import exchange, wire
 from cypresspulley.fleet.exchange import Exchange
-from cypresspulley.fleet.outbox import MOST_PIECES
+from cypresspulley.fleet.outbox import MAX_RESPONSE_DATAGRAMS
 from cypresspulley.fleet.records import Member, MemberState
-from cypresspulley.fleet.view import QUIET, Queue
+from cypresspulley.fleet.view import ROW_QUIET_SECONDS, Queue
 
 MANY = 1024
 LIFE = round(EPOCH * 1000)
@@ -49,7 +49,7 @@
 
 def test_a_view_whose_digests_differ_for_long_still_comes_whole(monkeypatch: pytest.MonkeyPatch) -> None:
     """Rows that are new to one that joins change none of its digests at first: what differs stays the same, for all."""
-    monkeypatch.setattr(exchange, "MOST_PIECES", 4)
+    monkeypatch.setattr(exchange, "MAX_RESPONSE_DATAGRAMS", 4)
     bed = Bed(1)
     names = bed.fleet(40)
     for host in bed.live():
@@ -61,7 +61,7 @@
         view.turn(bed.now)
         view.queue = Queue()
     new = bed.start("new", ["l0"])
-    assert bed.run(bed.now + QUIET / 2, lambda: held(new) == (41, 80)), held(new)
+    assert bed.run(bed.now + ROW_QUIET_SECONDS / 2, lambda: held(new) == (41, 80)), held(new)
 
 
 def test_one_answer_has_no_more_pieces_than_before() -> None:
@@ -77,7 +77,7 @@
     bed.tap = count
     bed.start("new", ["l0"])
     bed.run(0.4)
-    assert len(pieces) > 10 and max(pieces.values()) <= MOST_PIECES
+    assert len(pieces) > 10 and max(pieces.values()) <= MAX_RESPONSE_DATAGRAMS
 
 
 def test_one_that_is_always_answered_from_the_start_does_not_ask_for_ever(
--- a/tests/fleet/test_parts.py
+++ b/tests/fleet/test_parts.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 
 from cypresspulley.fleet import timing
-from cypresspulley.fleet.clocks import Clocks
-from cypresspulley.fleet.documents import AT_ONCE, MOST_HELD, MOST_WANTED, Documents
+from cypresspulley.fleet.clocks import ClockEstimates
+from cypresspulley.fleet.documents import MAX_DOCUMENTS, MAX_REQUESTED, PARTS_PER_FETCH, Documents
 from cypresspulley.fleet.peers import Window
 from cypresspulley.fleet.wire import Part
 
@@ -26,7 +26,7 @@
         if request is None:
             break
         parts = owner.parts(request)
-        assert parts is not None and len(parts) <= AT_ONCE
+        assert parts is not None and len(parts) <= PARTS_PER_FETCH
         rng.shuffle(parts)
         for part in parts:
             if rng.random() < 0.8:
@@ -52,11 +52,11 @@
 
 def test_documents_and_wishes_are_bounded() -> None:
     documents = Documents()
-    digests = [documents.offer(bytes([n])) for n in range(MOST_HELD + 2)]
-    assert [documents.get(digest) is not None for digest in digests] == [False] * 2 + [True] * MOST_HELD
-    for n in range(MOST_WANTED + 3):
+    digests = [documents.offer(bytes([n])) for n in range(MAX_DOCUMENTS + 2)]
+    assert [documents.get(digest) is not None for digest in digests] == [False] * 2 + [True] * MAX_DOCUMENTS
+    for n in range(MAX_REQUESTED + 3):
         documents.want(f"{n:032x}")
-    assert len(documents.wanted()) == MOST_WANTED
+    assert len(documents.wanted()) == MAX_REQUESTED
     for bad in ("", "00", "zz" * 16):
         with pytest.raises(ValueError):
             documents.want(bad)
@@ -71,7 +71,7 @@
 def test_the_error_of_this_clock_lies_inside_its_bounds(
     others: list[tuple[float, float, float]], mine: float
 ) -> None:
-    clocks = Clocks()
+    clocks = ClockEstimates()
     for n, (offset, there, back) in enumerate(others):
         clocks.answered(f"x{n}", 100.0 - there - back, 100.0, 1_000 + 100.0 - back + offset)
     bounds = clocks.error(100.0, 1_000 + 100.0 + mine, len(others))
@@ -82,7 +82,7 @@
 
 
 def test_too_few_or_old_answers_say_nothing_of_this_clock() -> None:
-    clocks = Clocks()
+    clocks = ClockEstimates()
     assert clocks.error(0.0, 0.0, 0) is None
     clocks.answered("x", 0.0, 0.1, 50.0)
     assert clocks.error(1.0, 51.0, 3) is None and clocks.error(1.0, 51.0, 2) is not None
--- a/tests/fleet/test_view.py
+++ b/tests/fleet/test_view.py
@@ -11,7 +11,7 @@
 
 from cypresspulley.fleet import view as module
 from cypresspulley.fleet.records import Member, MemberState
-from cypresspulley.fleet.view import QUIET, TOMBSTONE, View
+from cypresspulley.fleet.view import ROW_QUIET_SECONDS, TOMBSTONE_SECONDS, View
 from cypresspulley.fleet.wire import Cell
 
 ME = Member("me", 10, 0, MemberState.ALIVE, "a", "me:1")
@@ -147,7 +147,7 @@
     view.publish(0.0, "lanes", b"1")
     view.turn(1.0)
     assert view.rows_digest == other.rows_digest and not view.differing(other.bucket_digests())
-    view.turn(QUIET + 0.1)
+    view.turn(ROW_QUIET_SECONDS + 0.1)
     assert view.rows_digest != other.rows_digest and view.differing(other.bucket_digests())
     view.publish(11.0, "lanes", b"2")
     assert view.rows_digest == other.rows_digest and view.digest == other.digest
@@ -162,7 +162,7 @@
     assert not view.merge(9.0, Member("x4", 5, 0, MemberState.SUSPECTED)) and not view.merge(
         9.0, Member("x4", 4, 7, MemberState.ALIVE)
     )
-    view.turn(TOMBSTONE + 3.5)
+    view.turn(TOMBSTONE_SECONDS + 3.5)
     assert view.get("x3") is None and view.get("x4") is not None
 
 
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -46,7 +46,7 @@
 )
 def test_every_message_comes_back_whole(message: wire.Message) -> None:
     data = datagram(message=message)
-    assert len(data) <= wire.MOST_BYTES
+    assert len(data) <= wire.MAX_DATAGRAM_BYTES
     envelope = CODEC.decode(data)
     assert (envelope.me, envelope.message, envelope.entries) == (ME, message, [ME])
     assert (envelope.number, envelope.wall, envelope.versions) == (1, 2_000, 5)
@@ -64,7 +64,7 @@
 
 def keyed(body: bytes) -> bytes:
     """A datagram of this body under the right key."""
-    form = bytes((wire.FORM,))
+    form = bytes((wire.FORMAT_VERSION,))
     return form + CODEC._digest(form, body) + body
 
 
@@ -81,7 +81,7 @@
 @settings(max_examples=300)
 @given(st.integers(0, 10_000), st.binary(min_size=1, max_size=4))
 def test_a_mangled_body_under_the_right_key_is_read_or_dropped(at: int, put: bytes) -> None:
-    body = bytearray(datagram()[wire.HEAD :])
+    body = bytearray(datagram()[wire.HEADER_BYTES :])
     at %= len(body)
     body[at : at + len(put)] = put
     try:
@@ -93,7 +93,7 @@
 
 
 def test_fields_outside_their_bounds_are_refused() -> None:
-    good = list(msgspec.msgpack.decode(datagram()[wire.HEAD :]))
+    good = list(msgspec.msgpack.decode(datagram()[wire.HEADER_BYTES :]))
     encode = msgspec.msgpack.encode
     assert CODEC.decode(keyed(encode(good)))
     for place, value in (
@@ -118,4 +118,4 @@
         bed.start(name, names[:2], rows=rows)
     bed.run(20)
     assert bed.agree() and len(sizes) > 500
-    assert 1000 < max(sizes) <= wire.MOST_BYTES
+    assert 1000 < max(sizes) <= wire.MAX_DATAGRAM_BYTES
