--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -138,9 +138,13 @@
     """The baseline: each member sends one keyed record of itself to every other each period."""
     codec, sent, total = wire.Codec("bed", KEY), 0, 0
     for beat in range(4):
-        me = wire.raw(wire.Entry("l1", round(EPOCH * 1000), 0, MemberState.ALIVE, "a", address("l1")))
+        me = wire.encode_record(
+            wire.MemberRecord("l1", round(EPOCH * 1000), 0, MemberState.ALIVE, "a", address("l1"))
+        )
         for _ in range(size - 1):
-            data = codec.encode((beat, round(EPOCH * 1000), 0, 0, 0), me, wire.raw(wire.Gossip()), [], [])
+            data = codec.encode(
+                (beat, round(EPOCH * 1000), 0, 0, 0), me, wire.encode_record(wire.Gossip()), [], []
+            )
             sent, total = sent + 1, total + len(data)
     return sent / (4 * PERIOD), total / (4 * PERIOD)
 
--- a/cypresspulley/fleet/detector.py
+++ b/cypresspulley/fleet/detector.py
@@ -267,7 +267,7 @@
         helpers = [name for name in drawn if name != probe.target][: timing.INDIRECT_PROBES]
         probe.asked = len(helpers)
         for name in helpers:
-            self._outbox.say(name, wire.Ask(int(key), probe.target, self._address(probe.target)))
+            self._outbox.say(name, wire.PingRequest(int(key), probe.target, self._address(probe.target)))
 
     def _failed(self, key: str) -> None:
         probe = self._probes.end(int(key))
@@ -287,7 +287,7 @@
 
     def _relay_over(self, key: str) -> None:
         if relay := self._probes.end_relay(int(key)):
-            self._outbox.post(relay.address, wire.Missed(relay.nonce))
+            self._outbox.post(relay.address, wire.PingRequestNack(relay.nonce))
 
     # Suspicion
 
@@ -328,7 +328,7 @@
 
     # Claims
 
-    def _known(self, entry: wire.Entry, by: str) -> bool:
+    def _known(self, entry: wire.MemberRecord, by: str) -> bool:
         """Whether the claim surely changes nothing: most do not, and this is quicker than to take them."""
         held = self.view.get(entry.name)
         if held is None:
@@ -421,7 +421,7 @@
     def _receive(self, data: bytes) -> None:
         try:
             envelope = self._codec.decode(data)
-        except wire.Unreadable as error:
+        except wire.InvalidDatagram as error:
             self.counts[error.cause] += 1
             return
         sender = envelope.me
@@ -457,7 +457,7 @@
         _MESSAGES[type(envelope.message)](self, envelope)
         self._see_difference(envelope)
 
-    def _better_of(self, sender: wire.Entry) -> list[str]:
+    def _better_of(self, sender: wire.MemberRecord) -> list[str]:
         """The sender's name, where more is known of it than it says itself."""
         held = self.view.get(sender.name)
         return [sender.name] if held is not None and held.rank > sender.member().rank else []
@@ -489,7 +489,7 @@
         if (relay := self._probes.relayed(ack.nonce)) is not None:
             if relay.target == sender.name:
                 self._probes.end_relay(ack.nonce)
-                self._outbox.post(relay.address, wire.Reached(relay.nonce))
+                self._outbox.post(relay.address, wire.PingRequestAck(relay.nonce))
             return
         probe = self._probes.answered(ack.nonce, sender.name, sender.life)
         if probe is None:
@@ -501,7 +501,7 @@
 
     def _on_ask(self, envelope: Envelope) -> None:
         ask = envelope.message
-        assert isinstance(ask, wire.Ask)
+        assert isinstance(ask, wire.PingRequest)
         relay = Relay(envelope.me.address, ask.nonce, ask.to)
         nonce = self._probes.relay(self._timers.number(), relay)
         if nonce is None:
@@ -511,7 +511,7 @@
         self._outbox.post(ask.address, wire.Ping(nonce, ask.to))
 
     def _on_reached(self, envelope: Envelope) -> None:
-        assert isinstance(envelope.message, wire.Reached)
+        assert isinstance(envelope.message, wire.PingRequestAck)
         probe = self._probes.get(envelope.message.nonce)
         if probe is not None and probe.counts and probe.asked:
             self._probes.end(envelope.message.nonce)
@@ -519,7 +519,7 @@
             self._found(probe.target)
 
     def _on_missed(self, envelope: Envelope) -> None:
-        assert isinstance(envelope.message, wire.Missed)
+        assert isinstance(envelope.message, wire.PingRequestNack)
         probe = self._probes.get(envelope.message.nonce)
         if probe is not None and probe.missed < probe.asked:
             probe.missed += 1
@@ -531,7 +531,7 @@
         self._exchange.on_compare(envelope)
 
     def _on_piece(self, envelope: Envelope) -> None:
-        assert isinstance(envelope.message, wire.Piece)
+        assert isinstance(envelope.message, wire.SyncPiece)
         if not self._exchange.takes(envelope.message):
             self.counts["unasked"] += 1
             return
@@ -556,21 +556,21 @@
             self._outbox.say(names[0], request)
 
     def _on_fetch(self, envelope: Envelope) -> None:
-        assert isinstance(envelope.message, wire.Fetch)
+        assert isinstance(envelope.message, wire.DocumentRequest)
         address = envelope.me.address
         parts = self.documents.parts(envelope.message)
         if parts is None:
-            self._outbox.post(address, wire.Lacks(envelope.message.digest))
+            self._outbox.post(address, wire.DocumentMissing(envelope.message.digest))
         for part in parts or ():
-            self._outbox.send(address, wire.raw(part), [], [])
+            self._outbox.send(address, wire.encode_record(part), [], [])
 
     def _on_part(self, envelope: Envelope) -> None:
-        assert isinstance(envelope.message, wire.Part)
+        assert isinstance(envelope.message, wire.DocumentPart)
         if self.documents.take(envelope.message):
             self._fetch(envelope.message.digest, envelope.me.name)
 
     def _on_lacks(self, envelope: Envelope) -> None:
-        assert isinstance(envelope.message, wire.Lacks)
+        assert isinstance(envelope.message, wire.DocumentMissing)
         if self.documents.try_another():
             self._fetch(envelope.message.digest)
 
@@ -587,14 +587,14 @@
 _MESSAGES: dict[type, Callable[[Detector, Envelope], None]] = {
     wire.Ping: Detector._on_ping,
     wire.Ack: Detector._on_ack,
-    wire.Ask: Detector._on_ask,
-    wire.Reached: Detector._on_reached,
-    wire.Missed: Detector._on_missed,
+    wire.PingRequest: Detector._on_ask,
+    wire.PingRequestAck: Detector._on_reached,
+    wire.PingRequestNack: Detector._on_missed,
     wire.Gossip: Detector._on_gossip,
-    wire.Compare: Detector._on_compare,
-    wire.Piece: Detector._on_piece,
-    wire.Amend: Detector._on_amend,
-    wire.Fetch: Detector._on_fetch,
-    wire.Part: Detector._on_part,
-    wire.Lacks: Detector._on_lacks,
+    wire.SyncRequest: Detector._on_compare,
+    wire.SyncPiece: Detector._on_piece,
+    wire.SyncCorrections: Detector._on_amend,
+    wire.DocumentRequest: Detector._on_fetch,
+    wire.DocumentPart: Detector._on_part,
+    wire.DocumentMissing: Detector._on_lacks,
 }
--- a/cypresspulley/fleet/documents.py
+++ b/cypresspulley/fleet/documents.py
@@ -6,7 +6,7 @@
 from hashlib import blake2b
 
 from cypresspulley.fleet.records import MAX_DOCUMENT_BYTES
-from cypresspulley.fleet.wire import DIGEST_BYTES, PART_BYTES, Fetch, Part
+from cypresspulley.fleet.wire import DIGEST_BYTES, PART_BYTES, DocumentPart, DocumentRequest
 
 MAX_DOCUMENTS = 16  # documents; the one that was longest not asked for goes first
 MAX_REQUESTED = 8
@@ -69,16 +69,16 @@
         self._tried += 1
         return self._tried <= RETRIES_PER_PERIOD
 
-    def request(self, digest: bytes) -> Fetch | None:
+    def request(self, digest: bytes) -> DocumentRequest | None:
         """What to ask for next; None for what is not wanted."""
         if digest not in self._wanted:
             return None
         of, parts = self._wanted[digest]
         missing = [number for number in range(of or PARTS_PER_FETCH) if number not in parts][:PARTS_PER_FETCH]
         mask = sum(1 << number for number in missing)
-        return Fetch(digest, mask.to_bytes((max(missing, default=0) + 8) // 8, "little"))
+        return DocumentRequest(digest, mask.to_bytes((max(missing, default=0) + 8) // 8, "little"))
 
-    def parts(self, request: Fetch) -> list[Part] | None:
+    def parts(self, request: DocumentRequest) -> list[DocumentPart] | None:
         """The answer to a request, ``AT_ONCE`` parts at most; None where the document is not held."""
         body = self._held.get(request.digest)
         if body is None:
@@ -87,9 +87,11 @@
         of = max(1, -(-len(body) // PART_BYTES))
         mask = int.from_bytes(request.parts, "little")
         asked = [number for number in range(of) if mask >> number & 1][:PARTS_PER_FETCH]
-        return [Part(request.digest, n, of, body[n * PART_BYTES : (n + 1) * PART_BYTES]) for n in asked]
+        return [
+            DocumentPart(request.digest, n, of, body[n * PART_BYTES : (n + 1) * PART_BYTES]) for n in asked
+        ]
 
-    def take(self, part: Part) -> bool:
+    def take(self, part: DocumentPart) -> bool:
         """Lay a part to the others; whether the next ones may be asked for now (all that were asked for are here)."""
         if part.digest not in self._wanted or part.number >= part.of:
             return False
--- a/cypresspulley/fleet/exchange.py
+++ b/cypresspulley/fleet/exchange.py
@@ -49,16 +49,16 @@
 
     def begin(self, number: int, address: str) -> None:
         self._compared, self._awaited = self._outbox.now, number
-        self._outbox.post(address, wire.Compare(number, self._view.bucket_digests()))
+        self._outbox.post(address, wire.SyncRequest(number, self._view.bucket_digests()))
 
     def on_compare(self, envelope: Envelope) -> None:
         """Answer with all that I hold in the buckets that differ, in pieces, behind what my last answer got to."""
         compare, asker, out = envelope.message, envelope.me, self._outbox
-        assert isinstance(compare, wire.Compare)
+        assert isinstance(compare, wire.SyncRequest)
         address, mask = asker.address, self._view.differing(compare.buckets)
         after = self._cursors.pop(asker.name, FIRST_KEY)
         room = (
-            out.room(wire.raw(wire.Piece(compare.number, 2**64 - 1, FIRST_KEY, END_KEY, False)))
+            out.room(wire.encode_record(wire.SyncPiece(compare.number, 2**64 - 1, FIRST_KEY, END_KEY, False)))
             - PIECE_KEY_BYTES
         )
         entries, cells, used, sent, upto = list[Raw](), list[Raw](), 0, 0, after
@@ -68,21 +68,26 @@
             record = self._view.cell(out.now, *key[1:]) if key[2] else self._view.entry(key[1])
             if record is None:
                 continue
-            if used + wire.size(record) > room:
+            if used + wire.encoded_size(record) > room:
                 sent += 1
                 done = sent == MAX_RESPONSE_DATAGRAMS
-                piece = wire.Piece(compare.number, mask, after, upto, done)
-                out.send(address, wire.raw(piece), entries, cells)
+                piece = wire.SyncPiece(compare.number, mask, after, upto, done)
+                out.send(address, wire.encode_record(piece), entries, cells)
                 if done:
                     self._cursors[asker.name] = upto
                     return
                 after, entries, cells, used = upto, [], [], 0
             (cells if key[2] else entries).append(record)
-            used += wire.size(record)
+            used += wire.encoded_size(record)
             upto = key
-        out.send(address, wire.raw(wire.Piece(compare.number, mask, after, END_KEY, True)), entries, cells)
+        out.send(
+            address,
+            wire.encode_record(wire.SyncPiece(compare.number, mask, after, END_KEY, True)),
+            entries,
+            cells,
+        )
 
-    def takes(self, piece: wire.Piece) -> bool:
+    def takes(self, piece: wire.SyncPiece) -> bool:
         """Whether it is of the comparison that is under way, which ends with the last."""
         if piece.number != self._awaited:
             return False
@@ -90,7 +95,7 @@
             self._awaited = 0
         return True
 
-    def goes_on(self, last: wire.Piece) -> bool:
+    def goes_on(self, last: wire.SyncPiece) -> bool:
         """Whether there is more behind the last piece of an answer, and it came further than the answer before: one who
         always begins at the start would be asked for ever."""
         before, self._reached = self._reached, last.upto if last.upto < END_KEY else FIRST_KEY
@@ -103,7 +108,7 @@
     def on_piece(self, envelope: Envelope) -> None:
         """Answer with what I hold better in the range that the piece is whole in."""
         piece, view = envelope.message, self._view
-        assert isinstance(piece, wire.Piece)
+        assert isinstance(piece, wire.SyncPiece)
         told = {entry.name: entry.member() for entry in envelope.entries}
         rows = {(cell.owner, cell.subsystem): cell for cell in envelope.cells}
         better = [key for key in view.keys(piece.mask) if piece.after < key <= piece.upto]
@@ -116,7 +121,7 @@
                     cells.append(record)
             elif not subsystem and self._better(name, told.get(name)):
                 entries.append(view.entry(name))
-        self._outbox.send_all(envelope.me.address, wire.Amend(), entries, cells)
+        self._outbox.send_all(envelope.me.address, wire.SyncCorrections(), entries, cells)
 
     def on_amend(self, envelope: Envelope) -> None:
         better = [self._view.entry(e.name) for e in envelope.entries if self._better(e.name, e.member())]
--- a/cypresspulley/fleet/outbox.py
+++ b/cypresspulley/fleet/outbox.py
@@ -50,9 +50,9 @@
 
     def post(self, address: str, message: wire.Message, first: Sequence[str] = ()) -> None:
         """Send with news beside it; ``first`` are members whose records go in any case."""
-        told = wire.raw(message)
+        told = wire.encode_record(message)
         entries = [self._view.entry(name) for name in first]
-        room = self.room(told) - sum(wire.size(entry) for entry in entries)
+        room = self.room(told) - sum(wire.encoded_size(entry) for entry in entries)
         news, cells = self._view.queue.take(self.now, self._view, room)
         self.send(address, told, entries + news, cells)
 
@@ -62,8 +62,8 @@
             wire.MAX_DATAGRAM_BYTES
             - wire.HEADER_BYTES
             - ENVELOPE_BYTES
-            - wire.size(self._me)
-            - wire.size(told)
+            - wire.encoded_size(self._me)
+            - wire.encoded_size(told)
         )
 
     def send(self, address: str, told: Raw, entries: Sequence[Raw], cells: Sequence[Raw]) -> None:
@@ -80,18 +80,18 @@
         self, address: str, message: wire.Message, entries: Sequence[Raw], cells: Sequence[Raw]
     ) -> None:
         """Send all of the records, in as many datagrams as it takes, ``MOST_PIECES`` at most; none where none are."""
-        told = wire.raw(message)
+        told = wire.encode_record(message)
         whole = self.room(told)
         parts: tuple[list[Raw], list[Raw]] = ([], [])
         room, sent = whole, 0
         for kind, records in enumerate((entries, cells)):
             for record in records:
-                if wire.size(record) > room:
+                if wire.encoded_size(record) > room:
                     self.send(address, told, *parts)
                     parts, room, sent = ([], []), whole, sent + 1
                     if sent == MAX_RESPONSE_DATAGRAMS:
                         return
                 parts[kind].append(record)
-                room -= wire.size(record)
+                room -= wire.encoded_size(record)
         if parts[0] or parts[1]:
             self.send(address, told, *parts)
--- a/cypresspulley/fleet/peers.py
+++ b/cypresspulley/fleet/peers.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from cypresspulley.fleet.view import View
-from cypresspulley.fleet.wire import Entry, Envelope
+from cypresspulley.fleet.wire import Envelope, MemberRecord
 
 
 class Window:
@@ -75,7 +75,7 @@
         if envelope.number >= peer.top:
             peer.top, peer.digest = envelope.number, envelope.members
 
-    def may_amend(self, now: float, sender: Entry, period: float) -> bool:
+    def may_amend(self, now: float, sender: MemberRecord, period: float) -> bool:
         """Whether to tell it that others know better of it: once a period."""
         peer = self._by_name.get(sender.name)
         if peer is None or now - peer.amended >= period:
--- a/cypresspulley/fleet/view.py
+++ b/cypresspulley/fleet/view.py
@@ -27,7 +27,7 @@
 
 from cypresspulley.fleet import timing
 from cypresspulley.fleet.records import MAX_ROW_BYTES, MAX_SUBSYSTEMS, Member, MemberState, Rank, Row
-from cypresspulley.fleet.wire import BUCKET_COUNT, Cell, Entry, raw, size
+from cypresspulley.fleet.wire import BUCKET_COUNT, MemberRecord, RowRecord, encode_record, encoded_size
 
 MAX_MEMBERS = 4096  # present ones; a new name beyond is not taken
 MAX_TOMBSTONES = 4096
@@ -176,7 +176,7 @@
         held = self._rows.get(owner, {}).get(subsystem)
         return None if held is None else held.life
 
-    def merge_row(self, now: float, cell: Cell) -> bool:
+    def merge_row(self, now: float, cell: RowRecord) -> bool:
         """Join a row that another told; whether it changed what is held. Nobody tells this member its own."""
         member = self._members.get(cell.owner)
         if member is None or cell.owner == self.local_name or cell.life < member.life:
@@ -269,8 +269,8 @@
     def entry(self, name: str, by: str = "") -> Raw:
         """A member as it is told to others."""
         member = self._members[name]
-        return raw(
-            Entry(name, member.life, member.incarnation, member.state, member.zone, member.address, by)
+        return encode_record(
+            MemberRecord(name, member.life, member.incarnation, member.state, member.zone, member.address, by)
         )
 
     def cell(self, now: float, name: str, subsystem: str) -> Raw | None:
@@ -279,9 +279,9 @@
         if row is None or not self._members[name].state.present:
             return None
         age = 0 if name == self.local_name else max(0, round((now - row.confirmed) * 1000))
-        return raw(Cell(name, subsystem, row.life, row.version, age, row.body))
+        return encode_record(RowRecord(name, subsystem, row.life, row.version, age, row.body))
 
-    def better_row(self, name: str, subsystem: str, cell: Cell | None) -> bool:
+    def better_row(self, name: str, subsystem: str, cell: RowRecord | None) -> bool:
         """Whether the row held is larger than the one told, None for none told."""
         row = self._valid_rows(name).get(subsystem)
         if row is None:
@@ -363,9 +363,9 @@
                         sent.append((key, None))
                         self._at[key] = most
                         continue
-                    if size(ready) > room:
+                    if encoded_size(ready) > room:
                         break
-                    room -= size(ready)
+                    room -= encoded_size(ready)
                     told[kind].append(ready)
                     sent.append((key, record))
                 else:
--- a/cypresspulley/fleet/wire.py
+++ b/cypresspulley/fleet/wire.py
@@ -40,7 +40,7 @@
 Hash = Annotated[bytes, Meta(min_length=16, max_length=16)]
 
 
-class Entry(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
+class MemberRecord(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     """A member as it is told. ``by`` is who suspects or has found it dead, "" where nobody does."""
 
     name: Name
@@ -55,7 +55,7 @@
         return Member(self.name, self.life, self.incarnation, self.state, self.zone, self.address)
 
 
-class Cell(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
+class RowRecord(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     """One subsystem's row of one member; ``age`` in ms since its owner confirmed it, as the sender knows."""
 
     owner: Name
@@ -77,7 +77,7 @@
     nonce: Count
 
 
-class Ask(Struct, array_like=True, frozen=True, tag=3, forbid_unknown_fields=True):
+class PingRequest(Struct, array_like=True, frozen=True, tag=3, forbid_unknown_fields=True):
     """Asks the receiver to ping another; answered by ``Reached`` or, in time, by ``Missed``."""
 
     nonce: Count
@@ -85,11 +85,11 @@
     address: Address
 
 
-class Reached(Struct, array_like=True, frozen=True, tag=4, forbid_unknown_fields=True):
+class PingRequestAck(Struct, array_like=True, frozen=True, tag=4, forbid_unknown_fields=True):
     nonce: Count
 
 
-class Missed(Struct, array_like=True, frozen=True, tag=5, forbid_unknown_fields=True):
+class PingRequestNack(Struct, array_like=True, frozen=True, tag=5, forbid_unknown_fields=True):
     """The asked one answers, the one that it was asked to ping did not (Lifeguard's nack)."""
 
     nonce: Count
@@ -99,7 +99,7 @@
     """Nothing but what stands beside it."""
 
 
-class Compare(Struct, array_like=True, frozen=True, tag=7, forbid_unknown_fields=True):
+class SyncRequest(Struct, array_like=True, frozen=True, tag=7, forbid_unknown_fields=True):
     """Digests of all buckets of names, 8 bytes each; asks for ``Piece`` datagrams of those that differ."""
 
     number: Count
@@ -111,7 +111,7 @@
 ]  # bucket, name, subsystem ("" its member)
 
 
-class Piece(Struct, array_like=True, frozen=True, tag=8, forbid_unknown_fields=True):
+class SyncPiece(Struct, array_like=True, frozen=True, tag=8, forbid_unknown_fields=True):
     """Beside it stands all that the sender holds with keys in (``after``, ``upto``] in the buckets of ``mask``."""
 
     number: Count
@@ -121,29 +121,42 @@
     last: bool
 
 
-class Amend(Struct, array_like=True, frozen=True, tag=9, forbid_unknown_fields=True):
+class SyncCorrections(Struct, array_like=True, frozen=True, tag=9, forbid_unknown_fields=True):
     """Beside it stands what the other's pieces lacked. What it knows better in turn it answers by ``Gossip``."""
 
 
-class Fetch(Struct, array_like=True, frozen=True, tag=10, forbid_unknown_fields=True):
+class DocumentRequest(Struct, array_like=True, frozen=True, tag=10, forbid_unknown_fields=True):
     """Asks for parts of a document: those whose bit is set."""
 
     digest: Hash
     parts: Annotated[bytes, Meta(max_length=(MAX_PARTS + 7) // 8)]
 
 
-class Part(Struct, array_like=True, frozen=True, tag=11, forbid_unknown_fields=True):
+class DocumentPart(Struct, array_like=True, frozen=True, tag=11, forbid_unknown_fields=True):
     digest: Hash
     number: Annotated[int, Meta(ge=0, lt=MAX_PARTS)]
     of: Annotated[int, Meta(ge=1, le=MAX_PARTS)]
     body: Annotated[bytes, Meta(max_length=PART_BYTES)]
 
 
-class Lacks(Struct, array_like=True, frozen=True, tag=12, forbid_unknown_fields=True):
+class DocumentMissing(Struct, array_like=True, frozen=True, tag=12, forbid_unknown_fields=True):
     digest: Hash
 
 
-Message = Ping | Ack | Ask | Reached | Missed | Gossip | Compare | Piece | Amend | Fetch | Part | Lacks
+Message = (
+    Ping
+    | Ack
+    | PingRequest
+    | PingRequestAck
+    | PingRequestNack
+    | Gossip
+    | SyncRequest
+    | SyncPiece
+    | SyncCorrections
+    | DocumentRequest
+    | DocumentPart
+    | DocumentMissing
+)
 
 
 class Envelope(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
@@ -159,13 +172,13 @@
     members: Hash64
     rows: Hash64
     versions: Count
-    me: Entry
+    me: MemberRecord
     message: Message
-    entries: Annotated[list[Entry], Meta(max_length=MAX_RECORDS)]
-    cells: Annotated[list[Cell], Meta(max_length=MAX_RECORDS)]
+    entries: Annotated[list[MemberRecord], Meta(max_length=MAX_RECORDS)]
+    cells: Annotated[list[RowRecord], Meta(max_length=MAX_RECORDS)]
 
 
-class Unreadable(Exception):  # noqa: N818 - it names a datagram, no fault of this program
+class InvalidDatagram(Exception):  # noqa: N818 - it names a datagram, no fault of this program
     """A datagram that is dropped; ``cause`` is a word for the counters."""
 
     def __init__(self, cause: str) -> None:
@@ -177,12 +190,12 @@
 _decoder = msgspec.msgpack.Decoder(Envelope)
 
 
-def raw(value: Struct) -> Raw:
+def encode_record(value: Struct) -> Raw:
     """A value's bytes, to be laid into a datagram as they are."""
     return Raw(_encoder.encode(value))
 
 
-def size(value: Raw) -> int:
+def encoded_size(value: Raw) -> int:
     """Bytes that it takes in a datagram."""
     return memoryview(value).nbytes
 
@@ -216,20 +229,20 @@
         """What a datagram says; ``Unreadable`` with the cause ``long``, ``cut``, ``form``, ``digest``, ``garbled`` or
         ``foreign``."""
         if len(data) > MAX_DATAGRAM_BYTES:
-            raise Unreadable("long")
+            raise InvalidDatagram("long")
         if len(data) <= HEADER_BYTES:
-            raise Unreadable("cut")
+            raise InvalidDatagram("cut")
         if data[0] != FORMAT_VERSION:
-            raise Unreadable("form")
+            raise InvalidDatagram("form")
         body = data[HEADER_BYTES:]
         if not hmac.compare_digest(self._digest(data[:1], body), data[1:HEADER_BYTES]):
-            raise Unreadable("digest")
+            raise InvalidDatagram("digest")
         try:
             envelope = _decoder.decode(body)
         except (msgspec.MsgspecError, ValueError, RecursionError):
-            raise Unreadable("garbled") from None
+            raise InvalidDatagram("garbled") from None
         if envelope.installation != self._installation:
-            raise Unreadable("foreign")
+            raise InvalidDatagram("foreign")
         return envelope
 
     def _digest(self, form: bytes, body: bytes) -> bytes:
--- a/tests/fleet/test_detector.py
+++ b/tests/fleet/test_detector.py
@@ -53,11 +53,11 @@
 
     def hear(
         self, name: str, message: wire.Message | None = None, state: MemberState = MemberState.ALIVE, incarnation: int = 0,
-        told: tuple[wire.Entry, ...] = (), life: int = LIFE, number: int | None = None, wall: float = WALL,
+        told: tuple[wire.MemberRecord, ...] = (), life: int = LIFE, number: int | None = None, wall: float = WALL,
         digest: int | None = None,
     ) -> bytes:  # fmt: skip
         self.number += 1
-        me = wire.Entry(name, life, incarnation, state, "b", f"{name}:1", "")
+        me = wire.MemberRecord(name, life, incarnation, state, "b", f"{name}:1", "")
         view = self.detector.view
         head = (
             number or self.number,
@@ -66,8 +66,10 @@
             view.rows_digest,
             0,
         )
-        records = [wire.raw(entry) for entry in told]
-        data = CODEC.encode(head, wire.raw(me), wire.raw(message or wire.Gossip()), records, [])
+        records = [wire.encode_record(entry) for entry in told]
+        data = CODEC.encode(
+            head, wire.encode_record(me), wire.encode_record(message or wire.Gossip()), records, []
+        )
         self.do(DatagramReceived(data))
         return data
 
@@ -87,8 +89,10 @@
         return [m for m in messages if isinstance(m, wire.Ping) and m.to == name]
 
 
-def claim(name: str, state: MemberState, incarnation: int = 0, by: str = "", life: int = LIFE) -> wire.Entry:
-    return wire.Entry(name, life, incarnation, state, "b", f"{name}:1", by)
+def claim(
+    name: str, state: MemberState, incarnation: int = 0, by: str = "", life: int = LIFE
+) -> wire.MemberRecord:
+    return wire.MemberRecord(name, life, incarnation, state, "b", f"{name}:1", by)
 
 
 def test_one_that_no_probe_reaches_is_suspected_and_then_dead() -> None:
@@ -101,15 +105,15 @@
 
 def test_others_are_asked_to_probe_and_their_word_counts() -> None:
     one = One("x", "y", "z")
-    asks = list[tuple[str, wire.Ask]]()
+    asks = list[tuple[str, wire.PingRequest]]()
     while not asks:
         one.wait(0.05)
-        asks = [(where, e.message) for where, e in one.sent if isinstance(e.message, wire.Ask)]
+        asks = [(where, e.message) for where, e in one.sent if isinstance(e.message, wire.PingRequest)]
     assert len(asks) == 2  # all others but the one in question
     target, nonce = asks[0][1].to, asks[0][1].nonce
     helper = asks[0][0].partition(":")[0]
     assert helper != target
-    one.hear(helper, wire.Reached(nonce))
+    one.hear(helper, wire.PingRequestAck(nonce))
     one.wait(0.5)
     assert one.state(target) is not MemberState.SUSPECTED
 
@@ -214,9 +218,9 @@
     one.wait(8)
     assert one.detector._suspicions.get("x") is not None
     one.sent.clear()
-    while not (asked := [e.message.nonce for _, e in one.sent if isinstance(e.message, wire.Ask)]):
+    while not (asked := [e.message.nonce for _, e in one.sent if isinstance(e.message, wire.PingRequest)]):
         one.wait(0.05)
-    one.hear("y", wire.Reached(asked[-1]))
+    one.hear("y", wire.PingRequestAck(asked[-1]))
     assert one.state("x") is MemberState.LEAVING and one.detector._suspicions.get("x") is None
 
 
@@ -339,7 +343,7 @@
 def test_relays_and_timers_stay_bounded_under_a_flood() -> None:
     one = One("x")
     for n in range(300):
-        one.hear("x", wire.Ask(n, "y", "y:1"))
+        one.hear("x", wire.PingRequest(n, "y", "y:1"))
         one.hear("x", told=(claim("z", MemberState.DEAD, n, by="x"), claim("x", MemberState.SUSPECTED, n)))
     assert one.detector.counts["relays refused"] == 300 - 64
     assert len(one.detector._timers) < 1_000
--- a/tests/fleet/test_exchange.py
+++ b/tests/fleet/test_exchange.py
@@ -25,7 +25,7 @@
     view = host.detector.view
     for n in range(1, size if rows else 0):
         for subsystem in ("lanes", "closing"):
-            view.merge_row(LONG_AGO, wire.Cell(f"l{n}", subsystem, LIFE, 1, 0, ROW))
+            view.merge_row(LONG_AGO, wire.RowRecord(f"l{n}", subsystem, LIFE, 1, 0, ROW))
     view.turn(bed.now)
     for n in range(size):
         view.queue.drop_name(f"l{n}")
@@ -57,7 +57,7 @@
         for subsystem in ("lanes", "closing"):
             view.publish(LONG_AGO, subsystem, ROW)
             for name in names:
-                view.merge_row(LONG_AGO, wire.Cell(name, subsystem, LIFE, 1, 0, ROW))
+                view.merge_row(LONG_AGO, wire.RowRecord(name, subsystem, LIFE, 1, 0, ROW))
         view.turn(bed.now)
         view.queue = Queue()
     new = bed.start("new", ["l0"])
@@ -70,7 +70,7 @@
 
     def count(source: str, target: str, data: bytes) -> None:
         message = codec.decode(data).message
-        if isinstance(message, wire.Piece):
+        if isinstance(message, wire.SyncPiece):
             pieces[message.number] = pieces.get(message.number, 0) + 1
 
     large(bed)
--- a/tests/fleet/test_limiter.py
+++ b/tests/fleet/test_limiter.py
@@ -16,7 +16,7 @@
 from cypresspulley.fleet.limiter import FleetMember
 from cypresspulley.fleet.options import FleetOptions
 from cypresspulley.fleet.records import Member, MemberState
-from cypresspulley.fleet.wire import Codec, Entry, Gossip, raw
+from cypresspulley.fleet.wire import Codec, Gossip, MemberRecord, encode_record
 from cypresspulley.histories.events import FACTS, Kind
 from cypresspulley.histories.writer import AnyHistory, History, MemoryHistory, NoHistory
 from cypresspulley.operators import OperatorsError
@@ -139,20 +139,26 @@
         await one.start()
         codec, life = Codec("test", KEY), one.view.life
 
-        def hear(number: int, *told: Entry) -> None:
+        def hear(number: int, *told: MemberRecord) -> None:
             head = (number, round(time.time() * 1000), 1, 1, 0)
-            x = Entry("x", 7, 0, MemberState.ALIVE, "b", "127.0.0.1:9", "")
+            x = MemberRecord("x", 7, 0, MemberState.ALIVE, "b", "127.0.0.1:9", "")
             one.take(
                 DatagramReceived(
-                    codec.encode(head, raw(x), raw(Gossip()), [raw(entry) for entry in told], [])
+                    codec.encode(
+                        head,
+                        encode_record(x),
+                        encode_record(Gossip()),
+                        [encode_record(entry) for entry in told],
+                        [],
+                    )
                 )
             )
 
-        y = Entry("y", 7, 0, MemberState.ALIVE, "b", "127.0.0.1:9", "")
-        gone = Entry("gone", 7, 3, MemberState.DEAD, "b", "127.0.0.1:9", "x")
+        y = MemberRecord("y", 7, 0, MemberState.ALIVE, "b", "127.0.0.1:9", "")
+        gone = MemberRecord("gone", 7, 3, MemberState.DEAD, "b", "127.0.0.1:9", "x")
         hear(1, y, gone)
-        me = Entry("me", life + 9, 0, MemberState.ALIVE, "a", "127.0.0.1:9", "x")
-        y_doubted = Entry("y", 7, 0, MemberState.SUSPECTED, "b", "127.0.0.1:9", "x")
+        me = MemberRecord("me", life + 9, 0, MemberState.ALIVE, "a", "127.0.0.1:9", "x")
+        y_doubted = MemberRecord("y", 7, 0, MemberState.SUSPECTED, "b", "127.0.0.1:9", "x")
         hear(2, me, y_doubted)
         await one.close()
         start, *seen = history.lives[1][:6]
--- a/tests/fleet/test_parts.py
+++ b/tests/fleet/test_parts.py
@@ -12,7 +12,7 @@
 from cypresspulley.fleet.clocks import ClockEstimates
 from cypresspulley.fleet.documents import MAX_DOCUMENTS, MAX_REQUESTED, PARTS_PER_FETCH, Documents
 from cypresspulley.fleet.peers import Window
-from cypresspulley.fleet.wire import Part
+from cypresspulley.fleet.wire import DocumentPart
 
 
 @given(st.binary(max_size=20_000), st.randoms(use_true_random=False))
@@ -39,14 +39,14 @@
     digest = owner.offer(b"x" * 1000)
     asker.want(digest)
     key = bytes.fromhex(digest)
-    asker.take(Part(key, 0, 2, b"y" * 900))
-    asker.take(Part(key, 1, 2, b"x" * 100))
+    asker.take(DocumentPart(key, 0, 2, b"y" * 900))
+    asker.take(DocumentPart(key, 1, 2, b"x" * 100))
     assert asker.get(digest) is None and asker.wanted() == [key]
-    asker.take(Part(key, 0, 2, b"x" * 900))
-    asker.take(Part(key, 1, 3, b"x" * 100))
+    asker.take(DocumentPart(key, 0, 2, b"x" * 900))
+    asker.take(DocumentPart(key, 1, 3, b"x" * 100))
     assert asker.get(digest) is None
-    asker.take(Part(key, 0, 2, b"x" * 900))
-    asker.take(Part(key, 1, 2, b"x" * 100))
+    asker.take(DocumentPart(key, 0, 2, b"x" * 900))
+    asker.take(DocumentPart(key, 1, 2, b"x" * 100))
     assert asker.get(digest) == b"x" * 1000
 
 
--- a/tests/fleet/test_view.py
+++ b/tests/fleet/test_view.py
@@ -12,7 +12,7 @@
 from cypresspulley.fleet import view as module
 from cypresspulley.fleet.records import Member, MemberState
 from cypresspulley.fleet.view import ROW_QUIET_SECONDS, TOMBSTONE_SECONDS, View
-from cypresspulley.fleet.wire import Cell
+from cypresspulley.fleet.wire import RowRecord
 
 ME = Member("me", 10, 0, MemberState.ALIVE, "a", "me:1")
 
@@ -21,13 +21,13 @@
     st.sampled_from("ab"), st.sampled_from("pq"),
 )  # fmt: skip
 cells = st.builds(
-    Cell, st.sampled_from(["x", "y", "z"]), st.sampled_from(["lanes", "closing"]), st.integers(1, 3),
+    RowRecord, st.sampled_from(["x", "y", "z"]), st.sampled_from(["lanes", "closing"]), st.integers(1, 3),
     st.integers(1, 3), st.integers(0, 5_000), st.sampled_from([b"1", b"2"]),
 )  # fmt: skip
 claims = st.lists(st.one_of(members, cells), max_size=12)
 
 
-def put(view: View, claims: list[Member | Cell], now: float = 0.0) -> View:
+def put(view: View, claims: list[Member | RowRecord], now: float = 0.0) -> View:
     for claim in claims:
         if isinstance(claim, Member):
             view.merge(now, claim)
@@ -47,24 +47,24 @@
     return held, rows, view.digest, view.bucket_digests()
 
 
-def known(claims: list[Member | Cell]) -> list[Member | Cell]:
+def known(claims: list[Member | RowRecord]) -> list[Member | RowRecord]:
     """Rows after members: a row of a member that is unknown is not held, it comes again with the next exchange."""
-    return sorted(claims, key=lambda claim: isinstance(claim, Cell))
+    return sorted(claims, key=lambda claim: isinstance(claim, RowRecord))
 
 
 @given(claims, st.randoms(use_true_random=False))
 def test_any_order_and_any_doubling_of_members_ends_in_one_view(
-    claims: list[Member | Cell], rng: random.Random
+    claims: list[Member | RowRecord], rng: random.Random
 ) -> None:
     only = [claim for claim in claims if isinstance(claim, Member)]
-    mixed: list[Member | Cell] = [*only, *rng.choices(only, k=len(only))] if only else []
+    mixed: list[Member | RowRecord] = [*only, *rng.choices(only, k=len(only))] if only else []
     rng.shuffle(mixed)
     assert seen(put(View(ME), [*only])) == seen(put(View(ME), mixed))
 
 
 @given(claims, st.randoms(use_true_random=False))
 def test_any_order_and_any_doubling_of_rows_ends_in_one_view(
-    claims: list[Member | Cell], rng: random.Random
+    claims: list[Member | RowRecord], rng: random.Random
 ) -> None:
     first = [Member(name, 1, 0, MemberState.ALIVE) for name in "xyz"]
     mixed = [*claims, *rng.choices(claims, k=len(claims))] if claims else []
@@ -75,7 +75,7 @@
 
 @given(claims, claims, claims)
 def test_a_merge_of_views_is_commutative_associative_and_idempotent(
-    a: list[Member | Cell], b: list[Member | Cell], c: list[Member | Cell]
+    a: list[Member | RowRecord], b: list[Member | RowRecord], c: list[Member | RowRecord]
 ) -> None:
     a, b, c = known(a), known(b), known(c)
     whole = seen(put(View(ME), known([*a, *b, *c])))
@@ -85,7 +85,7 @@
 
 
 @given(claims)
-def test_a_claim_never_lowers_what_is_held(claims: list[Member | Cell]) -> None:
+def test_a_claim_never_lowers_what_is_held(claims: list[Member | RowRecord]) -> None:
     view = View(ME)
     for claim in claims:
         before = {name: held.rank for name in "xyz" if (held := view.get(name)) is not None}
@@ -96,7 +96,7 @@
 
 
 @given(claims)
-def test_the_digest_is_that_of_the_members_present(claims: list[Member | Cell]) -> None:
+def test_the_digest_is_that_of_the_members_present(claims: list[Member | RowRecord]) -> None:
     view = put(View(ME), claims)
     fresh = View(ME)
     for member in view.members():
@@ -105,17 +105,17 @@
 
 
 def test_a_row_ends_with_its_life() -> None:
-    view = put(View(ME), [Member("x", 5, 0, MemberState.ALIVE), Cell("x", "lanes", 5, 9, 250, b"old")])
+    view = put(View(ME), [Member("x", 5, 0, MemberState.ALIVE), RowRecord("x", "lanes", 5, 9, 250, b"old")])
     assert [(row.owner, row.body) for row in view.rows(1.0, "lanes")] == [("x", b"old")]
     assert view.rows(1.0, "lanes")[0].age == pytest.approx(1.25)
     view.merge(1.0, Member("x", 5, 0, MemberState.DEAD))
     assert view.rows(1.0, "lanes") == ()
     view.merge(2.0, Member("x", 6, 0, MemberState.ALIVE))
-    assert not view.merge_row(2.0, Cell("x", "lanes", 5, 10, 0, b"older still"))
+    assert not view.merge_row(2.0, RowRecord("x", "lanes", 5, 10, 0, b"older still"))
     assert view.rows(2.0, "lanes") == ()
-    assert view.merge_row(2.0, Cell("x", "closing", 7, 1, 0, b"of a life not heard of yet"))
+    assert view.merge_row(2.0, RowRecord("x", "closing", 7, 1, 0, b"of a life not heard of yet"))
     assert view.rows(2.0, "closing") == ()
-    view.merge_row(2.0, Cell("x", "lanes", 6, 1, 0, b"new"))
+    view.merge_row(2.0, RowRecord("x", "lanes", 6, 1, 0, b"new"))
     assert [row.body for row in view.rows(2.0, "lanes")] == [b"new"]
     view.merge(3.0, Member("x", 7, 0, MemberState.ALIVE))
     assert [row.life for row in view.rows(3.0, "closing")] == [7] and view.rows(3.0, "lanes") == ()
@@ -124,7 +124,7 @@
 def test_nobody_else_writes_this_members_row() -> None:
     view = View(ME)
     view.publish(0.0, "lanes", b"mine")
-    assert not view.merge_row(0.0, Cell("me", "lanes", 10, 99, 0, b"theirs"))
+    assert not view.merge_row(0.0, RowRecord("me", "lanes", 10, 99, 0, b"theirs"))
     assert [(row.version, row.age, row.body) for row in view.rows(9.0, "lanes")] == [(1, 0.0, b"mine")]
     with pytest.raises(ValueError, match="at most 200 bytes, got 201"):
         view.publish(0.0, "lanes", bytes(201))
@@ -135,7 +135,7 @@
 
 
 def test_an_owner_that_names_its_versions_makes_its_rows_young() -> None:
-    view = put(View(ME), [Member("x", 5, 0, MemberState.ALIVE), Cell("x", "lanes", 5, 9, 0, b"")])
+    view = put(View(ME), [Member("x", 5, 0, MemberState.ALIVE), RowRecord("x", "lanes", 5, 9, 0, b"")])
     view.confirm(30.0, "x", 5, 8)
     assert view.rows(30.0, "lanes")[0].age == 30.0
     view.confirm(30.0, "x", 5, 9)
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -13,16 +13,16 @@
 
 KEY = b"0123456789abcdef"
 CODEC = wire.Codec("vadodara", KEY)
-ME = wire.Entry("l1", 5, 0, MemberState.ALIVE, "a", "10.0.0.1:8700")
+ME = wire.MemberRecord("l1", 5, 0, MemberState.ALIVE, "a", "10.0.0.1:8700")
 
 
 def datagram(codec: wire.Codec = CODEC, message: wire.Message | None = None) -> bytes:
-    told = wire.raw(message or wire.Ping(7, "l2"))
-    return codec.encode((1, 2_000, 3, 4, 5), wire.raw(ME), told, [wire.raw(ME)], [])
+    told = wire.encode_record(message or wire.Ping(7, "l2"))
+    return codec.encode((1, 2_000, 3, 4, 5), wire.encode_record(ME), told, [wire.encode_record(ME)], [])
 
 
 def cause(data: bytes, codec: wire.Codec = CODEC) -> str:
-    with pytest.raises(wire.Unreadable) as caught:
+    with pytest.raises(wire.InvalidDatagram) as caught:
         codec.decode(data)
     return caught.value.cause
 
@@ -32,16 +32,16 @@
     [
         wire.Ping(7, "l2"),
         wire.Ack(2**62),
-        wire.Ask(1, "l2", "[::1]:9"),
-        wire.Reached(1),
-        wire.Missed(1),
+        wire.PingRequest(1, "l2", "[::1]:9"),
+        wire.PingRequestAck(1),
+        wire.PingRequestNack(1),
         wire.Gossip(),
-        wire.Compare(9, bytes(512)),
-        wire.Piece(9, 2**64 - 1, (0, "", ""), (64, "l", "lanes"), True),
-        wire.Amend(),
-        wire.Fetch(bytes(16), b"\xff"),
-        wire.Part(bytes(16), 72, 73, b"x" * 900),
-        wire.Lacks(bytes(16)),
+        wire.SyncRequest(9, bytes(512)),
+        wire.SyncPiece(9, 2**64 - 1, (0, "", ""), (64, "l", "lanes"), True),
+        wire.SyncCorrections(),
+        wire.DocumentRequest(bytes(16), b"\xff"),
+        wire.DocumentPart(bytes(16), 72, 73, b"x" * 900),
+        wire.DocumentMissing(bytes(16)),
     ],
 )
 def test_every_message_comes_back_whole(message: wire.Message) -> None:
@@ -86,7 +86,7 @@
     body[at : at + len(put)] = put
     try:
         envelope = CODEC.decode(keyed(bytes(body)))
-    except wire.Unreadable as error:
+    except wire.InvalidDatagram as error:
         assert error.cause in {"garbled", "foreign"}
     else:
         assert envelope.me.life >= 0 and len(envelope.me.name) <= 40
