--- a/cypresspulley/fleet/detector.py
+++ b/cypresspulley/fleet/detector.py
@@ -424,8 +424,8 @@
         except wire.InvalidDatagram as error:
             self.counts[error.cause] += 1
             return
-        sender = envelope.me
-        if abs(envelope.wall / 1000 - self._outbox.wall) > MAX_CLOCK_DIFFERENCE_SECONDS:
+        sender = envelope.sender
+        if abs(envelope.wall_ms / 1000 - self._outbox.wall) > MAX_CLOCK_DIFFERENCE_SECONDS:
             self.counts["stale"] += 1
         elif sender.name == self.view.local_name:  # an echo, or another life of mine that still speaks
             self.counts["own"] += 1
@@ -437,12 +437,12 @@
             self._hear(envelope)
 
     def _hear(self, envelope: Envelope) -> None:
-        sender = envelope.me
-        self._take(sender.member(), "told", sender.by)
-        for entry in envelope.entries:
-            if not self._known(entry, entry.by or sender.name):
-                self._take(entry.member(), "told", entry.by or sender.name)
-        for cell in envelope.cells:
+        sender = envelope.sender
+        self._take(sender.member(), "told", sender.accuser)
+        for entry in envelope.member_records:
+            if not self._known(entry, entry.accuser or sender.name):
+                self._take(entry.member(), "told", entry.accuser or sender.name)
+        for cell in envelope.row_records:
             before = self.view.row_life(cell.owner, cell.subsystem)
             if self.view.merge_row(self._now, cell) and before != cell.life:
                 self._outbox.act(RowAccepted(cell.owner, cell.life, cell.subsystem))
@@ -453,7 +453,7 @@
         if held.life == sender.life:
             self._found(sender.name)
             self.peers.note(self._now, envelope)
-            self.view.confirm(self._now, sender.name, sender.life, envelope.versions)
+            self.view.confirm(self._now, sender.name, sender.life, envelope.row_versions)
         _MESSAGES[type(envelope.message)](self, envelope)
         self._see_difference(envelope)
 
@@ -464,27 +464,27 @@
 
     def _see_difference(self, envelope: Envelope) -> None:
         """Tell the sender what it does not know of itself; compare views where digests differ."""
-        sender, held = envelope.me, self.view.get(envelope.me.name)
+        sender, held = envelope.sender, self.view.get(envelope.sender.name)
         if held is None:
             return
         better = [] if isinstance(envelope.message, wire.Ping) else self._better_of(sender)
         if better and self.peers.may_amend(self._now, sender, self._timers.period):
             self._outbox.post(sender.address, wire.Gossip(), better)
         joining = self.view.myself.state is MemberState.JOINING
-        differ = (envelope.members, envelope.rows) != (self.view.digest, self.view.rows_digest)
+        differ = (envelope.members_digest, envelope.rows_digest) != (self.view.digest, self.view.rows_digest)
         if (differ or joining) and held.state.present and self._exchange.due(joining):
             self._exchange.begin(self._timers.number(), sender.address)
 
     def _on_ping(self, envelope: Envelope) -> None:
-        ping, sender = envelope.message, envelope.me
+        ping, sender = envelope.message, envelope.sender
         assert isinstance(ping, wire.Ping)
-        if ping.to and ping.to != self.view.local_name:
+        if ping.target and ping.target != self.view.local_name:
             self.counts["astray"] += 1
             return
         self._outbox.post(sender.address, wire.Ack(ping.nonce), self._better_of(sender))
 
     def _on_ack(self, envelope: Envelope) -> None:
-        ack, sender = envelope.message, envelope.me
+        ack, sender = envelope.message, envelope.sender
         assert isinstance(ack, wire.Ack)
         if (relay := self._probes.relayed(ack.nonce)) is not None:
             if relay.target == sender.name:
@@ -497,18 +497,18 @@
             return
         if probe.counts:
             self.health.feel(-1)
-        self.clocks.answered(sender.name, probe.sent, self._now, envelope.wall / 1000)
+        self.clocks.answered(sender.name, probe.sent, self._now, envelope.wall_ms / 1000)
 
     def _on_ask(self, envelope: Envelope) -> None:
         ask = envelope.message
         assert isinstance(ask, wire.PingRequest)
-        relay = Relay(envelope.me.address, ask.nonce, ask.to)
+        relay = Relay(envelope.sender.address, ask.nonce, ask.target)
         nonce = self._probes.relay(self._timers.number(), relay)
         if nonce is None:
             self.counts["relays refused"] += 1
             return
         self._after(timing.DIRECT_TIMEOUT_PERIODS, "relay", str(nonce))
-        self._outbox.post(ask.address, wire.Ping(nonce, ask.to))
+        self._outbox.post(ask.address, wire.Ping(nonce, ask.target))
 
     def _on_reached(self, envelope: Envelope) -> None:
         assert isinstance(envelope.message, wire.PingRequestAck)
@@ -538,7 +538,7 @@
         if envelope.message.last:
             more = self._exchange.goes_on(envelope.message)
             if more and self.view.myself.state is MemberState.JOINING:
-                self._exchange.begin(self._timers.number(), envelope.me.address)
+                self._exchange.begin(self._timers.number(), envelope.sender.address)
             else:
                 self._arrive()
         self._exchange.on_piece(envelope)
@@ -557,7 +557,7 @@
 
     def _on_fetch(self, envelope: Envelope) -> None:
         assert isinstance(envelope.message, wire.DocumentRequest)
-        address = envelope.me.address
+        address = envelope.sender.address
         parts = self.documents.parts(envelope.message)
         if parts is None:
             self._outbox.post(address, wire.DocumentMissing(envelope.message.digest))
@@ -567,7 +567,7 @@
     def _on_part(self, envelope: Envelope) -> None:
         assert isinstance(envelope.message, wire.DocumentPart)
         if self.documents.take(envelope.message):
-            self._fetch(envelope.message.digest, envelope.me.name)
+            self._fetch(envelope.message.digest, envelope.sender.name)
 
     def _on_lacks(self, envelope: Envelope) -> None:
         assert isinstance(envelope.message, wire.DocumentMissing)
--- a/cypresspulley/fleet/documents.py
+++ b/cypresspulley/fleet/documents.py
@@ -85,7 +85,7 @@
             return None
         self._held.move_to_end(request.digest)
         of = max(1, -(-len(body) // PART_BYTES))
-        mask = int.from_bytes(request.parts, "little")
+        mask = int.from_bytes(request.part_mask, "little")
         asked = [number for number in range(of) if mask >> number & 1][:PARTS_PER_FETCH]
         return [
             DocumentPart(request.digest, n, of, body[n * PART_BYTES : (n + 1) * PART_BYTES]) for n in asked
@@ -93,17 +93,17 @@
 
     def take(self, part: DocumentPart) -> bool:
         """Lay a part to the others; whether the next ones may be asked for now (all that were asked for are here)."""
-        if part.digest not in self._wanted or part.number >= part.of:
+        if part.digest not in self._wanted or part.number >= part.count:
             return False
         of, parts = self._wanted[part.digest]
-        if of and of != part.of:  # one of two lies, and which cannot be told: begin anew
+        if of and of != part.count:  # one of two lies, and which cannot be told: begin anew
             self._wanted[part.digest] = (0, {})
             return False
         parts[part.number] = part.body
-        self._wanted[part.digest] = (part.of, parts)
-        if len(parts) < part.of:
+        self._wanted[part.digest] = (part.count, parts)
+        if len(parts) < part.count:
             return len(parts) % PARTS_PER_FETCH == 0
-        body = b"".join(parts[number] for number in range(part.of))
+        body = b"".join(parts[number] for number in range(part.count))
         if (
             blake2b(body, digest_size=DIGEST_BYTES).digest() == part.digest
             and len(body) <= MAX_DOCUMENT_BYTES
--- a/cypresspulley/fleet/exchange.py
+++ b/cypresspulley/fleet/exchange.py
@@ -53,7 +53,7 @@
 
     def on_compare(self, envelope: Envelope) -> None:
         """Answer with all that I hold in the buckets that differ, in pieces, behind what my last answer got to."""
-        compare, asker, out = envelope.message, envelope.me, self._outbox
+        compare, asker, out = envelope.message, envelope.sender, self._outbox
         assert isinstance(compare, wire.SyncRequest)
         address, mask = asker.address, self._view.differing(compare.buckets)
         after = self._cursors.pop(asker.name, FIRST_KEY)
@@ -98,7 +98,7 @@
     def goes_on(self, last: wire.SyncPiece) -> bool:
         """Whether there is more behind the last piece of an answer, and it came further than the answer before: one who
         always begins at the start would be asked for ever."""
-        before, self._reached = self._reached, last.upto if last.upto < END_KEY else FIRST_KEY
+        before, self._reached = self._reached, last.up_to if last.up_to < END_KEY else FIRST_KEY
         return before < self._reached
 
     def forget(self, name: str) -> None:
@@ -109,9 +109,9 @@
         """Answer with what I hold better in the range that the piece is whole in."""
         piece, view = envelope.message, self._view
         assert isinstance(piece, wire.SyncPiece)
-        told = {entry.name: entry.member() for entry in envelope.entries}
-        rows = {(cell.owner, cell.subsystem): cell for cell in envelope.cells}
-        better = [key for key in view.keys(piece.mask) if piece.after < key <= piece.upto]
+        told = {entry.name: entry.member() for entry in envelope.member_records}
+        rows = {(cell.owner, cell.subsystem): cell for cell in envelope.row_records}
+        better = [key for key in view.keys(piece.mask) if piece.after < key <= piece.up_to]
         covered = {name for _, name, _ in better}
         better += [(bucket(name), name, "") for name in told if name not in covered]
         entries, cells = list[Raw](), list[Raw]()
@@ -121,11 +121,13 @@
                     cells.append(record)
             elif not subsystem and self._better(name, told.get(name)):
                 entries.append(view.entry(name))
-        self._outbox.send_all(envelope.me.address, wire.SyncCorrections(), entries, cells)
+        self._outbox.send_all(envelope.sender.address, wire.SyncCorrections(), entries, cells)
 
     def on_amend(self, envelope: Envelope) -> None:
-        better = [self._view.entry(e.name) for e in envelope.entries if self._better(e.name, e.member())]
-        self._outbox.send_all(envelope.me.address, wire.Gossip(), better, [])
+        better = [
+            self._view.entry(e.name) for e in envelope.member_records if self._better(e.name, e.member())
+        ]
+        self._outbox.send_all(envelope.sender.address, wire.Gossip(), better, [])
 
     def _better(self, name: str, told: Member | None) -> bool:
         held = self._view.get(name)
--- a/cypresspulley/fleet/peers.py
+++ b/cypresspulley/fleet/peers.py
@@ -58,22 +58,22 @@
 
     def fresh(self, envelope: Envelope) -> bool:
         """Whether it has not come before. One of a life that is over is: its claims are merged, and change nothing."""
-        sender = envelope.me
+        sender = envelope.sender
         peer = self._by_name.get(sender.name)
         if peer is None or peer.window.life < sender.life:
             return True
-        return peer.window.life > sender.life or peer.window.take(envelope.number)
+        return peer.window.life > sender.life or peer.window.take(envelope.sequence)
 
     def note(self, now: float, envelope: Envelope) -> None:
         """Hear a fresh datagram of a member's present life."""
-        sender = envelope.me
+        sender = envelope.sender
         peer = self._by_name.get(sender.name)
         if peer is None or peer.window.life != sender.life:
             peer = self._by_name[sender.name] = Peer(Window(sender.life), now)
-            peer.window.take(envelope.number)
+            peer.window.take(envelope.sequence)
         peer.heard = now
-        if envelope.number >= peer.top:
-            peer.top, peer.digest = envelope.number, envelope.members
+        if envelope.sequence >= peer.top:
+            peer.top, peer.digest = envelope.sequence, envelope.members_digest
 
     def may_amend(self, now: float, sender: MemberRecord, period: float) -> bool:
         """Whether to tell it that others know better of it: once a period."""
--- a/cypresspulley/fleet/view.py
+++ b/cypresspulley/fleet/view.py
@@ -185,7 +185,7 @@
         held = rows.get(cell.subsystem)
         if held is None and len(rows) >= MAX_SUBSYSTEMS:
             return False
-        confirmed = now - cell.age / 1000
+        confirmed = now - cell.age_ms / 1000
         if held is not None:
             known, told = (held.life, held.version, held.body), (cell.life, cell.version, cell.body)
             if told < known:
--- a/cypresspulley/fleet/wire.py
+++ b/cypresspulley/fleet/wire.py
@@ -49,7 +49,7 @@
     state: MemberState
     zone: Zone
     address: Address
-    by: NoName = ""
+    accuser: NoName = ""
 
     def member(self) -> Member:
         return Member(self.name, self.life, self.incarnation, self.state, self.zone, self.address)
@@ -62,7 +62,7 @@
     subsystem: Name
     life: Count
     version: Count
-    age: Count
+    age_ms: Count
     body: Annotated[bytes, Meta(max_length=MAX_ROW_BYTES)]
 
 
@@ -70,7 +70,7 @@
     """Asks for an ``Ack``. ``to`` is the name of who is meant, "" for whoever is at the address."""
 
     nonce: Count
-    to: NoName
+    target: NoName
 
 
 class Ack(Struct, array_like=True, frozen=True, tag=2, forbid_unknown_fields=True):
@@ -81,7 +81,7 @@
     """Asks the receiver to ping another; answered by ``Reached`` or, in time, by ``Missed``."""
 
     nonce: Count
-    to: Name
+    target: Name
     address: Address
 
 
@@ -117,7 +117,7 @@
     number: Count
     mask: Hash64
     after: Key
-    upto: Key
+    up_to: Key
     last: bool
 
 
@@ -129,13 +129,13 @@
     """Asks for parts of a document: those whose bit is set."""
 
     digest: Hash
-    parts: Annotated[bytes, Meta(max_length=(MAX_PARTS + 7) // 8)]
+    part_mask: Annotated[bytes, Meta(max_length=(MAX_PARTS + 7) // 8)]
 
 
 class DocumentPart(Struct, array_like=True, frozen=True, tag=11, forbid_unknown_fields=True):
     digest: Hash
     number: Annotated[int, Meta(ge=0, lt=MAX_PARTS)]
-    of: Annotated[int, Meta(ge=1, le=MAX_PARTS)]
+    count: Annotated[int, Meta(ge=1, le=MAX_PARTS)]
     body: Annotated[bytes, Meta(max_length=PART_BYTES)]
 
 
@@ -167,15 +167,15 @@
     """
 
     installation: Name
-    number: Count
-    wall: Count
-    members: Hash64
-    rows: Hash64
-    versions: Count
-    me: MemberRecord
+    sequence: Count
+    wall_ms: Count
+    members_digest: Hash64
+    rows_digest: Hash64
+    row_versions: Count
+    sender: MemberRecord
     message: Message
-    entries: Annotated[list[MemberRecord], Meta(max_length=MAX_RECORDS)]
-    cells: Annotated[list[RowRecord], Meta(max_length=MAX_RECORDS)]
+    member_records: Annotated[list[MemberRecord], Meta(max_length=MAX_RECORDS)]
+    row_records: Annotated[list[RowRecord], Meta(max_length=MAX_RECORDS)]
 
 
 class InvalidDatagram(Exception):  # noqa: N818 - it names a datagram, no fault of this program
@@ -214,14 +214,14 @@
 
     def encode(
         self,
-        head: tuple[int, int, int, int, int],
-        me: Raw,
+        header: tuple[int, int, int, int, int],
+        sender: Raw,
         message: Raw,
-        entries: Sequence[Raw],
-        cells: Sequence[Raw],
+        member_records: Sequence[Raw],
+        row_records: Sequence[Raw],
     ) -> bytes:
         """``head`` is number, wall, members, rows and versions, as in ``Envelope``; the caller minds the size."""
-        body = _encoder.encode((self._installation, *head, me, message, entries, cells))
+        body = _encoder.encode((self._installation, *header, sender, message, member_records, row_records))
         form = bytes((FORMAT_VERSION,))
         return form + self._digest(form, body) + body
 
--- a/tests/fleet/test_detector.py
+++ b/tests/fleet/test_detector.py
@@ -86,7 +86,7 @@
 
     def pings(self, name: str) -> list[wire.Ping]:
         messages = (envelope.message for _, envelope in self.sent)
-        return [m for m in messages if isinstance(m, wire.Ping) and m.to == name]
+        return [m for m in messages if isinstance(m, wire.Ping) and m.target == name]
 
 
 def claim(
@@ -110,7 +110,7 @@
         one.wait(0.05)
         asks = [(where, e.message) for where, e in one.sent if isinstance(e.message, wire.PingRequest)]
     assert len(asks) == 2  # all others but the one in question
-    target, nonce = asks[0][1].to, asks[0][1].nonce
+    target, nonce = asks[0][1].target, asks[0][1].nonce
     helper = asks[0][0].partition(":")[0]
     assert helper != target
     one.hear(helper, wire.PingRequestAck(nonce))
@@ -228,7 +228,7 @@
     one = One("x", "y")
     one.do(LeaveRequested())
     assert {where for where, _ in one.sent} == {"x:1", "y:1"}
-    assert all(e.me.state is MemberState.LEAVING and e.me.incarnation == 1 for _, e in one.sent)
+    assert all(e.sender.state is MemberState.LEAVING and e.sender.incarnation == 1 for _, e in one.sent)
 
 
 def test_one_that_stood_still_accuses_nobody_of_what_it_did_not_hear() -> None:
@@ -236,7 +236,7 @@
     while not any(isinstance(e.message, wire.Ping) for _, e in one.sent):
         one.wait(0.05)
     assert one.state("x") is one.state("y") is one.state("z") is MemberState.ALIVE
-    target = next(e.message.to for _, e in one.sent if isinstance(e.message, wire.Ping))
+    target = next(e.message.target for _, e in one.sent if isinstance(e.message, wire.Ping))
     other = "x" if target != "x" else "y"
     one.hear("z", told=(claim(other, MemberState.SUSPECTED, by="z"),))
     one.now += 60
@@ -307,7 +307,7 @@
     one.do(DatagramReceived(old))
     held = one.detector.view.get("x")
     assert held is not None and (held.life, held.incarnation) == (LIFE + 1, 0)
-    told = [e.entries for where, e in one.sent if where == "x:1" and e.entries]
+    told = [e.member_records for where, e in one.sent if where == "x:1" and e.member_records]
     assert any(entry.life == LIFE + 1 for entries in told for entry in entries)
 
 
--- a/tests/fleet/test_exchange.py
+++ b/tests/fleet/test_exchange.py
@@ -87,7 +87,7 @@
     begun = exchange.Exchange.on_compare
 
     def forgetful(self: Exchange, envelope: wire.Envelope) -> None:
-        self.forget(envelope.me.name)
+        self.forget(envelope.sender.name)
         begun(self, envelope)
 
     monkeypatch.setattr(Exchange, "on_compare", forgetful)
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -48,8 +48,8 @@
     data = datagram(message=message)
     assert len(data) <= wire.MAX_DATAGRAM_BYTES
     envelope = CODEC.decode(data)
-    assert (envelope.me, envelope.message, envelope.entries) == (ME, message, [ME])
-    assert (envelope.number, envelope.wall, envelope.versions) == (1, 2_000, 5)
+    assert (envelope.sender, envelope.message, envelope.member_records) == (ME, message, [ME])
+    assert (envelope.sequence, envelope.wall_ms, envelope.row_versions) == (1, 2_000, 5)
 
 
 def test_what_cannot_be_believed_is_named_by_its_cause() -> None:
@@ -89,7 +89,7 @@
     except wire.InvalidDatagram as error:
         assert error.cause in {"garbled", "foreign"}
     else:
-        assert envelope.me.life >= 0 and len(envelope.me.name) <= 40
+        assert envelope.sender.life >= 0 and len(envelope.sender.name) <= 40
 
 
 def test_fields_outside_their_bounds_are_refused() -> None:
