--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from cypresspulley.fleet.options import MOST_SEEDS, options_from
+from cypresspulley.fleet.options import MAX_SEEDS, options_from
 from cypresspulley.fleet.view import MAX_MEMBERS
 from cypresspulley.keeper.engine import EngineCounter, engine_url
 from cypresspulley.net.discovery import Messages, listing_from
@@ -48,7 +48,7 @@
     options = options_from(fleet_table(), "operators.toml", KEY)
     assert options.seeds == tuple(loopback(number) for number in range(MANY))
     with pytest.raises(OperatorsError, match=rf"fleet\.seeds: expected a list of at most {MAX_MEMBERS} addr"):
-        options_from(fleet_table(seeds=[loopback(0)] * (MOST_SEEDS + 1)), "operators.toml", KEY)
+        options_from(fleet_table(seeds=[loopback(0)] * (MAX_SEEDS + 1)), "operators.toml", KEY)
 
 
 def test_a_message_of_the_last_limiter_is_heard_under_its_number() -> None:
