--- a/benchmarks/together_mutants.py
+++ b/benchmarks/together_mutants.py
@@ -48,9 +48,9 @@
     def of_me(self: Detector, claim: Any) -> None:
         me = self.view.myself
         if claim.life == me.life and claim.rank > me.rank and claim.state >= MemberState.SUSPECTED:
-            self._become(replace(me, incarnation=claim.incarnation), "refuted")
+            self._update_self(replace(me, incarnation=claim.incarnation), "refuted")
 
-    Detector._take_of_me = of_me  # type: ignore[method-assign]
+    Detector._apply_claim_about_self = of_me  # type: ignore[method-assign]
 
 
 def _death_without_suspicion() -> None:
@@ -58,9 +58,9 @@
         probe = self._probes.end(int(key))
         held = self.view.get(probe.target) if probe is not None and probe.counts else None
         if probe is not None and held is not None and held.life == probe.life and held.state.present:
-            self._hold(replace(held, state=MemberState.DEAD), "probe", self.view.local_name)
+            self._store_claim(replace(held, state=MemberState.DEAD), "probe", self.view.local_name)
 
-    detector._TIMERS["failed"] = failed
+    detector._TIMER_HANDLERS["failed"] = failed
 
 
 def _old_rows_taken() -> None:
--- a/cypresspulley/fleet/detector.py
+++ b/cypresspulley/fleet/detector.py
@@ -101,7 +101,7 @@
         self._codec = codec
         self._timers = Timers(period)
         self._probes = Probes(self.view, rng)
-        self._calls = Calls(tuple(seed for seed in dict.fromkeys(seeds) if seed != me.address), rng)
+        self._contacts = Calls(tuple(seed for seed in dict.fromkeys(seeds) if seed != me.address), rng)
         self._suspicions = Suspicions(period)
         self._outbox = Outbox(codec, self.view, self.counts)
         self._exchange = Exchange(self.view, self._outbox, period)
@@ -130,16 +130,16 @@
             self.counts["stalls"] += 1
         match event:
             case DatagramReceived(data):
-                self._receive(data)
+                self._receive_datagram(data)
             case TimerFired():
                 while timer := self._timers.pop(now):
-                    _TIMERS[timer[0]](self, timer[1])
+                    _TIMER_HANDLERS[timer[0]](self, timer[1])
             case Started():
-                self._begin()
+                self._start()
             case LeaveRequested():
-                self._leave()
+                self._announce_leaving()
             case Stopped():
-                self._end()
+                self._announce_left()
         return self._outbox.empty()
 
     def settled(self) -> bool:
@@ -150,65 +150,65 @@
     def _now(self) -> float:
         return self._outbox.now
 
-    def _after(self, periods: float, kind: str, key: str = "") -> None:
+    def _schedule_after(self, periods: float, kind: str, key: str = "") -> None:
         self._timers.after(self._now, periods, kind, key)
 
     # Beginning and end
 
-    def _begin(self) -> None:
+    def _start(self) -> None:
         self._outbox.introduce()  # the view may have been filled before
-        self._changed(self.view.myself, "self")
-        self._after(self._probes.draw(), "period")
-        if self._calls.seeds:
-            self._seed("")
+        self._report_change(self.view.myself, "self")
+        self._schedule_after(self._probes.draw(), "period")
+        if self._contacts.seeds:
+            self._ping_seeds("")
         else:
-            self._arrive()
+            self._finish_joining()
 
-    def _seed(self, _: str) -> None:
+    def _ping_seeds(self, _: str) -> None:
         """Knock at some seeds, ever more seldom, until there is somebody."""
         if self.view.present > 1 and self.view.myself.state is not MemberState.JOINING:
             return
-        for address in self._calls.knock():
+        for address in self._contacts.knock():
             self._ping("", address, counts=False)
-        self._after(self._calls.pause(), "seed")
+        self._schedule_after(self._contacts.pause(), "seed")
 
-    def _arrive(self) -> None:
+    def _finish_joining(self) -> None:
         if self.view.myself.state is MemberState.JOINING:
-            self._become(replace(self.view.myself, state=MemberState.ALIVE), "self")
+            self._update_self(replace(self.view.myself, state=MemberState.ALIVE), "self")
 
-    def _leave(self) -> None:
+    def _announce_leaving(self) -> None:
         me = self.view.myself
         if me.state < MemberState.LEAVING:
-            self._become(replace(me, incarnation=me.incarnation + 1, state=MemberState.LEAVING), "self")
-            self._part()
+            self._update_self(replace(me, incarnation=me.incarnation + 1, state=MemberState.LEAVING), "self")
+            self._announce_departure()
 
-    def _end(self) -> None:
+    def _announce_left(self) -> None:
         me = self.view.myself
         raised = me.incarnation + (me.state < MemberState.LEAVING)
-        self._become(replace(me, incarnation=raised, state=MemberState.LEFT), "self")
-        self._part()
+        self._update_self(replace(me, incarnation=raised, state=MemberState.LEFT), "self")
+        self._announce_departure()
 
-    def _part(self) -> None:
+    def _announce_departure(self) -> None:
         """Tell some members of this one's end directly: the rest hear it from them."""
         for name in self._probes.others(LEAVE_FANOUT):
             self._outbox.say(name, wire.Gossip())
 
-    def _become(self, me: Member, cause: str) -> None:
+    def _update_self(self, me: Member, cause: str) -> None:
         """Hold this of myself, and say it."""
         rose = me.life != self.view.myself.life
         self.view.put(self._now, me)
         record = self._outbox.introduce(rose)
         if rose:
             self.view.relive(self._now)
-            self._outbox.act(LifeRaised(me.life, self.view.all_others(), self._as_settled()))
+            self._outbox.act(LifeRaised(me.life, self.view.all_others(), self._settled_action()))
         self.view.queue.add((me.name, ""), record)
-        self._changed(me, cause)
+        self._report_change(me, cause)
 
     # A period
 
-    def _period_over(self, _: str) -> None:
-        self._after(1, "period")
-        self._calls.periods += 1
+    def _on_period(self, _: str) -> None:
+        self._schedule_after(1, "period")
+        self._contacts.periods += 1
         self.view.turn(self._now)
         if target := self._probes.next_target():
             self._ping(target, self._address(target))
@@ -219,28 +219,28 @@
         if recent and not self._suspicions:  # what is in suspense changes again
             for name in self.peers.differing(timing.DIGEST_CHECKS_PER_PERIOD):
                 self._ping(name, self._address(name), counts=False)
-        if self._calls.periods % timing.RECALL_PERIODS == 0:
-            self._recall()
+        if self._contacts.periods % timing.RECALL_PERIODS == 0:
+            self._ping_absent()
         for digest in self.documents.wanted():
-            self._fetch(digest)
-        self._see_settled()
+            self._request_parts(digest)
+        self._report_settled()
 
-    def _recall(self) -> None:
+    def _ping_absent(self) -> None:
         """A word to one that is not in the view, so that a cut that ends is noticed."""
         dead = [(m.name, m.address) for m in self.view.ended(self._now, DEAD_RECALL_SECONDS)]
-        held = {m.address for m in self.view.members()} if self._calls.seeds else set()
-        if call := self._calls.recall(dead, held):
+        held = {m.address for m in self.view.members()} if self._contacts.seeds else set()
+        if call := self._contacts.recall(dead, held):
             self._ping(*call, counts=False)
         for name in self.peers.unknown():  # its tombstone is gone
-            self._forget(name)
+            self._forget_peer(name)
 
-    def _see_settled(self) -> None:
+    def _report_settled(self) -> None:
         settled = self.settled()
         if settled != self.peers.settled:
             self.peers.settled = settled
-            self._outbox.act(self._as_settled())
+            self._outbox.act(self._settled_action())
 
-    def _as_settled(self) -> Settled:
+    def _settled_action(self) -> Settled:
         return Settled(self.settled(), self.view.digest, self.view.present)
 
     def _address(self, name: str) -> str:
@@ -253,13 +253,13 @@
         nonce = self._probes.begin(self._now, self._timers.number(), name, counts)
         stretch = 1 + self.health.value
         if counts:
-            self._after(timing.DIRECT_TIMEOUT_PERIODS * stretch, "direct", str(nonce))
-        self._after(timing.PROBE_TIMEOUT_PERIODS * stretch, "failed", str(nonce))
+            self._schedule_after(timing.DIRECT_TIMEOUT_PERIODS * stretch, "direct", str(nonce))
+        self._schedule_after(timing.PROBE_TIMEOUT_PERIODS * stretch, "failed", str(nonce))
         held = self.view.get(name)
         doubted = [name] if held is not None and held.state >= MemberState.SUSPECTED else []
         self._outbox.post(address, wire.Ping(nonce, name), doubted)
 
-    def _direct_over(self, key: str) -> None:
+    def _on_direct_timeout(self, key: str) -> None:
         probe = self._probes.get(int(key))
         if probe is None or not probe.counts:
             return
@@ -269,7 +269,7 @@
         for name in helpers:
             self._outbox.say(name, wire.PingRequest(int(key), probe.target, self._address(probe.target)))
 
-    def _failed(self, key: str) -> None:
+    def _on_probe_timeout(self, key: str) -> None:
         probe = self._probes.end(int(key))
         if probe is None or not probe.counts:
             return
@@ -281,54 +281,54 @@
         if held is None or held.life != probe.life:
             return
         if held.state is MemberState.LEAVING:
-            self._miss(held.name)
+            self._suspect_leaver(held.name)
         elif held.state <= MemberState.SUSPECTED:
-            self._take(replace(held, state=MemberState.SUSPECTED), "probe", self.view.local_name)
+            self._apply_claim(replace(held, state=MemberState.SUSPECTED), "probe", self.view.local_name)
 
-    def _relay_over(self, key: str) -> None:
+    def _on_relay_timeout(self, key: str) -> None:
         if relay := self._probes.end_relay(int(key)):
             self._outbox.post(relay.address, wire.PingRequestNack(relay.nonce))
 
     # Suspicion
 
-    def _suspicion_over(self, name: str) -> None:
+    def _on_suspicion_timeout(self, name: str) -> None:
         until, held = self._suspicions.until(name, self.view.present), self.view.get(name)
         if until is None or held is None:
             return
         if until > self._now or self._now < self.health.doubt_until:
-            self._watch(name, max(until, self.health.doubt_until))
+            self._schedule_suspicion_end(name, max(until, self.health.doubt_until))
             return
         suspicion = self._suspicions.end(name)
         cause = "told" if suspicion is not None and suspicion.told else "probe"
         over = MemberState.LEFT if held.state is MemberState.LEAVING else MemberState.DEAD
-        self._hold(replace(held, state=over), cause, self.view.local_name)
+        self._store_claim(replace(held, state=over), cause, self.view.local_name)
 
-    def _miss(self, name: str) -> None:
+    def _suspect_leaver(self, name: str) -> None:
         """A leaver does not answer: a suspicion that is kept to myself, and ends in ``left``."""
         _, until = self._suspicions.accuse(self._now, name, self.view.local_name, False, self.view.present)
         if until is not None:
-            self._watch(name, until)
+            self._schedule_suspicion_end(name, until)
 
-    def _found(self, name: str) -> None:
+    def _clear_leaver_suspicion(self, name: str) -> None:
         """It has just answered: a leaver is no longer missed. Of one that is suspected, only a refutation tells."""
         held = self.view.get(name)
         if held is not None and held.state is MemberState.LEAVING:
             self._suspicions.end(name)
 
-    def _watch(self, name: str, until: float) -> None:
+    def _schedule_suspicion_end(self, name: str, until: float) -> None:
         self._timers.at(max(until, self._now + 1e-3), "suspicion", name)
 
-    def _accuse(self, name: str, by: str, told: bool) -> None:
+    def _add_accuser(self, name: str, by: str, told: bool) -> None:
         """One more that suspects the member, or holds it dead: the time is shorter from here on."""
         new, until = self._suspicions.accuse(self._now, name, by, told, self.view.present)
         if new:
             self.view.queue.add((name, ""), self.view.entry(name, by))
         if until is not None:
-            self._watch(name, until)
+            self._schedule_suspicion_end(name, until)
 
     # Claims
 
-    def _known(self, entry: wire.MemberRecord, by: str) -> bool:
+    def _is_redundant(self, entry: wire.MemberRecord, by: str) -> bool:
         """Whether the claim surely changes nothing: most do not, and this is quicker than to take them."""
         held = self.view.get(entry.name)
         if held is None:
@@ -342,10 +342,10 @@
         dead = suspicion.told and entry.state is MemberState.DEAD
         return suspicion.accused(by) and (entry.state is MemberState.SUSPECTED or dead)
 
-    def _take(self, claim: Member, cause: str, by: str) -> None:
+    def _apply_claim(self, claim: Member, cause: str, by: str) -> None:
         """A claim about a member, ``by`` its maker where it accuses."""
         if claim.name == self.view.local_name:
-            self._take_of_me(claim)
+            self._apply_claim_about_self(claim)
             return
         held = self.view.get(claim.name)
         if (
@@ -354,71 +354,71 @@
             and held.state.present
             and claim.rank > held.rank
         ):
-            self._take_death(held, claim, cause, by)
+            self._apply_death_claim(held, claim, cause, by)
             return
         if held is not None and claim.rank == held.rank:
             if claim.state is MemberState.SUSPECTED:
-                self._accuse(claim.name, by, False)
+                self._add_accuser(claim.name, by, False)
             if self.view.merge(self._now, claim):  # another zone or address: the same life has spoken twice
                 self.view.queue.add((claim.name, ""), self.view.entry(claim.name, by))
             return
-        self._hold(claim, cause, by)
+        self._store_claim(claim, cause, by)
         if claim.state is MemberState.SUSPECTED and self.view.get(claim.name) == claim:
-            self._accuse(claim.name, by, False)
+            self._add_accuser(claim.name, by, False)
 
-    def _take_death(self, held: Member, claim: Member, cause: str, by: str) -> None:
+    def _apply_death_claim(self, held: Member, claim: Member, cause: str, by: str) -> None:
         """A death that is told of one who is present here is a suspicion first. One that it has refuted meanwhile is
         none: it hears of it itself, and goes on in a new life."""
         said = replace(claim, state=MemberState.SUSPECTED)
         if claim.life == held.life and claim.incarnation < held.incarnation:
             return
         if said.rank > held.rank:
-            self._hold(said, cause, by)
-        self._accuse(claim.name, by, True)
+            self._store_claim(said, cause, by)
+        self._add_accuser(claim.name, by, True)
 
-    def _hold(self, claim: Member, cause: str, by: str) -> None:
+    def _store_claim(self, claim: Member, cause: str, by: str) -> None:
         held = self.view.get(claim.name)
         if not self.view.merge(self._now, claim):
             return
         if claim.state is not MemberState.SUSPECTED or (held is not None and held.rank[:3] != claim.rank[:3]):
             self._suspicions.end(claim.name)
         if held is not None and held.life != claim.life:
-            self._forget(claim.name)
+            self._forget_peer(claim.name)
         if held is not None and held.life == claim.life and claim.state < MemberState.SUSPECTED <= held.state:
             cause = "refuted"
         self.view.queue.add((claim.name, ""), self.view.entry(claim.name, by))
         if held is None and claim.state.present:
             self._probes.joined(claim.name)
         if held is not None or claim.state.present:  # one that was never held here has not died here
-            self._changed(claim, cause)
+            self._report_change(claim, cause)
 
-    def _forget(self, name: str) -> None:
+    def _forget_peer(self, name: str) -> None:
         self.peers.forget(name)
         self.clocks.forget(name)
         self._exchange.forget(name)
 
-    def _take_of_me(self, claim: Member) -> None:
+    def _apply_claim_about_self(self, claim: Member) -> None:
         me = self.view.myself
         if claim.life > me.life:
             self.counts["risen"] += 1
             if self.counts["risen"] <= MAX_LIFE_INCREASES:
-                self._become(replace(me, life=claim.life + 1, incarnation=0), "self")
+                self._update_self(replace(me, life=claim.life + 1, incarnation=0), "self")
         elif claim.life == me.life and claim.rank > me.rank:
             if claim.state >= MemberState.SUSPECTED:
                 self.health.feel(1)
             if claim.state.present:
-                self._become(replace(me, incarnation=claim.incarnation + 1), "refuted")
+                self._update_self(replace(me, incarnation=claim.incarnation + 1), "refuted")
             else:
-                self._become(replace(me, life=me.life + 1, incarnation=0), "refuted")
+                self._update_self(replace(me, life=me.life + 1, incarnation=0), "refuted")
 
-    def _changed(self, member: Member, cause: str) -> None:
+    def _report_change(self, member: Member, cause: str) -> None:
         self._outbox.act(MemberChanged(member, cause))
         if self.peers.settled:
-            self._see_settled()
+            self._report_settled()
 
     # Datagrams in
 
-    def _receive(self, data: bytes) -> None:
+    def _receive_datagram(self, data: bytes) -> None:
         try:
             envelope = self._codec.decode(data)
         except wire.InvalidDatagram as error:
@@ -429,19 +429,19 @@
             self.counts["stale"] += 1
         elif sender.name == self.view.local_name:  # an echo, or another life of mine that still speaks
             self.counts["own"] += 1
-            self._take_of_me(sender.member())
+            self._apply_claim_about_self(sender.member())
         elif not self.peers.fresh(envelope):
             self.counts["replayed"] += 1
         else:
             self.counts["taken"] += 1
-            self._hear(envelope)
+            self._apply_datagram(envelope)
 
-    def _hear(self, envelope: Envelope) -> None:
+    def _apply_datagram(self, envelope: Envelope) -> None:
         sender = envelope.sender
-        self._take(sender.member(), "told", sender.accuser)
+        self._apply_claim(sender.member(), "told", sender.accuser)
         for entry in envelope.member_records:
-            if not self._known(entry, entry.accuser or sender.name):
-                self._take(entry.member(), "told", entry.accuser or sender.name)
+            if not self._is_redundant(entry, entry.accuser or sender.name):
+                self._apply_claim(entry.member(), "told", entry.accuser or sender.name)
         for cell in envelope.row_records:
             before = self.view.row_life(cell.owner, cell.subsystem)
             if self.view.merge_row(self._now, cell) and before != cell.life:
@@ -451,23 +451,23 @@
             self.counts["full"] += 1
             return
         if held.life == sender.life:
-            self._found(sender.name)
+            self._clear_leaver_suspicion(sender.name)
             self.peers.note(self._now, envelope)
             self.view.confirm(self._now, sender.name, sender.life, envelope.row_versions)
-        _MESSAGES[type(envelope.message)](self, envelope)
-        self._see_difference(envelope)
+        _MESSAGE_HANDLERS[type(envelope.message)](self, envelope)
+        self._resolve_difference(envelope)
 
-    def _better_of(self, sender: wire.MemberRecord) -> list[str]:
+    def _newer_record_of(self, sender: wire.MemberRecord) -> list[str]:
         """The sender's name, where more is known of it than it says itself."""
         held = self.view.get(sender.name)
         return [sender.name] if held is not None and held.rank > sender.member().rank else []
 
-    def _see_difference(self, envelope: Envelope) -> None:
+    def _resolve_difference(self, envelope: Envelope) -> None:
         """Tell the sender what it does not know of itself; compare views where digests differ."""
         sender, held = envelope.sender, self.view.get(envelope.sender.name)
         if held is None:
             return
-        better = [] if isinstance(envelope.message, wire.Ping) else self._better_of(sender)
+        better = [] if isinstance(envelope.message, wire.Ping) else self._newer_record_of(sender)
         if better and self.peers.may_amend(self._now, sender, self._timers.period):
             self._outbox.post(sender.address, wire.Gossip(), better)
         joining = self.view.myself.state is MemberState.JOINING
@@ -481,7 +481,7 @@
         if ping.target and ping.target != self.view.local_name:
             self.counts["astray"] += 1
             return
-        self._outbox.post(sender.address, wire.Ack(ping.nonce), self._better_of(sender))
+        self._outbox.post(sender.address, wire.Ack(ping.nonce), self._newer_record_of(sender))
 
     def _on_ack(self, envelope: Envelope) -> None:
         ack, sender = envelope.message, envelope.sender
@@ -499,7 +499,7 @@
             self.health.feel(-1)
         self.clocks.answered(sender.name, probe.sent, self._now, envelope.wall_ms / 1000)
 
-    def _on_ask(self, envelope: Envelope) -> None:
+    def _on_ping_request(self, envelope: Envelope) -> None:
         ask = envelope.message
         assert isinstance(ask, wire.PingRequest)
         relay = Relay(envelope.sender.address, ask.nonce, ask.target)
@@ -507,18 +507,18 @@
         if nonce is None:
             self.counts["relays refused"] += 1
             return
-        self._after(timing.DIRECT_TIMEOUT_PERIODS, "relay", str(nonce))
+        self._schedule_after(timing.DIRECT_TIMEOUT_PERIODS, "relay", str(nonce))
         self._outbox.post(ask.address, wire.Ping(nonce, ask.target))
 
-    def _on_reached(self, envelope: Envelope) -> None:
+    def _on_ping_request_ack(self, envelope: Envelope) -> None:
         assert isinstance(envelope.message, wire.PingRequestAck)
         probe = self._probes.get(envelope.message.nonce)
         if probe is not None and probe.counts and probe.asked:
             self._probes.end(envelope.message.nonce)
             self.health.feel(-1)
-            self._found(probe.target)
+            self._clear_leaver_suspicion(probe.target)
 
-    def _on_missed(self, envelope: Envelope) -> None:
+    def _on_ping_request_nack(self, envelope: Envelope) -> None:
         assert isinstance(envelope.message, wire.PingRequestNack)
         probe = self._probes.get(envelope.message.nonce)
         if probe is not None and probe.missed < probe.asked:
@@ -527,10 +527,10 @@
     def _on_gossip(self, envelope: Envelope) -> None:
         """What stands beside it has been taken."""
 
-    def _on_compare(self, envelope: Envelope) -> None:
+    def _on_sync_request(self, envelope: Envelope) -> None:
         self._exchange.on_compare(envelope)
 
-    def _on_piece(self, envelope: Envelope) -> None:
+    def _on_sync_piece(self, envelope: Envelope) -> None:
         assert isinstance(envelope.message, wire.SyncPiece)
         if not self._exchange.takes(envelope.message):
             self.counts["unasked"] += 1
@@ -540,22 +540,22 @@
             if more and self.view.myself.state is MemberState.JOINING:
                 self._exchange.begin(self._timers.number(), envelope.sender.address)
             else:
-                self._arrive()
+                self._finish_joining()
         self._exchange.on_piece(envelope)
 
-    def _on_amend(self, envelope: Envelope) -> None:
+    def _on_sync_corrections(self, envelope: Envelope) -> None:
         self._exchange.on_amend(envelope)
 
     # Documents
 
-    def _fetch(self, digest: bytes, name: str = "") -> None:
+    def _request_parts(self, digest: bytes, name: str = "") -> None:
         """Ask one member, drawn where none is named, for the next parts."""
         request = self.documents.request(digest)
         names = [name] if name else self._probes.others(1)
         if request is not None and names:
             self._outbox.say(names[0], request)
 
-    def _on_fetch(self, envelope: Envelope) -> None:
+    def _on_document_request(self, envelope: Envelope) -> None:
         assert isinstance(envelope.message, wire.DocumentRequest)
         address = envelope.sender.address
         parts = self.documents.parts(envelope.message)
@@ -564,37 +564,37 @@
         for part in parts or ():
             self._outbox.send(address, wire.encode_record(part), [], [])
 
-    def _on_part(self, envelope: Envelope) -> None:
+    def _on_document_part(self, envelope: Envelope) -> None:
         assert isinstance(envelope.message, wire.DocumentPart)
         if self.documents.take(envelope.message):
-            self._fetch(envelope.message.digest, envelope.sender.name)
+            self._request_parts(envelope.message.digest, envelope.sender.name)
 
-    def _on_lacks(self, envelope: Envelope) -> None:
+    def _on_document_missing(self, envelope: Envelope) -> None:
         assert isinstance(envelope.message, wire.DocumentMissing)
         if self.documents.try_another():
-            self._fetch(envelope.message.digest)
+            self._request_parts(envelope.message.digest)
 
 
-_TIMERS: dict[str, Callable[[Detector, str], None]] = {
-    "period": Detector._period_over,
-    "seed": Detector._seed,
-    "direct": Detector._direct_over,
-    "failed": Detector._failed,
-    "relay": Detector._relay_over,
-    "suspicion": Detector._suspicion_over,
+_TIMER_HANDLERS: dict[str, Callable[[Detector, str], None]] = {
+    "period": Detector._on_period,
+    "seed": Detector._ping_seeds,
+    "direct": Detector._on_direct_timeout,
+    "failed": Detector._on_probe_timeout,
+    "relay": Detector._on_relay_timeout,
+    "suspicion": Detector._on_suspicion_timeout,
 }
 
-_MESSAGES: dict[type, Callable[[Detector, Envelope], None]] = {
+_MESSAGE_HANDLERS: dict[type, Callable[[Detector, Envelope], None]] = {
     wire.Ping: Detector._on_ping,
     wire.Ack: Detector._on_ack,
-    wire.PingRequest: Detector._on_ask,
-    wire.PingRequestAck: Detector._on_reached,
-    wire.PingRequestNack: Detector._on_missed,
+    wire.PingRequest: Detector._on_ping_request,
+    wire.PingRequestAck: Detector._on_ping_request_ack,
+    wire.PingRequestNack: Detector._on_ping_request_nack,
     wire.Gossip: Detector._on_gossip,
-    wire.SyncRequest: Detector._on_compare,
-    wire.SyncPiece: Detector._on_piece,
-    wire.SyncCorrections: Detector._on_amend,
-    wire.DocumentRequest: Detector._on_fetch,
-    wire.DocumentPart: Detector._on_part,
-    wire.DocumentMissing: Detector._on_lacks,
+    wire.SyncRequest: Detector._on_sync_request,
+    wire.SyncPiece: Detector._on_sync_piece,
+    wire.SyncCorrections: Detector._on_sync_corrections,
+    wire.DocumentRequest: Detector._on_document_request,
+    wire.DocumentPart: Detector._on_document_part,
+    wire.DocumentMissing: Detector._on_document_missing,
 }
