--- a/benchmarks/together_mutants.py
+++ b/benchmarks/together_mutants.py
@@ -29,7 +29,7 @@
 from cypresspulley.fleet import detector
 from cypresspulley.fleet.detector import Detector
 from cypresspulley.fleet.records import MemberState
-from cypresspulley.fleet.view import Held, View
+from cypresspulley.fleet.view import StoredRow, View
 from cypresspulley.histories.check import CHECKERS
 from cypresspulley.lanes import share, spells
 
@@ -70,7 +70,9 @@
         held = self._rows.setdefault(cell.owner, {}).get(cell.subsystem)
         if held is not None and (held.version, held.body) >= (cell.version, cell.body):
             return False
-        self._hold(now, cell.owner, cell.subsystem, Held(cell.life, cell.version, cell.body, now, now))
+        self._store_row(
+            now, cell.owner, cell.subsystem, StoredRow(cell.life, cell.version, cell.body, now, now)
+        )
         return True
 
     View.merge_row = merge_row  # type: ignore[method-assign]
--- a/cypresspulley/fleet/view.py
+++ b/cypresspulley/fleet/view.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class StoredRow:
     """A row as it is held. ``confirmed`` and ``changed`` are instants of the clock that never steps."""
 
     life: int
@@ -54,22 +54,22 @@
 
     def __init__(self, me: Member) -> None:
         self.local_name = me.name
-        self.queue = Queue()
+        self.queue = GossipQueue()
         self.changed = float("-inf")  # when the digest of members last changed
         self.digest = self.rows_digest = 0
         self._members = dict[str, Member]()
-        self._rows = dict[str, dict[str, Held]]()
-        self._ended = dict[str, float]()  # tombstones by name, in order of their instants
-        self._marks = dict[str, tuple[int, int]]()  # what each name adds to the two digests
+        self._rows = dict[str, dict[str, StoredRow]]()
+        self._tombstones = dict[str, float]()  # tombstones by name, in order of their instants
+        self._digest_contributions = dict[str, tuple[int, int]]()  # what each name adds to the two digests
         self._buckets = [0] * BUCKET_COUNT
-        self._in_bucket = [set[str]() for _ in range(BUCKET_COUNT)]
-        self._soon_quiet = dict[str, float]()  # when to look whether a name's rows have gone quiet
+        self._bucket_names = [set[str]() for _ in range(BUCKET_COUNT)]
+        self._quiet_at = dict[str, float]()  # when to look whether a name's rows have gone quiet
         self._present = 0
         self._others: tuple[str, ...] | None = None  # until who is present changes
         self.put(float("-inf"), me)
 
     def __repr__(self) -> str:
-        ended = len(self._ended)
+        ended = len(self._tombstones)
         return f"<View of {self.local_name}: {self._present} present, {ended} tombstones, digest {self.digest:016x}>"
 
     @property
@@ -109,7 +109,7 @@
 
     def ended(self, now: float, within: float) -> list[Member]:
         """Members that are held dead since so many seconds at most."""
-        recent = (self._members[name] for name, at in self._ended.items() if now - at <= within)
+        recent = (self._members[name] for name, at in self._tombstones.items() if now - at <= within)
         return [member for member in recent if member.state is MemberState.DEAD]
 
     def merge(self, now: float, member: Member) -> bool:
@@ -118,7 +118,7 @@
         if held is None:
             if member.state.present and self._present >= MAX_MEMBERS:
                 return False
-        elif _order(member) <= _order(held):
+        elif _claim_order(member) <= _claim_order(held):
             return False
         self.put(now, member)
         return True
@@ -131,9 +131,9 @@
             self._present += change
             self._others = None
         self._members[name] = member
-        self._ended.pop(name, None)
+        self._tombstones.pop(name, None)
         if not member.state.present:
-            self._ended[name] = now
+            self._tombstones[name] = now
         if (
             name != self.local_name
             and held is not None
@@ -143,20 +143,20 @@
             self._rows[name] = {key: row for key, row in rows.items() if row.life >= member.life}
             for key in rows.keys() - self._rows[name].keys():
                 self.queue.drop((name, key))
-        self._in_bucket[bucket(name)].add(name)
-        self._mark(now, name)
+        self._bucket_names[bucket(name)].add(name)
+        self._update_digests(now, name)
         self.prune(now)
 
     def prune(self, now: float) -> None:
         """Forget tombstones that are old, or the oldest where there are too many."""
-        while self._ended:
-            name, at = next(iter(self._ended.items()))
-            if now - at < TOMBSTONE_SECONDS and len(self._ended) <= MAX_TOMBSTONES:
+        while self._tombstones:
+            name, at = next(iter(self._tombstones.items()))
+            if now - at < TOMBSTONE_SECONDS and len(self._tombstones) <= MAX_TOMBSTONES:
                 return
-            del self._ended[name], self._members[name]
+            del self._tombstones[name], self._members[name]
             self._rows.pop(name, None)
-            self._in_bucket[bucket(name)].discard(name)
-            self._marks.pop(name, None)
+            self._bucket_names[bucket(name)].discard(name)
+            self._digest_contributions.pop(name, None)
             self.queue.drop_name(name)
 
     # Rows
@@ -169,7 +169,7 @@
         if subsystem not in mine and len(mine) >= MAX_SUBSYSTEMS:
             raise ValueError(f"row of {subsystem}: expected at most {MAX_SUBSYSTEMS} subsystems")
         version = mine[subsystem].version + 1 if subsystem in mine else 1
-        self._hold(now, self.local_name, subsystem, Held(self.myself.life, version, body, now, now))
+        self._store_row(now, self.local_name, subsystem, StoredRow(self.myself.life, version, body, now, now))
 
     def row_life(self, owner: str, subsystem: str) -> int | None:
         """The life of which a row is held; None where none is."""
@@ -194,7 +194,9 @@
                 if confirmed > held.confirmed:
                     rows[cell.subsystem] = replace(held, confirmed=confirmed)
                 return False
-        self._hold(now, cell.owner, cell.subsystem, Held(cell.life, cell.version, cell.body, confirmed, now))
+        self._store_row(
+            now, cell.owner, cell.subsystem, StoredRow(cell.life, cell.version, cell.body, confirmed, now)
+        )
         return True
 
     def confirm(self, now: float, owner: str, life: int, versions: int) -> None:
@@ -214,7 +216,7 @@
         rows = self._rows.pop(self.local_name, {})
         self._rows[self.local_name] = {}
         for key, row in rows.items():
-            self._hold(
+            self._store_row(
                 now, self.local_name, key, replace(row, life=self.myself.life, confirmed=now, changed=now)
             )
 
@@ -229,18 +231,18 @@
 
     def turn(self, now: float) -> None:
         """Let rows that have gone quiet count for the digest, and forget old tombstones. Once a period."""
-        while self._soon_quiet:
-            name, at = next(iter(self._soon_quiet.items()))
+        while self._quiet_at:
+            name, at = next(iter(self._quiet_at.items()))
             if at > now:
                 break
-            del self._soon_quiet[name]
+            del self._quiet_at[name]
             if name in self._members:
-                self._mark(now, name)
+                self._update_digests(now, name)
                 changed = max(
                     (row.changed for row in self._rows.get(name, {}).values()), default=float("-inf")
                 )
                 if changed + self.quiet > now:
-                    self._soon_quiet[name] = changed + self.quiet
+                    self._quiet_at[name] = changed + self.quiet
         self.prune(now)
 
     # For datagrams
@@ -260,7 +262,7 @@
         found = list[tuple[int, str, str]]()
         for number in range(BUCKET_COUNT):
             if mask >> number & 1:
-                for name in sorted(self._in_bucket[number]):
+                for name in sorted(self._bucket_names[number]):
                     if self._members[name].state.present:
                         found.append((number, name, ""))
                         found.extend((number, name, key) for key in sorted(self._valid_rows(name)))
@@ -288,19 +290,19 @@
             return False
         return cell is None or (row.life, row.version, row.body) > (cell.life, cell.version, cell.body)
 
-    def _valid_rows(self, name: str) -> dict[str, Held]:
+    def _valid_rows(self, name: str) -> dict[str, StoredRow]:
         member = self._members.get(name)
         if member is None:
             return {}
         return {key: row for key, row in self._rows.get(name, {}).items() if row.life == member.life}
 
-    def _hold(self, now: float, owner: str, subsystem: str, row: Held) -> None:
+    def _store_row(self, now: float, owner: str, subsystem: str, row: StoredRow) -> None:
         self._rows.setdefault(owner, {})[subsystem] = row
-        self._soon_quiet.setdefault(owner, now + self.quiet)
+        self._quiet_at.setdefault(owner, now + self.quiet)
         self.queue.add((owner, subsystem), None)
-        self._mark(now, owner)
+        self._update_digests(now, owner)
 
-    def _mark(self, now: float, name: str) -> None:
+    def _update_digests(self, now: float, name: str) -> None:
         """Bring what this name adds to the digests up to date."""
         member = self._members[name]
         whole = rows = 0
@@ -311,26 +313,26 @@
             for key, row in self._rows.get(name, {}).items():
                 if row.life == member.life and now - row.changed >= self.quiet:
                     rows ^= _hash(f"{name}/{key}/{row.life}/{row.version}/".encode() + row.body)
-        before = self._marks.get(name, (0, 0))
+        before = self._digest_contributions.get(name, (0, 0))
         if before == (whole, rows):
             return
         if before[0] != whole:
             self.changed = now
-        self._marks[name] = (whole, rows)
+        self._digest_contributions[name] = (whole, rows)
         self.digest ^= before[0] ^ whole
         self.rows_digest ^= before[1] ^ rows
         self._buckets[bucket(name)] ^= before[0] ^ whole ^ before[1] ^ rows
 
 
-class Queue:
+class GossipQueue:
     """What is to be sent on: members before rows, and of each what was sent least before what was sent more."""
 
     def __init__(self) -> None:
         self._levels: tuple[list[dict[tuple[str, str], Raw | None]], ...] = ([], [])
-        self._at = dict[tuple[str, str], int]()  # the level in which a key stands
+        self._level_of = dict[tuple[str, str], int]()  # the level in which a key stands
 
     def __len__(self) -> int:
-        return len(self._at)
+        return len(self._level_of)
 
     def add(self, key: tuple[str, str], told: Raw | None) -> None:
         """``key`` is a name and a subsystem, "" for the member itself, whose record is ``told``."""
@@ -339,15 +341,15 @@
         if not levels:
             levels.append({})
         levels[0][key] = told
-        self._at[key] = 0
+        self._level_of[key] = 0
 
     def drop(self, key: tuple[str, str]) -> None:
-        level = self._at.pop(key, None)
+        level = self._level_of.pop(key, None)
         if level is not None:
             del self._levels[bool(key[1])][level][key]
 
     def drop_name(self, name: str) -> None:
-        for key in [key for key in self._at if key[0] == name]:
+        for key in [key for key in self._level_of if key[0] == name]:
             self.drop(key)
 
     def take(self, now: float, view: View, room: int) -> tuple[list[Raw], list[Raw]]:
@@ -361,7 +363,7 @@
                     ready = record if record is not None else view.cell(now, *key)
                     if ready is None:  # a row that has ended meanwhile
                         sent.append((key, None))
-                        self._at[key] = most
+                        self._level_of[key] = most
                         continue
                     if encoded_size(ready) > room:
                         break
@@ -372,23 +374,23 @@
                     continue
                 break  # whoever was sent least comes first, also where a smaller one would still fit
         for key, record in sent:
-            self._sent(key, record, most)
+            self._record_transmission(key, record, most)
         return told
 
-    def _sent(self, key: tuple[str, str], record: Raw | None, most: int) -> None:
-        level = self._at[key]
+    def _record_transmission(self, key: tuple[str, str], record: Raw | None, most: int) -> None:
+        level = self._level_of[key]
         if level + 1 >= most:
             levels = self._levels[bool(key[1])]
             for one in levels:
                 one.pop(key, None)
-            del self._at[key]
+            del self._level_of[key]
             return
         levels = self._levels[bool(key[1])]
         del levels[level][key]
         if len(levels) <= level + 1:
             levels.append({})
         levels[level + 1][key] = record
-        self._at[key] = level + 1
+        self._level_of[key] = level + 1
 
 
 @lru_cache(maxsize=2 * (MAX_MEMBERS + MAX_TOMBSTONES))
@@ -401,5 +403,5 @@
     return int.from_bytes(blake2b(data, digest_size=8).digest(), "big")
 
 
-def _order(member: Member) -> tuple[Rank, str, str]:
+def _claim_order(member: Member) -> tuple[Rank, str, str]:
     return member.rank, member.zone, member.address
--- a/tests/fleet/test_exchange.py
+++ b/tests/fleet/test_exchange.py
@@ -9,7 +9,7 @@
 from cypresspulley.fleet.exchange import Exchange
 from cypresspulley.fleet.outbox import MAX_RESPONSE_DATAGRAMS
 from cypresspulley.fleet.records import Member, MemberState
-from cypresspulley.fleet.view import ROW_QUIET_SECONDS, Queue
+from cypresspulley.fleet.view import ROW_QUIET_SECONDS, GossipQueue
 
 MANY = 1024
 LIFE = round(EPOCH * 1000)
@@ -59,7 +59,7 @@
             for name in names:
                 view.merge_row(LONG_AGO, wire.RowRecord(name, subsystem, LIFE, 1, 0, ROW))
         view.turn(bed.now)
-        view.queue = Queue()
+        view.queue = GossipQueue()
     new = bed.start("new", ["l0"])
     assert bed.run(bed.now + ROW_QUIET_SECONDS / 2, lambda: held(new) == (41, 80)), held(new)
 
