--- a/benchmarks/fleet_bed.py
+++ b/benchmarks/fleet_bed.py
@@ -93,7 +93,7 @@
         host = self.hosts[name] = Host(name, detector, offset)
         for member in known:
             if member.name == name:
-                detector.view.put(self.now, member)
+                detector.view.store(self.now, member)
             else:
                 detector.view.merge(self.now, member)
         for subsystem, body in (rows or {}).items():
--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -186,7 +186,7 @@
     ]
     for one in fleet:  # they know each other from the start: what is measured is the one that joins them
         for member in known:
-            (one.detector.view.put if member.name == one.view.local_name else one.detector.view.merge)(
+            (one.detector.view.store if member.name == one.view.local_name else one.detector.view.merge)(
                 0.0, member
             )
         await one.start()
--- a/benchmarks/together_mutants.py
+++ b/benchmarks/together_mutants.py
@@ -46,7 +46,7 @@
 
 def _incarnation_not_raised() -> None:
     def of_me(self: Detector, claim: Any) -> None:
-        me = self.view.myself
+        me = self.view.local_member
         if claim.life == me.life and claim.rank > me.rank and claim.state >= MemberState.SUSPECTED:
             self._update_self(replace(me, incarnation=claim.incarnation), "refuted")
 
--- a/benchmarks/together_plays.py
+++ b/benchmarks/together_plays.py
@@ -99,7 +99,7 @@
         if not history.lives or isinstance(action, LifeRaised):
             size = self._size
             bounds = {"detect": timing.detect_bound(size, 0.5), "settle": timing.settle_bound(size, 0.5)}
-            begin(history, host.name, host.detector.view.myself.life, bounds)
+            begin(history, host.name, host.detector.view.local_member.life, bounds)
         match action:
             case MemberChanged(member, cause):
                 history.put(
--- a/cypresspulley/fleet/detector.py
+++ b/cypresspulley/fleet/detector.py
@@ -111,7 +111,7 @@
 
     @property
     def ended(self) -> bool:
-        return self.view.myself.state is MemberState.LEFT
+        return self.view.local_member.state is MemberState.LEFT
 
     @property
     def due(self) -> float:
@@ -144,7 +144,7 @@
 
     def settled(self) -> bool:
         """Whether every other present member has last told the digest that is this one's own."""
-        return self.view.myself.state is not MemberState.JOINING and self.peers.agree()
+        return self.view.local_member.state is not MemberState.JOINING and self.peers.agree()
 
     @property
     def _now(self) -> float:
@@ -157,7 +157,7 @@
 
     def _start(self) -> None:
         self._outbox.introduce()  # the view may have been filled before
-        self._report_change(self.view.myself, "self")
+        self._report_change(self.view.local_member, "self")
         self._schedule_after(self._probes.draw(), "period")
         if self._contacts.seeds:
             self._ping_seeds("")
@@ -166,24 +166,24 @@
 
     def _ping_seeds(self, _: str) -> None:
         """Knock at some seeds, ever more seldom, until there is somebody."""
-        if self.view.present > 1 and self.view.myself.state is not MemberState.JOINING:
+        if self.view.present_count > 1 and self.view.local_member.state is not MemberState.JOINING:
             return
         for address in self._contacts.knock():
             self._ping("", address, counts=False)
         self._schedule_after(self._contacts.pause(), "seed")
 
     def _finish_joining(self) -> None:
-        if self.view.myself.state is MemberState.JOINING:
-            self._update_self(replace(self.view.myself, state=MemberState.ALIVE), "self")
+        if self.view.local_member.state is MemberState.JOINING:
+            self._update_self(replace(self.view.local_member, state=MemberState.ALIVE), "self")
 
     def _announce_leaving(self) -> None:
-        me = self.view.myself
+        me = self.view.local_member
         if me.state < MemberState.LEAVING:
             self._update_self(replace(me, incarnation=me.incarnation + 1, state=MemberState.LEAVING), "self")
             self._announce_departure()
 
     def _announce_left(self) -> None:
-        me = self.view.myself
+        me = self.view.local_member
         raised = me.incarnation + (me.state < MemberState.LEAVING)
         self._update_self(replace(me, incarnation=raised, state=MemberState.LEFT), "self")
         self._announce_departure()
@@ -195,13 +195,13 @@
 
     def _update_self(self, me: Member, cause: str) -> None:
         """Hold this of myself, and say it."""
-        rose = me.life != self.view.myself.life
-        self.view.put(self._now, me)
+        rose = me.life != self.view.local_member.life
+        self.view.store(self._now, me)
         record = self._outbox.introduce(rose)
         if rose:
-            self.view.relive(self._now)
-            self._outbox.act(LifeRaised(me.life, self.view.all_others(), self._settled_action()))
-        self.view.queue.add((me.name, ""), record)
+            self.view.republish_rows(self._now)
+            self._outbox.act(LifeRaised(me.life, self.view.all_other_members(), self._settled_action()))
+        self.view.gossip_queue.add((me.name, ""), record)
         self._report_change(me, cause)
 
     # A period
@@ -209,13 +209,13 @@
     def _on_period(self, _: str) -> None:
         self._schedule_after(1, "period")
         self._contacts.periods += 1
-        self.view.turn(self._now)
+        self.view.refresh(self._now)
         if target := self._probes.next_target():
             self._ping(target, self._address(target))
-        if len(self.view.queue):
+        if len(self.view.gossip_queue):
             for name in self._probes.others(GOSSIP_FANOUT):
                 self._outbox.say(name, wire.Gossip())
-        recent = self._now - self.view.changed <= timing.DIGEST_CHECK_PERIODS * self._timers.period
+        recent = self._now - self.view.members_changed_at <= timing.DIGEST_CHECK_PERIODS * self._timers.period
         if recent and not self._suspicions:  # what is in suspense changes again
             for name in self.peers.differing(timing.DIGEST_CHECKS_PER_PERIOD):
                 self._ping(name, self._address(name), counts=False)
@@ -227,7 +227,7 @@
 
     def _ping_absent(self) -> None:
         """A word to one that is not in the view, so that a cut that ends is noticed."""
-        dead = [(m.name, m.address) for m in self.view.ended(self._now, DEAD_RECALL_SECONDS)]
+        dead = [(m.name, m.address) for m in self.view.recently_dead(self._now, DEAD_RECALL_SECONDS)]
         held = {m.address for m in self.view.members()} if self._contacts.seeds else set()
         if call := self._contacts.recall(dead, held):
             self._ping(*call, counts=False)
@@ -241,7 +241,7 @@
             self._outbox.act(self._settled_action())
 
     def _settled_action(self) -> Settled:
-        return Settled(self.settled(), self.view.digest, self.view.present)
+        return Settled(self.settled(), self.view.digest, self.view.present_count)
 
     def _address(self, name: str) -> str:
         member = self.view.get(name)
@@ -292,7 +292,7 @@
     # Suspicion
 
     def _on_suspicion_timeout(self, name: str) -> None:
-        until, held = self._suspicions.until(name, self.view.present), self.view.get(name)
+        until, held = self._suspicions.until(name, self.view.present_count), self.view.get(name)
         if until is None or held is None:
             return
         if until > self._now or self._now < self.health.doubt_until:
@@ -305,7 +305,9 @@
 
     def _suspect_leaver(self, name: str) -> None:
         """A leaver does not answer: a suspicion that is kept to myself, and ends in ``left``."""
-        _, until = self._suspicions.accuse(self._now, name, self.view.local_name, False, self.view.present)
+        _, until = self._suspicions.accuse(
+            self._now, name, self.view.local_name, False, self.view.present_count
+        )
         if until is not None:
             self._schedule_suspicion_end(name, until)
 
@@ -320,9 +322,9 @@
 
     def _add_accuser(self, name: str, by: str, told: bool) -> None:
         """One more that suspects the member, or holds it dead: the time is shorter from here on."""
-        new, until = self._suspicions.accuse(self._now, name, by, told, self.view.present)
+        new, until = self._suspicions.accuse(self._now, name, by, told, self.view.present_count)
         if new:
-            self.view.queue.add((name, ""), self.view.entry(name, by))
+            self.view.gossip_queue.add((name, ""), self.view.encode_member(name, by))
         if until is not None:
             self._schedule_suspicion_end(name, until)
 
@@ -360,7 +362,7 @@
             if claim.state is MemberState.SUSPECTED:
                 self._add_accuser(claim.name, by, False)
             if self.view.merge(self._now, claim):  # another zone or address: the same life has spoken twice
-                self.view.queue.add((claim.name, ""), self.view.entry(claim.name, by))
+                self.view.gossip_queue.add((claim.name, ""), self.view.encode_member(claim.name, by))
             return
         self._store_claim(claim, cause, by)
         if claim.state is MemberState.SUSPECTED and self.view.get(claim.name) == claim:
@@ -386,7 +388,7 @@
             self._forget_peer(claim.name)
         if held is not None and held.life == claim.life and claim.state < MemberState.SUSPECTED <= held.state:
             cause = "refuted"
-        self.view.queue.add((claim.name, ""), self.view.entry(claim.name, by))
+        self.view.gossip_queue.add((claim.name, ""), self.view.encode_member(claim.name, by))
         if held is None and claim.state.present:
             self._probes.joined(claim.name)
         if held is not None or claim.state.present:  # one that was never held here has not died here
@@ -398,7 +400,7 @@
         self._exchange.forget(name)
 
     def _apply_claim_about_self(self, claim: Member) -> None:
-        me = self.view.myself
+        me = self.view.local_member
         if claim.life > me.life:
             self.counts["risen"] += 1
             if self.counts["risen"] <= MAX_LIFE_INCREASES:
@@ -453,7 +455,7 @@
         if held.life == sender.life:
             self._clear_leaver_suspicion(sender.name)
             self.peers.note(self._now, envelope)
-            self.view.confirm(self._now, sender.name, sender.life, envelope.row_versions)
+            self.view.confirm_rows(self._now, sender.name, sender.life, envelope.row_versions)
         _MESSAGE_HANDLERS[type(envelope.message)](self, envelope)
         self._resolve_difference(envelope)
 
@@ -470,7 +472,7 @@
         better = [] if isinstance(envelope.message, wire.Ping) else self._newer_record_of(sender)
         if better and self.peers.may_amend(self._now, sender, self._timers.period):
             self._outbox.post(sender.address, wire.Gossip(), better)
-        joining = self.view.myself.state is MemberState.JOINING
+        joining = self.view.local_member.state is MemberState.JOINING
         differ = (envelope.members_digest, envelope.rows_digest) != (self.view.digest, self.view.rows_digest)
         if (differ or joining) and held.state.present and self._exchange.due(joining):
             self._exchange.begin(self._timers.number(), sender.address)
@@ -537,7 +539,7 @@
             return
         if envelope.message.last:
             more = self._exchange.goes_on(envelope.message)
-            if more and self.view.myself.state is MemberState.JOINING:
+            if more and self.view.local_member.state is MemberState.JOINING:
                 self._exchange.begin(self._timers.number(), envelope.sender.address)
             else:
                 self._finish_joining()
--- a/cypresspulley/fleet/exchange.py
+++ b/cypresspulley/fleet/exchange.py
@@ -18,7 +18,7 @@
 from cypresspulley.fleet import wire
 from cypresspulley.fleet.outbox import MAX_RESPONSE_DATAGRAMS, Outbox
 from cypresspulley.fleet.records import Member
-from cypresspulley.fleet.view import View, bucket
+from cypresspulley.fleet.view import View, bucket_of
 from cypresspulley.fleet.wire import Envelope, Key
 
 PIECE_KEY_BYTES = 200  # bytes that two keys of a piece may take
@@ -44,7 +44,7 @@
     def due(self, joining: bool) -> bool:
         """Whether a comparison may begin: one a period, fewer while news is on its way anyhow."""
         now = self._outbox.now
-        moving = now - self._view.changed < SPREADING_PERIODS * self._period and not joining
+        moving = now - self._view.members_changed_at < SPREADING_PERIODS * self._period and not joining
         return now - self._compared >= (SPREADING_INTERVAL_PERIODS if moving else 1) * self._period
 
     def begin(self, number: int, address: str) -> None:
@@ -55,17 +55,17 @@
         """Answer with all that I hold in the buckets that differ, in pieces, behind what my last answer got to."""
         compare, asker, out = envelope.message, envelope.sender, self._outbox
         assert isinstance(compare, wire.SyncRequest)
-        address, mask = asker.address, self._view.differing(compare.buckets)
+        address, mask = asker.address, self._view.differing_buckets(compare.buckets)
         after = self._cursors.pop(asker.name, FIRST_KEY)
         room = (
             out.room(wire.encode_record(wire.SyncPiece(compare.number, 2**64 - 1, FIRST_KEY, END_KEY, False)))
             - PIECE_KEY_BYTES
         )
         entries, cells, used, sent, upto = list[Raw](), list[Raw](), 0, 0, after
-        for key in self._view.keys(mask):
+        for key in self._view.list_keys(mask):
             if key <= after:
                 continue
-            record = self._view.cell(out.now, *key[1:]) if key[2] else self._view.entry(key[1])
+            record = self._view.encode_row(out.now, *key[1:]) if key[2] else self._view.encode_member(key[1])
             if record is None:
                 continue
             if used + wire.encoded_size(record) > room:
@@ -111,21 +111,23 @@
         assert isinstance(piece, wire.SyncPiece)
         told = {entry.name: entry.member() for entry in envelope.member_records}
         rows = {(cell.owner, cell.subsystem): cell for cell in envelope.row_records}
-        better = [key for key in view.keys(piece.mask) if piece.after < key <= piece.up_to]
+        better = [key for key in view.list_keys(piece.mask) if piece.after < key <= piece.up_to]
         covered = {name for _, name, _ in better}
-        better += [(bucket(name), name, "") for name in told if name not in covered]
+        better += [(bucket_of(name), name, "") for name in told if name not in covered]
         entries, cells = list[Raw](), list[Raw]()
         for _, name, subsystem in better:
-            if subsystem and view.better_row(name, subsystem, rows.get((name, subsystem))):
-                if (record := view.cell(self._outbox.now, name, subsystem)) is not None:
+            if subsystem and view.has_newer_row(name, subsystem, rows.get((name, subsystem))):
+                if (record := view.encode_row(self._outbox.now, name, subsystem)) is not None:
                     cells.append(record)
             elif not subsystem and self._better(name, told.get(name)):
-                entries.append(view.entry(name))
+                entries.append(view.encode_member(name))
         self._outbox.send_all(envelope.sender.address, wire.SyncCorrections(), entries, cells)
 
     def on_amend(self, envelope: Envelope) -> None:
         better = [
-            self._view.entry(e.name) for e in envelope.member_records if self._better(e.name, e.member())
+            self._view.encode_member(e.name)
+            for e in envelope.member_records
+            if self._better(e.name, e.member())
         ]
         self._outbox.send_all(envelope.sender.address, wire.Gossip(), better, [])
 
--- a/cypresspulley/fleet/limiter.py
+++ b/cypresspulley/fleet/limiter.py
@@ -207,7 +207,7 @@
 
     @property
     def life(self) -> int:
-        return self._detector.view.myself.life
+        return self._detector.view.local_member.life
 
     def members(self) -> tuple[Member, ...]:
         return self._detector.view.members()
@@ -229,7 +229,7 @@
 
     def clock_error(self, now: float) -> tuple[float, float] | None:
         detector = self._detector
-        return detector.clocks.error(now, self._wall(), len(detector.view.others()))
+        return detector.clocks.error(now, self._wall(), len(detector.view.other_names()))
 
     def store_document(self, body: bytes) -> str:
         return self._detector.documents.offer(body)
--- a/cypresspulley/fleet/outbox.py
+++ b/cypresspulley/fleet/outbox.py
@@ -22,7 +22,7 @@
         self._codec, self._view, self._counts = codec, view, counts
         self._number = 0
         self._actions = list[Action]()
-        self._me = view.entry(view.local_name)
+        self._me = view.encode_member(view.local_name)
         self.now = self.wall = 0.0
 
     def __repr__(self) -> str:
@@ -37,7 +37,7 @@
 
     def introduce(self, new_life: bool = False) -> Raw:
         """Take this member's own record anew from the view; a new life counts its datagrams from 0."""
-        self._me = self._view.entry(self._view.local_name)
+        self._me = self._view.encode_member(self._view.local_name)
         if new_life:
             self._number = 0
         return self._me
@@ -51,9 +51,9 @@
     def post(self, address: str, message: wire.Message, first: Sequence[str] = ()) -> None:
         """Send with news beside it; ``first`` are members whose records go in any case."""
         told = wire.encode_record(message)
-        entries = [self._view.entry(name) for name in first]
+        entries = [self._view.encode_member(name) for name in first]
         room = self.room(told) - sum(wire.encoded_size(entry) for entry in entries)
-        news, cells = self._view.queue.take(self.now, self._view, room)
+        news, cells = self._view.gossip_queue.take(self.now, self._view, room)
         self.send(address, told, entries + news, cells)
 
     def room(self, told: Raw) -> int:
@@ -69,7 +69,7 @@
     def send(self, address: str, told: Raw, entries: Sequence[Raw], cells: Sequence[Raw]) -> None:
         view = self._view
         wall = max(0, round(self.wall * 1000))
-        head = (self._number, wall, view.digest, view.rows_digest, view.versions())
+        head = (self._number, wall, view.digest, view.rows_digest, view.own_row_versions())
         self._number += 1
         data = self._codec.encode(head, self._me, told, entries, cells)
         self._counts["sent"] += 1
--- a/cypresspulley/fleet/peers.py
+++ b/cypresspulley/fleet/peers.py
@@ -94,12 +94,12 @@
     def agree(self) -> bool:
         """Whether every other present member has last told the digest that is this one's own."""
         digest, by_name = self._view.digest, self._by_name
-        told = (by_name.get(name) for name in self._view.others())
+        told = (by_name.get(name) for name in self._view.other_names())
         return all(peer is not None and peer.digest == digest for peer in told)
 
     def differing(self, most: int) -> list[str]:
         """Members whose digest, as last told, is not mine: all in turn."""
-        others, found = self._view.others(), list[str]()
+        others, found = self._view.other_names(), list[str]()
         for _ in range(len(others)):
             self._checked = (self._checked + 1) % len(others)
             peer = self._by_name.get(others[self._checked])
--- a/cypresspulley/fleet/probes.py
+++ b/cypresspulley/fleet/probes.py
@@ -56,7 +56,7 @@
                 held = self._view.get(name)
                 if held is not None and held.state.present:
                     return name
-            self.round = list(self._view.others())
+            self.round = list(self._view.other_names())
             self._rng.shuffle(self.round)
         return None
 
@@ -66,7 +66,7 @@
 
     def others(self, most: int) -> Sequence[str]:
         """So many present members, drawn."""
-        names = self._view.others()
+        names = self._view.other_names()
         return self._rng.sample(names, min(most, len(names)))
 
     def begin(self, now: float, number: int, name: str, counts: bool) -> int:
--- a/cypresspulley/fleet/view.py
+++ b/cypresspulley/fleet/view.py
@@ -54,8 +54,8 @@
 
     def __init__(self, me: Member) -> None:
         self.local_name = me.name
-        self.queue = GossipQueue()
-        self.changed = float("-inf")  # when the digest of members last changed
+        self.gossip_queue = GossipQueue()
+        self.members_changed_at = float("-inf")  # when the digest of members last changed
         self.digest = self.rows_digest = 0
         self._members = dict[str, Member]()
         self._rows = dict[str, dict[str, StoredRow]]()
@@ -64,50 +64,50 @@
         self._buckets = [0] * BUCKET_COUNT
         self._bucket_names = [set[str]() for _ in range(BUCKET_COUNT)]
         self._quiet_at = dict[str, float]()  # when to look whether a name's rows have gone quiet
-        self._present = 0
-        self._others: tuple[str, ...] | None = None  # until who is present changes
-        self.put(float("-inf"), me)
+        self._present_count = 0
+        self._other_names: tuple[str, ...] | None = None  # until who is present changes
+        self.store(float("-inf"), me)
 
     def __repr__(self) -> str:
         ended = len(self._tombstones)
-        return f"<View of {self.local_name}: {self._present} present, {ended} tombstones, digest {self.digest:016x}>"
+        return f"<View of {self.local_name}: {self._present_count} present, {ended} tombstones, digest {self.digest:016x}>"
 
     @property
-    def myself(self) -> Member:
+    def local_member(self) -> Member:
         return self._members[self.local_name]
 
     @property
-    def present(self) -> int:
+    def present_count(self) -> int:
         """How many members are present, this one among them."""
-        return self._present
+        return self._present_count
 
     @property
-    def quiet(self) -> float:
+    def row_quiet_seconds(self) -> float:
         """Seconds without a change after which a row counts for the digest."""
-        return ROW_QUIET_SECONDS * max(1.0, self._present / ROW_QUIET_MEMBERS)
+        return ROW_QUIET_SECONDS * max(1.0, self._present_count / ROW_QUIET_MEMBERS)
 
     def get(self, name: str) -> Member | None:
         return self._members.get(name)
 
-    def others(self) -> Sequence[str]:
+    def other_names(self) -> Sequence[str]:
         """Names of all other present members, in the order in which they were first heard of."""
-        if self._others is None:
+        if self._other_names is None:
             held = self._members.items()
-            self._others = tuple(
+            self._other_names = tuple(
                 name for name, member in held if member.state.present and name != self.local_name
             )
-        return self._others
+        return self._other_names
 
     def members(self) -> tuple[Member, ...]:
         found = (member for member in self._members.values() if member.state.present)
         return tuple(sorted(found, key=attrgetter("name")))
 
-    def all_others(self) -> tuple[Member, ...]:
+    def all_other_members(self) -> tuple[Member, ...]:
         """All that is held of others, tombstones among it, sorted by name."""
         found = (member for name, member in self._members.items() if name != self.local_name)
         return tuple(sorted(found, key=attrgetter("name")))
 
-    def ended(self, now: float, within: float) -> list[Member]:
+    def recently_dead(self, now: float, within: float) -> list[Member]:
         """Members that are held dead since so many seconds at most."""
         recent = (self._members[name] for name, at in self._tombstones.items() if now - at <= within)
         return [member for member in recent if member.state is MemberState.DEAD]
@@ -116,20 +116,20 @@
         """Join a claim into the view; whether this changed it."""
         held = self._members.get(member.name)
         if held is None:
-            if member.state.present and self._present >= MAX_MEMBERS:
+            if member.state.present and self._present_count >= MAX_MEMBERS:
                 return False
         elif _claim_order(member) <= _claim_order(held):
             return False
-        self.put(now, member)
+        self.store(now, member)
         return True
 
-    def put(self, now: float, member: Member) -> None:
+    def store(self, now: float, member: Member) -> None:
         """Hold this of a member in place of what was held; the caller knows that it is the larger."""
         name = member.name
         held = self._members.get(name)
         if change := member.state.present - (held is not None and held.state.present):
-            self._present += change
-            self._others = None
+            self._present_count += change
+            self._other_names = None
         self._members[name] = member
         self._tombstones.pop(name, None)
         if not member.state.present:
@@ -142,12 +142,12 @@
         ):
             self._rows[name] = {key: row for key, row in rows.items() if row.life >= member.life}
             for key in rows.keys() - self._rows[name].keys():
-                self.queue.drop((name, key))
-        self._bucket_names[bucket(name)].add(name)
+                self.gossip_queue.drop((name, key))
+        self._bucket_names[bucket_of(name)].add(name)
         self._update_digests(now, name)
-        self.prune(now)
+        self.prune_tombstones(now)
 
-    def prune(self, now: float) -> None:
+    def prune_tombstones(self, now: float) -> None:
         """Forget tombstones that are old, or the oldest where there are too many."""
         while self._tombstones:
             name, at = next(iter(self._tombstones.items()))
@@ -155,9 +155,9 @@
                 return
             del self._tombstones[name], self._members[name]
             self._rows.pop(name, None)
-            self._bucket_names[bucket(name)].discard(name)
+            self._bucket_names[bucket_of(name)].discard(name)
             self._digest_contributions.pop(name, None)
-            self.queue.drop_name(name)
+            self.gossip_queue.drop_name(name)
 
     # Rows
 
@@ -169,7 +169,9 @@
         if subsystem not in mine and len(mine) >= MAX_SUBSYSTEMS:
             raise ValueError(f"row of {subsystem}: expected at most {MAX_SUBSYSTEMS} subsystems")
         version = mine[subsystem].version + 1 if subsystem in mine else 1
-        self._store_row(now, self.local_name, subsystem, StoredRow(self.myself.life, version, body, now, now))
+        self._store_row(
+            now, self.local_name, subsystem, StoredRow(self.local_member.life, version, body, now, now)
+        )
 
     def row_life(self, owner: str, subsystem: str) -> int | None:
         """The life of which a row is held; None where none is."""
@@ -199,7 +201,7 @@
         )
         return True
 
-    def confirm(self, now: float, owner: str, life: int, versions: int) -> None:
+    def confirm_rows(self, now: float, owner: str, life: int, versions: int) -> None:
         """The owner has just said the sum of its rows' versions: if that is the sum of those held, they are young."""
         rows = self._rows.get(owner)
         if rows and versions == sum(row.version for row in rows.values() if row.life == life):
@@ -207,17 +209,20 @@
                 if row.life == life:
                     rows[key] = replace(row, confirmed=now)
 
-    def versions(self) -> int:
+    def own_row_versions(self) -> int:
         """The sum of this member's own rows' versions, as told in each datagram."""
         return sum(row.version for row in self._rows.get(self.local_name, {}).values())
 
-    def relive(self, now: float) -> None:
+    def republish_rows(self, now: float) -> None:
         """This member has a new life: its own rows are said again in it."""
         rows = self._rows.pop(self.local_name, {})
         self._rows[self.local_name] = {}
         for key, row in rows.items():
             self._store_row(
-                now, self.local_name, key, replace(row, life=self.myself.life, confirmed=now, changed=now)
+                now,
+                self.local_name,
+                key,
+                replace(row, life=self.local_member.life, confirmed=now, changed=now),
             )
 
     def rows(self, now: float, subsystem: str) -> tuple[Row, ...]:
@@ -229,7 +234,7 @@
                 found.append(Row(name, row.life, row.version, member.state, age, row.body))
         return tuple(sorted(found, key=attrgetter("owner")))
 
-    def turn(self, now: float) -> None:
+    def refresh(self, now: float) -> None:
         """Let rows that have gone quiet count for the digest, and forget old tombstones. Once a period."""
         while self._quiet_at:
             name, at = next(iter(self._quiet_at.items()))
@@ -241,23 +246,23 @@
                 changed = max(
                     (row.changed for row in self._rows.get(name, {}).values()), default=float("-inf")
                 )
-                if changed + self.quiet > now:
-                    self._quiet_at[name] = changed + self.quiet
-        self.prune(now)
+                if changed + self.row_quiet_seconds > now:
+                    self._quiet_at[name] = changed + self.row_quiet_seconds
+        self.prune_tombstones(now)
 
     # For datagrams
 
     def bucket_digests(self) -> bytes:
         return b"".join(value.to_bytes(8, "big") for value in self._buckets)
 
-    def differing(self, buckets: bytes) -> int:
+    def differing_buckets(self, buckets: bytes) -> int:
         """The mask of buckets whose digests are not these."""
         mine = self.bucket_digests()
         return sum(
             1 << n for n in range(BUCKET_COUNT) if mine[8 * n : 8 * n + 8] != buckets[8 * n : 8 * n + 8]
         )
 
-    def keys(self, mask: int) -> list[tuple[int, str, str]]:
+    def list_keys(self, mask: int) -> list[tuple[int, str, str]]:
         """Keys of what is held of present members in these buckets, in order."""
         found = list[tuple[int, str, str]]()
         for number in range(BUCKET_COUNT):
@@ -268,14 +273,14 @@
                         found.extend((number, name, key) for key in sorted(self._valid_rows(name)))
         return found
 
-    def entry(self, name: str, by: str = "") -> Raw:
+    def encode_member(self, name: str, by: str = "") -> Raw:
         """A member as it is told to others."""
         member = self._members[name]
         return encode_record(
             MemberRecord(name, member.life, member.incarnation, member.state, member.zone, member.address, by)
         )
 
-    def cell(self, now: float, name: str, subsystem: str) -> Raw | None:
+    def encode_row(self, now: float, name: str, subsystem: str) -> Raw | None:
         """A row as it is told to others; None where there is none to tell."""
         row = self._valid_rows(name).get(subsystem)
         if row is None or not self._members[name].state.present:
@@ -283,7 +288,7 @@
         age = 0 if name == self.local_name else max(0, round((now - row.confirmed) * 1000))
         return encode_record(RowRecord(name, subsystem, row.life, row.version, age, row.body))
 
-    def better_row(self, name: str, subsystem: str, cell: RowRecord | None) -> bool:
+    def has_newer_row(self, name: str, subsystem: str, cell: RowRecord | None) -> bool:
         """Whether the row held is larger than the one told, None for none told."""
         row = self._valid_rows(name).get(subsystem)
         if row is None:
@@ -298,8 +303,8 @@
 
     def _store_row(self, now: float, owner: str, subsystem: str, row: StoredRow) -> None:
         self._rows.setdefault(owner, {})[subsystem] = row
-        self._quiet_at.setdefault(owner, now + self.quiet)
-        self.queue.add((owner, subsystem), None)
+        self._quiet_at.setdefault(owner, now + self.row_quiet_seconds)
+        self.gossip_queue.add((owner, subsystem), None)
         self._update_digests(now, owner)
 
     def _update_digests(self, now: float, name: str) -> None:
@@ -311,17 +316,17 @@
                 f"{member.life}/{member.incarnation}/{int(member.state)}/{name}/{member.zone}/{member.address}".encode()
             )
             for key, row in self._rows.get(name, {}).items():
-                if row.life == member.life and now - row.changed >= self.quiet:
+                if row.life == member.life and now - row.changed >= self.row_quiet_seconds:
                     rows ^= _hash(f"{name}/{key}/{row.life}/{row.version}/".encode() + row.body)
         before = self._digest_contributions.get(name, (0, 0))
         if before == (whole, rows):
             return
         if before[0] != whole:
-            self.changed = now
+            self.members_changed_at = now
         self._digest_contributions[name] = (whole, rows)
         self.digest ^= before[0] ^ whole
         self.rows_digest ^= before[1] ^ rows
-        self._buckets[bucket(name)] ^= before[0] ^ whole ^ before[1] ^ rows
+        self._buckets[bucket_of(name)] ^= before[0] ^ whole ^ before[1] ^ rows
 
 
 class GossipQueue:
@@ -354,13 +359,13 @@
 
     def take(self, now: float, view: View, room: int) -> tuple[list[Raw], list[Raw]]:
         """Records of members and rows for one datagram, ``room`` bytes at most; each counts as sent once."""
-        most = timing.transmission_limit(view.present)
+        most = timing.transmission_limit(view.present_count)
         told: tuple[list[Raw], list[Raw]] = ([], [])
         sent = list[tuple[tuple[str, str], Raw | None]]()
         for kind in (0, 1):
             for level in self._levels[kind]:
                 for key, record in level.items():
-                    ready = record if record is not None else view.cell(now, *key)
+                    ready = record if record is not None else view.encode_row(now, *key)
                     if ready is None:  # a row that has ended meanwhile
                         sent.append((key, None))
                         self._level_of[key] = most
@@ -394,7 +399,7 @@
 
 
 @lru_cache(maxsize=2 * (MAX_MEMBERS + MAX_TOMBSTONES))
-def bucket(name: str) -> int:
+def bucket_of(name: str) -> int:
     """The bucket of a name, the same at all members."""
     return blake2b(name.encode(), digest_size=1).digest()[0] % BUCKET_COUNT
 
--- a/tests/fleet/test_bed.py
+++ b/tests/fleet/test_bed.py
@@ -135,7 +135,7 @@
 def test_one_that_returns_with_its_clock_an_hour_back_lives_again_and_its_old_life_does_not() -> None:
     bed = grown(8)
     bed.run(10)
-    old = bed.hosts["l2"].detector.view.myself.life
+    old = bed.hosts["l2"].detector.view.local_member.life
     bed.kill("l2")
     bed.run(12)
     bed.start("l2", ["l0", "l1"], offset=-3600.0)
@@ -154,7 +154,9 @@
     few = {"l5", "l6", "l7"}
     bed.cuts.append(lambda a, b: (a in few) != (b in few))
     bed.run(bed.now + 20)
-    assert bed.hosts["l0"].detector.view.present == 5 and bed.hosts["l6"].detector.view.present == 3
+    assert (
+        bed.hosts["l0"].detector.view.present_count == 5 and bed.hosts["l6"].detector.view.present_count == 3
+    )
     bed.cuts.clear()
     healed = bed.now
     wait_agreed(bed, timing.agree_bound(8, 0.5))
@@ -169,7 +171,7 @@
     bed.fleet(6, seeds=0)
     bed.cuts.append(lambda a, b: (a in {"l0", "l1"}) != (b in {"l0", "l1"}))
     bed.run(20)
-    assert {host.detector.view.present for host in bed.live()} == {2, 4}
+    assert {host.detector.view.present_count for host in bed.live()} == {2, 4}
     bed.cuts.clear()
     wait_agreed(bed, timing.agree_bound(6, 0.5))
 
@@ -216,10 +218,10 @@
     for n in range(2, 8):
         bed.start(f"l{n}", ["l0", "l1"])
     bed.run(40)
-    assert {host.detector.view.present for host in bed.live()} == {1}
+    assert {host.detector.view.present_count for host in bed.live()} == {1}
     bed.start("l0", ["l0", "l1"])
     wait_agreed(bed, 16 * 1.25 * 0.5 + timing.agree_bound(8, 0.5))
-    assert bed.hosts["l0"].detector.view.present == 7
+    assert bed.hosts["l0"].detector.view.present_count == 7
 
 
 def test_rows_reach_all_in_time_and_a_lost_one_is_found_by_exchange() -> None:
@@ -248,7 +250,7 @@
     bed = grown(40, warm=True)
     bed.run(15)  # nothing is sent on any more
     bed.start("new", ["l0", "l1"])
-    assert bed.run(bed.now + 1.0, lambda: bed.hosts["new"].detector.view.present == 41)
+    assert bed.run(bed.now + 1.0, lambda: bed.hosts["new"].detector.view.present_count == 41)
 
 
 def test_a_row_said_once_behind_a_cut_is_found_after_it() -> None:
--- a/tests/fleet/test_detector.py
+++ b/tests/fleet/test_detector.py
@@ -162,18 +162,18 @@
 def test_of_itself_it_refutes_above_what_is_told() -> None:
     one = One("x")
     one.hear("x", told=(claim("me", MemberState.SUSPECTED, 4, by="x"),))
-    me = one.detector.view.myself
+    me = one.detector.view.local_member
     assert (me.incarnation, me.state) == (5, MemberState.ALIVE) or me.state is MemberState.JOINING
     one.hear("x", told=(claim("me", MemberState.SUSPECTED, 5, by="x"),))
-    assert one.detector.view.myself.incarnation == 6
+    assert one.detector.view.local_member.incarnation == 6
     one.hear("x", told=(claim("me", MemberState.SUSPECTED, 5, by="x"),))
-    assert one.detector.view.myself.incarnation == 6
+    assert one.detector.view.local_member.incarnation == 6
     one.hear(
         "x", told=(claim("me", MemberState.DEAD, 5, by="x"),)
     )  # an end is final in a life, whatever the incarnation
-    assert one.detector.view.myself.rank[:3] == (LIFE + 1, False, 0)
+    assert one.detector.view.local_member.rank[:3] == (LIFE + 1, False, 0)
     one.hear("x", told=(claim("me", MemberState.DEAD, 5, by="x"),))
-    assert one.detector.view.myself.rank[:3] == (LIFE + 1, False, 0)
+    assert one.detector.view.local_member.rank[:3] == (LIFE + 1, False, 0)
 
 
 def test_a_later_life_of_its_name_lifts_its_own_above_and_says_its_rows_anew() -> None:
@@ -324,12 +324,12 @@
     one = One(seeds=("s:1", "me:1"))
     one.wait(200)
     knocks = sum(1 for where, e in one.sent if where == "s:1" and isinstance(e.message, wire.Ping))
-    assert 10 <= knocks <= 60 and one.detector.view.myself.state is MemberState.JOINING
+    assert 10 <= knocks <= 60 and one.detector.view.local_member.state is MemberState.JOINING
     assert {where for where, _ in one.sent} == {"s:1"}
 
 
 def test_one_without_other_seeds_is_alive_at_once() -> None:
-    assert One(seeds=("me:1",)).detector.view.myself.state is MemberState.ALIVE
+    assert One(seeds=("me:1",)).detector.view.local_member.state is MemberState.ALIVE
 
 
 def test_a_ping_meant_for_another_is_not_answered() -> None:
--- a/tests/fleet/test_exchange.py
+++ b/tests/fleet/test_exchange.py
@@ -26,16 +26,16 @@
     for n in range(1, size if rows else 0):
         for subsystem in ("lanes", "closing"):
             view.merge_row(LONG_AGO, wire.RowRecord(f"l{n}", subsystem, LIFE, 1, 0, ROW))
-    view.turn(bed.now)
+    view.refresh(bed.now)
     for n in range(size):
-        view.queue.drop_name(f"l{n}")
+        view.gossip_queue.drop_name(f"l{n}")
     return host
 
 
 def held(host: Host) -> tuple[int, int]:
     """Members and rows."""
     view = host.detector.view
-    return view.present, sum(len(view.rows(0.0, key)) for key in ("lanes", "closing"))
+    return view.present_count, sum(len(view.rows(0.0, key)) for key in ("lanes", "closing"))
 
 
 def test_one_that_joins_a_large_fleet_is_alive_once_it_has_the_whole_view() -> None:
@@ -43,7 +43,9 @@
     large(bed)
     new = bed.start("new", ["l0"])
     began = bed.now
-    assert bed.run(began + 1.0, lambda: new.detector.view.myself.state is MemberState.ALIVE, every=0.001)
+    assert bed.run(
+        began + 1.0, lambda: new.detector.view.local_member.state is MemberState.ALIVE, every=0.001
+    )
     assert held(new) == (MANY + 1, 2 * (MANY - 1)) and bed.now - began < 0.5
 
 
@@ -58,8 +60,8 @@
             view.publish(LONG_AGO, subsystem, ROW)
             for name in names:
                 view.merge_row(LONG_AGO, wire.RowRecord(name, subsystem, LIFE, 1, 0, ROW))
-        view.turn(bed.now)
-        view.queue = GossipQueue()
+        view.refresh(bed.now)
+        view.gossip_queue = GossipQueue()
     new = bed.start("new", ["l0"])
     assert bed.run(bed.now + ROW_QUIET_SECONDS / 2, lambda: held(new) == (41, 80)), held(new)
 
@@ -94,7 +96,9 @@
     bed = Bed(1, delay=IN_ORDER)
     large(bed)
     new = bed.start("new", ["l0"])
-    assert bed.run(bed.now + 0.4, lambda: new.detector.view.myself.state is MemberState.ALIVE, every=0.001)
+    assert bed.run(
+        bed.now + 0.4, lambda: new.detector.view.local_member.state is MemberState.ALIVE, every=0.001
+    )
     assert new.detector.counts["sent"] < 20
 
 
@@ -109,5 +113,7 @@
     assert held(new)[0] < MANY
     bed.run(bed.now + 0.01)
     again = bed.start("new", ["l0"])
-    assert bed.run(bed.now + 0.4, lambda: again.detector.view.myself.state is MemberState.ALIVE, every=0.001)
+    assert bed.run(
+        bed.now + 0.4, lambda: again.detector.view.local_member.state is MemberState.ALIVE, every=0.001
+    )
     assert held(again) == (MANY + 1, 2 * (MANY - 1))
--- a/tests/fleet/test_final_death.py
+++ b/tests/fleet/test_final_death.py
@@ -42,7 +42,7 @@
 def test_who_is_told_that_it_is_dead_goes_on_in_a_new_life() -> None:
     one = One("x")
     one.hear("x", told=(claim("me", MemberState.DEAD, 0, by="x"),))
-    me = one.detector.view.myself
+    me = one.detector.view.local_member
     assert (me.life, me.incarnation) == (LIFE + 1, 0) and me.state.present
 
 
--- a/tests/fleet/test_view.py
+++ b/tests/fleet/test_view.py
@@ -101,7 +101,7 @@
     fresh = View(ME)
     for member in view.members():
         fresh.merge(0.0, member)
-    assert fresh.digest == view.digest and fresh.present == view.present == len(view.members())
+    assert fresh.digest == view.digest and fresh.present_count == view.present_count == len(view.members())
 
 
 def test_a_row_ends_with_its_life() -> None:
@@ -136,19 +136,19 @@
 
 def test_an_owner_that_names_its_versions_makes_its_rows_young() -> None:
     view = put(View(ME), [Member("x", 5, 0, MemberState.ALIVE), RowRecord("x", "lanes", 5, 9, 0, b"")])
-    view.confirm(30.0, "x", 5, 8)
+    view.confirm_rows(30.0, "x", 5, 8)
     assert view.rows(30.0, "lanes")[0].age == 30.0
-    view.confirm(30.0, "x", 5, 9)
+    view.confirm_rows(30.0, "x", 5, 9)
     assert view.rows(30.0, "lanes")[0].age == 0.0
 
 
 def test_rows_count_for_the_digest_when_they_have_gone_quiet() -> None:
     view, other = View(ME), View(ME)
     view.publish(0.0, "lanes", b"1")
-    view.turn(1.0)
-    assert view.rows_digest == other.rows_digest and not view.differing(other.bucket_digests())
-    view.turn(ROW_QUIET_SECONDS + 0.1)
-    assert view.rows_digest != other.rows_digest and view.differing(other.bucket_digests())
+    view.refresh(1.0)
+    assert view.rows_digest == other.rows_digest and not view.differing_buckets(other.bucket_digests())
+    view.refresh(ROW_QUIET_SECONDS + 0.1)
+    assert view.rows_digest != other.rows_digest and view.differing_buckets(other.bucket_digests())
     view.publish(11.0, "lanes", b"2")
     assert view.rows_digest == other.rows_digest and view.digest == other.digest
 
@@ -162,7 +162,7 @@
     assert not view.merge(9.0, Member("x4", 5, 0, MemberState.SUSPECTED)) and not view.merge(
         9.0, Member("x4", 4, 7, MemberState.ALIVE)
     )
-    view.turn(TOMBSTONE_SECONDS + 3.5)
+    view.refresh(TOMBSTONE_SECONDS + 3.5)
     assert view.get("x3") is None and view.get("x4") is not None
 
 
@@ -170,18 +170,18 @@
     monkeypatch.setattr(module, "MAX_MEMBERS", 3)
     view = View(ME)
     taken = [view.merge(0.0, Member(f"x{n}", 5, 0, MemberState.ALIVE)) for n in range(4)]
-    assert taken == [True, True, False, False] and view.present == 3
+    assert taken == [True, True, False, False] and view.present_count == 3
 
 
 def test_what_was_sent_least_goes_first_and_so_often_as_the_size_asks() -> None:
     view = View(ME)
     for n in range(8):
         view.merge(0.0, Member(f"x{n}", 5, 0, MemberState.ALIVE))
-        view.queue.add((f"x{n}", ""), view.entry(f"x{n}"))
-    one = len(view.entry("x0"))
+        view.gossip_queue.add((f"x{n}", ""), view.encode_member(f"x{n}"))
+    one = len(view.encode_member("x0"))
     sent = list[bytes]()
-    while len(view.queue):
-        told, _ = view.queue.take(0.0, view, 3 * one + 1)
+    while len(view.gossip_queue):
+        told, _ = view.gossip_queue.take(0.0, view, 3 * one + 1)
         assert 0 < len(told) <= 3
         sent += [bytes(record) for record in told]
     assert len(set(sent[:8])) == 8 and {sent.count(record) for record in sent} == {5}
