--- a/benchmarks/fleet_bed.py
+++ b/benchmarks/fleet_bed.py
@@ -183,7 +183,7 @@
         """Whether all live processes have one digest, and it is of just them."""
         live = self.live()
         first = live[0].detector.view
-        return first.present == len(live) and all(h.detector.view.digest == first.digest for h in live)
+        return first.present_count == len(live) and all(h.detector.view.digest == first.digest for h in live)
 
     def deaths(self) -> list[News]:
         return [news for news in self.news if news.member.state is MemberState.DEAD]
