--- a/benchmarks/together_mutants.py
+++ b/benchmarks/together_mutants.py
@@ -55,8 +55,8 @@
 
 def _death_without_suspicion() -> None:
     def failed(self: Detector, key: str) -> None:
-        probe = self._probes.end(int(key))
-        held = self.view.get(probe.target) if probe is not None and probe.counts else None
+        probe = self._probes.remove(int(key))
+        held = self.view.get(probe.target) if probe is not None and probe.accuses else None
         if probe is not None and held is not None and held.life == probe.life and held.state.present:
             self._store_claim(replace(held, state=MemberState.DEAD), "probe", self.view.local_name)
 
--- a/cypresspulley/fleet/clocks.py
+++ b/cypresspulley/fleet/clocks.py
@@ -22,14 +22,14 @@
     def __repr__(self) -> str:
         return f"<Clocks of {len(self._bounds)} others>"
 
-    def answered(self, name: str, sent: float, now: float, wall: float) -> None:
+    def record_answer(self, name: str, sent: float, now: float, wall: float) -> None:
         """``name``'s clock read ``wall`` (Unix seconds) between the instants ``sent`` and ``now``."""
         self._bounds[name] = (wall - now, wall - sent, now)
 
     def forget(self, name: str) -> None:
         self._bounds.pop(name, None)
 
-    def error(self, now: float, wall: float, others: int) -> tuple[float, float] | None:
+    def estimate_error(self, now: float, wall: float, others: int) -> tuple[float, float] | None:
         """Bounds (low, high) in seconds on this wall clock less the median of the others'.
 
         Each of the n true differences lies in its interval, and a median only rises with any of its numbers: so the
--- a/cypresspulley/fleet/detector.py
+++ b/cypresspulley/fleet/detector.py
@@ -69,10 +69,10 @@
 from cypresspulley.fleet.exchange import Exchange
 from cypresspulley.fleet.outbox import Outbox
 from cypresspulley.fleet.peers import Peers
-from cypresspulley.fleet.probes import Calls, Probes, Relay
+from cypresspulley.fleet.probes import AbsentContacts, Probes, Relay
 from cypresspulley.fleet.records import Member, MemberState
 from cypresspulley.fleet.suspicion import Suspicions
-from cypresspulley.fleet.timers import Health, Timers
+from cypresspulley.fleet.timers import LocalHealth, Timers
 from cypresspulley.fleet.view import View
 from cypresspulley.fleet.wire import Envelope
 
@@ -96,12 +96,12 @@
         self.clocks = ClockEstimates()
         self.documents = Documents()
         self.counts = Counter[str]()  # datagrams sent, taken, and dropped by cause
-        self.health = Health()
+        self.health = LocalHealth()
         self.peers = Peers(self.view)
         self._codec = codec
         self._timers = Timers(period)
         self._probes = Probes(self.view, rng)
-        self._contacts = Calls(tuple(seed for seed in dict.fromkeys(seeds) if seed != me.address), rng)
+        self._contacts = AbsentContacts(tuple(seed for seed in dict.fromkeys(seeds) if seed != me.address), rng)
         self._suspicions = Suspicions(period)
         self._outbox = Outbox(codec, self.view, self.counts)
         self._exchange = Exchange(self.view, self._outbox, period)
@@ -116,23 +116,23 @@
     @property
     def due(self) -> float:
         """The instant of the next ``Tick``; infinity before ``Begin`` and after ``End``."""
-        return float("inf") if self.ended else self._timers.due
+        return float("inf") if self.ended else self._timers.next_due
 
     def handle(self, now: float, wall: float, event: Event) -> list[Action]:
         """``now`` in seconds of a clock that never steps, ``wall`` Unix seconds by the wall clock."""
         if self.ended:
             return []
         self._outbox.now, self._outbox.wall = now, wall
-        if late := self._timers.stalled(now):
-            self._probes.excuse()
-            self._suspicions.put_off(late)
-            self.health.stood_still(now, late, self._timers.period)
+        if late := self._timers.absorb_stall(now):
+            self._probes.stop_accusing()
+            self._suspicions.postpone(late)
+            self.health.record_stall(now, late, self._timers.period)
             self.counts["stalls"] += 1
         match event:
             case DatagramReceived(data):
                 self._receive_datagram(data)
             case TimerFired():
-                while timer := self._timers.pop(now):
+                while timer := self._timers.pop_due(now):
                     _TIMER_HANDLERS[timer[0]](self, timer[1])
             case Started():
                 self._start()
@@ -140,25 +140,25 @@
                 self._announce_leaving()
             case Stopped():
                 self._announce_left()
-        return self._outbox.empty()
+        return self._outbox.drain()
 
     def settled(self) -> bool:
         """Whether every other present member has last told the digest that is this one's own."""
-        return self.view.local_member.state is not MemberState.JOINING and self.peers.agree()
+        return self.view.local_member.state is not MemberState.JOINING and self.peers.all_agree()
 
     @property
     def _now(self) -> float:
         return self._outbox.now
 
     def _schedule_after(self, periods: float, kind: str, key: str = "") -> None:
-        self._timers.after(self._now, periods, kind, key)
+        self._timers.schedule_after(self._now, periods, kind, key)
 
     # Beginning and end
 
     def _start(self) -> None:
-        self._outbox.introduce()  # the view may have been filled before
+        self._outbox.refresh_sender()  # the view may have been filled before
         self._report_change(self.view.local_member, "self")
-        self._schedule_after(self._probes.draw(), "period")
+        self._schedule_after(self._probes.random_phase(), "period")
         if self._contacts.seeds:
             self._ping_seeds("")
         else:
@@ -168,9 +168,9 @@
         """Knock at some seeds, ever more seldom, until there is somebody."""
         if self.view.present_count > 1 and self.view.local_member.state is not MemberState.JOINING:
             return
-        for address in self._contacts.knock():
+        for address in self._contacts.sample_seeds():
             self._ping("", address, counts=False)
-        self._schedule_after(self._contacts.pause(), "seed")
+        self._schedule_after(self._contacts.next_retry_periods(), "seed")
 
     def _finish_joining(self) -> None:
         if self.view.local_member.state is MemberState.JOINING:
@@ -190,17 +190,17 @@
 
     def _announce_departure(self) -> None:
         """Tell some members of this one's end directly: the rest hear it from them."""
-        for name in self._probes.others(LEAVE_FANOUT):
-            self._outbox.say(name, wire.Gossip())
+        for name in self._probes.sample_others(LEAVE_FANOUT):
+            self._outbox.send_to_member(name, wire.Gossip())
 
     def _update_self(self, me: Member, cause: str) -> None:
         """Hold this of myself, and say it."""
         rose = me.life != self.view.local_member.life
         self.view.store(self._now, me)
-        record = self._outbox.introduce(rose)
+        record = self._outbox.refresh_sender(rose)
         if rose:
             self.view.republish_rows(self._now)
-            self._outbox.act(LifeRaised(me.life, self.view.all_other_members(), self._settled_action()))
+            self._outbox.add_action(LifeRaised(me.life, self.view.all_other_members(), self._settled_action()))
         self.view.gossip_queue.add((me.name, ""), record)
         self._report_change(me, cause)
 
@@ -213,15 +213,15 @@
         if target := self._probes.next_target():
             self._ping(target, self._address(target))
         if len(self.view.gossip_queue):
-            for name in self._probes.others(GOSSIP_FANOUT):
-                self._outbox.say(name, wire.Gossip())
+            for name in self._probes.sample_others(GOSSIP_FANOUT):
+                self._outbox.send_to_member(name, wire.Gossip())
         recent = self._now - self.view.members_changed_at <= timing.DIGEST_CHECK_PERIODS * self._timers.period
         if recent and not self._suspicions:  # what is in suspense changes again
-            for name in self.peers.differing(timing.DIGEST_CHECKS_PER_PERIOD):
+            for name in self.peers.list_differing(timing.DIGEST_CHECKS_PER_PERIOD):
                 self._ping(name, self._address(name), counts=False)
         if self._contacts.periods % timing.RECALL_PERIODS == 0:
             self._ping_absent()
-        for digest in self.documents.wanted():
+        for digest in self.documents.start_period():
             self._request_parts(digest)
         self._report_settled()
 
@@ -229,16 +229,16 @@
         """A word to one that is not in the view, so that a cut that ends is noticed."""
         dead = [(m.name, m.address) for m in self.view.recently_dead(self._now, DEAD_RECALL_SECONDS)]
         held = {m.address for m in self.view.members()} if self._contacts.seeds else set()
-        if call := self._contacts.recall(dead, held):
+        if call := self._contacts.choose_absent(dead, held):
             self._ping(*call, counts=False)
-        for name in self.peers.unknown():  # its tombstone is gone
+        for name in self.peers.list_forgotten():  # its tombstone is gone
             self._forget_peer(name)
 
     def _report_settled(self) -> None:
         settled = self.settled()
-        if settled != self.peers.settled:
-            self.peers.settled = settled
-            self._outbox.act(self._settled_action())
+        if settled != self.peers.reported_settled:
+            self.peers.reported_settled = settled
+            self._outbox.add_action(self._settled_action())
 
     def _settled_action(self) -> Settled:
         return Settled(self.settled(), self.view.digest, self.view.present_count)
@@ -250,33 +250,33 @@
     # Probes
 
     def _ping(self, name: str, address: str, counts: bool = True) -> None:
-        nonce = self._probes.begin(self._now, self._timers.number(), name, counts)
-        stretch = 1 + self.health.value
+        nonce = self._probes.start(self._now, self._timers.next_number(), name, counts)
+        stretch = 1 + self.health.score
         if counts:
             self._schedule_after(timing.DIRECT_TIMEOUT_PERIODS * stretch, "direct", str(nonce))
         self._schedule_after(timing.PROBE_TIMEOUT_PERIODS * stretch, "failed", str(nonce))
         held = self.view.get(name)
         doubted = [name] if held is not None and held.state >= MemberState.SUSPECTED else []
-        self._outbox.post(address, wire.Ping(nonce, name), doubted)
+        self._outbox.send_with_gossip(address, wire.Ping(nonce, name), doubted)
 
     def _on_direct_timeout(self, key: str) -> None:
         probe = self._probes.get(int(key))
-        if probe is None or not probe.counts:
+        if probe is None or not probe.accuses:
             return
-        drawn = self._probes.others(timing.INDIRECT_PROBES + 1)
+        drawn = self._probes.sample_others(timing.INDIRECT_PROBES + 1)
         helpers = [name for name in drawn if name != probe.target][: timing.INDIRECT_PROBES]
-        probe.asked = len(helpers)
+        probe.helpers = len(helpers)
         for name in helpers:
-            self._outbox.say(name, wire.PingRequest(int(key), probe.target, self._address(probe.target)))
+            self._outbox.send_to_member(name, wire.PingRequest(int(key), probe.target, self._address(probe.target)))
 
     def _on_probe_timeout(self, key: str) -> None:
-        probe = self._probes.end(int(key))
-        if probe is None or not probe.counts:
+        probe = self._probes.remove(int(key))
+        if probe is None or not probe.accuses:
             return
         if (
-            probe.missed < probe.asked or not probe.asked
+            probe.nacks < probe.helpers or not probe.helpers
         ):  # a helper says nothing: it may be me who hears badly
-            self.health.feel(1)
+            self.health.adjust(1)
         held = self.view.get(probe.target)
         if held is None or held.life != probe.life:
             return
@@ -286,26 +286,26 @@
             self._apply_claim(replace(held, state=MemberState.SUSPECTED), "probe", self.view.local_name)
 
     def _on_relay_timeout(self, key: str) -> None:
-        if relay := self._probes.end_relay(int(key)):
-            self._outbox.post(relay.address, wire.PingRequestNack(relay.nonce))
+        if relay := self._probes.remove_relay(int(key)):
+            self._outbox.send_with_gossip(relay.address, wire.PingRequestNack(relay.nonce))
 
     # Suspicion
 
     def _on_suspicion_timeout(self, name: str) -> None:
-        until, held = self._suspicions.until(name, self.view.present_count), self.view.get(name)
+        until, held = self._suspicions.deadline(name, self.view.present_count), self.view.get(name)
         if until is None or held is None:
             return
-        if until > self._now or self._now < self.health.doubt_until:
-            self._schedule_suspicion_end(name, max(until, self.health.doubt_until))
+        if until > self._now or self._now < self.health.no_deaths_until:
+            self._schedule_suspicion_end(name, max(until, self.health.no_deaths_until))
             return
-        suspicion = self._suspicions.end(name)
-        cause = "told" if suspicion is not None and suspicion.told else "probe"
+        suspicion = self._suspicions.remove(name)
+        cause = "told" if suspicion is not None and suspicion.death_reported else "probe"
         over = MemberState.LEFT if held.state is MemberState.LEAVING else MemberState.DEAD
         self._store_claim(replace(held, state=over), cause, self.view.local_name)
 
     def _suspect_leaver(self, name: str) -> None:
         """A leaver does not answer: a suspicion that is kept to myself, and ends in ``left``."""
-        _, until = self._suspicions.accuse(
+        _, until = self._suspicions.add_accuser(
             self._now, name, self.view.local_name, False, self.view.present_count
         )
         if until is not None:
@@ -315,14 +315,14 @@
         """It has just answered: a leaver is no longer missed. Of one that is suspected, only a refutation tells."""
         held = self.view.get(name)
         if held is not None and held.state is MemberState.LEAVING:
-            self._suspicions.end(name)
+            self._suspicions.remove(name)
 
     def _schedule_suspicion_end(self, name: str, until: float) -> None:
-        self._timers.at(max(until, self._now + 1e-3), "suspicion", name)
+        self._timers.schedule_at(max(until, self._now + 1e-3), "suspicion", name)
 
     def _add_accuser(self, name: str, by: str, told: bool) -> None:
         """One more that suspects the member, or holds it dead: the time is shorter from here on."""
-        new, until = self._suspicions.accuse(self._now, name, by, told, self.view.present_count)
+        new, until = self._suspicions.add_accuser(self._now, name, by, told, self.view.present_count)
         if new:
             self.view.gossip_queue.add((name, ""), self.view.encode_member(name, by))
         if until is not None:
@@ -341,8 +341,8 @@
         suspicion = self._suspicions.get(entry.name)
         if suspicion is None:
             return entry.state == held.state and entry.zone == held.zone and entry.address == held.address
-        dead = suspicion.told and entry.state is MemberState.DEAD
-        return suspicion.accused(by) and (entry.state is MemberState.SUSPECTED or dead)
+        dead = suspicion.death_reported and entry.state is MemberState.DEAD
+        return suspicion.has_accuser(by) and (entry.state is MemberState.SUSPECTED or dead)
 
     def _apply_claim(self, claim: Member, cause: str, by: str) -> None:
         """A claim about a member, ``by`` its maker where it accuses."""
@@ -383,14 +383,14 @@
         if not self.view.merge(self._now, claim):
             return
         if claim.state is not MemberState.SUSPECTED or (held is not None and held.rank[:3] != claim.rank[:3]):
-            self._suspicions.end(claim.name)
+            self._suspicions.remove(claim.name)
         if held is not None and held.life != claim.life:
             self._forget_peer(claim.name)
         if held is not None and held.life == claim.life and claim.state < MemberState.SUSPECTED <= held.state:
             cause = "refuted"
         self.view.gossip_queue.add((claim.name, ""), self.view.encode_member(claim.name, by))
         if held is None and claim.state.present:
-            self._probes.joined(claim.name)
+            self._probes.add_to_round(claim.name)
         if held is not None or claim.state.present:  # one that was never held here has not died here
             self._report_change(claim, cause)
 
@@ -407,15 +407,15 @@
                 self._update_self(replace(me, life=claim.life + 1, incarnation=0), "self")
         elif claim.life == me.life and claim.rank > me.rank:
             if claim.state >= MemberState.SUSPECTED:
-                self.health.feel(1)
+                self.health.adjust(1)
             if claim.state.present:
                 self._update_self(replace(me, incarnation=claim.incarnation + 1), "refuted")
             else:
                 self._update_self(replace(me, life=me.life + 1, incarnation=0), "refuted")
 
     def _report_change(self, member: Member, cause: str) -> None:
-        self._outbox.act(MemberChanged(member, cause))
-        if self.peers.settled:
+        self._outbox.add_action(MemberChanged(member, cause))
+        if self.peers.reported_settled:
             self._report_settled()
 
     # Datagrams in
@@ -432,7 +432,7 @@
         elif sender.name == self.view.local_name:  # an echo, or another life of mine that still speaks
             self.counts["own"] += 1
             self._apply_claim_about_self(sender.member())
-        elif not self.peers.fresh(envelope):
+        elif not self.peers.is_new(envelope):
             self.counts["replayed"] += 1
         else:
             self.counts["taken"] += 1
@@ -447,14 +447,14 @@
         for cell in envelope.row_records:
             before = self.view.row_life(cell.owner, cell.subsystem)
             if self.view.merge_row(self._now, cell) and before != cell.life:
-                self._outbox.act(RowAccepted(cell.owner, cell.life, cell.subsystem))
+                self._outbox.add_action(RowAccepted(cell.owner, cell.life, cell.subsystem))
         held = self.view.get(sender.name)
         if held is None:  # no room for it
             self.counts["full"] += 1
             return
         if held.life == sender.life:
             self._clear_leaver_suspicion(sender.name)
-            self.peers.note(self._now, envelope)
+            self.peers.record(self._now, envelope)
             self.view.confirm_rows(self._now, sender.name, sender.life, envelope.row_versions)
         _MESSAGE_HANDLERS[type(envelope.message)](self, envelope)
         self._resolve_difference(envelope)
@@ -470,12 +470,12 @@
         if held is None:
             return
         better = [] if isinstance(envelope.message, wire.Ping) else self._newer_record_of(sender)
-        if better and self.peers.may_amend(self._now, sender, self._timers.period):
-            self._outbox.post(sender.address, wire.Gossip(), better)
+        if better and self.peers.may_correct(self._now, sender, self._timers.period):
+            self._outbox.send_with_gossip(sender.address, wire.Gossip(), better)
         joining = self.view.local_member.state is MemberState.JOINING
         differ = (envelope.members_digest, envelope.rows_digest) != (self.view.digest, self.view.rows_digest)
-        if (differ or joining) and held.state.present and self._exchange.due(joining):
-            self._exchange.begin(self._timers.number(), sender.address)
+        if (differ or joining) and held.state.present and self._exchange.may_start(joining):
+            self._exchange.start(self._timers.next_number(), sender.address)
 
     def _on_ping(self, envelope: Envelope) -> None:
         ping, sender = envelope.message, envelope.sender
@@ -483,97 +483,97 @@
         if ping.target and ping.target != self.view.local_name:
             self.counts["astray"] += 1
             return
-        self._outbox.post(sender.address, wire.Ack(ping.nonce), self._newer_record_of(sender))
+        self._outbox.send_with_gossip(sender.address, wire.Ack(ping.nonce), self._newer_record_of(sender))
 
     def _on_ack(self, envelope: Envelope) -> None:
         ack, sender = envelope.message, envelope.sender
         assert isinstance(ack, wire.Ack)
-        if (relay := self._probes.relayed(ack.nonce)) is not None:
+        if (relay := self._probes.get_relay(ack.nonce)) is not None:
             if relay.target == sender.name:
-                self._probes.end_relay(ack.nonce)
-                self._outbox.post(relay.address, wire.PingRequestAck(relay.nonce))
+                self._probes.remove_relay(ack.nonce)
+                self._outbox.send_with_gossip(relay.address, wire.PingRequestAck(relay.nonce))
             return
-        probe = self._probes.answered(ack.nonce, sender.name, sender.life)
+        probe = self._probes.complete(ack.nonce, sender.name, sender.life)
         if probe is None:
             self.counts["unasked"] += 1
             return
-        if probe.counts:
-            self.health.feel(-1)
-        self.clocks.answered(sender.name, probe.sent, self._now, envelope.wall_ms / 1000)
+        if probe.accuses:
+            self.health.adjust(-1)
+        self.clocks.record_answer(sender.name, probe.sent, self._now, envelope.wall_ms / 1000)
 
     def _on_ping_request(self, envelope: Envelope) -> None:
         ask = envelope.message
         assert isinstance(ask, wire.PingRequest)
         relay = Relay(envelope.sender.address, ask.nonce, ask.target)
-        nonce = self._probes.relay(self._timers.number(), relay)
+        nonce = self._probes.start_relay(self._timers.next_number(), relay)
         if nonce is None:
             self.counts["relays refused"] += 1
             return
         self._schedule_after(timing.DIRECT_TIMEOUT_PERIODS, "relay", str(nonce))
-        self._outbox.post(ask.address, wire.Ping(nonce, ask.target))
+        self._outbox.send_with_gossip(ask.address, wire.Ping(nonce, ask.target))
 
     def _on_ping_request_ack(self, envelope: Envelope) -> None:
         assert isinstance(envelope.message, wire.PingRequestAck)
         probe = self._probes.get(envelope.message.nonce)
-        if probe is not None and probe.counts and probe.asked:
-            self._probes.end(envelope.message.nonce)
-            self.health.feel(-1)
+        if probe is not None and probe.accuses and probe.helpers:
+            self._probes.remove(envelope.message.nonce)
+            self.health.adjust(-1)
             self._clear_leaver_suspicion(probe.target)
 
     def _on_ping_request_nack(self, envelope: Envelope) -> None:
         assert isinstance(envelope.message, wire.PingRequestNack)
         probe = self._probes.get(envelope.message.nonce)
-        if probe is not None and probe.missed < probe.asked:
-            probe.missed += 1
+        if probe is not None and probe.nacks < probe.helpers:
+            probe.nacks += 1
 
     def _on_gossip(self, envelope: Envelope) -> None:
         """What stands beside it has been taken."""
 
     def _on_sync_request(self, envelope: Envelope) -> None:
-        self._exchange.on_compare(envelope)
+        self._exchange.on_sync_request(envelope)
 
     def _on_sync_piece(self, envelope: Envelope) -> None:
         assert isinstance(envelope.message, wire.SyncPiece)
-        if not self._exchange.takes(envelope.message):
+        if not self._exchange.accept_piece(envelope.message):
             self.counts["unasked"] += 1
             return
         if envelope.message.last:
-            more = self._exchange.goes_on(envelope.message)
+            more = self._exchange.has_more(envelope.message)
             if more and self.view.local_member.state is MemberState.JOINING:
-                self._exchange.begin(self._timers.number(), envelope.sender.address)
+                self._exchange.start(self._timers.next_number(), envelope.sender.address)
             else:
                 self._finish_joining()
-        self._exchange.on_piece(envelope)
+        self._exchange.on_sync_piece(envelope)
 
     def _on_sync_corrections(self, envelope: Envelope) -> None:
-        self._exchange.on_amend(envelope)
+        self._exchange.on_sync_corrections(envelope)
 
     # Documents
 
     def _request_parts(self, digest: bytes, name: str = "") -> None:
         """Ask one member, drawn where none is named, for the next parts."""
-        request = self.documents.request(digest)
-        names = [name] if name else self._probes.others(1)
+        request = self.documents.next_parts_request(digest)
+        names = [name] if name else self._probes.sample_others(1)
         if request is not None and names:
-            self._outbox.say(names[0], request)
+            self._outbox.send_to_member(names[0], request)
 
     def _on_document_request(self, envelope: Envelope) -> None:
         assert isinstance(envelope.message, wire.DocumentRequest)
         address = envelope.sender.address
-        parts = self.documents.parts(envelope.message)
+        parts = self.documents.requested_parts(envelope.message)
         if parts is None:
-            self._outbox.post(address, wire.DocumentMissing(envelope.message.digest))
+            self._outbox.send_with_gossip(address, wire.DocumentMissing(envelope.message.digest))
         for part in parts or ():
             self._outbox.send(address, wire.encode_record(part), [], [])
 
     def _on_document_part(self, envelope: Envelope) -> None:
         assert isinstance(envelope.message, wire.DocumentPart)
-        if self.documents.take(envelope.message):
+        if self.documents.add_part(envelope.message):
             self._request_parts(envelope.message.digest, envelope.sender.name)
 
     def _on_document_missing(self, envelope: Envelope) -> None:
         assert isinstance(envelope.message, wire.DocumentMissing)
-        if self.documents.try_another():
+        if self.documents.may_retry():
             self._request_parts(envelope.message.digest)
 
 
--- a/cypresspulley/fleet/documents.py
+++ b/cypresspulley/fleet/documents.py
@@ -20,87 +20,87 @@
     """Those that are held, and the parts of those that are wanted."""
 
     def __init__(self) -> None:
-        self._held = OrderedDict[bytes, bytes]()
-        self._wanted = dict[
+        self._documents = OrderedDict[bytes, bytes]()
+        self._requested = dict[
             bytes, tuple[int, dict[int, bytes]]
         ]()  # by digest: of how many (0 unknown), the parts
-        self._tried = 0
+        self._retries = 0
 
     def __repr__(self) -> str:
-        return f"<Documents: {len(self._held)} held, {len(self._wanted)} wanted>"
+        return f"<Documents: {len(self._documents)} held, {len(self._requested)} wanted>"
 
-    def offer(self, body: bytes) -> str:
+    def store(self, body: bytes) -> str:
         if len(body) > MAX_DOCUMENT_BYTES:
             raise ValueError(f"document: expected at most {MAX_DOCUMENT_BYTES} bytes, got {len(body)}")
         digest = blake2b(body, digest_size=DIGEST_BYTES).digest()
-        self._wanted.pop(digest, None)
-        self._held[digest] = body
-        self._held.move_to_end(digest)
-        while len(self._held) > MAX_DOCUMENTS:
-            self._held.popitem(last=False)
+        self._requested.pop(digest, None)
+        self._documents[digest] = body
+        self._documents.move_to_end(digest)
+        while len(self._documents) > MAX_DOCUMENTS:
+            self._documents.popitem(last=False)
         return digest.hex()
 
-    def want(self, digest: str) -> None:
+    def request(self, digest: str) -> None:
         """``ValueError`` for what is no digest. Of more than ``MOST_WANTED`` the oldest wish is given up."""
         key = bytes.fromhex(digest)
         if len(key) != DIGEST_BYTES:
             raise ValueError(
                 f"document: expected a digest of {2 * DIGEST_BYTES} hex digits, got {digest!r:.60}"
             )
-        if key not in self._held and key not in self._wanted:
-            while len(self._wanted) >= MAX_REQUESTED:
-                del self._wanted[next(iter(self._wanted))]
-            self._wanted[key] = (0, {})
+        if key not in self._documents and key not in self._requested:
+            while len(self._requested) >= MAX_REQUESTED:
+                del self._requested[next(iter(self._requested))]
+            self._requested[key] = (0, {})
 
     def get(self, digest: str) -> bytes | None:
         key = bytes.fromhex(digest)
-        body = self._held.get(key)
+        body = self._documents.get(key)
         if body is not None:
-            self._held.move_to_end(key)
+            self._documents.move_to_end(key)
         return body
 
-    def wanted(self) -> list[bytes]:
+    def start_period(self) -> list[bytes]:
         """What to ask for in a period that begins."""
-        self._tried = 0
-        return list(self._wanted)
+        self._retries = 0
+        return list(self._requested)
 
-    def try_another(self) -> bool:
+    def may_retry(self) -> bool:
         """Whether another member may be asked in this period, the last having lacked the document."""
-        self._tried += 1
-        return self._tried <= RETRIES_PER_PERIOD
+        self._retries += 1
+        return self._retries <= RETRIES_PER_PERIOD
 
-    def request(self, digest: bytes) -> DocumentRequest | None:
+    def next_parts_request(self, digest: bytes) -> DocumentRequest | None:
         """What to ask for next; None for what is not wanted."""
-        if digest not in self._wanted:
+        if digest not in self._requested:
             return None
-        of, parts = self._wanted[digest]
-        missing = [number for number in range(of or PARTS_PER_FETCH) if number not in parts][:PARTS_PER_FETCH]
+        count, parts = self._requested[digest]
+        missing = [number for number in range(count or PARTS_PER_FETCH) if number not in parts][:PARTS_PER_FETCH]
         mask = sum(1 << number for number in missing)
         return DocumentRequest(digest, mask.to_bytes((max(missing, default=0) + 8) // 8, "little"))
 
-    def parts(self, request: DocumentRequest) -> list[DocumentPart] | None:
+    def requested_parts(self, request: DocumentRequest) -> list[DocumentPart] | None:
         """The answer to a request, ``AT_ONCE`` parts at most; None where the document is not held."""
-        body = self._held.get(request.digest)
+        body = self._documents.get(request.digest)
         if body is None:
             return None
-        self._held.move_to_end(request.digest)
-        of = max(1, -(-len(body) // PART_BYTES))
+        self._documents.move_to_end(request.digest)
+        count = max(1, -(-len(body) // PART_BYTES))
         mask = int.from_bytes(request.part_mask, "little")
-        asked = [number for number in range(of) if mask >> number & 1][:PARTS_PER_FETCH]
+        asked = [number for number in range(count) if mask >> number & 1][:PARTS_PER_FETCH]
         return [
-            DocumentPart(request.digest, n, of, body[n * PART_BYTES : (n + 1) * PART_BYTES]) for n in asked
+            DocumentPart(request.digest, n, count, body[n * PART_BYTES : (n + 1) * PART_BYTES]) for n in asked
         ]
 
-    def take(self, part: DocumentPart) -> bool:
+    def add_part(self, part: DocumentPart) -> bool:
         """Lay a part to the others; whether the next ones may be asked for now (all that were asked for are here)."""
-        if part.digest not in self._wanted or part.number >= part.count:
+        if part.digest not in self._requested or part.number >= part.count:
             return False
-        of, parts = self._wanted[part.digest]
-        if of and of != part.count:  # one of two lies, and which cannot be told: begin anew
-            self._wanted[part.digest] = (0, {})
+        count, parts = self._requested[part.digest]
+        if count and count != part.count:  # one of two lies, and which cannot be told: begin anew
+            self._requested[part.digest] = (0, {})
             return False
         parts[part.number] = part.body
-        self._wanted[part.digest] = (part.count, parts)
+        self._requested[part.digest] = (part.count, parts)
         if len(parts) < part.count:
             return len(parts) % PARTS_PER_FETCH == 0
         body = b"".join(parts[number] for number in range(part.count))
@@ -108,7 +108,7 @@
             blake2b(body, digest_size=DIGEST_BYTES).digest() == part.digest
             and len(body) <= MAX_DOCUMENT_BYTES
         ):
-            self.offer(body)
+            self.store(body)
         else:
-            self._wanted[part.digest] = (0, {})
+            self._requested[part.digest] = (0, {})
         return False
--- a/cypresspulley/fleet/exchange.py
+++ b/cypresspulley/fleet/exchange.py
@@ -33,35 +33,35 @@
 
     def __init__(self, view: View, outbox: Outbox, period: float) -> None:
         self._view, self._outbox, self._period = view, outbox, period
-        self._compared = float("-inf")
-        self._awaited = 0  # number of the comparison that is under way
-        self._reached = FIRST_KEY  # where the last answer here ended; ``START`` where it was whole
+        self._started_at = float("-inf")
+        self._pending = 0  # number of the comparison that is under way
+        self._covered_to = FIRST_KEY  # where the last answer here ended; ``START`` where it was whole
         self._cursors = dict[str, Key]()  # by asker, of its present life: where my last answer stopped short
 
     def __repr__(self) -> str:
-        return f"<Exchange, comparison {self._awaited} under way>"
+        return f"<Exchange, comparison {self._pending} under way>"
 
-    def due(self, joining: bool) -> bool:
+    def may_start(self, joining: bool) -> bool:
         """Whether a comparison may begin: one a period, fewer while news is on its way anyhow."""
         now = self._outbox.now
         moving = now - self._view.members_changed_at < SPREADING_PERIODS * self._period and not joining
-        return now - self._compared >= (SPREADING_INTERVAL_PERIODS if moving else 1) * self._period
+        return now - self._started_at >= (SPREADING_INTERVAL_PERIODS if moving else 1) * self._period
 
-    def begin(self, number: int, address: str) -> None:
-        self._compared, self._awaited = self._outbox.now, number
-        self._outbox.post(address, wire.SyncRequest(number, self._view.bucket_digests()))
+    def start(self, number: int, address: str) -> None:
+        self._started_at, self._pending = self._outbox.now, number
+        self._outbox.send_with_gossip(address, wire.SyncRequest(number, self._view.bucket_digests()))
 
-    def on_compare(self, envelope: Envelope) -> None:
+    def on_sync_request(self, envelope: Envelope) -> None:
         """Answer with all that I hold in the buckets that differ, in pieces, behind what my last answer got to."""
         compare, asker, out = envelope.message, envelope.sender, self._outbox
         assert isinstance(compare, wire.SyncRequest)
         address, mask = asker.address, self._view.differing_buckets(compare.buckets)
         after = self._cursors.pop(asker.name, FIRST_KEY)
         room = (
-            out.room(wire.encode_record(wire.SyncPiece(compare.number, 2**64 - 1, FIRST_KEY, END_KEY, False)))
+            out.record_room(wire.encode_record(wire.SyncPiece(compare.number, 2**64 - 1, FIRST_KEY, END_KEY, False)))
             - PIECE_KEY_BYTES
         )
-        entries, cells, used, sent, upto = list[Raw](), list[Raw](), 0, 0, after
+        member_records, row_records, used, sent, up_to = list[Raw](), list[Raw](), 0, 0, after
         for key in self._view.list_keys(mask):
             if key <= after:
                 continue
@@ -71,66 +71,66 @@
             if used + wire.encoded_size(record) > room:
                 sent += 1
                 done = sent == MAX_RESPONSE_DATAGRAMS
-                piece = wire.SyncPiece(compare.number, mask, after, upto, done)
-                out.send(address, wire.encode_record(piece), entries, cells)
+                piece = wire.SyncPiece(compare.number, mask, after, up_to, done)
+                out.send(address, wire.encode_record(piece), member_records, row_records)
                 if done:
-                    self._cursors[asker.name] = upto
+                    self._cursors[asker.name] = up_to
                     return
-                after, entries, cells, used = upto, [], [], 0
-            (cells if key[2] else entries).append(record)
+                after, member_records, row_records, used = up_to, [], [], 0
+            (row_records if key[2] else member_records).append(record)
             used += wire.encoded_size(record)
-            upto = key
+            up_to = key
         out.send(
             address,
             wire.encode_record(wire.SyncPiece(compare.number, mask, after, END_KEY, True)),
-            entries,
-            cells,
+            member_records,
+            row_records,
         )
 
-    def takes(self, piece: wire.SyncPiece) -> bool:
+    def accept_piece(self, piece: wire.SyncPiece) -> bool:
         """Whether it is of the comparison that is under way, which ends with the last."""
-        if piece.number != self._awaited:
+        if piece.number != self._pending:
             return False
         if piece.last:
-            self._awaited = 0
+            self._pending = 0
         return True
 
-    def goes_on(self, last: wire.SyncPiece) -> bool:
+    def has_more(self, last: wire.SyncPiece) -> bool:
         """Whether there is more behind the last piece of an answer, and it came further than the answer before: one who
         always begins at the start would be asked for ever."""
-        before, self._reached = self._reached, last.up_to if last.up_to < END_KEY else FIRST_KEY
-        return before < self._reached
+        before, self._covered_to = self._covered_to, last.up_to if last.up_to < END_KEY else FIRST_KEY
+        return before < self._covered_to
 
     def forget(self, name: str) -> None:
         """A member of that name has ended, or has a new life."""
         self._cursors.pop(name, None)
 
-    def on_piece(self, envelope: Envelope) -> None:
+    def on_sync_piece(self, envelope: Envelope) -> None:
         """Answer with what I hold better in the range that the piece is whole in."""
         piece, view = envelope.message, self._view
         assert isinstance(piece, wire.SyncPiece)
-        told = {entry.name: entry.member() for entry in envelope.member_records}
+        received = {entry.name: entry.member() for entry in envelope.member_records}
         rows = {(cell.owner, cell.subsystem): cell for cell in envelope.row_records}
         better = [key for key in view.list_keys(piece.mask) if piece.after < key <= piece.up_to]
         covered = {name for _, name, _ in better}
-        better += [(bucket_of(name), name, "") for name in told if name not in covered]
-        entries, cells = list[Raw](), list[Raw]()
+        better += [(bucket_of(name), name, "") for name in received if name not in covered]
+        member_records, row_records = list[Raw](), list[Raw]()
         for _, name, subsystem in better:
             if subsystem and view.has_newer_row(name, subsystem, rows.get((name, subsystem))):
                 if (record := view.encode_row(self._outbox.now, name, subsystem)) is not None:
-                    cells.append(record)
-            elif not subsystem and self._better(name, told.get(name)):
-                entries.append(view.encode_member(name))
-        self._outbox.send_all(envelope.sender.address, wire.SyncCorrections(), entries, cells)
+                    row_records.append(record)
+            elif not subsystem and self._knows_newer(name, received.get(name)):
+                member_records.append(view.encode_member(name))
+        self._outbox.send_all(envelope.sender.address, wire.SyncCorrections(), member_records, row_records)
 
-    def on_amend(self, envelope: Envelope) -> None:
+    def on_sync_corrections(self, envelope: Envelope) -> None:
         better = [
             self._view.encode_member(e.name)
             for e in envelope.member_records
-            if self._better(e.name, e.member())
+            if self._knows_newer(e.name, e.member())
         ]
         self._outbox.send_all(envelope.sender.address, wire.Gossip(), better, [])
 
-    def _better(self, name: str, told: Member | None) -> bool:
+    def _knows_newer(self, name: str, received: Member | None) -> bool:
         held = self._view.get(name)
-        return held is not None and (told is None or held.rank > told.rank)
+        return held is not None and (received is None or held.rank > received.rank)
--- a/cypresspulley/fleet/limiter.py
+++ b/cypresspulley/fleet/limiter.py
@@ -88,17 +88,17 @@
         if sock is not None:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         self._open_history(self.view.life)
-        self.take(Started())
+        self.handle_event(Started())
 
     def leave(self) -> None:
         """Say that this process ends, so that nobody suspects it."""
-        self.take(LeaveRequested())
+        self.handle_event(LeaveRequested())
 
     async def close(self) -> None:
         """Say that it has ended, and close the socket. No other call after it does anything."""
         if self._transport is None:
             return
-        self.take(Stopped())
+        self.handle_event(Stopped())
         if self._timer is not None:
             self._timer.cancel()
         self._addresses.close()
@@ -108,7 +108,7 @@
         log.info("left the fleet; datagrams: %s", dict(self.detector.counts))
         await asyncio.sleep(0)  # the transport closes in the loop's next turn
 
-    def take(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         """Hand one event to the detector and do what it says. A datagram that is not read right ends nothing."""
         if self._transport is None:
             return
@@ -158,7 +158,7 @@
         self._history.put(Kind.START, **facts, bounds=mine | self._bounds)
 
     def _send(self, address: str, data: bytes) -> None:
-        where = self._addresses.get(address)
+        where = self._addresses.resolve(address)
         if where is None or self._transport is None:
             self.detector.counts["no address"] += 1
             return
@@ -187,7 +187,7 @@
     def _tick(self) -> None:
         self._timer = None
         if self.detector.due <= self._clock():
-            self.take(TimerFired())
+            self.handle_event(TimerFired())
         else:
             self._set_timer()
 
@@ -225,17 +225,17 @@
         return self._detector.settled()
 
     def count_heard(self, now: float, within: float) -> int:
-        return self._detector.peers.heard(now, within)
+        return self._detector.peers.count_heard(now, within)
 
     def clock_error(self, now: float) -> tuple[float, float] | None:
         detector = self._detector
-        return detector.clocks.error(now, self._wall(), len(detector.view.other_names()))
+        return detector.clocks.estimate_error(now, self._wall(), len(detector.view.other_names()))
 
     def store_document(self, body: bytes) -> str:
-        return self._detector.documents.offer(body)
+        return self._detector.documents.store(body)
 
     def request_document(self, digest: str) -> None:
-        self._detector.documents.want(digest)
+        self._detector.documents.request(digest)
 
     def get_document(self, digest: str) -> bytes | None:
         return self._detector.documents.get(digest)
@@ -248,7 +248,7 @@
         self._fleet = fleet
 
     def datagram_received(self, data: bytes, addr: object) -> None:
-        self._fleet.take(DatagramReceived(data))
+        self._fleet.handle_event(DatagramReceived(data))
 
     def error_received(self, exc: Exception) -> None:
         self._fleet.detector.counts["refused"] += 1
--- a/cypresspulley/fleet/peers.py
+++ b/cypresspulley/fleet/peers.py
@@ -8,7 +8,7 @@
 from cypresspulley.fleet.wire import Envelope, MemberRecord
 
 
-class Window:
+class ReplayWindow:
     """Which of a sender's datagrams have come, by number: each counts once, one older than 64 others not at all."""
 
     __slots__ = ("bits", "life", "top")
@@ -19,7 +19,7 @@
     def __repr__(self) -> str:
         return f"<Window of life {self.life} to {self.top}>"
 
-    def take(self, number: int) -> bool:
+    def accept(self, number: int) -> bool:
         """Whether this one is new."""
         if number > self.top:
             shift = min(64, number - self.top)
@@ -37,11 +37,11 @@
 class Peer:
     """Another member in its present life. ``digest`` is the one that it last told, in the datagram numbered ``top``."""
 
-    window: Window
-    heard: float
+    window: ReplayWindow
+    heard_at: float
     digest: int = -1
     top: int = -1
-    amended: float = float("-inf")  # when it was last told better of itself
+    corrected: float = float("-inf")  # when it was last told better of itself
 
 
 class Peers:
@@ -50,66 +50,66 @@
     def __init__(self, view: View) -> None:
         self._view = view
         self._by_name = dict[str, Peer]()
-        self._checked = -1  # place among the others of who was last found to differ
-        self.settled = False  # as last said in the history
+        self._last_differing = -1  # place among the others of who was last found to differ
+        self.reported_settled = False  # as last said in the history
 
     def __repr__(self) -> str:
-        return f"<Peers: {len(self._by_name)} heard, {'' if self.settled else 'not '}settled>"
+        return f"<Peers: {len(self._by_name)} heard, {'' if self.reported_settled else 'not '}settled>"
 
-    def fresh(self, envelope: Envelope) -> bool:
+    def is_new(self, envelope: Envelope) -> bool:
         """Whether it has not come before. One of a life that is over is: its claims are merged, and change nothing."""
         sender = envelope.sender
         peer = self._by_name.get(sender.name)
         if peer is None or peer.window.life < sender.life:
             return True
-        return peer.window.life > sender.life or peer.window.take(envelope.sequence)
+        return peer.window.life > sender.life or peer.window.accept(envelope.sequence)
 
-    def note(self, now: float, envelope: Envelope) -> None:
+    def record(self, now: float, envelope: Envelope) -> None:
         """Hear a fresh datagram of a member's present life."""
         sender = envelope.sender
         peer = self._by_name.get(sender.name)
         if peer is None or peer.window.life != sender.life:
-            peer = self._by_name[sender.name] = Peer(Window(sender.life), now)
-            peer.window.take(envelope.sequence)
-        peer.heard = now
+            peer = self._by_name[sender.name] = Peer(ReplayWindow(sender.life), now)
+            peer.window.accept(envelope.sequence)
+        peer.heard_at = now
         if envelope.sequence >= peer.top:
             peer.top, peer.digest = envelope.sequence, envelope.members_digest
 
-    def may_amend(self, now: float, sender: MemberRecord, period: float) -> bool:
+    def may_correct(self, now: float, sender: MemberRecord, period: float) -> bool:
         """Whether to tell it that others know better of it: once a period."""
         peer = self._by_name.get(sender.name)
-        if peer is None or now - peer.amended >= period:
+        if peer is None or now - peer.corrected >= period:
             if peer is not None:
-                peer.amended = now
+                peer.corrected = now
             return True
         return False
 
     def forget(self, name: str) -> None:
         self._by_name.pop(name, None)
 
-    def unknown(self) -> list[str]:
+    def list_forgotten(self) -> list[str]:
         """Names that the view has forgotten."""
         return [name for name in self._by_name if self._view.get(name) is None]
 
-    def agree(self) -> bool:
+    def all_agree(self) -> bool:
         """Whether every other present member has last told the digest that is this one's own."""
         digest, by_name = self._view.digest, self._by_name
         told = (by_name.get(name) for name in self._view.other_names())
         return all(peer is not None and peer.digest == digest for peer in told)
 
-    def differing(self, most: int) -> list[str]:
+    def list_differing(self, limit: int) -> list[str]:
         """Members whose digest, as last told, is not mine: all in turn."""
         others, found = self._view.other_names(), list[str]()
         for _ in range(len(others)):
-            self._checked = (self._checked + 1) % len(others)
-            peer = self._by_name.get(others[self._checked])
+            self._last_differing = (self._last_differing + 1) % len(others)
+            peer = self._by_name.get(others[self._last_differing])
             if peer is None or peer.digest != self._view.digest:
-                found.append(others[self._checked])
-                if len(found) == most:
+                found.append(others[self._last_differing])
+                if len(found) == limit:
                     break
         return found
 
-    def heard(self, now: float, within: float) -> int:
+    def count_heard(self, now: float, within: float) -> int:
         """Present members that have been heard from directly in so many seconds."""
-        found = (name for name, peer in self._by_name.items() if now - peer.heard <= within)
+        found = (name for name, peer in self._by_name.items() if now - peer.heard_at <= within)
         return sum(1 for name in found if (held := self._view.get(name)) is not None and held.state.present)
--- a/cypresspulley/fleet/suspicion.py
+++ b/cypresspulley/fleet/suspicion.py
@@ -13,18 +13,18 @@
 
     since: float
     accusers: set[str] = field(default_factory=set)
-    told: bool = False
+    death_reported: bool = False
 
-    def until(self, members: int, period: float) -> float:
+    def deadline(self, members: int, period: float) -> float:
         """When it ends in a fleet of so many members."""
         periods = timing.suspicion_periods(members, max(0, len(self.accusers) - 1))
-        if self.told:
+        if self.death_reported:
             periods = min(periods, timing.reported_death_periods(members))
         return self.since + periods * period
 
-    def accused(self, by: str) -> bool:
+    def has_accuser(self, accuser: str) -> bool:
         """Whether this one's word would change nothing."""
-        return by in self.accusers or len(self.accusers) > timing.SUSPICION_CONFIRMATIONS
+        return accuser in self.accusers or len(self.accusers) > timing.SUSPICION_CONFIRMATIONS
 
 
 class Suspicions:
@@ -43,27 +43,27 @@
     def get(self, name: str) -> Suspicion | None:
         return self._by_name.get(name)
 
-    def accuse(self, now: float, name: str, by: str, told: bool, members: int) -> tuple[bool, float | None]:
+    def add_accuser(self, now: float, name: str, accuser: str, death_reported: bool, members: int) -> tuple[bool, float | None]:
         """One more suspects the member, or holds it dead: whether it is the first word of this one, and the instant
         at which the suspicion now ends where that is earlier than before."""
         suspicion = self._by_name.setdefault(name, Suspicion(now))
-        before = suspicion.until(members, self._period) if suspicion.accusers else float("inf")
-        new = not suspicion.accused(by)
+        before = suspicion.deadline(members, self._period) if suspicion.accusers else float("inf")
+        new = not suspicion.has_accuser(accuser)
         if new:
-            suspicion.accusers.add(by)
-        suspicion.told = suspicion.told or told
-        until = suspicion.until(members, self._period)
+            suspicion.accusers.add(accuser)
+        suspicion.death_reported = suspicion.death_reported or death_reported
+        until = suspicion.deadline(members, self._period)
         return new, until if until < before else None
 
-    def until(self, name: str, members: int) -> float | None:
+    def deadline(self, name: str, members: int) -> float | None:
         """When it ends; None for one that is not suspected."""
         suspicion = self._by_name.get(name)
-        return None if suspicion is None else suspicion.until(members, self._period)
+        return None if suspicion is None else suspicion.deadline(members, self._period)
 
-    def end(self, name: str) -> Suspicion | None:
+    def remove(self, name: str) -> Suspicion | None:
         return self._by_name.pop(name, None)
 
-    def put_off(self, late: float) -> None:
+    def postpone(self, seconds: float) -> None:
         """This process stood still for so many seconds, in which nobody could refute anything before it."""
         for suspicion in self._by_name.values():
-            suspicion.since += late
+            suspicion.since += seconds
--- a/cypresspulley/fleet/timers.py
+++ b/cypresspulley/fleet/timers.py
@@ -1,4 +1,4 @@
-"""What is due when, and how late it is met. No I/O and no clock."""
+"""What is due when, and how delay it is met. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -13,62 +13,62 @@
     def __init__(self, period: float) -> None:
         self.period = period  # seconds
         self._heap = list[tuple[float, int, str, str]]()
-        self._drawn = 0
+        self._last_number = 0
 
     def __repr__(self) -> str:
-        return f"<Timers: {len(self._heap)}, next at {self.due:.3f}>"
+        return f"<Timers: {len(self._heap)}, next at {self.next_due:.3f}>"
 
     def __len__(self) -> int:
         return len(self._heap)
 
     @property
-    def due(self) -> float:
+    def next_due(self) -> float:
         """The next instant; infinity where there is none."""
         return self._heap[0][0] if self._heap else float("inf")
 
-    def number(self) -> int:
+    def next_number(self) -> int:
         """One that has not been drawn before."""
-        self._drawn += 1
-        return self._drawn
+        self._last_number += 1
+        return self._last_number
 
-    def at(self, instant: float, kind: str, key: str = "") -> None:
-        heapq.heappush(self._heap, (instant, self.number(), kind, key))
+    def schedule_at(self, instant: float, kind: str, key: str = "") -> None:
+        heapq.heappush(self._heap, (instant, self.next_number(), kind, key))
 
-    def after(self, now: float, periods: float, kind: str, key: str = "") -> None:
-        self.at(now + periods * self.period, kind, key)
+    def schedule_after(self, now: float, periods: float, kind: str, key: str = "") -> None:
+        self.schedule_at(now + periods * self.period, kind, key)
 
-    def pop(self, now: float) -> tuple[str, str] | None:
+    def pop_due(self, now: float) -> tuple[str, str] | None:
         """Kind and key of the next that is due."""
         if not self._heap or self._heap[0][0] > now:
             return None
         _, _, kind, key = heapq.heappop(self._heap)
         return kind, key
 
-    def stalled(self, now: float) -> float:
-        """Seconds by which the process is so late that it must have stood still, else 0; all timers move by them."""
-        late = now - self.due
-        if late <= max(timing.STALL_PERIODS * self.period, timing.MIN_STALL_SECONDS):
+    def absorb_stall(self, now: float) -> float:
+        """Seconds by which the process is so delay that it must have stood still, else 0; all timers move by them."""
+        delay = now - self.next_due
+        if delay <= max(timing.STALL_PERIODS * self.period, timing.MIN_STALL_SECONDS):
             return 0.0
-        self._heap = [(at + late, number, kind, key) for at, number, kind, key in self._heap]
+        self._heap = [(at + delay, number, kind, key) for at, number, kind, key in self._heap]
         heapq.heapify(self._heap)
-        return late
+        return delay
 
 
-class Health:
+class LocalHealth:
     """Local health (Lifeguard, section IV-A): 0 is good; by one more than it time-outs are stretched."""
 
     def __init__(self) -> None:
-        self.value = 0
-        self.doubt_until = float("-inf")  # until then this process holds nobody dead
+        self.score = 0
+        self.no_deaths_until = float("-inf")  # until then this process holds nobody dead
 
     def __repr__(self) -> str:
-        return f"<Health {self.value}>"
+        return f"<Health {self.score}>"
 
-    def feel(self, change: int) -> None:
-        self.value = min(timing.MAX_HEALTH_SCORE, max(0, self.value + change))
+    def adjust(self, change: int) -> None:
+        self.score = min(timing.MAX_HEALTH_SCORE, max(0, self.score + change))
 
-    def stood_still(self, now: float, late: float, period: float) -> None:
-        """The process was late by so many seconds: what it did not hear meanwhile says nothing of others."""
-        periods = late / period
-        self.doubt_until = now + (1 + min(periods, 1.0)) * period
-        self.feel(1 + int(min(periods, 2.0)))
+    def record_stall(self, now: float, delay: float, period: float) -> None:
+        """The process was delay by so many seconds: what it did not hear meanwhile says nothing of others."""
+        periods = delay / period
+        self.no_deaths_until = now + (1 + min(periods, 1.0)) * period
+        self.adjust(1 + int(min(periods, 2.0)))
--- a/tests/fleet/test_bed.py
+++ b/tests/fleet/test_bed.py
@@ -70,7 +70,7 @@
     health = list[int]()
     for _ in range(40):
         bed.run(bed.now + 1)
-        health.append(bed.hosts["l5"].detector.health.value)
+        health.append(bed.hosts["l5"].detector.health.score)
     wrong = [
         news for news in bed.news if news.observer == "l5" and news.member.state is MemberState.SUSPECTED
     ]
@@ -145,7 +145,7 @@
     bed.run(bed.now + 30)
     at = [news.member.life for news in bed.news if news.member.name == "l2" and news.observer != "l2"]
     assert bed.agree() and sorted(at) == at
-    estimate = bed.hosts["l2"].detector.clocks.error(bed.now, bed.wall(bed.hosts["l2"]), 7)
+    estimate = bed.hosts["l2"].detector.clocks.estimate_error(bed.now, bed.wall(bed.hosts["l2"]), 7)
     assert estimate is not None and estimate[0] == pytest.approx(-3600, abs=0.1) and estimate[1] > estimate[0]
 
 
@@ -267,9 +267,9 @@
 def test_a_document_reaches_all_that_want_it() -> None:
     bed = grown(8, loss=0.05)
     body = bytes(range(256)) * 256
-    digest = bed.hosts["l3"].detector.documents.offer(body)
+    digest = bed.hosts["l3"].detector.documents.store(body)
     for host in bed.live():
-        host.detector.documents.want(digest)
+        host.detector.documents.request(digest)
     assert bed.run(bed.now + 30, lambda: all(h.detector.documents.get(digest) == body for h in bed.live()))
 
 
--- a/tests/fleet/test_detector.py
+++ b/tests/fleet/test_detector.py
@@ -146,7 +146,7 @@
 def test_more_accusers_shorten_a_suspicion_and_the_same_one_twice_does_not() -> None:
     def lasts(*accusers: str) -> float:
         one = One(*"abcdefx")
-        one.detector._probes.round = [
+        one.detector._probes.remaining_targets = [
             "x"
         ] * 99  # its own probes are of x only: nobody else falls under suspicion
         for name in accusers:
@@ -241,7 +241,7 @@
     one.hear("z", told=(claim(other, MemberState.SUSPECTED, by="z"),))
     one.now += 60
     one.do(TimerFired())
-    assert one.detector.counts["stalls"] == 1 and one.detector.health.value > 0
+    assert one.detector.counts["stalls"] == 1 and one.detector.health.score > 0
     one.hear("z", told=(claim(other, MemberState.SUSPECTED, by="w"),))
     one.wait(1.2)
     assert one.state(target) is MemberState.ALIVE  # the probe of it was out
@@ -253,9 +253,9 @@
 
 def test_one_that_wakes_at_the_end_of_a_suspicion_hears_first_what_was_said_meanwhile() -> None:
     one = One("x")
-    one.detector._probes.round = ["x"] * 99
+    one.detector._probes.remaining_targets = ["x"] * 99
     one.hear("x", told=(claim("x", MemberState.SUSPECTED, by="x"),))
-    until = one.detector._suspicions.until("x", 2)
+    until = one.detector._suspicions.deadline("x", 2)
     assert until is not None
     one.wait(until - one.now - 0.1)
     one.now += 60
@@ -273,10 +273,10 @@
     one.wait(0.01)
     one.hear("x", incarnation=1)
     detector = one.detector
-    before = (detector.view.digest, detector.peers.heard(one.now, 0.0), detector.settled(), len(one.changes))
+    before = (detector.view.digest, detector.peers.count_heard(one.now, 0.0), detector.settled(), len(one.changes))
     one.wait(0.3)
     one.do(DatagramReceived(data))
-    assert detector.counts["replayed"] == 1 and detector.peers.heard(one.now, 0.2) == 0
+    assert detector.counts["replayed"] == 1 and detector.peers.count_heard(one.now, 0.2) == 0
     assert before[0] == detector.view.digest and before[2:] == (detector.settled(), len(one.changes))
 
 
--- a/tests/fleet/test_exchange.py
+++ b/tests/fleet/test_exchange.py
@@ -86,13 +86,13 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A member of the version before this one answers so."""
-    begun = exchange.Exchange.on_compare
+    begun = exchange.Exchange.on_sync_request
 
     def forgetful(self: Exchange, envelope: wire.Envelope) -> None:
         self.forget(envelope.sender.name)
         begun(self, envelope)
 
-    monkeypatch.setattr(Exchange, "on_compare", forgetful)
+    monkeypatch.setattr(Exchange, "on_sync_request", forgetful)
     bed = Bed(1, delay=IN_ORDER)
     large(bed)
     new = bed.start("new", ["l0"])
--- a/tests/fleet/test_limiter.py
+++ b/tests/fleet/test_limiter.py
@@ -142,7 +142,7 @@
         def hear(number: int, *told: MemberRecord) -> None:
             head = (number, round(time.time() * 1000), 1, 1, 0)
             x = MemberRecord("x", 7, 0, MemberState.ALIVE, "b", "127.0.0.1:9", "")
-            one.take(
+            one.handle_event(
                 DatagramReceived(
                     codec.encode(
                         head,
--- a/tests/fleet/test_parts.py
+++ b/tests/fleet/test_parts.py
@@ -11,7 +11,7 @@
 from cypresspulley.fleet import timing
 from cypresspulley.fleet.clocks import ClockEstimates
 from cypresspulley.fleet.documents import MAX_DOCUMENTS, MAX_REQUESTED, PARTS_PER_FETCH, Documents
-from cypresspulley.fleet.peers import Window
+from cypresspulley.fleet.peers import ReplayWindow
 from cypresspulley.fleet.wire import DocumentPart
 
 
@@ -19,49 +19,49 @@
 def test_a_document_comes_whole_through_loss_and_disorder(body: bytes, rng: random.Random) -> None:
 
     owner, asker = Documents(), Documents()
-    digest = owner.offer(body)
-    asker.want(digest)
+    digest = owner.store(body)
+    asker.request(digest)
     for _ in range(200):
-        request = asker.request(bytes.fromhex(digest))
+        request = asker.next_parts_request(bytes.fromhex(digest))
         if request is None:
             break
-        parts = owner.parts(request)
+        parts = owner.requested_parts(request)
         assert parts is not None and len(parts) <= PARTS_PER_FETCH
         rng.shuffle(parts)
         for part in parts:
             if rng.random() < 0.8:
-                asker.take(part)
+                asker.add_part(part)
     assert asker.get(digest) == body
 
 
 def test_a_wrong_part_is_found_by_the_digest() -> None:
     owner, asker = Documents(), Documents()
-    digest = owner.offer(b"x" * 1000)
-    asker.want(digest)
+    digest = owner.store(b"x" * 1000)
+    asker.request(digest)
     key = bytes.fromhex(digest)
-    asker.take(DocumentPart(key, 0, 2, b"y" * 900))
-    asker.take(DocumentPart(key, 1, 2, b"x" * 100))
-    assert asker.get(digest) is None and asker.wanted() == [key]
-    asker.take(DocumentPart(key, 0, 2, b"x" * 900))
-    asker.take(DocumentPart(key, 1, 3, b"x" * 100))
+    asker.add_part(DocumentPart(key, 0, 2, b"y" * 900))
+    asker.add_part(DocumentPart(key, 1, 2, b"x" * 100))
+    assert asker.get(digest) is None and asker.start_period() == [key]
+    asker.add_part(DocumentPart(key, 0, 2, b"x" * 900))
+    asker.add_part(DocumentPart(key, 1, 3, b"x" * 100))
     assert asker.get(digest) is None
-    asker.take(DocumentPart(key, 0, 2, b"x" * 900))
-    asker.take(DocumentPart(key, 1, 2, b"x" * 100))
+    asker.add_part(DocumentPart(key, 0, 2, b"x" * 900))
+    asker.add_part(DocumentPart(key, 1, 2, b"x" * 100))
     assert asker.get(digest) == b"x" * 1000
 
 
 def test_documents_and_wishes_are_bounded() -> None:
     documents = Documents()
-    digests = [documents.offer(bytes([n])) for n in range(MAX_DOCUMENTS + 2)]
+    digests = [documents.store(bytes([n])) for n in range(MAX_DOCUMENTS + 2)]
     assert [documents.get(digest) is not None for digest in digests] == [False] * 2 + [True] * MAX_DOCUMENTS
     for n in range(MAX_REQUESTED + 3):
-        documents.want(f"{n:032x}")
-    assert len(documents.wanted()) == MAX_REQUESTED
+        documents.request(f"{n:032x}")
+    assert len(documents.start_period()) == MAX_REQUESTED
     for bad in ("", "00", "zz" * 16):
         with pytest.raises(ValueError):
-            documents.want(bad)
+            documents.request(bad)
     with pytest.raises(ValueError, match="at most 65536 bytes"):
-        documents.offer(bytes(65_537))
+        documents.store(bytes(65_537))
 
 
 @given(
@@ -73,8 +73,8 @@
 ) -> None:
     clocks = ClockEstimates()
     for n, (offset, there, back) in enumerate(others):
-        clocks.answered(f"x{n}", 100.0 - there - back, 100.0, 1_000 + 100.0 - back + offset)
-    bounds = clocks.error(100.0, 1_000 + 100.0 + mine, len(others))
+        clocks.record_answer(f"x{n}", 100.0 - there - back, 100.0, 1_000 + 100.0 - back + offset)
+    bounds = clocks.estimate_error(100.0, 1_000 + 100.0 + mine, len(others))
     offsets = sorted(offset for offset, _, _ in others)
     middle = (offsets[(len(offsets) - 1) // 2] + offsets[len(offsets) // 2]) / 2
     assert bounds is not None
@@ -83,19 +83,19 @@
 
 def test_too_few_or_old_answers_say_nothing_of_this_clock() -> None:
     clocks = ClockEstimates()
-    assert clocks.error(0.0, 0.0, 0) is None
-    clocks.answered("x", 0.0, 0.1, 50.0)
-    assert clocks.error(1.0, 51.0, 3) is None and clocks.error(1.0, 51.0, 2) is not None
-    assert clocks.error(61.0, 111.0, 1) is None
-    low, high = clocks.error(1.0, 51.0 + 3600, 1) or (0.0, 0.0)
+    assert clocks.estimate_error(0.0, 0.0, 0) is None
+    clocks.record_answer("x", 0.0, 0.1, 50.0)
+    assert clocks.estimate_error(1.0, 51.0, 3) is None and clocks.estimate_error(1.0, 51.0, 2) is not None
+    assert clocks.estimate_error(61.0, 111.0, 1) is None
+    low, high = clocks.estimate_error(1.0, 51.0 + 3600, 1) or (0.0, 0.0)
     assert 3599 < low <= high < 3602  # this clock stepped: the next question says so
 
 
 @given(st.lists(st.integers(0, 200), max_size=100))
 def test_a_number_counts_once(numbers: list[int]) -> None:
-    window, taken, top = Window(1), list[int](), -1
+    window, taken, top = ReplayWindow(1), list[int](), -1
     for number in numbers:
-        if window.take(number):
+        if window.accept(number):
             taken.append(number)
         else:
             assert number in taken or number <= top - 64
