--- a/cypresspulley/fleet/__init__.py
+++ b/cypresspulley/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The limiters' view of their own fleet: who is in, in which life and state, with a small row of facts each."""
+"""Membership of the limiters' fleet: a SWIM-like failure detector, gossip, anti-entropy and small per-member rows."""
--- a/cypresspulley/fleet/actions.py
+++ b/cypresspulley/fleet/actions.py
@@ -1,4 +1,4 @@
-"""What the detector is told, and what it wants done."""
+"""Events that the detector handles and actions that it returns."""
 
 from __future__ import annotations
 
@@ -11,27 +11,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """The channel is open."""
+    """The socket is open."""
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """``Detector.due`` has come."""
+    """The instant ``Detector.due`` has been reached."""
 
 
 @dataclass(frozen=True, slots=True)
 class DatagramReceived:
+    """A datagram has arrived, as raw bytes."""
+
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class LeaveRequested:
-    """This process has begun to end."""
+    """This process has begun an orderly shutdown."""
 
 
 @dataclass(frozen=True, slots=True)
 class Stopped:
-    """This process is about to end."""
+    """This process is about to exit."""
 
 
 Event = Started | TimerFired | DatagramReceived | LeaveRequested | Stopped
@@ -41,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """``address`` is ``host:port`` as a member tells it: it may be no address at all."""
+    """Send a datagram to ``address``, the ``host:port`` that a member advertises; it is not validated."""
 
     address: str
     data: bytes
@@ -49,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberChanged:
-    """The view has another state of a member. ``cause`` as in ``histories.events``: self, probe, told or refuted."""
+    """The record of a member has changed. ``cause``, as in ``histories.events``, is self, probe, told or refuted."""
 
     member: Member
     cause: str
@@ -57,6 +59,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Settled:
+    """This member has begun (or ceased) to agree with all others; ``digest`` and ``members`` are its own."""
+
     settled: bool
     digest: int
     members: int
@@ -64,16 +68,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LifeRaised:
-    """This member has a new life, in which ``held`` is what it holds of the others, tombstones among it."""
+    """This member has started a new life. ``others`` are its records of the others, tombstones included."""
 
     life: int
-    held: tuple[Member, ...]
+    others: tuple[Member, ...]
     settled: Settled
 
 
 @dataclass(frozen=True, slots=True)
 class RowAccepted:
-    """Another's row is held now, of another life than the one that was held of it."""
+    """A row of another member was stored that is of another life than the stored row before it."""
 
     owner: str
     life: int
--- a/cypresspulley/fleet/addresses.py
+++ b/cypresspulley/fleet/addresses.py
@@ -1,4 +1,4 @@
-"""Members' addresses as a socket takes them. Hosts with a name are looked up beside the loop, never on it."""
+"""Resolves the ``host:port`` addresses of members. Host names are looked up in tasks, so that a send never waits."""
 
 from __future__ import annotations
 
@@ -9,30 +9,31 @@
 
 from cypresspulley.net.http import split_address
 
-MAX_ADDRESSES = 4096  # addresses that are remembered
-MAX_LOOKUPS = 8  # under way
-LOOKUP_INTERVAL_SECONDS = (
-    30.0  # seconds after which a name is looked up anew; the last answer holds meanwhile
-)
+MAX_ADDRESSES = 4096  # cached addresses; a full cache is cleared
+MAX_LOOKUPS = 8  # concurrent name lookups
+LOOKUP_INTERVAL_SECONDS = 30.0  # the previous result stays in use during a repeated lookup
 
 SocketAddress = tuple[str, int]
 
 
 class Addresses:
-    """``clock`` in seconds, one that never steps; all sends are of the family of ``listen``, the socket's host."""
+    """Cache of resolved addresses.
+
+    ``clock`` is monotonic, in seconds. Names are resolved in the address family of ``listen``, the socket's host.
+    """
 
     def __init__(self, clock: Callable[[], float], listen: str) -> None:
         self._clock = clock
         self._family = socket.AF_INET6 if ":" in listen else socket.AF_INET
-        self._resolved = dict[str, SocketAddress | None]()  # None: no address, or a name that is not yet known
-        self._next_lookup = dict[str, float]()  # when to look a name up again
+        self._resolved = dict[str, SocketAddress | None]()  # None: not an address, or a name not yet resolved
+        self._next_lookup = dict[str, float]()  # instant from which a name is due for a lookup
         self._lookups = dict[str, asyncio.Task[None]]()
 
     def __repr__(self) -> str:
-        return f"<Addresses: {len(self._resolved)} known, {len(self._lookups)} looked up>"
+        return f"<Addresses: {len(self._resolved)} cached, {len(self._lookups)} lookups running>"
 
     def resolve(self, address: str) -> SocketAddress | None:
-        """Where to send; None for what is no address and while a name is looked up."""
+        """Return the address to send to; None for an invalid address and until a name is resolved."""
         if address not in self._resolved:
             if len(self._resolved) >= MAX_ADDRESSES:
                 self._resolved.clear()
@@ -76,6 +77,6 @@
                 sockaddr = found[0][4]
                 self._resolved[address] = str(sockaddr[0]), int(sockaddr[1])
         except (OSError, UnicodeError):
-            self._next_lookup[address] = self._clock() + 1.0  # no such name now: ask again soon
+            self._next_lookup[address] = self._clock() + 1.0  # unknown name: retried after a second
         finally:
             self._lookups.pop(address, None)
--- a/cypresspulley/fleet/detector.py
+++ b/cypresspulley/fleet/detector.py
@@ -101,7 +101,9 @@
         self._codec = codec
         self._timers = Timers(period)
         self._probes = Probes(self.view, rng)
-        self._contacts = AbsentContacts(tuple(seed for seed in dict.fromkeys(seeds) if seed != me.address), rng)
+        self._contacts = AbsentContacts(
+            tuple(seed for seed in dict.fromkeys(seeds) if seed != me.address), rng
+        )
         self._suspicions = Suspicions(period)
         self._outbox = Outbox(codec, self.view, self.counts)
         self._exchange = Exchange(self.view, self._outbox, period)
@@ -200,7 +202,9 @@
         record = self._outbox.refresh_sender(rose)
         if rose:
             self.view.republish_rows(self._now)
-            self._outbox.add_action(LifeRaised(me.life, self.view.all_other_members(), self._settled_action()))
+            self._outbox.add_action(
+                LifeRaised(me.life, self.view.all_other_members(), self._settled_action())
+            )
         self.view.gossip_queue.add((me.name, ""), record)
         self._report_change(me, cause)
 
@@ -267,7 +271,9 @@
         helpers = [name for name in drawn if name != probe.target][: timing.INDIRECT_PROBES]
         probe.helpers = len(helpers)
         for name in helpers:
-            self._outbox.send_to_member(name, wire.PingRequest(int(key), probe.target, self._address(probe.target)))
+            self._outbox.send_to_member(
+                name, wire.PingRequest(int(key), probe.target, self._address(probe.target))
+            )
 
     def _on_probe_timeout(self, key: str) -> None:
         probe = self._probes.remove(int(key))
@@ -342,7 +348,7 @@
         if suspicion is None:
             return entry.state == held.state and entry.zone == held.zone and entry.address == held.address
         dead = suspicion.death_reported and entry.state is MemberState.DEAD
-        return suspicion.has_accuser(by) and (entry.state is MemberState.SUSPECTED or dead)
+        return suspicion.ignores_accuser(by) and (entry.state is MemberState.SUSPECTED or dead)
 
     def _apply_claim(self, claim: Member, cause: str, by: str) -> None:
         """A claim about a member, ``by`` its maker where it accuses."""
--- a/cypresspulley/fleet/documents.py
+++ b/cypresspulley/fleet/documents.py
@@ -74,7 +74,9 @@
         if digest not in self._requested:
             return None
         count, parts = self._requested[digest]
-        missing = [number for number in range(count or PARTS_PER_FETCH) if number not in parts][:PARTS_PER_FETCH]
+        missing = [number for number in range(count or PARTS_PER_FETCH) if number not in parts][
+            :PARTS_PER_FETCH
+        ]
         mask = sum(1 << number for number in missing)
         return DocumentRequest(digest, mask.to_bytes((max(missing, default=0) + 8) // 8, "little"))
 
--- a/cypresspulley/fleet/exchange.py
+++ b/cypresspulley/fleet/exchange.py
@@ -58,7 +58,9 @@
         address, mask = asker.address, self._view.differing_buckets(compare.buckets)
         after = self._cursors.pop(asker.name, FIRST_KEY)
         room = (
-            out.record_room(wire.encode_record(wire.SyncPiece(compare.number, 2**64 - 1, FIRST_KEY, END_KEY, False)))
+            out.record_room(
+                wire.encode_record(wire.SyncPiece(compare.number, 2**64 - 1, FIRST_KEY, END_KEY, False))
+            )
             - PIECE_KEY_BYTES
         )
         member_records, row_records, used, sent, up_to = list[Raw](), list[Raw](), 0, 0, after
--- a/cypresspulley/fleet/limiter.py
+++ b/cypresspulley/fleet/limiter.py
@@ -129,11 +129,11 @@
                 self._put_settled(action)
             case RowAccepted(owner, life, subsystem):
                 self._history.put(Kind.ROW, owner=owner, life=life, subsystem=subsystem)
-            case LifeRaised(life, held, settled):
+            case LifeRaised(life, others, settled):
                 log.warning("others know a later life of %s: this one is %d from here on", self._me, life)
                 self._history.put(Kind.END, reason="life")
                 self._open_history(life)
-                for other in held:  # the new history knows nothing of the former one
+                for other in others:  # the new history knows nothing of the former one
                     self._put_member(other, "told")
                 self._put_settled(settled)
 
--- a/cypresspulley/fleet/outbox.py
+++ b/cypresspulley/fleet/outbox.py
@@ -66,7 +66,9 @@
             - wire.encoded_size(message_bytes)
         )
 
-    def send(self, address: str, message_bytes: Raw, member_records: Sequence[Raw], row_records: Sequence[Raw]) -> None:
+    def send(
+        self, address: str, message_bytes: Raw, member_records: Sequence[Raw], row_records: Sequence[Raw]
+    ) -> None:
         view = self._view
         wall = max(0, round(self.wall * 1000))
         head = (self._sequence, wall, view.digest, view.rows_digest, view.own_row_versions())
--- a/cypresspulley/fleet/suspicion.py
+++ b/cypresspulley/fleet/suspicion.py
@@ -1,4 +1,4 @@
-"""Who is under suspicion here, since when, and by whose word. No I/O and no clock."""
+"""Members under suspicion, with the start of each suspicion and its accusers. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """``since`` is when it began here, ``told`` whether another holds the member dead."""
+    """A suspicion that began at ``since``; ``death_reported`` is set if another member holds the suspect dead."""
 
     since: float
     accusers: set[str] = field(default_factory=set)
     death_reported: bool = False
 
     def deadline(self, members: int, period: float) -> float:
-        """When it ends in a fleet of so many members."""
+        """Return the instant at which the suspicion ends in a fleet of ``members``."""
         periods = timing.suspicion_periods(members, max(0, len(self.accusers) - 1))
         if self.death_reported:
             periods = min(periods, timing.reported_death_periods(members))
         return self.since + periods * period
 
-    def has_accuser(self, accuser: str) -> bool:
-        """Whether this one's word would change nothing."""
+    def ignores_accuser(self, accuser: str) -> bool:
+        """Whether an accusation by this member changes nothing: it is known, or there are enough accusers."""
         return accuser in self.accusers or len(self.accusers) > timing.SUSPICION_CONFIRMATIONS
 
 
 class Suspicions:
-    """One for each member that is held suspected."""
+    """The suspicions of this member, by the name of the suspect."""
 
     def __init__(self, period: float) -> None:
         self._period = period
@@ -43,12 +43,16 @@
     def get(self, name: str) -> Suspicion | None:
         return self._by_name.get(name)
 
-    def add_accuser(self, now: float, name: str, accuser: str, death_reported: bool, members: int) -> tuple[bool, float | None]:
-        """One more suspects the member, or holds it dead: whether it is the first word of this one, and the instant
-        at which the suspicion now ends where that is earlier than before."""
+    def add_accuser(
+        self, now: float, name: str, accuser: str, death_reported: bool, members: int
+    ) -> tuple[bool, float | None]:
+        """Add an accuser that suspects the member or reports its death.
+
+        Returns whether the accusation is new, and the new deadline if it is earlier than before.
+        """
         suspicion = self._by_name.setdefault(name, Suspicion(now))
         before = suspicion.deadline(members, self._period) if suspicion.accusers else float("inf")
-        new = not suspicion.has_accuser(accuser)
+        new = not suspicion.ignores_accuser(accuser)
         if new:
             suspicion.accusers.add(accuser)
         suspicion.death_reported = suspicion.death_reported or death_reported
@@ -56,7 +60,7 @@
         return new, until if until < before else None
 
     def deadline(self, name: str, members: int) -> float | None:
-        """When it ends; None for one that is not suspected."""
+        """Return the instant at which the suspicion ends; None for a member that is not suspected."""
         suspicion = self._by_name.get(name)
         return None if suspicion is None else suspicion.deadline(members, self._period)
 
@@ -64,6 +68,6 @@
         return self._by_name.pop(name, None)
 
     def postpone(self, seconds: float) -> None:
-        """This process stood still for so many seconds, in which nobody could refute anything before it."""
+        """Postpone all suspicions by a stall of this process, during which it could not receive a refutation."""
         for suspicion in self._by_name.values():
             suspicion.since += seconds
--- a/cypresspulley/fleet/timing.py
+++ b/cypresspulley/fleet/timing.py
@@ -1,71 +1,69 @@
-"""Times of the failure detector, and the bounds that follow from them. Seconds, or probe periods where it says so.
+"""Time-outs of the failure detector and the bounds that follow from them, in seconds or, where named so, probe periods.
 
-Suspicion lasts by the log of the fleet's size and shorter with each further accuser (Dadgar, Phillips and Currey,
-"Lifeguard", 2017, section IV-B); a change is sent on by each member so many times as the log of the size (Das, Gupta
-and Motivala, "SWIM", 2002, section 4.1).
+The duration of a suspicion grows with the logarithm of the fleet's size and shrinks with each further accuser (Dadgar,
+Phillips and Currey, "Lifeguard", 2017, section IV-B). Each member retransmits a change a number of times that grows
+with the logarithm of the size (Das, Gupta and Motivala, "SWIM", 2002, section 4.1).
 """
 
 from __future__ import annotations
 
 import math
 
-DIRECT_TIMEOUT_PERIODS = 0.4  # of a period: until others are asked to ping
-PROBE_TIMEOUT_PERIODS = 0.95  # of a period: until a probe has failed
-INDIRECT_PROBES = 3  # members asked for an indirect probe
-MIN_SUSPICION_PERIODS = 10.0  # periods of the shortest suspicion at 8 members
-MAX_SUSPICION_FACTOR = 1.5  # the longest suspicion, with no other accuser, over the shortest
-SUSPICION_CONFIRMATIONS = 3  # others who suspect too, after which suspicion is at its shortest
-REPORTED_DEATH_SHARE = (
-    0.5  # of the shortest suspicion: one who is told of a death waits so long for the dead one's word
-)
-TRANSMISSIONS_PER_DECADE = 4.0  # times that a change is sent on, for each power of ten of the fleet's size
-MAX_HEALTH_SCORE = 4  # of the local health multiplier, by one more than which time-outs are stretched
-RECALL_PERIODS = 8  # periods between two words to a member held dead, or to a seed that is not in the view
-DIGEST_CHECKS_PER_PERIOD = 2  # members a period that are asked for their digest, while it differs
-DIGEST_CHECK_PERIODS = 16  # periods after a change in which they are
-STALL_PERIODS = 0.25  # of a period: a timer that is so late tells of a process that stood still,
-MIN_STALL_SECONDS = (
-    0.1  # but never less than so many seconds: a busy loop is late by some tens of milliseconds now and then
-)
-FIRST_PROBE_PERIODS = (
-    10  # periods in which at least one of many members probes a given one: all miss it with exp(-10)
-)
+DIRECT_TIMEOUT_PERIODS = 0.4  # a ping unanswered for so long leads to ping requests
+PROBE_TIMEOUT_PERIODS = 0.95  # a probe unanswered for so long has failed
+INDIRECT_PROBES = 3  # members that receive a ping request for an unanswered ping
+MIN_SUSPICION_PERIODS = 10.0  # at 8 members, with all confirmations
+MAX_SUSPICION_FACTOR = 1.5  # longest suspicion (a single accuser) over the shortest
+SUSPICION_CONFIRMATIONS = 3  # further accusers that shorten a suspicion to its minimum
+# Share of the shortest suspicion for which a reported death is held as a suspicion, so that the member can refute it.
+REPORTED_DEATH_SHARE = 0.5
+TRANSMISSIONS_PER_DECADE = 4.0  # sends of a change by each member, per power of ten of the fleet's size
+MAX_HEALTH_SCORE = 4  # worst local health score; probe time-outs are multiplied by the score plus one
+RECALL_PERIODS = 8  # interval of pings to dead members and to seeds that are not in the view
+DIGEST_CHECKS_PER_PERIOD = 2  # pings to members whose last reported digest differs
+DIGEST_CHECK_PERIODS = 16  # time after a membership change in which these pings are sent
+STALL_PERIODS = 0.25  # a timer that is later than this shows that the process was stalled
+MIN_STALL_SECONDS = 0.1  # lower limit of a stall: a busy event loop is late by tens of milliseconds at times
+# Periods until a given member of a large fleet has been probed: the probability that nobody picked it is exp(-10).
+FIRST_PROBE_PERIODS = 10
 
 
 def size_factor(members: int) -> float:
-    """The factor by size: 1 at 8 members, 3 at 998."""
+    """Return the factor of suspicion times by fleet size: 1 at 8 members, 3 at 998."""
     return max(1.0, math.log10(members + 2))
 
 
 def suspicion_periods(members: int, accusers: int) -> float:
-    """Periods from a suspicion's beginning to death; ``accusers`` counts those beside the first."""
-    least = MIN_SUSPICION_PERIODS * size_factor(members)
-    wanted = min(SUSPICION_CONFIRMATIONS, members - 2)
-    if wanted <= 0:  # nobody else could accuse
-        return least
-    share = min(1.0, math.log(accusers + 1) / math.log(wanted + 1))
-    return least * (MAX_SUSPICION_FACTOR - (MAX_SUSPICION_FACTOR - 1) * share)
+    """Return the periods from the start of a suspicion to death; ``accusers`` are those besides the first."""
+    minimum = MIN_SUSPICION_PERIODS * size_factor(members)
+    confirmations = min(SUSPICION_CONFIRMATIONS, members - 2)
+    if confirmations <= 0:  # no other member could confirm the suspicion
+        return minimum
+    share = min(1.0, math.log(accusers + 1) / math.log(confirmations + 1))
+    return minimum * (MAX_SUSPICION_FACTOR - (MAX_SUSPICION_FACTOR - 1) * share)
 
 
 def reported_death_periods(members: int) -> float:
-    """Periods that a death that another tells of is held as a suspicion."""
+    """Return the periods for which a death reported by another member is held as a suspicion."""
     return MIN_SUSPICION_PERIODS * size_factor(members) * REPORTED_DEATH_SHARE
 
 
 def transmission_limit(members: int) -> int:
-    """How often each member sends a change on."""
+    """Return how often each member sends a change."""
     return math.ceil(TRANSMISSIONS_PER_DECADE * math.log10(members + 2))
 
 
 def spread_periods(members: int) -> float:
-    """Periods in which a change that all send on has reached all: the rounds of one epidemic, doubled for losses."""
+    """Return the periods for gossip to reach all members: the rounds of one epidemic, doubled for datagram loss."""
     return 2 * math.ceil(math.log2(members + 1))
 
 
 def detect_bound(members: int, period: float) -> float:
-    """Seconds from a death until every survivor has it dead, survivors being in the worst health. The sum is:
+    """Return a bound, in seconds, on the time from a death until every survivor holds the member dead.
 
-    first probe + its failing + the longest suspicion + the spreading of the death + the wait of one who is told.
+    It assumes the worst local health at the survivors and is the sum of: the wait for the first probe, the probe's
+    time-out, the longest suspicion, the dissemination of the death and the suspicion at a member that it is reported
+    to.
     """
     first = min(FIRST_PROBE_PERIODS, 2 * members)
     periods = (
@@ -79,18 +77,21 @@
 
 
 def agree_bound(members: int, period: float) -> float:
-    """Seconds from the last fault, no death among its kind, until all digests agree: a word across the old cut, the
-    claims of death spread, their refutations spread, and twice as long again for what bounded datagrams put off."""
-    carried = math.ceil(members / 20)  # periods: some 80 records a period that each can send
-    return (RECALL_PERIODS + 1 + 2 * (2 * spread_periods(members) + carried)) * period
+    """Return a bound, in seconds, on the time from the end of the last fault (not a death) until all digests agree.
+
+    It covers a ping across the former partition and the dissemination of death claims and of their refutations; the
+    dissemination counts twice, because datagrams of bounded size postpone records.
+    """
+    record_periods = math.ceil(members / 20)  # a member can send some 80 records a period
+    return (RECALL_PERIODS + 1 + 2 * (2 * spread_periods(members) + record_periods)) * period
 
 
 def settle_bound(members: int, period: float) -> float:
-    """Seconds from the last fault until each member knows that all digests agree: every other one's has been told."""
-    asked = (
+    """Return a bound, in seconds, on the time from the last fault until each member has heard all digests agree."""
+    check_periods = (
         (members - 1) / (1 + DIGEST_CHECKS_PER_PERIOD)
         if members <= DIGEST_CHECK_PERIODS * DIGEST_CHECKS_PER_PERIOD
         else members - 1
     )
     longest = max(detect_bound(members, period), agree_bound(members, period))
-    return longest + (4 + 1.5 * asked) * period
+    return longest + (4 + 1.5 * check_periods) * period
