--- a/cypresspulley/fleet/documents.py
+++ b/cypresspulley/fleet/documents.py
@@ -8,28 +8,26 @@
 from cypresspulley.fleet.records import MAX_DOCUMENT_BYTES
 from cypresspulley.fleet.wire import DIGEST_BYTES, PART_BYTES, DocumentPart, DocumentRequest
 
-MAX_DOCUMENTS = 16  # documents; the one that was longest not asked for goes first
+MAX_DOCUMENTS = 16  # the least recently used one is evicted
 MAX_REQUESTED = 8
-PARTS_PER_FETCH = 8  # parts that one request asks for
-RETRIES_PER_PERIOD = (
-    8  # members a period that are asked anew because the one asked before lacked the document
-)
+PARTS_PER_FETCH = 8  # parts in one request
+RETRIES_PER_PERIOD = 8  # requests to another member after one that lacks the document
 
 
 class Documents:
-    """Those that are held, and the parts of those that are wanted."""
+    """The stored documents and the parts received of requested ones."""
 
     def __init__(self) -> None:
         self._documents = OrderedDict[bytes, bytes]()
-        self._requested = dict[
-            bytes, tuple[int, dict[int, bytes]]
-        ]()  # by digest: of how many (0 unknown), the parts
+        # By digest: the number of parts (0 if unknown), and the parts received by number.
+        self._requested = dict[bytes, tuple[int, dict[int, bytes]]]()
         self._retries = 0
 
     def __repr__(self) -> str:
-        return f"<Documents: {len(self._documents)} held, {len(self._requested)} wanted>"
+        return f"<Documents: {len(self._documents)} stored, {len(self._requested)} requested>"
 
     def store(self, body: bytes) -> str:
+        """Store a document and return its digest in hex; ``ValueError`` over ``MAX_DOCUMENT_BYTES``."""
         if len(body) > MAX_DOCUMENT_BYTES:
             raise ValueError(f"document: expected at most {MAX_DOCUMENT_BYTES} bytes, got {len(body)}")
         digest = blake2b(body, digest_size=DIGEST_BYTES).digest()
@@ -41,7 +39,7 @@
         return digest.hex()
 
     def request(self, digest: str) -> None:
-        """``ValueError`` for what is no digest. Of more than ``MOST_WANTED`` the oldest wish is given up."""
+        """Request a document; ``ValueError`` for an invalid digest. Over ``MAX_REQUESTED`` the oldest request is dropped."""
         key = bytes.fromhex(digest)
         if len(key) != DIGEST_BYTES:
             raise ValueError(
@@ -53,6 +51,7 @@
             self._requested[key] = (0, {})
 
     def get(self, digest: str) -> bytes | None:
+        """Return a stored document; None for one that is not stored."""
         key = bytes.fromhex(digest)
         body = self._documents.get(key)
         if body is not None:
@@ -60,17 +59,17 @@
         return body
 
     def start_period(self) -> list[bytes]:
-        """What to ask for in a period that begins."""
+        """Reset the retries for a new period and return the digests of the requested documents."""
         self._retries = 0
         return list(self._requested)
 
     def may_retry(self) -> bool:
-        """Whether another member may be asked in this period, the last having lacked the document."""
+        """Whether another member may be asked in this period, after one that lacks the document."""
         self._retries += 1
         return self._retries <= RETRIES_PER_PERIOD
 
     def next_parts_request(self, digest: bytes) -> DocumentRequest | None:
-        """What to ask for next; None for what is not wanted."""
+        """Return the request for the next missing parts; None for a document that is not requested."""
         if digest not in self._requested:
             return None
         count, parts = self._requested[digest]
@@ -81,24 +80,27 @@
         return DocumentRequest(digest, mask.to_bytes((max(missing, default=0) + 8) // 8, "little"))
 
     def requested_parts(self, request: DocumentRequest) -> list[DocumentPart] | None:
-        """The answer to a request, ``AT_ONCE`` parts at most; None where the document is not held."""
+        """Return the parts that a request asks for, at most ``PARTS_PER_FETCH``; None without the document."""
         body = self._documents.get(request.digest)
         if body is None:
             return None
         self._documents.move_to_end(request.digest)
         count = max(1, -(-len(body) // PART_BYTES))
         mask = int.from_bytes(request.part_mask, "little")
-        asked = [number for number in range(count) if mask >> number & 1][:PARTS_PER_FETCH]
+        numbers = [number for number in range(count) if mask >> number & 1][:PARTS_PER_FETCH]
         return [
-            DocumentPart(request.digest, n, count, body[n * PART_BYTES : (n + 1) * PART_BYTES]) for n in asked
+            DocumentPart(request.digest, n, count, body[n * PART_BYTES : (n + 1) * PART_BYTES])
+            for n in numbers
         ]
 
     def add_part(self, part: DocumentPart) -> bool:
-        """Lay a part to the others; whether the next ones may be asked for now (all that were asked for are here)."""
+        """Add a part. Returns whether to request the next ones: all parts of the last request have arrived."""
         if part.digest not in self._requested or part.number >= part.count:
             return False
         count, parts = self._requested[part.digest]
-        if count and count != part.count:  # one of two lies, and which cannot be told: begin anew
+        if (
+            count and count != part.count
+        ):  # one of the two counts is false and it is unknown which: start again
             self._requested[part.digest] = (0, {})
             return False
         parts[part.number] = part.body
--- a/cypresspulley/fleet/options.py
+++ b/cypresspulley/fleet/options.py
@@ -1,13 +1,13 @@
-"""The operators' table ``[fleet]``: checked key by key before anything starts.
+"""Validation of the operators' table ``[fleet]`` at startup.
 
     [fleet]
-    installation = "vadodara"              # members of other installations are not heard
-    listen = "10.0.0.5:8700"               # UDP: where this limiter's datagrams come in
-    advertise = "10.0.0.5:8700"            # where others reach it; default: listen
-    seeds = ["10.0.0.5:8700", "10.0.0.6:8700"]   # some members' addresses; its own may be among them
-    period_ms = 500                        # of probes; 50 to 10000
+    installation = "vadodara"              # datagrams of other installations are dropped
+    listen = "10.0.0.5:8700"               # UDP address of this limiter's socket
+    advertise = "10.0.0.5:8700"            # address for other members; default: listen
+    seeds = ["10.0.0.5:8700", "10.0.0.6:8700"]   # may include its own address
+    period_ms = 500                        # probe period; 50 to 10000
 
-``FAWNSEAM_FLEET_KEY`` holds the key of the digest over each datagram, 16 characters at least, the same at all members.
+``FAWNSEAM_FLEET_KEY`` holds the authentication key of the datagrams: at least 16 characters, the same at all members.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 from cypresspulley.net.http import split_address
 from cypresspulley.operators import OperatorsError
 
-MIN_KEY_CHARACTERS = 16  # characters
-MAX_SEEDS = MAX_MEMBERS  # every member may be named; more than these no view holds
-PERIOD_MS_RANGE = (50, 10_000)  # ms
+MIN_KEY_CHARACTERS = 16
+MAX_SEEDS = MAX_MEMBERS  # all members may be seeds, and a view holds no more
+PERIOD_MS_RANGE = (50, 10_000)
 
 
 @dataclass(frozen=True, slots=True)
 class FleetOptions:
-    """``period`` in seconds; addresses are host and port."""
+    """The validated table. ``period`` is in seconds; ``listen`` is host and port, other addresses are ``host:port``."""
 
     installation: str
     listen: tuple[str, int]
@@ -39,7 +39,7 @@
 
 
 def options_from(table: dict[str, Any], path: str, key: str) -> FleetOptions:
-    """The table as options; ``OperatorsError`` names file, key and what was expected."""
+    """Parse the table. Raises ``OperatorsError``, which names the file, the key and the expected value."""
 
     def fail(name: str, expected: str) -> OperatorsError:
         return OperatorsError(f"{path}: fleet.{name}: expected {expected}, got {table.get(name)!r:.60}")
@@ -52,10 +52,12 @@
         raise fail("installation", "a name of at most 40 letters, digits, dots and dashes")
     advertise, seeds = table.get("advertise", listen), table.get("seeds")
     for name, address in (("listen", listen), ("advertise", advertise)):
-        if not _address(address):
+        if not _is_address(address):
             raise fail(name, "an address host:port")
-    whole = isinstance(seeds, list) and len(seeds) <= MAX_SEEDS and all(_address(seed) for seed in seeds)
-    if not isinstance(seeds, list) or not whole:
+    is_valid = (
+        isinstance(seeds, list) and len(seeds) <= MAX_SEEDS and all(_is_address(seed) for seed in seeds)
+    )
+    if not isinstance(seeds, list) or not is_valid:
         raise fail("seeds", f"a list of at most {MAX_SEEDS} addresses host:port")
     period = table.get("period_ms", 500)
     if (
@@ -73,7 +75,7 @@
     )
 
 
-def _address(text: object) -> bool:
+def _is_address(text: object) -> bool:
     try:
         return isinstance(text, str) and split_address(text)[1] > 0
     except ValueError:
--- a/cypresspulley/fleet/outbox.py
+++ b/cypresspulley/fleet/outbox.py
@@ -1,4 +1,4 @@
-"""Lays out datagrams: a message, this member itself, and as much news beside it as there is room. No I/O, no clock."""
+"""Builds datagrams: a message, the sender's own record, and as much gossip as there is room for. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from cypresspulley.fleet.actions import Action, Send
 from cypresspulley.fleet.view import View
 
-MAX_RESPONSE_DATAGRAMS = 24  # datagrams of one answer
-ENVELOPE_BYTES = 140  # bytes: more than an envelope takes beside its message, its sender and the records
+MAX_RESPONSE_DATAGRAMS = 24  # bound on the datagrams of one anti-entropy response
+ENVELOPE_BYTES = 140  # upper bound on an envelope without its message, sender and records
 
 
 class Outbox:
-    """Actions gather in it until ``empty``. ``now`` and ``wall`` are the instants of the event that is handled."""
+    """Collects the actions of one event until ``drain``; ``now`` and ``wall`` are the instants of that event."""
 
     def __init__(self, codec: wire.Codec, view: View, counts: Counter[str]) -> None:
         self._codec, self._view, self._counts = codec, view, counts
@@ -29,35 +29,36 @@
         return f"<Outbox: {self._sequence} datagrams in this life>"
 
     def drain(self) -> list[Action]:
-        done, self._actions = self._actions, []
-        return done
+        """Remove the collected actions and return them."""
+        actions, self._actions = self._actions, []
+        return actions
 
     def add_action(self, action: Action) -> None:
         self._actions.append(action)
 
     def refresh_sender(self, new_life: bool = False) -> Raw:
-        """Take this member's own record anew from the view; a new life counts its datagrams from 0."""
+        """Encode this member's own record again and return it; a new life numbers its datagrams from 0."""
         self._sender = self._view.encode_member(self._view.local_name)
         if new_life:
             self._sequence = 0
         return self._sender
 
     def send_to_member(self, name: str, message: wire.Message) -> None:
-        """Send to a member of the view."""
+        """Send a message to a member of the view, with gossip; an unknown name is ignored."""
         member = self._view.get(name)
         if member is not None:
             self.send_with_gossip(member.address, message)
 
     def send_with_gossip(self, address: str, message: wire.Message, extra: Sequence[str] = ()) -> None:
-        """Send with news beside it; ``first`` are members whose records go in any case."""
+        """Send a message with gossip; the records of the members ``extra`` are always included."""
         message_bytes = wire.encode_record(message)
         member_records = [self._view.encode_member(name) for name in extra]
-        room = self.record_room(message_bytes) - sum(wire.encoded_size(entry) for entry in member_records)
-        news, row_records = self._view.gossip_queue.take(self.now, self._view, room)
-        self.send(address, message_bytes, member_records + news, row_records)
+        room = self.record_room(message_bytes) - sum(wire.encoded_size(record) for record in member_records)
+        gossip, row_records = self._view.gossip_queue.take(self.now, self._view, room)
+        self.send(address, message_bytes, member_records + gossip, row_records)
 
     def record_room(self, message_bytes: Raw) -> int:
-        """Bytes for records beside a message."""
+        """Return the bytes left for records beside a message."""
         return (
             wire.MAX_DATAGRAM_BYTES
             - wire.HEADER_BYTES
@@ -69,11 +70,12 @@
     def send(
         self, address: str, message_bytes: Raw, member_records: Sequence[Raw], row_records: Sequence[Raw]
     ) -> None:
+        """Send one datagram with exactly these records; the caller ensures that they fit."""
         view = self._view
-        wall = max(0, round(self.wall * 1000))
-        head = (self._sequence, wall, view.digest, view.rows_digest, view.own_row_versions())
+        wall_ms = max(0, round(self.wall * 1000))
+        header = (self._sequence, wall_ms, view.digest, view.rows_digest, view.own_row_versions())
         self._sequence += 1
-        data = self._codec.encode(head, self._sender, message_bytes, member_records, row_records)
+        data = self._codec.encode(header, self._sender, message_bytes, member_records, row_records)
         self._counts["sent"] += 1
         self._counts["sent bytes"] += len(data)
         self._actions.append(Send(address, data))
@@ -81,16 +83,16 @@
     def send_all(
         self, address: str, message: wire.Message, member_records: Sequence[Raw], row_records: Sequence[Raw]
     ) -> None:
-        """Send all of the records, in as many datagrams as it takes, ``MOST_PIECES`` at most; none where none are."""
+        """Send records in as many datagrams as needed, at most ``MAX_RESPONSE_DATAGRAMS``; none without records."""
         message_bytes = wire.encode_record(message)
-        whole = self.record_room(message_bytes)
+        full_room = self.record_room(message_bytes)
         parts: tuple[list[Raw], list[Raw]] = ([], [])
-        room, sent = whole, 0
+        room, sent = full_room, 0
         for kind, records in enumerate((member_records, row_records)):
             for record in records:
                 if wire.encoded_size(record) > room:
                     self.send(address, message_bytes, *parts)
-                    parts, room, sent = ([], []), whole, sent + 1
+                    parts, room, sent = ([], []), full_room, sent + 1
                     if sent == MAX_RESPONSE_DATAGRAMS:
                         return
                 parts[kind].append(record)
--- a/cypresspulley/fleet/peers.py
+++ b/cypresspulley/fleet/peers.py
@@ -1,4 +1,4 @@
-"""What a member knows of the others by their own datagrams: which have come, when, and with which digest. No I/O."""
+"""State by peer from its own datagrams: their sequence numbers, the last arrival and the last digest. No I/O."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ReplayWindow:
-    """Which of a sender's datagrams have come, by number: each counts once, one older than 64 others not at all."""
+    """Replay window over a sender's sequence numbers: each is accepted once, one 64 or more behind the top never."""
 
     __slots__ = ("bits", "life", "top")
 
@@ -20,7 +20,7 @@
         return f"<Window of life {self.life} to {self.top}>"
 
     def accept(self, number: int) -> bool:
-        """Whether this one is new."""
+        """Record a number and return whether it is new."""
         if number > self.top:
             shift = min(64, number - self.top)
             self.bits = ((self.bits << shift) | 1) & (2**64 - 1)
@@ -35,29 +35,29 @@
 
 @dataclass(slots=True)
 class Peer:
-    """Another member in its present life. ``digest`` is the one that it last told, in the datagram numbered ``top``."""
+    """A peer in its present life. ``digest`` is the one last reported, in the datagram numbered ``top``."""
 
     window: ReplayWindow
     heard_at: float
     digest: int = -1
     top: int = -1
-    corrected: float = float("-inf")  # when it was last told better of itself
+    corrected: float = float("-inf")  # when it was last sent a newer record of itself
 
 
 class Peers:
-    """One for each member of the view that has been heard, at most."""
+    """The peers that have been heard from, at most one per member of the view."""
 
     def __init__(self, view: View) -> None:
         self._view = view
         self._by_name = dict[str, Peer]()
-        self._last_differing = -1  # place among the others of who was last found to differ
-        self.reported_settled = False  # as last said in the history
+        self._last_differing = -1  # index, in the view's other names, of the last member found to differ
+        self.reported_settled = False  # as last reported to the history
 
     def __repr__(self) -> str:
-        return f"<Peers: {len(self._by_name)} heard, {'' if self.reported_settled else 'not '}settled>"
+        return f"<Peers: {len(self._by_name)} heard from, {'' if self.reported_settled else 'not '}settled>"
 
     def is_new(self, envelope: Envelope) -> bool:
-        """Whether it has not come before. One of a life that is over is: its claims are merged, and change nothing."""
+        """Whether a datagram is not a replay. One of a former life passes: merging its claims changes nothing."""
         sender = envelope.sender
         peer = self._by_name.get(sender.name)
         if peer is None or peer.window.life < sender.life:
@@ -65,7 +65,7 @@
         return peer.window.life > sender.life or peer.window.accept(envelope.sequence)
 
     def record(self, now: float, envelope: Envelope) -> None:
-        """Hear a fresh datagram of a member's present life."""
+        """Record a new datagram of a member's present life."""
         sender = envelope.sender
         peer = self._by_name.get(sender.name)
         if peer is None or peer.window.life != sender.life:
@@ -76,7 +76,7 @@
             peer.top, peer.digest = envelope.sequence, envelope.members_digest
 
     def may_correct(self, now: float, sender: MemberRecord, period: float) -> bool:
-        """Whether to tell it that others know better of it: once a period."""
+        """Whether to send the peer a newer record of itself: at most once a period."""
         peer = self._by_name.get(sender.name)
         if peer is None or now - peer.corrected >= period:
             if peer is not None:
@@ -88,17 +88,17 @@
         self._by_name.pop(name, None)
 
     def list_forgotten(self) -> list[str]:
-        """Names that the view has forgotten."""
+        """Return the names that are no longer in the view."""
         return [name for name in self._by_name if self._view.get(name) is None]
 
     def all_agree(self) -> bool:
-        """Whether every other present member has last told the digest that is this one's own."""
+        """Whether the last digest reported by every other present member equals the local one."""
         digest, by_name = self._view.digest, self._by_name
-        told = (by_name.get(name) for name in self._view.other_names())
-        return all(peer is not None and peer.digest == digest for peer in told)
+        peers = (by_name.get(name) for name in self._view.other_names())
+        return all(peer is not None and peer.digest == digest for peer in peers)
 
     def list_differing(self, limit: int) -> list[str]:
-        """Members whose digest, as last told, is not mine: all in turn."""
+        """Return up to ``limit`` members whose last digest differs from the local one, in round-robin order."""
         others, found = self._view.other_names(), list[str]()
         for _ in range(len(others)):
             self._last_differing = (self._last_differing + 1) % len(others)
@@ -110,6 +110,8 @@
         return found
 
     def count_heard(self, now: float, within: float) -> int:
-        """Present members that have been heard from directly in so many seconds."""
-        found = (name for name, peer in self._by_name.items() if now - peer.heard_at <= within)
-        return sum(1 for name in found if (held := self._view.get(name)) is not None and held.state.present)
+        """Return how many present members have sent a datagram within the last ``within`` seconds."""
+        recent = (name for name, peer in self._by_name.items() if now - peer.heard_at <= within)
+        return sum(
+            1 for name in recent if (member := self._view.get(name)) is not None and member.state.present
+        )
--- a/cypresspulley/fleet/records.py
+++ b/cypresspulley/fleet/records.py
@@ -1,8 +1,8 @@
-"""Records of the fleet's view: members, rows, and what others may ask of the view. No logic beyond their order.
+"""Records of the membership view: members, rows, and the interface of the view. No logic beyond the records' order.
 
-Terms are those of SWIM (Das, Gupta, Motivala 2002): member, incarnation, suspicion. A *life* is a process's own: the
-wall clock in milliseconds at its start, or one above its former life where that is larger. Times that are passed in
-(``now``) are seconds of one clock that never steps; nothing here reads a clock.
+Terms are those of SWIM (Das, Gupta, Motivala 2002): member, incarnation, suspicion. A *life* is the generation number
+of a process: its wall clock in milliseconds at the start, or one above its former life if that is larger. Instants that
+are passed in (``now``) are seconds of one monotonic clock; nothing here reads a clock.
 """
 
 from __future__ import annotations
@@ -11,32 +11,32 @@
 from enum import IntEnum
 from typing import NamedTuple, Protocol
 
-MAX_ROW_BYTES = 200  # bytes of one subsystem's row
+MAX_ROW_BYTES = 200  # of the row of one subsystem
 MAX_SUBSYSTEMS = 4
-MAX_DOCUMENT_BYTES = 65_536  # bytes of a document, which rows name by its digest
+MAX_DOCUMENT_BYTES = 65_536  # rows refer to a document by its digest
 NAME_PATTERN = r"[A-Za-z0-9][A-Za-z0-9._-]{0,39}"
 
 
 class MemberState(IntEnum):
-    """A member's state; of one life and incarnation the higher one holds."""
+    """The state of a member; of two states in one life and incarnation the higher one wins."""
 
-    JOINING = 0  # it has said that it is here, and has not yet the others' view
+    JOINING = 0  # it has announced itself and has not yet received the view of another member
     ALIVE = 1
-    LEAVING = 2  # it ends in order: it is not suspected, and takes nothing new
+    LEAVING = 2  # orderly shutdown: it is not suspected, and takes no new work
     SUSPECTED = 3
     LEFT = 4
     DEAD = 5
 
     @property
     def present(self) -> bool:
-        """Whether it counts as running: all but those that have left or are dead."""
+        """Whether the member counts as running: it has not left and is not dead."""
         return self < MemberState.LEFT
 
 
 class Rank(NamedTuple):
-    """The order of what is known of one member: the larger one holds. A merge takes the larger (a join of a chain).
+    """The total order of records of one member; a merge keeps the larger one (the join of a chain).
 
-    The end of a life is final in it, whatever the incarnation, as SWIM's confirm is (section 4.2).
+    The end of a life is final regardless of the incarnation, like SWIM's confirm (section 4.2).
     """
 
     life: int
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One limiter as the view knows it. ``address`` (``host:port``) is where others send datagrams to it."""
+    """The record of one limiter. Others send datagrams to its ``address`` (``host:port``)."""
 
     name: str
     life: int
@@ -63,9 +63,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """What a member says of itself for one subsystem. Only its owner writes it; a dead life's row ends with it.
+    """The state that a member publishes for one subsystem. Only its owner writes it, and it ends with the owner's life.
 
-    ``age`` is the seconds since a version of it was last confirmed by its owner, as far as this process knows.
+    ``age`` is the time in seconds since the owner last confirmed the version, as far as this process knows.
     """
 
     owner: str
@@ -77,55 +77,61 @@
 
 
 class FleetView(Protocol):
-    """What ``lanes`` and ``closing`` may ask of the view, and say through it."""
+    """The interface of the view for ``lanes`` and ``closing``: membership, rows and documents."""
 
     @property
     def local_name(self) -> str:
-        """This limiter's own name."""
+        """The name of this limiter."""
         ...
 
     @property
     def life(self) -> int:
-        """This process's life; it rises above any later one of this name that the others know of."""
+        """The life of this process; it is raised above any later life of this name that others know."""
         ...
 
     def members(self) -> tuple[Member, ...]:
-        """All members that are present, this one among them, sorted by name."""
+        """Return all present members, this one included, sorted by name."""
         ...
 
     def get_member(self, name: str) -> Member | None:
-        """What is known of one, dead ones included; None for one that was never heard of or is forgotten."""
+        """Return the record of a member, dead ones included; None for an unknown or forgotten one."""
         ...
 
     def rows(self, now: float, subsystem: str) -> tuple[Row, ...]:
-        """The rows of all present members that have one, this one's own among them, sorted by owner."""
+        """Return the rows of all present members, this one's own included, sorted by owner."""
         ...
 
     def publish(self, subsystem: str, body: bytes) -> None:
-        """Say this in place of what was said before. ``ValueError`` over ``MOST_ROW`` bytes."""
+        """Replace this member's row of the subsystem. Raises ``ValueError`` over ``MAX_ROW_BYTES``."""
         ...
 
     def is_settled(self, now: float) -> bool:
-        """Whether this digest equals that of every member that is held alive, as last told by them."""
+        """Whether the local digest equals the last digest reported by every present member."""
         ...
 
     def count_heard(self, now: float, within: float) -> int:
-        """How many other present members have been heard from directly in so many seconds."""
+        """Return how many other present members have sent a datagram within the last ``within`` seconds."""
         ...
 
     def clock_error(self, now: float) -> tuple[float, float] | None:
-        """Bounds (low, high), in seconds, on this wall clock minus the middle of the others', by round trips of probes;
-        None where too few of the others are known. ``low > 0`` means: this clock is surely ahead by at least that."""
+        """Return bounds (low, high), in seconds, on this wall clock minus the median of the others' clocks.
+
+        They follow from the round trips of probes; None with too few answers. With ``low > 0`` this clock is ahead by
+        at least ``low``.
+        """
         ...
 
     def store_document(self, body: bytes) -> str:
-        """Hold a document for others to fetch; its digest, 32 hex digits. ``ValueError`` over ``MOST_DOCUMENT``."""
+        """Store a document for others and return its digest, 32 hex digits.
+
+        Raises ``ValueError`` over ``MAX_DOCUMENT_BYTES``.
+        """
         ...
 
     def request_document(self, digest: str) -> None:
-        """Fetch a document from whichever member has it; ``document`` gives it once it is here."""
+        """Request a document from any member that has it; ``get_document`` returns it once it has arrived."""
         ...
 
     def get_document(self, digest: str) -> bytes | None:
-        """A document that is held, checked against its digest."""
+        """Return a stored document, verified against its digest; None until it has arrived."""
         ...
--- a/cypresspulley/fleet/wire.py
+++ b/cypresspulley/fleet/wire.py
@@ -1,11 +1,13 @@
-"""Datagrams between members: what they say, and how a member tells one that it can believe from all others.
+"""Wire format of the datagrams between members, and their authentication.
 
-    byte 0        form of the datagram (``FORM``)
-    bytes 1-16    BLAKE2b over form and body, keyed with the installation's key (RFC 7693)
+    byte 0        version of the format (``FORMAT_VERSION``)
+    bytes 1-16    BLAKE2b over version and body, keyed with the installation's key (RFC 7693)
     rest          body: MessagePack, an array of the fields of ``Envelope``
 
-Nothing is read of a body before its digest has been found right; a body that then has not exactly the expected fields,
-each inside its bounds, is dropped whole. An old or doubled datagram has a right digest: see ``detector.Window``.
+A body is decoded only after its digest has been verified, and a datagram is dropped unless its body has exactly the
+expected fields, each within its bounds. A replayed datagram has a valid digest: ``peers.ReplayWindow`` rejects it.
+
+Structs are encoded as arrays (``array_like``): the order, types and tags of fields are the protocol, not their names.
 """
 
 from __future__ import annotations
@@ -21,18 +23,16 @@
 from cypresspulley.fleet.records import MAX_ROW_BYTES, NAME_PATTERN, Member, MemberState
 
 FORMAT_VERSION = 1
-MAX_DATAGRAM_BYTES = (
-    1200  # of a datagram: below the least path that IPv6 promises (1280), with room for headers
-)
-DIGEST_BYTES = 16  # bytes
+MAX_DATAGRAM_BYTES = 1200  # below the minimum IPv6 MTU (1280), with room for headers
+DIGEST_BYTES = 16
 HEADER_BYTES = 1 + DIGEST_BYTES
-BUCKET_COUNT = 64  # of names, by which two members compare what they hold
-PART_BYTES = 900  # bytes of a document in one datagram
-MAX_PARTS = 73  # ceil(MOST_DOCUMENT / PART)
-MAX_RECORDS = 64  # in one datagram; a record of a true member takes more than 20 bytes
+BUCKET_COUNT = 64  # of member names, by which anti-entropy compares two views
+PART_BYTES = 900  # of a document in one datagram
+MAX_PARTS = 73  # ceil(MAX_DOCUMENT_BYTES / PART_BYTES)
+MAX_RECORDS = 64  # of each kind in one datagram; a valid record takes more than 20 bytes
 
 Name = Annotated[str, Meta(min_length=1, max_length=40, pattern=f"^{NAME_PATTERN}$")]
-NoName = Annotated[str, Meta(max_length=40)]
+OptionalName = Annotated[str, Meta(max_length=40)]
 Zone = Annotated[str, Meta(max_length=64)]
 Address = Annotated[str, Meta(max_length=80)]
 Count = Annotated[int, Meta(ge=0, le=2**62)]
@@ -41,7 +41,7 @@
 
 
 class MemberRecord(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """A member as it is told. ``by`` is who suspects or has found it dead, "" where nobody does."""
+    """The record of a member. ``accuser`` suspects it or has found it dead; "" without one."""
 
     name: Name
     life: Count
@@ -49,14 +49,15 @@
     state: MemberState
     zone: Zone
     address: Address
-    accuser: NoName = ""
+    accuser: OptionalName = ""
 
     def member(self) -> Member:
+        """Return the record as a ``Member``, without its accuser."""
         return Member(self.name, self.life, self.incarnation, self.state, self.zone, self.address)
 
 
 class RowRecord(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """One subsystem's row of one member; ``age`` in ms since its owner confirmed it, as the sender knows."""
+    """The row of a member for one subsystem; ``age_ms`` since its owner confirmed it, as known to the sender."""
 
     owner: Name
     subsystem: Name
@@ -67,18 +68,23 @@
 
 
 class Ping(Struct, array_like=True, frozen=True, tag=1, forbid_unknown_fields=True):
-    """Asks for an ``Ack``. ``to`` is the name of who is meant, "" for whoever is at the address."""
+    """Asks for an ``Ack``. ``target`` is the name of the receiver, "" for whoever is at the address."""
 
     nonce: Count
-    target: NoName
+    target: OptionalName
 
 
 class Ack(Struct, array_like=True, frozen=True, tag=2, forbid_unknown_fields=True):
+    """Answers a ``Ping``."""
+
     nonce: Count
 
 
 class PingRequest(Struct, array_like=True, frozen=True, tag=3, forbid_unknown_fields=True):
-    """Asks the receiver to ping another; answered by ``Reached`` or, in time, by ``Missed``."""
+    """Asks the receiver to ping the target (SWIM's ping-req).
+
+    It is answered by ``PingRequestAck`` or, on a time-out, by ``PingRequestNack``.
+    """
 
     nonce: Count
     target: Name
@@ -86,21 +92,23 @@
 
 
 class PingRequestAck(Struct, array_like=True, frozen=True, tag=4, forbid_unknown_fields=True):
+    """Reports that the target of a ``PingRequest`` has answered."""
+
     nonce: Count
 
 
 class PingRequestNack(Struct, array_like=True, frozen=True, tag=5, forbid_unknown_fields=True):
-    """The asked one answers, the one that it was asked to ping did not (Lifeguard's nack)."""
+    """Reports that the target of a ``PingRequest`` has not answered (Lifeguard's nack)."""
 
     nonce: Count
 
 
 class Gossip(Struct, array_like=True, frozen=True, tag=6, forbid_unknown_fields=True):
-    """Nothing but what stands beside it."""
+    """A datagram that carries only records."""
 
 
 class SyncRequest(Struct, array_like=True, frozen=True, tag=7, forbid_unknown_fields=True):
-    """Digests of all buckets of names, 8 bytes each; asks for ``Piece`` datagrams of those that differ."""
+    """Digests of all buckets, 8 bytes each; asks for ``SyncPiece`` datagrams of those that differ."""
 
     number: Count
     buckets: Annotated[bytes, Meta(min_length=BUCKET_COUNT * 8, max_length=BUCKET_COUNT * 8)]
@@ -112,7 +120,7 @@
 
 
 class SyncPiece(Struct, array_like=True, frozen=True, tag=8, forbid_unknown_fields=True):
-    """Beside it stands all that the sender holds with keys in (``after``, ``upto``] in the buckets of ``mask``."""
+    """Carries all records of the sender with keys in (``after``, ``up_to``] in the buckets of ``mask``."""
 
     number: Count
     mask: Hash64
@@ -122,17 +130,19 @@
 
 
 class SyncCorrections(Struct, array_like=True, frozen=True, tag=9, forbid_unknown_fields=True):
-    """Beside it stands what the other's pieces lacked. What it knows better in turn it answers by ``Gossip``."""
+    """Carries records that the receiver's pieces lacked or had older; newer ones are returned by ``Gossip``."""
 
 
 class DocumentRequest(Struct, array_like=True, frozen=True, tag=10, forbid_unknown_fields=True):
-    """Asks for parts of a document: those whose bit is set."""
+    """Asks for the parts of a document whose bits are set in ``part_mask`` (little-endian)."""
 
     digest: Hash
     part_mask: Annotated[bytes, Meta(max_length=(MAX_PARTS + 7) // 8)]
 
 
 class DocumentPart(Struct, array_like=True, frozen=True, tag=11, forbid_unknown_fields=True):
+    """Part ``number`` of ``count`` of a document."""
+
     digest: Hash
     number: Annotated[int, Meta(ge=0, lt=MAX_PARTS)]
     count: Annotated[int, Meta(ge=1, le=MAX_PARTS)]
@@ -140,6 +150,8 @@
 
 
 class DocumentMissing(Struct, array_like=True, frozen=True, tag=12, forbid_unknown_fields=True):
+    """Reports that the sender does not have a requested document."""
+
     digest: Hash
 
 
@@ -160,10 +172,11 @@
 
 
 class Envelope(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """One datagram's body.
+    """The body of a datagram.
 
-    ``number`` counts the sender's datagrams in its life; ``wall`` its wall clock in ms; ``members`` and ``rows`` its
-    digests; ``versions`` the sum of its own rows' versions; ``me`` itself.
+    ``sequence`` numbers the sender's datagrams in its life, and ``wall_ms`` is its wall clock. ``members_digest`` and
+    ``rows_digest`` are the digests of its view, ``row_versions`` is the sum of the versions of its own rows, and
+    ``sender`` is its own record.
     """
 
     installation: Name
@@ -178,8 +191,8 @@
     row_records: Annotated[list[RowRecord], Meta(max_length=MAX_RECORDS)]
 
 
-class InvalidDatagram(Exception):  # noqa: N818 - it names a datagram, no fault of this program
-    """A datagram that is dropped; ``cause`` is a word for the counters."""
+class InvalidDatagram(Exception):  # noqa: N818 - it describes a received datagram, not an error of this program
+    """A datagram that is dropped; ``cause`` is the name of its counter."""
 
     def __init__(self, cause: str) -> None:
         super().__init__(cause)
@@ -191,23 +204,22 @@
 
 
 def encode_record(value: Struct) -> Raw:
-    """A value's bytes, to be laid into a datagram as they are."""
+    """Encode a record once, for embedding in any number of datagrams."""
     return Raw(_encoder.encode(value))
 
 
 def encoded_size(value: Raw) -> int:
-    """Bytes that it takes in a datagram."""
+    """Return the bytes that an encoded record takes in a datagram."""
     return memoryview(value).nbytes
 
 
 class Codec:
-    """Datagrams of one installation under one key."""
+    """Encodes and decodes the datagrams of one installation, authenticated with its key."""
 
     def __init__(self, installation: str, key: bytes) -> None:
         self._installation = installation
-        self._key = blake2b(
-            key, digest_size=32, person=b"fawnseam-fleet"
-        ).digest()  # any length of key will do
+        # Hashed because BLAKE2b takes keys of at most 64 bytes.
+        self._key = blake2b(key, digest_size=32, person=b"fawnseam-fleet").digest()
 
     def __repr__(self) -> str:
         return f"<Codec {self._installation}>"
@@ -220,14 +232,19 @@
         member_records: Sequence[Raw],
         row_records: Sequence[Raw],
     ) -> bytes:
-        """``head`` is number, wall, members, rows and versions, as in ``Envelope``; the caller minds the size."""
+        """Encode a datagram. The caller ensures that it is no longer than ``MAX_DATAGRAM_BYTES``.
+
+        ``header`` is sequence, wall_ms, members_digest, rows_digest and row_versions, as in ``Envelope``.
+        """
         body = _encoder.encode((self._installation, *header, sender, message, member_records, row_records))
-        form = bytes((FORMAT_VERSION,))
-        return form + self._digest(form, body) + body
+        version = bytes((FORMAT_VERSION,))
+        return version + self._digest(version, body) + body
 
     def decode(self, data: bytes) -> Envelope:
-        """What a datagram says; ``Unreadable`` with the cause ``long``, ``cut``, ``form``, ``digest``, ``garbled`` or
-        ``foreign``."""
+        """Verify and decode a datagram.
+
+        Raises ``InvalidDatagram`` with the cause ``long``, ``cut``, ``form``, ``digest``, ``garbled`` or ``foreign``.
+        """
         if len(data) > MAX_DATAGRAM_BYTES:
             raise InvalidDatagram("long")
         if len(data) <= HEADER_BYTES:
@@ -245,7 +262,7 @@
             raise InvalidDatagram("foreign")
         return envelope
 
-    def _digest(self, form: bytes, body: bytes) -> bytes:
-        keyed = blake2b(form, key=self._key, digest_size=DIGEST_BYTES)
-        keyed.update(body)
-        return keyed.digest()
+    def _digest(self, version: bytes, body: bytes) -> bytes:
+        mac = blake2b(version, key=self._key, digest_size=DIGEST_BYTES)
+        mac.update(body)
+        return mac.digest()
