--- a/cypresspulley/fleet/documents.py
+++ b/cypresspulley/fleet/documents.py
@@ -39,7 +39,10 @@
         return digest.hex()
 
     def request(self, digest: str) -> None:
-        """Request a document; ``ValueError`` for an invalid digest. Over ``MAX_REQUESTED`` the oldest request is dropped."""
+        """Request a document, dropping the oldest request over ``MAX_REQUESTED``.
+
+        Raises ``ValueError`` for an invalid digest.
+        """
         key = bytes.fromhex(digest)
         if len(key) != DIGEST_BYTES:
             raise ValueError(
--- a/cypresspulley/fleet/wire.py
+++ b/cypresspulley/fleet/wire.py
@@ -115,7 +115,7 @@
 
 
 Key = tuple[
-    Annotated[int, Meta(ge=0, le=BUCKET_COUNT)], NoName, NoName
+    Annotated[int, Meta(ge=0, le=BUCKET_COUNT)], OptionalName, OptionalName
 ]  # bucket, name, subsystem ("" its member)
 
 
