--- a/cypresspulley/fleet/detector.py
+++ b/cypresspulley/fleet/detector.py
@@ -1,46 +1,53 @@
-"""The failure detector: from events (datagrams, the passing of time) to actions (datagrams, news). No I/O, no clock.
+"""The failure detector: maps events (datagrams, timers) to actions (datagrams, changes of the view). No I/O, no clock.
 
-What one member holds of another, and what changes it (SWIM; Lifeguard for suspicion and local health). A claim counts
-only where its rank is larger than the one held; "told" is a claim by any other member, "says" one by itself:
+Records of other members and their transitions (SWIM; Lifeguard for suspicion and local health). A claim takes effect
+only if its rank is larger than the rank held. "reported" is a claim by another member, "announces" one by the member
+itself:
 
-    held           what happens                                      held from then on
+    held           event                                             held afterwards
     -------------  ------------------------------------------------  ----------------------------------------------
-    unknown        says or told joining, alive, leaving, suspected   that
-    unknown        told left, dead                                   that (a tombstone)
-    joining        says alive                                        alive
-    joining,alive  a probe fails, direct and by others               suspected, by me
-    joining,alive  told suspected                                    suspected, by the teller
-    joining,alive  told dead                                         suspected, for a shorter time (see ``timing.reported_death_periods``)
-    joining,alive  says leaving (incarnation + 1)                    leaving
-    suspected      says alive with a larger incarnation              alive (refuted)
-    suspected      told suspected by one more, or my probe fails     suspected, for a shorter time
-    suspected      told dead                                         suspected, for the shorter time at most
-    suspected      its time is over, and I stand in no doubt         dead
-    leaving        a probe fails, direct and by others               leaving, missed by me: nobody else is told
-    leaving        missed, and then I or a helper of mine hear it    leaving, no longer missed
-    leaving        missed for the time of a suspicion, no doubt      left: a leaver is never suspected, nor dead
-    leaving        says or told left                                 left
-    left, dead     says or told a larger life                        that: an end is final in a life (SWIM: confirm)
-    any            a larger life                                     that, in the state it comes with
-
-And of itself:
-
-    joining        another's whole view is here, or no seed to ask   alive
-    any            told of itself suspected                          the same state, incarnation above the one told
-    any            told of itself left or dead                       the same state, in a life one above this one
-    any            told of a later life of its own name              the same state, a life one above it
-    joining,alive  leave                                             leaving, incarnation + 1
-    any            end                                               left; nothing is said or heard from then on
-
-Only a member itself ever raises its incarnation or life. That a death that is told is first held as a suspicion gives
-the dead one the time to refute it before each view that hears of it: so no single member, slow or wrong, kills another.
-
-A leaver drains and answers for seconds, so one probe that fails under loss says no more of it than of anybody else. It
-is missed in silence, and any word of it in this life ends that; it need not refute what nobody was told. Were it held
-left at once, it would be absent from views while it still works, and then present again by its own refutation.
-
-A process that stood still (its timers come late) has no ground to accuse: it lets its open probes go, gives its
-suspicions the time that it lost, and doubts itself for a while (local health).
+    unknown        announced or reported joining, alive, leaving or  that state
+                   suspected
+    unknown        reported left or dead                             that state (a tombstone)
+    joining        announces alive                                   alive
+    joining,alive  a probe fails, direct and indirect                suspected, by this member
+    joining,alive  reported suspected                                suspected, by the reporter
+    joining,alive  reported dead                                     suspected, for a shorter time (see
+                                                                     ``timing.reported_death_periods``)
+    joining,alive  announces leaving (incarnation + 1)               leaving
+    suspected      announces alive with a larger incarnation         alive (refuted)
+    suspected      one more accuser, or a probe of its own fails     suspected, for a shorter time
+    suspected      reported dead                                     suspected, for the shorter time at most
+    suspected      the suspicion ends and no stall was recent        dead
+    leaving        a probe fails, direct and indirect                leaving, unreachable; other members are not told
+    leaving        unreachable, then heard from or reached by a      leaving, reachable
+                   helper
+    leaving        unreachable for the time of a suspicion, without  left: a leaving member is never suspected or dead
+                   a recent stall
+    leaving        announced or reported left                        left
+    left, dead     announced or reported with a larger life          that state: an end is final in a life (SWIM's
+                                                                     confirm)
+    any            a larger life                                     the state of that life's record
+
+The record of the member itself:
+
+    joining        another member's whole view received, or no seed  alive
+    any            reported suspected                                same state, incarnation above the reported one
+    any            reported left or dead                             same state, in a life one above its own
+    any            a later life of its own name is reported          same state, a life one above the reported one
+    joining,alive  ``LeaveRequested``                                leaving, incarnation + 1
+    any            ``Stopped``                                       left; nothing is sent or received from then on
+
+Only a member itself raises its incarnation or life. Because a reported death is first held as a suspicion, the member
+can refute it before each view that hears of it accepts it: no single member, slow or faulty, can kill another one.
+
+A leaving member drains and answers for seconds, so that one probe lost under datagram loss means no more for it than
+for any other member. Its unreachability is not disseminated, and any datagram from it in this life ends it; it need not
+refute what nobody was told. If it counted as left at once, it would be absent from views while it still works and then
+present again by its own refutation.
+
+A process that was stalled (its timers come late) has no ground to accuse: it drops its open probes, extends its
+suspicions by the lost time and lowers its local health for a while.
 """
 
 from __future__ import annotations
@@ -76,17 +83,17 @@
 from cypresspulley.fleet.view import View
 from cypresspulley.fleet.wire import Envelope
 
-MAX_CLOCK_DIFFERENCE_SECONDS = 24 * 3600.0  # seconds that a datagram's wall clock may differ from this one
-MAX_LIFE_INCREASES = 8  # of this process's life: beyond, another process has its name
-DEAD_RECALL_SECONDS = 3600.0  # seconds after its death that a member is still called
-GOSSIP_FANOUT = 2  # datagrams a period that carry nothing but news
-LEAVE_FANOUT = 8  # members that are told of an end directly
+MAX_CLOCK_DIFFERENCE_SECONDS = 24 * 3600.0  # of wall clocks; other datagrams are stale
+MAX_LIFE_INCREASES = 8  # beyond it, another process evidently uses this name
+DEAD_RECALL_SECONDS = 3600.0  # time after a death during which the member is still pinged
+GOSSIP_FANOUT = 2  # gossip datagrams a period
+LEAVE_FANOUT = 8  # members that are told directly that this one leaves
 
 
 class Detector:
-    """One member's detector. ``handle`` takes every event in order; ``due`` is when it next wants a ``Tick``.
+    """The detector of one member. ``handle`` takes all events in order; ``due`` is the instant of the next ``TimerFired``.
 
-    ``period`` in seconds; ``seeds`` are addresses, this member's own may be among them. All draws are from ``rng``.
+    ``period`` is in seconds; ``seeds`` are addresses and may include its own. All randomness is from ``rng``.
     """
 
     def __init__(
@@ -95,7 +102,7 @@
         self.view = View(me)
         self.clocks = ClockEstimates()
         self.documents = Documents()
-        self.counts = Counter[str]()  # datagrams sent, taken, and dropped by cause
+        self.counts = Counter[str]()  # datagrams sent, accepted, and dropped by cause
         self.health = LocalHealth()
         self.peers = Peers(self.view)
         self._codec = codec
@@ -112,23 +119,24 @@
         return f"<Detector {self.view!r}, {self.health!r}, {self._suspicions!r}>"
 
     @property
-    def ended(self) -> bool:
+    def has_left(self) -> bool:
+        """Whether this member has stopped; it handles no further events."""
         return self.view.local_member.state is MemberState.LEFT
 
     @property
     def due(self) -> float:
-        """The instant of the next ``Tick``; infinity before ``Begin`` and after ``End``."""
-        return float("inf") if self.ended else self._timers.next_due
+        """The instant of the next ``TimerFired``; infinity before ``Started`` and after ``Stopped``."""
+        return float("inf") if self.has_left else self._timers.next_due
 
     def handle(self, now: float, wall: float, event: Event) -> list[Action]:
-        """``now`` in seconds of a clock that never steps, ``wall`` Unix seconds by the wall clock."""
-        if self.ended:
+        """Handle an event at ``now`` (monotonic seconds) and ``wall`` (Unix seconds); returns the actions to take."""
+        if self.has_left:
             return []
         self._outbox.now, self._outbox.wall = now, wall
-        if late := self._timers.absorb_stall(now):
+        if stall := self._timers.absorb_stall(now):
             self._probes.stop_accusing()
-            self._suspicions.postpone(late)
-            self.health.record_stall(now, late, self._timers.period)
+            self._suspicions.postpone(stall)
+            self.health.record_stall(now, stall, self._timers.period)
             self.counts["stalls"] += 1
         match event:
             case DatagramReceived(data):
@@ -145,7 +153,7 @@
         return self._outbox.drain()
 
     def settled(self) -> bool:
-        """Whether every other present member has last told the digest that is this one's own."""
+        """Whether the last digest reported by every other present member equals the local one."""
         return self.view.local_member.state is not MemberState.JOINING and self.peers.all_agree()
 
     @property
@@ -155,10 +163,10 @@
     def _schedule_after(self, periods: float, kind: str, key: str = "") -> None:
         self._timers.schedule_after(self._now, periods, kind, key)
 
-    # Beginning and end
+    # Joining and leaving
 
     def _start(self) -> None:
-        self._outbox.refresh_sender()  # the view may have been filled before
+        self._outbox.refresh_sender()  # the view may have been filled before the start
         self._report_change(self.view.local_member, "self")
         self._schedule_after(self._probes.random_phase(), "period")
         if self._contacts.seeds:
@@ -167,11 +175,11 @@
             self._finish_joining()
 
     def _ping_seeds(self, _: str) -> None:
-        """Knock at some seeds, ever more seldom, until there is somebody."""
+        """Ping some seeds, with exponential backoff, until another member is present and joining is over."""
         if self.view.present_count > 1 and self.view.local_member.state is not MemberState.JOINING:
             return
         for address in self._contacts.sample_seeds():
-            self._ping("", address, counts=False)
+            self._ping("", address, accuses=False)
         self._schedule_after(self._contacts.next_retry_periods(), "seed")
 
     def _finish_joining(self) -> None:
@@ -186,21 +194,21 @@
 
     def _announce_left(self) -> None:
         me = self.view.local_member
-        raised = me.incarnation + (me.state < MemberState.LEAVING)
-        self._update_self(replace(me, incarnation=raised, state=MemberState.LEFT), "self")
+        incarnation = me.incarnation + (me.state < MemberState.LEAVING)
+        self._update_self(replace(me, incarnation=incarnation, state=MemberState.LEFT), "self")
         self._announce_departure()
 
     def _announce_departure(self) -> None:
-        """Tell some members of this one's end directly: the rest hear it from them."""
+        """Send the own record to some members directly; gossip carries it to the rest."""
         for name in self._probes.sample_others(LEAVE_FANOUT):
             self._outbox.send_to_member(name, wire.Gossip())
 
     def _update_self(self, me: Member, cause: str) -> None:
-        """Hold this of myself, and say it."""
-        rose = me.life != self.view.local_member.life
+        """Store a new record of this member and disseminate it."""
+        is_new_life = me.life != self.view.local_member.life
         self.view.store(self._now, me)
-        record = self._outbox.refresh_sender(rose)
-        if rose:
+        record = self._outbox.refresh_sender(is_new_life)
+        if is_new_life:
             self.view.republish_rows(self._now)
             self._outbox.add_action(
                 LifeRaised(me.life, self.view.all_other_members(), self._settled_action())
@@ -208,7 +216,7 @@
         self.view.gossip_queue.add((me.name, ""), record)
         self._report_change(me, cause)
 
-    # A period
+    # Probe periods
 
     def _on_period(self, _: str) -> None:
         self._schedule_after(1, "period")
@@ -220,9 +228,9 @@
             for name in self._probes.sample_others(GOSSIP_FANOUT):
                 self._outbox.send_to_member(name, wire.Gossip())
         recent = self._now - self.view.members_changed_at <= timing.DIGEST_CHECK_PERIODS * self._timers.period
-        if recent and not self._suspicions:  # what is in suspense changes again
+        if recent and not self._suspicions:  # a running suspicion changes the digest again
             for name in self.peers.list_differing(timing.DIGEST_CHECKS_PER_PERIOD):
-                self._ping(name, self._address(name), counts=False)
+                self._ping(name, self._address(name), accuses=False)
         if self._contacts.periods % timing.RECALL_PERIODS == 0:
             self._ping_absent()
         for digest in self.documents.start_period():
@@ -230,12 +238,12 @@
         self._report_settled()
 
     def _ping_absent(self) -> None:
-        """A word to one that is not in the view, so that a cut that ends is noticed."""
+        """Ping a member or seed that is not in the view, so that the end of a partition is noticed."""
         dead = [(m.name, m.address) for m in self.view.recently_dead(self._now, DEAD_RECALL_SECONDS)]
-        held = {m.address for m in self.view.members()} if self._contacts.seeds else set()
-        if call := self._contacts.choose_absent(dead, held):
-            self._ping(*call, counts=False)
-        for name in self.peers.list_forgotten():  # its tombstone is gone
+        present = {m.address for m in self.view.members()} if self._contacts.seeds else set()
+        if contact := self._contacts.choose_absent(dead, present):
+            self._ping(*contact, accuses=False)
+        for name in self.peers.list_forgotten():  # their tombstones were removed
             self._forget_peer(name)
 
     def _report_settled(self) -> None:
@@ -253,22 +261,22 @@
 
     # Probes
 
-    def _ping(self, name: str, address: str, counts: bool = True) -> None:
-        nonce = self._probes.start(self._now, self._timers.next_number(), name, counts)
-        stretch = 1 + self.health.score
-        if counts:
-            self._schedule_after(timing.DIRECT_TIMEOUT_PERIODS * stretch, "direct", str(nonce))
-        self._schedule_after(timing.PROBE_TIMEOUT_PERIODS * stretch, "failed", str(nonce))
+    def _ping(self, name: str, address: str, accuses: bool = True) -> None:
+        nonce = self._probes.start(self._now, self._timers.next_number(), name, accuses)
+        timeout_factor = 1 + self.health.score
+        if accuses:
+            self._schedule_after(timing.DIRECT_TIMEOUT_PERIODS * timeout_factor, "direct", str(nonce))
+        self._schedule_after(timing.PROBE_TIMEOUT_PERIODS * timeout_factor, "failed", str(nonce))
         held = self.view.get(name)
-        doubted = [name] if held is not None and held.state >= MemberState.SUSPECTED else []
-        self._outbox.send_with_gossip(address, wire.Ping(nonce, name), doubted)
+        extra = [name] if held is not None and held.state >= MemberState.SUSPECTED else []
+        self._outbox.send_with_gossip(address, wire.Ping(nonce, name), extra)
 
     def _on_direct_timeout(self, key: str) -> None:
         probe = self._probes.get(int(key))
         if probe is None or not probe.accuses:
             return
-        drawn = self._probes.sample_others(timing.INDIRECT_PROBES + 1)
-        helpers = [name for name in drawn if name != probe.target][: timing.INDIRECT_PROBES]
+        candidates = self._probes.sample_others(timing.INDIRECT_PROBES + 1)
+        helpers = [name for name in candidates if name != probe.target][: timing.INDIRECT_PROBES]
         probe.helpers = len(helpers)
         for name in helpers:
             self._outbox.send_to_member(
@@ -279,9 +287,8 @@
         probe = self._probes.remove(int(key))
         if probe is None or not probe.accuses:
             return
-        if (
-            probe.nacks < probe.helpers or not probe.helpers
-        ):  # a helper says nothing: it may be me who hears badly
+        # A helper that sends not even a nack suggests that this member itself loses datagrams.
+        if probe.nacks < probe.helpers or not probe.helpers:
             self.health.adjust(1)
         held = self.view.get(probe.target)
         if held is None or held.life != probe.life:
@@ -306,11 +313,11 @@
             return
         suspicion = self._suspicions.remove(name)
         cause = "told" if suspicion is not None and suspicion.death_reported else "probe"
-        over = MemberState.LEFT if held.state is MemberState.LEAVING else MemberState.DEAD
-        self._store_claim(replace(held, state=over), cause, self.view.local_name)
+        end_state = MemberState.LEFT if held.state is MemberState.LEAVING else MemberState.DEAD
+        self._store_claim(replace(held, state=end_state), cause, self.view.local_name)
 
     def _suspect_leaver(self, name: str) -> None:
-        """A leaver does not answer: a suspicion that is kept to myself, and ends in ``left``."""
+        """Start a suspicion of an unreachable leaving member, which is not disseminated and ends in ``LEFT``."""
         _, until = self._suspicions.add_accuser(
             self._now, name, self.view.local_name, False, self.view.present_count
         )
@@ -318,7 +325,7 @@
             self._schedule_suspicion_end(name, until)
 
     def _clear_leaver_suspicion(self, name: str) -> None:
-        """It has just answered: a leaver is no longer missed. Of one that is suspected, only a refutation tells."""
+        """End the suspicion of a leaving member that was heard from; that of other members ends only by a refutation."""
         held = self.view.get(name)
         if held is not None and held.state is MemberState.LEAVING:
             self._suspicions.remove(name)
@@ -326,32 +333,34 @@
     def _schedule_suspicion_end(self, name: str, until: float) -> None:
         self._timers.schedule_at(max(until, self._now + 1e-3), "suspicion", name)
 
-    def _add_accuser(self, name: str, by: str, told: bool) -> None:
-        """One more that suspects the member, or holds it dead: the time is shorter from here on."""
-        new, until = self._suspicions.add_accuser(self._now, name, by, told, self.view.present_count)
-        if new:
-            self.view.gossip_queue.add((name, ""), self.view.encode_member(name, by))
+    def _add_accuser(self, name: str, accuser: str, death_reported: bool) -> None:
+        """Add an accuser that suspects the member or reports its death, which shortens the suspicion."""
+        is_new, until = self._suspicions.add_accuser(
+            self._now, name, accuser, death_reported, self.view.present_count
+        )
+        if is_new:
+            self.view.gossip_queue.add((name, ""), self.view.encode_member(name, accuser))
         if until is not None:
             self._schedule_suspicion_end(name, until)
 
     # Claims
 
-    def _is_redundant(self, entry: wire.MemberRecord, by: str) -> bool:
-        """Whether the claim surely changes nothing: most do not, and this is quicker than to take them."""
-        held = self.view.get(entry.name)
+    def _is_redundant(self, record: wire.MemberRecord, accuser: str) -> bool:
+        """Whether a claim certainly changes nothing. Most claims do not, and this check is cheaper than applying them."""
+        held = self.view.get(record.name)
         if held is None:
             return False
-        claimed, rank = entry.member().rank, held.rank
-        if claimed[:3] != rank[:3] or entry.state < held.state:
+        claimed, rank = record.member().rank, held.rank
+        if claimed[:3] != rank[:3] or record.state < held.state:
             return claimed < rank
-        suspicion = self._suspicions.get(entry.name)
+        suspicion = self._suspicions.get(record.name)
         if suspicion is None:
-            return entry.state == held.state and entry.zone == held.zone and entry.address == held.address
-        dead = suspicion.death_reported and entry.state is MemberState.DEAD
-        return suspicion.ignores_accuser(by) and (entry.state is MemberState.SUSPECTED or dead)
+            return record.state == held.state and record.zone == held.zone and record.address == held.address
+        dead = suspicion.death_reported and record.state is MemberState.DEAD
+        return suspicion.ignores_accuser(accuser) and (record.state is MemberState.SUSPECTED or dead)
 
     def _apply_claim(self, claim: Member, cause: str, by: str) -> None:
-        """A claim about a member, ``by`` its maker where it accuses."""
+        """Apply a claim about a member; ``by`` is the accuser if it is an accusation."""
         if claim.name == self.view.local_name:
             self._apply_claim_about_self(claim)
             return
@@ -367,7 +376,7 @@
         if held is not None and claim.rank == held.rank:
             if claim.state is MemberState.SUSPECTED:
                 self._add_accuser(claim.name, by, False)
-            if self.view.merge(self._now, claim):  # another zone or address: the same life has spoken twice
+            if self.view.merge(self._now, claim):  # the same life with another zone or address
                 self.view.gossip_queue.add((claim.name, ""), self.view.encode_member(claim.name, by))
             return
         self._store_claim(claim, cause, by)
@@ -375,16 +384,19 @@
             self._add_accuser(claim.name, by, False)
 
     def _apply_death_claim(self, held: Member, claim: Member, cause: str, by: str) -> None:
-        """A death that is told of one who is present here is a suspicion first. One that it has refuted meanwhile is
-        none: it hears of it itself, and goes on in a new life."""
-        said = replace(claim, state=MemberState.SUSPECTED)
+        """Hold a reported death of a present member as a suspicion first.
+
+        A death claim that the member has refuted since is ignored: the member hears of it and continues in a new life.
+        """
+        suspected = replace(claim, state=MemberState.SUSPECTED)
         if claim.life == held.life and claim.incarnation < held.incarnation:
             return
-        if said.rank > held.rank:
-            self._store_claim(said, cause, by)
+        if suspected.rank > held.rank:
+            self._store_claim(suspected, cause, by)
         self._add_accuser(claim.name, by, True)
 
     def _store_claim(self, claim: Member, cause: str, by: str) -> None:
+        """Merge a claim into the view and, if it changes the view, disseminate and report it."""
         held = self.view.get(claim.name)
         if not self.view.merge(self._now, claim):
             return
@@ -397,7 +409,7 @@
         self.view.gossip_queue.add((claim.name, ""), self.view.encode_member(claim.name, by))
         if held is None and claim.state.present:
             self._probes.add_to_round(claim.name)
-        if held is not None or claim.state.present:  # one that was never held here has not died here
+        if held is not None or claim.state.present:  # the tombstone of an unknown member is no change
             self._report_change(claim, cause)
 
     def _forget_peer(self, name: str) -> None:
@@ -406,6 +418,7 @@
         self._exchange.forget(name)
 
     def _apply_claim_about_self(self, claim: Member) -> None:
+        """Refute a claim about this member by a higher incarnation or, after a reported end, by a higher life."""
         me = self.view.local_member
         if claim.life > me.life:
             self.counts["risen"] += 1
@@ -424,7 +437,7 @@
         if self.peers.reported_settled:
             self._report_settled()
 
-    # Datagrams in
+    # Received datagrams
 
     def _receive_datagram(self, data: bytes) -> None:
         try:
@@ -435,7 +448,7 @@
         sender = envelope.sender
         if abs(envelope.wall_ms / 1000 - self._outbox.wall) > MAX_CLOCK_DIFFERENCE_SECONDS:
             self.counts["stale"] += 1
-        elif sender.name == self.view.local_name:  # an echo, or another life of mine that still speaks
+        elif sender.name == self.view.local_name:  # a reflected datagram, or another process of this name
             self.counts["own"] += 1
             self._apply_claim_about_self(sender.member())
         elif not self.peers.is_new(envelope):
@@ -447,15 +460,15 @@
     def _apply_datagram(self, envelope: Envelope) -> None:
         sender = envelope.sender
         self._apply_claim(sender.member(), "told", sender.accuser)
-        for entry in envelope.member_records:
-            if not self._is_redundant(entry, entry.accuser or sender.name):
-                self._apply_claim(entry.member(), "told", entry.accuser or sender.name)
-        for cell in envelope.row_records:
-            before = self.view.row_life(cell.owner, cell.subsystem)
-            if self.view.merge_row(self._now, cell) and before != cell.life:
-                self._outbox.add_action(RowAccepted(cell.owner, cell.life, cell.subsystem))
+        for record in envelope.member_records:
+            if not self._is_redundant(record, record.accuser or sender.name):
+                self._apply_claim(record.member(), "told", record.accuser or sender.name)
+        for row in envelope.row_records:
+            former_life = self.view.row_life(row.owner, row.subsystem)
+            if self.view.merge_row(self._now, row) and former_life != row.life:
+                self._outbox.add_action(RowAccepted(row.owner, row.life, row.subsystem))
         held = self.view.get(sender.name)
-        if held is None:  # no room for it
+        if held is None:  # the view is full
             self.counts["full"] += 1
             return
         if held.life == sender.life:
@@ -466,18 +479,18 @@
         self._resolve_difference(envelope)
 
     def _newer_record_of(self, sender: wire.MemberRecord) -> list[str]:
-        """The sender's name, where more is known of it than it says itself."""
+        """Return the sender's name if the view holds a newer record of it, else nothing."""
         held = self.view.get(sender.name)
         return [sender.name] if held is not None and held.rank > sender.member().rank else []
 
     def _resolve_difference(self, envelope: Envelope) -> None:
-        """Tell the sender what it does not know of itself; compare views where digests differ."""
+        """Send the sender a newer record of itself; start a comparison of the views if the digests differ."""
         sender, held = envelope.sender, self.view.get(envelope.sender.name)
         if held is None:
             return
-        better = [] if isinstance(envelope.message, wire.Ping) else self._newer_record_of(sender)
-        if better and self.peers.may_correct(self._now, sender, self._timers.period):
-            self._outbox.send_with_gossip(sender.address, wire.Gossip(), better)
+        newer = [] if isinstance(envelope.message, wire.Ping) else self._newer_record_of(sender)
+        if newer and self.peers.may_correct(self._now, sender, self._timers.period):
+            self._outbox.send_with_gossip(sender.address, wire.Gossip(), newer)
         joining = self.view.local_member.state is MemberState.JOINING
         differ = (envelope.members_digest, envelope.rows_digest) != (self.view.digest, self.view.rows_digest)
         if (differ or joining) and held.state.present and self._exchange.may_start(joining):
@@ -508,15 +521,15 @@
         self.clocks.record_answer(sender.name, probe.sent, self._now, envelope.wall_ms / 1000)
 
     def _on_ping_request(self, envelope: Envelope) -> None:
-        ask = envelope.message
-        assert isinstance(ask, wire.PingRequest)
-        relay = Relay(envelope.sender.address, ask.nonce, ask.target)
+        request = envelope.message
+        assert isinstance(request, wire.PingRequest)
+        relay = Relay(envelope.sender.address, request.nonce, request.target)
         nonce = self._probes.start_relay(self._timers.next_number(), relay)
         if nonce is None:
             self.counts["relays refused"] += 1
             return
         self._schedule_after(timing.DIRECT_TIMEOUT_PERIODS, "relay", str(nonce))
-        self._outbox.send_with_gossip(ask.address, wire.Ping(nonce, ask.target))
+        self._outbox.send_with_gossip(request.address, wire.Ping(nonce, request.target))
 
     def _on_ping_request_ack(self, envelope: Envelope) -> None:
         assert isinstance(envelope.message, wire.PingRequestAck)
@@ -533,7 +546,7 @@
             probe.nacks += 1
 
     def _on_gossip(self, envelope: Envelope) -> None:
-        """What stands beside it has been taken."""
+        """The records of the datagram have been applied already."""
 
     def _on_sync_request(self, envelope: Envelope) -> None:
         self._exchange.on_sync_request(envelope)
@@ -544,8 +557,8 @@
             self.counts["unasked"] += 1
             return
         if envelope.message.last:
-            more = self._exchange.has_more(envelope.message)
-            if more and self.view.local_member.state is MemberState.JOINING:
+            has_more = self._exchange.has_more(envelope.message)
+            if has_more and self.view.local_member.state is MemberState.JOINING:
                 self._exchange.start(self._timers.next_number(), envelope.sender.address)
             else:
                 self._finish_joining()
@@ -557,7 +570,7 @@
     # Documents
 
     def _request_parts(self, digest: bytes, name: str = "") -> None:
-        """Ask one member, drawn where none is named, for the next parts."""
+        """Request the next parts of a document from a member, a random one if no name is given."""
         request = self.documents.next_parts_request(digest)
         names = [name] if name else self._probes.sample_others(1)
         if request is not None and names:
--- a/cypresspulley/fleet/exchange.py
+++ b/cypresspulley/fleet/exchange.py
@@ -116,7 +116,7 @@
         """Reply with the records of the piece's key range that the sender lacks or holds in an older version."""
         piece, view = envelope.message, self._view
         assert isinstance(piece, wire.SyncPiece)
-        received = {record.name: record.member() for record in envelope.member_records}
+        received = {entry.name: entry.member() for entry in envelope.member_records}
         rows = {(row.owner, row.subsystem): row for row in envelope.row_records}
         candidates = [key for key in view.list_keys(piece.mask) if piece.after < key <= piece.up_to]
         covered = {name for _, name, _ in candidates}
--- a/cypresspulley/fleet/probes.py
+++ b/cypresspulley/fleet/probes.py
@@ -129,7 +129,7 @@
         return self._rng.sample(self.seeds, min(3, len(self.seeds)))
 
     def next_retry_periods(self) -> float:
-        """Return the periods until the next ping of seeds: exponential backoff up to 16, with 25 % jitter."""
+        """Return the periods until the next ping of seeds: exponential backoff up to 16 with 25 % jitter."""
         periods = self._backoff * (0.75 + 0.5 * self._rng.random())
         self._backoff = min(16, 2 * self._backoff)
         return periods
