--- a/cypresspulley/fleet/detector.py
+++ b/cypresspulley/fleet/detector.py
@@ -91,7 +91,7 @@
 
 
 class Detector:
-    """The detector of one member. ``handle`` takes all events in order; ``due`` is the instant of the next ``TimerFired``.
+    """The detector of one member. ``handle`` takes all events in order; ``due`` is the instant of the next timer.
 
     ``period`` is in seconds; ``seeds`` are addresses and may include its own. All randomness is from ``rng``.
     """
@@ -267,8 +267,8 @@
         if accuses:
             self._schedule_after(timing.DIRECT_TIMEOUT_PERIODS * timeout_factor, "direct", str(nonce))
         self._schedule_after(timing.PROBE_TIMEOUT_PERIODS * timeout_factor, "failed", str(nonce))
-        held = self.view.get(name)
-        extra = [name] if held is not None and held.state >= MemberState.SUSPECTED else []
+        current = self.view.get(name)
+        extra = [name] if current is not None and current.state >= MemberState.SUSPECTED else []
         self._outbox.send_with_gossip(address, wire.Ping(nonce, name), extra)
 
     def _on_direct_timeout(self, key: str) -> None:
@@ -290,13 +290,13 @@
         # A helper that sends not even a nack suggests that this member itself loses datagrams.
         if probe.nacks < probe.helpers or not probe.helpers:
             self.health.adjust(1)
-        held = self.view.get(probe.target)
-        if held is None or held.life != probe.life:
+        current = self.view.get(probe.target)
+        if current is None or current.life != probe.life:
             return
-        if held.state is MemberState.LEAVING:
-            self._suspect_leaver(held.name)
-        elif held.state <= MemberState.SUSPECTED:
-            self._apply_claim(replace(held, state=MemberState.SUSPECTED), "probe", self.view.local_name)
+        if current.state is MemberState.LEAVING:
+            self._suspect_leaver(current.name)
+        elif current.state <= MemberState.SUSPECTED:
+            self._apply_claim(replace(current, state=MemberState.SUSPECTED), "probe", self.view.local_name)
 
     def _on_relay_timeout(self, key: str) -> None:
         if relay := self._probes.remove_relay(int(key)):
@@ -305,16 +305,16 @@
     # Suspicion
 
     def _on_suspicion_timeout(self, name: str) -> None:
-        until, held = self._suspicions.deadline(name, self.view.present_count), self.view.get(name)
-        if until is None or held is None:
+        until, current = self._suspicions.deadline(name, self.view.present_count), self.view.get(name)
+        if until is None or current is None:
             return
         if until > self._now or self._now < self.health.no_deaths_until:
             self._schedule_suspicion_end(name, max(until, self.health.no_deaths_until))
             return
         suspicion = self._suspicions.remove(name)
         cause = "told" if suspicion is not None and suspicion.death_reported else "probe"
-        end_state = MemberState.LEFT if held.state is MemberState.LEAVING else MemberState.DEAD
-        self._store_claim(replace(held, state=end_state), cause, self.view.local_name)
+        end_state = MemberState.LEFT if current.state is MemberState.LEAVING else MemberState.DEAD
+        self._store_claim(replace(current, state=end_state), cause, self.view.local_name)
 
     def _suspect_leaver(self, name: str) -> None:
         """Start a suspicion of an unreachable leaving member, which is not disseminated and ends in ``LEFT``."""
@@ -325,9 +325,9 @@
             self._schedule_suspicion_end(name, until)
 
     def _clear_leaver_suspicion(self, name: str) -> None:
-        """End the suspicion of a leaving member that was heard from; that of other members ends only by a refutation."""
-        held = self.view.get(name)
-        if held is not None and held.state is MemberState.LEAVING:
+        """End the suspicion of a leaving member that was heard from; other suspicions end only by a refutation."""
+        current = self.view.get(name)
+        if current is not None and current.state is MemberState.LEAVING:
             self._suspicions.remove(name)
 
     def _schedule_suspicion_end(self, name: str, until: float) -> None:
@@ -346,16 +346,20 @@
     # Claims
 
     def _is_redundant(self, record: wire.MemberRecord, accuser: str) -> bool:
-        """Whether a claim certainly changes nothing. Most claims do not, and this check is cheaper than applying them."""
-        held = self.view.get(record.name)
-        if held is None:
+        """Whether a claim certainly changes nothing: true of most claims, and cheaper to check than to apply."""
+        current = self.view.get(record.name)
+        if current is None:
             return False
-        claimed, rank = record.member().rank, held.rank
-        if claimed[:3] != rank[:3] or record.state < held.state:
+        claimed, rank = record.member().rank, current.rank
+        if claimed[:3] != rank[:3] or record.state < current.state:
             return claimed < rank
         suspicion = self._suspicions.get(record.name)
         if suspicion is None:
-            return record.state == held.state and record.zone == held.zone and record.address == held.address
+            return (
+                record.state == current.state
+                and record.zone == current.zone
+                and record.address == current.address
+            )
         dead = suspicion.death_reported and record.state is MemberState.DEAD
         return suspicion.ignores_accuser(accuser) and (record.state is MemberState.SUSPECTED or dead)
 
@@ -364,16 +368,16 @@
         if claim.name == self.view.local_name:
             self._apply_claim_about_self(claim)
             return
-        held = self.view.get(claim.name)
+        current = self.view.get(claim.name)
         if (
             claim.state is MemberState.DEAD
-            and held is not None
-            and held.state.present
-            and claim.rank > held.rank
+            and current is not None
+            and current.state.present
+            and claim.rank > current.rank
         ):
-            self._apply_death_claim(held, claim, cause, by)
+            self._apply_death_claim(current, claim, cause, by)
             return
-        if held is not None and claim.rank == held.rank:
+        if current is not None and claim.rank == current.rank:
             if claim.state is MemberState.SUSPECTED:
                 self._add_accuser(claim.name, by, False)
             if self.view.merge(self._now, claim):  # the same life with another zone or address
@@ -383,33 +387,39 @@
         if claim.state is MemberState.SUSPECTED and self.view.get(claim.name) == claim:
             self._add_accuser(claim.name, by, False)
 
-    def _apply_death_claim(self, held: Member, claim: Member, cause: str, by: str) -> None:
+    def _apply_death_claim(self, current: Member, claim: Member, cause: str, by: str) -> None:
         """Hold a reported death of a present member as a suspicion first.
 
         A death claim that the member has refuted since is ignored: the member hears of it and continues in a new life.
         """
         suspected = replace(claim, state=MemberState.SUSPECTED)
-        if claim.life == held.life and claim.incarnation < held.incarnation:
+        if claim.life == current.life and claim.incarnation < current.incarnation:
             return
-        if suspected.rank > held.rank:
+        if suspected.rank > current.rank:
             self._store_claim(suspected, cause, by)
         self._add_accuser(claim.name, by, True)
 
     def _store_claim(self, claim: Member, cause: str, by: str) -> None:
         """Merge a claim into the view and, if it changes the view, disseminate and report it."""
-        held = self.view.get(claim.name)
+        current = self.view.get(claim.name)
         if not self.view.merge(self._now, claim):
             return
-        if claim.state is not MemberState.SUSPECTED or (held is not None and held.rank[:3] != claim.rank[:3]):
+        if claim.state is not MemberState.SUSPECTED or (
+            current is not None and current.rank[:3] != claim.rank[:3]
+        ):
             self._suspicions.remove(claim.name)
-        if held is not None and held.life != claim.life:
+        if current is not None and current.life != claim.life:
             self._forget_peer(claim.name)
-        if held is not None and held.life == claim.life and claim.state < MemberState.SUSPECTED <= held.state:
+        if (
+            current is not None
+            and current.life == claim.life
+            and claim.state < MemberState.SUSPECTED <= current.state
+        ):
             cause = "refuted"
         self.view.gossip_queue.add((claim.name, ""), self.view.encode_member(claim.name, by))
-        if held is None and claim.state.present:
+        if current is None and claim.state.present:
             self._probes.add_to_round(claim.name)
-        if held is not None or claim.state.present:  # the tombstone of an unknown member is no change
+        if current is not None or claim.state.present:  # the tombstone of an unknown member is no change
             self._report_change(claim, cause)
 
     def _forget_peer(self, name: str) -> None:
@@ -467,11 +477,11 @@
             former_life = self.view.row_life(row.owner, row.subsystem)
             if self.view.merge_row(self._now, row) and former_life != row.life:
                 self._outbox.add_action(RowAccepted(row.owner, row.life, row.subsystem))
-        held = self.view.get(sender.name)
-        if held is None:  # the view is full
+        current = self.view.get(sender.name)
+        if current is None:  # the view is full
             self.counts["full"] += 1
             return
-        if held.life == sender.life:
+        if current.life == sender.life:
             self._clear_leaver_suspicion(sender.name)
             self.peers.record(self._now, envelope)
             self.view.confirm_rows(self._now, sender.name, sender.life, envelope.row_versions)
@@ -480,20 +490,20 @@
 
     def _newer_record_of(self, sender: wire.MemberRecord) -> list[str]:
         """Return the sender's name if the view holds a newer record of it, else nothing."""
-        held = self.view.get(sender.name)
-        return [sender.name] if held is not None and held.rank > sender.member().rank else []
+        current = self.view.get(sender.name)
+        return [sender.name] if current is not None and current.rank > sender.member().rank else []
 
     def _resolve_difference(self, envelope: Envelope) -> None:
         """Send the sender a newer record of itself; start a comparison of the views if the digests differ."""
-        sender, held = envelope.sender, self.view.get(envelope.sender.name)
-        if held is None:
+        sender, current = envelope.sender, self.view.get(envelope.sender.name)
+        if current is None:
             return
         newer = [] if isinstance(envelope.message, wire.Ping) else self._newer_record_of(sender)
         if newer and self.peers.may_correct(self._now, sender, self._timers.period):
             self._outbox.send_with_gossip(sender.address, wire.Gossip(), newer)
         joining = self.view.local_member.state is MemberState.JOINING
         differ = (envelope.members_digest, envelope.rows_digest) != (self.view.digest, self.view.rows_digest)
-        if (differ or joining) and held.state.present and self._exchange.may_start(joining):
+        if (differ or joining) and current.state.present and self._exchange.may_start(joining):
             self._exchange.start(self._timers.next_number(), sender.address)
 
     def _on_ping(self, envelope: Envelope) -> None:
--- a/cypresspulley/fleet/limiter.py
+++ b/cypresspulley/fleet/limiter.py
@@ -1,6 +1,6 @@
-"""One limiter's part in its fleet: the detector on a UDP socket, and the view that other rooms read.
+"""The fleet member of one limiter: the detector on a UDP socket, and the view for other subsystems.
 
-Replies go to the address that a member tells of itself, never to where a datagram came from.
+Replies go to the address that a member advertises, never to the source address of a datagram.
 """
 
 from __future__ import annotations
@@ -39,16 +39,16 @@
 
 log = logging.getLogger(__name__)
 
-DEFAULT_FLEET_SIZE = 12  # members for which the stated bounds are, where there are not more seeds
-MAX_ZONE_CHARACTERS = 64  # characters
-RECEIVE_BUFFER_BYTES = 1 << 20  # bytes of the socket's receive buffer: a second of a burst of whole exchanges
+DEFAULT_FLEET_SIZE = 12  # fleet size for the stated bounds, unless there are more seeds
+MAX_ZONE_CHARACTERS = 64
+RECEIVE_BUFFER_BYTES = 1 << 20  # holds a second of a burst of anti-entropy responses
 
 
 class FleetMember:
-    """This process's member of the fleet. ``clock`` never steps, ``wall`` is Unix seconds as the machine has it.
+    """This process's member of the fleet. ``clock`` is monotonic, ``wall`` is the machine's wall clock in Unix seconds.
 
-    ``bounds`` are other rooms' stated bounds in seconds, by the names in ``histories.events.BOUNDS``; ``size`` is how
-    many members the view's own are for, at least. ``OperatorsError`` where the name or zone cannot be told to others.
+    ``bounds`` are the stated bounds of other subsystems in seconds, by the names in ``histories.events.BOUNDS``;
+    ``size`` is the least fleet size for the view's own bounds. Raises ``OperatorsError`` for an invalid name or zone.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
             raise OperatorsError(f"zone: expected at most {MAX_ZONE_CHARACTERS} characters, got {zone!r:.80}")
         self._options, self._clock, self._wall, self._history = options, clock, wall, history
         self._bounds, self._size = dict(bounds or {}), max(size, len(options.seeds))
-        self._zone, self._me = zone, name
+        self._zone, self._name = zone, name
         me = Member(name, max(1, round(wall() * 1000)), 0, MemberState.JOINING, zone, options.advertise)
         codec = Codec(options.installation, options.key)
         self.detector = Detector(me, codec, options.seeds, options.period, Random(f"{seed}/{name}"))
@@ -75,13 +75,13 @@
         self._addresses = Addresses(clock, options.listen[0])
 
     def __repr__(self) -> str:
-        return f"<Fleet {self._me} {'open' if self._transport is not None else 'shut'}: {self.detector!r}>"
+        return f"<FleetMember {self._name} {'open' if self._transport is not None else 'closed'}: {self.detector!r}>"
 
     async def start(self) -> None:
-        """Open the socket and knock at the seeds. ``OSError`` where the address cannot be had."""
+        """Open the socket and ping the seeds. Raises ``OSError`` if the address cannot be bound."""
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
-            lambda: _Receiver(self), local_addr=self._options.listen
+            lambda: _DatagramReceiver(self), local_addr=self._options.listen
         )
         self._transport = transport
         sock = transport.get_extra_info("socket")
@@ -91,11 +91,11 @@
         self.handle_event(Started())
 
     def leave(self) -> None:
-        """Say that this process ends, so that nobody suspects it."""
+        """Announce that this process shuts down, so that it is not suspected."""
         self.handle_event(LeaveRequested())
 
     async def close(self) -> None:
-        """Say that it has ended, and close the socket. No other call after it does anything."""
+        """Announce that this process has left and close the socket; later calls have no effect."""
         if self._transport is None:
             return
         self.handle_event(Stopped())
@@ -106,17 +106,17 @@
         self._transport = None
         self._history.put(Kind.END, reason="closed")
         log.info("left the fleet; datagrams: %s", dict(self.detector.counts))
-        await asyncio.sleep(0)  # the transport closes in the loop's next turn
+        await asyncio.sleep(0)  # the transport closes in the next iteration of the loop
 
     def handle_event(self, event: Event) -> None:
-        """Hand one event to the detector and do what it says. A datagram that is not read right ends nothing."""
+        """Pass an event to the detector and execute its actions; invalid datagrams are only counted."""
         if self._transport is None:
             return
         for action in self.detector.handle(self._clock(), self._wall(), event):
-            self._do(action)
+            self._execute(action)
         self._set_timer()
 
-    def _do(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case Send(address, data):
                 self._send(address, data)
@@ -130,10 +130,10 @@
             case RowAccepted(owner, life, subsystem):
                 self._history.put(Kind.ROW, owner=owner, life=life, subsystem=subsystem)
             case LifeRaised(life, others, settled):
-                log.warning("others know a later life of %s: this one is %d from here on", self._me, life)
+                log.warning("other members know a later life of %s; continuing as life %d", self._name, life)
                 self._history.put(Kind.END, reason="life")
                 self._open_history(life)
-                for other in others:  # the new history knows nothing of the former one
+                for other in others:  # the history of a new life starts with all known members
                     self._put_member(other, "told")
                 self._put_settled(settled)
 
@@ -143,36 +143,34 @@
             state=member.state.name.lower(), cause=cause,
         )  # fmt: skip
 
-    def _put_settled(self, told: Settled) -> None:
-        digest = f"{told.digest:016x}"
-        self._history.put(Kind.SETTLED, settled=told.settled, digest=digest, members=told.members)
+    def _put_settled(self, action: Settled) -> None:
+        digest = f"{action.digest:016x}"
+        self._history.put(Kind.SETTLED, settled=action.settled, digest=digest, members=action.members)
 
     def _open_history(self, life: int) -> None:
         self._history.opened_at(life)
         period = self._options.period
-        mine = {
+        own_bounds = {
             "detect": timing.detect_bound(self._size, period),
             "settle": timing.settle_bound(self._size, period),
         }
-        facts: dict[str, Any] = {"name": self._me, "life": life, "zone": self._zone, "period": period}
-        self._history.put(Kind.START, **facts, bounds=mine | self._bounds)
+        facts: dict[str, Any] = {"name": self._name, "life": life, "zone": self._zone, "period": period}
+        self._history.put(Kind.START, **facts, bounds=own_bounds | self._bounds)
 
     def _send(self, address: str, data: bytes) -> None:
-        where = self._addresses.resolve(address)
-        if where is None or self._transport is None:
+        target = self._addresses.resolve(address)
+        if target is None or self._transport is None:
             self.detector.counts["no address"] += 1
             return
         try:
-            self._transport.sendto(data, where)
-        except (
-            OSError,
-            ValueError,
-        ) as error:  # what a member tells as its address may be of another family, or no host
+            self._transport.sendto(data, target)
+        # The advertised address of a member may be invalid or of another address family.
+        except (OSError, ValueError) as error:
             self.detector.counts["unsent"] += 1
-            log.debug("to %s: %s", address, error)
+            log.debug("cannot send to %s: %s", address, error)
 
     def _set_timer(self) -> None:
-        """Keep one timer, at or before the detector's next instant."""
+        """Keep a single timer, at or before the instant of the detector's next timer."""
         due = self.detector.due
         if self._timer is not None:
             if self._due <= due:
@@ -181,10 +179,10 @@
         self._timer = None
         if due < float("inf"):
             self._due = due
-            wait = max(0.0, due - self._clock())
-            self._timer = asyncio.get_running_loop().call_later(wait, self._tick)
+            delay = max(0.0, due - self._clock())
+            self._timer = asyncio.get_running_loop().call_later(delay, self._on_timer)
 
-    def _tick(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
         if self.detector.due <= self._clock():
             self.handle_event(TimerFired())
@@ -193,13 +191,13 @@
 
 
 class DetectorView:
-    """The view as other rooms see it: ``records.FleetView``."""
+    """The view for other subsystems: implements ``records.FleetView``."""
 
     def __init__(self, detector: Detector, clock: Callable[[], float], wall: Callable[[], float]) -> None:
         self._detector, self._clock, self._wall = detector, clock, wall
 
     def __repr__(self) -> str:
-        return f"<Seen {self._detector!r}>"
+        return f"<DetectorView {self._detector!r}>"
 
     @property
     def local_name(self) -> str:
@@ -241,8 +239,8 @@
         return self._detector.documents.get(digest)
 
 
-class _Receiver(asyncio.DatagramProtocol):
-    """Hands datagrams to the fleet. An error that the machine tells of (a port that is shut) is no news of a member."""
+class _DatagramReceiver(asyncio.DatagramProtocol):
+    """Passes datagrams to the member. Socket errors (a closed port) are counted and say nothing about members."""
 
     def __init__(self, fleet: FleetMember) -> None:
         self._fleet = fleet
