--- a/benchmarks/together_mutants.py
+++ b/benchmarks/together_mutants.py
@@ -64,14 +64,17 @@
 
 
 def _old_rows_taken() -> None:
-    def merge_row(self: View, now: float, cell: Any) -> bool:
-        if self.get(cell.owner) is None or cell.owner == self.local_name:
+    def merge_row(self: View, now: float, row_record: Any) -> bool:
+        if self.get(row_record.owner) is None or row_record.owner == self.local_name:
             return False
-        held = self._rows.setdefault(cell.owner, {}).get(cell.subsystem)
-        if held is not None and (held.version, held.body) >= (cell.version, cell.body):
+        held = self._rows.setdefault(row_record.owner, {}).get(row_record.subsystem)
+        if held is not None and (held.version, held.body) >= (row_record.version, row_record.body):
             return False
         self._store_row(
-            now, cell.owner, cell.subsystem, StoredRow(cell.life, cell.version, cell.body, now, now)
+            now,
+            row_record.owner,
+            row_record.subsystem,
+            StoredRow(row_record.life, row_record.version, row_record.body, now, now),
         )
         return True
 
--- a/tests/fleet/test_detector.py
+++ b/tests/fleet/test_detector.py
@@ -273,7 +273,12 @@
     one.wait(0.01)
     one.hear("x", incarnation=1)
     detector = one.detector
-    before = (detector.view.digest, detector.peers.count_heard(one.now, 0.0), detector.settled(), len(one.changes))
+    before = (
+        detector.view.digest,
+        detector.peers.count_heard(one.now, 0.0),
+        detector.settled(),
+        len(one.changes),
+    )
     one.wait(0.3)
     one.do(DatagramReceived(data))
     assert detector.counts["replayed"] == 1 and detector.peers.count_heard(one.now, 0.2) == 0
