--- a/benchmarks/fleet_bed.py
+++ b/benchmarks/fleet_bed.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True)
-class News:
+class ViewChange:
     """What one observer's view changed to."""
 
     at: float
@@ -58,7 +58,7 @@
     cause: str
 
 
-class Bed:
+class SimulatedFleet:
     """``delay`` in seconds, the mean of an exponential above ``least``; ``loss`` and ``double`` are probabilities."""
 
     def __init__(
@@ -70,7 +70,7 @@
         self.now = 0.0
         self.hosts = dict[str, Host]()
         self.cuts = list[Cut]()
-        self.news = list[News]()
+        self.news = list[ViewChange]()
         self.settled = list[tuple[float, str, bool]]()
         self.tap: Callable[[str, str, bytes], None] | None = None
         self.sent = 0
@@ -185,7 +185,7 @@
         first = live[0].detector.view
         return first.present_count == len(live) and all(h.detector.view.digest == first.digest for h in live)
 
-    def deaths(self) -> list[News]:
+    def deaths(self) -> list[ViewChange]:
         return [news for news in self.news if news.member.state is MemberState.DEAD]
 
     def states(self, name: str) -> set[MemberState | None]:
@@ -200,7 +200,7 @@
 
     def _hand(self, host: Host, event: Event) -> None:
         for action in host.detector.handle(self.now, self.wall(host), event):
-            self._do(host, action)
+            self._execute(host, action)
         self._due(host)
 
     def _due(self, host: Host) -> None:
@@ -210,12 +210,12 @@
             if due < float("inf"):
                 self._push(due, host.name, "tick", b"")
 
-    def _do(self, host: Host, action: Action) -> None:
+    def _execute(self, host: Host, action: Action) -> None:
         match action:
             case Send(where, data):
                 self.carry(host.name, where.partition(":")[0], data)
             case MemberChanged(member, cause):
-                self.news.append(News(self.now, host.name, member, cause))
+                self.news.append(ViewChange(self.now, host.name, member, cause))
             case Settled(settled, _, _):
                 self.settled.append((self.now, host.name, settled))
 
--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -28,7 +28,7 @@
 
 import uvloop
 
-from benchmarks.fleet_bed import EPOCH, KEY, Bed, address
+from benchmarks.fleet_bed import EPOCH, KEY, SimulatedFleet, address
 from cypresspulley.fleet import timing, wire
 from cypresspulley.fleet.limiter import FleetMember
 from cypresspulley.fleet.options import FleetOptions
@@ -41,8 +41,8 @@
 Task = tuple[int, int, float]  # size, seed, the share of datagrams that is lost
 
 
-def grown(size: int, seed: int, loss: float = 0.0) -> Bed:
-    bed = Bed(seed, PERIOD, loss=loss)
+def grown(size: int, seed: int, loss: float = 0.0) -> SimulatedFleet:
+    bed = SimulatedFleet(seed, PERIOD, loss=loss)
     bed.fleet(size)
     bed.run(2 * PERIOD + bed.rng.random())
     return bed
@@ -68,10 +68,10 @@
 
 
 def heal(task: Task) -> float:
-    return _healed(task, Bed.agree)
+    return _healed(task, SimulatedFleet.agree)
 
 
-def _healed(task: Task, done: Callable[[Bed], bool]) -> float:
+def _healed(task: Task, done: Callable[[SimulatedFleet], bool]) -> float:
     """The cut lasts 20 s, or until each side holds all of the other dead."""
     size, seed, loss = task
     bed = grown(size, seed, loss)
@@ -87,7 +87,7 @@
     return _healed(task, lambda bed: bed.agree() and all(host.detector.settled() for host in bed.live()))
 
 
-def _until(bed: Bed, done: Callable[[], bool], bound: float) -> float:
+def _until(bed: SimulatedFleet, done: Callable[[], bool], bound: float) -> float:
     began = bed.now
     return bed.now - began if bed.run(began + 3 * bound, done) else float("inf")
 
@@ -95,7 +95,7 @@
 def false_deaths(task: tuple[int, int, float]) -> tuple[int, int, int]:
     """Deaths of any member, suspicions of the paused one, and of others."""
     size, seed, length = task
-    bed = Bed(seed, PERIOD, loss=LOSS)
+    bed = SimulatedFleet(seed, PERIOD, loss=LOSS)
     bed.fleet(size)
     paused = f"l{Random(seed).randrange(size)}"
     begin = 5 + (length - 20) * Random(seed).random()
@@ -129,7 +129,7 @@
     return (after[0] - before[0]) / 20 / size, (after[1] - before[1]) / 20 / size, *ages
 
 
-def _sent(bed: Bed) -> tuple[int, int]:
+def _sent(bed: SimulatedFleet) -> tuple[int, int]:
     counts = [host.detector.counts for host in bed.live()]
     return sum(count["sent"] for count in counts), sum(count["sent bytes"] for count in counts)
 
--- a/benchmarks/together_plays.py
+++ b/benchmarks/together_plays.py
@@ -19,7 +19,7 @@
 from random import Random
 from typing import Any
 
-from benchmarks.fleet_bed import EPOCH, Bed, Host
+from benchmarks.fleet_bed import EPOCH, Host, SimulatedFleet
 from cypresspulley.closing.keep import Key
 from cypresspulley.closing.limiter import Closing
 from cypresspulley.closing.options import DRIFT, Options, calendar_from
@@ -68,7 +68,7 @@
     return from_memory([events for one in told for events in one.lives])
 
 
-class Judged(Bed):
+class Judged(SimulatedFleet):
     """The fleet's bed with a history for each process, and the harness's."""
 
     def __init__(self, seed: int, size: int) -> None:
@@ -94,7 +94,7 @@
         super().leave(name, after)
         self.at(self.now + after, lambda: self._told[name].put(Kind.END, reason="asked to"))
 
-    def _do(self, host: Host, action: Action) -> None:
+    def _execute(self, host: Host, action: Action) -> None:
         history = self._told[host.name]
         if not history.lives or isinstance(action, LifeRaised):
             size = self._size
@@ -110,7 +110,7 @@
                 history.put(Kind.ROW, owner=owner, life=life, subsystem=subsystem)
             case Settled(settled, digest, members):
                 history.put(Kind.SETTLED, settled=settled, digest=f"{digest:016x}", members=members)
-        super()._do(host, action)
+        super()._execute(host, action)
 
     def fault(self, kind: str, targets: list[str], on: bool) -> None:
         self.harness.put(Kind.FAULT, kind_of=kind, targets=targets, on=on)
--- a/tests/fleet/test_bed.py
+++ b/tests/fleet/test_bed.py
@@ -6,21 +6,21 @@
 
 import pytest
 
-from benchmarks.fleet_bed import Bed, address
+from benchmarks.fleet_bed import SimulatedFleet, address
 from cypresspulley.fleet import timing
 from cypresspulley.fleet.records import MemberState
 from cypresspulley.fleet.view import ROW_QUIET_SECONDS
 
 
-def wait_agreed(bed: Bed, within: float) -> float:
+def wait_agreed(bed: SimulatedFleet, within: float) -> float:
     """Seconds until all digests agree, which has to be inside the bound."""
     began = bed.now
     assert bed.run(began + within, bed.agree), [repr(host.detector) for host in bed.live()][:5]
     return bed.now - began
 
 
-def grown(size: int, seed: int = 1, loss: float = 0.0, warm: bool = False, **ways: float) -> Bed:
-    bed = Bed(seed, loss=loss, **ways)
+def grown(size: int, seed: int = 1, loss: float = 0.0, warm: bool = False, **ways: float) -> SimulatedFleet:
+    bed = SimulatedFleet(seed, loss=loss, **ways)
     bed.fleet(size, warm=warm)
     wait_agreed(bed, timing.agree_bound(size, bed.period))
     return bed
@@ -79,7 +79,7 @@
 
 
 def test_two_fleets_with_seeds_mixed_up_stay_two() -> None:
-    bed = Bed(1)
+    bed = SimulatedFleet(1)
     for n in range(3):
         bed.start(f"a{n}", ["a0", "b0"], installation="a")
         bed.start(f"b{n}", ["a1", "b1"], installation="b")
@@ -93,7 +93,7 @@
 
 
 def test_datagrams_foreign_cut_old_replayed_and_overlong_change_nothing() -> None:
-    bed, caught = Bed(1), list[tuple[str, bytes]]()
+    bed, caught = SimulatedFleet(1), list[tuple[str, bytes]]()
     bed.fleet(5, warm=False)
     bed.tap = lambda source, target, data: caught.append((target, data))
     bed.run(10)
@@ -167,7 +167,7 @@
 
 
 def test_a_cut_without_any_seed_heals_too() -> None:
-    bed = Bed(1)
+    bed = SimulatedFleet(1)
     bed.fleet(6, seeds=0)
     bed.cuts.append(lambda a, b: (a in {"l0", "l1"}) != (b in {"l0", "l1"}))
     bed.run(20)
@@ -214,7 +214,7 @@
 
 
 def test_seeds_that_are_all_down_at_the_start_are_tried_until_they_come() -> None:
-    bed = Bed(1)
+    bed = SimulatedFleet(1)
     for n in range(2, 8):
         bed.start(f"l{n}", ["l0", "l1"])
     bed.run(40)
--- a/tests/fleet/test_exchange.py
+++ b/tests/fleet/test_exchange.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from benchmarks.fleet_bed import EPOCH, Bed, Host, address
+from benchmarks.fleet_bed import EPOCH, Host, SimulatedFleet, address
 from cypresspulley.fleet import exchange, wire
 from cypresspulley.fleet.exchange import Exchange
 from cypresspulley.fleet.outbox import MAX_RESPONSE_DATAGRAMS
@@ -18,7 +18,7 @@
 LONG_AGO = -1000.0  # rows of then count for the digest, and what is held is no news
 
 
-def large(bed: Bed, size: int = MANY, rows: bool = True) -> Host:
+def large(bed: SimulatedFleet, size: int = MANY, rows: bool = True) -> Host:
     """The one member of a large fleet that answers in this bed."""
     known = [Member(f"l{n}", LIFE, 0, MemberState.ALIVE, "zone", address(f"l{n}")) for n in range(size)]
     host = bed.start("l0", known=known)
@@ -39,7 +39,7 @@
 
 
 def test_one_that_joins_a_large_fleet_is_alive_once_it_has_the_whole_view() -> None:
-    bed = Bed(1, delay=IN_ORDER)
+    bed = SimulatedFleet(1, delay=IN_ORDER)
     large(bed)
     new = bed.start("new", ["l0"])
     began = bed.now
@@ -52,7 +52,7 @@
 def test_a_view_whose_digests_differ_for_long_still_comes_whole(monkeypatch: pytest.MonkeyPatch) -> None:
     """Rows that are new to one that joins change none of its digests at first: what differs stays the same, for all."""
     monkeypatch.setattr(exchange, "MAX_RESPONSE_DATAGRAMS", 4)
-    bed = Bed(1)
+    bed = SimulatedFleet(1)
     names = bed.fleet(40)
     for host in bed.live():
         view = host.detector.view
@@ -67,7 +67,7 @@
 
 
 def test_one_answer_has_no_more_pieces_than_before() -> None:
-    bed, pieces = Bed(1, delay=IN_ORDER), dict[int, int]()
+    bed, pieces = SimulatedFleet(1, delay=IN_ORDER), dict[int, int]()
     codec = wire.Codec("bed", b"a key of the bed only")
 
     def count(source: str, target: str, data: bytes) -> None:
@@ -93,7 +93,7 @@
         begun(self, envelope)
 
     monkeypatch.setattr(Exchange, "on_sync_request", forgetful)
-    bed = Bed(1, delay=IN_ORDER)
+    bed = SimulatedFleet(1, delay=IN_ORDER)
     large(bed)
     new = bed.start("new", ["l0"])
     assert bed.run(
@@ -103,7 +103,7 @@
 
 
 def test_a_new_life_of_the_asker_is_answered_from_the_start() -> None:
-    bed = Bed(1, delay=IN_ORDER)
+    bed = SimulatedFleet(1, delay=IN_ORDER)
     host = large(bed)
     new = bed.start("new", ["l0"])
     assert bed.run(
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from benchmarks.fleet_bed import Bed
+from benchmarks.fleet_bed import SimulatedFleet
 from cypresspulley.fleet import wire
 from cypresspulley.fleet.records import MemberState
 
@@ -109,7 +109,7 @@
 
 
 def test_no_member_ever_sends_more_than_a_datagram_holds() -> None:
-    bed = Bed(3, loss=0.1)
+    bed = SimulatedFleet(3, loss=0.1)
     sizes = list[int]()
     bed.tap = lambda source, target, data: sizes.append(len(data))
     names = [f"member-with-a-name-of-forty-letters-{n:04d}" for n in range(12)]
