--- a/benchmarks/fleet_bed.py
+++ b/benchmarks/fleet_bed.py
@@ -29,7 +29,7 @@
 
 EPOCH = 1_800_000_000.0  # Unix seconds at the bed's zero
 KEY = b"a key of the bed only"
-BUFFERED = 2_000  # datagrams that wait for a process that stands still
+MAX_BUFFERED_DATAGRAMS = 2_000  # datagrams that wait for a process that stands still
 
 Cut = Callable[[str, str], bool]  # from, to: whether the way is cut
 
@@ -62,21 +62,21 @@
     """``delay`` in seconds, the mean of an exponential above ``least``; ``loss`` and ``double`` are probabilities."""
 
     def __init__(
-        self, seed: int, period: float = 0.5, loss: float = 0.0, delay: float = 0.002, least: float = 0.0002,
-        double: float = 0.0,
+        self, seed: int, period: float = 0.5, loss: float = 0.0, delay: float = 0.002, min_delay: float = 0.0002,
+        duplication: float = 0.0,
     ) -> None:  # fmt: skip
         self.rng, self.period = Random(seed), period
-        self.loss, self.delay, self.least, self.double = loss, delay, least, double
+        self.loss, self.delay, self.min_delay, self.duplication = loss, delay, min_delay, duplication
         self.now = 0.0
         self.hosts = dict[str, Host]()
         self.cuts = list[Cut]()
-        self.news = list[ViewChange]()
+        self.changes = list[ViewChange]()
         self.settled = list[tuple[float, str, bool]]()
         self.tap: Callable[[str, str, bytes], None] | None = None
         self.sent = 0
         self._queue = list[tuple[float, int, str, str, bytes]]()
-        self._drawn = 0
-        self._calls = dict[int, Callable[[], None]]()
+        self._last_number = 0
+        self._callbacks = dict[int, Callable[[], None]]()
 
     # Processes
 
@@ -98,10 +98,10 @@
                 detector.view.merge(self.now, member)
         for subsystem, body in (rows or {}).items():
             detector.view.publish(self.now, subsystem, body)
-        self._hand(host, Started())
+        self._deliver(host, Started())
         return host
 
-    def fleet(self, size: int, warm: bool = True, seeds: int = 2) -> list[str]:
+    def start_members(self, size: int, warm: bool = True, seeds: int = 2) -> list[str]:
         """So many members; warm ones know each other from the start."""
         names = [f"l{n}" for n in range(size)]
         life = round(EPOCH * 1000)
@@ -124,16 +124,16 @@
         host.paused = False
         waiting, host.buffer = host.buffer, []
         for data in waiting:
-            self._hand(host, DatagramReceived(data))
-        self._due(host)
+            self._deliver(host, DatagramReceived(data))
+        self._schedule_timer(host)
 
     def leave(self, name: str, after: float = 1.0) -> None:
         """It says that it ends, and ends so many seconds later."""
         host = self.hosts[name]
-        self._hand(host, LeaveRequested())
+        self._deliver(host, LeaveRequested())
 
         def end() -> None:
-            self._hand(host, Stopped())
+            self._deliver(host, Stopped())
             host.running = False
 
         self.at(self.now + after, end)
@@ -144,9 +144,9 @@
     # Time
 
     def at(self, when: float, call: Callable[[], None]) -> None:
-        self._drawn += 1
-        self._calls[self._drawn] = call
-        heapq.heappush(self._queue, (when, self._drawn, "", "call", b""))
+        self._last_number += 1
+        self._callbacks[self._last_number] = call
+        heapq.heappush(self._queue, (when, self._last_number, "", "call", b""))
 
     def run(self, until: float, stop: Callable[[], bool] | None = None, every: float = 0.1) -> bool:
         """Run to the instant, or until ``stop``, asked ``every`` so many seconds, says so; whether it has."""
@@ -161,7 +161,7 @@
                     return True
             self.now = when
             if what == "call":
-                self._calls.pop(number)()
+                self._callbacks.pop(number)()
                 continue
             host = self.hosts[name]
             if not host.running:
@@ -169,10 +169,10 @@
             if what == "tick":
                 if host.timer == when and not host.paused:
                     host.timer = float("inf")
-                    self._hand(host, TimerFired())
+                    self._deliver(host, TimerFired())
             elif not host.paused:
-                self._hand(host, DatagramReceived(data))
-            elif len(host.buffer) < BUFFERED:
+                self._deliver(host, DatagramReceived(data))
+            elif len(host.buffer) < MAX_BUFFERED_DATAGRAMS:
                 host.buffer.append(data)
         self.now = until
         return stop is not None and stop()
@@ -186,7 +186,7 @@
         return first.present_count == len(live) and all(h.detector.view.digest == first.digest for h in live)
 
     def deaths(self) -> list[ViewChange]:
-        return [news for news in self.news if news.member.state is MemberState.DEAD]
+        return [change for change in self.changes if change.member.state is MemberState.DEAD]
 
     def states(self, name: str) -> set[MemberState | None]:
         """The states in which the live ones hold a member."""
@@ -198,12 +198,12 @@
     def wall(self, host: Host) -> float:
         return EPOCH + self.now + host.offset
 
-    def _hand(self, host: Host, event: Event) -> None:
+    def _deliver(self, host: Host, event: Event) -> None:
         for action in host.detector.handle(self.now, self.wall(host), event):
             self._execute(host, action)
-        self._due(host)
+        self._schedule_timer(host)
 
-    def _due(self, host: Host) -> None:
+    def _schedule_timer(self, host: Host) -> None:
         due = max(self.now, host.detector.due)
         if due < host.timer or host.timer < self.now:
             host.timer = due
@@ -215,7 +215,7 @@
             case Send(where, data):
                 self.carry(host.name, where.partition(":")[0], data)
             case MemberChanged(member, cause):
-                self.news.append(ViewChange(self.now, host.name, member, cause))
+                self.changes.append(ViewChange(self.now, host.name, member, cause))
             case Settled(settled, _, _):
                 self.settled.append((self.now, host.name, settled))
 
@@ -228,14 +228,14 @@
         if host is None or any(cut(source, target) for cut in self.cuts):
             return
         rng = self.rng
-        for _ in range(1 + (self.double > 0 and rng.random() < self.double)):
+        for _ in range(1 + (self.duplication > 0 and rng.random() < self.duplication)):
             if self.loss == 0 or rng.random() >= self.loss:
-                late = self.least + rng.expovariate(1 / self.delay) + host.lag
+                late = self.min_delay + rng.expovariate(1 / self.delay) + host.lag
                 self._push(self.now + late, target, "datagram", data)
 
     def _push(self, when: float, name: str, what: str, data: bytes) -> None:
-        self._drawn += 1
-        heapq.heappush(self._queue, (when, self._drawn, name, what, data))
+        self._last_number += 1
+        heapq.heappush(self._queue, (when, self._last_number, name, what, data))
 
 
 def address(name: str) -> str:
--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -41,30 +41,32 @@
 Task = tuple[int, int, float]  # size, seed, the share of datagrams that is lost
 
 
-def grown(size: int, seed: int, loss: float = 0.0) -> SimulatedFleet:
-    bed = SimulatedFleet(seed, PERIOD, loss=loss)
-    bed.fleet(size)
-    bed.run(2 * PERIOD + bed.rng.random())
-    return bed
+def started_fleet(size: int, seed: int, loss: float = 0.0) -> SimulatedFleet:
+    fleet = SimulatedFleet(seed, PERIOD, loss=loss)
+    fleet.start_members(size)
+    fleet.run(2 * PERIOD + fleet.rng.random())
+    return fleet
 
 
 def detect(task: Task) -> float:
     """Seconds; infinity where the bound has passed three times."""
     size, seed, loss = task
-    bed = grown(size, seed, loss)
+    fleet = started_fleet(size, seed, loss)
     victim = f"l{Random(seed).randrange(size)}"
-    bed.kill(victim)
-    return _until(bed, lambda: bed.states(victim) == {MemberState.DEAD}, timing.detect_bound(size, PERIOD))
+    fleet.kill(victim)
+    return _until(
+        fleet, lambda: fleet.states(victim) == {MemberState.DEAD}, timing.detect_bound(size, PERIOD)
+    )
 
 
 def mass(task: Task) -> float:
     size, seed, loss = task
-    bed = grown(size, seed, loss)
-    gone = set(Random(seed).sample(sorted(bed.hosts), size * 3 // 10))
+    fleet = started_fleet(size, seed, loss)
+    gone = set(Random(seed).sample(sorted(fleet.hosts), size * 3 // 10))
     for name in gone:
-        bed.kill(name)
-    took = _until(bed, bed.agree, timing.detect_bound(size, PERIOD))
-    return took if {news.member.name for news in bed.deaths()} == gone else float("inf")
+        fleet.kill(name)
+    took = _until(fleet, fleet.agree, timing.detect_bound(size, PERIOD))
+    return took if {change.member.name for change in fleet.deaths()} == gone else float("inf")
 
 
 def heal(task: Task) -> float:
@@ -74,36 +76,41 @@
 def _healed(task: Task, done: Callable[[SimulatedFleet], bool]) -> float:
     """The cut lasts 20 s, or until each side holds all of the other dead."""
     size, seed, loss = task
-    bed = grown(size, seed, loss)
-    few = set(Random(seed).sample(sorted(bed.hosts), size * 3 // 8))
-    bed.cuts.append(lambda a, b: (a in few) != (b in few))
-    bed.run(bed.now + max(20.0, timing.detect_bound(size, PERIOD)))
-    bed.cuts.clear()
-    return _until(bed, lambda: done(bed), timing.settle_bound(size, PERIOD))
+    fleet = started_fleet(size, seed, loss)
+    few = set(Random(seed).sample(sorted(fleet.hosts), size * 3 // 8))
+    fleet.cuts.append(lambda a, b: (a in few) != (b in few))
+    fleet.run(fleet.now + max(20.0, timing.detect_bound(size, PERIOD)))
+    fleet.cuts.clear()
+    return _until(fleet, lambda: done(fleet), timing.settle_bound(size, PERIOD))
 
 
 def settle(task: Task) -> float:
     """As ``heal``, until each member knows that all agree."""
-    return _healed(task, lambda bed: bed.agree() and all(host.detector.settled() for host in bed.live()))
+    return _healed(
+        task,
+        lambda fleet: fleet.agree() and all(host.detector.settled() for host in fleet.live()),
+    )
 
 
-def _until(bed: SimulatedFleet, done: Callable[[], bool], bound: float) -> float:
-    began = bed.now
-    return bed.now - began if bed.run(began + 3 * bound, done) else float("inf")
+def _until(fleet: SimulatedFleet, done: Callable[[], bool], bound: float) -> float:
+    began = fleet.now
+    return fleet.now - began if fleet.run(began + 3 * bound, done) else float("inf")
 
 
 def false_deaths(task: tuple[int, int, float]) -> tuple[int, int, int]:
     """Deaths of any member, suspicions of the paused one, and of others."""
     size, seed, length = task
-    bed = SimulatedFleet(seed, PERIOD, loss=LOSS)
-    bed.fleet(size)
+    fleet = SimulatedFleet(seed, PERIOD, loss=LOSS)
+    fleet.start_members(size)
     paused = f"l{Random(seed).randrange(size)}"
     begin = 5 + (length - 20) * Random(seed).random()
-    bed.at(begin, lambda: bed.pause(paused))
-    bed.at(begin + 5, lambda: bed.resume(paused))
-    bed.run(length)
-    suspected = [news.member.name for news in bed.news if news.member.state is MemberState.SUSPECTED]
-    return len(bed.deaths()), suspected.count(paused), len(suspected) - suspected.count(paused)
+    fleet.at(begin, lambda: fleet.pause(paused))
+    fleet.at(begin + 5, lambda: fleet.resume(paused))
+    fleet.run(length)
+    suspected = [
+        change.member.name for change in fleet.changes if change.member.state is MemberState.SUSPECTED
+    ]
+    return len(fleet.deaths()), suspected.count(paused), len(suspected) - suspected.count(paused)
 
 
 def load(size: int, rows: bool) -> tuple[float, float, float, float]:
@@ -111,26 +118,26 @@
 
     With rows each member says a new one of 120 bytes a period; without, the fleet is at rest.
     """
-    bed = grown(size, 1)
+    fleet = started_fleet(size, 1)
 
     def publish() -> None:
-        for host in bed.live():
-            host.detector.view.publish(bed.now, "lanes", repr(bed.now).encode().ljust(120))
-        bed.at(bed.now + PERIOD, publish)
+        for host in fleet.live():
+            host.detector.view.publish(fleet.now, "lanes", repr(fleet.now).encode().ljust(120))
+        fleet.at(fleet.now + PERIOD, publish)
 
     if rows:
         publish()
-    bed.run(15)
-    began, before = bed.now, _sent(bed)
-    bed.run(began + 20)
-    after = _sent(bed)
-    held = [row.age for host in bed.live()[:20] for row in host.detector.view.rows(bed.now, "lanes")]
+    fleet.run(15)
+    began, before = fleet.now, _sent(fleet)
+    fleet.run(began + 20)
+    after = _sent(fleet)
+    held = [row.age for host in fleet.live()[:20] for row in host.detector.view.rows(fleet.now, "lanes")]
     ages = (statistics.median(held), max(held)) if held else (0.0, 0.0)
     return (after[0] - before[0]) / 20 / size, (after[1] - before[1]) / 20 / size, *ages
 
 
-def _sent(bed: SimulatedFleet) -> tuple[int, int]:
-    counts = [host.detector.counts for host in bed.live()]
+def _sent(fleet: SimulatedFleet) -> tuple[int, int]:
+    counts = [host.detector.counts for host in fleet.live()]
     return sum(count["sent"] for count in counts), sum(count["sent bytes"] for count in counts)
 
 
--- a/benchmarks/together_plays.py
+++ b/benchmarks/together_plays.py
@@ -72,7 +72,7 @@
     """The fleet's bed with a history for each process, and the harness's."""
 
     def __init__(self, seed: int, size: int) -> None:
-        super().__init__(seed, loss=0.02, double=0.01)
+        super().__init__(seed, loss=0.02, duplication=0.01)
         self._size = size
         self._told = dict[str, MemoryHistory]()
         self._lives = list[MemoryHistory]()
--- a/tests/fleet/test_detector.py
+++ b/tests/fleet/test_detector.py
@@ -25,7 +25,7 @@
 LIFE = 1_700_000_000_000
 
 
-class One:
+class DetectorHarness:
     """One detector, and a hand that writes others' datagrams."""
 
     def __init__(self, *others: str, seeds: tuple[str, ...] = (), period: float = 1.0) -> None:
@@ -34,14 +34,14 @@
         self.detector = Detector(me, CODEC, seeds, period, Random(1))
         self.sent = list[tuple[str, wire.Envelope]]()
         self.changes = list[tuple[str, MemberState, str]]()
-        self.rose = list[int]()
-        self.do(Started())
+        self.new_lives = list[int]()
+        self.process(Started())
         for name in others:
-            self.hear(name)
+            self.receive(name)
         self.sent.clear()
         self.changes.clear()
 
-    def do(self, event: Started | TimerFired | DatagramReceived | LeaveRequested) -> None:
+    def process(self, event: Started | TimerFired | DatagramReceived | LeaveRequested) -> None:
         for action in self.detector.handle(self.now, WALL + self.now, event):
             match action:
                 case Send(address, data):
@@ -49,12 +49,12 @@
                 case MemberChanged(member, cause):
                     self.changes.append((member.name, member.state, cause))
                 case LifeRaised(life):
-                    self.rose.append(life)
+                    self.new_lives.append(life)
 
-    def hear(
-        self, name: str, message: wire.Message | None = None, state: MemberState = MemberState.ALIVE, incarnation: int = 0,
-        told: tuple[wire.MemberRecord, ...] = (), life: int = LIFE, number: int | None = None, wall: float = WALL,
-        digest: int | None = None,
+    def receive(
+        self, name: str, message: wire.Message | None = None, state: MemberState = MemberState.ALIVE,
+        incarnation: int = 0, claims: tuple[wire.MemberRecord, ...] = (), life: int = LIFE,
+        number: int | None = None, wall: float = WALL, digest: int | None = None,
     ) -> bytes:  # fmt: skip
         self.number += 1
         me = wire.MemberRecord(name, life, incarnation, state, "b", f"{name}:1", "")
@@ -66,18 +66,18 @@
             view.rows_digest,
             0,
         )
-        records = [wire.encode_record(entry) for entry in told]
+        records = [wire.encode_record(entry) for entry in claims]
         data = CODEC.encode(
             head, wire.encode_record(me), wire.encode_record(message or wire.Gossip()), records, []
         )
-        self.do(DatagramReceived(data))
+        self.process(DatagramReceived(data))
         return data
 
-    def wait(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         end = self.now + seconds
         while self.detector.due <= end:
             self.now = max(self.now, self.detector.due)
-            self.do(TimerFired())
+            self.process(TimerFired())
         self.now = end
 
     def state(self, name: str) -> MemberState | None:
@@ -96,259 +96,263 @@
 
 
 def test_one_that_no_probe_reaches_is_suspected_and_then_dead() -> None:
-    one = One("x")
-    one.wait(2.5)
-    assert one.changes == [("x", MemberState.SUSPECTED, "probe")]
-    one.wait(timing.suspicion_periods(2, 0))
-    assert one.changes[1:] == [("x", MemberState.DEAD, "probe")]
+    harness = DetectorHarness("x")
+    harness.advance(2.5)
+    assert harness.changes == [("x", MemberState.SUSPECTED, "probe")]
+    harness.advance(timing.suspicion_periods(2, 0))
+    assert harness.changes[1:] == [("x", MemberState.DEAD, "probe")]
 
 
 def test_others_are_asked_to_probe_and_their_word_counts() -> None:
-    one = One("x", "y", "z")
+    harness = DetectorHarness("x", "y", "z")
     asks = list[tuple[str, wire.PingRequest]]()
     while not asks:
-        one.wait(0.05)
-        asks = [(where, e.message) for where, e in one.sent if isinstance(e.message, wire.PingRequest)]
+        harness.advance(0.05)
+        asks = [(where, e.message) for where, e in harness.sent if isinstance(e.message, wire.PingRequest)]
     assert len(asks) == 2  # all others but the one in question
     target, nonce = asks[0][1].target, asks[0][1].nonce
     helper = asks[0][0].partition(":")[0]
     assert helper != target
-    one.hear(helper, wire.PingRequestAck(nonce))
-    one.wait(0.5)
-    assert one.state(target) is not MemberState.SUSPECTED
+    harness.receive(helper, wire.PingRequestAck(nonce))
+    harness.advance(0.5)
+    assert harness.state(target) is not MemberState.SUSPECTED
 
 
 def test_an_answer_counts_only_from_the_one_that_was_asked() -> None:
-    one = One("x", "y")
-    while not one.pings("x"):
-        one.wait(0.1)
-    nonce = one.pings("x")[-1].nonce
-    one.hear("y", wire.Ack(nonce))
-    one.hear("x", wire.Ack(nonce + 1))
-    assert one.detector.counts["unasked"] == 2
-    one.hear("x", wire.Ack(nonce))
-    assert one.detector.counts["unasked"] == 2
-    one.hear("x", wire.Ack(nonce))
-    assert one.detector.counts["unasked"] == 3
+    harness = DetectorHarness("x", "y")
+    while not harness.pings("x"):
+        harness.advance(0.1)
+    nonce = harness.pings("x")[-1].nonce
+    harness.receive("y", wire.Ack(nonce))
+    harness.receive("x", wire.Ack(nonce + 1))
+    assert harness.detector.counts["unasked"] == 2
+    harness.receive("x", wire.Ack(nonce))
+    assert harness.detector.counts["unasked"] == 2
+    harness.receive("x", wire.Ack(nonce))
+    assert harness.detector.counts["unasked"] == 3
 
 
 def test_a_death_that_is_told_is_a_suspicion_first() -> None:
-    one = One("x", "y", "z")
-    one.hear("y", told=(claim("x", MemberState.DEAD, by="y"),))
-    assert one.state("x") is MemberState.SUSPECTED
-    one.hear("x", incarnation=1)
-    assert one.changes == [("x", MemberState.SUSPECTED, "told"), ("x", MemberState.ALIVE, "refuted")]
-    one.hear("y", told=(claim("x", MemberState.DEAD, incarnation=1, by="y"),))
-    one.wait(timing.reported_death_periods(4) + 0.1)
-    assert one.state("x") is MemberState.DEAD and one.changes[-1] == ("x", MemberState.DEAD, "told")
+    harness = DetectorHarness("x", "y", "z")
+    harness.receive("y", claims=(claim("x", MemberState.DEAD, by="y"),))
+    assert harness.state("x") is MemberState.SUSPECTED
+    harness.receive("x", incarnation=1)
+    assert harness.changes == [("x", MemberState.SUSPECTED, "told"), ("x", MemberState.ALIVE, "refuted")]
+    harness.receive("y", claims=(claim("x", MemberState.DEAD, incarnation=1, by="y"),))
+    harness.advance(timing.reported_death_periods(4) + 0.1)
+    assert harness.state("x") is MemberState.DEAD and harness.changes[-1] == ("x", MemberState.DEAD, "told")
 
 
 def test_more_accusers_shorten_a_suspicion_and_the_same_one_twice_does_not() -> None:
     def lasts(*accusers: str) -> float:
-        one = One(*"abcdefx")
-        one.detector._probes.remaining_targets = [
+        harness = DetectorHarness(*"abcdefx")
+        harness.detector._probes.remaining_targets = [
             "x"
         ] * 99  # its own probes are of x only: nobody else falls under suspicion
         for name in accusers:
-            one.hear(name, told=(claim("x", MemberState.SUSPECTED, by=name),))
-        while one.state("x") is not MemberState.DEAD:
-            one.wait(0.05)
-        return one.now
+            harness.receive(name, claims=(claim("x", MemberState.SUSPECTED, by=name),))
+        while harness.state("x") is not MemberState.DEAD:
+            harness.advance(0.05)
+        return harness.now
 
     alone, three = lasts("a"), lasts("a", "b", "c")
     assert lasts("a", "a", "a") == alone > three >= timing.suspicion_periods(8, 3)
 
 
 def test_of_itself_it_refutes_above_what_is_told() -> None:
-    one = One("x")
-    one.hear("x", told=(claim("me", MemberState.SUSPECTED, 4, by="x"),))
-    me = one.detector.view.local_member
+    harness = DetectorHarness("x")
+    harness.receive("x", claims=(claim("me", MemberState.SUSPECTED, 4, by="x"),))
+    me = harness.detector.view.local_member
     assert (me.incarnation, me.state) == (5, MemberState.ALIVE) or me.state is MemberState.JOINING
-    one.hear("x", told=(claim("me", MemberState.SUSPECTED, 5, by="x"),))
-    assert one.detector.view.local_member.incarnation == 6
-    one.hear("x", told=(claim("me", MemberState.SUSPECTED, 5, by="x"),))
-    assert one.detector.view.local_member.incarnation == 6
-    one.hear(
-        "x", told=(claim("me", MemberState.DEAD, 5, by="x"),)
+    harness.receive("x", claims=(claim("me", MemberState.SUSPECTED, 5, by="x"),))
+    assert harness.detector.view.local_member.incarnation == 6
+    harness.receive("x", claims=(claim("me", MemberState.SUSPECTED, 5, by="x"),))
+    assert harness.detector.view.local_member.incarnation == 6
+    harness.receive(
+        "x", claims=(claim("me", MemberState.DEAD, 5, by="x"),)
     )  # an end is final in a life, whatever the incarnation
-    assert one.detector.view.local_member.rank[:3] == (LIFE + 1, False, 0)
-    one.hear("x", told=(claim("me", MemberState.DEAD, 5, by="x"),))
-    assert one.detector.view.local_member.rank[:3] == (LIFE + 1, False, 0)
+    assert harness.detector.view.local_member.rank[:3] == (LIFE + 1, False, 0)
+    harness.receive("x", claims=(claim("me", MemberState.DEAD, 5, by="x"),))
+    assert harness.detector.view.local_member.rank[:3] == (LIFE + 1, False, 0)
 
 
 def test_a_later_life_of_its_name_lifts_its_own_above_and_says_its_rows_anew() -> None:
-    one = One("x")
-    one.detector.view.publish(0.0, "lanes", b"row")
-    one.hear("x", told=(claim("me", MemberState.DEAD, 7, by="x", life=LIFE + 3_600_000),))
-    assert one.rose == [LIFE + 3_600_001]
-    assert [row.life for row in one.detector.view.rows(0.0, "lanes")] == [LIFE + 3_600_001]
+    harness = DetectorHarness("x")
+    harness.detector.view.publish(0.0, "lanes", b"row")
+    harness.receive("x", claims=(claim("me", MemberState.DEAD, 7, by="x", life=LIFE + 3_600_000),))
+    assert harness.new_lives == [LIFE + 3_600_001]
+    assert [row.life for row in harness.detector.view.rows(0.0, "lanes")] == [LIFE + 3_600_001]
     for n in range(20):
-        one.hear("x", told=(claim("me", MemberState.ALIVE, 0, life=LIFE + 4_000_000 + n * 10),))
-    assert len(one.rose) == 8 and one.detector.counts["risen"] == 21
+        harness.receive("x", claims=(claim("me", MemberState.ALIVE, 0, life=LIFE + 4_000_000 + n * 10),))
+    assert len(harness.new_lives) == 8 and harness.detector.counts["risen"] == 21
 
 
 def test_a_leaver_is_left_when_it_no_longer_answers_and_never_suspected() -> None:
-    one = One("x", "y")
-    one.hear("x", state=MemberState.LEAVING, incarnation=1)
-    one.hear("y", told=(claim("x", MemberState.SUSPECTED, 0, by="y"),))
-    one.wait(40)
-    assert [change for change in one.changes if change[0] == "x"] == [
+    harness = DetectorHarness("x", "y")
+    harness.receive("x", state=MemberState.LEAVING, incarnation=1)
+    harness.receive("y", claims=(claim("x", MemberState.SUSPECTED, 0, by="y"),))
+    harness.advance(40)
+    assert [change for change in harness.changes if change[0] == "x"] == [
         ("x", MemberState.LEAVING, "told"),
         ("x", MemberState.LEFT, "probe"),
     ]
 
 
 def test_a_leaver_that_missed_a_probe_and_speaks_again_was_never_left() -> None:
-    one = One("x")
-    one.hear("x", state=MemberState.LEAVING, incarnation=1)
+    harness = DetectorHarness("x")
+    harness.receive("x", state=MemberState.LEAVING, incarnation=1)
     for _ in range(4):  # the longest suspicion is over within each two: only its word keeps it
-        one.wait(timing.suspicion_periods(2, 0) - 2)
-        assert one.state("x") is MemberState.LEAVING
-        one.hear("x", state=MemberState.LEAVING, incarnation=1)
-    missed = one.now
-    one.wait(timing.suspicion_periods(2, 0) - 1)
-    assert [change for change in one.changes if change[0] == "x"] == [("x", MemberState.LEAVING, "told")]
-    one.wait(5)
-    assert one.now - missed > timing.suspicion_periods(2, 0) and one.state("x") is MemberState.LEFT
+        harness.advance(timing.suspicion_periods(2, 0) - 2)
+        assert harness.state("x") is MemberState.LEAVING
+        harness.receive("x", state=MemberState.LEAVING, incarnation=1)
+    missed = harness.now
+    harness.advance(timing.suspicion_periods(2, 0) - 1)
+    assert [change for change in harness.changes if change[0] == "x"] == [("x", MemberState.LEAVING, "told")]
+    harness.advance(5)
+    assert harness.now - missed > timing.suspicion_periods(2, 0) and harness.state("x") is MemberState.LEFT
 
 
 def test_a_leaver_that_a_helper_reaches_is_no_longer_missed() -> None:
-    one = One("x", "y")
-    one.hear("x", state=MemberState.LEAVING, incarnation=1)
-    one.wait(8)
-    assert one.detector._suspicions.get("x") is not None
-    one.sent.clear()
-    while not (asked := [e.message.nonce for _, e in one.sent if isinstance(e.message, wire.PingRequest)]):
-        one.wait(0.05)
-    one.hear("y", wire.PingRequestAck(asked[-1]))
-    assert one.state("x") is MemberState.LEAVING and one.detector._suspicions.get("x") is None
+    harness = DetectorHarness("x", "y")
+    harness.receive("x", state=MemberState.LEAVING, incarnation=1)
+    harness.advance(8)
+    assert harness.detector._suspicions.get("x") is not None
+    harness.sent.clear()
+    while not (
+        asked := [e.message.nonce for _, e in harness.sent if isinstance(e.message, wire.PingRequest)]
+    ):
+        harness.advance(0.05)
+    harness.receive("y", wire.PingRequestAck(asked[-1]))
+    assert harness.state("x") is MemberState.LEAVING and harness.detector._suspicions.get("x") is None
 
 
 def test_leaving_is_said_at_once_above_any_suspicion() -> None:
-    one = One("x", "y")
-    one.do(LeaveRequested())
-    assert {where for where, _ in one.sent} == {"x:1", "y:1"}
-    assert all(e.sender.state is MemberState.LEAVING and e.sender.incarnation == 1 for _, e in one.sent)
+    harness = DetectorHarness("x", "y")
+    harness.process(LeaveRequested())
+    assert {where for where, _ in harness.sent} == {"x:1", "y:1"}
+    assert all(e.sender.state is MemberState.LEAVING and e.sender.incarnation == 1 for _, e in harness.sent)
 
 
 def test_one_that_stood_still_accuses_nobody_of_what_it_did_not_hear() -> None:
-    one = One("x", "y", "z")
-    while not any(isinstance(e.message, wire.Ping) for _, e in one.sent):
-        one.wait(0.05)
-    assert one.state("x") is one.state("y") is one.state("z") is MemberState.ALIVE
-    target = next(e.message.target for _, e in one.sent if isinstance(e.message, wire.Ping))
+    harness = DetectorHarness("x", "y", "z")
+    while not any(isinstance(e.message, wire.Ping) for _, e in harness.sent):
+        harness.advance(0.05)
+    assert harness.state("x") is harness.state("y") is harness.state("z") is MemberState.ALIVE
+    target = next(e.message.target for _, e in harness.sent if isinstance(e.message, wire.Ping))
     other = "x" if target != "x" else "y"
-    one.hear("z", told=(claim(other, MemberState.SUSPECTED, by="z"),))
-    one.now += 60
-    one.do(TimerFired())
-    assert one.detector.counts["stalls"] == 1 and one.detector.health.score > 0
-    one.hear("z", told=(claim(other, MemberState.SUSPECTED, by="w"),))
-    one.wait(1.2)
-    assert one.state(target) is MemberState.ALIVE  # the probe of it was out
-    one.wait(2.0)
-    assert one.state(other) is MemberState.SUSPECTED  # as told, and not dead for the time that was lost
-    one.hear(other, incarnation=1)
-    assert one.state(other) is MemberState.ALIVE
+    harness.receive("z", claims=(claim(other, MemberState.SUSPECTED, by="z"),))
+    harness.now += 60
+    harness.process(TimerFired())
+    assert harness.detector.counts["stalls"] == 1 and harness.detector.health.score > 0
+    harness.receive("z", claims=(claim(other, MemberState.SUSPECTED, by="w"),))
+    harness.advance(1.2)
+    assert harness.state(target) is MemberState.ALIVE  # the probe of it was out
+    harness.advance(2.0)
+    assert harness.state(other) is MemberState.SUSPECTED  # as told, and not dead for the time that was lost
+    harness.receive(other, incarnation=1)
+    assert harness.state(other) is MemberState.ALIVE
 
 
 def test_one_that_wakes_at_the_end_of_a_suspicion_hears_first_what_was_said_meanwhile() -> None:
-    one = One("x")
-    one.detector._probes.remaining_targets = ["x"] * 99
-    one.hear("x", told=(claim("x", MemberState.SUSPECTED, by="x"),))
-    until = one.detector._suspicions.deadline("x", 2)
+    harness = DetectorHarness("x")
+    harness.detector._probes.remaining_targets = ["x"] * 99
+    harness.receive("x", claims=(claim("x", MemberState.SUSPECTED, by="x"),))
+    until = harness.detector._suspicions.deadline("x", 2)
     assert until is not None
-    one.wait(until - one.now - 0.1)
-    one.now += 60
-    one.do(TimerFired())
-    one.wait(0.9)
-    assert one.state("x") is MemberState.SUSPECTED
-    one.hear("x", incarnation=1)
-    one.wait(0.5)
-    assert one.state("x") is MemberState.ALIVE
+    harness.advance(until - harness.now - 0.1)
+    harness.now += 60
+    harness.process(TimerFired())
+    harness.advance(0.9)
+    assert harness.state("x") is MemberState.SUSPECTED
+    harness.receive("x", incarnation=1)
+    harness.advance(0.5)
+    assert harness.state("x") is MemberState.ALIVE
 
 
 def test_a_replayed_datagram_changes_nothing() -> None:
-    one = One("x", "y")
-    data = one.hear("x", digest=77)
-    one.wait(0.01)
-    one.hear("x", incarnation=1)
-    detector = one.detector
+    harness = DetectorHarness("x", "y")
+    data = harness.receive("x", digest=77)
+    harness.advance(0.01)
+    harness.receive("x", incarnation=1)
+    detector = harness.detector
     before = (
         detector.view.digest,
-        detector.peers.count_heard(one.now, 0.0),
+        detector.peers.count_heard(harness.now, 0.0),
         detector.settled(),
-        len(one.changes),
+        len(harness.changes),
     )
-    one.wait(0.3)
-    one.do(DatagramReceived(data))
-    assert detector.counts["replayed"] == 1 and detector.peers.count_heard(one.now, 0.2) == 0
-    assert before[0] == detector.view.digest and before[2:] == (detector.settled(), len(one.changes))
+    harness.advance(0.3)
+    harness.process(DatagramReceived(data))
+    assert detector.counts["replayed"] == 1 and detector.peers.count_heard(harness.now, 0.2) == 0
+    assert before[0] == detector.view.digest and before[2:] == (detector.settled(), len(harness.changes))
 
 
 def test_settled_is_when_every_present_member_has_told_this_digest() -> None:
-    one = One("x", "y")
-    one.hear("x")
-    assert not one.detector.settled()  # y told its digest before x was there
-    one.hear("y")
-    assert one.detector.settled()
-    one.hear("x", digest=77)
-    assert not one.detector.settled()
-    one.hear("x", number=3)  # older than the one that told 77, and come later
-    assert not one.detector.settled()
-    one.hear("x")
-    assert one.detector.settled()
-    one.hear("z", state=MemberState.LEFT, incarnation=1)
-    assert one.detector.settled()  # one that has left need not agree
-    one.hear("z", life=LIFE + 1)
-    assert not one.detector.settled()
+    harness = DetectorHarness("x", "y")
+    harness.receive("x")
+    assert not harness.detector.settled()  # y told its digest before x was there
+    harness.receive("y")
+    assert harness.detector.settled()
+    harness.receive("x", digest=77)
+    assert not harness.detector.settled()
+    harness.receive("x", number=3)  # older than the one that told 77, and come later
+    assert not harness.detector.settled()
+    harness.receive("x")
+    assert harness.detector.settled()
+    harness.receive("z", state=MemberState.LEFT, incarnation=1)
+    assert harness.detector.settled()  # one that has left need not agree
+    harness.receive("z", life=LIFE + 1)
+    assert not harness.detector.settled()
 
 
 @pytest.mark.parametrize("life", [LIFE - 5, LIFE])
 def test_an_old_life_never_comes_back(life: int) -> None:
-    one = One("x")
-    old = one.hear("x", number=5_000)
-    one.hear("x", life=LIFE + 1)
-    one.hear("x", life=life, incarnation=99)
-    one.do(DatagramReceived(old))
-    held = one.detector.view.get("x")
+    harness = DetectorHarness("x")
+    old = harness.receive("x", number=5_000)
+    harness.receive("x", life=LIFE + 1)
+    harness.receive("x", life=life, incarnation=99)
+    harness.process(DatagramReceived(old))
+    held = harness.detector.view.get("x")
     assert held is not None and (held.life, held.incarnation) == (LIFE + 1, 0)
-    told = [e.member_records for where, e in one.sent if where == "x:1" and e.member_records]
-    assert any(entry.life == LIFE + 1 for entries in told for entry in entries)
+    claims = [e.member_records for where, e in harness.sent if where == "x:1" and e.member_records]
+    assert any(entry.life == LIFE + 1 for entries in claims for entry in entries)
 
 
 def test_a_datagram_of_another_day_is_dropped() -> None:
-    one = One()
-    one.hear("x", wall=WALL - MAX_CLOCK_DIFFERENCE_SECONDS - 10)
-    one.hear("y", wall=WALL + MAX_CLOCK_DIFFERENCE_SECONDS + 10)
-    assert one.detector.counts["stale"] == 2 and one.state("x") is None and one.state("y") is None
-    one.hear("x", wall=WALL - 3600)
-    assert one.state("x") is MemberState.ALIVE
+    harness = DetectorHarness()
+    harness.receive("x", wall=WALL - MAX_CLOCK_DIFFERENCE_SECONDS - 10)
+    harness.receive("y", wall=WALL + MAX_CLOCK_DIFFERENCE_SECONDS + 10)
+    assert harness.detector.counts["stale"] == 2 and harness.state("x") is None and harness.state("y") is None
+    harness.receive("x", wall=WALL - 3600)
+    assert harness.state("x") is MemberState.ALIVE
 
 
 def test_seeds_are_asked_ever_more_seldom_but_always() -> None:
-    one = One(seeds=("s:1", "me:1"))
-    one.wait(200)
-    knocks = sum(1 for where, e in one.sent if where == "s:1" and isinstance(e.message, wire.Ping))
-    assert 10 <= knocks <= 60 and one.detector.view.local_member.state is MemberState.JOINING
-    assert {where for where, _ in one.sent} == {"s:1"}
+    harness = DetectorHarness(seeds=("s:1", "me:1"))
+    harness.advance(200)
+    knocks = sum(1 for where, e in harness.sent if where == "s:1" and isinstance(e.message, wire.Ping))
+    assert 10 <= knocks <= 60 and harness.detector.view.local_member.state is MemberState.JOINING
+    assert {where for where, _ in harness.sent} == {"s:1"}
 
 
 def test_one_without_other_seeds_is_alive_at_once() -> None:
-    assert One(seeds=("me:1",)).detector.view.local_member.state is MemberState.ALIVE
+    assert DetectorHarness(seeds=("me:1",)).detector.view.local_member.state is MemberState.ALIVE
 
 
 def test_a_ping_meant_for_another_is_not_answered() -> None:
-    one = One("x")
-    one.hear("x", wire.Ping(5, "former"))
-    assert not one.sent and one.detector.counts["astray"] == 1
-    one.hear("x", wire.Ping(5, "me"))
-    assert [(where, e.message) for where, e in one.sent] == [("x:1", wire.Ack(5))]
+    harness = DetectorHarness("x")
+    harness.receive("x", wire.Ping(5, "former"))
+    assert not harness.sent and harness.detector.counts["astray"] == 1
+    harness.receive("x", wire.Ping(5, "me"))
+    assert [(where, e.message) for where, e in harness.sent] == [("x:1", wire.Ack(5))]
 
 
 def test_relays_and_timers_stay_bounded_under_a_flood() -> None:
-    one = One("x")
+    harness = DetectorHarness("x")
     for n in range(300):
-        one.hear("x", wire.PingRequest(n, "y", "y:1"))
-        one.hear("x", told=(claim("z", MemberState.DEAD, n, by="x"), claim("x", MemberState.SUSPECTED, n)))
-    assert one.detector.counts["relays refused"] == 300 - 64
-    assert len(one.detector._timers) < 1_000
+        harness.receive("x", wire.PingRequest(n, "y", "y:1"))
+        harness.receive(
+            "x", claims=(claim("z", MemberState.DEAD, n, by="x"), claim("x", MemberState.SUSPECTED, n))
+        )
+    assert harness.detector.counts["relays refused"] == 300 - 64
+    assert len(harness.detector._timers) < 1_000
--- a/tests/fleet/test_final_death.py
+++ b/tests/fleet/test_final_death.py
@@ -18,19 +18,19 @@
 from cypresspulley.fleet.records import Member, MemberState
 from cypresspulley.fleet.view import View
 from cypresspulley.rehearsal.scenario import load_scenario
-from tests.fleet.test_detector import One, claim
+from tests.fleet.test_detector import DetectorHarness, claim
 
 LIFE = 1_700_000_000_000  # as ``claim`` says
 
 
 @pytest.mark.parametrize("ended", [MemberState.LEFT, MemberState.DEAD])
 def test_no_incarnation_brings_a_life_back_in_whatever_order_it_is_told(ended: MemberState) -> None:
-    told = [
+    claims = [
         Member("x", 7, 0, ended),
         Member("x", 7, 1, MemberState.ALIVE),
         Member("x", 7, 4, MemberState.SUSPECTED),
     ]
-    for order in permutations(told):
+    for order in permutations(claims):
         view = View(Member("me", 1, 0, MemberState.ALIVE))
         for member in order:
             view.merge(1.0, member)
@@ -40,19 +40,19 @@
 
 
 def test_who_is_told_that_it_is_dead_goes_on_in_a_new_life() -> None:
-    one = One("x")
-    one.hear("x", told=(claim("me", MemberState.DEAD, 0, by="x"),))
-    me = one.detector.view.local_member
+    harness = DetectorHarness("x")
+    harness.receive("x", claims=(claim("me", MemberState.DEAD, 0, by="x"),))
+    me = harness.detector.view.local_member
     assert (me.life, me.incarnation) == (LIFE + 1, 0) and me.state.present
 
 
 def test_a_death_that_is_older_than_a_refutation_suspects_nobody() -> None:
-    one = One("x", "y")
-    one.hear("y", told=(claim("x", MemberState.ALIVE, 2),))
-    one.hear("y", told=(claim("x", MemberState.DEAD, 1, by="y"),))
-    held = one.detector.view.get("x")
+    harness = DetectorHarness("x", "y")
+    harness.receive("y", claims=(claim("x", MemberState.ALIVE, 2),))
+    harness.receive("y", claims=(claim("x", MemberState.DEAD, 1, by="y"),))
+    held = harness.detector.view.get("x")
     assert held is not None and held.state is MemberState.ALIVE
-    assert one.detector._suspicions.get("x") is None, "and no time runs against it"
+    assert harness.detector._suspicions.get("x") is None, "and no time runs against it"
 
 
 def test_the_day_that_showed_it_shows_nothing() -> None:
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -109,13 +109,13 @@
 
 
 def test_no_member_ever_sends_more_than_a_datagram_holds() -> None:
-    bed = SimulatedFleet(3, loss=0.1)
+    fleet = SimulatedFleet(3, loss=0.1)
     sizes = list[int]()
-    bed.tap = lambda source, target, data: sizes.append(len(data))
+    fleet.tap = lambda source, target, data: sizes.append(len(data))
     names = [f"member-with-a-name-of-forty-letters-{n:04d}" for n in range(12)]
     for name in names:
         rows = {"lanes": b"x" * 200, "closing": b"y" * 200}
-        bed.start(name, names[:2], rows=rows)
-    bed.run(20)
-    assert bed.agree() and len(sizes) > 500
+        fleet.start(name, names[:2], rows=rows)
+    fleet.run(20)
+    assert fleet.agree() and len(sizes) > 500
     assert 1000 < max(sizes) <= wire.MAX_DATAGRAM_BYTES
