--- a/benchmarks/fleet_counts.py
+++ b/benchmarks/fleet_counts.py
@@ -17,7 +17,7 @@
 from cypresspulley.tally import MARK
 
 
-def rows_of(path: Path) -> list[tuple[float, dict[str, int]]]:
+def read_counts(path: Path) -> list[tuple[float, dict[str, int]]]:
     """A log's counts: Unix time of a spell's start, and its counts. Lines cut short by a kill are passed over."""
     rows = []
     for line in path.read_text(errors="replace").splitlines():
@@ -32,7 +32,7 @@
     return rows
 
 
-def added_up(
+def sum_counts(
     logs: list[list[tuple[float, dict[str, int]]]], spell: float
 ) -> tuple[dict[str, Counter[int]], dict[str, int]]:
     """By kind: counts by number of the spell, and by how many limiters did it at all."""
@@ -59,11 +59,11 @@
         "--kinds", default="^(?!cold|bad)", metavar="REGEX", help="all but single servers by itself"
     )
     options = parser.parse_args(arguments)
-    logs = [rows for path in sorted(options.dir.glob("*.log")) if (rows := rows_of(path))]
+    logs = [rows for path in sorted(options.dir.glob("*.log")) if (rows := read_counts(path))]
     if not any(at > 0 for rows in logs for at, _ in rows):
         print(f"{options.dir}: no log holds a count; is [tally] on in the operators' file?", file=sys.stderr)
         return 1
-    table, limiters = added_up(logs, options.spell)
+    table, limiters = sum_counts(logs, options.spell)
     last = max(max(row) for row in table.values())
     print(f"{'kind':34} {'all':>8} {'by':>4}  each {options.spell:g} s")
     for kind in sorted(kind for kind in table if re.search(options.kinds, kind)):
--- a/tests/test_tally.py
+++ b/tests/test_tally.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from benchmarks.fleet_counts import added_up, main, rows_of
+from benchmarks.fleet_counts import main, read_counts, sum_counts
 from cypresspulley import interface as api
 from cypresspulley.tally import MARK, MOST_KINDS, Tally
 from tests import world as w
@@ -56,8 +56,8 @@
     for name in ("n0", "n1"):
         lines = [f"0.5 {line}" for line in tallied()]
         (tmp_path / f"{name}.log").write_text("ready\n" + "".join(lines) + lines[-1][:30])
-    logs = [rows_of(path) for path in sorted(tmp_path.glob("*.log"))]
-    table, limiters = added_up(logs, 0.1)
+    logs = [read_counts(path) for path in sorted(tmp_path.glob("*.log"))]
+    table, limiters = sum_counts(logs, 0.1)
     assert table["send gold"] == {0: 2} and limiters["send gold"] == 2
     assert main([str(tmp_path), "--kinds", "send"]) == 0
     assert "send gold" in capsys.readouterr().out
