--- a/benchmarks/fleet_bed.py
+++ b/benchmarks/fleet_bed.py
@@ -1,7 +1,7 @@
-"""A fleet's detectors in virtual time: a network that loses, delays, doubles and cuts, and processes that stop.
+"""Simulates the detectors of a fleet in virtual time, with faults of the network and of processes.
 
-Shared by ``benchmarks/fleet_view.py`` and the tests. Only the detectors run, with their datagrams as real bytes; there
-is no loop, no socket and no limiter. One seed is one trace.
+The network loses, delays, duplicates and cuts off datagrams. Used by ``benchmarks/fleet_view.py`` and the tests. Only
+the detectors run, with encoded datagrams, without an event loop, sockets or limiters. A seed determines the whole run.
 """
 
 from __future__ import annotations
@@ -27,21 +27,21 @@
 from cypresspulley.fleet.records import Member, MemberState
 from cypresspulley.fleet.wire import Codec
 
-EPOCH = 1_800_000_000.0  # Unix seconds at the bed's zero
+EPOCH = 1_800_000_000.0  # Unix seconds at the start of the simulation
 KEY = b"a key of the bed only"
-MAX_BUFFERED_DATAGRAMS = 2_000  # datagrams that wait for a process that stands still
+MAX_BUFFERED_DATAGRAMS = 2_000  # for a paused process
 
-Cut = Callable[[str, str], bool]  # from, to: whether the way is cut
+Cut = Callable[[str, str], bool]  # from sender and receiver to whether the link is cut
 
 
 @dataclass
 class Host:
-    """One process. ``offset`` is its wall clock less the true one, in seconds."""
+    """A process. ``offset`` is its wall clock minus the true one, in seconds."""
 
     name: str
     detector: Detector
     offset: float = 0.0
-    lag: float = 0.0  # seconds that all it hears comes late
+    lag: float = 0.0  # additional delay, in seconds, of all datagrams that it receives
     running: bool = True
     paused: bool = False
     timer: float = float("inf")
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class ViewChange:
-    """What one observer's view changed to."""
+    """A change of a record in the view of ``observer``."""
 
     at: float
     observer: str
@@ -59,7 +59,11 @@
 
 
 class SimulatedFleet:
-    """``delay`` in seconds, the mean of an exponential above ``least``; ``loss`` and ``double`` are probabilities."""
+    """A fleet on a simulated network.
+
+    Datagrams take ``min_delay`` plus an exponential time of mean ``delay``, in seconds; ``loss`` and ``duplication``
+    are probabilities.
+    """
 
     def __init__(
         self, seed: int, period: float = 0.5, loss: float = 0.0, delay: float = 0.002, min_delay: float = 0.0002,
@@ -84,7 +88,7 @@
         self, name: str, seeds: Sequence[str] = (), offset: float = 0.0, known: Iterable[Member] = (),
         installation: str = "bed", key: bytes = KEY, rows: dict[str, bytes] | None = None,
     ) -> Host:  # fmt: skip
-        """A process of this name begins now; ``seeds`` are names, ``known`` members it holds from the start."""
+        """Start a process now; ``seeds`` are names, ``known`` are the members in its view from the start."""
         life = round((EPOCH + self.now + offset) * 1000)
         me = Member(name, life, 0, MemberState.JOINING, "abc"[len(self.hosts) % 3], address(name))
         rng = Random(self.rng.getrandbits(64))
@@ -102,7 +106,7 @@
         return host
 
     def start_members(self, size: int, warm: bool = True, seeds: int = 2) -> list[str]:
-        """So many members; warm ones know each other from the start."""
+        """Start ``size`` members and return their names; ``warm`` ones know each other from the start."""
         names = [f"l{n}" for n in range(size)]
         life = round(EPOCH * 1000)
         known = [
@@ -122,13 +126,13 @@
     def resume(self, name: str) -> None:
         host = self.hosts[name]
         host.paused = False
-        waiting, host.buffer = host.buffer, []
-        for data in waiting:
+        buffered, host.buffer = host.buffer, []
+        for data in buffered:
             self._deliver(host, DatagramReceived(data))
         self._schedule_timer(host)
 
     def leave(self, name: str, after: float = 1.0) -> None:
-        """It says that it ends, and ends so many seconds later."""
+        """Announce that a member leaves, and stop it ``after`` so many seconds."""
         host = self.hosts[name]
         self._deliver(host, LeaveRequested())
 
@@ -149,13 +153,16 @@
         heapq.heappush(self._queue, (when, self._last_number, "", "call", b""))
 
     def run(self, until: float, stop: Callable[[], bool] | None = None, every: float = 0.1) -> bool:
-        """Run to the instant, or until ``stop``, asked ``every`` so many seconds, says so; whether it has."""
-        look = self.now + every
+        """Run to the instant ``until``, or until ``stop`` is true; returns whether it is.
+
+        ``stop`` is called every ``every`` seconds.
+        """
+        next_check = self.now + every
         while self._queue and self._queue[0][0] <= until:
             when, number, name, what, data = heapq.heappop(self._queue)
-            while stop is not None and look <= when:
-                self.now = look
-                look += every
+            while stop is not None and next_check <= when:
+                self.now = next_check
+                next_check += every
                 if stop():
                     heapq.heappush(self._queue, (when, number, name, what, data))
                     return True
@@ -177,10 +184,10 @@
         self.now = until
         return stop is not None and stop()
 
-    # What there is to see
+    # Observation
 
     def agree(self) -> bool:
-        """Whether all live processes have one digest, and it is of just them."""
+        """Whether all running processes have the same digest, and it covers exactly them."""
         live = self.live()
         first = live[0].detector.view
         return first.present_count == len(live) and all(h.detector.view.digest == first.digest for h in live)
@@ -189,11 +196,11 @@
         return [change for change in self.changes if change.member.state is MemberState.DEAD]
 
     def states(self, name: str) -> set[MemberState | None]:
-        """The states in which the live ones hold a member."""
+        """Return the states of a member in the views of the other running processes."""
         held = [host.detector.view.get(name) for host in self.live() if host.name != name]
         return {member.state if member else None for member in held}
 
-    # Within
+    # Internals
 
     def wall(self, host: Host) -> float:
         return EPOCH + self.now + host.offset
@@ -220,7 +227,7 @@
                 self.settled.append((self.now, host.name, settled))
 
     def carry(self, source: str, target: str, data: bytes) -> None:
-        """The network: what is sent comes late, twice, or not at all."""
+        """Transmit a datagram: it may arrive late, twice or not at all."""
         self.sent += 1
         if self.tap is not None:
             self.tap(source, target, data)
@@ -230,8 +237,8 @@
         rng = self.rng
         for _ in range(1 + (self.duplication > 0 and rng.random() < self.duplication)):
             if self.loss == 0 or rng.random() >= self.loss:
-                late = self.min_delay + rng.expovariate(1 / self.delay) + host.lag
-                self._push(self.now + late, target, "datagram", data)
+                delay = self.min_delay + rng.expovariate(1 / self.delay) + host.lag
+                self._push(self.now + delay, target, "datagram", data)
 
     def _push(self, when: float, name: str, what: str, data: bytes) -> None:
         self._last_number += 1
--- a/benchmarks/fleet_counts.py
+++ b/benchmarks/fleet_counts.py
@@ -1,8 +1,8 @@
-"""What a fleet of limiters did, counted over all of them: ``python -m benchmarks.fleet_counts DIR``.
+"""Sums the event counts of a fleet of limiters: ``python -m benchmarks.fleet_counts DIR``.
 
-Reads the limiters' own logs (``*.log`` in DIR), written with ``[tally]`` in the operators' file. Prints a table: a row
-for each kind, a column for each spell (``--spell`` seconds, 1 by itself; 0.1 at least is what ``[tally]`` has kept).
-``--kinds`` picks kinds by a regular expression. Exit code 1 where no log holds a count.
+Reads the limiters' logs (``*.log`` in DIR), written with ``[tally]`` in the operators' file. Prints a table with a row
+for each kind and a column for each interval (``--spell`` seconds, 1 by default; ``[tally]`` records at least 0.1).
+``--kinds`` selects kinds by a regular expression. Exit code 1 if no log holds a count.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def read_counts(path: Path) -> list[tuple[float, dict[str, int]]]:
-    """A log's counts: Unix time of a spell's start, and its counts. Lines cut short by a kill are passed over."""
+    """Return the counts of a log by start of the interval (Unix time). Lines truncated by a kill are skipped."""
     rows = []
     for line in path.read_text(errors="replace").splitlines():
         at = line.find(MARK + "{")
@@ -33,17 +33,17 @@
 
 
 def sum_counts(
-    logs: list[list[tuple[float, dict[str, int]]]], spell: float
+    logs: list[list[tuple[float, dict[str, int]]]], interval: float
 ) -> tuple[dict[str, Counter[int]], dict[str, int]]:
-    """By kind: counts by number of the spell, and by how many limiters did it at all."""
-    # A limiter's first spell starts at no time at all; its others tell when the fleet began.
+    """Return, by kind, the counts by number of the interval and the number of limiters that have any."""
+    # The first interval of a limiter has no start time; the others determine when the fleet started.
     start = min(t for rows in logs for t, _ in rows if t > 0)
     table, limiters = defaultdict[str, Counter[int]](Counter), Counter[str]()
     for rows in logs:
         seen = set[str]()
         for at, counts in rows:
             for kind, number in counts.items():
-                table[kind][max(0, int((at - start) / spell))] += number
+                table[kind][max(0, int((at - start) / interval))] += number
                 seen.add(kind)
         limiters.update(seen)
     return table, limiters
@@ -61,7 +61,10 @@
     options = parser.parse_args(arguments)
     logs = [rows for path in sorted(options.dir.glob("*.log")) if (rows := read_counts(path))]
     if not any(at > 0 for rows in logs for at, _ in rows):
-        print(f"{options.dir}: no log holds a count; is [tally] on in the operators' file?", file=sys.stderr)
+        print(
+            f"{options.dir}: no log holds a count; is [tally] on in the operators' file?",
+            file=sys.stderr,
+        )
         return 1
     table, limiters = sum_counts(logs, options.spell)
     last = max(max(row) for row in table.values())
--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -1,15 +1,15 @@
-"""The fleet's view in figures: ``python -m benchmarks.fleet_view WHAT [--sizes 8 40 200] [--seeds N] [--jobs N]``.
-
-    detect   seconds from a kill until every survivor has it dead, beside the stated bound
-    mass     the same where 30 % are killed at once
-    heal     seconds from the healing of a partition (5 to 3) until all digests agree, beside the stated bound
-    settle   the same until each member has been told so by every other
-    false    deaths of members that lived: plays of 60 s, 5 % loss, one member paused 5 s
-    load     datagrams and bytes that a member sends a second, beside everyone beating to everyone
-    cpu      processor time of one process with a view of 200 on loopback sockets, beside one without
-
-All but ``cpu`` run in virtual time, with the detectors and their datagrams as they are. Exit code 1 where a bound is
-missed, a living member is held dead, or the load is not flat within 20 %.
+"""Benchmarks of the view: ``python -m benchmarks.fleet_view WHAT [--sizes 8 40 200] [--seeds N] [--jobs N]``.
+
+    detect   seconds from a kill until every survivor holds the member dead, with the stated bound
+    mass     the same with 30 % of the members killed at once
+    heal     seconds from the end of a partition (5 to 3) until all digests agree, with the stated bound
+    settle   the same until every other member has reported its digest to each member
+    false    deaths of running members: runs of 60 s with 5 % loss and one member paused for 5 s
+    load     datagrams and bytes sent by a member a second, compared with all-to-all heartbeats
+    cpu      processor time of one process with a view of 200 on loopback sockets, compared with one without
+
+All but ``cpu`` run the real detectors and datagrams in virtual time. Exit code 1 if a bound is exceeded, a running
+member is held dead, or the load differs by more than 20 % between sizes.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 PERIOD = 0.5  # seconds
 LOSS = 0.05
 FLAT = 0.2
-Task = tuple[int, int, float]  # size, seed, the share of datagrams that is lost
+Task = tuple[int, int, float]  # size, seed, share of datagrams lost
 
 
 def started_fleet(size: int, seed: int, loss: float = 0.0) -> SimulatedFleet:
@@ -49,7 +49,7 @@
 
 
 def detect(task: Task) -> float:
-    """Seconds; infinity where the bound has passed three times."""
+    """Return the seconds taken; infinity beyond three times the bound."""
     size, seed, loss = task
     fleet = started_fleet(size, seed, loss)
     victim = f"l{Random(seed).randrange(size)}"
@@ -65,8 +65,8 @@
     gone = set(Random(seed).sample(sorted(fleet.hosts), size * 3 // 10))
     for name in gone:
         fleet.kill(name)
-    took = _until(fleet, fleet.agree, timing.detect_bound(size, PERIOD))
-    return took if {change.member.name for change in fleet.deaths()} == gone else float("inf")
+    duration = _until(fleet, fleet.agree, timing.detect_bound(size, PERIOD))
+    return duration if {change.member.name for change in fleet.deaths()} == gone else float("inf")
 
 
 def heal(task: Task) -> float:
@@ -74,7 +74,7 @@
 
 
 def _healed(task: Task, done: Callable[[SimulatedFleet], bool]) -> float:
-    """The cut lasts 20 s, or until each side holds all of the other dead."""
+    """Heal a partition that lasts 20 s, or until each side holds the other one dead; return the seconds taken."""
     size, seed, loss = task
     fleet = started_fleet(size, seed, loss)
     few = set(Random(seed).sample(sorted(fleet.hosts), size * 3 // 8))
@@ -85,7 +85,7 @@
 
 
 def settle(task: Task) -> float:
-    """As ``heal``, until each member knows that all agree."""
+    """Like ``heal``, until each member knows that all digests agree."""
     return _healed(
         task,
         lambda fleet: fleet.agree() and all(host.detector.settled() for host in fleet.live()),
@@ -98,7 +98,7 @@
 
 
 def false_deaths(task: tuple[int, int, float]) -> tuple[int, int, int]:
-    """Deaths of any member, suspicions of the paused one, and of others."""
+    """Return the numbers of deaths, of suspicions of the paused member, and of suspicions of others."""
     size, seed, length = task
     fleet = SimulatedFleet(seed, PERIOD, loss=LOSS)
     fleet.start_members(size)
@@ -114,9 +114,9 @@
 
 
 def load(size: int, rows: bool) -> tuple[float, float, float, float]:
-    """Datagrams and bytes that a member sends a second; the median and worst age of rows, in seconds.
+    """Return the datagrams and bytes sent by a member a second, and the median and maximum age of rows in seconds.
 
-    With rows each member says a new one of 120 bytes a period; without, the fleet is at rest.
+    With ``rows`` each member publishes a row of 120 bytes each period; without, the fleet is idle.
     """
     fleet = started_fleet(size, 1)
 
@@ -141,22 +141,22 @@
     return sum(count["sent"] for count in counts), sum(count["sent bytes"] for count in counts)
 
 
-def beats(size: int) -> tuple[float, float]:
-    """The baseline: each member sends one keyed record of itself to every other each period."""
+def heartbeat_load(size: int) -> tuple[float, float]:
+    """Return the load of the baseline: each member sends its record to every other one each period."""
     codec, sent, total = wire.Codec("bed", KEY), 0, 0
-    for beat in range(4):
+    for sequence in range(4):
         me = wire.encode_record(
             wire.MemberRecord("l1", round(EPOCH * 1000), 0, MemberState.ALIVE, "a", address("l1"))
         )
         for _ in range(size - 1):
             data = codec.encode(
-                (beat, round(EPOCH * 1000), 0, 0, 0), me, wire.encode_record(wire.Gossip()), [], []
+                (sequence, round(EPOCH * 1000), 0, 0, 0), me, wire.encode_record(wire.Gossip()), [], []
             )
             sent, total = sent + 1, total + len(data)
     return sent / (4 * PERIOD), total / (4 * PERIOD)
 
 
-# Processor time, on sockets
+# Processor time on sockets
 
 
 def _port() -> int:
@@ -171,19 +171,19 @@
     return FleetMember(options, name, "a", port, time.monotonic, time.time, NoHistory())
 
 
-async def _one(port: int, seed: int, seconds: float) -> None:
-    """The process that is measured: idle, or with a member (``port`` > 0). Prints its milliseconds a second."""
+async def _run_measured(port: int, seed: int, seconds: float) -> None:
+    """Run the measured process, idle or with a member (``port`` > 0), and print its milliseconds a second."""
     one = _member("one", port, seed) if port else None
     if one is not None:
         await one.start()
-        await asyncio.sleep(20)  # it joins, and the checks that a join brings are over
+        await asyncio.sleep(20)  # until the join and the digest checks after it are over
     began = time.process_time()
     await asyncio.sleep(seconds)
     used = (time.process_time() - began) / seconds * 1000
     print(f"{used:.3f} {len(one.view.members()) if one else 0}")
 
 
-async def _others(size: int, seconds: float) -> None:
+async def _measure_cpu(size: int, seconds: float) -> None:
     ports = [_port() for _ in range(size)]
     fleet = [_member(f"l{n}", port, ports[0]) for n, port in enumerate(ports[1:])]
     life = round(time.time() * 1000)
@@ -191,7 +191,7 @@
         Member(one.view.local_name, life, 0, MemberState.ALIVE, "a", f"127.0.0.1:{p}")
         for one, p in zip(fleet, ports[1:], strict=True)
     ]
-    for one in fleet:  # they know each other from the start: what is measured is the one that joins them
+    for one in fleet:  # they know each other from the start, as only the joining member is measured
         for member in known:
             (one.detector.view.store if member.name == one.view.local_name else one.detector.view.merge)(
                 0.0, member
@@ -208,33 +208,36 @@
         await one.close()
 
 
-# The command
+# Command line
 
 
-def _spread(name: str, sizes: list[int], seeds: int, jobs: int, loss: float) -> bool:
-    plays_of: dict[str, Callable[[Task], float]] = {
+def _print_durations(name: str, sizes: list[int], seeds: int, jobs: int, loss: float) -> bool:
+    measurements: dict[str, Callable[[Task], float]] = {
         "detect": detect,
         "mass": mass,
         "heal": heal,
         "settle": settle,
     }
     bounds = {"heal": timing.agree_bound, "settle": timing.settle_bound}
-    play, bound = plays_of[name], bounds.get(name, timing.detect_bound)
+    measure, bound = measurements[name], bounds.get(name, timing.detect_bound)
     print(
         f"{name}: seconds at a period of {PERIOD:g} s\n{'members':>8}{'plays':>7}{'median':>9}{'worst':>9}{'bound':>9}"
     )
-    kept = True
+    within_bounds = True
     with multiprocessing.Pool(jobs) as pool:
         for size in sizes:
-            plays = min(seeds, max(3, 4_000 // size))
-            took = pool.map(play, [(size, seed, loss) for seed in range(plays)], chunksize=1)
+            runs = min(seeds, max(3, 4_000 // size))
+            durations = pool.map(measure, [(size, seed, loss) for seed in range(runs)], chunksize=1)
             limit = bound(size, PERIOD)
-            kept = kept and max(took) <= limit
-            print(f"{size:8}{plays:7}{statistics.median(took):9.2f}{max(took):9.2f}{limit:9.2f}", flush=True)
-    return kept
+            within_bounds = within_bounds and max(durations) <= limit
+            print(
+                f"{size:8}{runs:7}{statistics.median(durations):9.2f}{max(durations):9.2f}{limit:9.2f}",
+                flush=True,
+            )
+    return within_bounds
 
 
-def _false(size: int, first: int, seeds: int, jobs: int, length: float) -> bool:
+def _print_false_deaths(size: int, first: int, seeds: int, jobs: int, length: float) -> bool:
     with multiprocessing.Pool(jobs, initializer=gc.disable, maxtasksperchild=20) as pool:
         found = list(pool.imap_unordered(false_deaths, [(size, first + n, length) for n in range(seeds)]))
     deaths, paused, others = (sum(one[n] for one in found) for n in range(3))
@@ -245,7 +248,7 @@
     return deaths == 0 and paused > 0
 
 
-def _load(sizes: list[int]) -> bool:
+def _print_load(sizes: list[int]) -> bool:
     flat = True
     for rows in (False, True):
         print("each member with a new row a period" if rows else "at rest")
@@ -253,12 +256,12 @@
         print(f"{head}      everyone to everyone{'    age of rows: median, worst' if rows else ''}")
         first = 0.0
         for size in sizes:
-            datagrams, total, middle, worst = load(size, rows)
+            datagrams, total, median_age, max_age = load(size, rows)
             first = first or total
-            each = beats(size)
+            each = heartbeat_load(size)
             flat = flat and (rows or abs(total / first - 1) <= FLAT)
             told = f"{each[0]:11.1f} /s{each[1]:11.0f} B/s"
-            ages = f"{middle:14.2f} s{worst:8.2f} s" if rows else ""
+            ages = f"{median_age:14.2f} s{max_age:8.2f} s" if rows else ""
             print(f"{size:8}{datagrams:13.2f}{total:9.0f}{total / first:8.2f}{told}{ages}", flush=True)
     return flat
 
@@ -285,18 +288,18 @@
     sizes = args.sizes or {"false": [40], "cpu": [200]}.get(args.what, [8, 40, 200])
     match args.what:
         case "false":
-            kept = _false(sizes[0], args.first, args.seeds, args.jobs, args.length)
+            within_bounds = _print_false_deaths(sizes[0], args.first, args.seeds, args.jobs, args.length)
         case "load":
-            kept = _load(sizes)
+            within_bounds = _print_load(sizes)
         case "cpu":
-            uvloop.run(_others(sizes[0], args.seconds))
-            kept = True
+            uvloop.run(_measure_cpu(sizes[0], args.seconds))
+            within_bounds = True
         case "one":
-            uvloop.run(_one(args.port, args.seed_port, args.seconds))
-            kept = True
+            uvloop.run(_run_measured(args.port, args.seed_port, args.seconds))
+            within_bounds = True
         case _:
-            kept = _spread(args.what, sizes, args.seeds, args.jobs, args.loss)
-    return 0 if kept else 1
+            within_bounds = _print_durations(args.what, sizes, args.seeds, args.jobs, args.loss)
+    return 0 if within_bounds else 1
 
 
 if __name__ == "__main__":
--- a/tests/fleet/test_bed.py
+++ b/tests/fleet/test_bed.py
@@ -1,4 +1,4 @@
-"""The hard cases of the view in virtual time: real detectors, a network of the bed's own."""
+"""Failure scenarios of the membership view in virtual time: real detectors on a simulated network."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def wait_for_agreement(fleet: SimulatedFleet, within: float) -> float:
-    """Seconds until all digests agree, which has to be inside the bound."""
+    """Run until all digests agree, which has to happen within the bound, and return the seconds taken."""
     started_at = fleet.now
     assert fleet.run(started_at + within, fleet.agree), [repr(host.detector) for host in fleet.live()][:5]
     return fleet.now - started_at
@@ -34,7 +34,7 @@
     assert fleet.deaths() == []
     assert (
         sum(change.member.state is MemberState.SUSPECTED for change in fleet.changes) > 0
-    )  # there was something to refute
+    )  # suspicions were raised and refuted
     wait_for_agreement(fleet, 10)
 
 
@@ -68,7 +68,7 @@
 
 def test_a_slow_member_speaks_wrongly_of_others_and_kills_nobody() -> None:
     fleet = started_fleet(8)
-    fleet.hosts["l5"].lag = 1.5  # all it hears comes three periods late
+    fleet.hosts["l5"].lag = 1.5  # it receives everything three periods late
     health = list[int]()
     for _ in range(40):
         fleet.run(fleet.now + 1)
@@ -78,7 +78,7 @@
         for change in fleet.changes
         if change.observer == "l5" and change.member.state is MemberState.SUSPECTED
     ]
-    assert wrong  # it did accuse
+    assert wrong  # it raised false suspicions
     assert fleet.deaths() == [] and max(health) >= 3
 
 
@@ -109,8 +109,8 @@
     taken = len(fleet.changes)
     started_at = fleet.now
     for n, (target, data) in enumerate(caught[:600]):
-        fleet.carry("nobody", target, data)  # replayed as it was, also of the dead one
-        fleet.carry("nobody", f"l{n % 4}", data)  # and to others
+        fleet.carry("nobody", target, data)  # replayed unchanged, also from the dead member
+        fleet.carry("nobody", f"l{n % 4}", data)  # replayed to other members
         fleet.carry("nobody", target, data[:-3])
         fleet.carry("nobody", target, data + bytes(1200))
         fleet.carry("nobody", target, bytes([data[0], *(byte ^ 1 for byte in data[1:])]))
@@ -132,7 +132,7 @@
     wait_for_agreement(fleet, timing.agree_bound(size, 0.5))
     assert fleet.deaths() == []
     accused = {change.member.name for change in fleet.changes if change.member.state is MemberState.SUSPECTED}
-    assert accused == {"l3"}  # it woke, and accused nobody of its own silence
+    assert accused == {"l3"}  # after the pause it suspects nobody for what it missed
     assert any(change.cause == "refuted" and change.member.name == "l3" for change in fleet.changes)
 
 
@@ -172,7 +172,7 @@
     fleet.run(fleet.now + 20)
     assert fleet.agree() and all(host.detector.settled() for host in fleet.live())
     late = [(change.observer, change.member.name) for change in fleet.deaths() if change.at > healed]
-    assert late == []  # what each side believes of its own is not shaken by what the other thought
+    assert late == []  # no member is declared dead by its own side after the partition
 
 
 def test_a_cut_without_any_seed_heals_too() -> None:
@@ -188,7 +188,9 @@
 def test_a_partial_cut_kills_nobody() -> None:
     fleet = started_fleet(8)
     fleet.cuts.append(lambda a, b: {a, b} == {"l0", "l1"})
-    fleet.cuts.append(lambda a, b: a == "l2" and b in {"l3", "l4"})  # and a way that is cut in one direction
+    fleet.cuts.append(
+        lambda a, b: a == "l2" and b in {"l3", "l4"}
+    )  # links that are cut in one direction only
     fleet.run(fleet.now + 60)
     assert fleet.deaths() == []
 
@@ -261,7 +263,7 @@
 
 def test_one_that_joins_a_quiet_fleet_has_its_whole_view_at_once() -> None:
     fleet = started_fleet(40, warm=True)
-    fleet.run(15)  # nothing is sent on any more
+    fleet.run(15)  # gossip has ceased
     fleet.start("new", ["l0", "l1"])
     assert fleet.run(fleet.now + 1.0, lambda: fleet.hosts["new"].detector.view.present_count == 41)
 
--- a/tests/fleet/test_detector.py
+++ b/tests/fleet/test_detector.py
@@ -1,4 +1,4 @@
-"""The detector's table, transition by transition."""
+"""The transitions of the detector's table."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class DetectorHarness:
-    """One detector, and a hand that writes others' datagrams."""
+    """A detector with a manual clock, and hand-made datagrams of other members."""
 
     def __init__(self, *others: str, seeds: tuple[str, ...] = (), period: float = 1.0) -> None:
         self.now, self.number = 0.0, 100
@@ -109,7 +109,7 @@
     while not asks:
         harness.advance(0.05)
         asks = [(where, e.message) for where, e in harness.sent if isinstance(e.message, wire.PingRequest)]
-    assert len(asks) == 2  # all others but the one in question
+    assert len(asks) == 2  # all other members except the target
     target, nonce = asks[0][1].target, asks[0][1].nonce
     helper = asks[0][0].partition(":")[0]
     assert helper != target
@@ -146,9 +146,8 @@
 def test_more_accusers_shorten_a_suspicion_and_the_same_one_twice_does_not() -> None:
     def lasts(*accusers: str) -> float:
         harness = DetectorHarness(*"abcdefx")
-        harness.detector._probes.remaining_targets = [
-            "x"
-        ] * 99  # its own probes are of x only: nobody else falls under suspicion
+        # Its own probes target only x, so that no other member is suspected.
+        harness.detector._probes.remaining_targets = ["x"] * 99
         for name in accusers:
             harness.receive(name, claims=(claim("x", MemberState.SUSPECTED, by=name),))
         while harness.state("x") is not MemberState.DEAD:
@@ -170,7 +169,7 @@
     assert harness.detector.view.local_member.incarnation == 6
     harness.receive(
         "x", claims=(claim("me", MemberState.DEAD, 5, by="x"),)
-    )  # an end is final in a life, whatever the incarnation
+    )  # the end of a life is final, whatever the incarnation
     assert harness.detector.view.local_member.rank[:3] == (LIFE + 1, False, 0)
     harness.receive("x", claims=(claim("me", MemberState.DEAD, 5, by="x"),))
     assert harness.detector.view.local_member.rank[:3] == (LIFE + 1, False, 0)
@@ -201,7 +200,7 @@
 def test_a_leaver_that_missed_a_probe_and_speaks_again_was_never_left() -> None:
     harness = DetectorHarness("x")
     harness.receive("x", state=MemberState.LEAVING, incarnation=1)
-    for _ in range(4):  # the longest suspicion is over within each two: only its word keeps it
+    for _ in range(4):  # two rounds outlast the longest suspicion: only its datagrams keep it leaving
         harness.advance(timing.suspicion_periods(2, 0) - 2)
         assert harness.state("x") is MemberState.LEAVING
         harness.receive("x", state=MemberState.LEAVING, incarnation=1)
@@ -246,9 +245,9 @@
     assert harness.detector.counts["stalls"] == 1 and harness.detector.health.score > 0
     harness.receive("z", claims=(claim(other, MemberState.SUSPECTED, by="w"),))
     harness.advance(1.2)
-    assert harness.state(target) is MemberState.ALIVE  # the probe of it was out
+    assert harness.state(target) is MemberState.ALIVE  # its probe was pending during the stall
     harness.advance(2.0)
-    assert harness.state(other) is MemberState.SUSPECTED  # as told, and not dead for the time that was lost
+    assert harness.state(other) is MemberState.SUSPECTED  # suspected, but not dead by the time that was lost
     harness.receive(other, incarnation=1)
     assert harness.state(other) is MemberState.ALIVE
 
@@ -290,17 +289,17 @@
 def test_settled_is_when_every_present_member_has_told_this_digest() -> None:
     harness = DetectorHarness("x", "y")
     harness.receive("x")
-    assert not harness.detector.settled()  # y told its digest before x was there
+    assert not harness.detector.settled()  # y reported its digest before x was known
     harness.receive("y")
     assert harness.detector.settled()
     harness.receive("x", digest=77)
     assert not harness.detector.settled()
-    harness.receive("x", number=3)  # older than the one that told 77, and come later
+    harness.receive("x", number=3)  # older than the datagram with 77, received later
     assert not harness.detector.settled()
     harness.receive("x")
     assert harness.detector.settled()
     harness.receive("z", state=MemberState.LEFT, incarnation=1)
-    assert harness.detector.settled()  # one that has left need not agree
+    assert harness.detector.settled()  # a member that has left need not agree
     harness.receive("z", life=LIFE + 1)
     assert not harness.detector.settled()
 
--- a/tests/fleet/test_exchange.py
+++ b/tests/fleet/test_exchange.py
@@ -1,4 +1,4 @@
-"""Whole exchange where one answer does not hold the view: it goes on behind its end."""
+"""Anti-entropy of views that do not fit in one response: the next response continues behind its end."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from cypresspulley.fleet.records import Member, MemberState
 from cypresspulley.fleet.view import ROW_QUIET_SECONDS, GossipQueue
 
-MANY = 1024
+LARGE_FLEET_SIZE = 1024
 LIFE = round(EPOCH * 1000)
 ROW = b"x" * 150
-IN_ORDER = 1e-20  # seconds of a delay that no clock tells: a row that overtakes its member is not taken
-LONG_AGO = -1000.0  # rows of then count for the digest, and what is held is no news
+IN_ORDER = 1e-20  # seconds; too short to reorder datagrams: a row that overtakes its member is rejected
+LONG_AGO = -1000.0  # rows of this instant are in the digest already, and the records count as old
 
 
-def large(fleet: SimulatedFleet, size: int = MANY, rows: bool = True) -> Host:
-    """The one member of a large fleet that answers in this bed."""
+def start_large_fleet(fleet: SimulatedFleet, size: int = LARGE_FLEET_SIZE, rows: bool = True) -> Host:
+    """Start the only running member of a large fleet, with records of all others."""
     known = [Member(f"l{n}", LIFE, 0, MemberState.ALIVE, "zone", address(f"l{n}")) for n in range(size)]
     host = fleet.start("l0", known=known)
     view = host.detector.view
@@ -32,25 +32,28 @@
     return host
 
 
-def held(host: Host) -> tuple[int, int]:
-    """Members and rows."""
+def count_records(host: Host) -> tuple[int, int]:
+    """Return the numbers of present members and of rows."""
     view = host.detector.view
     return view.present_count, sum(len(view.rows(0.0, key)) for key in ("lanes", "closing"))
 
 
 def test_one_that_joins_a_large_fleet_is_alive_once_it_has_the_whole_view() -> None:
     fleet = SimulatedFleet(1, delay=IN_ORDER)
-    large(fleet)
+    start_large_fleet(fleet)
     new = fleet.start("new", ["l0"])
     started_at = fleet.now
     assert fleet.run(
         started_at + 1.0, lambda: new.detector.view.local_member.state is MemberState.ALIVE, every=0.001
     )
-    assert held(new) == (MANY + 1, 2 * (MANY - 1)) and fleet.now - started_at < 0.5
+    assert (
+        count_records(new) == (LARGE_FLEET_SIZE + 1, 2 * (LARGE_FLEET_SIZE - 1))
+        and fleet.now - started_at < 0.5
+    )
 
 
 def test_a_view_whose_digests_differ_for_long_still_comes_whole(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Rows that are new to one that joins change none of its digests at first: what differs stays the same, for all."""
+    """New rows do not change the digests of a joining member at first, so the same buckets differ each time."""
     monkeypatch.setattr(exchange, "MAX_RESPONSE_DATAGRAMS", 4)
     fleet = SimulatedFleet(1)
     names = fleet.start_members(40)
@@ -63,7 +66,9 @@
         view.refresh(fleet.now)
         view.gossip_queue = GossipQueue()
     new = fleet.start("new", ["l0"])
-    assert fleet.run(fleet.now + ROW_QUIET_SECONDS / 2, lambda: held(new) == (41, 80)), held(new)
+    assert fleet.run(fleet.now + ROW_QUIET_SECONDS / 2, lambda: count_records(new) == (41, 80)), (
+        count_records(new)
+    )
 
 
 def test_one_answer_has_no_more_pieces_than_before() -> None:
@@ -75,7 +80,7 @@
         if isinstance(message, wire.SyncPiece):
             pieces[message.number] = pieces.get(message.number, 0) + 1
 
-    large(fleet)
+    start_large_fleet(fleet)
     fleet.tap = count
     fleet.start("new", ["l0"])
     fleet.run(0.4)
@@ -85,16 +90,16 @@
 def test_one_that_is_always_answered_from_the_start_does_not_ask_for_ever(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A member of the version before this one answers so."""
-    begun = exchange.Exchange.on_sync_request
+    """Members of the previous version always respond from the first key."""
+    original = exchange.Exchange.on_sync_request
 
-    def forgetful(self: Exchange, envelope: wire.Envelope) -> None:
+    def respond_from_start(self: Exchange, envelope: wire.Envelope) -> None:
         self.forget(envelope.sender.name)
-        begun(self, envelope)
+        original(self, envelope)
 
-    monkeypatch.setattr(Exchange, "on_sync_request", forgetful)
+    monkeypatch.setattr(Exchange, "on_sync_request", respond_from_start)
     fleet = SimulatedFleet(1, delay=IN_ORDER)
-    large(fleet)
+    start_large_fleet(fleet)
     new = fleet.start("new", ["l0"])
     assert fleet.run(
         fleet.now + 0.4, lambda: new.detector.view.local_member.state is MemberState.ALIVE, every=0.001
@@ -104,16 +109,18 @@
 
 def test_a_new_life_of_the_asker_is_answered_from_the_start() -> None:
     fleet = SimulatedFleet(1, delay=IN_ORDER)
-    host = large(fleet)
+    host = start_large_fleet(fleet)
     new = fleet.start("new", ["l0"])
     assert fleet.run(
-        fleet.now + 0.4, lambda: bool(held(new)[1] and host.detector._exchange._cursors), every=0.0002
+        fleet.now + 0.4,
+        lambda: bool(count_records(new)[1] and host.detector._exchange._cursors),
+        every=0.0002,
     )
     fleet.kill("new")
-    assert held(new)[0] < MANY
+    assert count_records(new)[0] < LARGE_FLEET_SIZE
     fleet.run(fleet.now + 0.01)
     again = fleet.start("new", ["l0"])
     assert fleet.run(
         fleet.now + 0.4, lambda: again.detector.view.local_member.state is MemberState.ALIVE, every=0.001
     )
-    assert held(again) == (MANY + 1, 2 * (MANY - 1))
+    assert count_records(again) == (LARGE_FLEET_SIZE + 1, 2 * (LARGE_FLEET_SIZE - 1))
--- a/tests/fleet/test_final_death.py
+++ b/tests/fleet/test_final_death.py
@@ -1,10 +1,10 @@
-"""An end is final in a life, as SWIM's confirm is: who was held dead wrongly comes back in a new life.
+"""The end of a life is final, like SWIM's confirm: a member wrongly held dead returns in a new life.
 
-What operators saw: a limiter that was gone was held present again by some others for up to the detection bound, and
-what it had said last counted once more. In ``fawnseam explore closing-paused``, seed 209 (days of 2 s), limiter-1 held
-limiter-2 dead at 3.972 s and alive in the same life at 3.991 s: a refutation that limiter-2 had said before it died
-came by hearsay. The view ordered claims by life, incarnation and state, so that any larger incarnation went before a
-death; by SWIM's rules (section 4.2) a confirm goes before any incarnation.
+Guards against a stopped limiter being held present again for up to the detection bound, with its last rows valid again.
+The view ordered claims by life, incarnation and state, so that an older refutation with a larger incarnation overrode a
+death; by SWIM's rules (section 4.2) a confirm overrides any incarnation. It showed in ``fawnseam explore
+closing-paused``, seed 209 (days of 2 s): limiter-1 held limiter-2 dead at 3.972 s and alive in the same life at
+3.991 s.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from cypresspulley.rehearsal.scenario import load_scenario
 from tests.fleet.test_detector import DetectorHarness, claim
 
-LIFE = 1_700_000_000_000  # as ``claim`` says
+LIFE = 1_700_000_000_000  # the life in records made by ``claim``
 
 
 @pytest.mark.parametrize("ended", [MemberState.LEFT, MemberState.DEAD])
@@ -36,7 +36,7 @@
             view.merge(1.0, member)
         held = view.get("x")
         assert held is not None and held.state is ended, order
-        assert view.merge(2.0, Member("x", 8, 0, MemberState.ALIVE)), "a new life does"
+        assert view.merge(2.0, Member("x", 8, 0, MemberState.ALIVE)), "a new life is accepted"
 
 
 def test_who_is_told_that_it_is_dead_goes_on_in_a_new_life() -> None:
@@ -52,7 +52,7 @@
     harness.receive("y", claims=(claim("x", MemberState.DEAD, 1, by="y"),))
     held = harness.detector.view.get("x")
     assert held is not None and held.state is MemberState.ALIVE
-    assert harness.detector._suspicions.get("x") is None, "and no time runs against it"
+    assert harness.detector._suspicions.get("x") is None, "no suspicion is pending"
 
 
 def test_the_day_that_showed_it_shows_nothing() -> None:
--- a/tests/fleet/test_limiter.py
+++ b/tests/fleet/test_limiter.py
@@ -1,4 +1,4 @@
-"""Fleets over loopback datagrams: real sockets, uvloop, port 0."""
+"""Fleets on loopback sockets with uvloop and free ports."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 KEY = b"0123456789abcdef"
 
 
-def port() -> int:
+def free_port() -> int:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         sock.bind(("127.0.0.1", 0))
         return int(sock.getsockname()[1])
 
 
-def fleet(
+def new_member(
     name: str, at: int, *seeds: int, history: AnyHistory | None = None, back: float = 0.0,
     advertise: int | None = None,
 ) -> FleetMember:  # fmt: skip
@@ -43,40 +43,44 @@
     return FleetMember(options, name, "a", 1, time.monotonic, wall, history or NoHistory())
 
 
-async def until(what: Callable[[], bool]) -> None:
-    """The run itself is bounded: only a fault waits long."""
-    while not what():
+async def wait_until(is_met: Callable[[], bool]) -> None:
+    """Wait for a condition; ``run`` bounds the wait."""
+    while not is_met():
         await asyncio.sleep(PERIOD / 5)
 
 
-def events(path: Path) -> list[dict[str, Any]]:
+def read_events(path: Path) -> list[dict[str, Any]]:
     return [msgspec.json.decode(line) for line in path.read_bytes().splitlines()]
 
 
 def test_three_limiters_settle_share_rows_and_documents_and_one_leaves(tmp_path: Path) -> None:
     async def main() -> None:
-        ports = [port() for _ in range(3)]
+        ports = [free_port() for _ in range(3)]
         history = History(str(tmp_path / "l0-{life}.jsonl"), time.monotonic, time.time)
-        all_of = [fleet(f"l{n}", ports[n], *ports[:2], history=history if n == 0 else None) for n in range(3)]
+        all_of = [
+            new_member(f"l{n}", ports[n], *ports[:2], history=history if n == 0 else None) for n in range(3)
+        ]
         for one in all_of:
             await one.start()
         views = [one.view for one in all_of]
-        await until(
+        await wait_until(
             lambda: all(len(view.members()) == 3 and view.is_settled(time.monotonic()) for view in views)
         )
         views[2].publish("lanes", b"row of l2")
         digest = views[1].store_document(b"calendar" * 5_000)
         views[0].request_document(digest)
-        await until(lambda: any(row.body == b"row of l2" for row in views[0].rows(time.monotonic(), "lanes")))
-        await until(lambda: views[0].get_document(digest) == b"calendar" * 5_000)
-        await until(lambda: views[0].clock_error(time.monotonic()) is not None)
+        await wait_until(
+            lambda: any(row.body == b"row of l2" for row in views[0].rows(time.monotonic(), "lanes"))
+        )
+        await wait_until(lambda: views[0].get_document(digest) == b"calendar" * 5_000)
+        await wait_until(lambda: views[0].clock_error(time.monotonic()) is not None)
         low, high = views[0].clock_error(time.monotonic()) or (1.0, -1.0)
         assert low <= 0.05 and high >= -0.05 and high - low < 1.0
         assert views[0].count_heard(time.monotonic(), 60.0) == 2
         all_of[2].leave()
         await asyncio.sleep(PERIOD)
         await all_of[2].close()
-        await until(
+        await wait_until(
             lambda: all(
                 (m := view.get_member("l2")) is not None and m.state is MemberState.LEFT for view in views[:2]
             )
@@ -84,7 +88,7 @@
         await all_of[0].close()
         await all_of[1].close()
         (path,) = tmp_path.iterdir()
-        written = events(path)
+        written = read_events(path)
         assert written[0]["kind"] == Kind.START and set(written[0]["bounds"]) == {"detect", "settle"}
         assert written[-1]["kind"] == Kind.END
         for event in written:
@@ -98,20 +102,20 @@
 
 def test_one_that_returns_with_its_clock_set_back_has_a_new_life_and_a_new_history(tmp_path: Path) -> None:
     async def main() -> None:
-        first, second = port(), port()
-        a, b = fleet("a", first, first), fleet("b", second, first)
+        first, second = free_port(), free_port()
+        a, b = new_member("a", first, first), new_member("b", second, first)
         await a.start()
         await b.start()
-        await until(lambda: len(a.view.members()) == 2)
+        await wait_until(lambda: len(a.view.members()) == 2)
         life = b.view.life
-        b._transport.abort()  # type: ignore[union-attr]  # as a SIGKILL: no last word
+        b._transport.abort()  # type: ignore[union-attr]  # like a SIGKILL: no leave message
         assert b._timer is not None
         b._timer.cancel()
         history = History(str(tmp_path / "b-{life}.jsonl"), time.monotonic, time.time)
-        again = fleet("b", second, first, history=history, back=3600.0)
+        again = new_member("b", second, first, history=history, back=3600.0)
         await asyncio.sleep(PERIOD)
         await again.start()
-        await until(
+        await wait_until(
             lambda: (
                 (m := a.view.get_member("b")) is not None
                 and m.life == life + 1
@@ -119,23 +123,23 @@
             )
         )
         assert again.view.life == life + 1
-        await until(lambda: again.view.clock_error(time.monotonic()) is not None)
+        await wait_until(lambda: again.view.clock_error(time.monotonic()) is not None)
         low, high = again.view.clock_error(time.monotonic()) or (0.0, 0.0)
         assert -3601 < low <= high < -3599
         await again.close()
         await a.close()
-        lives = [events(path)[0]["life"] for path in sorted(tmp_path.iterdir())]
+        lives = [read_events(path)[0]["life"] for path in sorted(tmp_path.iterdir())]
         assert len(lives) == 2 and lives[0] < life and lives[1] == life + 1
 
     run(main())
 
 
 def test_a_life_that_rises_tells_its_new_history_what_is_held() -> None:
-    """Without a socket's answers: what is heard is written by hand, and both claims stand in one datagram."""
+    """Datagrams are encoded by hand, so that one of them carries both claims."""
 
     async def main() -> None:
         history = MemoryHistory(time.monotonic, time.time)
-        one = fleet("me", port(), history=history)
+        one = new_member("me", free_port(), history=history)
         await one.start()
         codec, life = Codec("test", KEY), one.view.life
 
@@ -172,7 +176,7 @@
         ]
         assert seen[3]["kind"] == Kind.SETTLED
         assert (seen[3]["settled"], seen[3]["members"]) == (False, 3)
-        assert history.lives[1][6]["state"] == "suspected"  # what is heard after it comes after it
+        assert history.lives[1][6]["state"] == "suspected"  # later changes follow the records of the new life
 
     run(main())
 
@@ -187,19 +191,19 @@
                 heard.append(data)
                 out.sendto(data, ("127.0.0.1", second))
 
-        first, second, front = port(), port(), port()
+        first, second, front = free_port(), free_port(), free_port()
         out, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, local_addr=("127.0.0.1", 0))
         relay, _ = await loop.create_datagram_endpoint(Relay, local_addr=("127.0.0.1", front))
-        a, b = fleet("a", first, first), fleet("b", second, first, advertise=front)
+        a, b = new_member("a", first, first), new_member("b", second, first, advertise=front)
         await a.start()
         await b.start()
         for rubbish in (b"", b"\x01", bytes(2_000), b"\x01" + bytes(100)):
             out.sendto(rubbish, ("127.0.0.1", first))
-        await until(lambda: a.view.is_settled(0.0) and len(a.view.members()) == 2)
-        await until(lambda: sum(a.detector.counts[cause] for cause in ("cut", "long", "digest")) >= 3)
-        assert heard  # all that b hears came through the relay
+        await wait_until(lambda: a.view.is_settled(0.0) and len(a.view.members()) == 2)
+        await wait_until(lambda: sum(a.detector.counts[cause] for cause in ("cut", "long", "digest")) >= 3)
+        assert heard  # b receives all datagrams through the relay
         a.detector.view.merge(0.0, Member("bad", 1, 0, MemberState.ALIVE, "", "no address"))
-        await until(lambda: a.detector.counts["no address"] > 0)
+        await wait_until(lambda: a.detector.counts["no address"] > 0)
         for one in (a, b):
             await one.close()
             one.leave()
@@ -211,15 +215,17 @@
 
 def test_members_may_be_told_by_the_names_of_their_hosts() -> None:
     async def main() -> None:
-        first, second = port(), port()
-        a = fleet("a", first, first)
+        first, second = free_port(), free_port()
+        a = new_member("a", first, first)
         options = FleetOptions(
             "test", ("127.0.0.1", second), f"localhost:{second}", (f"localhost:{first}",), PERIOD, KEY
         )
         b = FleetMember(options, "b", "a", 1, time.monotonic, time.time, NoHistory())
         await a.start()
         await b.start()
-        await until(lambda: a.view.is_settled(0.0) and b.view.is_settled(0.0) and len(a.view.members()) == 2)
+        await wait_until(
+            lambda: a.view.is_settled(0.0) and b.view.is_settled(0.0) and len(a.view.members()) == 2
+        )
         await a.close()
         await b.close()
 
@@ -228,4 +234,4 @@
 
 def test_a_name_that_cannot_be_told_is_an_error_of_the_operators() -> None:
     with pytest.raises(OperatorsError, match="LB_NAME: expected at most 40 letters"):
-        fleet("a/b", 1)
+        new_member("a/b", 1)
--- a/tests/fleet/test_options.py
+++ b/tests/fleet/test_options.py
@@ -1,4 +1,4 @@
-"""The operators' table ``[fleet]``: what is missing, negative, absurd or spoilt is named with what was expected."""
+"""Errors of the operators' table ``[fleet]`` name the key and the expected value."""
 
 from __future__ import annotations
 
--- a/tests/fleet/test_parts.py
+++ b/tests/fleet/test_parts.py
@@ -1,4 +1,4 @@
-"""Documents, the clocks of others, the window of numbers, and the stated bounds."""
+"""Documents, clock estimates, replay windows and the stated bounds."""
 
 from __future__ import annotations
 
@@ -88,7 +88,7 @@
     assert clocks.estimate_error(1.0, 51.0, 3) is None and clocks.estimate_error(1.0, 51.0, 2) is not None
     assert clocks.estimate_error(61.0, 111.0, 1) is None
     low, high = clocks.estimate_error(1.0, 51.0 + 3600, 1) or (0.0, 0.0)
-    assert 3599 < low <= high < 3602  # this clock stepped: the next question says so
+    assert 3599 < low <= high < 3602  # a step of the local clock shows in the next estimate
 
 
 @given(st.lists(st.integers(0, 200), max_size=100))
--- a/tests/fleet/test_view.py
+++ b/tests/fleet/test_view.py
@@ -1,4 +1,4 @@
-"""The view as a lattice, its digests, rows, tombstones and queue."""
+"""The membership view: lattice properties, digests, rows, tombstones and the gossip queue."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 claims = st.lists(st.one_of(members, cells), max_size=12)
 
 
-def put(view: View, claims: list[Member | RowRecord], now: float = 0.0) -> View:
+def apply_claims(view: View, claims: list[Member | RowRecord], now: float = 0.0) -> View:
     for claim in claims:
         if isinstance(claim, Member):
             view.merge(now, claim)
@@ -36,8 +36,8 @@
     return view
 
 
-def seen(view: View) -> Any:
-    """All that the lattice holds, and what others see of it."""
+def snapshot(view: View) -> Any:
+    """Return all records of the view and its digests."""
     held = {name: view.get(name) for name in "xyz"}
     rows = [
         (row.owner, row.life, row.version, row.body)
@@ -47,8 +47,8 @@
     return held, rows, view.digest, view.bucket_digests()
 
 
-def known(claims: list[Member | RowRecord]) -> list[Member | RowRecord]:
-    """Rows after members: a row of a member that is unknown is not held, it comes again with the next exchange."""
+def sort_members_first(claims: list[Member | RowRecord]) -> list[Member | RowRecord]:
+    """Sort members before rows: the view rejects rows of unknown members until the next exchange."""
     return sorted(claims, key=lambda claim: isinstance(claim, RowRecord))
 
 
@@ -59,7 +59,7 @@
     only = [claim for claim in claims if isinstance(claim, Member)]
     mixed: list[Member | RowRecord] = [*only, *rng.choices(only, k=len(only))] if only else []
     rng.shuffle(mixed)
-    assert seen(put(View(ME), [*only])) == seen(put(View(ME), mixed))
+    assert snapshot(apply_claims(View(ME), [*only])) == snapshot(apply_claims(View(ME), mixed))
 
 
 @given(claims, st.randoms(use_true_random=False))
@@ -70,17 +70,19 @@
     mixed = [*claims, *rng.choices(claims, k=len(claims))] if claims else []
     rng.shuffle(mixed)
     one, other = View(ME), View(ME)
-    assert seen(put(one, [*first, *claims])) == seen(put(other, [*first, *mixed]))
+    assert snapshot(apply_claims(one, [*first, *claims])) == snapshot(apply_claims(other, [*first, *mixed]))
 
 
 @given(claims, claims, claims)
 def test_a_merge_of_views_is_commutative_associative_and_idempotent(
     a: list[Member | RowRecord], b: list[Member | RowRecord], c: list[Member | RowRecord]
 ) -> None:
-    a, b, c = known(a), known(b), known(c)
-    whole = seen(put(View(ME), known([*a, *b, *c])))
+    a, b, c = sort_members_first(a), sort_members_first(b), sort_members_first(c)
+    whole = snapshot(apply_claims(View(ME), sort_members_first([*a, *b, *c])))
     assert (
-        whole == seen(put(View(ME), known([*c, *b, *a]))) == seen(put(View(ME), known([*a, *a, *b, *c, *b])))
+        whole
+        == snapshot(apply_claims(View(ME), sort_members_first([*c, *b, *a])))
+        == snapshot(apply_claims(View(ME), sort_members_first([*a, *a, *b, *c, *b])))
     )
 
 
@@ -89,7 +91,7 @@
     view = View(ME)
     for claim in claims:
         before = {name: held.rank for name in "xyz" if (held := view.get(name)) is not None}
-        put(view, [claim])
+        apply_claims(view, [claim])
         for name, rank in before.items():
             held = view.get(name)
             assert held is not None and held.rank >= rank
@@ -97,7 +99,7 @@
 
 @given(claims)
 def test_the_digest_is_that_of_the_members_present(claims: list[Member | RowRecord]) -> None:
-    view = put(View(ME), claims)
+    view = apply_claims(View(ME), claims)
     fresh = View(ME)
     for member in view.members():
         fresh.merge(0.0, member)
@@ -105,7 +107,9 @@
 
 
 def test_a_row_ends_with_its_life() -> None:
-    view = put(View(ME), [Member("x", 5, 0, MemberState.ALIVE), RowRecord("x", "lanes", 5, 9, 250, b"old")])
+    view = apply_claims(
+        View(ME), [Member("x", 5, 0, MemberState.ALIVE), RowRecord("x", "lanes", 5, 9, 250, b"old")]
+    )
     assert [(row.owner, row.body) for row in view.rows(1.0, "lanes")] == [("x", b"old")]
     assert view.rows(1.0, "lanes")[0].age == pytest.approx(1.25)
     view.merge(1.0, Member("x", 5, 0, MemberState.DEAD))
@@ -135,7 +139,9 @@
 
 
 def test_an_owner_that_names_its_versions_makes_its_rows_young() -> None:
-    view = put(View(ME), [Member("x", 5, 0, MemberState.ALIVE), RowRecord("x", "lanes", 5, 9, 0, b"")])
+    view = apply_claims(
+        View(ME), [Member("x", 5, 0, MemberState.ALIVE), RowRecord("x", "lanes", 5, 9, 0, b"")]
+    )
     view.confirm_rows(30.0, "x", 5, 8)
     assert view.rows(30.0, "lanes")[0].age == 30.0
     view.confirm_rows(30.0, "x", 5, 9)
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -1,4 +1,4 @@
-"""Datagrams: what is right comes back whole, and nothing else is read."""
+"""Datagrams: valid ones survive a round trip, all others are rejected."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     return codec.encode((1, 2_000, 3, 4, 5), wire.encode_record(ME), told, [wire.encode_record(ME)], [])
 
 
-def cause(data: bytes, codec: wire.Codec = CODEC) -> str:
+def drop_cause(data: bytes, codec: wire.Codec = CODEC) -> str:
     with pytest.raises(wire.InvalidDatagram) as caught:
         codec.decode(data)
     return caught.value.cause
@@ -54,38 +54,38 @@
 
 def test_what_cannot_be_believed_is_named_by_its_cause() -> None:
     data = datagram()
-    assert cause(b"") == cause(data[:17]) == "cut"
-    assert cause(data[:-1]) == "digest"
-    assert cause(data + b"\0" * 1200) == "long"
-    assert cause(b"\x02" + data[1:]) == "form"
-    assert cause(datagram(wire.Codec("vadodara", KEY + b"!"))) == "digest"
-    assert cause(datagram(wire.Codec("surat", KEY))) == "foreign"
+    assert drop_cause(b"") == drop_cause(data[:17]) == "cut"
+    assert drop_cause(data[:-1]) == "digest"
+    assert drop_cause(data + b"\0" * 1200) == "long"
+    assert drop_cause(b"\x02" + data[1:]) == "form"
+    assert drop_cause(datagram(wire.Codec("vadodara", KEY + b"!"))) == "digest"
+    assert drop_cause(datagram(wire.Codec("surat", KEY))) == "foreign"
 
 
-def keyed(body: bytes) -> bytes:
-    """A datagram of this body under the right key."""
+def authenticate(body: bytes) -> bytes:
+    """Return a datagram of this body, authenticated with the right key."""
     form = bytes((wire.FORMAT_VERSION,))
     return form + CODEC._digest(form, body) + body
 
 
 @given(st.binary(max_size=1300))
 def test_no_bytes_are_taken_for_a_datagram(data: bytes) -> None:
-    assert cause(data) in {"cut", "long", "form", "digest"}
+    assert drop_cause(data) in {"cut", "long", "form", "digest"}
 
 
 @given(st.binary(max_size=1100))
 def test_no_body_under_the_right_key_ends_in_another_error(body: bytes) -> None:
-    assert cause(keyed(body)) in {"garbled", "cut"}
+    assert drop_cause(authenticate(body)) in {"garbled", "cut"}
 
 
 @settings(max_examples=300)
 @given(st.integers(0, 10_000), st.binary(min_size=1, max_size=4))
-def test_a_mangled_body_under_the_right_key_is_read_or_dropped(at: int, put: bytes) -> None:
+def test_a_mangled_body_under_the_right_key_is_read_or_dropped(at: int, replacement: bytes) -> None:
     body = bytearray(datagram()[wire.HEADER_BYTES :])
     at %= len(body)
-    body[at : at + len(put)] = put
+    body[at : at + len(replacement)] = replacement
     try:
-        envelope = CODEC.decode(keyed(bytes(body)))
+        envelope = CODEC.decode(authenticate(bytes(body)))
     except wire.InvalidDatagram as error:
         assert error.cause in {"garbled", "foreign"}
     else:
@@ -95,7 +95,7 @@
 def test_fields_outside_their_bounds_are_refused() -> None:
     good = list(msgspec.msgpack.decode(datagram()[wire.HEADER_BYTES :]))
     encode = msgspec.msgpack.encode
-    assert CODEC.decode(keyed(encode(good)))
+    assert CODEC.decode(authenticate(encode(good)))
     for place, value in (
         (1, -1), (2, "2"), (6, ["l1", 5, -1, 1, "a", "x", ""]), (6, ["", 5, 0, 1, "a", "x", ""]),
         (6, ["l/1", 5, 0, 1, "a", "x", ""]), (6, ["l1", 5, 0, 9, "a", "x", ""]), (7, [99]),
@@ -104,8 +104,8 @@
     ):  # fmt: skip
         bad = [*good]
         bad[place] = value
-        assert cause(keyed(encode(bad))) == "garbled", value
-    assert cause(keyed(encode([*good, 1]))) == "garbled"
+        assert drop_cause(authenticate(encode(bad))) == "garbled", value
+    assert drop_cause(authenticate(encode([*good, 1]))) == "garbled"
 
 
 def test_no_member_ever_sends_more_than_a_datagram_holds() -> None:
