--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -88,7 +88,7 @@
     """Like ``heal``, until each member knows that all digests agree."""
     return _healed(
         task,
-        lambda fleet: fleet.agree() and all(host.detector.settled() for host in fleet.live()),
+        lambda fleet: fleet.agree() and all(host.detector.is_settled() for host in fleet.live()),
     )
 
 
--- a/cypresspulley/fleet/detector.py
+++ b/cypresspulley/fleet/detector.py
@@ -152,7 +152,7 @@
                 self._announce_left()
         return self._outbox.drain()
 
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         """Whether the last digest reported by every other present member equals the local one."""
         return self.view.local_member.state is not MemberState.JOINING and self.peers.all_agree()
 
@@ -227,8 +227,10 @@
         if len(self.view.gossip_queue):
             for name in self._probes.sample_others(GOSSIP_FANOUT):
                 self._outbox.send_to_member(name, wire.Gossip())
-        recent = self._now - self.view.members_changed_at <= timing.DIGEST_CHECK_PERIODS * self._timers.period
-        if recent and not self._suspicions:  # a running suspicion changes the digest again
+        recently_changed = (
+            self._now - self.view.members_changed_at <= timing.DIGEST_CHECK_PERIODS * self._timers.period
+        )
+        if recently_changed and not self._suspicions:  # a running suspicion changes the digest again
             for name in self.peers.list_differing(timing.DIGEST_CHECKS_PER_PERIOD):
                 self._ping(name, self._address(name), accuses=False)
         if self._contacts.periods % timing.RECALL_PERIODS == 0:
@@ -247,13 +249,13 @@
             self._forget_peer(name)
 
     def _report_settled(self) -> None:
-        settled = self.settled()
+        settled = self.is_settled()
         if settled != self.peers.reported_settled:
             self.peers.reported_settled = settled
             self._outbox.add_action(self._settled_action())
 
     def _settled_action(self) -> Settled:
-        return Settled(self.settled(), self.view.digest, self.view.present_count)
+        return Settled(self.is_settled(), self.view.digest, self.view.present_count)
 
     def _address(self, name: str) -> str:
         member = self.view.get(name)
--- a/cypresspulley/fleet/limiter.py
+++ b/cypresspulley/fleet/limiter.py
@@ -220,7 +220,7 @@
         self._detector.view.publish(self._clock(), subsystem, body)
 
     def is_settled(self, now: float) -> bool:
-        return self._detector.settled()
+        return self._detector.is_settled()
 
     def count_heard(self, now: float, within: float) -> int:
         return self._detector.peers.count_heard(now, within)
--- a/cypresspulley/fleet/outbox.py
+++ b/cypresspulley/fleet/outbox.py
@@ -54,7 +54,7 @@
         message_bytes = wire.encode_record(message)
         member_records = [self._view.encode_member(name) for name in extra]
         room = self.record_room(message_bytes) - sum(wire.encoded_size(record) for record in member_records)
-        gossip, row_records = self._view.gossip_queue.take(self.now, self._view, room)
+        gossip, row_records = self._view.gossip_queue.take_records(self.now, self._view, room)
         self.send(address, message_bytes, member_records + gossip, row_records)
 
     def record_room(self, message_bytes: Raw) -> int:
--- a/cypresspulley/fleet/view.py
+++ b/cypresspulley/fleet/view.py
@@ -378,7 +378,7 @@
         for key in [key for key in self._level_of if key[0] == name]:
             self.drop(key)
 
-    def take(self, now: float, view: View, room: int) -> tuple[list[Raw], list[Raw]]:
+    def take_records(self, now: float, view: View, room: int) -> tuple[list[Raw], list[Raw]]:
         """Return member and row records of at most ``room`` bytes for one datagram; each counts as sent once."""
         limit = timing.transmission_limit(view.present_count)
         records: tuple[list[Raw], list[Raw]] = ([], [])
--- a/tests/fleet/test_bed.py
+++ b/tests/fleet/test_bed.py
@@ -170,7 +170,7 @@
     healed = fleet.now
     wait_for_agreement(fleet, timing.agree_bound(8, 0.5))
     fleet.run(fleet.now + 20)
-    assert fleet.agree() and all(host.detector.settled() for host in fleet.live())
+    assert fleet.agree() and all(host.detector.is_settled() for host in fleet.live())
     late = [(change.observer, change.member.name) for change in fleet.deaths() if change.at > healed]
     assert late == []  # no member is declared dead by its own side after the partition
 
--- a/tests/fleet/test_detector.py
+++ b/tests/fleet/test_detector.py
@@ -277,31 +277,31 @@
     before = (
         detector.view.digest,
         detector.peers.count_heard(harness.now, 0.0),
-        detector.settled(),
+        detector.is_settled(),
         len(harness.changes),
     )
     harness.advance(0.3)
     harness.process(DatagramReceived(data))
     assert detector.counts["replayed"] == 1 and detector.peers.count_heard(harness.now, 0.2) == 0
-    assert before[0] == detector.view.digest and before[2:] == (detector.settled(), len(harness.changes))
+    assert before[0] == detector.view.digest and before[2:] == (detector.is_settled(), len(harness.changes))
 
 
 def test_settled_is_when_every_present_member_has_told_this_digest() -> None:
     harness = DetectorHarness("x", "y")
     harness.receive("x")
-    assert not harness.detector.settled()  # y reported its digest before x was known
+    assert not harness.detector.is_settled()  # y reported its digest before x was known
     harness.receive("y")
-    assert harness.detector.settled()
+    assert harness.detector.is_settled()
     harness.receive("x", digest=77)
-    assert not harness.detector.settled()
+    assert not harness.detector.is_settled()
     harness.receive("x", number=3)  # older than the datagram with 77, received later
-    assert not harness.detector.settled()
+    assert not harness.detector.is_settled()
     harness.receive("x")
-    assert harness.detector.settled()
+    assert harness.detector.is_settled()
     harness.receive("z", state=MemberState.LEFT, incarnation=1)
-    assert harness.detector.settled()  # a member that has left need not agree
+    assert harness.detector.is_settled()  # a member that has left need not agree
     harness.receive("z", life=LIFE + 1)
-    assert not harness.detector.settled()
+    assert not harness.detector.is_settled()
 
 
 @pytest.mark.parametrize("life", [LIFE - 5, LIFE])
--- a/tests/fleet/test_view.py
+++ b/tests/fleet/test_view.py
@@ -187,7 +187,7 @@
     one = len(view.encode_member("x0"))
     sent = list[bytes]()
     while len(view.gossip_queue):
-        told, _ = view.gossip_queue.take(0.0, view, 3 * one + 1)
+        told, _ = view.gossip_queue.take_records(0.0, view, 3 * one + 1)
         assert 0 < len(told) <= 3
         sent += [bytes(record) for record in told]
     assert len(set(sent[:8])) == 8 and {sent.count(record) for record in sent} == {5}
