--- a/benchmarks/together_mutants.py
+++ b/benchmarks/together_mutants.py
@@ -28,8 +28,8 @@
 from cypresspulley.closing.purging import Purging
 from cypresspulley.fleet import detector
 from cypresspulley.fleet.detector import Detector
-from cypresspulley.fleet.records import State
-from cypresspulley.fleet.view import Held, View
+from cypresspulley.fleet.records import MemberState
+from cypresspulley.fleet.view import StoredRow, View
 from cypresspulley.histories.check import CHECKERS
 from cypresspulley.lanes import share, spells
 
@@ -46,31 +46,36 @@
 
 def _incarnation_not_raised() -> None:
     def of_me(self: Detector, claim: Any) -> None:
-        me = self.view.myself
-        if claim.life == me.life and claim.rank > me.rank and claim.state >= State.SUSPECTED:
-            self._become(replace(me, incarnation=claim.incarnation), "refuted")
+        me = self.view.local_member
+        if claim.life == me.life and claim.rank > me.rank and claim.state >= MemberState.SUSPECTED:
+            self._update_self(replace(me, incarnation=claim.incarnation), "refuted")
 
-    Detector._take_of_me = of_me  # type: ignore[method-assign]
+    Detector._apply_claim_about_self = of_me  # type: ignore[method-assign]
 
 
 def _death_without_suspicion() -> None:
     def failed(self: Detector, key: str) -> None:
-        probe = self._probes.end(int(key))
-        held = self.view.get(probe.target) if probe is not None and probe.counts else None
+        probe = self._probes.remove(int(key))
+        held = self.view.get(probe.target) if probe is not None and probe.accuses else None
         if probe is not None and held is not None and held.life == probe.life and held.state.present:
-            self._hold(replace(held, state=State.DEAD), "probe", self.view.me)
+            self._store_claim(replace(held, state=MemberState.DEAD), "probe", self.view.local_name)
 
-    detector._TIMERS["failed"] = failed
+    detector._TIMER_HANDLERS["failed"] = failed
 
 
 def _old_rows_taken() -> None:
-    def merge_row(self: View, now: float, cell: Any) -> bool:
-        if self.get(cell.owner) is None or cell.owner == self.me:
+    def merge_row(self: View, now: float, row_record: Any) -> bool:
+        if self.get(row_record.owner) is None or row_record.owner == self.local_name:
             return False
-        held = self._rows.setdefault(cell.owner, {}).get(cell.subsystem)
-        if held is not None and (held.version, held.body) >= (cell.version, cell.body):
+        held = self._rows.setdefault(row_record.owner, {}).get(row_record.subsystem)
+        if held is not None and (held.version, held.body) >= (row_record.version, row_record.body):
             return False
-        self._hold(now, cell.owner, cell.subsystem, Held(cell.life, cell.version, cell.body, now, now))
+        self._store_row(
+            now,
+            row_record.owner,
+            row_record.subsystem,
+            StoredRow(row_record.life, row_record.version, row_record.body, now, now),
+        )
         return True
 
     View.merge_row = merge_row  # type: ignore[method-assign]
--- a/benchmarks/together_plays.py
+++ b/benchmarks/together_plays.py
@@ -19,12 +19,12 @@
 from random import Random
 from typing import Any
 
-from benchmarks.fleet_bed import EPOCH, Bed, Host
+from benchmarks.fleet_bed import EPOCH, Host, SimulatedFleet
 from cypresspulley.closing.keep import Key
 from cypresspulley.closing.limiter import Closing
 from cypresspulley.closing.options import DRIFT, Options, calendar_from
 from cypresspulley.fleet import timing
-from cypresspulley.fleet.actions import Action, Changed, Rose, RowTaken, Settled
+from cypresspulley.fleet.actions import Action, LifeRaised, MemberChanged, RowAccepted, Settled
 from cypresspulley.histories.events import Kind
 from cypresspulley.histories.read import HARNESS, Histories, from_memory
 from cypresspulley.histories.writer import MemoryHistory
@@ -68,11 +68,11 @@
     return from_memory([events for one in told for events in one.lives])
 
 
-class Judged(Bed):
+class Judged(SimulatedFleet):
     """The fleet's bed with a history for each process, and the harness's."""
 
     def __init__(self, seed: int, size: int) -> None:
-        super().__init__(seed, loss=0.02, double=0.01)
+        super().__init__(seed, loss=0.02, duplication=0.01)
         self._size = size
         self._told = dict[str, MemoryHistory]()
         self._lives = list[MemoryHistory]()
@@ -94,23 +94,23 @@
         super().leave(name, after)
         self.at(self.now + after, lambda: self._told[name].put(Kind.END, reason="asked to"))
 
-    def _do(self, host: Host, action: Action) -> None:
+    def _execute(self, host: Host, action: Action) -> None:
         history = self._told[host.name]
-        if not history.lives or isinstance(action, Rose):
+        if not history.lives or isinstance(action, LifeRaised):
             size = self._size
             bounds = {"detect": timing.detect_bound(size, 0.5), "settle": timing.settle_bound(size, 0.5)}
-            begin(history, host.name, host.detector.view.myself.life, bounds)
+            begin(history, host.name, host.detector.view.local_member.life, bounds)
         match action:
-            case Changed(member, cause):
+            case MemberChanged(member, cause):
                 history.put(
                     Kind.MEMBER, member=member.name, life=member.life, incarnation=member.incarnation,
                     state=member.state.name.lower(), cause=cause,
                 )  # fmt: skip
-            case RowTaken(owner, life, subsystem):
+            case RowAccepted(owner, life, subsystem):
                 history.put(Kind.ROW, owner=owner, life=life, subsystem=subsystem)
             case Settled(settled, digest, members):
                 history.put(Kind.SETTLED, settled=settled, digest=f"{digest:016x}", members=members)
-        super()._do(host, action)
+        super()._execute(host, action)
 
     def fault(self, kind: str, targets: list[str], on: bool) -> None:
         self.harness.put(Kind.FAULT, kind_of=kind, targets=targets, on=on)
@@ -190,7 +190,7 @@
     ) -> Closing:  # fmt: skip
         told = MemoryHistory(lambda: self.world.now, wall)
         bounds = {"clock": options.clock_bound, "purge": DRIFT * options.lease + 0.5}
-        self._lives.append(begin(told, view.me, view.life, bounds))
+        self._lives.append(begin(told, view.local_name, view.life, bounds))
         return Closing(options, view, clock, wall, told, named)
 
     def lookup(self, limiter: closing_world.Limiter, account: str) -> None:
--- a/cypresspulley/fleet/detector.py
+++ b/cypresspulley/fleet/detector.py
@@ -1,46 +1,53 @@
-"""The failure detector: from events (datagrams, the passing of time) to actions (datagrams, news). No I/O, no clock.
+"""The failure detector: maps events (datagrams, timers) to actions (datagrams, changes of the view). No I/O, no clock.
 
-What one member holds of another, and what changes it (SWIM; Lifeguard for suspicion and local health). A claim counts
-only where its rank is larger than the one held; "told" is a claim by any other member, "says" one by itself:
+Records of other members and their transitions (SWIM; Lifeguard for suspicion and local health). A claim takes effect
+only if its rank is larger than the rank held. "reported" is a claim by another member, "announces" one by the member
+itself:
 
-    held           what happens                                      held from then on
+    held           event                                             held afterwards
     -------------  ------------------------------------------------  ----------------------------------------------
-    unknown        says or told joining, alive, leaving, suspected   that
-    unknown        told left, dead                                   that (a tombstone)
-    joining        says alive                                        alive
-    joining,alive  a probe fails, direct and by others               suspected, by me
-    joining,alive  told suspected                                    suspected, by the teller
-    joining,alive  told dead                                         suspected, for a shorter time (see ``timing.told``)
-    joining,alive  says leaving (incarnation + 1)                    leaving
-    suspected      says alive with a larger incarnation              alive (refuted)
-    suspected      told suspected by one more, or my probe fails     suspected, for a shorter time
-    suspected      told dead                                         suspected, for the shorter time at most
-    suspected      its time is over, and I stand in no doubt         dead
-    leaving        a probe fails, direct and by others               leaving, missed by me: nobody else is told
-    leaving        missed, and then I or a helper of mine hear it    leaving, no longer missed
-    leaving        missed for the time of a suspicion, no doubt      left: a leaver is never suspected, nor dead
-    leaving        says or told left                                 left
-    left, dead     says or told a larger life                        that: an end is final in a life (SWIM: confirm)
-    any            a larger life                                     that, in the state it comes with
-
-And of itself:
-
-    joining        another's whole view is here, or no seed to ask   alive
-    any            told of itself suspected                          the same state, incarnation above the one told
-    any            told of itself left or dead                       the same state, in a life one above this one
-    any            told of a later life of its own name              the same state, a life one above it
-    joining,alive  leave                                             leaving, incarnation + 1
-    any            end                                               left; nothing is said or heard from then on
-
-Only a member itself ever raises its incarnation or life. That a death that is told is first held as a suspicion gives
-the dead one the time to refute it before each view that hears of it: so no single member, slow or wrong, kills another.
-
-A leaver drains and answers for seconds, so one probe that fails under loss says no more of it than of anybody else. It
-is missed in silence, and any word of it in this life ends that; it need not refute what nobody was told. Were it held
-left at once, it would be absent from views while it still works, and then present again by its own refutation.
-
-A process that stood still (its timers come late) has no ground to accuse: it lets its open probes go, gives its
-suspicions the time that it lost, and doubts itself for a while (local health).
+    unknown        announced or reported joining, alive, leaving or  that state
+                   suspected
+    unknown        reported left or dead                             that state (a tombstone)
+    joining        announces alive                                   alive
+    joining,alive  a probe fails, direct and indirect                suspected, by this member
+    joining,alive  reported suspected                                suspected, by the reporter
+    joining,alive  reported dead                                     suspected, for a shorter time (see
+                                                                     ``timing.reported_death_periods``)
+    joining,alive  announces leaving (incarnation + 1)               leaving
+    suspected      announces alive with a larger incarnation         alive (refuted)
+    suspected      one more accuser, or a probe of its own fails     suspected, for a shorter time
+    suspected      reported dead                                     suspected, for the shorter time at most
+    suspected      the suspicion ends and no stall was recent        dead
+    leaving        a probe fails, direct and indirect                leaving, unreachable; other members are not told
+    leaving        unreachable, then heard from or reached by a      leaving, reachable
+                   helper
+    leaving        unreachable for the time of a suspicion, without  left: a leaving member is never suspected or dead
+                   a recent stall
+    leaving        announced or reported left                        left
+    left, dead     announced or reported with a larger life          that state: an end is final in a life (SWIM's
+                                                                     confirm)
+    any            a larger life                                     the state of that life's record
+
+The record of the member itself:
+
+    joining        another member's whole view received, or no seed  alive
+    any            reported suspected                                same state, incarnation above the reported one
+    any            reported left or dead                             same state, in a life one above its own
+    any            a later life of its own name is reported          same state, a life one above the reported one
+    joining,alive  ``LeaveRequested``                                leaving, incarnation + 1
+    any            ``Stopped``                                       left; nothing is sent or received from then on
+
+Only a member itself raises its incarnation or life. Because a reported death is first held as a suspicion, the member
+can refute it before each view that hears of it accepts it: no single member, slow or faulty, can kill another one.
+
+A leaving member drains and answers for seconds, so that one probe lost under datagram loss means no more for it than
+for any other member. Its unreachability is not disseminated, and any datagram from it in this life ends it; it need not
+refute what nobody was told. If it counted as left at once, it would be absent from views while it still works and then
+present again by its own refutation.
+
+A process that was stalled (its timers come late) has no ground to accuse: it drops its open probes, extends its
+suspicions by the lost time and lowers its local health for a while.
 """
 
 from __future__ import annotations
@@ -53,55 +60,57 @@
 from cypresspulley.fleet import timing, wire
 from cypresspulley.fleet.actions import (
     Action,
-    Begin,
-    Changed,
-    Datagram,
-    End,
+    DatagramReceived,
     Event,
-    Leave,
-    Rose,
-    RowTaken,
+    LeaveRequested,
+    LifeRaised,
+    MemberChanged,
+    RowAccepted,
     Settled,
-    Tick,
+    Started,
+    Stopped,
+    TimerFired,
 )
-from cypresspulley.fleet.clocks import Clocks
+from cypresspulley.fleet.clocks import ClockEstimates
 from cypresspulley.fleet.documents import Documents
 from cypresspulley.fleet.exchange import Exchange
 from cypresspulley.fleet.outbox import Outbox
 from cypresspulley.fleet.peers import Peers
-from cypresspulley.fleet.probes import Calls, Probes, Relay
-from cypresspulley.fleet.records import Member, State
+from cypresspulley.fleet.probes import AbsentContacts, Probes, Relay
+from cypresspulley.fleet.records import Member, MemberState
 from cypresspulley.fleet.suspicion import Suspicions
-from cypresspulley.fleet.timers import Health, Timers
+from cypresspulley.fleet.timers import LocalHealth, Timers
 from cypresspulley.fleet.view import View
 from cypresspulley.fleet.wire import Envelope
 
-STALE = 24 * 3600.0  # seconds that a datagram's wall clock may differ from this one
-MOST_RISES = 8  # of this process's life: beyond, another process has its name
-RECALLED = 3600.0  # seconds after its death that a member is still called
-GOSSIPS = 2  # datagrams a period that carry nothing but news
-LEAVE_WORDS = 8  # members that are told of an end directly
+MAX_CLOCK_DIFFERENCE_SECONDS = 24 * 3600.0  # of wall clocks; other datagrams are stale
+MAX_LIFE_INCREASES = 8  # beyond it, another process evidently uses this name
+DEAD_RECALL_SECONDS = 3600.0  # time after a death during which the member is still pinged
+GOSSIP_FANOUT = 2  # gossip datagrams a period
+LEAVE_FANOUT = 8  # members that are told directly that this one leaves
 
 
 class Detector:
-    """One member's detector. ``handle`` takes every event in order; ``due`` is when it next wants a ``Tick``.
+    """The detector of one member. ``handle`` takes all events in order; ``due`` is the instant of the next timer.
 
-    ``period`` in seconds; ``seeds`` are addresses, this member's own may be among them. All draws are from ``rng``.
+    ``period`` is in seconds; ``seeds`` are addresses and may include its own. All randomness is from ``rng``.
     """
 
     def __init__(
         self, me: Member, codec: wire.Codec, seeds: tuple[str, ...], period: float, rng: Random
     ) -> None:
         self.view = View(me)
-        self.clocks = Clocks()
+        self.clocks = ClockEstimates()
         self.documents = Documents()
-        self.counts = Counter[str]()  # datagrams sent, taken, and dropped by cause
-        self.health = Health()
+        self.counts = Counter[str]()  # datagrams sent, accepted, and dropped by cause
+        self.health = LocalHealth()
         self.peers = Peers(self.view)
         self._codec = codec
         self._timers = Timers(period)
         self._probes = Probes(self.view, rng)
-        self._calls = Calls(tuple(seed for seed in dict.fromkeys(seeds) if seed != me.address), rng)
+        self._contacts = AbsentContacts(
+            tuple(seed for seed in dict.fromkeys(seeds) if seed != me.address), rng
+        )
         self._suspicions = Suspicions(period)
         self._outbox = Outbox(codec, self.view, self.counts)
         self._exchange = Exchange(self.view, self._outbox, period)
@@ -110,138 +119,143 @@
         return f"<Detector {self.view!r}, {self.health!r}, {self._suspicions!r}>"
 
     @property
-    def ended(self) -> bool:
-        return self.view.myself.state is State.LEFT
+    def has_left(self) -> bool:
+        """Whether this member has stopped; it handles no further events."""
+        return self.view.local_member.state is MemberState.LEFT
 
     @property
     def due(self) -> float:
-        """The instant of the next ``Tick``; infinity before ``Begin`` and after ``End``."""
-        return float("inf") if self.ended else self._timers.due
+        """The instant of the next ``TimerFired``; infinity before ``Started`` and after ``Stopped``."""
+        return float("inf") if self.has_left else self._timers.next_due
 
     def handle(self, now: float, wall: float, event: Event) -> list[Action]:
-        """``now`` in seconds of a clock that never steps, ``wall`` Unix seconds by the wall clock."""
-        if self.ended:
+        """Handle an event at ``now`` (monotonic seconds) and ``wall`` (Unix seconds); returns the actions to take."""
+        if self.has_left:
             return []
         self._outbox.now, self._outbox.wall = now, wall
-        if late := self._timers.stalled(now):
-            self._probes.excuse()
-            self._suspicions.put_off(late)
-            self.health.stood_still(now, late, self._timers.period)
+        if stall := self._timers.absorb_stall(now):
+            self._probes.stop_accusing()
+            self._suspicions.postpone(stall)
+            self.health.record_stall(now, stall, self._timers.period)
             self.counts["stalls"] += 1
         match event:
-            case Datagram(data):
-                self._receive(data)
-            case Tick():
-                while timer := self._timers.pop(now):
-                    _TIMERS[timer[0]](self, timer[1])
-            case Begin():
-                self._begin()
-            case Leave():
-                self._leave()
-            case End():
-                self._end()
-        return self._outbox.empty()
-
-    def settled(self) -> bool:
-        """Whether every other present member has last told the digest that is this one's own."""
-        return self.view.myself.state is not State.JOINING and self.peers.agree()
+            case DatagramReceived(data):
+                self._receive_datagram(data)
+            case TimerFired():
+                while timer := self._timers.pop_due(now):
+                    _TIMER_HANDLERS[timer[0]](self, timer[1])
+            case Started():
+                self._start()
+            case LeaveRequested():
+                self._announce_leaving()
+            case Stopped():
+                self._announce_left()
+        return self._outbox.drain()
+
+    def is_settled(self) -> bool:
+        """Whether the last digest reported by every other present member equals the local one."""
+        return self.view.local_member.state is not MemberState.JOINING and self.peers.all_agree()
 
     @property
     def _now(self) -> float:
         return self._outbox.now
 
-    def _after(self, periods: float, kind: str, key: str = "") -> None:
-        self._timers.after(self._now, periods, kind, key)
+    def _schedule_after(self, periods: float, kind: str, key: str = "") -> None:
+        self._timers.schedule_after(self._now, periods, kind, key)
 
-    # Beginning and end
+    # Joining and leaving
 
-    def _begin(self) -> None:
-        self._outbox.introduce()  # the view may have been filled before
-        self._changed(self.view.myself, "self")
-        self._after(self._probes.draw(), "period")
-        if self._calls.seeds:
-            self._seed("")
+    def _start(self) -> None:
+        self._outbox.refresh_sender()  # the view may have been filled before the start
+        self._report_change(self.view.local_member, "self")
+        self._schedule_after(self._probes.random_phase(), "period")
+        if self._contacts.seeds:
+            self._ping_seeds("")
         else:
-            self._arrive()
+            self._finish_joining()
 
-    def _seed(self, _: str) -> None:
-        """Knock at some seeds, ever more seldom, until there is somebody."""
-        if self.view.present > 1 and self.view.myself.state is not State.JOINING:
+    def _ping_seeds(self, _: str) -> None:
+        """Ping some seeds, with exponential backoff, until another member is present and joining is over."""
+        if self.view.present_count > 1 and self.view.local_member.state is not MemberState.JOINING:
             return
-        for address in self._calls.knock():
-            self._ping("", address, counts=False)
-        self._after(self._calls.pause(), "seed")
-
-    def _arrive(self) -> None:
-        if self.view.myself.state is State.JOINING:
-            self._become(replace(self.view.myself, state=State.ALIVE), "self")
-
-    def _leave(self) -> None:
-        me = self.view.myself
-        if me.state < State.LEAVING:
-            self._become(replace(me, incarnation=me.incarnation + 1, state=State.LEAVING), "self")
-            self._part()
-
-    def _end(self) -> None:
-        me = self.view.myself
-        raised = me.incarnation + (me.state < State.LEAVING)
-        self._become(replace(me, incarnation=raised, state=State.LEFT), "self")
-        self._part()
-
-    def _part(self) -> None:
-        """Tell some members of this one's end directly: the rest hear it from them."""
-        for name in self._probes.others(LEAVE_WORDS):
-            self._outbox.say(name, wire.Gossip())
-
-    def _become(self, me: Member, cause: str) -> None:
-        """Hold this of myself, and say it."""
-        rose = me.life != self.view.myself.life
-        self.view.put(self._now, me)
-        record = self._outbox.introduce(rose)
-        if rose:
-            self.view.relive(self._now)
-            self._outbox.act(Rose(me.life, self.view.all_others(), self._as_settled()))
-        self.view.queue.add((me.name, ""), record)
-        self._changed(me, cause)
-
-    # A period
-
-    def _period_over(self, _: str) -> None:
-        self._after(1, "period")
-        self._calls.periods += 1
-        self.view.turn(self._now)
+        for address in self._contacts.sample_seeds():
+            self._ping("", address, accuses=False)
+        self._schedule_after(self._contacts.next_retry_periods(), "seed")
+
+    def _finish_joining(self) -> None:
+        if self.view.local_member.state is MemberState.JOINING:
+            self._update_self(replace(self.view.local_member, state=MemberState.ALIVE), "self")
+
+    def _announce_leaving(self) -> None:
+        me = self.view.local_member
+        if me.state < MemberState.LEAVING:
+            self._update_self(replace(me, incarnation=me.incarnation + 1, state=MemberState.LEAVING), "self")
+            self._announce_departure()
+
+    def _announce_left(self) -> None:
+        me = self.view.local_member
+        incarnation = me.incarnation + (me.state < MemberState.LEAVING)
+        self._update_self(replace(me, incarnation=incarnation, state=MemberState.LEFT), "self")
+        self._announce_departure()
+
+    def _announce_departure(self) -> None:
+        """Send the own record to some members directly; gossip carries it to the rest."""
+        for name in self._probes.sample_others(LEAVE_FANOUT):
+            self._outbox.send_to_member(name, wire.Gossip())
+
+    def _update_self(self, me: Member, cause: str) -> None:
+        """Store a new record of this member and disseminate it."""
+        is_new_life = me.life != self.view.local_member.life
+        self.view.store(self._now, me)
+        record = self._outbox.refresh_sender(is_new_life)
+        if is_new_life:
+            self.view.republish_rows(self._now)
+            self._outbox.add_action(
+                LifeRaised(me.life, self.view.all_other_members(), self._settled_action())
+            )
+        self.view.gossip_queue.add((me.name, ""), record)
+        self._report_change(me, cause)
+
+    # Probe periods
+
+    def _on_period(self, _: str) -> None:
+        self._schedule_after(1, "period")
+        self._contacts.periods += 1
+        self.view.refresh(self._now)
         if target := self._probes.next_target():
             self._ping(target, self._address(target))
-        if len(self.view.queue):
-            for name in self._probes.others(GOSSIPS):
-                self._outbox.say(name, wire.Gossip())
-        recent = self._now - self.view.changed <= timing.CHECKED * self._timers.period
-        if recent and not self._suspicions:  # what is in suspense changes again
-            for name in self.peers.differing(timing.CHECKS):
-                self._ping(name, self._address(name), counts=False)
-        if self._calls.periods % timing.RECALL == 0:
-            self._recall()
-        for digest in self.documents.wanted():
-            self._fetch(digest)
-        self._see_settled()
-
-    def _recall(self) -> None:
-        """A word to one that is not in the view, so that a cut that ends is noticed."""
-        dead = [(m.name, m.address) for m in self.view.ended(self._now, RECALLED)]
-        held = {m.address for m in self.view.members()} if self._calls.seeds else set()
-        if call := self._calls.recall(dead, held):
-            self._ping(*call, counts=False)
-        for name in self.peers.unknown():  # its tombstone is gone
-            self._forget(name)
-
-    def _see_settled(self) -> None:
-        settled = self.settled()
-        if settled != self.peers.settled:
-            self.peers.settled = settled
-            self._outbox.act(self._as_settled())
-
-    def _as_settled(self) -> Settled:
-        return Settled(self.settled(), self.view.digest, self.view.present)
+        if len(self.view.gossip_queue):
+            for name in self._probes.sample_others(GOSSIP_FANOUT):
+                self._outbox.send_to_member(name, wire.Gossip())
+        recently_changed = (
+            self._now - self.view.members_changed_at <= timing.DIGEST_CHECK_PERIODS * self._timers.period
+        )
+        if recently_changed and not self._suspicions:  # a running suspicion changes the digest again
+            for name in self.peers.list_differing(timing.DIGEST_CHECKS_PER_PERIOD):
+                self._ping(name, self._address(name), accuses=False)
+        if self._contacts.periods % timing.RECALL_PERIODS == 0:
+            self._ping_absent()
+        for digest in self.documents.start_period():
+            self._request_parts(digest)
+        self._report_settled()
+
+    def _ping_absent(self) -> None:
+        """Ping a member or seed that is not in the view, so that the end of a partition is noticed."""
+        dead = [(m.name, m.address) for m in self.view.recently_dead(self._now, DEAD_RECALL_SECONDS)]
+        present = {m.address for m in self.view.members()} if self._contacts.seeds else set()
+        if contact := self._contacts.choose_absent(dead, present):
+            self._ping(*contact, accuses=False)
+        for name in self.peers.list_forgotten():  # their tombstones were removed
+            self._forget_peer(name)
+
+    def _report_settled(self) -> None:
+        settled = self.is_settled()
+        if settled != self.peers.reported_settled:
+            self.peers.reported_settled = settled
+            self._outbox.add_action(self._settled_action())
+
+    def _settled_action(self) -> Settled:
+        return Settled(self.is_settled(), self.view.digest, self.view.present_count)
 
     def _address(self, name: str) -> str:
         member = self.view.get(name)
@@ -249,347 +263,371 @@
 
     # Probes
 
-    def _ping(self, name: str, address: str, counts: bool = True) -> None:
-        nonce = self._probes.begin(self._now, self._timers.number(), name, counts)
-        stretch = 1 + self.health.value
-        if counts:
-            self._after(timing.DIRECT * stretch, "direct", str(nonce))
-        self._after(timing.WHOLE * stretch, "failed", str(nonce))
-        held = self.view.get(name)
-        doubted = [name] if held is not None and held.state >= State.SUSPECTED else []
-        self._outbox.post(address, wire.Ping(nonce, name), doubted)
-
-    def _direct_over(self, key: str) -> None:
+    def _ping(self, name: str, address: str, accuses: bool = True) -> None:
+        nonce = self._probes.start(self._now, self._timers.next_number(), name, accuses)
+        timeout_factor = 1 + self.health.score
+        if accuses:
+            self._schedule_after(timing.DIRECT_TIMEOUT_PERIODS * timeout_factor, "direct", str(nonce))
+        self._schedule_after(timing.PROBE_TIMEOUT_PERIODS * timeout_factor, "failed", str(nonce))
+        current = self.view.get(name)
+        extra = [name] if current is not None and current.state >= MemberState.SUSPECTED else []
+        self._outbox.send_with_gossip(address, wire.Ping(nonce, name), extra)
+
+    def _on_direct_timeout(self, key: str) -> None:
         probe = self._probes.get(int(key))
-        if probe is None or not probe.counts:
+        if probe is None or not probe.accuses:
             return
-        drawn = self._probes.others(timing.ASKED + 1)
-        helpers = [name for name in drawn if name != probe.target][: timing.ASKED]
-        probe.asked = len(helpers)
+        candidates = self._probes.sample_others(timing.INDIRECT_PROBES + 1)
+        helpers = [name for name in candidates if name != probe.target][: timing.INDIRECT_PROBES]
+        probe.helpers = len(helpers)
         for name in helpers:
-            self._outbox.say(name, wire.Ask(int(key), probe.target, self._address(probe.target)))
+            self._outbox.send_to_member(
+                name, wire.PingRequest(int(key), probe.target, self._address(probe.target))
+            )
 
-    def _failed(self, key: str) -> None:
-        probe = self._probes.end(int(key))
-        if probe is None or not probe.counts:
+    def _on_probe_timeout(self, key: str) -> None:
+        probe = self._probes.remove(int(key))
+        if probe is None or not probe.accuses:
             return
-        if (
-            probe.missed < probe.asked or not probe.asked
-        ):  # a helper says nothing: it may be me who hears badly
-            self.health.feel(1)
-        held = self.view.get(probe.target)
-        if held is None or held.life != probe.life:
+        # A helper that sends not even a nack suggests that this member itself loses datagrams.
+        if probe.nacks < probe.helpers or not probe.helpers:
+            self.health.adjust(1)
+        current = self.view.get(probe.target)
+        if current is None or current.life != probe.life:
             return
-        if held.state is State.LEAVING:
-            self._miss(held.name)
-        elif held.state <= State.SUSPECTED:
-            self._take(replace(held, state=State.SUSPECTED), "probe", self.view.me)
+        if current.state is MemberState.LEAVING:
+            self._suspect_leaver(current.name)
+        elif current.state <= MemberState.SUSPECTED:
+            self._apply_claim(replace(current, state=MemberState.SUSPECTED), "probe", self.view.local_name)
 
-    def _relay_over(self, key: str) -> None:
-        if relay := self._probes.end_relay(int(key)):
-            self._outbox.post(relay.address, wire.Missed(relay.nonce))
+    def _on_relay_timeout(self, key: str) -> None:
+        if relay := self._probes.remove_relay(int(key)):
+            self._outbox.send_with_gossip(relay.address, wire.PingRequestNack(relay.nonce))
 
     # Suspicion
 
-    def _suspicion_over(self, name: str) -> None:
-        until, held = self._suspicions.until(name, self.view.present), self.view.get(name)
-        if until is None or held is None:
+    def _on_suspicion_timeout(self, name: str) -> None:
+        until, current = self._suspicions.deadline(name, self.view.present_count), self.view.get(name)
+        if until is None or current is None:
             return
-        if until > self._now or self._now < self.health.doubt_until:
-            self._watch(name, max(until, self.health.doubt_until))
+        if until > self._now or self._now < self.health.no_deaths_until:
+            self._schedule_suspicion_end(name, max(until, self.health.no_deaths_until))
             return
-        suspicion = self._suspicions.end(name)
-        cause = "told" if suspicion is not None and suspicion.told else "probe"
-        over = State.LEFT if held.state is State.LEAVING else State.DEAD
-        self._hold(replace(held, state=over), cause, self.view.me)
-
-    def _miss(self, name: str) -> None:
-        """A leaver does not answer: a suspicion that is kept to myself, and ends in ``left``."""
-        _, until = self._suspicions.accuse(self._now, name, self.view.me, False, self.view.present)
+        suspicion = self._suspicions.remove(name)
+        cause = "told" if suspicion is not None and suspicion.death_reported else "probe"
+        end_state = MemberState.LEFT if current.state is MemberState.LEAVING else MemberState.DEAD
+        self._store_claim(replace(current, state=end_state), cause, self.view.local_name)
+
+    def _suspect_leaver(self, name: str) -> None:
+        """Start a suspicion of an unreachable leaving member, which is not disseminated and ends in ``LEFT``."""
+        _, until = self._suspicions.add_accuser(
+            self._now, name, self.view.local_name, False, self.view.present_count
+        )
         if until is not None:
-            self._watch(name, until)
-
-    def _found(self, name: str) -> None:
-        """It has just answered: a leaver is no longer missed. Of one that is suspected, only a refutation tells."""
-        held = self.view.get(name)
-        if held is not None and held.state is State.LEAVING:
-            self._suspicions.end(name)
-
-    def _watch(self, name: str, until: float) -> None:
-        self._timers.at(max(until, self._now + 1e-3), "suspicion", name)
-
-    def _accuse(self, name: str, by: str, told: bool) -> None:
-        """One more that suspects the member, or holds it dead: the time is shorter from here on."""
-        new, until = self._suspicions.accuse(self._now, name, by, told, self.view.present)
-        if new:
-            self.view.queue.add((name, ""), self.view.entry(name, by))
+            self._schedule_suspicion_end(name, until)
+
+    def _clear_leaver_suspicion(self, name: str) -> None:
+        """End the suspicion of a leaving member that was heard from; other suspicions end only by a refutation."""
+        current = self.view.get(name)
+        if current is not None and current.state is MemberState.LEAVING:
+            self._suspicions.remove(name)
+
+    def _schedule_suspicion_end(self, name: str, until: float) -> None:
+        self._timers.schedule_at(max(until, self._now + 1e-3), "suspicion", name)
+
+    def _add_accuser(self, name: str, accuser: str, death_reported: bool) -> None:
+        """Add an accuser that suspects the member or reports its death, which shortens the suspicion."""
+        is_new, until = self._suspicions.add_accuser(
+            self._now, name, accuser, death_reported, self.view.present_count
+        )
+        if is_new:
+            self.view.gossip_queue.add((name, ""), self.view.encode_member(name, accuser))
         if until is not None:
-            self._watch(name, until)
+            self._schedule_suspicion_end(name, until)
 
     # Claims
 
-    def _known(self, entry: wire.Entry, by: str) -> bool:
-        """Whether the claim surely changes nothing: most do not, and this is quicker than to take them."""
-        held = self.view.get(entry.name)
-        if held is None:
+    def _is_redundant(self, record: wire.MemberRecord, accuser: str) -> bool:
+        """Whether a claim certainly changes nothing: true of most claims, and cheaper to check than to apply."""
+        current = self.view.get(record.name)
+        if current is None:
             return False
-        claimed, rank = entry.member().rank, held.rank
-        if claimed[:3] != rank[:3] or entry.state < held.state:
+        claimed, rank = record.member().rank, current.rank
+        if claimed[:3] != rank[:3] or record.state < current.state:
             return claimed < rank
-        suspicion = self._suspicions.get(entry.name)
+        suspicion = self._suspicions.get(record.name)
         if suspicion is None:
-            return entry.state == held.state and entry.zone == held.zone and entry.address == held.address
-        dead = suspicion.told and entry.state is State.DEAD
-        return suspicion.accused(by) and (entry.state is State.SUSPECTED or dead)
-
-    def _take(self, claim: Member, cause: str, by: str) -> None:
-        """A claim about a member, ``by`` its maker where it accuses."""
-        if claim.name == self.view.me:
-            self._take_of_me(claim)
+            return (
+                record.state == current.state
+                and record.zone == current.zone
+                and record.address == current.address
+            )
+        dead = suspicion.death_reported and record.state is MemberState.DEAD
+        return suspicion.ignores_accuser(accuser) and (record.state is MemberState.SUSPECTED or dead)
+
+    def _apply_claim(self, claim: Member, cause: str, by: str) -> None:
+        """Apply a claim about a member; ``by`` is the accuser if it is an accusation."""
+        if claim.name == self.view.local_name:
+            self._apply_claim_about_self(claim)
             return
-        held = self.view.get(claim.name)
-        if claim.state is State.DEAD and held is not None and held.state.present and claim.rank > held.rank:
-            self._take_death(held, claim, cause, by)
+        current = self.view.get(claim.name)
+        if (
+            claim.state is MemberState.DEAD
+            and current is not None
+            and current.state.present
+            and claim.rank > current.rank
+        ):
+            self._apply_death_claim(current, claim, cause, by)
             return
-        if held is not None and claim.rank == held.rank:
-            if claim.state is State.SUSPECTED:
-                self._accuse(claim.name, by, False)
-            if self.view.merge(self._now, claim):  # another zone or address: the same life has spoken twice
-                self.view.queue.add((claim.name, ""), self.view.entry(claim.name, by))
+        if current is not None and claim.rank == current.rank:
+            if claim.state is MemberState.SUSPECTED:
+                self._add_accuser(claim.name, by, False)
+            if self.view.merge(self._now, claim):  # the same life with another zone or address
+                self.view.gossip_queue.add((claim.name, ""), self.view.encode_member(claim.name, by))
             return
-        self._hold(claim, cause, by)
-        if claim.state is State.SUSPECTED and self.view.get(claim.name) == claim:
-            self._accuse(claim.name, by, False)
-
-    def _take_death(self, held: Member, claim: Member, cause: str, by: str) -> None:
-        """A death that is told of one who is present here is a suspicion first. One that it has refuted meanwhile is
-        none: it hears of it itself, and goes on in a new life."""
-        said = replace(claim, state=State.SUSPECTED)
-        if claim.life == held.life and claim.incarnation < held.incarnation:
+        self._store_claim(claim, cause, by)
+        if claim.state is MemberState.SUSPECTED and self.view.get(claim.name) == claim:
+            self._add_accuser(claim.name, by, False)
+
+    def _apply_death_claim(self, current: Member, claim: Member, cause: str, by: str) -> None:
+        """Hold a reported death of a present member as a suspicion first.
+
+        A death claim that the member has refuted since is ignored: the member hears of it and continues in a new life.
+        """
+        suspected = replace(claim, state=MemberState.SUSPECTED)
+        if claim.life == current.life and claim.incarnation < current.incarnation:
             return
-        if said.rank > held.rank:
-            self._hold(said, cause, by)
-        self._accuse(claim.name, by, True)
+        if suspected.rank > current.rank:
+            self._store_claim(suspected, cause, by)
+        self._add_accuser(claim.name, by, True)
 
-    def _hold(self, claim: Member, cause: str, by: str) -> None:
-        held = self.view.get(claim.name)
+    def _store_claim(self, claim: Member, cause: str, by: str) -> None:
+        """Merge a claim into the view and, if it changes the view, disseminate and report it."""
+        current = self.view.get(claim.name)
         if not self.view.merge(self._now, claim):
             return
-        if claim.state is not State.SUSPECTED or (held is not None and held.rank[:3] != claim.rank[:3]):
-            self._suspicions.end(claim.name)
-        if held is not None and held.life != claim.life:
-            self._forget(claim.name)
-        if held is not None and held.life == claim.life and claim.state < State.SUSPECTED <= held.state:
+        if claim.state is not MemberState.SUSPECTED or (
+            current is not None and current.rank[:3] != claim.rank[:3]
+        ):
+            self._suspicions.remove(claim.name)
+        if current is not None and current.life != claim.life:
+            self._forget_peer(claim.name)
+        if (
+            current is not None
+            and current.life == claim.life
+            and claim.state < MemberState.SUSPECTED <= current.state
+        ):
             cause = "refuted"
-        self.view.queue.add((claim.name, ""), self.view.entry(claim.name, by))
-        if held is None and claim.state.present:
-            self._probes.joined(claim.name)
-        if held is not None or claim.state.present:  # one that was never held here has not died here
-            self._changed(claim, cause)
+        self.view.gossip_queue.add((claim.name, ""), self.view.encode_member(claim.name, by))
+        if current is None and claim.state.present:
+            self._probes.add_to_round(claim.name)
+        if current is not None or claim.state.present:  # the tombstone of an unknown member is no change
+            self._report_change(claim, cause)
 
-    def _forget(self, name: str) -> None:
+    def _forget_peer(self, name: str) -> None:
         self.peers.forget(name)
         self.clocks.forget(name)
         self._exchange.forget(name)
 
-    def _take_of_me(self, claim: Member) -> None:
-        me = self.view.myself
+    def _apply_claim_about_self(self, claim: Member) -> None:
+        """Refute a claim about this member by a higher incarnation or, after a reported end, by a higher life."""
+        me = self.view.local_member
         if claim.life > me.life:
             self.counts["risen"] += 1
-            if self.counts["risen"] <= MOST_RISES:
-                self._become(replace(me, life=claim.life + 1, incarnation=0), "self")
+            if self.counts["risen"] <= MAX_LIFE_INCREASES:
+                self._update_self(replace(me, life=claim.life + 1, incarnation=0), "self")
         elif claim.life == me.life and claim.rank > me.rank:
-            if claim.state >= State.SUSPECTED:
-                self.health.feel(1)
+            if claim.state >= MemberState.SUSPECTED:
+                self.health.adjust(1)
             if claim.state.present:
-                self._become(replace(me, incarnation=claim.incarnation + 1), "refuted")
+                self._update_self(replace(me, incarnation=claim.incarnation + 1), "refuted")
             else:
-                self._become(replace(me, life=me.life + 1, incarnation=0), "refuted")
+                self._update_self(replace(me, life=me.life + 1, incarnation=0), "refuted")
 
-    def _changed(self, member: Member, cause: str) -> None:
-        self._outbox.act(Changed(member, cause))
-        if self.peers.settled:
-            self._see_settled()
+    def _report_change(self, member: Member, cause: str) -> None:
+        self._outbox.add_action(MemberChanged(member, cause))
+        if self.peers.reported_settled:
+            self._report_settled()
 
-    # Datagrams in
+    # Received datagrams
 
-    def _receive(self, data: bytes) -> None:
+    def _receive_datagram(self, data: bytes) -> None:
         try:
             envelope = self._codec.decode(data)
-        except wire.Unreadable as error:
+        except wire.InvalidDatagram as error:
             self.counts[error.cause] += 1
             return
-        sender = envelope.me
-        if abs(envelope.wall / 1000 - self._outbox.wall) > STALE:
+        sender = envelope.sender
+        if abs(envelope.wall_ms / 1000 - self._outbox.wall) > MAX_CLOCK_DIFFERENCE_SECONDS:
             self.counts["stale"] += 1
-        elif sender.name == self.view.me:  # an echo, or another life of mine that still speaks
+        elif sender.name == self.view.local_name:  # a reflected datagram, or another process of this name
             self.counts["own"] += 1
-            self._take_of_me(sender.member())
-        elif not self.peers.fresh(envelope):
+            self._apply_claim_about_self(sender.member())
+        elif not self.peers.is_new(envelope):
             self.counts["replayed"] += 1
         else:
             self.counts["taken"] += 1
-            self._hear(envelope)
-
-    def _hear(self, envelope: Envelope) -> None:
-        sender = envelope.me
-        self._take(sender.member(), "told", sender.by)
-        for entry in envelope.entries:
-            if not self._known(entry, entry.by or sender.name):
-                self._take(entry.member(), "told", entry.by or sender.name)
-        for cell in envelope.cells:
-            before = self.view.row_life(cell.owner, cell.subsystem)
-            if self.view.merge_row(self._now, cell) and before != cell.life:
-                self._outbox.act(RowTaken(cell.owner, cell.life, cell.subsystem))
-        held = self.view.get(sender.name)
-        if held is None:  # no room for it
+            self._apply_datagram(envelope)
+
+    def _apply_datagram(self, envelope: Envelope) -> None:
+        sender = envelope.sender
+        self._apply_claim(sender.member(), "told", sender.accuser)
+        for record in envelope.member_records:
+            if not self._is_redundant(record, record.accuser or sender.name):
+                self._apply_claim(record.member(), "told", record.accuser or sender.name)
+        for row in envelope.row_records:
+            former_life = self.view.row_life(row.owner, row.subsystem)
+            if self.view.merge_row(self._now, row) and former_life != row.life:
+                self._outbox.add_action(RowAccepted(row.owner, row.life, row.subsystem))
+        current = self.view.get(sender.name)
+        if current is None:  # the view is full
             self.counts["full"] += 1
             return
-        if held.life == sender.life:
-            self._found(sender.name)
-            self.peers.note(self._now, envelope)
-            self.view.confirm(self._now, sender.name, sender.life, envelope.versions)
-        _MESSAGES[type(envelope.message)](self, envelope)
-        self._see_difference(envelope)
-
-    def _better_of(self, sender: wire.Entry) -> list[str]:
-        """The sender's name, where more is known of it than it says itself."""
-        held = self.view.get(sender.name)
-        return [sender.name] if held is not None and held.rank > sender.member().rank else []
-
-    def _see_difference(self, envelope: Envelope) -> None:
-        """Tell the sender what it does not know of itself; compare views where digests differ."""
-        sender, held = envelope.me, self.view.get(envelope.me.name)
-        if held is None:
+        if current.life == sender.life:
+            self._clear_leaver_suspicion(sender.name)
+            self.peers.record(self._now, envelope)
+            self.view.confirm_rows(self._now, sender.name, sender.life, envelope.row_versions)
+        _MESSAGE_HANDLERS[type(envelope.message)](self, envelope)
+        self._resolve_difference(envelope)
+
+    def _newer_record_of(self, sender: wire.MemberRecord) -> list[str]:
+        """Return the sender's name if the view holds a newer record of it, else nothing."""
+        current = self.view.get(sender.name)
+        return [sender.name] if current is not None and current.rank > sender.member().rank else []
+
+    def _resolve_difference(self, envelope: Envelope) -> None:
+        """Send the sender a newer record of itself; start a comparison of the views if the digests differ."""
+        sender, current = envelope.sender, self.view.get(envelope.sender.name)
+        if current is None:
             return
-        better = [] if isinstance(envelope.message, wire.Ping) else self._better_of(sender)
-        if better and self.peers.may_amend(self._now, sender, self._timers.period):
-            self._outbox.post(sender.address, wire.Gossip(), better)
-        joining = self.view.myself.state is State.JOINING
-        differ = (envelope.members, envelope.rows) != (self.view.digest, self.view.rows_digest)
-        if (differ or joining) and held.state.present and self._exchange.due(joining):
-            self._exchange.begin(self._timers.number(), sender.address)
+        newer = [] if isinstance(envelope.message, wire.Ping) else self._newer_record_of(sender)
+        if newer and self.peers.may_correct(self._now, sender, self._timers.period):
+            self._outbox.send_with_gossip(sender.address, wire.Gossip(), newer)
+        joining = self.view.local_member.state is MemberState.JOINING
+        differ = (envelope.members_digest, envelope.rows_digest) != (self.view.digest, self.view.rows_digest)
+        if (differ or joining) and current.state.present and self._exchange.may_start(joining):
+            self._exchange.start(self._timers.next_number(), sender.address)
 
     def _on_ping(self, envelope: Envelope) -> None:
-        ping, sender = envelope.message, envelope.me
+        ping, sender = envelope.message, envelope.sender
         assert isinstance(ping, wire.Ping)
-        if ping.to and ping.to != self.view.me:
+        if ping.target and ping.target != self.view.local_name:
             self.counts["astray"] += 1
             return
-        self._outbox.post(sender.address, wire.Ack(ping.nonce), self._better_of(sender))
+        self._outbox.send_with_gossip(sender.address, wire.Ack(ping.nonce), self._newer_record_of(sender))
 
     def _on_ack(self, envelope: Envelope) -> None:
-        ack, sender = envelope.message, envelope.me
+        ack, sender = envelope.message, envelope.sender
         assert isinstance(ack, wire.Ack)
-        if (relay := self._probes.relayed(ack.nonce)) is not None:
+        if (relay := self._probes.get_relay(ack.nonce)) is not None:
             if relay.target == sender.name:
-                self._probes.end_relay(ack.nonce)
-                self._outbox.post(relay.address, wire.Reached(relay.nonce))
+                self._probes.remove_relay(ack.nonce)
+                self._outbox.send_with_gossip(relay.address, wire.PingRequestAck(relay.nonce))
             return
-        probe = self._probes.answered(ack.nonce, sender.name, sender.life)
+        probe = self._probes.complete(ack.nonce, sender.name, sender.life)
         if probe is None:
             self.counts["unasked"] += 1
             return
-        if probe.counts:
-            self.health.feel(-1)
-        self.clocks.answered(sender.name, probe.sent, self._now, envelope.wall / 1000)
-
-    def _on_ask(self, envelope: Envelope) -> None:
-        ask = envelope.message
-        assert isinstance(ask, wire.Ask)
-        relay = Relay(envelope.me.address, ask.nonce, ask.to)
-        nonce = self._probes.relay(self._timers.number(), relay)
+        if probe.accuses:
+            self.health.adjust(-1)
+        self.clocks.record_answer(sender.name, probe.sent, self._now, envelope.wall_ms / 1000)
+
+    def _on_ping_request(self, envelope: Envelope) -> None:
+        request = envelope.message
+        assert isinstance(request, wire.PingRequest)
+        relay = Relay(envelope.sender.address, request.nonce, request.target)
+        nonce = self._probes.start_relay(self._timers.next_number(), relay)
         if nonce is None:
             self.counts["relays refused"] += 1
             return
-        self._after(timing.DIRECT, "relay", str(nonce))
-        self._outbox.post(ask.address, wire.Ping(nonce, ask.to))
+        self._schedule_after(timing.DIRECT_TIMEOUT_PERIODS, "relay", str(nonce))
+        self._outbox.send_with_gossip(request.address, wire.Ping(nonce, request.target))
 
-    def _on_reached(self, envelope: Envelope) -> None:
-        assert isinstance(envelope.message, wire.Reached)
+    def _on_ping_request_ack(self, envelope: Envelope) -> None:
+        assert isinstance(envelope.message, wire.PingRequestAck)
         probe = self._probes.get(envelope.message.nonce)
-        if probe is not None and probe.counts and probe.asked:
-            self._probes.end(envelope.message.nonce)
-            self.health.feel(-1)
-            self._found(probe.target)
+        if probe is not None and probe.accuses and probe.helpers:
+            self._probes.remove(envelope.message.nonce)
+            self.health.adjust(-1)
+            self._clear_leaver_suspicion(probe.target)
 
-    def _on_missed(self, envelope: Envelope) -> None:
-        assert isinstance(envelope.message, wire.Missed)
+    def _on_ping_request_nack(self, envelope: Envelope) -> None:
+        assert isinstance(envelope.message, wire.PingRequestNack)
         probe = self._probes.get(envelope.message.nonce)
-        if probe is not None and probe.missed < probe.asked:
-            probe.missed += 1
+        if probe is not None and probe.nacks < probe.helpers:
+            probe.nacks += 1
 
     def _on_gossip(self, envelope: Envelope) -> None:
-        """What stands beside it has been taken."""
+        """The records of the datagram have been applied already."""
 
-    def _on_compare(self, envelope: Envelope) -> None:
-        self._exchange.on_compare(envelope)
+    def _on_sync_request(self, envelope: Envelope) -> None:
+        self._exchange.on_sync_request(envelope)
 
-    def _on_piece(self, envelope: Envelope) -> None:
-        assert isinstance(envelope.message, wire.Piece)
-        if not self._exchange.takes(envelope.message):
+    def _on_sync_piece(self, envelope: Envelope) -> None:
+        assert isinstance(envelope.message, wire.SyncPiece)
+        if not self._exchange.accept_piece(envelope.message):
             self.counts["unasked"] += 1
             return
         if envelope.message.last:
-            more = self._exchange.goes_on(envelope.message)
-            if more and self.view.myself.state is State.JOINING:
-                self._exchange.begin(self._timers.number(), envelope.me.address)
+            has_more = self._exchange.has_more(envelope.message)
+            if has_more and self.view.local_member.state is MemberState.JOINING:
+                self._exchange.start(self._timers.next_number(), envelope.sender.address)
             else:
-                self._arrive()
-        self._exchange.on_piece(envelope)
+                self._finish_joining()
+        self._exchange.on_sync_piece(envelope)
 
-    def _on_amend(self, envelope: Envelope) -> None:
-        self._exchange.on_amend(envelope)
+    def _on_sync_corrections(self, envelope: Envelope) -> None:
+        self._exchange.on_sync_corrections(envelope)
 
     # Documents
 
-    def _fetch(self, digest: bytes, name: str = "") -> None:
-        """Ask one member, drawn where none is named, for the next parts."""
-        request = self.documents.request(digest)
-        names = [name] if name else self._probes.others(1)
+    def _request_parts(self, digest: bytes, name: str = "") -> None:
+        """Request the next parts of a document from a member, a random one if no name is given."""
+        request = self.documents.next_parts_request(digest)
+        names = [name] if name else self._probes.sample_others(1)
         if request is not None and names:
-            self._outbox.say(names[0], request)
+            self._outbox.send_to_member(names[0], request)
 
-    def _on_fetch(self, envelope: Envelope) -> None:
-        assert isinstance(envelope.message, wire.Fetch)
-        address = envelope.me.address
-        parts = self.documents.parts(envelope.message)
+    def _on_document_request(self, envelope: Envelope) -> None:
+        assert isinstance(envelope.message, wire.DocumentRequest)
+        address = envelope.sender.address
+        parts = self.documents.requested_parts(envelope.message)
         if parts is None:
-            self._outbox.post(address, wire.Lacks(envelope.message.digest))
+            self._outbox.send_with_gossip(address, wire.DocumentMissing(envelope.message.digest))
         for part in parts or ():
-            self._outbox.send(address, wire.raw(part), [], [])
-
-    def _on_part(self, envelope: Envelope) -> None:
-        assert isinstance(envelope.message, wire.Part)
-        if self.documents.take(envelope.message):
-            self._fetch(envelope.message.digest, envelope.me.name)
-
-    def _on_lacks(self, envelope: Envelope) -> None:
-        assert isinstance(envelope.message, wire.Lacks)
-        if self.documents.try_another():
-            self._fetch(envelope.message.digest)
-
-
-_TIMERS: dict[str, Callable[[Detector, str], None]] = {
-    "period": Detector._period_over,
-    "seed": Detector._seed,
-    "direct": Detector._direct_over,
-    "failed": Detector._failed,
-    "relay": Detector._relay_over,
-    "suspicion": Detector._suspicion_over,
+            self._outbox.send(address, wire.encode_record(part), [], [])
+
+    def _on_document_part(self, envelope: Envelope) -> None:
+        assert isinstance(envelope.message, wire.DocumentPart)
+        if self.documents.add_part(envelope.message):
+            self._request_parts(envelope.message.digest, envelope.sender.name)
+
+    def _on_document_missing(self, envelope: Envelope) -> None:
+        assert isinstance(envelope.message, wire.DocumentMissing)
+        if self.documents.may_retry():
+            self._request_parts(envelope.message.digest)
+
+
+_TIMER_HANDLERS: dict[str, Callable[[Detector, str], None]] = {
+    "period": Detector._on_period,
+    "seed": Detector._ping_seeds,
+    "direct": Detector._on_direct_timeout,
+    "failed": Detector._on_probe_timeout,
+    "relay": Detector._on_relay_timeout,
+    "suspicion": Detector._on_suspicion_timeout,
 }
 
-_MESSAGES: dict[type, Callable[[Detector, Envelope], None]] = {
+_MESSAGE_HANDLERS: dict[type, Callable[[Detector, Envelope], None]] = {
     wire.Ping: Detector._on_ping,
     wire.Ack: Detector._on_ack,
-    wire.Ask: Detector._on_ask,
-    wire.Reached: Detector._on_reached,
-    wire.Missed: Detector._on_missed,
+    wire.PingRequest: Detector._on_ping_request,
+    wire.PingRequestAck: Detector._on_ping_request_ack,
+    wire.PingRequestNack: Detector._on_ping_request_nack,
     wire.Gossip: Detector._on_gossip,
-    wire.Compare: Detector._on_compare,
-    wire.Piece: Detector._on_piece,
-    wire.Amend: Detector._on_amend,
-    wire.Fetch: Detector._on_fetch,
-    wire.Part: Detector._on_part,
-    wire.Lacks: Detector._on_lacks,
+    wire.SyncRequest: Detector._on_sync_request,
+    wire.SyncPiece: Detector._on_sync_piece,
+    wire.SyncCorrections: Detector._on_sync_corrections,
+    wire.DocumentRequest: Detector._on_document_request,
+    wire.DocumentPart: Detector._on_document_part,
+    wire.DocumentMissing: Detector._on_document_missing,
 }
--- a/tests/closing/world.py
+++ b/tests/closing/world.py
@@ -19,7 +19,7 @@
 from cypresspulley.closing.keep import Kept, Key, Sent
 from cypresspulley.closing.limiter import TICK, Closing
 from cypresspulley.closing.options import Options
-from cypresspulley.fleet.records import Member, Row, State
+from cypresspulley.fleet.records import Member, MemberState, Row
 from cypresspulley.histories.events import FACTS, Kind
 from cypresspulley.histories.writer import NoHistory
 
@@ -64,8 +64,10 @@
     """A stand-in for the fleet's view: it gossips, and finds out by silence who is gone."""
 
     def __init__(self, limiter: Limiter, life: int) -> None:
-        self._limiter, self.me, self.life = limiter, limiter.name, life
-        self.known = {self.me: Known(Member(self.me, life, 0, State.ALIVE), 0, limiter.mono())}
+        self._limiter, self.local_name, self.life = limiter, limiter.name, life
+        self.known = {
+            self.local_name: Known(Member(self.local_name, life, 0, MemberState.ALIVE), 0, limiter.mono())
+        }
         self.documents, self.wanted = dict[str, bytes](), set[str]()
         self._version = 0
 
@@ -74,7 +76,7 @@
             self.known[name].member for name in sorted(self.known) if self.known[name].member.state.present
         )
 
-    def member(self, name: str) -> Member | None:
+    def get_member(self, name: str) -> Member | None:
         return self.known[name].member if name in self.known else None
 
     def rows(self, now: float, subsystem: str) -> tuple[Row, ...]:
@@ -87,13 +89,13 @@
     def publish(self, subsystem: str, body: bytes) -> None:
         assert len(body) <= 200
         self._version += 1
-        self.known[self.me].row = (self._version, body)
+        self.known[self.local_name].row = (self._version, body)
 
-    def settled(self, now: float) -> bool:
+    def is_settled(self, now: float) -> bool:
         return True
 
-    def heard(self, now: float, within: float) -> int:
-        return sum(now - k.at <= within for name, k in self.known.items() if name != self.me)
+    def count_heard(self, now: float, within: float) -> int:
+        return sum(now - k.at <= within for name, k in self.known.items() if name != self.local_name)
 
     def clock_error(self, now: float) -> tuple[float, float] | None:
         found = [k.clock for k in self.known.values() if k.clock is not None and now - k.clock[2] <= MEASURED]
@@ -101,22 +103,22 @@
             return None
         return median(each[0] for each in found), median(each[1] for each in found)
 
-    def offer(self, body: bytes) -> str:
+    def store_document(self, body: bytes) -> str:
         digest = blake2s(body, digest_size=16).hexdigest()
         self.documents[digest] = body
         return digest
 
-    def want(self, digest: str) -> None:
+    def request_document(self, digest: str) -> None:
         self.wanted.add(digest)
 
-    def document(self, digest: str) -> bytes | None:
+    def get_document(self, digest: str) -> bytes | None:
         return self.documents.get(digest)
 
     # Between views.
 
     def says(self) -> tuple[float, list[Known], dict[str, bytes]]:
         """A datagram: this wall clock, all that is known, and the documents."""
-        me = self.known[self.me]
+        me = self.known[self.local_name]
         me.beat, me.at = me.beat + 1, self._limiter.mono()
         rows = [Known(k.member, k.beat, k.at, k.row) for k in self.known.values()]
         return self._limiter.wall(), rows, dict(self.documents)
@@ -134,12 +136,12 @@
 
     def _hear(self, now: float, told: Known) -> None:
         name = told.member.name
-        if name == self.me:
+        if name == self.local_name:
             return
         known = self.known.get(name)
         if known is None or (told.member.life, told.beat) > (known.member.life, known.beat):
             clock = known.clock if known is not None and known.member.life == told.member.life else None
-            state = State.LEFT if told.member.state is State.LEFT else State.ALIVE
+            state = MemberState.LEFT if told.member.state is MemberState.LEFT else MemberState.ALIVE
             member = Member(name, told.member.life, 0, state)
             self.known[name] = Known(member, told.beat, now, told.row, clock)
 
@@ -147,10 +149,16 @@
         """Who has been silent for too long is suspected, then dead."""
         now = self._limiter.mono()
         for name, k in self.known.items():
-            if name == self.me or not k.member.state.present:
+            if name == self.local_name or not k.member.state.present:
                 continue
             silent = now - k.at
-            state = State.DEAD if silent > DEAD else State.SUSPECTED if silent > SUSPECT else State.ALIVE
+            state = (
+                MemberState.DEAD
+                if silent > DEAD
+                else MemberState.SUSPECTED
+                if silent > SUSPECT
+                else MemberState.ALIVE
+            )
             if state is not k.member.state:
                 k.member = Member(name, k.member.life, 0, state)
 
--- a/tests/lanes/fabric.py
+++ b/tests/lanes/fabric.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field, replace
 from random import Random
 
-from cypresspulley.fleet.records import MOST_ROW, Member, Row, State
+from cypresspulley.fleet.records import MAX_ROW_BYTES, Member, MemberState, Row
 
 
 @dataclass(slots=True)
@@ -68,47 +68,51 @@
     """One member's view; see ``FleetView`` for what each method promises."""
 
     def __init__(self, fabric: Fabric, name: str, life: int) -> None:
-        self._fabric, self.me, self.life = fabric, name, life
+        self._fabric, self.local_name, self.life = fabric, name, life
         self._version = 0
         self._held = dict[str, _Held]()
         self._coming = list[tuple[float, str, _Held]]()
         self.age_by = 0.0  # seconds by which every row seems older: a view that lags
 
     def members(self) -> tuple[Member, ...]:
-        found = [self.member(name) for name in sorted(self._fabric.views)]
+        found = [self.get_member(name) for name in sorted(self._fabric.views)]
         return tuple(m for m in found if m is not None and m.state.present)
 
-    def member(self, name: str) -> Member | None:
+    def get_member(self, name: str) -> Member | None:
         view = self._fabric.views.get(name)
         if view is None:
             return None
-        since, now = self._fabric.since(self.me, name), self._fabric.clock()
+        since, now = self._fabric.since(self.local_name, name), self._fabric.clock()
         over = since is not None and now - since >= self._fabric.detect
         suspected = since is not None and now - since >= self._fabric.detect / 2
-        state = State.DEAD if over else State.SUSPECTED if suspected else State.ALIVE
+        state = MemberState.DEAD if over else MemberState.SUSPECTED if suspected else MemberState.ALIVE
         return Member(name, view.life, 0, state)
 
     def rows(self, now: float, subsystem: str) -> tuple[Row, ...]:
         self._take(now)
         rows = list[Row]()
         for owner, held in sorted(self._held.items()):
-            member = self.member(owner)
+            member = self.get_member(owner)
             if member is not None and member.state.present and member.life == held.life:
-                age = 0.0 if owner == self.me else now - held.made + self.age_by
+                age = 0.0 if owner == self.local_name else now - held.made + self.age_by
                 rows.append(Row(owner, held.life, held.version, member.state, age, held.body))
         return tuple(rows)
 
     def publish(self, subsystem: str, body: bytes) -> None:
-        if len(body) > MOST_ROW:
-            raise ValueError(f"a row of {len(body)} bytes; expected at most {MOST_ROW}")
+        if len(body) > MAX_ROW_BYTES:
+            raise ValueError(f"a row of {len(body)} bytes; expected at most {MAX_ROW_BYTES}")
         fabric, now = self._fabric, self._fabric.clock()
         self._version += 1
-        held = self._held[self.me] = _Held(self.life, self._version, now, body)
+        held = self._held[self.local_name] = _Held(self.life, self._version, now, body)
         for name, view in fabric.views.items():
             arrives = fabric.rng.uniform(0.1, 1.0) * fabric.spread
-            if name == self.me or fabric.apart(self.me, name) or fabric.rng.random() < fabric.loss:
+            if (
+                name == self.local_name
+                or fabric.apart(self.local_name, name)
+                or fabric.rng.random() < fabric.loss
+            ):
                 continue
-            view._coming.append((now + arrives, self.me, replace(held)))
+            view._coming.append((now + arrives, self.local_name, replace(held)))
 
     def _take(self, now: float) -> None:
         due = [one for one in self._coming if one[0] <= now]
@@ -118,21 +122,21 @@
             if known is None or (held.life, held.version) > (known.life, known.version):
                 self._held[owner] = held
 
-    def settled(self, now: float) -> bool:
+    def is_settled(self, now: float) -> bool:
         return True
 
-    def heard(self, now: float, within: float) -> int:
+    def count_heard(self, now: float, within: float) -> int:
         self._take(now)
-        return sum(now - h.made <= within for owner, h in self._held.items() if owner != self.me)
+        return sum(now - h.made <= within for owner, h in self._held.items() if owner != self.local_name)
 
     def clock_error(self, now: float) -> tuple[float, float] | None:
         return None
 
-    def offer(self, body: bytes) -> str:
+    def store_document(self, body: bytes) -> str:
         raise NotImplementedError
 
-    def want(self, digest: str) -> None:
+    def request_document(self, digest: str) -> None:
         raise NotImplementedError
 
-    def document(self, digest: str) -> bytes | None:
+    def get_document(self, digest: str) -> bytes | None:
         return None
