--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -24,6 +24,20 @@
         super().__init__(lambda event: self.gateway.handle(self.now, event))
 
 
+class SlowOthersScript(GatewayScript):
+    """The gateway where attempts at ``s1`` take the idle latency, and those at other servers 1.6 times as long.
+
+    That makes the others barely the worse choice after a failure of ``s1``, which makes its cost 1.56 times as high.
+    The times that the sockets take play no part.
+    """
+
+    def handle(self, now: float, event: api.Event) -> list[api.Action]:
+        if isinstance(event, api.Outcome):
+            idle = self.gateway.load_balancer.idle_latency["lookup"]
+            event = replace(event, elapsed=idle if event.server == "s1" else 1.6 * idle)
+        return super().handle(now, event)
+
+
 class ResettingListener:
     """Accepts connections and resets each before any data is exchanged."""
 
@@ -80,7 +94,7 @@
             await (held if len(writers) < 3 else shaky).talk(reader, writer)
 
         async with listening(first) as one, listening(firm.talk) as two, listening(firm.talk) as three:
-            script = GatewayScript(replace(SETTINGS, max_attempts=1))
+            script = SlowOthersScript(replace(SETTINGS, max_attempts=1))
             async with Limiter(script, {"s1": one}) as limiter:
                 lookup = asyncio.create_task(limiter.fetch(ask()))
                 while len(held.seen) < 1:
