--- a/cypresspulley/net/door.py
+++ b/cypresspulley/net/door.py
@@ -91,8 +91,12 @@
         self._door = door
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
-        self._url, self._size, self.whole, self.answered = b"", 0, False, False
-        self._drained, self._looked = 0, False
+        self._url = b""
+        self._size = 0  # bytes of the call
+        self.whole = False  # the call has come whole
+        self.answered = False
+        self._drained = 0  # bytes read and dropped
+        self._looked = False  # the unread bytes have been looked at
         # Until the call is whole: its silence. Behind its answer: the linger.
         self._late = asyncio.get_running_loop().call_later(SILENCE, self._silent)
 
--- a/cypresspulley/net/listener.py
+++ b/cypresspulley/net/listener.py
@@ -75,7 +75,9 @@
         self, sock: socket.socket, factory: ProtocolFactory, capacity: Capacity | None = None
     ) -> None:
         sock.setblocking(False)
-        self.sock, self._factory, self._capacity = sock, factory, capacity
+        self.sock = sock
+        self._factory = factory
+        self._capacity = capacity
         self._loop = asyncio.get_running_loop()
         self._tasks = set[asyncio.Task[None]]()
         self._retry: asyncio.TimerHandle | None = None
--- a/cypresspulley/net/relay.py
+++ b/cypresspulley/net/relay.py
@@ -18,12 +18,14 @@
 TOTAL = 24 * 1024 * 1024
 # Of one transfer. An attempt is out, and its server held, until its last byte has been read here: what finds room
 # ends sooner.
-HIGH_WATER_MOST, HIGH_WATER_LEAST = 2 * 1024 * 1024, 4 * 1024
+HIGH_WATER_MOST = 2 * 1024 * 1024
+HIGH_WATER_LEAST = 4 * 1024
 SHARE = 4  # of the room that is left, one transfer may take a quarter
 # Bytes of a socket's own buffers; the kernel gives twice as much. Half of it is less than a segment on loopback: each
 # then waits 40 ms for its acknowledgement (an upload of 3 MB took more than 20 s).
 READ = 32 * 1024
-RATE, WINDOW = 8192, 4.0  # bytes a second below which an upload counts as stalled; over so many seconds
+RATE = 8192  # bytes a second below which an upload counts as stalled
+WINDOW = 4.0  # seconds over which that is counted
 STALL = 10.0  # seconds for which a server may give nothing of an answer that is read, or take nothing of an upload
 READER = 60.0  # and a client may take nothing of what is there
 
@@ -94,7 +96,9 @@
 
     def __init__(self, length: int | None, hold: Callable[[bool], None]) -> None:
         self.length = length  # None: in chunks
-        self.size, self.whole, self.spent = 0, False, False
+        self.size = 0  # bytes that have come
+        self.whole = False  # the last byte has come
+        self.spent = False  # the first bytes are no longer kept
         self.held = False  # the client is not read for now
         self.told: Callable[[bool, bool], None] = lambda _whole, _kept: None
         self._hold = hold
@@ -186,7 +190,9 @@
     """A body on its way to a client: pieces wait here until its turn on the connection has come."""
 
     def __init__(self, length: int | None, headers: bytes, source: Source) -> None:
-        self.length, self.headers, self._source = length, headers, source  # None: it ends when it ends
+        self.length = length  # None: it ends when it ends
+        self.headers = headers
+        self._source = source
         self.pieces = list[bytes]()  # before its turn
         self.write: Callable[[bytes], None] | None = None
         self.size = 0  # bytes of the body that went on to the client
--- a/cypresspulley/takeover/channel.py
+++ b/cypresspulley/takeover/channel.py
@@ -38,7 +38,9 @@
         ended: Callable[[Channel], None],
     ) -> None:
         sock.setblocking(False)
-        self._sock, self._heard, self._ended = sock, heard, ended
+        self._sock = sock
+        self._heard = heard
+        self._ended = ended
         self._loop = asyncio.get_running_loop()
         self._queue = deque[tuple[bytes, int | None, Unsent]]()
         self._loop.add_reader(sock.fileno(), self._readable)
--- a/cypresspulley/takeover/handover.py
+++ b/cypresspulley/takeover/handover.py
@@ -154,7 +154,8 @@
 
     def __init__(self, host: Host, folder: Folder) -> None:
         super().__init__(At.WATCHING)
-        self._host, self._folder = host, folder
+        self._host = host
+        self._folder = folder
         self._sock: socket.socket | None = None
         self._telling: asyncio.TimerHandle | None = None
         self._watch()
@@ -277,7 +278,9 @@
         self._settled = asyncio.Event()
         self._offer: Offer | None = None
         self._listener: socket.socket | None = None
-        self._wanted, self._checksum, self._parts = 0, "", list[str]()
+        self._wanted = 0  # parts of the snapshot
+        self._checksum = ""
+        self._parts = list[str]()
         self._early = list[Message]()  # what comes before this process serves
         sock = folder.connect()
         if sock is not None and same_user(sock):
--- a/tests/test_earliest_kill.py
+++ b/tests/test_earliest_kill.py
@@ -13,10 +13,9 @@
 from tests.test_program import WIRE_SETTINGS, config, started
 
 GRACE = 0.7
-OPENED, SENT = (
-    0.45,
-    0.74,
-)  # seconds after SIGTERM: clients have not heard yet, and go on with what they opened
+# Seconds after SIGTERM: clients have not heard yet, and go on with what they opened.
+OPENED = 0.45
+SENT = 0.74
 
 
 def with_deadline(seconds: float) -> dict[str, Any]:
