--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -20,9 +20,9 @@
 from cypresspulley import interface as api
 from cypresspulley.config import Config, ConfigError, configured
 from cypresspulley.lifecycle import Lifecycle
+from cypresspulley.net.admin import Door
 from cypresspulley.net.counter import Counter, CounterClient
 from cypresspulley.net.discovery import Follower
-from cypresspulley.net.door import Door
 from cypresspulley.net.frontend import Frontend, PathHandler
 from cypresspulley.net.http import split_address
 from cypresspulley.net.node import Decisions, Node, UnixClock
--- a/cypresspulley/rehearsal/virtual/play.py
+++ b/cypresspulley/rehearsal/virtual/play.py
@@ -26,7 +26,7 @@
 from cypresspulley.histories.events import Kind
 from cypresspulley.histories.read import from_memory
 from cypresspulley.histories.writer import MemoryHistory
-from cypresspulley.net.door import Reply, route
+from cypresspulley.net.admin import Reply, route
 from cypresspulley.net.node import Decisions
 from cypresspulley.operators import Operators, load_operators
 from cypresspulley.policy.gateway import Gateway
--- a/cypresspulley/service.py
+++ b/cypresspulley/service.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from cypresspulley.lifecycle import Lifecycle, LifecycleEvent
-from cypresspulley.net.door import Reply
+from cypresspulley.net.admin import Reply
 from cypresspulley.net.frontend import Frontend
 from cypresspulley.net.node import Node, UnixClock
 from cypresspulley.net.upstream import Upstream
--- a/cypresspulley/takeover/channel.py
+++ b/cypresspulley/takeover/channel.py
@@ -21,7 +21,7 @@
 
 MOST = 64 * 1024
 FDS = 1
-FILE = 8 << 20  # characters of a file: 1,024 servers' ids, 1,024 long (``door.ROUTES``), six in JSON
+FILE = 8 << 20  # characters of a file: 1,024 servers' ids, 1,024 long (``admin.ROUTES``), six in JSON
 QUEUE = 8192  # messages that wait for the other side; one that takes none has stalled
 NAME = "takeover"
 Message = dict[str, Any]
--- a/tests/test_accept.py
+++ b/tests/test_accept.py
@@ -18,7 +18,7 @@
 import pytest
 
 from cypresspulley.net import listener as net_listener
-from cypresspulley.net.door import Door, Reply
+from cypresspulley.net.admin import Door, Reply
 from cypresspulley.net.http import split_address
 from tests.loopback import Limiter, Origin, Script, ask, listening, run
 from tests.test_endings_clients import refuse
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -12,9 +12,9 @@
 
 from cypresspulley import interface as api
 from cypresspulley.lifecycle import Lifecycle
-from cypresspulley.net import door as net_door
+from cypresspulley.net import admin as net_admin
 from cypresspulley.net import frontend as net_frontend
-from cypresspulley.net.door import Door, Reply, route
+from cypresspulley.net.admin import Door, Reply, route
 from cypresspulley.policy.gateway import Gateway
 from cypresspulley.service import Service
 from tests.loopback import OK, SETTINGS, Limiter, Origin, Script, ask, listening, listing, read_message, run
@@ -110,8 +110,8 @@
 
 
 def test_half_calls_and_silence_keep_nobody_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(net_door, "SILENCE", 0.3)
-    monkeypatch.setattr(net_door, "CONNECTIONS", 20)  # of the 50 the longest silent make way
+    monkeypatch.setattr(net_admin, "SILENCE", 0.3)
+    monkeypatch.setattr(net_admin, "CONNECTIONS", 20)  # of the 50 the longest silent make way
 
     async def main() -> None:
         service = Service(Lifecycle())
