--- a/cypresspulley/takeover/channel.py
+++ b/cypresspulley/takeover/channel.py
@@ -21,7 +21,7 @@
 
 MOST = 64 * 1024
 FDS = 1
-FILE = 8 << 20  # characters of a file: 1,024 servers' ids, 1,024 long (``door.ROUTES``), six in JSON
+FILE = 8 << 20  # characters of a file: 1,024 servers' ids, 1,024 long (``admin.ROUTES``), six in JSON
 QUEUE = 8192  # messages that wait for the other side; one that takes none has stalled
 NAME = "takeover"
 Message = dict[str, Any]
@@ -38,7 +38,9 @@
         ended: Callable[[Channel], None],
     ) -> None:
         sock.setblocking(False)
-        self._sock, self._heard, self._ended = sock, heard, ended
+        self._sock = sock
+        self._heard = heard
+        self._ended = ended
         self._loop = asyncio.get_running_loop()
         self._queue = deque[tuple[bytes, int | None, Unsent]]()
         self._loop.add_reader(sock.fileno(), self._readable)
