--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -20,7 +20,7 @@
 from cypresspulley import interface as api
 from cypresspulley.config import Config, ConfigError, configured
 from cypresspulley.lifecycle import Lifecycle
-from cypresspulley.net.admin import Door
+from cypresspulley.net.admin import AdminServer
 from cypresspulley.net.counter import Counter, CounterClient
 from cypresspulley.net.discovery import Follower
 from cypresspulley.net.frontend import Frontend, PathHandler
@@ -286,11 +286,11 @@
         return None
 
 
-async def _door(config: Config, service: Service) -> Door | None:
+async def _door(config: Config, service: Service) -> AdminServer | None:
     """The operators' way in, where the configuration names one: before anything slow, so that it says no meanwhile."""
     if config.operator is None:
         return None
-    door = Door(service.call)
+    door = AdminServer(service.call)
     try:
         await door.listen(*config.operator)
     except OSError as error:
--- a/cypresspulley/net/admin.py
+++ b/cypresspulley/net/admin.py
@@ -87,7 +87,7 @@
 class _Caller(asyncio.Protocol):
     """One connection and the one call on it."""
 
-    def __init__(self, door: Door) -> None:
+    def __init__(self, door: AdminServer) -> None:
         self._door = door
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
@@ -169,7 +169,7 @@
             self._transport.abort()
 
 
-class Door:
+class AdminServer:
     """The listener. ``handler`` gets each call's name and server id, and returns once it is in force."""
 
     def __init__(self, handler: Handler) -> None:
--- a/tests/test_accept.py
+++ b/tests/test_accept.py
@@ -18,7 +18,7 @@
 import pytest
 
 from cypresspulley.net import listener as net_listener
-from cypresspulley.net.admin import Door, Reply
+from cypresspulley.net.admin import AdminServer, Reply
 from cypresspulley.net.http import split_address
 from tests.loopback import Limiter, Origin, Script, ask, listening, run
 from tests.test_endings_clients import refuse
@@ -154,7 +154,7 @@
         return Reply(200, {})
 
     async def main() -> None:
-        door = Door(yes)
+        door = AdminServer(yes)
         address = await door.listen("127.0.0.1", 0)
         fail_accept(monkeypatch, errno.ENFILE, 3)
         assert await Client(address, CALL).status() == "200"
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -14,7 +14,7 @@
 from cypresspulley.lifecycle import Lifecycle
 from cypresspulley.net import admin as net_admin
 from cypresspulley.net import frontend as net_frontend
-from cypresspulley.net.admin import Door, Reply, route
+from cypresspulley.net.admin import AdminServer, Reply, route
 from cypresspulley.policy.gateway import Gateway
 from cypresspulley.service import Service
 from tests.loopback import OK, SETTINGS, Limiter, Origin, Script, ask, listening, listing, read_message, run
@@ -34,7 +34,7 @@
 
 @asynccontextmanager
 async def opened(service: Service) -> AsyncIterator[Address]:
-    door = Door(service.call)
+    door = AdminServer(service.call)
     try:
         yield await door.listen("127.0.0.1", 0)
     finally:
--- a/tests/test_endings_door.py
+++ b/tests/test_endings_door.py
@@ -12,7 +12,7 @@
 from cypresspulley import interface as api
 from cypresspulley.lifecycle import Lifecycle
 from cypresspulley.net import admin as net_admin
-from cypresspulley.net.admin import Door, Reply, _Caller
+from cypresspulley.net.admin import AdminServer, Reply, _Caller
 from cypresspulley.service import Service
 from cypresspulley.takeover.channel import Channel, Folder
 from cypresspulley.takeover.handover import Predecessor
@@ -73,7 +73,7 @@
     monkeypatch.setattr(_Caller, "answer", answered)
 
     async def main() -> None:
-        door = Door(yes)
+        door = AdminServer(yes)
         caller = Caller(await door.listen("127.0.0.1", 0))
         crossing.append(caller)
         caller.send(CALL)
@@ -93,7 +93,7 @@
     monkeypatch.setattr(net_admin, "LINGER", 0.05, raising=False)
 
     async def main() -> None:
-        door = Door(yes)
+        door = AdminServer(yes)
         address = await door.listen("127.0.0.1", 0)
         silent, floods = Caller(address), Caller(address)
         for caller in (silent, floods):
@@ -117,7 +117,7 @@
     monkeypatch.setattr(net_admin, "SILENCE", 60.0)
 
     async def main() -> None:
-        door = Door(yes)
+        door = AdminServer(yes)
         caller = Caller(await door.listen("127.0.0.1", 0))
         caller.send(b"GET /v1/r")
         await until(lambda: door._callers and next(iter(door._callers))._size)
@@ -137,7 +137,7 @@
     monkeypatch.setattr(net_admin, "LINGER", 60.0)
 
     async def main() -> None:
-        door = Door(yes)
+        door = AdminServer(yes)
         address = await door.listen("127.0.0.1", 0)
         callers = list[Caller]()
         for _ in range(8):  # none of them closes
