--- a/cypresspulley/net/admin.py
+++ b/cypresspulley/net/admin.py
@@ -23,17 +23,19 @@
 
 log = logging.getLogger(__name__)
 
-CONNECTIONS = (
+MAX_CONNECTIONS = (
     64  # at once; the longest silent gives way: to lose a call, so many must come before its bytes are read
 )
-BACKLOG = 128
-MOST = 8192  # bytes of a call, head and body: the longest has a server's id in its path
-SILENCE = 1.5  # seconds for a call to come whole
-LOOK_AGAIN = 0.05  # and, where bytes of it lie unread then, for those to be read
-ANSWER = 0.8  # seconds for its answer, which is due within one
-LINGER = 0.5  # seconds for which a connection is read on behind its answer, or a reset might eat that
-LINGER_BYTES = 128 * 1024  # and how much is read
-PURGED = 61.0  # and for that to a purge, which waits for all other limiters: closing.purge_ms bounds it
+LISTEN_BACKLOG = 128
+MAX_REQUEST_BYTES = 8192  # bytes of a call, head and body: the longest has a server's id in its path
+REQUEST_TIMEOUT_SECONDS = 1.5  # seconds for a call to come whole
+UNREAD_DATA_GRACE_SECONDS = 0.05  # and, where bytes of it lie unread then, for those to be read
+RESPONSE_TIMEOUT_SECONDS = 0.8  # seconds for its answer, which is due within one
+LINGER_SECONDS = 0.5  # seconds for which a connection is read on behind its answer, or a reset might eat that
+MAX_LINGER_BYTES = 128 * 1024  # and how much is read
+PURGE_TIMEOUT_SECONDS = (
+    61.0  # and for that to a purge, which waits for all other limiters: closing.purge_ms bounds it
+)
 REASONS = {
     200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
     409: "Conflict", 413: "Content Too Large", 500: "Internal Server Error", 503: "Service Unavailable",
@@ -98,7 +100,7 @@
         self._drained = 0  # bytes read and dropped
         self._looked = False  # the unread bytes have been looked at
         # Until the call is whole: its silence. Behind its answer: the linger.
-        self._late = asyncio.get_running_loop().call_later(SILENCE, self._silent)
+        self._late = asyncio.get_running_loop().call_later(REQUEST_TIMEOUT_SECONDS, self._silent)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
@@ -112,12 +114,12 @@
     def data_received(self, data: bytes) -> None:
         if self.whole:  # one call to a connection: the rest is read and dropped
             self._drained += len(data)
-            if self._drained > LINGER_BYTES:
+            if self._drained > MAX_LINGER_BYTES:
                 self.abort()
             return
         self._size += len(data)
-        if self._size > MOST:
-            return self.answer(Reply(413, {"error": f"a call has {MOST} bytes at most"}))
+        if self._size > MAX_REQUEST_BYTES:
+            return self.answer(Reply(413, {"error": f"a call has {MAX_REQUEST_BYTES} bytes at most"}))
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
@@ -146,15 +148,15 @@
             transport.write(render(reply))
             transport.write_eof()
             self._drained = 0
-            self._late = asyncio.get_running_loop().call_later(LINGER, transport.close)
+            self._late = asyncio.get_running_loop().call_later(LINGER_SECONDS, transport.close)
 
     def _silent(self) -> None:
         """A loop that was held comes to its timers before it reads: what lies unread is looked at first, once."""
         if self._unread and not self._looked:
             self._looked = True
-            self._late = asyncio.get_running_loop().call_later(LOOK_AGAIN, self._silent)
+            self._late = asyncio.get_running_loop().call_later(UNREAD_DATA_GRACE_SECONDS, self._silent)
         else:
-            self.answer(Reply(408, {"error": f"no whole call within {SILENCE:g} s"}))
+            self.answer(Reply(408, {"error": f"no whole call within {REQUEST_TIMEOUT_SECONDS:g} s"}))
 
     @property
     def _unread(self) -> bool:
@@ -180,12 +182,12 @@
 
     async def listen(self, host: str, port: int) -> tuple[str, int]:
         """Raises OSError where the address cannot be had."""
-        self._listener = await open_listener(host, port, BACKLOG, lambda: _Caller(self))
+        self._listener = await open_listener(host, port, LISTEN_BACKLOG, lambda: _Caller(self))
         return self._listener.address
 
     def came(self, caller: _Caller) -> None:
         self._callers[caller] = None
-        if len(self._callers) > CONNECTIONS:
+        if len(self._callers) > MAX_CONNECTIONS:
             # A whole call is answered within a second: what is silent makes room first, then who has its answer.
             silent = (each for each in self._callers if not each.whole and each is not caller)
             answered = (each for each in self._callers if each.answered)
@@ -207,7 +209,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _serve(self, caller: _Caller, name: str, id: str) -> None:
-        within = PURGED if name == "purge" else ANSWER
+        within = PURGE_TIMEOUT_SECONDS if name == "purge" else RESPONSE_TIMEOUT_SECONDS
         try:
             async with asyncio.timeout(within):
                 reply = await self._handler(name, id)
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -110,8 +110,8 @@
 
 
 def test_half_calls_and_silence_keep_nobody_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(net_admin, "SILENCE", 0.3)
-    monkeypatch.setattr(net_admin, "CONNECTIONS", 20)  # of the 50 the longest silent make way
+    monkeypatch.setattr(net_admin, "REQUEST_TIMEOUT_SECONDS", 0.3)
+    monkeypatch.setattr(net_admin, "MAX_CONNECTIONS", 20)  # of the 50 the longest silent make way
 
     async def main() -> None:
         service = Service(Lifecycle())
--- a/tests/test_endings_door.py
+++ b/tests/test_endings_door.py
@@ -90,7 +90,7 @@
 
 
 def test_a_flood_or_silence_behind_an_answer_ends_at_its_bounds(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(net_admin, "LINGER", 0.05, raising=False)
+    monkeypatch.setattr(net_admin, "LINGER_SECONDS", 0.05, raising=False)
 
     async def main() -> None:
         door = AdminServer(yes)
@@ -114,7 +114,7 @@
     rest: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Where the loop was held its timer runs first. With nothing unread it is silence."""
-    monkeypatch.setattr(net_admin, "SILENCE", 60.0)
+    monkeypatch.setattr(net_admin, "REQUEST_TIMEOUT_SECONDS", 60.0)
 
     async def main() -> None:
         door = AdminServer(yes)
@@ -133,8 +133,8 @@
 
 
 def test_who_lingers_makes_room_for_a_call(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(net_admin, "CONNECTIONS", 3)
-    monkeypatch.setattr(net_admin, "LINGER", 60.0)
+    monkeypatch.setattr(net_admin, "MAX_CONNECTIONS", 3)
+    monkeypatch.setattr(net_admin, "LINGER_SECONDS", 60.0)
 
     async def main() -> None:
         door = AdminServer(yes)
