--- a/benchmarks/slow_transfers.py
+++ b/benchmarks/slow_transfers.py
@@ -3,7 +3,8 @@
     python -m benchmarks.slow_transfers [--transfers 1000] [--mb 32] [--seconds 20] [--json FILE]
 
 Fast servers give answers of so many MB to clients that read a byte a second. The bound is
-``relay.TOTAL`` and a read (twice ``relay.READ``) of each transfer, on top of what the process holds at rest.
+``relay.MAX_BUFFERED_BYTES`` and a read (twice ``relay.SOCKET_BUFFER_BYTES``) of each transfer,
+on top of what the process holds at rest.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 from benchmarks.cpu_per_request import HOST, limiter_config, request
 from benchmarks.upgrade_door import start
-from cypresspulley.net.relay import HIGH_WATER_LEAST, READ, TOTAL
+from cypresspulley.net.relay import MAX_BUFFERED_BYTES, MIN_HIGH_WATER_BYTES, SOCKET_BUFFER_BYTES
 from cypresspulley.rehearsal.limiters import free_port
 
 SERVERS = 40  # a limiter holds 64 connections to one
@@ -110,7 +111,7 @@
     for server in servers:
         server.close()
     under_way = sum(begun)
-    bound = rest + TOTAL + under_way * (HIGH_WATER_LEAST + 2 * READ + EACH)
+    bound = rest + MAX_BUFFERED_BYTES + under_way * (MIN_HIGH_WATER_BYTES + 2 * SOCKET_BUFFER_BYTES + EACH)
     return {"transfers": under_way, "rest_mb": rest / 1e6, "peak_mb": peak / 1e6, "bound_mb": bound / 1e6,
             "asked_mb": under_way * Giver.size / 1e6}  # fmt: skip
 
--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -26,12 +26,12 @@
 from cypresspulley.net.http import MAX_BODY_BYTES, MAX_HEAD_BYTES, UNFORWARDED_HEADERS
 from cypresspulley.net.listener import Listener, SocketListener, bind, open_listener
 from cypresspulley.net.relay import (
-    HIGH_WATER_MOST,
-    LARGEST,
+    CLIENT_STALL_SECONDS,
     LAST_CHUNK,
-    RATE,
-    READER,
-    WINDOW,
+    MAX_HIGH_WATER_BYTES,
+    MAX_STREAMED_BODY_BYTES,
+    MIN_BODY_BYTES_PER_SECOND,
+    UPLOAD_RATE_WINDOW_SECONDS,
     Download,
     Relay,
     Upload,
@@ -65,7 +65,7 @@
 # Seconds: Retry-After of a 503 during the last phase of shutdown, until the client has learned of other limiters.
 SHUTDOWN_RETRY_AFTER = 0.5
 HEAD_TIMEOUT = 2.5  # seconds to receive a request head: clients take up to 2 s, and this process may be late
-BODY_RATE_WINDOW = 2.0  # seconds over which a small body must arrive at ``RATE``
+BODY_RATE_WINDOW = 2.0  # seconds over which a small body must arrive at ``MIN_BODY_BYTES_PER_SECOND``
 # Seconds for which a connection is still read after our half-close. Closing with unread bytes would send a reset,
 # which may destroy the last response.
 LINGER_TIMEOUT = 0.5
@@ -498,7 +498,7 @@
             if self._length is not None or not WHOLE_NUMBER_PATTERN.fullmatch(value):
                 raise BadRequestError(400, "content-length is repeated or not a decimal number")
             self._length = int(value)
-            if self._length > LARGEST:
+            if self._length > MAX_STREAMED_BODY_BYTES:
                 raise BadRequestError(413, "body too large")
         elif key == b"transfer-encoding":
             if self._chunked or value.lower() != b"chunked":
@@ -541,7 +541,7 @@
             return
         self._size += len(body)
         if self._upload is not None:
-            if self._size > LARGEST:
+            if self._size > MAX_STREAMED_BODY_BYTES:
                 raise BadRequestError(413, "body too large")
             return self._upload.feed(body)
         self._body.append(body)
@@ -695,7 +695,7 @@
             )
             framing_line = framing(stream.length, request.accepts_chunked)
             close = b"Connection: close\r\n" if request.closes_connection else b""
-            transport.set_write_buffer_limits(high=HIGH_WATER_MOST)
+            transport.set_write_buffer_limits(high=MAX_HIGH_WATER_BYTES)
             self.frontend.relay.cut(transport.get_extra_info("socket"))
             transport.write(b"".join((STATUS_LINES[200], stream.headers, framing_line, close, b"\r\n")))
             self._progress, self._progress_at = 0, self.frontend.clock()
@@ -741,7 +741,7 @@
         if stream is not None and stream.write is not None and not stream.whole and not stream.broken:
             if not held and self._transport is not None:
                 self._transport.set_write_buffer_limits(
-                    high=HIGH_WATER_MOST
+                    high=MAX_HIGH_WATER_BYTES
                 )  # more memory may be free by now
             stream.hold(held)
 
@@ -901,7 +901,7 @@
                 self._reject(408)
         elif now - self._progress_at > BODY_RATE_WINDOW and not self.has_unread_data:
             # Measured from the end of the head, so that a slow head does not shorten the time for the body.
-            if self._size - self._progress < RATE * BODY_RATE_WINDOW:
+            if self._size - self._progress < MIN_BODY_BYTES_PER_SECOND * BODY_RATE_WINDOW:
                 return self._reject(408)
             self._progress, self._progress_at = self._size, now
 
@@ -916,14 +916,17 @@
             transport.close()
 
     def _check_reader(self, now: float) -> None:
-        """Reset the connection if the client has read nothing of its responses for ``READER`` seconds."""
+        """Reset the connection if the client has read nothing of its responses for ``CLIENT_STALL_SECONDS`` seconds."""
         transport = self._transport or self._lingering
         assert transport is not None
         unwritten = transport.get_write_buffer_size()
         if unwritten != self._progress:
             self._progress, self._progress_at = unwritten, now
-        elif now - self._progress_at > READER:
-            log.warning("client has read nothing of its response for %g s; resetting the connection", READER)
+        elif now - self._progress_at > CLIENT_STALL_SECONDS:
+            log.warning(
+                "client has read nothing of its response for %g s; resetting the connection",
+                CLIENT_STALL_SECONDS,
+            )
             self._reset_connection()
 
     def _check_transfer(self, now: float) -> None:
@@ -932,8 +935,8 @@
         if (
             upload is not None and not self._reading_paused
         ):  # while reading is paused the client cannot make progress
-            if now - self._progress_at > WINDOW and not self.has_unread_data:
-                if upload.size - self._progress < RATE * WINDOW:
+            if now - self._progress_at > UPLOAD_RATE_WINDOW_SECONDS and not self.has_unread_data:
+                if upload.size - self._progress < MIN_BODY_BYTES_PER_SECOND * UPLOAD_RATE_WINDOW_SECONDS:
                     return self._abort_upload(upload, 408)
                 self._progress, self._progress_at = upload.size, now
             return
--- a/cypresspulley/net/relay.py
+++ b/cypresspulley/net/relay.py
@@ -1,8 +1,9 @@
 """Bodies that pass as they arrive, with backpressure: an upload to a server, a download to a client.
 
-No decision is made here. What is small is handed over whole, as ever; what is larger than ``KEEP`` flows. Of each
+No decision is made here. What is small is handed over whole, as ever; what is larger than ``MAX_REPLAYABLE_BYTES``
+flows. Of each
 transfer no more is held than one side's buffer up to ``high_water()`` and what one read brings, which the kernel's
-buffers bound: they are cut to ``READ``.
+buffers bound: they are cut to ``SOCKET_BUFFER_BYTES``.
 """
 
 from __future__ import annotations
@@ -12,22 +13,27 @@
 from collections.abc import Callable
 from typing import Protocol
 
-KEEP = 64 * 1024  # bytes of an upload that are kept for another attempt; beyond them there is none
-LARGEST = 48 * 1024 * 1024  # bytes of one body: what says that it is larger is no body of this platform
-# Bytes that all transfers' buffers together may hold, beside ``HIGH_WATER_LEAST`` and a read of each.
-TOTAL = 24 * 1024 * 1024
+MAX_REPLAYABLE_BYTES = (
+    64 * 1024
+)  # bytes of an upload that are kept for another attempt; beyond them there is none
+MAX_STREAMED_BODY_BYTES = (
+    48 * 1024 * 1024
+)  # bytes of one body: what says that it is larger is no body of this platform
+# Bytes that all transfers' buffers together may hold, beside ``MIN_HIGH_WATER_BYTES`` and a read of each.
+MAX_BUFFERED_BYTES = 24 * 1024 * 1024
 # Of one transfer. An attempt is out, and its server held, until its last byte has been read here: what finds room
 # ends sooner.
-HIGH_WATER_MOST = 2 * 1024 * 1024
-HIGH_WATER_LEAST = 4 * 1024
-SHARE = 4  # of the room that is left, one transfer may take a quarter
+MAX_HIGH_WATER_BYTES = 2 * 1024 * 1024
+MIN_HIGH_WATER_BYTES = 4 * 1024
+HIGH_WATER_DIVISOR = 4  # of the room that is left, one transfer may take a quarter
 # Bytes of a socket's own buffers; the kernel gives twice as much. Half of it is less than a segment on loopback: each
 # then waits 40 ms for its acknowledgement (an upload of 3 MB took more than 20 s).
-READ = 32 * 1024
-RATE = 8192  # bytes a second below which an upload counts as stalled
-WINDOW = 4.0  # seconds over which that is counted
-STALL = 10.0  # seconds for which a server may give nothing of an answer that is read, or take nothing of an upload
-READER = 60.0  # and a client may take nothing of what is there
+SOCKET_BUFFER_BYTES = 32 * 1024
+MIN_BODY_BYTES_PER_SECOND = 8192  # bytes a second below which an upload counts as stalled
+UPLOAD_RATE_WINDOW_SECONDS = 4.0  # seconds over which that is counted
+# seconds for which a server may give nothing of an answer that is read, or take nothing of an upload
+SERVER_STALL_SECONDS = 10.0
+CLIENT_STALL_SECONDS = 60.0  # and a client may take nothing of what is there
 
 
 LAST_CHUNK = b"0\r\n\r\n"
@@ -45,10 +51,10 @@
     return b"Transfer-Encoding: chunked\r\n" if chunks else b""
 
 
-def bound_kernel(sock: socket.socket) -> None:
+def limit_receive_buffer(sock: socket.socket) -> None:
     """Bound what the kernel takes in on a connection that may bring a large body: one read brings all of it."""
     with contextlib.suppress(OSError):  # the connection has ended, or its kind has no such bound
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, READ)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SOCKET_BUFFER_BYTES)
 
 
 class Relay:
@@ -63,7 +69,10 @@
 
     def high_water(self) -> int:
         """Bytes in one transfer's buffer from which its source is no longer read."""
-        return max(HIGH_WATER_LEAST, min(HIGH_WATER_MOST, (TOTAL - self.buffered) // SHARE))
+        return max(
+            MIN_HIGH_WATER_BYTES,
+            min(MAX_HIGH_WATER_BYTES, (MAX_BUFFERED_BYTES - self.buffered) // HIGH_WATER_DIVISOR),
+        )
 
     def begin(self, sock: socket.socket) -> None:
         """One more transfer, on a server's socket."""
@@ -72,9 +81,9 @@
 
     def cut(self, sock: socket.socket) -> None:
         """Bound what the kernel holds of a large transfer, and with it what one read brings."""
-        bound_kernel(sock)
+        limit_receive_buffer(sock)
         with contextlib.suppress(OSError):
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, READ)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SOCKET_BUFFER_BYTES)
 
     def end(self) -> None:
         self.active -= 1
@@ -122,11 +131,11 @@
         self.size += len(data)
         if not self.spent:
             self._kept.append(data)
-            if self.size > KEEP and self._sink is not None:
+            if self.size > MAX_REPLAYABLE_BYTES and self._sink is not None:
                 self._spend()
         if self._sink is not None:
             self._sink.put(self._framed(data))
-        elif self.size > KEEP:
+        elif self.size > MAX_REPLAYABLE_BYTES:
             self.hold(True)  # nobody takes it yet, and no more is kept
 
     def finish(self) -> None:
@@ -150,7 +159,7 @@
         if self.spent:
             return False
         self._sink, kept = sink, b"".join(self._kept)
-        if self.size > KEEP:
+        if self.size > MAX_REPLAYABLE_BYTES:
             self._spend()
         if kept:
             sink.put(self._framed(kept))
@@ -165,7 +174,7 @@
         if self._sink is sink:
             self._sink = None
             if not self.whole:
-                self.hold(self.size > KEEP)
+                self.hold(self.size > MAX_REPLAYABLE_BYTES)
 
     def hold(self, held: bool) -> None:
         """Whether the client waits: its bytes find no room on the other side."""
--- a/cypresspulley/net/upstream.py
+++ b/cypresspulley/net/upstream.py
@@ -28,7 +28,14 @@
     join_address,
     split_address,
 )
-from cypresspulley.net.relay import LARGEST, STALL, Download, Relay, Upload, bound_kernel
+from cypresspulley.net.relay import (
+    MAX_STREAMED_BODY_BYTES,
+    SERVER_STALL_SECONDS,
+    Download,
+    Relay,
+    Upload,
+    limit_receive_buffer,
+)
 
 log = logging.getLogger(__name__)
 
@@ -164,7 +171,7 @@
         self.transport = transport
         # At 0 a write goes out in the call itself, and pause_writing tells that some of it did not.
         transport.set_write_buffer_limits(high=0)
-        bound_kernel(transport.get_extra_info("socket"))
+        limit_receive_buffer(transport.get_extra_info("socket"))
 
     def pause_writing(self) -> None:
         self.unwritten = True
@@ -227,7 +234,7 @@
     def stalled(self, now: float) -> bool:
         """Whether a server gives nothing of a large answer, though it is read, or takes nothing of an upload."""
         exchange = self.exchange
-        if exchange is None or now - self.moved <= STALL:
+        if exchange is None or now - self.moved <= SERVER_STALL_SECONDS:
             return False
         return not self.held if exchange.download is not None else self.unwritten
 
@@ -238,7 +245,7 @@
         if exchange.download is not None:
             self._spoilt(TimeoutError("it began and stalled"))
         else:  # the request's last byte never left
-            log.warning("%s took nothing of an upload for %g s", exchange.server, STALL)
+            log.warning("%s took nothing of an upload for %g s", exchange.server, SERVER_STALL_SECONDS)
             self._upstream.give_up(exchange, Status.DROPPED)
 
     def leave(self) -> None:
@@ -384,7 +391,11 @@
         value = value.rstrip(b" \t")  # no part of it, and the parser leaves it there
         if key == b"content-length":
             # The first length that does not fit is enough: nothing of 3 GB need come before it is known.
-            if self._length is not None or not LENGTH.fullmatch(value) or int(value) > LARGEST:
+            if (
+                self._length is not None
+                or not LENGTH.fullmatch(value)
+                or int(value) > MAX_STREAMED_BODY_BYTES
+            ):
                 raise ValueError("a length that is wrong, stands twice or is too large")
             self._length = int(value)
         elif key == b"transfer-encoding":
@@ -427,7 +438,7 @@
         if self._surplus or exchange is None:
             return
         self._size += len(body)
-        if self._size > LARGEST:
+        if self._size > MAX_STREAMED_BODY_BYTES:
             raise ValueError("too large")
         if exchange.download is not None:
             return exchange.download.put(body)
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -309,7 +309,7 @@
 @pytest.mark.usefixtures("fast_sweep")
 @pytest.mark.parametrize("how", ["told to close", "keeps", "half-closes"])
 def test_who_takes_nothing_of_its_answer_is_let_go(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontend, "READER", 0.1)
+    monkeypatch.setattr(frontend, "CLIENT_STALL_SECONDS", 0.1)
 
     async def main() -> None:
         origin, script = Origin(lambda _n: MEDIUM_RESPONSE), Script(forward)
--- a/tests/test_endings_servers.py
+++ b/tests/test_endings_servers.py
@@ -26,7 +26,7 @@
 from cypresspulley.net.frontend import Frontend
 from cypresspulley.net.http import split_address
 from cypresspulley.net.node import Node, UnixClock
-from cypresspulley.net.relay import KEEP, Download, Upload
+from cypresspulley.net.relay import MAX_REPLAYABLE_BYTES, Download, Upload
 from cypresspulley.net.upstream import Exchange, Upstream
 from cypresspulley.policy.gateway import Gateway
 from cypresspulley.rehearsal.virtual.loop import VirtualLoop, run_virtual
@@ -182,7 +182,7 @@
 
 def test_a_stalled_transfer_without_a_length_is_not_whole(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(net_upstream, "SWEEP", 0.01)
-    monkeypatch.setattr(net_upstream, "STALL", 0.05)
+    monkeypatch.setattr(net_upstream, "SERVER_STALL_SECONDS", 0.05)
 
     async def main() -> None:
         peer = Peer()
@@ -818,7 +818,7 @@
 
 @pytest.mark.parametrize("flows", [False, True], ids=["held", "flowing"])
 def test_half_an_answer_and_then_nothing_is_left(flows: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    for name, value in (("BEGUN", 0.02), ("HOLD", 0.02), ("SWEEP", 0.02), ("STALL", 0.05)):
+    for name, value in (("BEGUN", 0.02), ("HOLD", 0.02), ("SWEEP", 0.02), ("SERVER_STALL_SECONDS", 0.05)):
         monkeypatch.setattr(net_upstream, name, value)
 
     async def main() -> None:
@@ -1212,7 +1212,9 @@
             while not limiter.frontend._clients:
                 await asyncio.sleep(0.001)
             (client,) = limiter.frontend._clients  # all of it comes with one read
-            client.data_received(ask("/post?account=00000000b4d65521", b"x" * (KEEP + 2000), ttl=500))
+            client.data_received(
+                ask("/post?account=00000000b4d65521", b"x" * (MAX_REPLAYABLE_BYTES + 2000), ttl=500)
+            )
             assert " 429 " in (await read_message(reader))[0] and limiter.upstream._dials
             limiter.at_rest()
             writer.close()
--- a/tests/test_endings_times.py
+++ b/tests/test_endings_times.py
@@ -13,7 +13,7 @@
 import pytest
 
 from cypresspulley import interface as api
-from cypresspulley.net.relay import KEEP
+from cypresspulley.net.relay import MAX_REPLAYABLE_BYTES
 from cypresspulley.net.upstream import Exchange, _Connection
 from tests.loopback import Limiter, Script, ask, run
 from tests.test_endings_clients import POST, Peer, only_client, until
@@ -124,7 +124,9 @@
             peer = Peer(limiter)
             await until(lambda: limiter.frontend._clients)
             # The whole upload arrives in one read.
-            only_client(limiter).data_received(ask(POST, b"x" * (KEEP + 2000), ttl=int(TTL * 1000)))
+            only_client(limiter).data_received(
+                ask(POST, b"x" * (MAX_REPLAYABLE_BYTES + 2000), ttl=int(TTL * 1000))
+            )
             head = await server.request(await server.accept())
             assert clock.jumped == 1.0
             assert TTL - 1.5 < timeout_in(head) <= TTL - 1.0
@@ -145,7 +147,7 @@
         script = Script(TimeoutDecisions(clock, first="s2"))
         async with Limiter(script, {"s2": server.dial}) as limiter:
             peer = Peer(limiter)
-            request = ask(POST, b"x" * (KEEP + 20_000), ttl=int(TTL * 1000))
+            request = ask(POST, b"x" * (MAX_REPLAYABLE_BYTES + 20_000), ttl=int(TTL * 1000))
             peer.send(request[:2000])
             sock = await server.accept()
             assert TTL - 0.5 < timeout_in(await server.request(sock)) <= TTL
@@ -186,7 +188,9 @@
                 set_timer(exchange, wait)
 
             monkeypatch.setattr(limiter.upstream, "_time", recording_timer)
-            only_client(limiter).data_received(ask(POST, b"x" * (KEEP + 2000), ttl=int(TTL * 1000)))
+            only_client(limiter).data_received(
+                ask(POST, b"x" * (MAX_REPLAYABLE_BYTES + 2000), ttl=int(TTL * 1000))
+            )
             assert min(window, TTL) - 0.5 < waits[-1] <= min(window, TTL)
             await server.request(await server.accept())
             assert TTL - 0.5 < waits[-1] <= TTL, "its answer has longer"
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -167,7 +167,7 @@
 
 
 def test_a_chunked_body_over_the_limit_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontend, "LARGEST", 0x10000)
+    monkeypatch.setattr(frontend, "MAX_STREAMED_BODY_BYTES", 0x10000)
 
     async def main() -> None:
         script = Script(lambda _event: [])
@@ -321,7 +321,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Bytes a second: one of the two bodies arrives at 50,000, the other at 100 at most.
-    monkeypatch.setattr(frontend, "RATE", 500)
+    monkeypatch.setattr(frontend, "MIN_BODY_BYTES_PER_SECOND", 500)
 
     async def main() -> None:
         async with Limiter(Script(refuse), {}) as limiter:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -17,11 +17,11 @@
 from cypresspulley.net import relay as net_relay
 from cypresspulley.net import upstream as net_upstream
 from cypresspulley.net.relay import (
-    HIGH_WATER_LEAST,
-    HIGH_WATER_MOST,
-    KEEP,
-    READ,
-    TOTAL,
+    MAX_BUFFERED_BYTES,
+    MAX_HIGH_WATER_BYTES,
+    MAX_REPLAYABLE_BYTES,
+    MIN_HIGH_WATER_BYTES,
+    SOCKET_BUFFER_BYTES,
     Download,
     Relay,
     Upload,
@@ -58,17 +58,19 @@
 
 
 def test_an_upload_waits_for_its_sink_and_is_kept_up_to_a_bound() -> None:
-    body, holds, told = upload(2 * KEEP)
-    body.feed(b"a" * KEEP)
+    body, holds, told = upload(2 * MAX_REPLAYABLE_BYTES)
+    body.feed(b"a" * MAX_REPLAYABLE_BYTES)
     assert holds == []
     body.feed(b"b")
     assert holds == [True], "nobody takes it yet: the client waits"
     taker = Taker()
     assert body.attach(taker) and holds == [True, False] and told == [(False, False)]
-    assert taker.data == b"a" * KEEP + b"b" and not body.attach(Taker()), "it cannot be sent again"
-    body.feed(b"c" * (KEEP - 1))
+    assert taker.data == b"a" * MAX_REPLAYABLE_BYTES + b"b" and not body.attach(Taker()), (
+        "it cannot be sent again"
+    )
+    body.feed(b"c" * (MAX_REPLAYABLE_BYTES - 1))
     body.finish()
-    assert taker.ended and told[-1] == (True, False) and len(taker.data) == 2 * KEEP
+    assert taker.ended and told[-1] == (True, False) and len(taker.data) == 2 * MAX_REPLAYABLE_BYTES
 
 
 def test_a_short_upload_goes_to_a_second_attempt_from_its_first_byte() -> None:
@@ -88,11 +90,11 @@
     relay = Relay()
     for count in range(1, 3000):
         mark = relay.high_water()
-        assert HIGH_WATER_LEAST <= mark <= HIGH_WATER_MOST
+        assert MIN_HIGH_WATER_BYTES <= mark <= MAX_HIGH_WATER_BYTES
         relay.buffered += mark
-        assert relay.buffered <= TOTAL + count * HIGH_WATER_LEAST
+        assert relay.buffered <= MAX_BUFFERED_BYTES + count * MIN_HIGH_WATER_BYTES
     relay.buffered = 0
-    assert relay.high_water() == HIGH_WATER_MOST, "and who comes alone has room"
+    assert relay.high_water() == MAX_HIGH_WATER_BYTES, "and who comes alone has room"
 
 
 def test_a_download_waits_for_its_turn_and_holds_its_server() -> None:
@@ -344,7 +346,7 @@
 
 
 def test_a_server_that_stalls_mid_answer_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(net_upstream, "STALL", 0.05)
+    monkeypatch.setattr(net_upstream, "SERVER_STALL_SECONDS", 0.05)
     monkeypatch.setattr(net_upstream, "SWEEP", 0.02)
 
     async def main() -> None:
@@ -500,7 +502,7 @@
 def test_a_server_that_takes_nothing_of_an_upload_is_left_and_never_ran_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(net_upstream, "STALL", 0.05)
+    monkeypatch.setattr(net_upstream, "SERVER_STALL_SECONDS", 0.05)
     monkeypatch.setattr(net_upstream, "SWEEP", 0.02)
 
     async def main() -> None:
@@ -524,7 +526,7 @@
 def test_an_upload_of_a_client_that_does_not_read_its_last_answer_is_not_taken_for_stalled(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    for name, value in (("WINDOW", 0.05), ("SWEEP_INTERVAL", 0.01)):
+    for name, value in (("UPLOAD_RATE_WINDOW_SECONDS", 0.05), ("SWEEP_INTERVAL", 0.01)):
         monkeypatch.setattr(net_frontend, name, value)
 
     async def main() -> None:
@@ -578,7 +580,7 @@
 def test_a_stalled_client_holds_its_server_and_no_more_than_the_bound(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(net_relay, "TOTAL", 1024 * 1024)
+    monkeypatch.setattr(net_relay, "MAX_BUFFERED_BYTES", 1024 * 1024)
 
     async def main() -> None:
         sent = 0
@@ -609,7 +611,9 @@
             held = [c._transport.get_write_buffer_size() for c in clients if c._transport is not None]
             assert len(held) == 30 and all(held)
             # What all may hold together, and what one read brings on top of it.
-            assert sum(held) <= net_relay.TOTAL + 30 * (HIGH_WATER_LEAST + 4 * READ)
+            assert sum(held) <= net_relay.MAX_BUFFERED_BYTES + 30 * (
+                MIN_HIGH_WATER_BYTES + 4 * SOCKET_BUFFER_BYTES
+            )
             assert limiter.upstream.relay.buffered == 0 and limiter.frontend.relay.buffered > 0
             assert sent < 30 * 1_000_000, "the servers wait too"
             for sock in socks:
