--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -555,7 +555,7 @@
         request = ClientRequest(self, keep_alive=True)
         upload = request.upload = self._upload = Upload(self._length, self._set_upload_held)
         self._progress, self._progress_at = 0, self.frontend.clock()
-        self.frontend.relay.cut(self._transport.get_extra_info("socket"))
+        self.frontend.relay.limit_socket_buffers(self._transport.get_extra_info("socket"))
         pieces, self._body = self._body, []
         for piece in pieces:
             upload.feed(piece)
@@ -696,10 +696,10 @@
             framing_line = framing(stream.length, request.accepts_chunked)
             close = b"Connection: close\r\n" if request.closes_connection else b""
             transport.set_write_buffer_limits(high=MAX_HIGH_WATER_BYTES)
-            self.frontend.relay.cut(transport.get_extra_info("socket"))
+            self.frontend.relay.limit_socket_buffers(transport.get_extra_info("socket"))
             transport.write(b"".join((STATUS_LINES[200], stream.headers, framing_line, close, b"\r\n")))
             self._progress, self._progress_at = 0, self.frontend.clock()
-            stream.turn(self._write_body, stream.length is None and request.accepts_chunked)
+            stream.start(self._write_body, stream.length is None and request.accepts_chunked)
             if self._writing_paused:
                 stream.hold(True)
         if not stream.whole:
--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -147,7 +147,7 @@
             self._time(opened, event, margin)
         else:
             event = replace(event, body_pending=True)
-            request.upload.told = partial(self._body, event, margin)
+            request.upload.on_progress = partial(self._body, event, margin)
         self.feed(replace(event, ttl=left - margin))
 
     def _time(self, opened: _Open, event: api.Request, margin: float) -> None:
--- a/cypresspulley/net/relay.py
+++ b/cypresspulley/net/relay.py
@@ -77,9 +77,9 @@
     def begin(self, sock: socket.socket) -> None:
         """One more transfer, on a server's socket."""
         self.active += 1
-        self.cut(sock)
+        self.limit_socket_buffers(sock)
 
-    def cut(self, sock: socket.socket) -> None:
+    def limit_socket_buffers(self, sock: socket.socket) -> None:
         """Bound what the kernel holds of a large transfer, and with it what one read brings."""
         limit_receive_buffer(sock)
         with contextlib.suppress(OSError):
@@ -100,23 +100,23 @@
 
 
 class Upload:
-    """A body on its way from a client. ``hold`` says whether the client is to be read; ``told`` gets the news:
+    """A body on its way from a client. ``hold`` says whether the client is to be read; ``on_progress`` hears
     whether the last byte has come, and whether all that has come is still kept."""
 
     def __init__(self, length: int | None, hold: Callable[[bool], None]) -> None:
         self.length = length  # None: in chunks
         self.size = 0  # bytes that have come
         self.whole = False  # the last byte has come
-        self.spent = False  # the first bytes are no longer kept
+        self.discarded = False  # the first bytes are no longer kept
         self.held = False  # the client is not read for now
-        self.told: Callable[[bool, bool], None] = lambda _whole, _kept: None
+        self.on_progress: Callable[[bool, bool], None] = lambda _whole, _kept: None
         self._hold = hold
         self._kept = list[bytes]()
         self._sink: Sink | None = None
 
     def __repr__(self) -> str:
         state = "whole" if self.whole else "held" if self.held else "flowing"
-        return f"<Upload {self.size} of {self.length or 'unknown'} bytes, {state}{', spent' * self.spent}>"
+        return f"<Upload {self.size} of {self.length or 'unknown'} bytes, {state}{', discarded' * self.discarded}>"
 
     @property
     def framing(self) -> bytes:
@@ -129,10 +129,10 @@
     def feed(self, data: bytes) -> None:
         """Bytes that have come."""
         self.size += len(data)
-        if not self.spent:
+        if not self.discarded:
             self._kept.append(data)
             if self.size > MAX_REPLAYABLE_BYTES and self._sink is not None:
-                self._spend()
+                self._discard()
         if self._sink is not None:
             self._sink.put(self._framed(data))
         elif self.size > MAX_REPLAYABLE_BYTES:
@@ -143,24 +143,24 @@
         self.whole = True
         if self._sink is not None:
             self._end(self._sink)
-        self.told(True, not self.spent)
+        self.on_progress(True, not self.discarded)
 
     def _end(self, sink: Sink) -> None:
         if self.length is None:
             sink.put(LAST_CHUNK)
         sink.put_end()
 
-    def _spend(self) -> None:
-        self.spent, self._kept = True, []
-        self.told(self.whole, False)
+    def _discard(self) -> None:
+        self.discarded, self._kept = True, []
+        self.on_progress(self.whole, False)
 
     def attach(self, sink: Sink) -> bool:
         """Flow into an attempt's connection, from the first byte; False where that is no longer kept."""
-        if self.spent:
+        if self.discarded:
             return False
         self._sink, kept = sink, b"".join(self._kept)
         if self.size > MAX_REPLAYABLE_BYTES:
-            self._spend()
+            self._discard()
         if kept:
             sink.put(self._framed(kept))
         if self.whole:
@@ -221,7 +221,7 @@
             self.size += len(data)
             self.write(chunk(data) if self.chunked else data)
 
-    def turn(self, write: Callable[[bytes], None], chunked: bool) -> None:
+    def start(self, write: Callable[[bytes], None], chunked: bool) -> None:
         """All before it is written: from now on it flows."""
         self.write, self.chunked = write, chunked
         pieces, self.pieces = self.pieces, []
--- a/tests/test_endings_servers.py
+++ b/tests/test_endings_servers.py
@@ -130,7 +130,7 @@
             self.flow.extend(data)
             self.flowing.set()
 
-        download.turn(write, chunked=False)
+        download.start(write, chunked=False)
         self.flowing.set()
 
     @property
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -53,7 +53,7 @@
 def upload(length: int | None = None) -> tuple[Upload, list[bool], list[tuple[bool, bool]]]:
     holds, told = list[bool](), list[tuple[bool, bool]]()
     body = Upload(length, holds.append)
-    body.told = lambda whole, kept: told.append((whole, kept))
+    body.on_progress = lambda whole, kept: told.append((whole, kept))
     return body, holds, told
 
 
@@ -111,7 +111,7 @@
     stream = Download(None, b"", server)
     stream.put(b"abc")
     assert server.held == [True] and out == []
-    stream.turn(out.append, chunked=True)
+    stream.start(out.append, chunked=True)
     stream.put(b"d")
     assert server.held == [True, False] and out == [b"3\r\nabc\r\n", b"1\r\nd\r\n"]
 
