--- a/cypresspulley/net/listener.py
+++ b/cypresspulley/net/listener.py
@@ -18,8 +18,8 @@
 
 log = logging.getLogger(__name__)
 
-RETRY = 0.02  # seconds until accept is tried again after a failure, or while there is no room
-LOG_EVERY = 1.0  # seconds between two lines on accept's failures
+ACCEPT_RETRY_SECONDS = 0.02  # seconds until accept is tried again after a failure, or while there is no room
+LOG_INTERVAL_SECONDS = 1.0  # seconds between two lines on accept's failures
 # Failures of the machine, where the connection stays in the queue.
 EXHAUSTED = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 # Failures of the one connection that was to be accepted, which is gone with it (accept(2), "Error handling").
@@ -31,7 +31,7 @@
 ProtocolFactory = Callable[[], asyncio.Protocol]
 
 
-class Step(Enum):
+class AcceptResult(Enum):
     """What one attempt to accept came to."""
 
     EMPTY = "empty"  # nothing waits
@@ -118,11 +118,11 @@
         Returns once each accepted connection has reached its protocol.
         """
         self.pause()
-        while (step := self._accept()) is not Step.EMPTY:
-            if step is Step.ACCEPTED:
+        while (step := self._accept()) is not AcceptResult.EMPTY:
+            if step is AcceptResult.ACCEPTED:
                 await asyncio.sleep(0)  # who was accepted before is served meanwhile
             elif self._loop.time() < deadline:
-                await asyncio.sleep(RETRY)
+                await asyncio.sleep(ACCEPT_RETRY_SECONDS)
             else:
                 log.error("connections are left in the accept queue: there is no room for them")
                 break
@@ -142,10 +142,10 @@
             self._retry = None
 
     def _readable(self) -> None:
-        if self._accept() is Step.BLOCKED:
+        if self._accept() is AcceptResult.BLOCKED:
             # The socket stays readable: watched on, it would hold the loop.
             self._loop.remove_reader(self.sock.fileno())
-            self._retry = self._loop.call_later(RETRY, self._try_again)
+            self._retry = self._loop.call_later(ACCEPT_RETRY_SECONDS, self._try_again)
 
     def _try_again(self) -> None:
         self._retry = None
@@ -158,26 +158,26 @@
         poll.register(self.sock.fileno(), select.POLLIN)
         return bool(poll.poll(0))
 
-    def _accept(self) -> Step:
+    def _accept(self) -> AcceptResult:
         """Accept one connection: between two of them the loop serves those that it has."""
         if self._capacity is not None and self._capacity.full:
             if not self._readable_now():
-                return Step.EMPTY
+                return AcceptResult.EMPTY
             if not self._capacity.make_room():
-                return Step.BLOCKED
+                return AcceptResult.BLOCKED
         try:
             accepted, _ = self.sock.accept()
         except BlockingIOError:
-            return Step.EMPTY
+            return AcceptResult.EMPTY
         except OSError as error:
             if error.errno in CONNECTION_FAILED:
-                return Step.ACCEPTED  # and gone already
+                return AcceptResult.ACCEPTED  # and gone already
             self._log_failure(error)
-            return Step.BLOCKED
+            return AcceptResult.BLOCKED
         task = self._loop.create_task(self._connect(self._factory(), accepted))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
-        return Step.ACCEPTED
+        return AcceptResult.ACCEPTED
 
     async def _connect(self, protocol: asyncio.Protocol, accepted: socket.socket) -> None:
         try:
@@ -189,7 +189,7 @@
 
     def _log_failure(self, error: OSError) -> None:
         now = self._loop.time()
-        if now - self._logged_at >= LOG_EVERY:
+        if now - self._logged_at >= LOG_INTERVAL_SECONDS:
             self._logged_at = now
             log.warning("accept failed and is tried again: %s", error)
 
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -9,7 +9,7 @@
 
 from cypresspulley import interface as api
 from cypresspulley.net.arrival import ArrivalClock
-from cypresspulley.net.listener import SocketListener, Step
+from cypresspulley.net.listener import AcceptResult, SocketListener
 from cypresspulley.net.upstream import Exchange, Upstream
 from cypresspulley.policy.load_balancer import LoadBalancer
 
@@ -19,13 +19,13 @@
     """As the event loop's own servers: what waits is accepted and closed when accept fails."""
     accept = SocketListener._accept
 
-    def dropping(listener: SocketListener) -> Step:
+    def dropping(listener: SocketListener) -> AcceptResult:
         step = accept(listener)
-        while step is Step.BLOCKED:
+        while step is AcceptResult.BLOCKED:
             try:
                 listener.sock.accept()[0].close()
             except BlockingIOError:
-                return Step.EMPTY
+                return AcceptResult.EMPTY
             except OSError:
                 continue
         return step
--- a/tests/test_accept.py
+++ b/tests/test_accept.py
@@ -141,9 +141,9 @@
         async with Limiter(Script(refuse), {}) as limiter:
             calls = fail_accept(monkeypatch, errno.ENFILE, 10**9)
             client = Client(limiter._address, ask())
-            await asyncio.sleep(10 * net_listener.RETRY)
+            await asyncio.sleep(10 * net_listener.ACCEPT_RETRY_SECONDS)
             assert 2 <= len(calls) <= 12
-            await limiter.frontend.close(2 * net_listener.RETRY)
+            await limiter.frontend.close(2 * net_listener.ACCEPT_RETRY_SECONDS)
             assert await client.status() == "ConnectionResetError"
 
     run(main())
