--- a/cypresspulley/takeover/handover.py
+++ b/cypresspulley/takeover/handover.py
@@ -11,7 +11,13 @@
 
 from cypresspulley.takeover.channel import FDS, Channel, Folder, Message, same_user
 from cypresspulley.takeover.snapshot import SnapshotError, pack, unpack
-from cypresspulley.takeover.states import WAITS, At, Do, Heard, Side
+from cypresspulley.takeover.states import (
+    STATE_TIMEOUT_SECONDS,
+    TakeoverAction,
+    TakeoverEvent,
+    TakeoverMachine,
+    TakeoverState,
+)
 
 log = logging.getLogger(__name__)
 
@@ -76,8 +82,8 @@
 class Peer:
     """What both sides share: the channel, and the operators' calls that either was told."""
 
-    def __init__(self, at: At) -> None:
-        self.side = Side(at)
+    def __init__(self, state: TakeoverState) -> None:
+        self.machine = TakeoverMachine(state)
         self._channel: Channel | None = None
         self._host: Host | None = None
         self._loop = asyncio.get_running_loop()
@@ -86,7 +92,7 @@
         self._late: asyncio.TimerHandle | None = None
 
     def __repr__(self) -> str:
-        return f"<{type(self).__name__} {self.side.at.value}>"
+        return f"<{type(self).__name__} {self.machine.state.value}>"
 
     @property
     def linked(self) -> bool:
@@ -127,20 +133,20 @@
             if not done.done():
                 done.set_result(None)
 
-    def _wait(self, heard: Heard) -> None:
+    def _wait(self, heard: TakeoverEvent) -> None:
         """The table moves on; the wait of the state that is reached begins."""
         if self._late is not None:
             self._late.cancel()
             self._late = None
-        before = self.side.at
-        for step in self.side.hear(heard):
+        before = self.machine.state
+        for step in self.machine.handle(heard):
             self._do(step)
-        if self.side.at is not before:
-            log.info("takeover: %s, now %s", heard.value, self.side.at.value)
-        if (wait := WAITS.get(self.side.at)) is not None:
-            self._late = self._loop.call_later(wait, self._wait, Heard.LATE)
+        if self.machine.state is not before:
+            log.info("takeover: %s, now %s", heard.value, self.machine.state.value)
+        if (wait := STATE_TIMEOUT_SECONDS.get(self.machine.state)) is not None:
+            self._late = self._loop.call_later(wait, self._wait, TakeoverEvent.TIMEOUT)
 
-    def _do(self, step: Do) -> None:
+    def _do(self, step: TakeoverAction) -> None:
         raise NotImplementedError
 
     def _drop(self) -> None:
@@ -153,7 +159,7 @@
     """Waits for a successor, all the life of a process."""
 
     def __init__(self, host: Host, folder: Folder) -> None:
-        super().__init__(At.WATCHING)
+        super().__init__(TakeoverState.WATCHING)
         self._host = host
         self._folder = folder
         self._sock: socket.socket | None = None
@@ -183,7 +189,9 @@
         if self.linked or not same_user(sock):
             return sock.close()  # one successor at a time
         self._channel = Channel(sock, self._heard, self._ended)
-        self._late = self._loop.call_later(WAITS[At.ASKING], self._wait, Heard.LATE)  # it must say hello
+        self._late = self._loop.call_later(
+            STATE_TIMEOUT_SECONDS[TakeoverState.ASKING], self._wait, TakeoverEvent.TIMEOUT
+        )  # it must say hello
 
     def _heard(self, channel: Channel, message: Message, fd: int | None) -> None:
         if fd is not None:
@@ -191,45 +199,45 @@
         try:
             match message.get("is"):
                 case "hello":
-                    self._wait(Heard.HELLO)
+                    self._wait(TakeoverEvent.HELLO)
                 case "serving":
-                    self._wait(Heard.SERVING)
+                    self._wait(TakeoverEvent.SERVING)
                 case "call":
                     self._call(message)
                 case "done":
                     self._done(message)
                 case _:
-                    self._wait(Heard.BAD)
+                    self._wait(TakeoverEvent.INVALID)
         except ValueError as error:
             log.error("takeover: %s", error)
-            self._wait(Heard.BAD)
+            self._wait(TakeoverEvent.INVALID)
 
     def _ended(self, channel: Channel) -> None:
         if channel is self._channel:
             self._hung_up()
-            self._wait(Heard.ENDED)
+            self._wait(TakeoverEvent.ENDED)
 
-    def _do(self, step: Do) -> None:
+    def _do(self, step: TakeoverAction) -> None:
         host = self._host
         assert host is not None
         match step:
-            case Do.PAUSE:
+            case TakeoverAction.PAUSE:
                 host.pause()
-            case Do.OFFER:
+            case TakeoverAction.OFFER:
                 self._offer(host)
-            case Do.HAND:
+            case TakeoverAction.HAND_OVER:
                 self._unwatch()  # the successor is who the next one finds
                 host.handed(self)
                 self._tell_held()
-            case Do.TAKE_BACK:
+            case TakeoverAction.TAKE_BACK:
                 host.unsplit(whole=True)
-            case Do.RESUME:
+            case TakeoverAction.RESUME:
                 # Nothing to undo where all was taken back; else what was given may have been drawn.
                 host.unsplit(whole=False)
                 host.handed(None)
                 host.resume()
                 self._watch()
-            case Do.DROP:
+            case TakeoverAction.CLOSE_CHANNEL:
                 self._drop()
             case _:
                 raise AssertionError(step)
@@ -258,7 +266,11 @@
 
     def _tell_held(self) -> None:
         self._telling = None
-        if self.side.at is At.HANDED and self._host is not None and self._channel is not None:
+        if (
+            self.machine.state is TakeoverState.HANDED_OVER
+            and self._host is not None
+            and self._channel is not None
+        ):
             self._channel.send({"is": "held", "rows": self._host.held()[:500]})
             self._telling = self._loop.call_later(HELD_EVERY, self._tell_held)
 
@@ -274,7 +286,7 @@
     """Asks the process that serves for what it has."""
 
     def __init__(self, folder: Folder) -> None:
-        super().__init__(At.ASKING)
+        super().__init__(TakeoverState.ASKING)
         self._settled = asyncio.Event()
         self._offer: Offer | None = None
         self._listener: socket.socket | None = None
@@ -286,9 +298,11 @@
         if sock is not None and same_user(sock):
             self._channel = Channel(sock, self._heard, self._ended)
             self._channel.send({"is": "hello"})
-            self._late = self._loop.call_later(WAITS[At.ASKING], self._wait, Heard.LATE)
+            self._late = self._loop.call_later(
+                STATE_TIMEOUT_SECONDS[TakeoverState.ASKING], self._wait, TakeoverEvent.TIMEOUT
+            )
         else:
-            self._wait(Heard.ENDED)
+            self._wait(TakeoverEvent.ENDED)
 
     async def offered(self) -> Offer | None:
         """What there is to go on from; None where this process starts alone."""
@@ -299,18 +313,18 @@
         """The offer cannot be used after all: the predecessor goes on, and this process starts alone."""
         log.error("takeover: the offer was rejected, this process starts alone")
         self._offer = None
-        self.side.at = At.RECEIVING
-        self._wait(Heard.BAD)
+        self.machine.state = TakeoverState.RECEIVING
+        self._wait(TakeoverEvent.INVALID)
 
     def serve(self, host: Host) -> None:
         """From now on this process takes the connections."""
         self._host = host
-        if self.side.at is At.SERVING and self._channel is not None:
+        if self.machine.state is TakeoverState.SERVING and self._channel is not None:
             self._channel.send({"is": "serving"})
         early, self._early = self._early, []
         for message in early:
             self._from_predecessor(host, message)
-        if self.side.at is At.ALONE:
+        if self.machine.state is TakeoverState.ALONE:
             host.alone()
 
     def _heard(self, channel: Channel, message: Message, fd: int | None) -> None:
@@ -335,14 +349,14 @@
             if sock is not None:
                 sock.close()
             log.error("takeover: %s", error)
-            self._wait(Heard.BAD)
+            self._wait(TakeoverEvent.INVALID)
 
     def _begin(self, message: Message, listener: socket.socket | None) -> None:
         self._wanted, self._checksum = int(message["parts"]), str(message["checksum"])
         if listener is None or not 0 < self._wanted <= PARTS or self._listener is not None:
             raise ValueError("an offer without a listener, of too many parts or a second one")
         self._listener = listener
-        self._wait(Heard.OFFER)
+        self._wait(TakeoverEvent.OFFER)
 
     def _part(self, message: Message) -> None:
         self._parts.append(str(message["text"]))
@@ -353,7 +367,7 @@
         except SnapshotError as error:
             raise ValueError(str(error)) from None
         self._offer = Offer(self._listener, state)
-        self._wait(Heard.WHOLE)
+        self._wait(TakeoverEvent.OFFER_COMPLETE)
 
     def _from_predecessor(self, host: Host, message: Message) -> None:
         match message.get("is"):
@@ -368,22 +382,22 @@
 
     def _ended(self, channel: Channel) -> None:
         self._hung_up()
-        self._wait(Heard.ENDED)
+        self._wait(TakeoverEvent.ENDED)
 
-    def _do(self, step: Do) -> None:
+    def _do(self, step: TakeoverAction) -> None:
         match step:
-            case Do.ADOPT:
+            case TakeoverAction.ADOPT:
                 self._settled.set()
-            case Do.START:
+            case TakeoverAction.START:
                 self._offer = None
                 if self._listener is not None:
                     self._listener.close()
                 self._settled.set()
-            case Do.FORGET:
+            case TakeoverAction.FORGET_PREDECESSOR:
                 if self._host is not None:
                     self._host.told_held([])
                     self._host.alone()
-            case Do.DROP:
+            case TakeoverAction.CLOSE_CHANNEL:
                 self._drop()
             case _:
                 raise AssertionError(step)
--- a/cypresspulley/takeover/states.py
+++ b/cypresspulley/takeover/states.py
@@ -11,83 +11,120 @@
 from enum import Enum
 
 
-class At(Enum):
+class TakeoverState(Enum):
     """Where a side stands."""
 
     WATCHING = "watching"  # predecessor: nobody has come
     OFFERED = "offered"  # its connections wait in the kernel, its state is out
-    HANDED = "handed"  # the successor serves
+    HANDED_OVER = "handed"  # the successor serves
     ASKING = "asking"  # successor: has said hello
     RECEIVING = "receiving"  # the offer comes in parts
     SERVING = "serving"  # beside its predecessor
     ALONE = "alone"  # there is no predecessor, or none any more
 
 
-class Heard(Enum):
+class TakeoverEvent(Enum):
     """What a side hears of the other."""
 
     HELLO = "hello"
     OFFER = "offer"
-    WHOLE = "whole"  # all parts, and version and checksum fit
-    BAD = "bad"  # a message or a snapshot that cannot be used
+    OFFER_COMPLETE = "whole"  # all parts, and version and checksum fit
+    INVALID = "bad"  # a message or a snapshot that cannot be used
     SERVING = "serving"
     ENDED = "ended"  # the connection ended, or never came up
-    LATE = "late"  # the wait for the next message is over
+    TIMEOUT = "late"  # the wait for the next message is over
 
 
-class Do(Enum):
+class TakeoverAction(Enum):
     """What a side does then, in this order."""
 
     PAUSE = "pause"  # take no connections; they wait in the kernel
     OFFER = "offer"
-    HAND = "hand"  # pass connections on as they come to rest
+    HAND_OVER = "hand"  # pass connections on as they come to rest
     TAKE_BACK = "take back"  # all of the state that was split
     RESUME = "resume"  # take connections again
-    DROP = "drop"  # end the connection between the two
+    CLOSE_CHANNEL = "drop"  # end the connection between the two
     ADOPT = "adopt"
     START = "start"  # alone, as after a restart
-    FORGET = "forget"  # what the predecessor held counts no more
-
-
-TABLE: dict[tuple[At, Heard], tuple[At, tuple[Do, ...]]] = {
-    (At.WATCHING, Heard.HELLO): (At.OFFERED, (Do.PAUSE, Do.OFFER)),
-    (At.WATCHING, Heard.BAD): (At.WATCHING, (Do.DROP,)),
-    (At.WATCHING, Heard.LATE): (At.WATCHING, (Do.DROP,)),
-    (At.WATCHING, Heard.ENDED): (At.WATCHING, ()),
-    (At.OFFERED, Heard.SERVING): (At.HANDED, (Do.HAND,)),
-    (At.OFFERED, Heard.ENDED): (At.WATCHING, (Do.TAKE_BACK, Do.RESUME)),
-    (At.OFFERED, Heard.BAD): (At.WATCHING, (Do.DROP, Do.RESUME)),
-    (At.OFFERED, Heard.LATE): (At.WATCHING, (Do.DROP, Do.RESUME)),
-    (At.HANDED, Heard.ENDED): (At.WATCHING, (Do.RESUME,)),
-    (At.HANDED, Heard.BAD): (At.WATCHING, (Do.DROP, Do.RESUME)),
-    (At.ASKING, Heard.OFFER): (At.RECEIVING, ()),
-    (At.ASKING, Heard.ENDED): (At.ALONE, (Do.START,)),
-    (At.ASKING, Heard.BAD): (At.ALONE, (Do.DROP, Do.START)),
-    (At.ASKING, Heard.LATE): (At.ALONE, (Do.DROP, Do.START)),
-    (At.RECEIVING, Heard.WHOLE): (At.SERVING, (Do.ADOPT,)),
-    (At.RECEIVING, Heard.ENDED): (At.ALONE, (Do.START,)),
-    (At.RECEIVING, Heard.BAD): (At.ALONE, (Do.DROP, Do.START)),
-    (At.RECEIVING, Heard.LATE): (At.ALONE, (Do.DROP, Do.START)),
-    (At.SERVING, Heard.ENDED): (At.ALONE, (Do.FORGET,)),
-    (At.SERVING, Heard.BAD): (At.ALONE, (Do.DROP, Do.FORGET)),
+    FORGET_PREDECESSOR = "forget"  # what the predecessor held counts no more
+
+
+TRANSITIONS: dict[tuple[TakeoverState, TakeoverEvent], tuple[TakeoverState, tuple[TakeoverAction, ...]]] = {
+    (TakeoverState.WATCHING, TakeoverEvent.HELLO): (
+        TakeoverState.OFFERED,
+        (TakeoverAction.PAUSE, TakeoverAction.OFFER),
+    ),
+    (TakeoverState.WATCHING, TakeoverEvent.INVALID): (
+        TakeoverState.WATCHING,
+        (TakeoverAction.CLOSE_CHANNEL,),
+    ),
+    (TakeoverState.WATCHING, TakeoverEvent.TIMEOUT): (
+        TakeoverState.WATCHING,
+        (TakeoverAction.CLOSE_CHANNEL,),
+    ),
+    (TakeoverState.WATCHING, TakeoverEvent.ENDED): (TakeoverState.WATCHING, ()),
+    (TakeoverState.OFFERED, TakeoverEvent.SERVING): (TakeoverState.HANDED_OVER, (TakeoverAction.HAND_OVER,)),
+    (TakeoverState.OFFERED, TakeoverEvent.ENDED): (
+        TakeoverState.WATCHING,
+        (TakeoverAction.TAKE_BACK, TakeoverAction.RESUME),
+    ),
+    (TakeoverState.OFFERED, TakeoverEvent.INVALID): (
+        TakeoverState.WATCHING,
+        (TakeoverAction.CLOSE_CHANNEL, TakeoverAction.RESUME),
+    ),
+    (TakeoverState.OFFERED, TakeoverEvent.TIMEOUT): (
+        TakeoverState.WATCHING,
+        (TakeoverAction.CLOSE_CHANNEL, TakeoverAction.RESUME),
+    ),
+    (TakeoverState.HANDED_OVER, TakeoverEvent.ENDED): (TakeoverState.WATCHING, (TakeoverAction.RESUME,)),
+    (TakeoverState.HANDED_OVER, TakeoverEvent.INVALID): (
+        TakeoverState.WATCHING,
+        (TakeoverAction.CLOSE_CHANNEL, TakeoverAction.RESUME),
+    ),
+    (TakeoverState.ASKING, TakeoverEvent.OFFER): (TakeoverState.RECEIVING, ()),
+    (TakeoverState.ASKING, TakeoverEvent.ENDED): (TakeoverState.ALONE, (TakeoverAction.START,)),
+    (TakeoverState.ASKING, TakeoverEvent.INVALID): (
+        TakeoverState.ALONE,
+        (TakeoverAction.CLOSE_CHANNEL, TakeoverAction.START),
+    ),
+    (TakeoverState.ASKING, TakeoverEvent.TIMEOUT): (
+        TakeoverState.ALONE,
+        (TakeoverAction.CLOSE_CHANNEL, TakeoverAction.START),
+    ),
+    (TakeoverState.RECEIVING, TakeoverEvent.OFFER_COMPLETE): (TakeoverState.SERVING, (TakeoverAction.ADOPT,)),
+    (TakeoverState.RECEIVING, TakeoverEvent.ENDED): (TakeoverState.ALONE, (TakeoverAction.START,)),
+    (TakeoverState.RECEIVING, TakeoverEvent.INVALID): (
+        TakeoverState.ALONE,
+        (TakeoverAction.CLOSE_CHANNEL, TakeoverAction.START),
+    ),
+    (TakeoverState.RECEIVING, TakeoverEvent.TIMEOUT): (
+        TakeoverState.ALONE,
+        (TakeoverAction.CLOSE_CHANNEL, TakeoverAction.START),
+    ),
+    (TakeoverState.SERVING, TakeoverEvent.ENDED): (TakeoverState.ALONE, (TakeoverAction.FORGET_PREDECESSOR,)),
+    (TakeoverState.SERVING, TakeoverEvent.INVALID): (
+        TakeoverState.ALONE,
+        (TakeoverAction.CLOSE_CHANNEL, TakeoverAction.FORGET_PREDECESSOR),
+    ),
 }
 # Seconds that each state may last. Connections wait in the kernel while an offer is out; the platform waits 6 s in all.
-WAITS = {At.OFFERED: 2.0, At.ASKING: 1.5, At.RECEIVING: 1.5}
+STATE_TIMEOUT_SECONDS = {TakeoverState.OFFERED: 2.0, TakeoverState.ASKING: 1.5, TakeoverState.RECEIVING: 1.5}
 
 
-class Side:
-    """One process's side. What has no row is of a peer that does not keep to the table: ``BAD`` where that has one."""
+class TakeoverMachine:
+    """One process's side. What has no row is of a peer that does not keep to the table:
+    ``INVALID`` where that has one."""
 
-    def __init__(self, at: At) -> None:
-        self.at = at
+    def __init__(self, state: TakeoverState) -> None:
+        self.state = state
 
     def __repr__(self) -> str:
-        return f"<Side {self.at.value}>"
+        return f"<Side {self.state.value}>"
 
-    def hear(self, heard: Heard) -> tuple[Do, ...]:
+    def handle(self, event: TakeoverEvent) -> tuple[TakeoverAction, ...]:
         """The state moves on; what is to be done for it."""
-        row = TABLE.get((self.at, heard)) or TABLE.get((self.at, Heard.BAD))
+        row = TRANSITIONS.get((self.state, event)) or TRANSITIONS.get((self.state, TakeoverEvent.INVALID))
         if row is None:
             return ()
-        self.at, do = row
-        return do
+        self.state, actions = row
+        return actions
--- a/tests/takeover/test_handover.py
+++ b/tests/takeover/test_handover.py
@@ -21,7 +21,7 @@
 from cypresspulley.service import Service
 from cypresspulley.takeover import handover
 from cypresspulley.takeover.channel import Channel, Folder
-from cypresspulley.takeover.states import WAITS, At, Side
+from cypresspulley.takeover.states import STATE_TIMEOUT_SECONDS, TakeoverMachine, TakeoverState
 from tests.loopback import OK, SETTINGS, Origin, ask, listening, listing, read_message, run
 
 HEALTH = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -56,9 +56,9 @@
         return self
 
     @property
-    def side(self) -> Side:
+    def side(self) -> TakeoverMachine:
         assert self.service._predecessor is not None
-        return self.service._predecessor.side
+        return self.service._predecessor.machine
 
     async def end(self) -> None:
         self.service.leave()
@@ -290,13 +290,15 @@
             assert await dying.service.offered() is not None
             await until(
                 lambda: (
-                    old.service._predecessor is not None and old.service._predecessor.side.at is At.OFFERED
+                    old.service._predecessor is not None
+                    and old.service._predecessor.machine.state is TakeoverState.OFFERED
                 )
             )
             dying.service.close()
             await until(
                 lambda: (
-                    old.service._predecessor is not None and old.service._predecessor.side.at is At.WATCHING
+                    old.service._predecessor is not None
+                    and old.service._predecessor.machine.state is TakeoverState.WATCHING
                 )
             )
             await until(lambda: accepting(old))
@@ -329,7 +331,7 @@
 
 
 def test_a_predecessor_that_stalls_is_not_waited_for(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setitem(WAITS, At.ASKING, 0.05)
+    monkeypatch.setitem(STATE_TIMEOUT_SECONDS, TakeoverState.ASKING, 0.05)
 
     async def main() -> None:
         folder, origin = Folder(str(tmp_path), "test"), Origin()
@@ -410,7 +412,7 @@
 def test_who_connects_and_says_nothing_makes_way_for_a_successor(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setitem(WAITS, At.ASKING, 0.1)
+    monkeypatch.setitem(STATE_TIMEOUT_SECONDS, TakeoverState.ASKING, 0.1)
 
     async def main() -> None:
         async with listening(Origin().talk) as dial:
@@ -420,7 +422,7 @@
             await until(lambda: old.service._predecessor is not None and old.service._predecessor.linked)
             await until(lambda: old.service._predecessor is not None and not old.service._predecessor.linked)
             silent.close()
-            monkeypatch.setitem(WAITS, At.ASKING, 1.5)
+            monkeypatch.setitem(STATE_TIMEOUT_SECONDS, TakeoverState.ASKING, 1.5)
             new = await Process(tmp_path, dial).start()
             assert new.inherited
             await old.end()
--- a/tests/takeover/test_states.py
+++ b/tests/takeover/test_states.py
@@ -6,47 +6,57 @@
 
 import pytest
 
-from cypresspulley.takeover.states import At, Do, Heard, Side
+from cypresspulley.takeover.states import TakeoverAction, TakeoverEvent, TakeoverMachine, TakeoverState
 
-OLD = {At.WATCHING, At.OFFERED, At.HANDED}
+OLD = {TakeoverState.WATCHING, TakeoverState.OFFERED, TakeoverState.HANDED_OVER}
 
 
-def walk(at: At, *heard: Heard) -> tuple[At, list[Do]]:
-    side, done = Side(at), list[Do]()
+def walk(at: TakeoverState, *heard: TakeoverEvent) -> tuple[TakeoverState, list[TakeoverAction]]:
+    machine, done = TakeoverMachine(at), list[TakeoverAction]()
     for each in heard:
-        done += side.hear(each)
-    return side.at, done
+        done += machine.handle(each)
+    return machine.state, done
 
 
 def test_a_whole_takeover() -> None:
-    assert walk(At.WATCHING, Heard.HELLO, Heard.SERVING) == (At.HANDED, [Do.PAUSE, Do.OFFER, Do.HAND])
-    assert walk(At.ASKING, Heard.OFFER, Heard.WHOLE, Heard.ENDED) == (At.ALONE, [Do.ADOPT, Do.FORGET])
+    assert walk(TakeoverState.WATCHING, TakeoverEvent.HELLO, TakeoverEvent.SERVING) == (
+        TakeoverState.HANDED_OVER,
+        [TakeoverAction.PAUSE, TakeoverAction.OFFER, TakeoverAction.HAND_OVER],
+    )
+    assert walk(
+        TakeoverState.ASKING, TakeoverEvent.OFFER, TakeoverEvent.OFFER_COMPLETE, TakeoverEvent.ENDED
+    ) == (TakeoverState.ALONE, [TakeoverAction.ADOPT, TakeoverAction.FORGET_PREDECESSOR])
 
 
 def test_a_successor_that_dies_before_it_serves_leaves_the_predecessor_whole() -> None:
-    at, done = walk(At.WATCHING, Heard.HELLO, Heard.ENDED)
-    assert at is At.WATCHING and done[-2:] == [Do.TAKE_BACK, Do.RESUME]
+    at, done = walk(TakeoverState.WATCHING, TakeoverEvent.HELLO, TakeoverEvent.ENDED)
+    assert at is TakeoverState.WATCHING and done[-2:] == [TakeoverAction.TAKE_BACK, TakeoverAction.RESUME]
 
 
-@pytest.mark.parametrize("heard", [Heard.LATE, Heard.BAD])
-def test_one_that_may_serve_yet_keeps_what_it_was_given(heard: Heard) -> None:
-    _, done = walk(At.WATCHING, Heard.HELLO, heard)
-    assert Do.TAKE_BACK not in done and done[-1] is Do.RESUME
-    _, done = walk(At.WATCHING, Heard.HELLO, Heard.SERVING, Heard.ENDED)
-    assert Do.TAKE_BACK not in done and done[-1] is Do.RESUME
+@pytest.mark.parametrize("heard", [TakeoverEvent.TIMEOUT, TakeoverEvent.INVALID])
+def test_one_that_may_serve_yet_keeps_what_it_was_given(heard: TakeoverEvent) -> None:
+    _, done = walk(TakeoverState.WATCHING, TakeoverEvent.HELLO, heard)
+    assert TakeoverAction.TAKE_BACK not in done and done[-1] is TakeoverAction.RESUME
+    _, done = walk(TakeoverState.WATCHING, TakeoverEvent.HELLO, TakeoverEvent.SERVING, TakeoverEvent.ENDED)
+    assert TakeoverAction.TAKE_BACK not in done and done[-1] is TakeoverAction.RESUME
 
 
-@pytest.mark.parametrize("before", [(), (Heard.OFFER,)])
-@pytest.mark.parametrize("heard", [Heard.LATE, Heard.BAD, Heard.ENDED])
-def test_a_successor_without_a_whole_offer_starts_alone(before: tuple[Heard, ...], heard: Heard) -> None:
-    at, done = walk(At.ASKING, *before, heard)
-    assert at is At.ALONE and done[-1] is Do.START
+@pytest.mark.parametrize("before", [(), (TakeoverEvent.OFFER,)])
+@pytest.mark.parametrize("heard", [TakeoverEvent.TIMEOUT, TakeoverEvent.INVALID, TakeoverEvent.ENDED])
+def test_a_successor_without_a_whole_offer_starts_alone(
+    before: tuple[TakeoverEvent, ...], heard: TakeoverEvent
+) -> None:
+    at, done = walk(TakeoverState.ASKING, *before, heard)
+    assert at is TakeoverState.ALONE and done[-1] is TakeoverAction.START
 
 
 def test_every_state_comes_to_rest_whatever_is_heard() -> None:
     """Each pause is followed by a resume or a hand-over, each start or adoption comes once, in any order of words."""
-    for words in product(Heard, repeat=4):
-        at, done = walk(At.WATCHING, *words, Heard.ENDED)
-        assert at in OLD and done.count(Do.PAUSE) == done.count(Do.RESUME)
-        at, done = walk(At.ASKING, *words, Heard.ENDED)
-        assert at is At.ALONE and done.count(Do.START) + done.count(Do.ADOPT) == 1
+    for words in product(TakeoverEvent, repeat=4):
+        at, done = walk(TakeoverState.WATCHING, *words, TakeoverEvent.ENDED)
+        assert at in OLD and done.count(TakeoverAction.PAUSE) == done.count(TakeoverAction.RESUME)
+        at, done = walk(TakeoverState.ASKING, *words, TakeoverEvent.ENDED)
+        assert (
+            at is TakeoverState.ALONE
+            and done.count(TakeoverAction.START) + done.count(TakeoverAction.ADOPT) == 1
+        )
