--- a/cypresspulley/takeover/channel.py
+++ b/cypresspulley/takeover/channel.py
@@ -1,6 +1,7 @@
 """The channel between two processes of one limiter: messages and descriptors over a Unix socket. It decides nothing.
 
-A message is one packet: a JSON object of ``MOST`` bytes at most, with up to ``FDS`` descriptors. Who connects must
+A message is one packet: a JSON object of ``MAX_MESSAGE_BYTES`` bytes at most, with up to
+``MAX_DESCRIPTORS`` descriptors. Who connects must
 run as the same user; what cannot be read ends the channel.
 """
 
@@ -19,13 +20,15 @@
 
 log = logging.getLogger(__name__)
 
-MOST = 64 * 1024
-FDS = 1
-FILE = 8 << 20  # characters of a file: 1,024 servers' ids, 1,024 long (``admin.ROUTES``), six in JSON
-QUEUE = 8192  # messages that wait for the other side; one that takes none has stalled
-NAME = "takeover"
+MAX_MESSAGE_BYTES = 64 * 1024
+MAX_DESCRIPTORS = 1
+MAX_FILE_CHARACTERS = (
+    8 << 20
+)  # characters of a file: 1,024 servers' ids, 1,024 long (``admin.ROUTES``), six in JSON
+MAX_QUEUED_MESSAGES = 8192  # messages that wait for the other side; one that takes none has stalled
+SOCKET_NAME = "takeover"
 Message = dict[str, Any]
-Unsent = Callable[[int], None]  # gets a descriptor that never went out, as its own
+UnsentHandler = Callable[[int], None]  # gets a descriptor that never went out, as its own
 
 
 class Channel:
@@ -42,21 +45,21 @@
         self._heard = heard
         self._ended = ended
         self._loop = asyncio.get_running_loop()
-        self._queue = deque[tuple[bytes, int | None, Unsent]]()
+        self._queue = deque[tuple[bytes, int | None, UnsentHandler]]()
         self._loop.add_reader(sock.fileno(), self._readable)
 
     @property
     def open(self) -> bool:
         return self._sock.fileno() >= 0
 
-    def send(self, message: Message, fd: int | None = None, unsent: Unsent = os.close) -> None:
+    def send(self, message: Message, fd: int | None = None, unsent: UnsentHandler = os.close) -> None:
         """Send a message and a descriptor, which is closed here once it is out.
 
         Where it has to wait and the channel ends first, ``unsent`` gets it. It is closed where the channel has ended
         when this returns.
         """
         data = json.dumps(message, separators=(",", ":")).encode()
-        if not self.open or len(data) > MOST or len(self._queue) >= QUEUE:
+        if not self.open or len(data) > MAX_MESSAGE_BYTES or len(self._queue) >= MAX_QUEUED_MESSAGES:
             if fd is not None:
                 os.close(fd)
             if self.open:
@@ -86,7 +89,7 @@
     def _readable(self) -> None:
         while self.open:
             try:
-                data, fds, flags, _ = socket.recv_fds(self._sock, MOST + 1, FDS)
+                data, fds, flags, _ = socket.recv_fds(self._sock, MAX_MESSAGE_BYTES + 1, MAX_DESCRIPTORS)
             except BlockingIOError:
                 return
             except OSError:
@@ -94,7 +97,7 @@
             if not data:
                 return self.end()
             message = None
-            if len(data) <= MOST and not flags & (socket.MSG_CTRUNC | socket.MSG_TRUNC):
+            if len(data) <= MAX_MESSAGE_BYTES and not flags & (socket.MSG_CTRUNC | socket.MSG_TRUNC):
                 with contextlib.suppress(ValueError):
                     message = json.loads(data)
             if not isinstance(message, dict):
@@ -135,7 +138,7 @@
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         sock.setblocking(False)
         try:
-            sock.connect(self._path(NAME))
+            sock.connect(self._path(SOCKET_NAME))
         except OSError:
             sock.close()
             return None
@@ -144,7 +147,7 @@
     def listen(self) -> socket.socket:
         """Be found by a successor; what an earlier process left there is replaced."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        path = self._path(NAME)
+        path = self._path(SOCKET_NAME)
         with contextlib.suppress(FileNotFoundError):
             os.unlink(path)
         sock.bind(path)
@@ -166,8 +169,8 @@
             contextlib.suppress(OSError, UnicodeDecodeError),
             open(self._path(name), encoding="utf-8") as file,
         ):
-            text = file.read(FILE + 1)
-            return text if len(text) <= FILE else None
+            text = file.read(MAX_FILE_CHARACTERS + 1)
+            return text if len(text) <= MAX_FILE_CHARACTERS else None
         return None
 
 
--- a/cypresspulley/takeover/handover.py
+++ b/cypresspulley/takeover/handover.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from cypresspulley.takeover.channel import FDS, Channel, Folder, Message, same_user
+from cypresspulley.takeover.channel import MAX_DESCRIPTORS, Channel, Folder, Message, same_user
 from cypresspulley.takeover.snapshot import SnapshotError, pack, unpack
 from cypresspulley.takeover.states import (
     STATE_TIMEOUT_SECONDS,
@@ -21,12 +21,14 @@
 
 log = logging.getLogger(__name__)
 
-PART = 16_000  # characters of a snapshot in one message: escaped they are under its bound
-PARTS = 4096
-EARLY = 256  # calls of operators that may come between an offer and the word that this process serves
-TOLD = 0.5  # seconds for the other process to say that a call is in force there
-HELD_EVERY = 0.05  # seconds between two tellings of what is still out
-assert FDS == 1
+MAX_PART_CHARACTERS = 16_000  # characters of a snapshot in one message: escaped they are under its bound
+MAX_PARTS = 4096
+MAX_EARLY_MESSAGES = (
+    256  # calls of operators that may come between an offer and the word that this process serves
+)
+CALL_TIMEOUT_SECONDS = 0.5  # seconds for the other process to say that a call is in force there
+INFLIGHT_REPORT_SECONDS = 0.05  # seconds between two tellings of what is still out
+assert MAX_DESCRIPTORS == 1
 
 
 class Host(Protocol):
@@ -106,7 +108,7 @@
         done = self._calls[number] = self._loop.create_future()
         self._channel.send({"is": "call", "n": number, "name": name, "id": id})
         try:
-            async with asyncio.timeout(TOLD):
+            async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
                 await done
         except TimeoutError:
             return False
@@ -245,7 +247,7 @@
     def _offer(self, host: Host) -> None:
         assert self._channel is not None
         text, checksum = pack(host.state())
-        parts = [text[at : at + PART] for at in range(0, len(text), PART)]
+        parts = [text[at : at + MAX_PART_CHARACTERS] for at in range(0, len(text), MAX_PART_CHARACTERS)]
         host.split()
         self._channel.send({"is": "offer", "parts": len(parts), "checksum": checksum}, host.listener())
         for part in parts:
@@ -272,7 +274,7 @@
             and self._channel is not None
         ):
             self._channel.send({"is": "held", "rows": self._host.held()[:500]})
-            self._telling = self._loop.call_later(HELD_EVERY, self._tell_held)
+            self._telling = self._loop.call_later(INFLIGHT_REPORT_SECONDS, self._tell_held)
 
     def close(self) -> None:
         for timer in (self._telling, self._late):
@@ -340,7 +342,7 @@
                 case "part":
                     self._part(message)
                 case _ if self._host is None:
-                    if len(self._early) >= EARLY:
+                    if len(self._early) >= MAX_EARLY_MESSAGES:
                         raise ValueError("too much before this process serves")
                     self._early.append(message)
                 case _:
@@ -353,7 +355,7 @@
 
     def _begin(self, message: Message, listener: socket.socket | None) -> None:
         self._wanted, self._checksum = int(message["parts"]), str(message["checksum"])
-        if listener is None or not 0 < self._wanted <= PARTS or self._listener is not None:
+        if listener is None or not 0 < self._wanted <= MAX_PARTS or self._listener is not None:
             raise ValueError("an offer without a listener, of too many parts or a second one")
         self._listener = listener
         self._wait(TakeoverEvent.OFFER)
--- a/tests/takeover/test_handover.py
+++ b/tests/takeover/test_handover.py
@@ -445,6 +445,6 @@
 
 
 def test_parts_of_a_snapshot_fit_in_a_message() -> None:
-    from cypresspulley.takeover.channel import MOST
+    from cypresspulley.takeover.channel import MAX_MESSAGE_BYTES
 
-    assert 2 * handover.PART + 100 < MOST and api.Health.UP.value == "up"
+    assert 2 * handover.MAX_PART_CHARACTERS + 100 < MAX_MESSAGE_BYTES and api.Health.UP.value == "up"
