--- a/cypresspulley/service.py
+++ b/cypresspulley/service.py
@@ -18,7 +18,14 @@
 from cypresspulley.policy.gateway import Gateway
 from cypresspulley.takeover.channel import Folder
 from cypresspulley.takeover.handover import Offer, Peer, Predecessor, Successor
-from cypresspulley.takeover.snapshot import Ghosts, SnapshotError, Split, adopt, held, take
+from cypresspulley.takeover.snapshot import (
+    PredecessorAttempts,
+    SnapshotError,
+    StateSplit,
+    count_open_attempts,
+    restore_snapshot,
+    take_snapshot,
+)
 
 log = logging.getLogger(__name__)
 
@@ -38,8 +45,8 @@
         self._clock: Callable[[], float] = float
         self._successor: Successor | None = None  # this process's way to its predecessor
         self._predecessor: Predecessor | None = None  # and to its successor
-        self._split: Split | None = None
-        self._ghosts: Ghosts | None = None
+        self._split: StateSplit | None = None
+        self._predecessor_attempts: PredecessorAttempts | None = None
         self._drained = False  # as inherited, until the process serves
         self._tasks = set[asyncio.Task[None]]()
         # Purges what all limiters keep of an account: who may still have something; None where nothing is kept.
@@ -66,7 +73,7 @@
         assert self._successor is not None
         state = offer.state
         try:
-            adopt(gateway, now, state["decisions"])
+            restore_snapshot(gateway, now, state["decisions"])
             dials = {str(k): str(v) for k, v in state["dials"].items()}
             for server in gateway.load_balancer.servers.values():
                 name, born = server.entry.name, server.entry.born
@@ -95,7 +102,7 @@
             self.life.apply(LifecycleEvent.DRAIN)
         self._heed()
         if gateway is not None:
-            self._ghosts = Ghosts(gateway)
+            self._predecessor_attempts = PredecessorAttempts(gateway)
         if self._successor is not None:
             self._successor.serve(self)
         if self._folder is not None:
@@ -209,7 +216,8 @@
         assert self._gateway is not None and self._upstream is not None
         offset = self._clock.offset if isinstance(self._clock, UnixClock) else None
         return {
-            "decisions": take(self._gateway), "dials": self._upstream.dials_by_name(), "drained": self.life.drained,
+            "decisions": take_snapshot(self._gateway),
+            "dials": self._upstream.dials_by_name(), "drained": self.life.drained,
             CLOCK_OFFSET: offset,
         }  # fmt: skip
 
@@ -234,12 +242,12 @@
 
     def split(self) -> None:
         assert self._gateway is not None
-        self._split = Split(self._gateway)
+        self._split = StateSplit(self._gateway)
 
     def retuned(self) -> None:
         """Other settings hold; a process that hands over goes on with its part of them."""
         if self._split is not None:
-            self._split.replan()
+            self._split.scale_plans()
 
     def unsplit(self, whole: bool) -> None:
         if self._split is not None:
@@ -255,11 +263,11 @@
             self._frontend.set_handoff(None)
 
     def held(self) -> list[tuple[str, str, int]]:
-        return held(self._gateway) if self._gateway is not None else []
+        return count_open_attempts(self._gateway) if self._gateway is not None else []
 
     def told_held(self, rows: list[tuple[str, str, int]]) -> None:
-        if self._ghosts is not None:
-            self._ghosts.told({(plan, account): n for plan, account, n in rows})
+        if self._predecessor_attempts is not None:
+            self._predecessor_attempts.update({(plan, account): n for plan, account, n in rows})
 
     def took(self, sock: socket.socket) -> None:
         assert self._frontend is not None
--- a/cypresspulley/takeover/handover.py
+++ b/cypresspulley/takeover/handover.py
@@ -10,7 +10,7 @@
 from typing import Any, Protocol
 
 from cypresspulley.takeover.channel import MAX_DESCRIPTORS, Channel, Folder, Message, same_user
-from cypresspulley.takeover.snapshot import SnapshotError, pack, unpack
+from cypresspulley.takeover.snapshot import SnapshotError, decode_snapshot, encode_snapshot
 from cypresspulley.takeover.states import (
     STATE_TIMEOUT_SECONDS,
     TakeoverAction,
@@ -246,7 +246,7 @@
 
     def _offer(self, host: Host) -> None:
         assert self._channel is not None
-        text, checksum = pack(host.state())
+        text, checksum = encode_snapshot(host.state())
         parts = [text[at : at + MAX_PART_CHARACTERS] for at in range(0, len(text), MAX_PART_CHARACTERS)]
         host.split()
         self._channel.send({"is": "offer", "parts": len(parts), "checksum": checksum}, host.listener())
@@ -365,7 +365,7 @@
         if len(self._parts) < self._wanted or self._listener is None:
             return
         try:
-            state = unpack("".join(self._parts), self._checksum)
+            state = decode_snapshot("".join(self._parts), self._checksum)
         except SnapshotError as error:
             raise ValueError(str(error)) from None
         self._offer = Offer(self._listener, state)
--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -1,7 +1,7 @@
 """What one limiter knows, as text that another process goes on from. No I/O and no clock.
 
 To every rule two processes of one limiter are one: what a store holds is split between them and conserved. The one
-that leaves keeps ``KEPT`` of it for what it still has in hand, and refills nothing.
+that leaves keeps ``RETAINED_SHARE`` of it for what it still has in hand, and refills nothing.
 """
 
 from __future__ import annotations
@@ -17,39 +17,39 @@
 from cypresspulley.policy.gateway import Gateway
 
 VERSION = 1
-KEPT = 0.1  # of each store, by the process that leaves
-NOTHING = 1e-9  # a rate of refill that gives nothing, where 0 would mean that there is no limit
-ACCOUNTS = 20_000  # in one snapshot; the longest idle are left out, and start as after a restart
+RETAINED_SHARE = 0.1  # of each store, by the process that leaves
+NEGLIGIBLE_FACTOR = 1e-9  # a rate of refill that gives nothing, where 0 would mean that there is no limit
+MAX_ACCOUNTS = 20_000  # in one snapshot; the longest idle are left out, and start as after a restart
 # Each mapping below goes from the name of a field in the snapshot to the name of the attribute that holds it. The
 # reader may be a process of another build: an attribute may be renamed, the name in the snapshot must stay.
-GATE: Mapping[str, str] = {
+GATE_FIELDS: Mapping[str, str] = {
     "sum": "integral", "u": "admit_rate", "reading": "load", "mean": "mean_work", "_tokens": "_tokens",
     "_arrivals": "_arrival_rate", "_filled": "_filled_at",
 }  # fmt: skip
-SERVER: Mapping[str, str] = {
+SERVER_FIELDS: Mapping[str, str] = {
     "rate": "work_rate", "slow": "latency_ratio", "fails": "failure_rate", "out_until": "ejected_until",
     "out_for": "ejection_seconds", "budget": "cold_budget", "budget_at": "cold_budget_at", "trial": "on_trial",
     "lost": "unreachable", "told": "reported_inflight", "told_at": "reported_at", "since": "sent_since_report",
     "row": "consecutive_breaks", "broke": "last_break_at", "cold_at": "cold_since",
 }  # fmt: skip
-ACCOUNT: Mapping[str, str] = {
+ACCOUNT_FIELDS: Mapping[str, str] = {
     "at": "at", "asked": "asked", "synced": "synced", "level": "level", "floor": "floor", "ceiling": "ceiling",
     "drawn": "drawn", "total": "total", "others": "others", "pending": "pending", "guessed": "guessed",
     "mine": "mine", "heard": "heard", "debt": "debt",
 }  # fmt: skip
 # Attributes of an account, used only with getattr and setattr: the stores that are split between the processes.
-STORES = ("level", "floor", "ceiling")
-WINDOW: Mapping[str, str] = {
+SPLIT_STORES = ("level", "floor", "ceiling")
+WINDOW_FIELDS: Mapping[str, str] = {
     "_seen": "_seen", "_ends_after": "_ends_after", "_ends_by": "_ends_by", "_ask_at": "_ask_at",
     "_retry_by": "_retry_by",
 }  # fmt: skip
-CALLS: Mapping[str, str] = {
+CALL_FIELDS: Mapping[str, str] = {
     "rate": "rate",
     "room": "room",
     "silent_until": "silent_until",
     "misses": "misses",
 }
-SIZES: Mapping[str, str] = {
+UNIT_COST_FIELDS: Mapping[str, str] = {
     "mean": "mean_units", "slope": "slope", "_spread": "_units_variance", "_common": "_covariance",
     "_latency": "_mean_latency", "_seen": "_samples",
 }  # fmt: skip
@@ -73,44 +73,45 @@
 
 def _window(account: Account) -> dict[str, Any] | None:
     window = account.window
-    return _read_attributes(window, WINDOW) if window is not None and window.known else None
+    return _read_attributes(window, WINDOW_FIELDS) if window is not None and window.known else None
 
 
-def take(gateway: Gateway) -> dict[str, Any]:
+def take_snapshot(gateway: Gateway) -> dict[str, Any]:
     """The state of the decisions; nothing is changed by it."""
     load_balancer, quotas = gateway.load_balancer, gateway.quotas
     incarnation, usage = quotas.incarnation, quotas.usage
-    accounts = sorted(quotas.accounts.items(), key=lambda each: -each[1].at)[:ACCOUNTS]
+    accounts = sorted(quotas.accounts.items(), key=lambda each: -each[1].at)[:MAX_ACCOUNTS]
     return {
         "retries": gateway._retry_tokens,
         "seen": list(gateway._recent_values),
-        "gate": _read_attributes(gateway.gate, GATE),
+        "gate": _read_attributes(gateway.gate, GATE_FIELDS),
         "base": load_balancer.idle_latency,
-        "sizes": _read_attributes(load_balancer.unit_cost, SIZES),
+        "sizes": _read_attributes(load_balancer.unit_cost, UNIT_COST_FIELDS),
         "done_rate": load_balancer._mean_finish_rate,
         "bans": sorted(load_balancer.bans),
         "known": list(load_balancer.births),
         "births": load_balancer.births,
         "servers": [
-            {"entry": asdict(s.entry) | {"health": s.entry.health.value}, "up": s.up, **_read_attributes(s, SERVER)}
+            {"entry": asdict(s.entry) | {"health": s.entry.health.value}, "up": s.up,
+             **_read_attributes(s, SERVER_FIELDS)}
             for s in load_balancer.servers.values()
             if not s.gone
         ],
         "born": quotas._born,
-        "calls": _read_attributes(quotas.calls, CALLS),
+        "calls": _read_attributes(quotas.calls, CALL_FIELDS),
         "first": incarnation.first,
         "tells": None if usage is None else [usage.born, usage.late, list(usage.strange.items())],
         "accounts": [
-            [*key, a.share, a.open, _read_attributes(a, ACCOUNT), _window(a)]
+            [*key, a.share, a.open, _read_attributes(a, ACCOUNT_FIELDS), _window(a)]
             for key, a in accounts
         ],
     }  # fmt: skip
 
 
-def adopt(gateway: Gateway, now: float, state: dict[str, Any]) -> None:
+def restore_snapshot(gateway: Gateway, now: float, state: dict[str, Any]) -> None:
     """A fresh gateway goes on from a predecessor's state, less what that keeps. ``SnapshotError`` where it cannot."""
     try:
-        _adopt(gateway, now, state)
+        _restore(gateway, now, state)
     except (KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
         raise SnapshotError(f"a snapshot that cannot be used: {error!r:.120}") from None
 
@@ -122,14 +123,14 @@
     )  # fmt: skip
 
 
-def _adopt(gateway: Gateway, now: float, state: dict[str, Any]) -> None:
+def _restore(gateway: Gateway, now: float, state: dict[str, Any]) -> None:
     load_balancer, quotas = gateway.load_balancer, gateway.quotas
     gateway._retry_tokens = float(state["retries"])
     gateway._recent_values.extend(map(float, state["seen"]))
     gateway._sorted_values = sorted(gateway._recent_values)
-    _write_attributes(gateway.gate, state["gate"], GATE)
+    _write_attributes(gateway.gate, state["gate"], GATE_FIELDS)
     load_balancer.idle_latency.update({str(name): float(value) for name, value in state["base"].items()})
-    _write_attributes(load_balancer.unit_cost, state["sizes"], SIZES)
+    _write_attributes(load_balancer.unit_cost, state["sizes"], UNIT_COST_FIELDS)
     load_balancer._mean_finish_rate = float(state["done_rate"])
     load_balancer.bans.update(map(str, state["bans"]))
     births = state.get("births", {})  # a predecessor of an older version tells none
@@ -138,12 +139,12 @@
     load_balancer.update_servers(now, api.ServerList(tuple(entry for entry, _ in rows), True))
     for entry, row in rows:
         server = load_balancer.servers[entry.name]
-        _write_attributes(server, row, SERVER)
+        _write_attributes(server, row, SERVER_FIELDS)
         server.up = bool(row["up"])
-        server.cold_budget *= 1 - KEPT if server.cold_budget > 0 else 1
+        server.cold_budget *= 1 - RETAINED_SHARE if server.cold_budget > 0 else 1
     load_balancer._rebuild(now)
     quotas._born = float(state["born"])
-    _write_attributes(quotas.calls, state["calls"], CALLS)
+    _write_attributes(quotas.calls, state["calls"], CALL_FIELDS)
     # A predecessor of an older version tells it as "life".
     quotas.incarnation.resume(now, bool(state["first"] if "first" in state else state["life"]["vouched"]))
     if state["tells"] is not None and quotas.usage is not None:
@@ -153,57 +154,63 @@
         if plan not in quotas._plans:
             continue  # the plan was dropped meanwhile
         a = quotas.account(now, api.Request(0, "", plan, 1.0, name, gateways=int(share)))
-        _write_attributes(a, values, ACCOUNT)
-        for store in STORES:
-            setattr(a, store, (1 - KEPT) * getattr(a, store) if getattr(a, store) > 0 else getattr(a, store))
+        _write_attributes(a, values, ACCOUNT_FIELDS)
+        for store in SPLIT_STORES:
+            setattr(
+                a,
+                store,
+                (1 - RETAINED_SHARE) * getattr(a, store) if getattr(a, store) > 0 else getattr(a, store),
+            )
         # One of an older version tells of windows with other names: the counter has what it needs to be known of them.
-        if a.window is not None and window is not None and set(WINDOW) <= set(window):
-            _write_attributes(a.window, window, WINDOW)
+        if a.window is not None and window is not None and set(WINDOW_FIELDS) <= set(window):
+            _write_attributes(a.window, window, WINDOW_FIELDS)
 
 
-class Split:
-    """The leaving side: keeps ``KEPT`` of each store, refills nothing, and can take all of it back."""
+class StateSplit:
+    """The leaving side: keeps ``RETAINED_SHARE`` of each store, refills nothing, and can take all of it back."""
 
     def __init__(self, gateway: Gateway) -> None:
         self._gateway, quotas = gateway, gateway.quotas
         self._plans, self._first = dict[str, api.Plan](), quotas.incarnation.first
         self._given = list[tuple[Account, dict[str, float]]]()
         for a in quotas.accounts.values():
-            given = {store: (1 - KEPT) * max(0.0, getattr(a, store)) for store in STORES}
+            given = {store: (1 - RETAINED_SHARE) * max(0.0, getattr(a, store)) for store in SPLIT_STORES}
             given["pending"] = a.pending
             self._given.append((a, given))
             for store, amount in given.items():
                 setattr(a, store, getattr(a, store) - amount)
         self._budgets = [
-            (s, (1 - KEPT) * max(0.0, s.cold_budget)) for s in gateway.load_balancer.servers.values()
+            (s, (1 - RETAINED_SHARE) * max(0.0, s.cold_budget))
+            for s in gateway.load_balancer.servers.values()
         ]
         for server, budget in self._budgets:
             server.cold_budget -= budget
         quotas.incarnation.first = False
         self._wanted, quotas.incarnation.wanted = quotas.incarnation.wanted, False
-        self.replan()
+        self.scale_plans()
 
-    def replan(self) -> None:
+    def scale_plans(self) -> None:
         """Cut the plans down, now and after each change of settings: a whole plan would refill here as well."""
         quotas = self._gateway.quotas
         self._plans = dict(quotas._plans)
-        scaled = {name: self._kept(plan) for name, plan in self._plans.items()}
+        scaled = {name: self._scale_plan(plan) for name, plan in self._plans.items()}
         for a in quotas.accounts.values():
             self._plans.setdefault(a.plan.name, a.plan)  # of one that was dropped
-            a.plan = scaled.get(a.plan.name) or self._kept(a.plan)
-        quotas._plans = {name: self._nothing(plan) for name, plan in scaled.items()}
-        quotas.dropped_plans.transform_dropped(lambda plan: self._nothing(self._kept(plan)))
+            a.plan = scaled.get(a.plan.name) or self._scale_plan(a.plan)
+        quotas._plans = {name: self._scale_new_ceiling(plan) for name, plan in scaled.items()}
+        quotas.dropped_plans.transform_dropped(lambda plan: self._scale_new_ceiling(self._scale_plan(plan)))
 
     @staticmethod
-    def _nothing(plan: api.Plan) -> api.Plan:
+    def _scale_new_ceiling(plan: api.Plan) -> api.Plan:
         """What a customer that is new here gets of a ceiling: its store is at the successor."""
-        return replace(plan, ceiling_burst=plan.ceiling_burst * NOTHING)
+        return replace(plan, ceiling_burst=plan.ceiling_burst * NEGLIGIBLE_FACTOR)
 
     @staticmethod
-    def _kept(plan: api.Plan) -> api.Plan:
+    def _scale_plan(plan: api.Plan) -> api.Plan:
         return replace(
-            plan, rate=plan.rate * NOTHING, burst=plan.burst * KEPT, ceiling_rate=plan.ceiling_rate * NOTHING,
-            ceiling_burst=plan.ceiling_burst * KEPT,
+            plan, rate=plan.rate * NEGLIGIBLE_FACTOR, burst=plan.burst * RETAINED_SHARE,
+            ceiling_rate=plan.ceiling_rate * NEGLIGIBLE_FACTOR,
+            ceiling_burst=plan.ceiling_burst * RETAINED_SHARE,
         )  # fmt: skip
 
     def undo(self, whole: bool, now: float) -> None:
@@ -226,34 +233,34 @@
                 setattr(a, store, getattr(a, store) + amount)
 
 
-class Ghosts:
+class PredecessorAttempts:
     """Attempts that are out at the predecessor: they count against the limits on what is out, here as there."""
 
     def __init__(self, gateway: Gateway) -> None:
         self._gateway = gateway
         self._held = dict[tuple[str, str], int]()
 
-    def told(self, held: dict[tuple[str, str], int]) -> None:
+    def update(self, attempts: dict[tuple[str, str], int]) -> None:
         """What is out there now, by plan and account; nothing once it has ended."""
         accounts = self._gateway.quotas.accounts
-        for key in {*held, *self._held}:
+        for key in {*attempts, *self._held}:
             if (a := accounts.get(key)) is not None:
-                a.open += held.get(key, 0) - self._held.get(key, 0)
-        self._held = {key: n for key, n in held.items() if key in accounts}
+                a.open += attempts.get(key, 0) - self._held.get(key, 0)
+        self._held = {key: n for key, n in attempts.items() if key in accounts}
 
 
-def held(gateway: Gateway) -> list[tuple[str, str, int]]:
+def count_open_attempts(gateway: Gateway) -> list[tuple[str, str, int]]:
     """Attempts that are out here, by plan and account."""
     return [(*key, a.open) for key, a in gateway.quotas.accounts.items() if a.open > 0]
 
 
-def pack(state: dict[str, Any]) -> tuple[str, str]:
+def encode_snapshot(state: dict[str, Any]) -> tuple[str, str]:
     """The text of a snapshot and its checksum."""
     text = json.dumps({"version": VERSION, "state": state}, separators=(",", ":"))
     return text, hashlib.sha256(text.encode()).hexdigest()
 
 
-def unpack(text: str, checksum: str) -> dict[str, Any]:
+def decode_snapshot(text: str, checksum: str) -> dict[str, Any]:
     """The state in a snapshot; ``SnapshotError`` where text, checksum or version do not fit."""
     if hashlib.sha256(text.encode()).hexdigest() != checksum:
         raise SnapshotError("snapshot: the checksum does not fit")
--- a/tests/takeover/test_snapshot.py
+++ b/tests/takeover/test_snapshot.py
@@ -14,16 +14,16 @@
 from cypresspulley import interface as api
 from cypresspulley.policy.gateway import Gateway
 from cypresspulley.takeover.snapshot import (
-    KEPT,
-    STORES,
-    Ghosts,
+    RETAINED_SHARE,
+    SPLIT_STORES,
+    PredecessorAttempts,
     SnapshotError,
-    Split,
-    adopt,
-    held,
-    pack,
-    take,
-    unpack,
+    StateSplit,
+    count_open_attempts,
+    decode_snapshot,
+    encode_snapshot,
+    restore_snapshot,
+    take_snapshot,
 )
 from tests import world as w
 
@@ -53,21 +53,23 @@
 
 def successor(world: w.World, config: api.Settings = CONFIG) -> Gateway:
     gateway = Gateway(config, 9, world.now)
-    adopt(gateway, world.now, unpack(*pack(take(world.gateway))))
+    restore_snapshot(gateway, world.now, decode_snapshot(*encode_snapshot(take_snapshot(world.gateway))))
     return gateway
 
 
 def test_each_store_is_split_and_conserved() -> None:
     world = lived()
-    before = {key: {s: getattr(a, s) for s in STORES} for key, a in world.gateway.quotas.accounts.items()}
+    before = {
+        key: {s: getattr(a, s) for s in SPLIT_STORES} for key, a in world.gateway.quotas.accounts.items()
+    }
     after = successor(world)
-    Split(world.gateway)
+    StateSplit(world.gateway)
     assert before
     for key, stores in before.items():
         old, new = world.gateway.quotas.accounts[key], after.quotas.accounts[key]
         for store, amount in stores.items():
             assert getattr(old, store) + getattr(new, store) == pytest.approx(amount)
-            assert getattr(old, store) == pytest.approx(KEPT * amount) or amount <= 0
+            assert getattr(old, store) == pytest.approx(RETAINED_SHARE * amount) or amount <= 0
 
 
 def test_servers_bans_loads_and_rates_go_over() -> None:
@@ -90,19 +92,23 @@
 
 def test_taking_a_snapshot_changes_nothing() -> None:
     world = lived()
-    first = pack(take(world.gateway))
-    assert pack(take(world.gateway)) == first
+    first = encode_snapshot(take_snapshot(world.gateway))
+    assert encode_snapshot(take_snapshot(world.gateway)) == first
 
 
 def test_what_was_split_can_be_taken_back_whole() -> None:
     world = lived()
-    before = {(key, s): getattr(a, s) for key, a in world.gateway.quotas.accounts.items() for s in STORES}
+    before = {
+        (key, s): getattr(a, s) for key, a in world.gateway.quotas.accounts.items() for s in SPLIT_STORES
+    }
     plans, budgets = (
         dict(world.gateway.quotas._plans),
         [s.cold_budget for s in world.gateway.load_balancer.servers.values()],
     )
-    Split(world.gateway).undo(whole=True, now=world.now)
-    after = {(key, s): getattr(a, s) for key, a in world.gateway.quotas.accounts.items() for s in STORES}
+    StateSplit(world.gateway).undo(whole=True, now=world.now)
+    after = {
+        (key, s): getattr(a, s) for key, a in world.gateway.quotas.accounts.items() for s in SPLIT_STORES
+    }
     assert after == pytest.approx(before) and world.gateway.quotas._plans == plans
     assert [s.cold_budget for s in world.gateway.load_balancer.servers.values()] == pytest.approx(budgets)
     assert all(a.plan is PLAN for a in world.gateway.quotas.accounts.values())
@@ -110,7 +116,7 @@
 
 def test_a_successor_that_served_and_died_has_used_what_it_was_given() -> None:
     world = lived()
-    split = Split(world.gateway)
+    split = StateSplit(world.gateway)
     levels = {key: a.ceiling for key, a in world.gateway.quotas.accounts.items()}
     split.undo(whole=False, now=world.now)
     for key, a in world.gateway.quotas.accounts.items():
@@ -134,13 +140,13 @@
             if new is not None:
                 old, new = new, None
             old.advance(now)
-            text = pack(take(old.gateway))
-            split = Split(old.gateway)
+            text = encode_snapshot(take_snapshot(old.gateway))
+            split = StateSplit(old.gateway)
             if dies and step == 40:
                 split.undo(whole=True, now=old.now)  # it ended before it served
             else:
                 new = w.World(CONFIG, seed, old.now)
-                adopt(new.gateway, old.now, unpack(*text))
+                restore_snapshot(new.gateway, old.now, decode_snapshot(*text))
                 new.up, new.known = dict(old.up), set(old.known)
         world = rng.choice([each for each in (old, new) if each is not None])
         world.advance(now)
@@ -160,12 +166,12 @@
     world = lived()
     world.advance(world.now + 3.0)
     world.feed(asked_of(500, "read", "capped", "a0"))
-    rows = held(world.gateway)
+    rows = count_open_attempts(world.gateway)
     assert rows == [("capped", "a0", 1)]
     after = successor(world)
-    ghosts, account = Ghosts(after), after.quotas.accounts["capped", "a0"]
+    attempts, account = PredecessorAttempts(after), after.quotas.accounts["capped", "a0"]
     for rows_told, wanted in ((rows, 1), (rows, 1), ([], 0), (rows, 1), ([], 0)):
-        ghosts.told({(plan, name): n for plan, name, n in rows_told})
+        attempts.update({(plan, name): n for plan, name, n in rows_told})
         assert account.open == wanted
 
 
@@ -175,19 +181,19 @@
 
 
 def test_wrong_snapshots_are_told_apart() -> None:
-    state = take(lived().gateway)
-    text, checksum = pack(state)
+    state = take_snapshot(lived().gateway)
+    text, checksum = encode_snapshot(state)
     with pytest.raises(SnapshotError, match="checksum"):
-        unpack(text[:-1] + " ", checksum)
+        decode_snapshot(text[:-1] + " ", checksum)
     for bad in ('{"version":2,"state":{}}', '{"version":1}', "[]", '{"version":1,"state":3}', "{"):
         with pytest.raises(SnapshotError):
-            unpack(bad, hashlib.sha256(bad.encode()).hexdigest())
+            decode_snapshot(bad, hashlib.sha256(bad.encode()).hexdigest())
 
 
 @pytest.mark.parametrize("seed", range(40))
 def test_a_spoilt_snapshot_is_rejected_or_changes_only_figures(seed: int) -> None:
     """Any one value replaced: adopting it either says so or leaves a limiter that decides."""
-    rng, state = Random(seed), json.loads(json.dumps(take(lived().gateway)))
+    rng, state = Random(seed), json.loads(json.dumps(take_snapshot(lived().gateway)))
     spots = list[tuple[object, object]]()
 
     def walk(node: object) -> None:
@@ -202,7 +208,7 @@
     owner[key] = rng.choice([None, "x", [], {}, -1.0, True])  # type: ignore[index]
     gateway = Gateway(CONFIG, 9, 200.0)
     try:
-        adopt(gateway, 200.0, state)
+        restore_snapshot(gateway, 200.0, state)
     except SnapshotError:
         return
-    assert take(gateway)
+    assert take_snapshot(gateway)
--- a/tests/test_classes.py
+++ b/tests/test_classes.py
@@ -11,7 +11,7 @@
 from cypresspulley.net.requests import BadRequestError, RequestReader
 from cypresspulley.policy.classes import CLIENT_UPDATE_SECONDS, REPLACED_RECORD_SECONDS, ClassRegistry
 from cypresspulley.settings import SettingsError, check_no_missing_keys, check_positive_figures
-from cypresspulley.takeover.snapshot import KEPT, Split
+from cypresspulley.takeover.snapshot import RETAINED_SHARE, StateSplit
 from tests import world as w
 
 SAFE, KEYED, UNSAFE = api.Effect.SAFE, api.Effect.KEYED, api.Effect.UNSAFE
@@ -96,13 +96,13 @@
     plan = api.Plan("capped", rate=2.0, burst=8.0, ceiling_rate=4.0, ceiling_burst=12.0)
     world = w.World(replace(BASE, plans=(plan,)))
     world.feed(w.request(1, plan="capped"))
-    split = Split(world.gateway)
+    split = StateSplit(world.gateway)
     changed = replace(plan, ceiling_rate=6.0)
     world.feed(api.SettingsChanged(replace(OTHER, plans=(changed,))))
     split.replan()
     account = world.gateway.quotas.accounts["capped", "x"]
     account.refill(world.now + 100.0)
-    assert account.ceiling <= KEPT * 12.0
+    assert account.ceiling <= RETAINED_SHARE * 12.0
     split.undo(whole=True, now=world.now + 100.0)
     assert account.plan == changed and world.gateway.quotas._plans == {"capped": changed}
 
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -23,7 +23,7 @@
 from cypresspulley.plans.store import Store
 from cypresspulley.service import RECORD
 from cypresspulley.takeover.channel import Folder
-from cypresspulley.takeover.snapshot import adopt, pack, take, unpack
+from cypresspulley.takeover.snapshot import decode_snapshot, encode_snapshot, restore_snapshot, take_snapshot
 from tests import world as w
 from tests.loopback import run
 from tests.plans.disk import Disk
@@ -132,8 +132,8 @@
     before, after = w.World(settings), w.World(settings)
     before.feed(w.servers(*names))
     before.gateway.load_balancer.bans.update(names)
-    text, checksum = pack(take(before.gateway))
-    adopt(after.gateway, after.now, unpack(text, checksum))
+    text, checksum = encode_snapshot(take_snapshot(before.gateway))
+    restore_snapshot(after.gateway, after.now, decode_snapshot(text, checksum))
     assert set(after.gateway.load_balancer.servers) == set(names) == after.gateway.load_balancer.bans
 
 
