--- a/cypresspulley/service.py
+++ b/cypresspulley/service.py
@@ -212,7 +212,7 @@
 
     # The host of a takeover.
 
-    def state(self) -> dict[str, Any]:
+    def take_snapshot(self) -> dict[str, Any]:
         assert self._gateway is not None and self._upstream is not None
         offset = self._clock.offset if isinstance(self._clock, UnixClock) else None
         return {
@@ -221,7 +221,7 @@
             CLOCK_OFFSET: offset,
         }  # fmt: skip
 
-    def listener(self) -> int:
+    def duplicate_listener(self) -> int:
         assert self._frontend is not None
         return self._frontend.duplicate_listener()
 
@@ -240,7 +240,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def split(self) -> None:
+    def split_state(self) -> None:
         assert self._gateway is not None
         self._split = StateSplit(self._gateway)
 
@@ -249,12 +249,12 @@
         if self._split is not None:
             self._split.scale_plans()
 
-    def unsplit(self, whole: bool) -> None:
+    def undo_split(self, whole: bool) -> None:
         if self._split is not None:
             self._split.undo(whole, self._clock())
             self._split = None
 
-    def handed(self, to: Peer | None) -> None:
+    def set_successor(self, to: Peer | None) -> None:
         assert self._frontend is not None
         if isinstance(to, Predecessor):
             self.life.apply(LifecycleEvent.HAND_OVER)
@@ -262,21 +262,21 @@
         else:
             self._frontend.set_handoff(None)
 
-    def held(self) -> list[tuple[str, str, int]]:
+    def count_open_attempts(self) -> list[tuple[str, str, int]]:
         return count_open_attempts(self._gateway) if self._gateway is not None else []
 
-    def told_held(self, rows: list[tuple[str, str, int]]) -> None:
+    def set_predecessor_attempts(self, rows: list[tuple[str, str, int]]) -> None:
         if self._predecessor_attempts is not None:
             self._predecessor_attempts.update({(plan, account): n for plan, account, n in rows})
 
-    def took(self, sock: socket.socket) -> None:
+    def adopt_connection(self, sock: socket.socket) -> None:
         assert self._frontend is not None
         self._later(self._frontend.adopt_connection(sock))
 
-    def applied(self, name: str, id: str, source: Peer) -> None:
+    def apply_call(self, name: str, id: str, source: Peer) -> None:
         self._apply(name, id, sure=True)
         self._later(self._tell(name, id, source))  # to a third process, where there is one
 
-    def alone(self) -> None:
+    def predecessor_ended(self) -> None:
         self.life.apply(LifecycleEvent.PREDECESSOR_ENDED)
         self._heed()
--- a/cypresspulley/takeover/handover.py
+++ b/cypresspulley/takeover/handover.py
@@ -34,11 +34,11 @@
 class Host(Protocol):
     """The limiter, as a takeover sees it."""
 
-    def state(self) -> dict[str, Any]:
+    def take_snapshot(self) -> dict[str, Any]:
         """What a successor goes on from."""
         ...
 
-    def listener(self) -> int:
+    def duplicate_listener(self) -> int:
         """A descriptor of the clients' listener, the caller's own."""
         ...
 
@@ -46,29 +46,29 @@
 
     def resume(self) -> None: ...
 
-    def split(self) -> None:
+    def split_state(self) -> None:
         """What is offered is no longer this process's."""
         ...
 
-    def unsplit(self, whole: bool) -> None: ...
+    def undo_split(self, whole: bool) -> None: ...
 
-    def handed(self, to: Peer | None) -> None:
+    def set_successor(self, to: Peer | None) -> None:
         """Connections that come to rest go to the successor; None: there is none any more."""
         ...
 
-    def held(self) -> list[tuple[str, str, int]]: ...
+    def count_open_attempts(self) -> list[tuple[str, str, int]]: ...
 
-    def told_held(self, rows: list[tuple[str, str, int]]) -> None: ...
+    def set_predecessor_attempts(self, rows: list[tuple[str, str, int]]) -> None: ...
 
-    def took(self, sock: socket.socket) -> None:
+    def adopt_connection(self, sock: socket.socket) -> None:
         """A client's connection, passed on at rest."""
         ...
 
-    def applied(self, name: str, id: str, source: Peer) -> None:
+    def apply_call(self, name: str, id: str, source: Peer) -> None:
         """An operators' call that the other process was told."""
         ...
 
-    def alone(self) -> None:
+    def predecessor_ended(self) -> None:
         """The predecessor has ended."""
         ...
 
@@ -121,7 +121,7 @@
         if not isinstance(number, int) or not isinstance(name, str) or not isinstance(id, str):
             raise ValueError("a call without number, name and id")
         assert self._host is not None and self._channel is not None
-        self._host.applied(name, id, self)
+        self._host.apply_call(name, id, self)
         self._channel.send({"is": "done", "n": number})
 
     def _done(self, message: Message) -> None:
@@ -229,14 +229,14 @@
                 self._offer(host)
             case TakeoverAction.HAND_OVER:
                 self._unwatch()  # the successor is who the next one finds
-                host.handed(self)
+                host.set_successor(self)
                 self._tell_held()
             case TakeoverAction.TAKE_BACK:
-                host.unsplit(whole=True)
+                host.undo_split(whole=True)
             case TakeoverAction.RESUME:
                 # Nothing to undo where all was taken back; else what was given may have been drawn.
-                host.unsplit(whole=False)
-                host.handed(None)
+                host.undo_split(whole=False)
+                host.set_successor(None)
                 host.resume()
                 self._watch()
             case TakeoverAction.CLOSE_CHANNEL:
@@ -246,10 +246,12 @@
 
     def _offer(self, host: Host) -> None:
         assert self._channel is not None
-        text, checksum = encode_snapshot(host.state())
+        text, checksum = encode_snapshot(host.take_snapshot())
         parts = [text[at : at + MAX_PART_CHARACTERS] for at in range(0, len(text), MAX_PART_CHARACTERS)]
-        host.split()
-        self._channel.send({"is": "offer", "parts": len(parts), "checksum": checksum}, host.listener())
+        host.split_state()
+        self._channel.send(
+            {"is": "offer", "parts": len(parts), "checksum": checksum}, host.duplicate_listener()
+        )
         for part in parts:
             self._channel.send({"is": "part", "text": part})
 
@@ -264,7 +266,7 @@
     def _unsent(self, fd: int) -> None:
         """The successor went before it could be given this client's connection: it is served on here."""
         assert self._host is not None
-        self._host.took(socket.socket(fileno=fd))
+        self._host.adopt_connection(socket.socket(fileno=fd))
 
     def _tell_held(self) -> None:
         self._telling = None
@@ -273,7 +275,7 @@
             and self._host is not None
             and self._channel is not None
         ):
-            self._channel.send({"is": "held", "rows": self._host.held()[:500]})
+            self._channel.send({"is": "held", "rows": self._host.count_open_attempts()[:500]})
             self._telling = self._loop.call_later(INFLIGHT_REPORT_SECONDS, self._tell_held)
 
     def close(self) -> None:
@@ -327,7 +329,7 @@
         for message in early:
             self._from_predecessor(host, message)
         if self.machine.state is TakeoverState.ALONE:
-            host.alone()
+            host.predecessor_ended()
 
     def _heard(self, channel: Channel, message: Message, fd: int | None) -> None:
         sock = socket.socket(fileno=fd) if fd is not None else None
@@ -336,7 +338,7 @@
                 case "offer":
                     self._begin(message, sock)
                 case "client" if self._host is not None and sock is not None:
-                    self._host.took(sock)
+                    self._host.adopt_connection(sock)
                 case _ if sock is not None:
                     raise ValueError(f"a descriptor where none belongs: {message.get('is')!r:.40}")
                 case "part":
@@ -374,7 +376,9 @@
     def _from_predecessor(self, host: Host, message: Message) -> None:
         match message.get("is"):
             case "held":
-                host.told_held([(str(plan), str(account), int(n)) for plan, account, n in message["rows"]])
+                host.set_predecessor_attempts(
+                    [(str(plan), str(account), int(n)) for plan, account, n in message["rows"]]
+                )
             case "call":
                 self._call(message)
             case "done":
@@ -397,8 +401,8 @@
                 self._settled.set()
             case TakeoverAction.FORGET_PREDECESSOR:
                 if self._host is not None:
-                    self._host.told_held([])
-                    self._host.alone()
+                    self._host.set_predecessor_attempts([])
+                    self._host.predecessor_ended()
             case TakeoverAction.CLOSE_CHANNEL:
                 self._drop()
             case _:
--- a/tests/takeover/test_handover.py
+++ b/tests/takeover/test_handover.py
@@ -398,7 +398,7 @@
         origin = Origin()
         async with listening(origin.talk) as dial:
             old = await Process(tmp_path, dial).start()
-            monkeypatch.setattr(old.service, "state", lambda: {"decisions": {}, "dials": {}})
+            monkeypatch.setattr(old.service, "take_snapshot", lambda: {"decisions": {}, "dials": {}})
             new = await Process(tmp_path, dial).start(old.address[1])  # beside it, by SO_REUSEPORT
             assert not new.inherited
             await until(lambda: accepting(old))
--- a/tests/test_endings_door.py
+++ b/tests/test_endings_door.py
@@ -163,7 +163,7 @@
         self._limiter = limiter
         self.tasks = list[asyncio.Task[None]]()
 
-    def took(self, sock: socket.socket) -> None:
+    def adopt_connection(self, sock: socket.socket) -> None:
         self.tasks.append(
             asyncio.get_running_loop().create_task(self._limiter.frontend.adopt_connection(sock))
         )
@@ -225,7 +225,7 @@
                 client = Caller(other.getsockname())
                 passed, _ = other.accept()
             client.send(ask())
-            service.took(passed)
+            service.adopt_connection(passed)
             service.leave()
             await limiter.frontend.close(10)
             assert b" 429 " in await client.end()
