--- a/tests/test_classes.py
+++ b/tests/test_classes.py
@@ -99,7 +99,7 @@
     split = StateSplit(world.gateway)
     changed = replace(plan, ceiling_rate=6.0)
     world.feed(api.SettingsChanged(replace(OTHER, plans=(changed,))))
-    split.replan()
+    split.scale_plans()
     account = world.gateway.quotas.accounts["capped", "x"]
     account.refill(world.now + 100.0)
     assert account.ceiling <= RETAINED_SHARE * 12.0
