--- a/cypresspulley/service.py
+++ b/cypresspulley/service.py
@@ -62,7 +62,7 @@
         if self._folder is None:
             return None
         self._successor = Successor(self._folder)
-        offer = await self._successor.offered()
+        offer = await self._successor.wait_for_offer()
         offset = offer.state.get(CLOCK_OFFSET) if offer is not None else None
         if isinstance(clock, UnixClock) and isinstance(offset, float) and math.isfinite(offset):
             clock.offset = offset
@@ -164,7 +164,7 @@
 
     async def _tell(self, name: str, id: str, source: Peer | None) -> bool:
         peers = (self._successor, self._predecessor)
-        others = [peer.tell(name, id) for peer in peers if peer is not None and peer is not source]
+        others = [peer.forward_call(name, id) for peer in peers if peer is not None and peer is not source]
         return all(await asyncio.gather(*others))  # together: the answer at the door is due
 
     def _apply(self, name: str, id: str, sure: bool = False) -> Reply:
--- a/cypresspulley/takeover/channel.py
+++ b/cypresspulley/takeover/channel.py
@@ -32,24 +32,24 @@
 
 
 class Channel:
-    """One connection to the other process. ``heard`` gets each message with its descriptor; it owns that."""
+    """One connection to the other process. ``on_message`` gets each message with its descriptor; it owns that."""
 
     def __init__(
         self,
         sock: socket.socket,
-        heard: Callable[[Channel, Message, int | None], None],
-        ended: Callable[[Channel], None],
+        on_message: Callable[[Channel, Message, int | None], None],
+        on_close: Callable[[Channel], None],
     ) -> None:
         sock.setblocking(False)
         self._sock = sock
-        self._heard = heard
-        self._ended = ended
+        self._on_message = on_message
+        self._on_close = on_close
         self._loop = asyncio.get_running_loop()
         self._queue = deque[tuple[bytes, int | None, UnsentHandler]]()
         self._loop.add_reader(sock.fileno(), self._readable)
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         return self._sock.fileno() >= 0
 
     def send(self, message: Message, fd: int | None = None, unsent: UnsentHandler = os.close) -> None:
@@ -59,12 +59,12 @@
         when this returns.
         """
         data = json.dumps(message, separators=(",", ":")).encode()
-        if not self.open or len(data) > MAX_MESSAGE_BYTES or len(self._queue) >= MAX_QUEUED_MESSAGES:
+        if not self.is_open or len(data) > MAX_MESSAGE_BYTES or len(self._queue) >= MAX_QUEUED_MESSAGES:
             if fd is not None:
                 os.close(fd)
-            if self.open:
+            if self.is_open:
                 log.error("takeover: a message of %d bytes found no room", len(data))
-                self.end()
+                self.close()
             return
         self._queue.append((data, fd, os.close))
         self._flush()
@@ -80,22 +80,22 @@
                 self._loop.add_writer(self._sock.fileno(), self._flush)
                 return
             except OSError:
-                return self.end()
+                return self.close()
             self._queue.popleft()
             if fd is not None:
                 os.close(fd)
         self._loop.remove_writer(self._sock.fileno())
 
     def _readable(self) -> None:
-        while self.open:
+        while self.is_open:
             try:
                 data, fds, flags, _ = socket.recv_fds(self._sock, MAX_MESSAGE_BYTES + 1, MAX_DESCRIPTORS)
             except BlockingIOError:
                 return
             except OSError:
-                return self.end()
+                return self.close()
             if not data:
-                return self.end()
+                return self.close()
             message = None
             if len(data) <= MAX_MESSAGE_BYTES and not flags & (socket.MSG_CTRUNC | socket.MSG_TRUNC):
                 with contextlib.suppress(ValueError):
@@ -104,12 +104,12 @@
                 for fd in fds:
                     os.close(fd)
                 log.error("takeover: an unreadable message of %d bytes", len(data))
-                return self.end()
-            self._heard(self, message, fds[0] if fds else None)
+                return self.close()
+            self._on_message(self, message, fds[0] if fds else None)
 
-    def end(self, silent: bool = False) -> None:
-        """Close the channel; ``ended`` is told once, unless ``silent``."""
-        if not self.open:
+    def close(self, silent: bool = False) -> None:
+        """Close the channel; ``on_close`` is called once, unless ``silent``."""
+        if not self.is_open:
             return
         self._loop.remove_reader(self._sock.fileno())
         self._loop.remove_writer(self._sock.fileno())
@@ -119,7 +119,7 @@
             if fd is not None:
                 unsent(fd)
         if not silent:
-            self._ended(self)
+            self._on_close(self)
 
 
 class Folder:
--- a/cypresspulley/takeover/handover.py
+++ b/cypresspulley/takeover/handover.py
@@ -97,12 +97,12 @@
         return f"<{type(self).__name__} {self.machine.state.value}>"
 
     @property
-    def linked(self) -> bool:
-        return self._channel is not None and self._channel.open
+    def connected(self) -> bool:
+        return self._channel is not None and self._channel.is_open
 
-    async def tell(self, name: str, id: str) -> bool:
+    async def forward_call(self, name: str, id: str) -> bool:
         """Have a call in force in the other process too; whether it is, or there is no other."""
-        if not self.linked or self._channel is None:
+        if not self.connected or self._channel is None:
             return True
         self._number = number = self._number + 1
         done = self._calls[number] = self._loop.create_future()
@@ -153,7 +153,7 @@
 
     def _drop(self) -> None:
         if self._channel is not None:
-            self._channel.end(silent=True)
+            self._channel.close(silent=True)
         self._hung_up()
 
 
@@ -188,7 +188,7 @@
             sock, _ = self._sock.accept()
         except OSError:
             return
-        if self.linked or not same_user(sock):
+        if self.connected or not same_user(sock):
             return sock.close()  # one successor at a time
         self._channel = Channel(sock, self._heard, self._ended)
         self._late = self._loop.call_later(
@@ -257,11 +257,11 @@
 
     def pass_client(self, fd: int) -> bool:
         """Pass a client's connection on; the descriptor is closed here. Whether there was somebody to take it."""
-        if not self.linked or self._channel is None:
+        if not self.connected or self._channel is None:
             os.close(fd)
             return False
         self._channel.send({"is": "client"}, fd, self._unsent)
-        return self.linked
+        return self.connected
 
     def _unsent(self, fd: int) -> None:
         """The successor went before it could be given this client's connection: it is served on here."""
@@ -308,7 +308,7 @@
         else:
             self._wait(TakeoverEvent.ENDED)
 
-    async def offered(self) -> Offer | None:
+    async def wait_for_offer(self) -> Offer | None:
         """What there is to go on from; None where this process starts alone."""
         await self._settled.wait()
         return self._offer
--- a/tests/takeover/test_handover.py
+++ b/tests/takeover/test_handover.py
@@ -419,8 +419,10 @@
             old = await Process(tmp_path, dial).start()
             silent = Folder(str(tmp_path), "test").connect()
             assert silent is not None
-            await until(lambda: old.service._predecessor is not None and old.service._predecessor.linked)
-            await until(lambda: old.service._predecessor is not None and not old.service._predecessor.linked)
+            await until(lambda: old.service._predecessor is not None and old.service._predecessor.connected)
+            await until(
+                lambda: old.service._predecessor is not None and not old.service._predecessor.connected
+            )
             silent.close()
             monkeypatch.setitem(STATE_TIMEOUT_SECONDS, TakeoverState.ASKING, 1.5)
             new = await Process(tmp_path, dial).start()
@@ -438,7 +440,7 @@
         channel = Channel(ours, lambda *_: None, lambda _c: ended.set())
         theirs.send(b"[" + b" " * 70_000 + b"]")
         await ended.wait()
-        assert not channel.open
+        assert not channel.is_open
         theirs.close()
 
     run(main())
--- a/tests/test_endings_door.py
+++ b/tests/test_endings_door.py
@@ -196,7 +196,7 @@
                 theirs.close()
             else:
                 client.send(ask())
-            await until(lambda: not channel.open)
+            await until(lambda: not channel.is_open)
             limiter.frontend.set_handoff(None)
             await until(lambda: len([e for e in script.events if isinstance(e, api.Request)]) == 2)
             assert len(limiter.frontend._clients) == 1, "one connection, one who reads it"
