--- a/cypresspulley/net/listener.py
+++ b/cypresspulley/net/listener.py
@@ -1,8 +1,8 @@
-"""A listening socket whose accept queue is taken by this process's own steps, through every failure of accept.
+"""Listening sockets that keep the connections in their accept queue when accept fails.
 
-The event loop's own servers answer a full descriptor table by accepting and closing all that waits. A request counts as
-taken once it is written to a connection that the machine has accepted, so what waits in the queue is kept here until it
-can be taken: accept is tried again soon, and never in a spin.
+When no file descriptors are left, the event loop's own servers accept and close every queued connection. A client may
+already have written a request to a connection that the kernel has established, so this listener leaves the connections
+in the queue and calls accept again after a short delay, without busy-waiting.
 """
 
 from __future__ import annotations
@@ -18,11 +18,13 @@
 
 log = logging.getLogger(__name__)
 
-ACCEPT_RETRY_SECONDS = 0.02  # seconds until accept is tried again after a failure, or while there is no room
-LOG_INTERVAL_SECONDS = 1.0  # seconds between two lines on accept's failures
-# Failures of the machine, where the connection stays in the queue.
+ACCEPT_RETRY_SECONDS = (
+    0.02  # delay before accept is called again after a failure or while there is no capacity
+)
+LOG_INTERVAL_SECONDS = 1.0  # minimum time between two log lines about failures of accept
+# Errors from exhausted resources of the process or host; the connection stays in the queue.
 EXHAUSTED = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-# Failures of the one connection that was to be accepted, which is gone with it (accept(2), "Error handling").
+# Errors of the connection that was to be accepted, which leaves the queue with them (accept(2), "Error handling").
 CONNECTION_FAILED = frozenset({
     errno.ECONNABORTED, errno.EPROTO, errno.EPERM, errno.ENETDOWN, errno.ENOPROTOOPT, errno.EHOSTDOWN, errno.ENONET,
     errno.EHOSTUNREACH, errno.EOPNOTSUPP, errno.ENETUNREACH, errno.ETIMEDOUT, errno.ECONNRESET,
@@ -32,15 +34,15 @@
 
 
 class AcceptResult(Enum):
-    """What one attempt to accept came to."""
+    """The result of one attempt to accept a connection."""
 
-    EMPTY = "empty"  # nothing waits
+    EMPTY = "empty"  # no connection is queued
     ACCEPTED = "accepted"
-    BLOCKED = "blocked"  # accept failed, or there is no room: what waits is kept
+    BLOCKED = "blocked"  # accept failed, or there is no capacity: connections stay queued
 
 
 class Listener(Protocol):
-    """What accepts connections for a front."""
+    """An object that accepts connections for the frontend."""
 
     @property
     def address(self) -> tuple[str, int]: ...
@@ -55,20 +57,21 @@
 
 
 class Capacity(Protocol):
-    """How many connections a front can hold."""
+    """The limit on the number of connections that the frontend can hold."""
 
     @property
     def full(self) -> bool: ...
 
     def make_room(self) -> bool:
-        """Close a connection that has nothing to lose; whether there was one."""
+        """Close a connection that has no request in progress; return whether there was one."""
         ...
 
 
 class SocketListener:
-    """Accepts from a listening socket while ``capacity`` has room, and makes a protocol for each connection.
+    """Accepts connections from a listening socket while ``capacity`` allows, and creates a protocol for each.
 
-    A protocol is made as its connection is accepted, and ends with ``connection_lost`` also where it never began.
+    The protocol is created when its connection is accepted. It receives ``connection_lost`` even if the connection
+    failed before ``connection_made``.
     """
 
     def __init__(
@@ -80,88 +83,88 @@
         self._capacity = capacity
         self._loop = asyncio.get_running_loop()
         self._tasks = set[asyncio.Task[None]]()
-        self._retry: asyncio.TimerHandle | None = None
+        self._retry_timer: asyncio.TimerHandle | None = None
         self._paused = True
-        self._logged_at = float("-inf")
+        self._last_logged_at = float("-inf")
 
     def __repr__(self) -> str:
         state = "paused" if self._paused else "accepting"
-        return f"<SocketListener {state}, {len(self._tasks)} beginning>"
+        return f"<SocketListener {state}, {len(self._tasks)} connecting>"
 
     @property
     def address(self) -> tuple[str, int]:
-        """The host and port that it is bound to."""
+        """The host and port that the socket is bound to."""
         name = self.sock.getsockname()
         return name[0], name[1]
 
     @property
     def paused(self) -> bool:
-        """Whether connections wait in the machine for now."""
+        """Whether new connections currently stay in the kernel's queue."""
         return self._paused
 
     def pause(self) -> None:
-        """Accept nothing for now: connections wait in the machine."""
+        """Stop accepting; new connections stay in the kernel's queue."""
         if not self._paused:
             self._paused = True
-            self._stop_waiting()
+            self._stop_polling()
 
     def resume(self) -> None:
-        """Accept from now on."""
+        """Start accepting connections."""
         if self._paused and self.sock.fileno() >= 0:
             self._paused = False
-            self._loop.add_reader(self.sock.fileno(), self._readable)
+            self._loop.add_reader(self.sock.fileno(), self._on_readable)
 
     async def drain(self, deadline: float) -> None:
-        """Accept all that waits and close in the same step, so that no connection is reset between the two.
+        """Accept every queued connection, then close the socket without yielding, so that none is reset in between.
 
-        ``deadline``, on the loop's clock, bounds only waiting for descriptors or room: a long queue is taken whole.
-        Returns once each accepted connection has reached its protocol.
+        ``deadline``, on the loop's clock, limits only the wait for file descriptors or capacity; a long queue is
+        still accepted completely. Returns once every accepted connection has reached its protocol.
         """
         self.pause()
         while (step := self._accept()) is not AcceptResult.EMPTY:
             if step is AcceptResult.ACCEPTED:
-                await asyncio.sleep(0)  # who was accepted before is served meanwhile
+                await asyncio.sleep(0)  # serves the connections that were accepted before
             elif self._loop.time() < deadline:
                 await asyncio.sleep(ACCEPT_RETRY_SECONDS)
             else:
-                log.error("connections are left in the accept queue: there is no room for them")
+                log.error("connections remain in the accept queue: no capacity before the drain deadline")
                 break
         self.close()
         if self._tasks:
             await asyncio.wait(self._tasks)
 
     def close(self) -> None:
-        """Stop listening; the machine resets what still waits, unless another process has this socket as well."""
+        """Close the socket; the kernel resets queued connections unless another process shares the socket."""
         self.pause()
         self.sock.close()
 
-    def _stop_waiting(self) -> None:
+    def _stop_polling(self) -> None:
         self._loop.remove_reader(self.sock.fileno())
-        if self._retry is not None:
-            self._retry.cancel()
-            self._retry = None
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
+            self._retry_timer = None
 
-    def _readable(self) -> None:
+    def _on_readable(self) -> None:
         if self._accept() is AcceptResult.BLOCKED:
-            # The socket stays readable: watched on, it would hold the loop.
+            # The socket stays readable, so keeping the reader would make the loop spin.
             self._loop.remove_reader(self.sock.fileno())
-            self._retry = self._loop.call_later(ACCEPT_RETRY_SECONDS, self._try_again)
+            self._retry_timer = self._loop.call_later(ACCEPT_RETRY_SECONDS, self._retry_accept)
 
-    def _try_again(self) -> None:
-        self._retry = None
-        self._loop.add_reader(self.sock.fileno(), self._readable)
-        self._readable()
+    def _retry_accept(self) -> None:
+        self._retry_timer = None
+        self._loop.add_reader(self.sock.fileno(), self._on_readable)
+        self._on_readable()
 
-    def _readable_now(self) -> bool:
-        """Whether a connection waits."""
+    def _has_queued_connection(self) -> bool:
+        """Return whether a connection is queued."""
         poll = select.poll()
         poll.register(self.sock.fileno(), select.POLLIN)
         return bool(poll.poll(0))
 
     def _accept(self) -> AcceptResult:
-        """Accept one connection: between two of them the loop serves those that it has."""
+        """Accept one connection; the loop serves the existing ones between two calls."""
         if self._capacity is not None and self._capacity.full:
-            if not self._readable_now():
+            if not self._has_queued_connection():
                 return AcceptResult.EMPTY
             if not self._capacity.make_room():
                 return AcceptResult.BLOCKED
@@ -171,7 +174,7 @@
             return AcceptResult.EMPTY
         except OSError as error:
             if error.errno in CONNECTION_FAILED:
-                return AcceptResult.ACCEPTED  # and gone already
+                return AcceptResult.ACCEPTED  # the connection has left the queue
             self._log_failure(error)
             return AcceptResult.BLOCKED
         task = self._loop.create_task(self._connect(self._factory(), accepted))
@@ -183,21 +186,21 @@
         try:
             await self._loop.connect_accepted_socket(lambda: protocol, accepted)
         except OSError as error:
-            log.warning("an accepted connection had ended: %s", error)
+            log.warning("accepted connection had already ended: %s", error)
             accepted.close()
             protocol.connection_lost(error)
 
     def _log_failure(self, error: OSError) -> None:
         now = self._loop.time()
-        if now - self._logged_at >= LOG_INTERVAL_SECONDS:
-            self._logged_at = now
-            log.warning("accept failed and is tried again: %s", error)
+        if now - self._last_logged_at >= LOG_INTERVAL_SECONDS:
+            self._last_logged_at = now
+            log.warning("accept failed and will be retried: %s", error)
 
 
 def bind(host: str, port: int, backlog: int, *, share_port: bool = False) -> socket.socket:
-    """A listening socket. ``share_port`` lets a second process listen at the same address.
+    """Return a listening socket; ``share_port`` allows a second process to listen on the same address.
 
-    Raises OSError where the address cannot be had.
+    Raises OSError if the address cannot be bound.
     """
     family, kind, protocol, _, address = socket.getaddrinfo(
         host, port, type=socket.SOCK_STREAM, flags=socket.AI_PASSIVE
@@ -218,13 +221,14 @@
 async def open_listener(
     host: str, port: int, backlog: int, factory: ProtocolFactory, capacity: Capacity | None = None
 ) -> Listener:
-    """A listener that accepts from now on. A loop without descriptors, as in virtual time, brings its own.
+    """Return a listener that is accepting connections.
 
-    Raises OSError where the address cannot be had.
+    A loop without file descriptors, such as the virtual-time loop, provides its own listener. Raises OSError if the
+    address cannot be bound.
     """
-    own = getattr(asyncio.get_running_loop(), "open_listener", None)
-    if own is not None:
-        virtual: Listener = own(host, port, factory)
+    loop_factory = getattr(asyncio.get_running_loop(), "open_listener", None)
+    if loop_factory is not None:
+        virtual: Listener = loop_factory(host, port, factory)
         return virtual
     listener = SocketListener(bind(host, port, backlog), factory, capacity)
     listener.resume()
