--- a/cypresspulley/net/relay.py
+++ b/cypresspulley/net/relay.py
@@ -1,9 +1,8 @@
-"""Bodies that pass as they arrive, with backpressure: an upload to a server, a download to a client.
+"""Streaming of large request and response bodies, with backpressure in both directions.
 
-No decision is made here. What is small is handed over whole, as ever; what is larger than ``MAX_REPLAYABLE_BYTES``
-flows. Of each
-transfer no more is held than one side's buffer up to ``high_water()`` and what one read brings, which the kernel's
-buffers bound: they are cut to ``SOCKET_BUFFER_BYTES``.
+This module makes no decisions. Small bodies are handed over complete; a body larger than ``MAX_REPLAYABLE_BYTES`` is
+streamed. Each transfer buffers at most ``high_water()`` bytes plus what one read returns, which is limited by kernel
+socket buffers of ``SOCKET_BUFFER_BYTES``.
 """
 
 from __future__ import annotations
@@ -15,72 +14,73 @@
 
 MAX_REPLAYABLE_BYTES = (
     64 * 1024
-)  # bytes of an upload that are kept for another attempt; beyond them there is none
+)  # bytes of an upload kept for another attempt; larger uploads are sent only once
 MAX_STREAMED_BODY_BYTES = (
     48 * 1024 * 1024
-)  # bytes of one body: what says that it is larger is no body of this platform
-# Bytes that all transfers' buffers together may hold, beside ``MIN_HIGH_WATER_BYTES`` and a read of each.
+)  # the platform has no larger bodies, so larger lengths are rejected
+# Limit on the buffers of all transfers together, in addition to ``MIN_HIGH_WATER_BYTES`` and one read for each.
 MAX_BUFFERED_BYTES = 24 * 1024 * 1024
-# Of one transfer. An attempt is out, and its server held, until its last byte has been read here: what finds room
-# ends sooner.
+# Range of the high-water mark of one transfer. An attempt occupies its server until its last byte has been read here,
+# so buffering more of the response ends the attempt sooner.
 MAX_HIGH_WATER_BYTES = 2 * 1024 * 1024
 MIN_HIGH_WATER_BYTES = 4 * 1024
-HIGH_WATER_DIVISOR = 4  # of the room that is left, one transfer may take a quarter
-# Bytes of a socket's own buffers; the kernel gives twice as much. Half of it is less than a segment on loopback: each
-# then waits 40 ms for its acknowledgement (an upload of 3 MB took more than 20 s).
+HIGH_WATER_DIVISOR = 4  # one transfer may use this fraction (1/4) of the remaining buffer space
+# Size requested for a socket's kernel buffers; the kernel allocates twice as much. At half this size the buffer is
+# smaller than a segment on loopback, and each segment waits 40 ms for its acknowledgement (an upload of 3 MB took more
+# than 20 s).
 SOCKET_BUFFER_BYTES = 32 * 1024
-MIN_BODY_BYTES_PER_SECOND = 8192  # bytes a second below which an upload counts as stalled
-UPLOAD_RATE_WINDOW_SECONDS = 4.0  # seconds over which that is counted
-# seconds for which a server may give nothing of an answer that is read, or take nothing of an upload
+MIN_BODY_BYTES_PER_SECOND = 8192  # an upload slower than this counts as stalled
+UPLOAD_RATE_WINDOW_SECONDS = 4.0  # period over which the rate of an upload is measured
+# Time for which a server may send nothing of a response that is being read, or accept nothing of an upload.
 SERVER_STALL_SECONDS = 10.0
-CLIENT_STALL_SECONDS = 60.0  # and a client may take nothing of what is there
+CLIENT_STALL_SECONDS = 60.0  # time for which a client may read nothing of a response that is ready for it
 
 
 LAST_CHUNK = b"0\r\n\r\n"
 
 
 def chunk(data: bytes) -> bytes:
-    """One chunk of a chunked body (RFC 9112, 7.1)."""
+    """Encode data as one chunk of a chunked body (RFC 9112, 7.1)."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
 def framing(length: int | None, chunks: bool) -> bytes:
-    """The header line that says where a body ends; none where only its connection's end does."""
+    """Return the header line that delimits a body; empty if the body ends when its connection closes."""
     if length is not None:
         return b"Content-Length: %d\r\n" % length
     return b"Transfer-Encoding: chunked\r\n" if chunks else b""
 
 
 def limit_receive_buffer(sock: socket.socket) -> None:
-    """Bound what the kernel takes in on a connection that may bring a large body: one read brings all of it."""
-    with contextlib.suppress(OSError):  # the connection has ended, or its kind has no such bound
+    """Limit the kernel's receive buffer of a connection that may carry a large body; one read returns all of it."""
+    with contextlib.suppress(OSError):  # the connection is closed, or its type has no such option
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SOCKET_BUFFER_BYTES)
 
 
 class Relay:
-    """What is under way, for the bound on all together."""
+    """Accounts for the transfers in progress, to limit the memory that they use together."""
 
     def __init__(self) -> None:
         self.active = 0
-        self.buffered = 0  # bytes that wait for clients, as of when each transfer last moved
+        self.buffered = 0  # bytes waiting for clients, updated when each transfer makes progress
 
     def __repr__(self) -> str:
         return f"<Relay {self.active} transfers, {self.buffered} bytes buffered, {self.high_water()} for the next>"
 
     def high_water(self) -> int:
-        """Bytes in one transfer's buffer from which its source is no longer read."""
+        """Return the buffer size in bytes at which a transfer stops reading from its source."""
         return max(
             MIN_HIGH_WATER_BYTES,
             min(MAX_HIGH_WATER_BYTES, (MAX_BUFFERED_BYTES - self.buffered) // HIGH_WATER_DIVISOR),
         )
 
     def begin(self, sock: socket.socket) -> None:
-        """One more transfer, on a server's socket."""
+        """Count one more transfer, on a server's socket, and limit the socket's buffers."""
         self.active += 1
         self.limit_socket_buffers(sock)
 
     def limit_socket_buffers(self, sock: socket.socket) -> None:
-        """Bound what the kernel holds of a large transfer, and with it what one read brings."""
+        """Limit the kernel buffers of a large transfer, and thereby the size of one read."""
         limit_receive_buffer(sock)
         with contextlib.suppress(OSError):
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SOCKET_BUFFER_BYTES)
@@ -90,25 +90,28 @@
 
 
 class Sink(Protocol):
-    """A connection to a server that an upload flows into."""
+    """A connection to a server that receives an upload."""
 
     def put(self, data: bytes) -> None: ...
 
     def put_end(self) -> None:
-        """The last byte has been put."""
+        """Signal that the last byte has been put."""
         ...
 
 
 class Upload:
-    """A body on its way from a client. ``hold`` says whether the client is to be read; ``on_progress`` hears
-    whether the last byte has come, and whether all that has come is still kept."""
+    """A request body being received from a client.
+
+    ``hold`` is called with True to pause reading from the client and False to resume. ``on_progress`` is called with
+    two flags: whether the last byte has been received, and whether everything received is still kept for a retry.
+    """
 
     def __init__(self, length: int | None, hold: Callable[[bool], None]) -> None:
-        self.length = length  # None: in chunks
-        self.size = 0  # bytes that have come
-        self.whole = False  # the last byte has come
+        self.length = length  # None if the body is chunked
+        self.size = 0  # bytes received
+        self.whole = False  # the last byte has been received
         self.discarded = False  # the first bytes are no longer kept
-        self.held = False  # the client is not read for now
+        self.held = False  # reading from the client is paused
         self.on_progress: Callable[[bool, bool], None] = lambda _whole, _kept: None
         self._hold = hold
         self._kept = list[bytes]()
@@ -120,14 +123,14 @@
 
     @property
     def framing(self) -> bytes:
-        """The header line that says where the body ends."""
+        """The header line that delimits the body."""
         return framing(self.length, chunks=True)
 
     def _framed(self, data: bytes) -> bytes:
         return chunk(data) if self.length is None else data
 
     def feed(self, data: bytes) -> None:
-        """Bytes that have come."""
+        """Process received bytes."""
         self.size += len(data)
         if not self.discarded:
             self._kept.append(data)
@@ -136,10 +139,10 @@
         if self._sink is not None:
             self._sink.put(self._framed(data))
         elif self.size > MAX_REPLAYABLE_BYTES:
-            self.hold(True)  # nobody takes it yet, and no more is kept
+            self.hold(True)  # no attempt takes the body yet, and the limit of kept bytes is reached
 
     def finish(self) -> None:
-        """The last byte has come."""
+        """Process the end of the body."""
         self.whole = True
         if self._sink is not None:
             self._end(self._sink)
@@ -155,7 +158,7 @@
         self.on_progress(self.whole, False)
 
     def attach(self, sink: Sink) -> bool:
-        """Flow into an attempt's connection, from the first byte; False where that is no longer kept."""
+        """Send the body to an attempt's connection from its first byte; return False if that is no longer kept."""
         if self.discarded:
             return False
         self._sink, kept = sink, b"".join(self._kept)
@@ -170,41 +173,41 @@
         return True
 
     def detach(self, sink: Sink) -> None:
-        """The attempt is over."""
+        """Stop sending to an attempt that has ended."""
         if self._sink is sink:
             self._sink = None
             if not self.whole:
                 self.hold(self.size > MAX_REPLAYABLE_BYTES)
 
     def hold(self, held: bool) -> None:
-        """Whether the client waits: its bytes find no room on the other side."""
+        """Pause (``held``) or resume reading from the client, according to the space on the server's side."""
         if held is not self.held:
             self.held = held
             self._hold(held)
 
 
 class Source(Protocol):
-    """A connection to a server that a download flows out of."""
+    """A connection to a server that provides a download."""
 
     def hold(self, held: bool) -> None:
-        """Whether the server waits."""
+        """Pause (``held``) or resume reading from the server."""
         ...
 
     def drop(self) -> None:
-        """Nobody takes the rest."""
+        """Discard the rest of the body."""
         ...
 
 
 class Download:
-    """A body on its way to a client: pieces wait here until its turn on the connection has come."""
+    """A response body being sent to a client; it is buffered until the earlier responses have been written."""
 
     def __init__(self, length: int | None, headers: bytes, source: Source) -> None:
-        self.length = length  # None: it ends when it ends
+        self.length = length  # None if unknown: the end of the stream is the end of the body
         self.headers = headers
         self._source = source
-        self.pieces = list[bytes]()  # before its turn
+        self.pieces = list[bytes]()  # received before ``start``
         self.write: Callable[[bytes], None] | None = None
-        self.size = 0  # bytes of the body that went on to the client
+        self.size = 0  # bytes of the body written to the client
         self.chunked = False
         self.whole = self.broken = False
 
@@ -213,16 +216,16 @@
         return f"<Download of {self.length or 'unknown'} bytes, {state}>"
 
     def put(self, data: bytes) -> None:
-        """Bytes that the server gave."""
+        """Process bytes received from the server."""
         if self.write is None:
             self.pieces.append(data)
-            self._source.hold(True)  # others' answers come first
+            self._source.hold(True)  # earlier responses on the connection must be written first
         else:
             self.size += len(data)
             self.write(chunk(data) if self.chunked else data)
 
     def start(self, write: Callable[[bytes], None], chunked: bool) -> None:
-        """All before it is written: from now on it flows."""
+        """Begin writing to the client, after all earlier responses have been written."""
         self.write, self.chunked = write, chunked
         pieces, self.pieces = self.pieces, []
         if pieces:
@@ -233,5 +236,5 @@
         self._source.hold(held)
 
     def drop(self) -> None:
-        """The client has gone."""
+        """Discard the rest after the client has disconnected."""
         self._source.drop()
