--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -148,7 +148,7 @@
             self.stream = None
             return self.respond(502)
         self._client.frontend.open_ids.discard(self.id)
-        self.stream.whole, self.stream.broken = whole, not whole
+        self.stream.complete, self.stream.broken = whole, not whole
         self._client.flush()
 
     @property
@@ -667,7 +667,7 @@
 
     def _closes_after(self, request: ClientRequest) -> bool:
         """Whether the connection closes after the response to ``request``."""
-        if request.upload is not None and not request.upload.whole:
+        if request.upload is not None and not request.upload.complete:
             # Nobody needs the rest of the body. It is read and discarded for a while, because closing over unread
             # bytes would send a reset, which may destroy the response.
             self._rejected, self._linger_timeout, self._linger_max_bytes = (
@@ -702,7 +702,7 @@
             stream.start(self._write_body, stream.length is None and request.accepts_chunked)
             if self._writing_paused:
                 stream.hold(True)
-        if not stream.whole:
+        if not stream.complete:
             return False
         if stream.chunked:
             transport.write(LAST_CHUNK)
@@ -738,7 +738,7 @@
         """Pause the server while the client reads its streamed response too slowly; resume when it has caught up."""
         self._update_buffered()
         stream = self._pending[0].stream if self._pending else None
-        if stream is not None and stream.write is not None and not stream.whole and not stream.broken:
+        if stream is not None and stream.write is not None and not stream.complete and not stream.broken:
             if not held and self._transport is not None:
                 self._transport.set_write_buffer_limits(
                     high=MAX_HIGH_WATER_BYTES
--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -143,7 +143,7 @@
         left = max(LEAST_LEFT, event.ttl - request.receive_delay)
         margin = min(MARGIN, MARGIN_SHARE * left)
         opened = self._open[event.id] = _Open(request, float("inf"))
-        if request.upload is None or request.upload.whole:
+        if request.upload is None or request.upload.complete:
             self._time(opened, event, margin)
         else:
             event = replace(event, body_pending=True)
@@ -255,7 +255,7 @@
             return
         number = len(opened.attempts)
         request, wait = opened.request, action.timeout or float("inf")
-        body_pending = request.upload is not None and not request.upload.whole
+        body_pending = request.upload is not None and not request.upload.complete
         expires = float("inf") if body_pending else min(opened.deadline, self._clock() + wait)
         told = self._attempted if request.dialect is None else self._answered
         done = partial(told, action.id, number)
--- a/cypresspulley/net/relay.py
+++ b/cypresspulley/net/relay.py
@@ -109,7 +109,7 @@
     def __init__(self, length: int | None, hold: Callable[[bool], None]) -> None:
         self.length = length  # None if the body is chunked
         self.size = 0  # bytes received
-        self.whole = False  # the last byte has been received
+        self.complete = False  # the last byte has been received
         self.discarded = False  # the first bytes are no longer kept
         self.held = False  # reading from the client is paused
         self.on_progress: Callable[[bool, bool], None] = lambda _whole, _kept: None
@@ -118,7 +118,7 @@
         self._sink: Sink | None = None
 
     def __repr__(self) -> str:
-        state = "whole" if self.whole else "held" if self.held else "flowing"
+        state = "complete" if self.complete else "held" if self.held else "flowing"
         return f"<Upload {self.size} of {self.length or 'unknown'} bytes, {state}{', discarded' * self.discarded}>"
 
     @property
@@ -143,7 +143,7 @@
 
     def finish(self) -> None:
         """Process the end of the body."""
-        self.whole = True
+        self.complete = True
         if self._sink is not None:
             self._end(self._sink)
         self.on_progress(True, not self.discarded)
@@ -155,7 +155,7 @@
 
     def _discard(self) -> None:
         self.discarded, self._kept = True, []
-        self.on_progress(self.whole, False)
+        self.on_progress(self.complete, False)
 
     def attach(self, sink: Sink) -> bool:
         """Send the body to an attempt's connection from its first byte; return False if that is no longer kept."""
@@ -166,7 +166,7 @@
             self._discard()
         if kept:
             sink.put(self._framed(kept))
-        if self.whole:
+        if self.complete:
             self._end(sink)
         else:
             self.hold(False)
@@ -176,7 +176,7 @@
         """Stop sending to an attempt that has ended."""
         if self._sink is sink:
             self._sink = None
-            if not self.whole:
+            if not self.complete:
                 self.hold(self.size > MAX_REPLAYABLE_BYTES)
 
     def hold(self, held: bool) -> None:
@@ -209,10 +209,18 @@
         self.write: Callable[[bytes], None] | None = None
         self.size = 0  # bytes of the body written to the client
         self.chunked = False
-        self.whole = self.broken = False
+        self.complete = self.broken = False
 
     def __repr__(self) -> str:
-        state = "whole" if self.whole else "broken" if self.broken else "flowing" if self.write else "waiting"
+        state = (
+            "complete"
+            if self.complete
+            else "broken"
+            if self.broken
+            else "flowing"
+            if self.write
+            else "waiting"
+        )
         return f"<Download of {self.length or 'unknown'} bytes, {state}>"
 
     def put(self, data: bytes) -> None:
--- a/cypresspulley/net/upstream.py
+++ b/cypresspulley/net/upstream.py
@@ -181,7 +181,7 @@
         exchange = self.exchange
         if exchange is None:
             return
-        if exchange.upload is None or exchange.upload.whole:
+        if exchange.upload is None or exchange.upload.complete:
             exchange.written = True
         else:
             self.moved = self._upstream.now()
@@ -208,7 +208,7 @@
         if self.transport is None or exchange is None or self.transport.is_closing():
             return
         self.transport.write(data)
-        if self.unwritten and exchange.upload is not None and not exchange.upload.whole:
+        if self.unwritten and exchange.upload is not None and not exchange.upload.complete:
             exchange.upload.hold(True)
 
     def put_end(self) -> None:
@@ -283,7 +283,7 @@
             self.abort()  # nobody asked: whatever it is, it must not meet the next request
             return
         exchange = self.exchange
-        if not exchange.written and (exchange.upload is None or exchange.upload.whole):
+        if not exchange.written and (exchange.upload is None or exchange.upload.complete):
             return self.abort()  # an answer before its request is whole is none, and the request never ran
         self._received += len(data)
         if exchange.download is not None:
@@ -471,7 +471,7 @@
             exchange.answer_headers, exchange.answer = b"".join(self._headers), b"".join(self._body)
             self._read_figures(exchange, code)
         else:
-            exchange.download.whole = True
+            exchange.download.complete = True
         # Bytes behind the answer, or of a request not yet out whole, must not meet the next request.
         self._upstream.release(self, reusable)
         self._upstream.end(exchange, self._outcome(code))
--- a/tests/test_endings_servers.py
+++ b/tests/test_endings_servers.py
@@ -170,7 +170,7 @@
         done = await ended
         assert done.status is {"FIN": Status.OK, "nothing": Status.CANCELLED}.get(end, Status.BROKEN)
         if flows:
-            assert done.download is not None and done.download.whole is (end == "FIN")
+            assert done.download is not None and done.download.complete is (end == "FIN")
         else:
             assert done.answer == (b"hello" if end == "FIN" else b"")
         await pool.at_rest()
@@ -191,7 +191,7 @@
         sock, _ = await peer.request()
         sock.send(ENDLESS + b"hello")
         done = await ended
-        assert done.status is Status.ERROR and done.download is not None and not done.download.whole
+        assert done.status is Status.ERROR and done.download is not None and not done.download.complete
         assert await end_of(sock) in ("FIN", "RST")
         await pool.at_rest()
         pool.upstream.close()
@@ -829,7 +829,7 @@
         sock.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nhal")
         done = await ended
         assert done.status is Status.ERROR and (done.download is not None) is flows
-        assert done.download is None or not done.download.whole
+        assert done.download is None or not done.download.complete
         assert await end_of(sock) in ("FIN", "RST")
         await pool.at_rest()
         pool.upstream.close()
