--- a/cypresspulley/net/admin.py
+++ b/cypresspulley/net/admin.py
@@ -86,75 +86,79 @@
     return head.encode() + body
 
 
-class _Caller(asyncio.Protocol):
+class _AdminConnection(asyncio.Protocol):
     """One connection and the one call on it."""
 
-    def __init__(self, door: AdminServer) -> None:
-        self._door = door
+    def __init__(self, server: AdminServer) -> None:
+        self._server = server
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
         self._url = b""
-        self._size = 0  # bytes of the call
-        self.whole = False  # the call has come whole
+        self._request_size = 0  # bytes of the call
+        self.complete = False  # the call has come whole
         self.answered = False
-        self._drained = 0  # bytes read and dropped
-        self._looked = False  # the unread bytes have been looked at
+        self._discarded_size = 0  # bytes read and dropped
+        self._grace_used = False  # the unread bytes have been looked at
         # Until the call is whole: its silence. Behind its answer: the linger.
-        self._late = asyncio.get_running_loop().call_later(REQUEST_TIMEOUT_SECONDS, self._silent)
+        self._timer = asyncio.get_running_loop().call_later(REQUEST_TIMEOUT_SECONDS, self._on_request_timeout)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
-        self._door.came(self)
+        self._server.add_connection(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = None
-        self._late.cancel()
-        self._door.went(self)
+        self._timer.cancel()
+        self._server.remove_connection(self)
 
     def data_received(self, data: bytes) -> None:
-        if self.whole:  # one call to a connection: the rest is read and dropped
-            self._drained += len(data)
-            if self._drained > MAX_LINGER_BYTES:
+        if self.complete:  # one call to a connection: the rest is read and dropped
+            self._discarded_size += len(data)
+            if self._discarded_size > MAX_LINGER_BYTES:
                 self.abort()
             return
-        self._size += len(data)
-        if self._size > MAX_REQUEST_BYTES:
+        self._request_size += len(data)
+        if self._request_size > MAX_REQUEST_BYTES:
             return self.answer(Reply(413, {"error": f"a call has {MAX_REQUEST_BYTES} bytes at most"}))
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            if not self.whole:
+            if not self.complete:
                 self.answer(Reply(400, {"error": f"not a request in HTTP/1.1: {error}"}))
 
     def on_url(self, url: bytes) -> None:
         self._url += url
 
     def on_message_complete(self) -> None:
-        if self.whole:
+        if self.complete:
             return
-        self.whole = True
-        self._late.cancel()
-        self._door.called(self, self._parser.get_method().decode("latin-1"), self._url.decode("latin-1"))
+        self.complete = True
+        self._timer.cancel()
+        self._server.handle_request(
+            self, self._parser.get_method().decode("latin-1"), self._url.decode("latin-1")
+        )
 
     def answer(self, reply: Reply) -> None:
-        """Say it and end by a lingering close: write, half-close, read to the caller's end with bounds, close.
+        """Say it and end by a lingering close: write, half-close, read to the connection's end with bounds, close.
 
         A close over unread bytes would be a reset, which may eat the answer.
         """
-        self.whole = self.answered = True
-        self._late.cancel()
+        self.complete = self.answered = True
+        self._timer.cancel()
         transport = self._transport
         if transport is not None and not transport.is_closing():
             transport.write(render(reply))
             transport.write_eof()
-            self._drained = 0
-            self._late = asyncio.get_running_loop().call_later(LINGER_SECONDS, transport.close)
+            self._discarded_size = 0
+            self._timer = asyncio.get_running_loop().call_later(LINGER_SECONDS, transport.close)
 
-    def _silent(self) -> None:
+    def _on_request_timeout(self) -> None:
         """A loop that was held comes to its timers before it reads: what lies unread is looked at first, once."""
-        if self._unread and not self._looked:
-            self._looked = True
-            self._late = asyncio.get_running_loop().call_later(UNREAD_DATA_GRACE_SECONDS, self._silent)
+        if self._unread and not self._grace_used:
+            self._grace_used = True
+            self._timer = asyncio.get_running_loop().call_later(
+                UNREAD_DATA_GRACE_SECONDS, self._on_request_timeout
+            )
         else:
             self.answer(Reply(408, {"error": f"no whole call within {REQUEST_TIMEOUT_SECONDS:g} s"}))
 
@@ -177,38 +181,38 @@
     def __init__(self, handler: Handler) -> None:
         self._handler = handler
         self._listener: Listener | None = None
-        self._callers = dict[_Caller, None]()  # in the order of their coming
+        self._connections = dict[_AdminConnection, None]()  # in the order of their coming
         self._tasks = set[asyncio.Task[None]]()
 
     async def listen(self, host: str, port: int) -> tuple[str, int]:
         """Raises OSError where the address cannot be had."""
-        self._listener = await open_listener(host, port, LISTEN_BACKLOG, lambda: _Caller(self))
+        self._listener = await open_listener(host, port, LISTEN_BACKLOG, lambda: _AdminConnection(self))
         return self._listener.address
 
-    def came(self, caller: _Caller) -> None:
-        self._callers[caller] = None
-        if len(self._callers) > MAX_CONNECTIONS:
+    def add_connection(self, connection: _AdminConnection) -> None:
+        self._connections[connection] = None
+        if len(self._connections) > MAX_CONNECTIONS:
             # A whole call is answered within a second: what is silent makes room first, then who has its answer.
-            silent = (each for each in self._callers if not each.whole and each is not caller)
-            answered = (each for each in self._callers if each.answered)
-            out = next(silent, None) or next(answered, caller)
-            self._callers.pop(out, None)
+            silent = (each for each in self._connections if not each.complete and each is not connection)
+            answered = (each for each in self._connections if each.answered)
+            out = next(silent, None) or next(answered, connection)
+            self._connections.pop(out, None)
             out.abort()
 
-    def went(self, caller: _Caller) -> None:
-        self._callers.pop(caller, None)
+    def remove_connection(self, connection: _AdminConnection) -> None:
+        self._connections.pop(connection, None)
 
-    def called(self, caller: _Caller, method: str, target: str) -> None:
+    def handle_request(self, connection: _AdminConnection, method: str, target: str) -> None:
         """A whole call has come."""
         routed = route(method, target)
         if isinstance(routed, Reply):
             log.info("operators: %s %.120s: %d", method, target, routed.status)
-            return caller.answer(routed)
-        task = asyncio.get_running_loop().create_task(self._serve(caller, *routed))
+            return connection.answer(routed)
+        task = asyncio.get_running_loop().create_task(self._serve(connection, *routed))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _serve(self, caller: _Caller, name: str, id: str) -> None:
+    async def _serve(self, connection: _AdminConnection, name: str, id: str) -> None:
         within = PURGE_TIMEOUT_SECONDS if name == "purge" else RESPONSE_TIMEOUT_SECONDS
         try:
             async with asyncio.timeout(within):
@@ -219,12 +223,12 @@
             log.exception("a call of the operators failed")
             reply = Reply(500, {"error": "a fault of the limiter; its log says more"})
         log.info("operators: %s %.120s: %d", name, id, reply.status)
-        caller.answer(reply)
+        connection.answer(reply)
 
     def close(self) -> None:
         if self._listener is not None:
             self._listener.close()
         for task in self._tasks:
             task.cancel()
-        for caller in list(self._callers):
-            caller.abort()
+        for connection in list(self._connections):
+            connection.abort()
--- a/tests/test_endings_door.py
+++ b/tests/test_endings_door.py
@@ -12,7 +12,7 @@
 from cypresspulley import interface as api
 from cypresspulley.lifecycle import Lifecycle
 from cypresspulley.net import admin as net_admin
-from cypresspulley.net.admin import AdminServer, Reply, _Caller
+from cypresspulley.net.admin import AdminServer, Reply, _AdminConnection
 from cypresspulley.service import Service
 from cypresspulley.takeover.channel import Channel, Folder
 from cypresspulley.takeover.handover import Predecessor
@@ -63,14 +63,14 @@
     before: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Unread when the answer is written, or sent once it has come."""
-    answer, crossing = _Caller.answer, list[Caller]()
+    answer, crossing = _AdminConnection.answer, list[Caller]()
 
-    def answered(caller: _Caller, reply: Reply) -> None:
+    def answered(caller: _AdminConnection, reply: Reply) -> None:
         if before and crossing:
             crossing.pop().send(b"and more" * 100)
         answer(caller, reply)
 
-    monkeypatch.setattr(_Caller, "answer", answered)
+    monkeypatch.setattr(_AdminConnection, "answer", answered)
 
     async def main() -> None:
         door = AdminServer(yes)
@@ -83,7 +83,7 @@
         await turns(50)
         assert not caller.reset()
         caller.socket.close()
-        await until(lambda: not door._callers)
+        await until(lambda: not door._connections)
         door.close()
 
     run(main())
@@ -102,7 +102,7 @@
         with pytest.raises(ConnectionError):
             while True:
                 await asyncio.get_running_loop().sock_sendall(floods.socket, b"x" * 65536)
-        await until(lambda: not door._callers)
+        await until(lambda: not door._connections)
         silent.socket.close()
         door.close()
 
@@ -120,13 +120,13 @@
         door = AdminServer(yes)
         caller = Caller(await door.listen("127.0.0.1", 0))
         caller.send(b"GET /v1/r")
-        await until(lambda: door._callers and next(iter(door._callers))._size)
+        await until(lambda: door._connections and next(iter(door._connections))._request_size)
         if rest:
             caller.send(rest)
-        next(iter(door._callers))._silent()
+        next(iter(door._connections))._on_request_timeout()
         assert (b" 200 " if rest else b" 408 ") in await caller.end()
         caller.socket.close()
-        await until(lambda: not door._callers)
+        await until(lambda: not door._connections)
         door.close()
 
     run(main())
@@ -144,10 +144,10 @@
             callers.append(caller := Caller(address))
             caller.send(CALL)
             assert b" 200 " in await caller.end()
-            assert len(door._callers) <= 3
+            assert len(door._connections) <= 3
         for caller in callers:
             caller.socket.close()
-        await until(lambda: not door._callers)
+        await until(lambda: not door._connections)
         door.close()
 
     run(main())
