--- a/cypresspulley/net/admin.py
+++ b/cypresspulley/net/admin.py
@@ -1,7 +1,8 @@
-"""The operators' door: HTTP/1.1 at an address of its own, one call to a connection. It decides nothing.
+"""The admin API: an HTTP/1.1 server for operators' calls on an address of its own, with one request per connection.
 
-Callers are not trusted to finish what they begin: heads, connections and silence have bounds of their own, so that
-half a call keeps nobody out. Who calls is not asked; the address belongs on a network of the operators' own.
+Callers are not trusted to complete their requests: the request size, the number of connections and the time without
+a complete request are limited, so that incomplete requests cannot block other callers. Callers are not authenticated;
+the address must be on a network that only the operators can reach. This module makes no decisions.
 """
 
 from __future__ import annotations
@@ -23,19 +24,20 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CONNECTIONS = (
-    64  # at once; the longest silent gives way: to lose a call, so many must come before its bytes are read
-)
+# Limit on open connections. Beyond it the one that has been silent longest is aborted, so a caller loses its request
+# only if this many connections arrive before its bytes are read.
+MAX_CONNECTIONS = 64
 LISTEN_BACKLOG = 128
-MAX_REQUEST_BYTES = 8192  # bytes of a call, head and body: the longest has a server's id in its path
-REQUEST_TIMEOUT_SECONDS = 1.5  # seconds for a call to come whole
-UNREAD_DATA_GRACE_SECONDS = 0.05  # and, where bytes of it lie unread then, for those to be read
-RESPONSE_TIMEOUT_SECONDS = 0.8  # seconds for its answer, which is due within one
-LINGER_SECONDS = 0.5  # seconds for which a connection is read on behind its answer, or a reset might eat that
-MAX_LINGER_BYTES = 128 * 1024  # and how much is read
-PURGE_TIMEOUT_SECONDS = (
-    61.0  # and for that to a purge, which waits for all other limiters: closing.purge_ms bounds it
-)
+MAX_REQUEST_BYTES = 8192  # head and body; the longest request has a server's id in its path
+REQUEST_TIMEOUT_SECONDS = 1.5  # time for a request to arrive completely
+UNREAD_DATA_GRACE_SECONDS = 0.05  # extra time to read data that is already in the socket at that timeout
+RESPONSE_TIMEOUT_SECONDS = 0.8  # time to process a request, whose response is due within 1 s
+# Time for which a connection is still read after its response. Closing with unread bytes would send a reset, which may
+# destroy the response.
+LINGER_SECONDS = 0.5
+MAX_LINGER_BYTES = 128 * 1024  # limit on the bytes read during that time
+# Time to process a purge, which waits for all other limiters; closing.purge_ms limits it.
+PURGE_TIMEOUT_SECONDS = 61.0
 REASONS = {
     200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
     409: "Conflict", 413: "Content Too Large", 500: "Internal Server Error", 503: "Service Unavailable",
@@ -52,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """An answer to a call: 2xx is yes, anything else is no, and ``body`` says why."""
+    """The response to a request; with a status other than 2xx, ``body`` contains the reason."""
 
     status: int
     body: dict[str, Any]
@@ -63,20 +65,20 @@
 
 
 def route(method: str, target: str) -> tuple[str, str] | Reply:
-    """The call that a request makes and the server's id in it, or the answer that says what is wrong."""
+    """Return the name of the requested call and the id in its path, or an error response if there is no such call."""
     path = target.partition("?")[0]
-    for form, wanted, name in ROUTES:
-        if (found := form.fullmatch(path)) is None:
+    for pattern, allowed, name in ROUTES:
+        if (match := pattern.fullmatch(path)) is None:
             continue
-        if method != wanted:
-            return Reply(405, {"error": f"{path[:80]} takes {wanted}, not {method}"}, wanted)
-        return name, unquote(found[1]) if found.groups() else ""
-    known = ", ".join(f"{wanted} {form.pattern}" for form, wanted, _ in ROUTES)
+        if method != allowed:
+            return Reply(405, {"error": f"{path[:80]} takes {allowed}, not {method}"}, allowed)
+        return name, unquote(match[1]) if match.groups() else ""
+    known = ", ".join(f"{allowed} {pattern.pattern}" for pattern, allowed, _ in ROUTES)
     return Reply(404, {"error": f"no such path: {path[:80]}", "expected": known})
 
 
 def render(reply: Reply) -> bytes:
-    """The answer's bytes; its connection ends behind it."""
+    """Encode the response as bytes, with ``Connection: close``."""
     body = json.dumps(reply.body).encode() + b"\n"
     allow = f"Allow: {reply.allow}\r\n" if reply.allow else ""
     head = (
@@ -87,23 +89,23 @@
 
 
 class _AdminConnection(asyncio.Protocol):
-    """One connection and the one call on it."""
+    """One connection, which carries one request."""
 
     def __init__(self, server: AdminServer) -> None:
         self._server = server
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
         self._url = b""
-        self._request_size = 0  # bytes of the call
-        self.complete = False  # the call has come whole
+        self._request_size = 0  # bytes received of the request
+        self.complete = False  # the request has been received completely
         self.answered = False
-        self._discarded_size = 0  # bytes read and dropped
-        self._grace_used = False  # the unread bytes have been looked at
-        # Until the call is whole: its silence. Behind its answer: the linger.
+        self._discarded_size = 0  # bytes read and discarded after the request
+        self._grace_used = False  # the timeout has been extended once for unread data
+        # The request timeout, and after the response the end of the linger.
         self._timer = asyncio.get_running_loop().call_later(REQUEST_TIMEOUT_SECONDS, self._on_request_timeout)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports are not subclasses of it
         self._server.add_connection(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -112,7 +114,7 @@
         self._server.remove_connection(self)
 
     def data_received(self, data: bytes) -> None:
-        if self.complete:  # one call to a connection: the rest is read and dropped
+        if self.complete:  # only one request per connection: the rest is read and discarded
             self._discarded_size += len(data)
             if self._discarded_size > MAX_LINGER_BYTES:
                 self.abort()
@@ -139,9 +141,9 @@
         )
 
     def answer(self, reply: Reply) -> None:
-        """Say it and end by a lingering close: write, half-close, read to the connection's end with bounds, close.
+        """Send the response and close with a linger: half-close, discard input up to the limits, then close.
 
-        A close over unread bytes would be a reset, which may eat the answer.
+        Closing with unread bytes would send a reset, which may destroy the response.
         """
         self.complete = self.answered = True
         self._timer.cancel()
@@ -153,8 +155,11 @@
             self._timer = asyncio.get_running_loop().call_later(LINGER_SECONDS, transport.close)
 
     def _on_request_timeout(self) -> None:
-        """A loop that was held comes to its timers before it reads: what lies unread is looked at first, once."""
-        if self._unread and not self._grace_used:
+        """Fail the request, unless unread data is in the socket, which extends the timeout once.
+
+        After the event loop was blocked, its timers run before it reads from sockets.
+        """
+        if self._has_unread_data and not self._grace_used:
             self._grace_used = True
             self._timer = asyncio.get_running_loop().call_later(
                 UNREAD_DATA_GRACE_SECONDS, self._on_request_timeout
@@ -163,7 +168,7 @@
             self.answer(Reply(408, {"error": f"no whole call within {REQUEST_TIMEOUT_SECONDS:g} s"}))
 
     @property
-    def _unread(self) -> bool:
+    def _has_unread_data(self) -> bool:
         transport = self._transport
         if transport is None or transport.is_closing():
             return False
@@ -176,34 +181,38 @@
 
 
 class AdminServer:
-    """The listener. ``handler`` gets each call's name and server id, and returns once it is in force."""
+    """The server of the admin API.
+
+    ``handler`` is called with the name of the call and the id in its path, and returns once the call has taken effect.
+    """
 
     def __init__(self, handler: Handler) -> None:
         self._handler = handler
         self._listener: Listener | None = None
-        self._connections = dict[_AdminConnection, None]()  # in the order of their coming
+        self._connections = dict[_AdminConnection, None]()  # in order of arrival
         self._tasks = set[asyncio.Task[None]]()
 
     async def listen(self, host: str, port: int) -> tuple[str, int]:
-        """Raises OSError where the address cannot be had."""
+        """Start listening and return the bound address. Raises OSError if the address cannot be bound."""
         self._listener = await open_listener(host, port, LISTEN_BACKLOG, lambda: _AdminConnection(self))
         return self._listener.address
 
     def add_connection(self, connection: _AdminConnection) -> None:
         self._connections[connection] = None
         if len(self._connections) > MAX_CONNECTIONS:
-            # A whole call is answered within a second: what is silent makes room first, then who has its answer.
-            silent = (each for each in self._connections if not each.complete and each is not connection)
+            # A complete request is answered within 1 s, so a connection without one is evicted first, then one that has
+            # its response.
+            incomplete = (each for each in self._connections if not each.complete and each is not connection)
             answered = (each for each in self._connections if each.answered)
-            out = next(silent, None) or next(answered, connection)
-            self._connections.pop(out, None)
-            out.abort()
+            evicted = next(incomplete, None) or next(answered, connection)
+            self._connections.pop(evicted, None)
+            evicted.abort()
 
     def remove_connection(self, connection: _AdminConnection) -> None:
         self._connections.pop(connection, None)
 
     def handle_request(self, connection: _AdminConnection, method: str, target: str) -> None:
-        """A whole call has come."""
+        """Process a complete request."""
         routed = route(method, target)
         if isinstance(routed, Reply):
             log.info("operators: %s %.120s: %d", method, target, routed.status)
@@ -213,14 +222,14 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _serve(self, connection: _AdminConnection, name: str, id: str) -> None:
-        within = PURGE_TIMEOUT_SECONDS if name == "purge" else RESPONSE_TIMEOUT_SECONDS
+        timeout = PURGE_TIMEOUT_SECONDS if name == "purge" else RESPONSE_TIMEOUT_SECONDS
         try:
-            async with asyncio.timeout(within):
+            async with asyncio.timeout(timeout):
                 reply = await self._handler(name, id)
         except TimeoutError:
-            reply = Reply(503, {"error": f"not in force within {within:g} s"})
+            reply = Reply(503, {"error": f"not in force within {timeout:g} s"})
         except Exception:
-            log.exception("a call of the operators failed")
+            log.exception("admin call failed")
             reply = Reply(500, {"error": "a fault of the limiter; its log says more"})
         log.info("operators: %s %.120s: %d", name, id, reply.status)
         connection.answer(reply)
