--- a/cypresspulley/net/admin.py
+++ b/cypresspulley/net/admin.py
@@ -24,8 +24,8 @@
 
 log = logging.getLogger(__name__)
 
-# Limit on open connections. Beyond it the one that has been silent longest is aborted, so a caller loses its request
-# only if this many connections arrive before its bytes are read.
+# Limit on open connections. Beyond it the oldest one without a complete request is aborted, so a caller loses its
+# request only if this many connections arrive before its bytes are read.
 MAX_CONNECTIONS = 64
 LISTEN_BACKLOG = 128
 MAX_REQUEST_BYTES = 8192  # head and body; the longest request has a server's id in its path
