--- a/cypresspulley/takeover/channel.py
+++ b/cypresspulley/takeover/channel.py
@@ -1,8 +1,8 @@
-"""The channel between two processes of one limiter: messages and descriptors over a Unix socket. It decides nothing.
+"""The channel between two processes of one limiter: messages and file descriptors over a Unix socket.
 
-A message is one packet: a JSON object of ``MAX_MESSAGE_BYTES`` bytes at most, with up to
-``MAX_DESCRIPTORS`` descriptors. Who connects must
-run as the same user; what cannot be read ends the channel.
+A message is one packet: a JSON object of at most ``MAX_MESSAGE_BYTES`` bytes with up to ``MAX_DESCRIPTORS`` file
+descriptors. The other process must run as the same user. An unreadable message closes the channel. This module makes
+no decisions.
 """
 
 from __future__ import annotations
@@ -22,17 +22,23 @@
 
 MAX_MESSAGE_BYTES = 64 * 1024
 MAX_DESCRIPTORS = 1
-MAX_FILE_CHARACTERS = (
-    8 << 20
-)  # characters of a file: 1,024 servers' ids, 1,024 long (``admin.ROUTES``), six in JSON
-MAX_QUEUED_MESSAGES = 8192  # messages that wait for the other side; one that takes none has stalled
+# Limit on the length of a file: 1,024 server ids of 1,024 characters (``admin.ROUTES``), each up to six in JSON.
+MAX_FILE_CHARACTERS = 8 << 20
+MAX_QUEUED_MESSAGES = (
+    8192  # messages not yet accepted by the other process; a process that lets more queue has stalled
+)
 SOCKET_NAME = "takeover"
 Message = dict[str, Any]
-UnsentHandler = Callable[[int], None]  # gets a descriptor that never went out, as its own
+UnsentHandler = Callable[
+    [int], None
+]  # called with a descriptor that was never sent, and takes ownership of it
 
 
 class Channel:
-    """One connection to the other process. ``on_message`` gets each message with its descriptor; it owns that."""
+    """One connection to the other process.
+
+    ``on_message`` is called with each message and its file descriptor, and takes ownership of the descriptor.
+    """
 
     def __init__(
         self,
@@ -46,24 +52,27 @@
         self._on_close = on_close
         self._loop = asyncio.get_running_loop()
         self._queue = deque[tuple[bytes, int | None, UnsentHandler]]()
-        self._loop.add_reader(sock.fileno(), self._readable)
+        self._loop.add_reader(sock.fileno(), self._on_readable)
 
     @property
     def is_open(self) -> bool:
         return self._sock.fileno() >= 0
 
     def send(self, message: Message, fd: int | None = None, unsent: UnsentHandler = os.close) -> None:
-        """Send a message and a descriptor, which is closed here once it is out.
+        """Send a message and a descriptor, whose local copy is closed once it has been sent.
 
-        Where it has to wait and the channel ends first, ``unsent`` gets it. It is closed where the channel has ended
-        when this returns.
+        If the descriptor has to be queued and the channel closes first, ``unsent`` is called with it. If the channel is
+        already closed when this method returns, the descriptor has been closed.
         """
         data = json.dumps(message, separators=(",", ":")).encode()
         if not self.is_open or len(data) > MAX_MESSAGE_BYTES or len(self._queue) >= MAX_QUEUED_MESSAGES:
             if fd is not None:
                 os.close(fd)
             if self.is_open:
-                log.error("takeover: a message of %d bytes found no room", len(data))
+                log.error(
+                    "takeover: message of %d bytes is too large, or too many are queued; closing the channel",
+                    len(data),
+                )
                 self.close()
             return
         self._queue.append((data, fd, os.close))
@@ -86,7 +95,7 @@
                 os.close(fd)
         self._loop.remove_writer(self._sock.fileno())
 
-    def _readable(self) -> None:
+    def _on_readable(self) -> None:
         while self.is_open:
             try:
                 data, fds, flags, _ = socket.recv_fds(self._sock, MAX_MESSAGE_BYTES + 1, MAX_DESCRIPTORS)
@@ -103,7 +112,9 @@
             if not isinstance(message, dict):
                 for fd in fds:
                     os.close(fd)
-                log.error("takeover: an unreadable message of %d bytes", len(data))
+                log.error(
+                    "takeover: received an unreadable message of %d bytes; closing the channel", len(data)
+                )
                 return self.close()
             self._on_message(self, message, fds[0] if fds else None)
 
@@ -123,10 +134,16 @@
 
 
 class Folder:
-    """The folder that both processes share. Paths of sockets are short: names go by the folder's descriptor."""
+    """A directory that both processes share.
+
+    Paths of Unix sockets are limited in length, so files are addressed through the directory's file descriptor.
+    """
 
     def __init__(self, path: str, label: str) -> None:
-        """OSError where there is no such folder. ``label`` tells limiters apart that share one."""
+        """Open the directory. ``label`` distinguishes limiters that share it.
+
+        Raises OSError if there is no such directory.
+        """
         self._fd = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
         self._label = "".join(c if c.isalnum() else "-" for c in label)
 
@@ -134,7 +151,7 @@
         return f"/proc/self/fd/{self._fd}/{name}-{self._label}"
 
     def connect(self) -> socket.socket | None:
-        """A connection to the process that serves; None where there is none, or only a dead one's leftover."""
+        """Connect to the serving process; return None if there is none, or only the socket file of a dead process."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         sock.setblocking(False)
         try:
@@ -145,7 +162,7 @@
         return sock
 
     def listen(self) -> socket.socket:
-        """Be found by a successor; what an earlier process left there is replaced."""
+        """Return a socket that listens for a successor, replacing the socket file of an earlier process."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         path = self._path(SOCKET_NAME)
         with contextlib.suppress(FileNotFoundError):
@@ -157,14 +174,14 @@
         return sock
 
     def write(self, name: str, text: str) -> None:
-        """Replace a file as a whole."""
+        """Replace a file atomically."""
         path = self._path(name)
         with open(path + ".new", "w", encoding="utf-8") as file:
             file.write(text)
         os.replace(path + ".new", path)
 
     def read(self, name: str) -> str | None:
-        """A file's text; None where it is not there or too large to be one of ours."""
+        """Return a file's text, or None if it cannot be read or is larger than any file of this program."""
         with (
             contextlib.suppress(OSError, UnicodeDecodeError),
             open(self._path(name), encoding="utf-8") as file,
@@ -175,6 +192,6 @@
 
 
 def same_user(sock: socket.socket) -> bool:
-    """Whether the process at the other end runs as the user of this one."""
+    """Return whether the process at the other end runs as the same user as this one."""
     _pid, uid, _gid = struct.unpack("3i", sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12))
     return bool(uid == os.getuid())
