--- a/cypresspulley/takeover/states.py
+++ b/cypresspulley/takeover/states.py
@@ -1,9 +1,10 @@
-"""Both sides of a takeover as one table: what each message, end or time-out leads to. No I/O and no clock.
+"""The state machine of both sides of a takeover: the effect of each message, disconnect or timeout.
 
-The predecessor stops taking connections, offers its listener and its state, and goes on where the successor says that
-it serves. Until then nothing is given up: a successor that dies has served nobody, so that the predecessor takes all
-of its state back. One that is only late may serve yet, so that what was split stays split. A successor that gets no
-whole offer in time starts alone, with the little that a restart knows.
+The predecessor stops accepting connections, offers its listener and its state, and hands its connections over once the
+successor reports that it is serving. It gives up nothing until then. If the successor dies first, it has served nobody,
+so the predecessor takes all of its state back. If the successor is only late, it may still start to serve, so the state
+stays split. A successor that does not receive a complete offer in time starts alone, with the little that is known
+after a restart. This module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -12,41 +13,41 @@
 
 
 class TakeoverState(Enum):
-    """Where a side stands."""
+    """The state of one side of a takeover."""
 
-    WATCHING = "watching"  # predecessor: nobody has come
-    OFFERED = "offered"  # its connections wait in the kernel, its state is out
-    HANDED_OVER = "handed"  # the successor serves
-    ASKING = "asking"  # successor: has said hello
-    RECEIVING = "receiving"  # the offer comes in parts
-    SERVING = "serving"  # beside its predecessor
-    ALONE = "alone"  # there is no predecessor, or none any more
+    WATCHING = "watching"  # predecessor: no successor has connected
+    OFFERED = "offered"  # predecessor: new connections wait in the kernel, the state has been sent
+    HANDED_OVER = "handed"  # predecessor: the successor is serving
+    ASKING = "asking"  # successor: has sent hello
+    RECEIVING = "receiving"  # successor: is receiving the parts of the offer
+    SERVING = "serving"  # successor: serves while its predecessor finishes
+    ALONE = "alone"  # successor: there is no predecessor, or it has ended
 
 
 class TakeoverEvent(Enum):
-    """What a side hears of the other."""
+    """An event that one side observes of the other."""
 
     HELLO = "hello"
     OFFER = "offer"
-    OFFER_COMPLETE = "whole"  # all parts, and version and checksum fit
+    OFFER_COMPLETE = "whole"  # all parts have arrived, and version and checksum match
     INVALID = "bad"  # a message or a snapshot that cannot be used
     SERVING = "serving"
-    ENDED = "ended"  # the connection ended, or never came up
-    TIMEOUT = "late"  # the wait for the next message is over
+    ENDED = "ended"  # the connection closed, or was never established
+    TIMEOUT = "late"  # no message arrived within the state's timeout
 
 
 class TakeoverAction(Enum):
-    """What a side does then, in this order."""
+    """An action that one side takes on a transition; actions are executed in the order given."""
 
-    PAUSE = "pause"  # take no connections; they wait in the kernel
+    PAUSE = "pause"  # accept no connections; they wait in the kernel
     OFFER = "offer"
-    HAND_OVER = "hand"  # pass connections on as they come to rest
-    TAKE_BACK = "take back"  # all of the state that was split
-    RESUME = "resume"  # take connections again
-    CLOSE_CHANNEL = "drop"  # end the connection between the two
+    HAND_OVER = "hand"  # pass connections to the successor as they become idle
+    TAKE_BACK = "take back"  # restore all of the state that was split
+    RESUME = "resume"  # accept connections again
+    CLOSE_CHANNEL = "drop"  # close the connection between the processes
     ADOPT = "adopt"
-    START = "start"  # alone, as after a restart
-    FORGET_PREDECESSOR = "forget"  # what the predecessor held counts no more
+    START = "start"  # start alone, as after a restart
+    FORGET_PREDECESSOR = "forget"  # stop counting the predecessor's open attempts
 
 
 TRANSITIONS: dict[tuple[TakeoverState, TakeoverEvent], tuple[TakeoverState, tuple[TakeoverAction, ...]]] = {
@@ -107,22 +108,26 @@
         (TakeoverAction.CLOSE_CHANNEL, TakeoverAction.FORGET_PREDECESSOR),
     ),
 }
-# Seconds that each state may last. Connections wait in the kernel while an offer is out; the platform waits 6 s in all.
+# Longest time in each state. New connections wait in the kernel while an offer is out; the platform allows 6 s for the
+# whole takeover.
 STATE_TIMEOUT_SECONDS = {TakeoverState.OFFERED: 2.0, TakeoverState.ASKING: 1.5, TakeoverState.RECEIVING: 1.5}
 
 
 class TakeoverMachine:
-    """One process's side. What has no row is of a peer that does not keep to the table:
-    ``INVALID`` where that has one."""
+    """The state machine of one process's side.
+
+    An event without a transition means that the other process violates the protocol. It is handled as ``INVALID`` if
+    the state has a transition for that.
+    """
 
     def __init__(self, state: TakeoverState) -> None:
         self.state = state
 
     def __repr__(self) -> str:
-        return f"<Side {self.state.value}>"
+        return f"<TakeoverMachine {self.state.value}>"
 
     def handle(self, event: TakeoverEvent) -> tuple[TakeoverAction, ...]:
-        """The state moves on; what is to be done for it."""
+        """Make the transition for an event, and return the actions to take."""
         row = TRANSITIONS.get((self.state, event)) or TRANSITIONS.get((self.state, TakeoverEvent.INVALID))
         if row is None:
             return ()
