--- a/tests/test_endings_door.py
+++ b/tests/test_endings_door.py
@@ -183,7 +183,7 @@
                 client.seen += await asyncio.get_running_loop().sock_recv(client.socket, 65536)
             host: Any = Host(limiter)
             predecessor = Predecessor(host, Folder(str(tmp_path), "x"))
-            channel = predecessor._channel = Channel(ours, predecessor._heard, lambda _channel: None)
+            channel = predecessor._channel = Channel(ours, predecessor._receive, lambda _channel: None)
             if dies == "full":
                 while not channel._queue:
                     channel.send({"is": "held", "rows": []})
