--- a/cypresspulley/takeover/handover.py
+++ b/cypresspulley/takeover/handover.py
@@ -1,4 +1,7 @@
-"""Drives both sides of a takeover: messages in, the table's steps out. What it does to the limiter is its host's."""
+"""The two sides of a takeover: feeds messages to the state machine and executes the resulting actions.
+
+Effects on the limiter itself are left to the ``Host``.
+"""
 
 from __future__ import annotations
 
@@ -21,25 +24,23 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PART_CHARACTERS = 16_000  # characters of a snapshot in one message: escaped they are under its bound
+MAX_PART_CHARACTERS = 16_000  # of a snapshot in one message; escaped, they fit in ``MAX_MESSAGE_BYTES``
 MAX_PARTS = 4096
-MAX_EARLY_MESSAGES = (
-    256  # calls of operators that may come between an offer and the word that this process serves
-)
-CALL_TIMEOUT_SECONDS = 0.5  # seconds for the other process to say that a call is in force there
-INFLIGHT_REPORT_SECONDS = 0.05  # seconds between two tellings of what is still out
+MAX_EARLY_MESSAGES = 256  # operators' calls that may arrive between an offer and the start of serving here
+CALL_TIMEOUT_SECONDS = 0.5  # time for the other process to confirm that a call has taken effect there
+INFLIGHT_REPORT_SECONDS = 0.05  # time between two reports of the open attempts
 assert MAX_DESCRIPTORS == 1
 
 
 class Host(Protocol):
-    """The limiter, as a takeover sees it."""
+    """The operations on the limiter that a takeover needs."""
 
     def take_snapshot(self) -> dict[str, Any]:
-        """What a successor goes on from."""
+        """Return the state from which a successor continues."""
         ...
 
     def duplicate_listener(self) -> int:
-        """A descriptor of the clients' listener, the caller's own."""
+        """Return a duplicate descriptor of the clients' listener, owned by the caller."""
         ...
 
     def pause(self) -> None: ...
@@ -47,13 +48,13 @@
     def resume(self) -> None: ...
 
     def split_state(self) -> None:
-        """What is offered is no longer this process's."""
+        """Give up the share of the state that is offered to the successor."""
         ...
 
     def undo_split(self, whole: bool) -> None: ...
 
     def set_successor(self, to: Peer | None) -> None:
-        """Connections that come to rest go to the successor; None: there is none any more."""
+        """Hand idle connections to the successor from now on; None: there is no successor any more."""
         ...
 
     def count_open_attempts(self) -> list[tuple[str, str, int]]: ...
@@ -61,28 +62,28 @@
     def set_predecessor_attempts(self, rows: list[tuple[str, str, int]]) -> None: ...
 
     def adopt_connection(self, sock: socket.socket) -> None:
-        """A client's connection, passed on at rest."""
+        """Serve a client's connection that the other process handed over while it was idle."""
         ...
 
     def apply_call(self, name: str, id: str, source: Peer) -> None:
-        """An operators' call that the other process was told."""
+        """Apply an operators' call that the other process received."""
         ...
 
     def predecessor_ended(self) -> None:
-        """The predecessor has ended."""
+        """Serve alone after the predecessor has ended."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """What a predecessor hands over."""
+    """The listener and the state that a predecessor hands over."""
 
     listener: socket.socket
     state: dict[str, Any]
 
 
 class Peer:
-    """What both sides share: the channel, and the operators' calls that either was told."""
+    """The base class of both sides: the channel, and the forwarding of operators' calls."""
 
     def __init__(self, state: TakeoverState) -> None:
         self.machine = TakeoverMachine(state)
@@ -101,7 +102,11 @@
         return self._channel is not None and self._channel.is_open
 
     async def forward_call(self, name: str, id: str) -> bool:
-        """Have a call in force in the other process too; whether it is, or there is no other."""
+        """Apply a call in the other process too.
+
+        Returns True once it has taken effect there or if there is no other process, and False after
+        ``CALL_TIMEOUT_SECONDS`` without confirmation.
+        """
         if not self.connected or self._channel is None:
             return True
         self._last_call_number = number = self._last_call_number + 1
@@ -119,7 +124,7 @@
     def _receive_call(self, message: Message) -> None:
         number, name, id = message.get("n"), message.get("name"), message.get("id")
         if not isinstance(number, int) or not isinstance(name, str) or not isinstance(id, str):
-            raise ValueError("a call without number, name and id")
+            raise ValueError("call message without number, name and id")
         assert self._host is not None and self._channel is not None
         self._host.apply_call(name, id, self)
         self._channel.send({"is": "done", "n": number})
@@ -129,14 +134,14 @@
             done.set_result(None)
 
     def _complete_calls(self) -> None:
-        """Calls that wait for a process that is no more are in force where they need to be."""
+        """Complete the calls that wait for the other process: after its end they need to be in effect only here."""
         calls, self._calls = self._calls, {}
         for done in calls.values():
             if not done.done():
                 done.set_result(None)
 
     def _handle_event(self, event: TakeoverEvent) -> None:
-        """The table moves on; the wait of the state that is reached begins."""
+        """Make the transition for an event, execute its actions and start the timeout of the new state."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -158,7 +163,7 @@
 
 
 class Predecessor(Peer):
-    """Waits for a successor, all the life of a process."""
+    """The side of the serving process, which waits for a successor throughout its life."""
 
     def __init__(self, host: Host, folder: Folder) -> None:
         super().__init__(TakeoverState.WATCHING)
@@ -173,7 +178,7 @@
         try:
             self._sock = self._folder.listen()
         except OSError as error:
-            return log.error("takeover: no successor will find this process: %s", error)
+            return log.error("takeover: cannot listen for a successor: %s", error)
         self._loop.add_reader(self._sock.fileno(), self._accept_successor)
 
     def _stop_listening(self) -> None:
@@ -193,11 +198,11 @@
         self._channel = Channel(sock, self._receive, self._on_channel_close)
         self._timer = self._loop.call_later(
             STATE_TIMEOUT_SECONDS[TakeoverState.ASKING], self._handle_event, TakeoverEvent.TIMEOUT
-        )  # it must say hello
+        )  # it must send hello
 
     def _receive(self, channel: Channel, message: Message, fd: int | None) -> None:
         if fd is not None:
-            os.close(fd)  # a successor has none to give
+            os.close(fd)  # a successor sends no descriptors
         try:
             match message.get("is"):
                 case "hello":
@@ -228,13 +233,13 @@
             case TakeoverAction.OFFER:
                 self._offer(host)
             case TakeoverAction.HAND_OVER:
-                self._stop_listening()  # the successor is who the next one finds
+                self._stop_listening()  # a further process must find the successor
                 host.set_successor(self)
                 self._report_open_attempts()
             case TakeoverAction.TAKE_BACK:
                 host.undo_split(whole=True)
             case TakeoverAction.RESUME:
-                # Nothing to undo where all was taken back; else what was given may have been drawn.
+                # Does nothing after TAKE_BACK; otherwise the successor may have used the state that it was given.
                 host.undo_split(whole=False)
                 host.set_successor(None)
                 host.resume()
@@ -256,7 +261,10 @@
             self._channel.send({"is": "part", "text": part})
 
     def pass_client(self, fd: int) -> bool:
-        """Pass a client's connection on; the descriptor is closed here. Whether there was somebody to take it."""
+        """Hand a client's connection to the successor and close the descriptor here.
+
+        Returns whether a successor was connected.
+        """
         if not self.connected or self._channel is None:
             os.close(fd)
             return False
@@ -264,7 +272,7 @@
         return self.connected
 
     def _serve_unsent_client(self, fd: int) -> None:
-        """The successor went before it could be given this client's connection: it is served on here."""
+        """Continue to serve a connection here whose successor disconnected before it was sent."""
         assert self._host is not None
         self._host.adopt_connection(socket.socket(fileno=fd))
 
@@ -287,7 +295,7 @@
 
 
 class Successor(Peer):
-    """Asks the process that serves for what it has."""
+    """The side of a new process, which requests the listener and the state of the serving one."""
 
     def __init__(self, folder: Folder) -> None:
         super().__init__(TakeoverState.ASKING)
@@ -297,7 +305,7 @@
         self._part_count = 0  # parts of the snapshot
         self._checksum = ""
         self._parts = list[str]()
-        self._early_messages = list[Message]()  # what comes before this process serves
+        self._early_messages = list[Message]()  # received before this process serves
         sock = folder.connect()
         if sock is not None and same_user(sock):
             self._channel = Channel(sock, self._receive, self._on_channel_close)
@@ -309,19 +317,19 @@
             self._handle_event(TakeoverEvent.ENDED)
 
     async def wait_for_offer(self) -> Offer | None:
-        """What there is to go on from; None where this process starts alone."""
+        """Wait for the predecessor's offer; return None if this process starts alone."""
         await self._offer_settled.wait()
         return self._offer
 
     def reject(self) -> None:
-        """The offer cannot be used after all: the predecessor goes on, and this process starts alone."""
-        log.error("takeover: the offer was rejected, this process starts alone")
+        """Reject an unusable offer: the predecessor continues to serve, and this process starts alone."""
+        log.error("takeover: the offer is unusable; this process starts alone")
         self._offer = None
         self.machine.state = TakeoverState.RECEIVING
         self._handle_event(TakeoverEvent.INVALID)
 
     def serve(self, host: Host) -> None:
-        """From now on this process takes the connections."""
+        """Start serving: tell the predecessor, and process the messages that arrived early."""
         self._host = host
         if self.machine.state is TakeoverState.SERVING and self._channel is not None:
             self._channel.send({"is": "serving"})
@@ -340,12 +348,12 @@
                 case "client" if self._host is not None and sock is not None:
                     self._host.adopt_connection(sock)
                 case _ if sock is not None:
-                    raise ValueError(f"a descriptor where none belongs: {message.get('is')!r:.40}")
+                    raise ValueError(f"unexpected descriptor with message {message.get('is')!r:.40}")
                 case "part":
                     self._receive_part(message)
                 case _ if self._host is None:
                     if len(self._early_messages) >= MAX_EARLY_MESSAGES:
-                        raise ValueError("too much before this process serves")
+                        raise ValueError("too many messages before this process serves")
                     self._early_messages.append(message)
                 case _:
                     self._receive_from_predecessor(self._host, message)
@@ -358,7 +366,7 @@
     def _receive_offer(self, message: Message, listener: socket.socket | None) -> None:
         self._part_count, self._checksum = int(message["parts"]), str(message["checksum"])
         if listener is None or not 0 < self._part_count <= MAX_PARTS or self._listener is not None:
-            raise ValueError("an offer without a listener, of too many parts or a second one")
+            raise ValueError("offer without a listener, with an invalid number of parts, or sent twice")
         self._listener = listener
         self._handle_event(TakeoverEvent.OFFER)
 
@@ -384,7 +392,7 @@
             case "done":
                 self._receive_done(message)
             case kind:
-                raise ValueError(f"an unknown message: {kind!r:.40}")
+                raise ValueError(f"unknown message: {kind!r:.40}")
 
     def _on_channel_close(self, channel: Channel) -> None:
         self._complete_calls()
