--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -1,7 +1,8 @@
-"""What one limiter knows, as text that another process goes on from. No I/O and no clock.
+"""Snapshots of a limiter's state, as text from which another process continues. No I/O and no clock.
 
-To every rule two processes of one limiter are one: what a store holds is split between them and conserved. The one
-that leaves keeps ``RETAINED_SHARE`` of it for what it still has in hand, and refills nothing.
+Under every rule, the two processes of one limiter count as one: the contents of each store are split between them, and
+the total is conserved. The process that leaves keeps ``RETAINED_SHARE`` of each store for its remaining work, and
+refills nothing.
 """
 
 from __future__ import annotations
@@ -17,9 +18,11 @@
 from cypresspulley.policy.gateway import Gateway
 
 VERSION = 1
-RETAINED_SHARE = 0.1  # of each store, by the process that leaves
-NEGLIGIBLE_FACTOR = 1e-9  # a rate of refill that gives nothing, where 0 would mean that there is no limit
-MAX_ACCOUNTS = 20_000  # in one snapshot; the longest idle are left out, and start as after a restart
+RETAINED_SHARE = 0.1  # share of each store that the leaving process keeps
+NEGLIGIBLE_FACTOR = (
+    1e-9  # scales a refill rate to almost nothing; a rate of 0 would mean that there is no limit
+)
+MAX_ACCOUNTS = 20_000  # in one snapshot; those idle longest are left out, and start as after a restart
 # Each mapping below goes from the name of a field in the snapshot to the name of the attribute that holds it. The
 # reader may be a process of another build: an attribute may be renamed, the name in the snapshot must stay.
 GATE_FIELDS: Mapping[str, str] = {
@@ -56,7 +59,7 @@
 
 
 class SnapshotError(ValueError):
-    """A snapshot that cannot be used."""
+    """Raised when a snapshot is unusable."""
 
 
 def _read_attributes(owner: object, names: Mapping[str, str]) -> dict[str, Any]:
@@ -77,7 +80,7 @@
 
 
 def take_snapshot(gateway: Gateway) -> dict[str, Any]:
-    """The state of the decisions; nothing is changed by it."""
+    """Return the state of the gateway, without changing it."""
     load_balancer, quotas = gateway.load_balancer, gateway.quotas
     incarnation, usage = quotas.incarnation, quotas.usage
     accounts = sorted(quotas.accounts.items(), key=lambda each: -each[1].at)[:MAX_ACCOUNTS]
@@ -109,11 +112,14 @@
 
 
 def restore_snapshot(gateway: Gateway, now: float, state: dict[str, Any]) -> None:
-    """A fresh gateway goes on from a predecessor's state, less what that keeps. ``SnapshotError`` where it cannot."""
+    """Restore a predecessor's state in a new gateway, less the share that the predecessor keeps.
+
+    Raises SnapshotError if the state is unusable; the gateway must then be discarded.
+    """
     try:
         _restore(gateway, now, state)
     except (KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
-        raise SnapshotError(f"a snapshot that cannot be used: {error!r:.120}") from None
+        raise SnapshotError(f"snapshot: invalid state: {error!r:.120}") from None
 
 
 def _entry(raw: dict[str, Any]) -> api.ServerEntry:
@@ -133,7 +139,7 @@
     _write_attributes(load_balancer.unit_cost, state["sizes"], UNIT_COST_FIELDS)
     load_balancer._mean_finish_rate = float(state["done_rate"])
     load_balancer.bans.update(map(str, state["bans"]))
-    births = state.get("births", {})  # a predecessor of an older version tells none
+    births = state.get("births", {})  # a predecessor of an older version sends none
     load_balancer.births.update({str(name): births.get(name) for name in state["known"]})
     rows = [(_entry(row["entry"]), row) for row in state["servers"]]
     load_balancer.update_servers(now, api.ServerList(tuple(entry for entry, _ in rows), True))
@@ -145,14 +151,14 @@
     load_balancer._rebuild(now)
     quotas._born = float(state["born"])
     _write_attributes(quotas.calls, state["calls"], CALL_FIELDS)
-    # A predecessor of an older version tells it as "life".
+    # A predecessor of an older version sends it as "life".
     quotas.incarnation.resume(now, bool(state["first"] if "first" in state else state["life"]["vouched"]))
     if state["tells"] is not None and quotas.usage is not None:
         quotas.usage.born, quotas.usage.late = float(state["tells"][0]), bool(state["tells"][1])
         quotas.usage.strange.update({int(key): (float(u), float(at)) for key, (u, at) in state["tells"][2]})
     for plan, name, share, _open, values, window in state["accounts"]:
         if plan not in quotas._plans:
-            continue  # the plan was dropped meanwhile
+            continue  # the plan has been dropped in the meantime
         a = quotas.account(now, api.Request(0, "", plan, 1.0, name, gateways=int(share)))
         _write_attributes(a, values, ACCOUNT_FIELDS)
         for store in SPLIT_STORES:
@@ -161,13 +167,16 @@
                 store,
                 (1 - RETAINED_SHARE) * getattr(a, store) if getattr(a, store) > 0 else getattr(a, store),
             )
-        # One of an older version tells of windows with other names: the counter has what it needs to be known of them.
+        # An older version writes windows with other field names. They are skipped: the counter knows their contents.
         if a.window is not None and window is not None and set(WINDOW_FIELDS) <= set(window):
             _write_attributes(a.window, window, WINDOW_FIELDS)
 
 
 class StateSplit:
-    """The leaving side: keeps ``RETAINED_SHARE`` of each store, refills nothing, and can take all of it back."""
+    """The leaving process's split of the state.
+
+    It keeps ``RETAINED_SHARE`` of each store, refills nothing, and can restore the whole state.
+    """
 
     def __init__(self, gateway: Gateway) -> None:
         self._gateway, quotas = gateway, gateway.quotas
@@ -190,19 +199,19 @@
         self.scale_plans()
 
     def scale_plans(self) -> None:
-        """Cut the plans down, now and after each change of settings: a whole plan would refill here as well."""
+        """Scale the plans down, also after each change of settings; full plans would refill in both processes."""
         quotas = self._gateway.quotas
         self._plans = dict(quotas._plans)
         scaled = {name: self._scale_plan(plan) for name, plan in self._plans.items()}
         for a in quotas.accounts.values():
-            self._plans.setdefault(a.plan.name, a.plan)  # of one that was dropped
+            self._plans.setdefault(a.plan.name, a.plan)  # of a dropped plan
             a.plan = scaled.get(a.plan.name) or self._scale_plan(a.plan)
         quotas._plans = {name: self._scale_new_ceiling(plan) for name, plan in scaled.items()}
         quotas.dropped_plans.transform_dropped(lambda plan: self._scale_new_ceiling(self._scale_plan(plan)))
 
     @staticmethod
     def _scale_new_ceiling(plan: api.Plan) -> api.Plan:
-        """What a customer that is new here gets of a ceiling: its store is at the successor."""
+        """Return the plan for an account that is new to this process: the successor holds its ceiling's store."""
         return replace(plan, ceiling_burst=plan.ceiling_burst * NEGLIGIBLE_FACTOR)
 
     @staticmethod
@@ -214,7 +223,10 @@
         )  # fmt: skip
 
     def undo(self, whole: bool, now: float) -> None:
-        """Serve alone again. ``whole``: nothing was drawn on the other side; else what was given is taken for used."""
+        """Restore the plans and serve alone again.
+
+        With ``whole`` the successor has drawn nothing, and its share is taken back; otherwise that share counts as used.
+        """
         quotas = self._gateway.quotas
         plans = {name: self._plans[name] for name in quotas._plans}
         quotas._plans, quotas.incarnation.wanted = plans, self._wanted
@@ -223,7 +235,7 @@
             for server, budget in self._budgets:
                 server.cold_budget += budget
         else:
-            quotas._born = now  # what is new here may have drawn on the other side
+            quotas._born = now  # accounts that are new here may have drawn units at the successor
         for a in quotas.accounts.values():
             if not whole:
                 a.refill(now)
@@ -234,14 +246,14 @@
 
 
 class PredecessorAttempts:
-    """Attempts that are out at the predecessor: they count against the limits on what is out, here as there."""
+    """The predecessor's open attempts, which also count against this process's limits on open attempts."""
 
     def __init__(self, gateway: Gateway) -> None:
         self._gateway = gateway
         self._held = dict[tuple[str, str], int]()
 
     def update(self, attempts: dict[tuple[str, str], int]) -> None:
-        """What is out there now, by plan and account; nothing once it has ended."""
+        """Set the predecessor's open attempts by plan and account; empty after its end."""
         accounts = self._gateway.quotas.accounts
         for key in {*attempts, *self._held}:
             if (a := accounts.get(key)) is not None:
@@ -250,25 +262,25 @@
 
 
 def count_open_attempts(gateway: Gateway) -> list[tuple[str, str, int]]:
-    """Attempts that are out here, by plan and account."""
+    """Return the plan, account and number of open attempts of each account that has any."""
     return [(*key, a.open) for key, a in gateway.quotas.accounts.items() if a.open > 0]
 
 
 def encode_snapshot(state: dict[str, Any]) -> tuple[str, str]:
-    """The text of a snapshot and its checksum."""
+    """Return the text of a snapshot and its checksum."""
     text = json.dumps({"version": VERSION, "state": state}, separators=(",", ":"))
     return text, hashlib.sha256(text.encode()).hexdigest()
 
 
 def decode_snapshot(text: str, checksum: str) -> dict[str, Any]:
-    """The state in a snapshot; ``SnapshotError`` where text, checksum or version do not fit."""
+    """Return the state in a snapshot. Raises SnapshotError if text, checksum or version do not match."""
     if hashlib.sha256(text.encode()).hexdigest() != checksum:
-        raise SnapshotError("snapshot: the checksum does not fit")
+        raise SnapshotError("snapshot: checksum mismatch")
     try:
         raw = json.loads(text)
         version, state = raw["version"], raw["state"]
     except (ValueError, KeyError, TypeError):
-        raise SnapshotError("snapshot: not an object with version and state") from None
+        raise SnapshotError("snapshot: expected an object with version and state") from None
     if version != VERSION or not isinstance(state, dict):
-        raise SnapshotError(f"snapshot: version {version!r:.20}, expected {VERSION}")
+        raise SnapshotError(f"snapshot: unsupported version {version!r:.20}, expected {VERSION}")
     return state
