--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -225,7 +225,8 @@
     def undo(self, whole: bool, now: float) -> None:
         """Restore the plans and serve alone again.
 
-        With ``whole`` the successor has drawn nothing, and its share is taken back; otherwise that share counts as used.
+        With ``whole`` the successor has drawn nothing, and its share is taken back; otherwise the share counts as
+        used.
         """
         quotas = self._gateway.quotas
         plans = {name: self._plans[name] for name in quotas._plans}
