--- a/tests/test_accept.py
+++ b/tests/test_accept.py
@@ -1,4 +1,4 @@
-"""Accepting connections while the machine has no descriptor left, and at the end of a long queue."""
+"""Accepting connections while no file descriptor is left, and shutting down with a long accept queue."""
 
 from __future__ import annotations
 
@@ -25,15 +25,22 @@
 from tests.test_program import Program, config, started
 
 CLIENTS = 40
-FAULT_SECONDS = 0.1  # for which no descriptor is left
-LONG_QUEUE = 1024  # connections, as many as the queue of the machine holds
+FAULT_SECONDS = 0.1  # time for which no descriptor is left
+LONG_QUEUE = 1024  # connections, as many as the accept queue of the kernel holds
 CALL = b"GET /v1/readyz HTTP/1.1\r\nHost: x\r\n\r\n"
-KEPT = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
-GONE = [errno.ECONNABORTED, errno.EPROTO, errno.EPERM, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ETIMEDOUT]
+RESOURCE_ERRORS = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
+CONNECTION_ERRORS = [
+    errno.ECONNABORTED,
+    errno.EPROTO,
+    errno.EPERM,
+    errno.EHOSTUNREACH,
+    errno.ENETUNREACH,
+    errno.ETIMEDOUT,
+]
 
 
 class Client:
-    """A client that has connected and sent a whole request before the limiter accepts it."""
+    """A client that connects and sends a complete request before the limiter accepts the connection."""
 
     def __init__(self, address: tuple[str, int], request: bytes) -> None:
         self.socket = socket.create_connection(address)
@@ -41,7 +48,7 @@
         self.socket.sendall(request)
 
     async def status(self) -> str:
-        """The answer's status code, or how the connection ended without one."""
+        """Return the response's status code, or how the connection ended without a response."""
         seen = b""
         try:
             while b"\r\n\r\n" not in seen:
@@ -57,13 +64,13 @@
 
 
 def lowest_free_descriptor(pid: int) -> int:
-    """The number that the next descriptor of a process gets."""
+    """Return the number that the next descriptor of a process gets."""
     taken = {int(path.name) for path in Path(f"/proc/{pid}/fd").iterdir()}
     return min(set(range(len(taken) + 1)) - taken)
 
 
 async def run_out_of_descriptors(program: Program) -> None:
-    """Let a stopped process go on with a full descriptor table, and give it room again after a moment."""
+    """Continue a stopped process with a full descriptor table, and raise its limit again after ``FAULT_SECONDS``."""
     pid = program.process.pid
     before = resource.prlimit(pid, resource.RLIMIT_NOFILE)
     resource.prlimit(pid, resource.RLIMIT_NOFILE, (lowest_free_descriptor(pid), before[1]))
@@ -74,7 +81,7 @@
 
 @pytest.mark.parametrize("ending", [False, True], ids=["serving", "ending"])
 def test_queued_requests_outlast_a_full_descriptor_table(ending: bool, tmp_path: Path) -> None:
-    """EMFILE of accept says nothing of who waits in the queue: each has sent a whole request."""
+    """Guards against dropping queued connections on EMFILE: each client has already sent a complete request."""
 
     async def main() -> None:
         origin = Origin()
@@ -84,7 +91,7 @@
             if ending:
                 program.process.send_signal(signal.SIGTERM)
             await run_out_of_descriptors(program)
-            # They come all at once: the decisions may refuse what they do not trust one server with.
+            # All requests arrive at once, so the gateway may refuse those that exceed what it sends to one server.
             statuses = [await client.status() for client in clients]
             assert set(statuses) <= {"200", "429"}
 
@@ -92,7 +99,7 @@
 
 
 def fail_accept(monkeypatch: pytest.MonkeyPatch, error: int, times: int) -> list[int]:
-    """Let accept fail so many times; a list with one entry for each call."""
+    """Make accept fail ``times`` times, and return a list that gets one entry for each call."""
     accept, calls = socket.socket.accept, list[int]()
 
     def failing(listener: socket.socket) -> tuple[socket.socket, Any]:
@@ -105,11 +112,11 @@
     return calls
 
 
-@pytest.mark.parametrize("error", KEPT + GONE, ids=errno.errorcode.get)
+@pytest.mark.parametrize("error", RESOURCE_ERRORS + CONNECTION_ERRORS, ids=errno.errorcode.get)
 def test_a_failure_of_accept_costs_no_connection_that_waits(
     error: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Linux returns errors of a connection that ended in the queue, and those of the machine, where it stays."""
+    """Accept returns errors of a connection that ended in the queue, and resource errors that leave it queued."""
 
     async def main() -> None:
         async with Limiter(Script(refuse), {}) as limiter:
@@ -121,7 +128,7 @@
     run(main())
 
 
-@pytest.mark.parametrize("error", KEPT, ids=errno.errorcode.get)
+@pytest.mark.parametrize("error", RESOURCE_ERRORS, ids=errno.errorcode.get)
 def test_a_failure_of_accept_at_the_last_look_costs_no_request(
     error: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -150,36 +157,36 @@
 
 
 def test_an_operators_call_outlasts_a_failure_of_accept(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def yes(_name: str, _id: str) -> Reply:
+    async def accept_call(_name: str, _id: str) -> Reply:
         return Reply(200, {})
 
     async def main() -> None:
-        door = AdminServer(yes)
-        address = await door.listen("127.0.0.1", 0)
+        server = AdminServer(accept_call)
+        address = await server.listen("127.0.0.1", 0)
         fail_accept(monkeypatch, errno.ENFILE, 3)
         assert await Client(address, CALL).status() == "200"
-        door.close()
+        server.close()
 
     run(main())
 
 
 @contextmanager
-def half_a_core(pid: int) -> Iterator[None]:
-    """Let a process share one processor with another that never rests."""
-    busy = subprocess.Popen([sys.executable, "-c", "while True: pass"])
+def share_processor(pid: int) -> Iterator[None]:
+    """Pin a process to one processor that it shares with a busy_loop loop."""
+    busy_loop = subprocess.Popen([sys.executable, "-c", "while True: pass"])
     cpu = max(os.sched_getaffinity(0))
     try:
-        for each in (pid, busy.pid):
+        for each in (pid, busy_loop.pid):
             os.sched_setaffinity(each, {cpu})
         yield
     finally:
-        busy.kill()
-        busy.wait()
+        busy_loop.kill()
+        busy_loop.wait()
 
 
 @pytest.mark.long
 def test_a_queue_as_long_as_it_can_be_is_answered_after_sigterm_on_half_a_core(tmp_path: Path) -> None:
-    """There are descriptors for half of it: the rest waits until others have their answers."""
+    """There are descriptors for half of the queue; the rest is accepted as earlier connections are answered."""
 
     async def main() -> None:
         origin = Origin()
@@ -191,7 +198,7 @@
                 address = split_address(program._listen)
                 clients = [Client(address, ask()) for _ in range(LONG_QUEUE)]
                 program.process.send_signal(signal.SIGTERM)
-                with half_a_core(program.process.pid):
+                with share_processor(program.process.pid):
                     program.process.send_signal(signal.SIGCONT)
                     statuses = [await client.status() for client in clients]
                 assert set(statuses) <= {"200", "429", "503"}
