--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -1,4 +1,4 @@
-"""The operators' door over loopback sockets: calls, bad callers, drains and servers taken out."""
+"""The admin API over loopback sockets: calls, malformed requests, drains and suspended servers."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 async def call(address: Address, method: str, path: str) -> tuple[int, dict[str, Any]]:
-    """One call to the door: the answer's status and its JSON."""
+    """Send one request to the admin API, and return the response's status and JSON body."""
     reader, writer = await asyncio.open_connection(*address)
     writer.write(f"{method} {path} HTTP/1.1\r\nHost: door\r\n\r\n".encode())
     first, headers, body = await read_message(reader)
@@ -33,16 +33,16 @@
 
 
 @asynccontextmanager
-async def opened(service: Service) -> AsyncIterator[Address]:
-    door = AdminServer(service.call)
+async def admin_server(service: Service) -> AsyncIterator[Address]:
+    server = AdminServer(service.call)
     try:
-        yield await door.listen("127.0.0.1", 0)
+        yield await server.listen("127.0.0.1", 0)
     finally:
-        door.close()
+        server.close()
 
 
-class Decided(Script):
-    """The true decisions, and a record of their events."""
+class GatewayScript(Script):
+    """A script that passes events to a real gateway and records them."""
 
     def __init__(self) -> None:
         gateway = Gateway(SETTINGS, 1, 0.0)
@@ -80,27 +80,27 @@
 def test_a_starting_process_says_no_and_a_serving_one_yes() -> None:
     async def main() -> None:
         service = Service(Lifecycle())
-        async with opened(service) as door, Limiter(Decided(), {}) as limiter:
-            assert (await call(door, "GET", "/v1/readyz"))[0] == 503
-            assert (await call(door, "PUT", "/v1/limiter/drain"))[0] == 503
+        async with admin_server(service) as address, Limiter(GatewayScript(), {}) as limiter:
+            assert (await call(address, "GET", "/v1/readyz"))[0] == 503
+            assert (await call(address, "PUT", "/v1/limiter/drain"))[0] == 503
             service.serve(limiter.node, limiter.frontend)
-            assert (await call(door, "GET", "/v1/readyz"))[0] == 200
+            assert (await call(address, "GET", "/v1/readyz"))[0] == 200
             service.leave()
-            assert (await call(door, "GET", "/v1/readyz"))[0] == 503
-            assert (await call(door, "PUT", "/v1/limiter/activate"))[0] == 409
+            assert (await call(address, "GET", "/v1/readyz"))[0] == 503
+            assert (await call(address, "PUT", "/v1/limiter/activate"))[0] == 409
 
     run(main())
 
 
 def test_calls_that_are_none_are_told_why() -> None:
     async def main() -> None:
-        async with opened(Service(Lifecycle())) as door:
-            status, body = await call(door, "DELETE", "/v1/limiter/drain")
+        async with admin_server(Service(Lifecycle())) as address:
+            status, body = await call(address, "DELETE", "/v1/limiter/drain")
             assert status == 405 and "PUT" in body["error"]
-            status, body = await call(door, "GET", "/v2/readyz")
+            status, body = await call(address, "GET", "/v2/readyz")
             assert status == 404 and "/v1/readyz" in body["expected"]
             for garbage, wanted in ((b"\x16\x03\x01hello\r\n\r\n", 400), (b"GET /" + b"x" * 9000, 413)):
-                reader, writer = await asyncio.open_connection(*door)
+                reader, writer = await asyncio.open_connection(*address)
                 writer.write(garbage)
                 first, _, text = await read_message(reader)
                 assert f" {wanted} " in first and json.loads(text)["error"]
@@ -111,23 +111,23 @@
 
 def test_half_calls_and_silence_keep_nobody_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(net_admin, "REQUEST_TIMEOUT_SECONDS", 0.3)
-    monkeypatch.setattr(net_admin, "MAX_CONNECTIONS", 20)  # of the 50 the longest silent make way
+    monkeypatch.setattr(net_admin, "MAX_CONNECTIONS", 20)  # the oldest of the 50 idle connections are evicted
 
     async def main() -> None:
         service = Service(Lifecycle())
-        async with opened(service) as door, Limiter(Decided(), {}) as limiter:
+        async with admin_server(service) as address, Limiter(GatewayScript(), {}) as limiter:
             service.serve(limiter.node, limiter.frontend)
-            silent = [await asyncio.open_connection(*door) for _ in range(50)]
+            silent = [await asyncio.open_connection(*address) for _ in range(50)]
             for _, writer in silent[::2]:
                 writer.write(b"GET /v1/rea")
-            assert (await call(door, "GET", "/v1/readyz"))[0] == 200
-            # All of them end by themselves, with an answer or without one.
+            assert (await call(address, "GET", "/v1/readyz"))[0] == 200
+            # All idle connections are closed by the server, with or without a response.
             for reader, writer in silent:
                 try:
-                    said = await reader.read()
+                    received = await reader.read()
                 except ConnectionResetError:
-                    said = b""
-                assert said == b"" or b" 408 " in said
+                    received = b""
+                assert received == b"" or b" 408 " in received
                 writer.close()
 
     run(main())
@@ -136,10 +136,10 @@
 def test_the_door_answers_with_all_client_connections_taken() -> None:
     async def main() -> None:
         service = Service(Lifecycle())
-        async with opened(service) as door, Limiter(Decided(), {}) as limiter:
+        async with admin_server(service) as address, Limiter(GatewayScript(), {}) as limiter:
             service.serve(limiter.node, limiter.frontend)
-            held = [await limiter.connect() for _ in range(80)]  # 64 are let in
-            assert (await call(door, "GET", "/v1/readyz"))[0] == 200
+            held = [await limiter.connect() for _ in range(80)]  # 64 are accepted
+            assert (await call(address, "GET", "/v1/readyz"))[0] == 200
             for _, writer in held:
                 writer.close()
 
@@ -155,8 +155,8 @@
         service, origin = Service(Lifecycle()), Origin()
         async with (
             listening(origin.talk) as dial,
-            opened(service) as door,
-            Limiter(Decided(), {"s1": dial}) as limiter,
+            admin_server(service) as address,
+            Limiter(GatewayScript(), {"s1": dial}) as limiter,
         ):
             service.serve(limiter.node, limiter.frontend)
             health = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -165,16 +165,16 @@
             busy_writer.write(ask())
             _, headers, _ = await read_message(busy)
             assert "connection" not in headers
-            for _ in range(2):  # a second drain changes nothing
-                assert (await call(door, "PUT", "/v1/limiter/drain"))[0] == 200
-            busy_writer.write(ask())  # who still comes is served, and its connection ends
+            for _ in range(2):  # a second drain has no effect
+                assert (await call(address, "PUT", "/v1/limiter/drain"))[0] == 200
+            busy_writer.write(ask())  # a request during the drain is served, and its connection closes
             status, headers, _ = await read_message(busy)
             assert " 200 " in status and headers["connection"] == "close" and await busy.read() == b""
             assert " 503 " in (await limiter.fetch(health))[0]
-            assert (await call(door, "GET", "/v1/readyz"))[0] == 503
+            assert (await call(address, "GET", "/v1/readyz"))[0] == 503
             assert await idle.read() == b""
-            assert (await call(door, "PUT", "/v1/limiter/activate"))[0] == 200
-            assert (await call(door, "PUT", "/v1/limiter/activate"))[0] == 200
+            assert (await call(address, "PUT", "/v1/limiter/activate"))[0] == 200
+            assert (await call(address, "PUT", "/v1/limiter/activate"))[0] == 200
             assert " 200 " in (await limiter.fetch(health))[0]
             again, again_writer = await limiter.connect()
             again_writer.write(ask())
@@ -192,21 +192,21 @@
         async with (
             listening(first.talk) as one,
             listening(second.talk) as two,
-            opened(service) as door,
-            Limiter(Decided(), {"s1": one, "s2": two}) as limiter,
+            admin_server(service) as address,
+            Limiter(GatewayScript(), {"s1": one, "s2": two}) as limiter,
         ):
             service.serve(limiter.node, limiter.frontend)
-            assert (await call(door, "PUT", "/v1/servers/s9/suspend"))[0] == 404
-            assert (await call(door, "PUT", "/v1/servers/s9/resume"))[0] == 404
+            assert (await call(address, "PUT", "/v1/servers/s9/suspend"))[0] == 404
+            assert (await call(address, "PUT", "/v1/servers/s9/resume"))[0] == 404
             for _ in range(2):
-                assert (await call(door, "PUT", "/v1/servers/s1/suspend"))[0] == 200
+                assert (await call(address, "PUT", "/v1/servers/s1/suspend"))[0] == 200
             before = len(first.seen)
             for _ in range(12):
                 assert " 200 " in (await limiter.fetch(ask()))[0]
             assert len(first.seen) == before and len(second.seen) >= 12
-            limiter.node.listed(listing({"s1": one, "s2": two}))  # whatever the list says
+            limiter.node.listed(listing({"s1": one, "s2": two}))  # a suspension outlasts a new list
             assert " 200 " in (await limiter.fetch(ask()))[0] and len(first.seen) == before
-            assert (await call(door, "PUT", "/v1/servers/s1/resume"))[0] == 200
+            assert (await call(address, "PUT", "/v1/servers/s1/resume"))[0] == 200
             while len(first.seen) == before:
                 assert " 200 " in (await limiter.fetch(ask()))[0]
 
