--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Bodies that pass as they arrive: both ways, with backpressure, bounded, in every form of HTTP/1.1."""
+"""Streaming of large bodies in both directions: backpressure, memory limits and every framing of HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -37,8 +37,8 @@
 Talk = Callable[[Reader, Writer], Awaitable[None]]
 
 
-class Taker:
-    """A server's sink that keeps what it is given."""
+class CollectingSink:
+    """A sink that collects what it is given."""
 
     def __init__(self) -> None:
         self.data, self.ended = b"", False
@@ -50,7 +50,7 @@
         self.ended = True
 
 
-def upload(length: int | None = None) -> tuple[Upload, list[bool], list[tuple[bool, bool]]]:
+def make_upload(length: int | None = None) -> tuple[Upload, list[bool], list[tuple[bool, bool]]]:
     holds, told = list[bool](), list[tuple[bool, bool]]()
     body = Upload(length, holds.append)
     body.on_progress = lambda whole, kept: told.append((whole, kept))
@@ -58,24 +58,24 @@
 
 
 def test_an_upload_waits_for_its_sink_and_is_kept_up_to_a_bound() -> None:
-    body, holds, told = upload(2 * MAX_REPLAYABLE_BYTES)
+    body, holds, told = make_upload(2 * MAX_REPLAYABLE_BYTES)
     body.feed(b"a" * MAX_REPLAYABLE_BYTES)
     assert holds == []
     body.feed(b"b")
-    assert holds == [True], "nobody takes it yet: the client waits"
-    taker = Taker()
-    assert body.attach(taker) and holds == [True, False] and told == [(False, False)]
-    assert taker.data == b"a" * MAX_REPLAYABLE_BYTES + b"b" and not body.attach(Taker()), (
-        "it cannot be sent again"
+    assert holds == [True], "no attempt takes it yet: the client is paused"
+    sink = CollectingSink()
+    assert body.attach(sink) and holds == [True, False] and told == [(False, False)]
+    assert sink.data == b"a" * MAX_REPLAYABLE_BYTES + b"b" and not body.attach(CollectingSink()), (
+        "it cannot be replayed"
     )
     body.feed(b"c" * (MAX_REPLAYABLE_BYTES - 1))
     body.finish()
-    assert taker.ended and told[-1] == (True, False) and len(taker.data) == 2 * MAX_REPLAYABLE_BYTES
+    assert sink.ended and told[-1] == (True, False) and len(sink.data) == 2 * MAX_REPLAYABLE_BYTES
 
 
 def test_a_short_upload_goes_to_a_second_attempt_from_its_first_byte() -> None:
-    body, _, told = upload()
-    first, second = Taker(), Taker()
+    body, _, told = make_upload()
+    first, second = CollectingSink(), CollectingSink()
     body.feed(b"hello ")
     assert body.attach(first)
     body.detach(first)
@@ -94,7 +94,7 @@
         relay.buffered += mark
         assert relay.buffered <= MAX_BUFFERED_BYTES + count * MIN_HIGH_WATER_BYTES
     relay.buffered = 0
-    assert relay.high_water() == MAX_HIGH_WATER_BYTES, "and who comes alone has room"
+    assert relay.high_water() == MAX_HIGH_WATER_BYTES, "a single transfer gets the full buffer"
 
 
 def test_a_download_waits_for_its_turn_and_holds_its_server() -> None:
@@ -117,7 +117,7 @@
 
 
 async def read_request(reader: Reader) -> tuple[str, bytes]:
-    """A request's head and body, by length or in chunks."""
+    """Read a request's head and body, delimited by length or in chunks."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
     if "transfer-encoding: chunked" in head:
         body = b""
@@ -130,7 +130,7 @@
 
 
 async def read_answer(reader: Reader) -> tuple[str, bytes]:
-    """An answer's head and body, by length, in chunks or to the connection's end."""
+    """Read a response's head and body, delimited by length, in chunks or by the connection's end."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
     if "transfer-encoding: chunked" in head:
         body = b""
@@ -147,7 +147,7 @@
     return b"".join(b"%x%b\r\n%b\r\n" % (len(p), extension, p) for p in pieces) + b"0\r\n\r\n"
 
 
-def answering(
+def answer_requests(
     answer: bytes, seen: list[tuple[str, bytes]], close: bool = False
 ) -> Callable[[Reader, Writer], Awaitable[None]]:
     async def talk(reader: Reader, writer: Writer) -> None:
@@ -162,7 +162,7 @@
     return talk
 
 
-HEADS = {
+LARGE_RESPONSES = {
     "length": (b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LARGE) + LARGE, False),
     "chunks": (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(LARGE, extension=b";a=b"), False),
     "trailers": (
@@ -178,15 +178,18 @@
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("form", HEADS)
+@pytest.mark.parametrize("form", LARGE_RESPONSES)
 @pytest.mark.parametrize("version", ["HTTP/1.1", "HTTP/1.0"])
 def test_large_answers_of_every_form_come_whole(form: str, version: str) -> None:
     async def main() -> None:
-        answer, close = HEADS[form]
+        answer, close = LARGE_RESPONSES[form]
         script = Script(forward)
-        async with listening(answering(answer, [], close)) as dial, Limiter(script, {"s1": dial}) as limiter:
+        async with (
+            listening(answer_requests(answer, [], close)) as dial,
+            Limiter(script, {"s1": dial}) as limiter,
+        ):
             reader, writer = await limiter.connect()
-            for _ in range(2 if version == "HTTP/1.1" else 1):  # and the connection serves again
+            for _ in range(2 if version == "HTTP/1.1" else 1):  # the connection serves a second request
                 writer.write(ask().replace(b"HTTP/1.1", version.encode()))
                 head, body = await read_answer(reader)
                 assert " 200 " in head and hashlib.sha256(body).digest() == hashlib.sha256(LARGE).digest()
@@ -212,7 +215,7 @@
 )
 def test_small_answers_of_every_form_are_handed_over_whole(answer: bytes, close: bool) -> None:
     async def main() -> None:
-        talk = answering(answer, [], close)
+        talk = answer_requests(answer, [], close)
         async with listening(talk) as dial, Limiter(Script(forward), {"s1": dial}) as limiter:
             status, headers, body = await limiter.fetch(ask())
             assert " 200 " in status and body == b"hi" and headers["content-length"] == "2"
@@ -224,7 +227,9 @@
 def test_answers_without_a_body_are_read_as_such_and_fail(status: int) -> None:
     async def main() -> None:
         seen = list[tuple[str, bytes]]()
-        async with listening(answering(b"HTTP/1.1 %d X\r\nContent-Length: 7\r\n\r\n" % status, seen)) as dial:
+        async with listening(
+            answer_requests(b"HTTP/1.1 %d X\r\nContent-Length: 7\r\n\r\n" % status, seen)
+        ) as dial:
             script = Script(forward)
             async with Limiter(script, {"s1": dial}) as limiter:
                 for _ in range(2):
@@ -239,7 +244,7 @@
 def test_large_uploads_come_whole_and_their_connection_serves_on(framing: str) -> None:
     async def main() -> None:
         seen, script = list[tuple[str, bytes]](), Script(forward)
-        async with listening(answering(OK, seen)) as dial, Limiter(script, {"s1": dial}) as limiter:
+        async with listening(answer_requests(OK, seen)) as dial, Limiter(script, {"s1": dial}) as limiter:
             reader, writer = await limiter.connect()
             for _ in range(2):
                 request = ask(POST, LARGE)
@@ -249,7 +254,7 @@
                     )
                     request = head + chunked(LARGE, 7000, b";q=1")[:-2] + b"X-Trailer: x\r\n\r\n"
                 rng, at = Random(8), 0
-                while at < len(request):  # in pieces cut anywhere
+                while at < len(request):  # in pieces cut at random positions
                     size = rng.choice((1, 900, 40_000, 300_000))
                     writer.write(request[at : at + size])
                     await writer.drain()
@@ -296,7 +301,7 @@
             reader, writer = await limiter.connect()
             writer.write(ask(ttl=150))
             await reader.readuntil(first)
-            await asyncio.sleep(0.3)  # past the client's time: it was answered in time
+            await asyncio.sleep(0.3)  # past the client's deadline, which the start of the response has met
             more.set()
             assert await reader.readexactly(len(got)) == got
             writer.close()
@@ -311,21 +316,21 @@
         (
             "HTTP/1.0",
             ConnectionResetError,
-        ),  # where the connection's end is the body's, it must be no tidy one
+        ),  # the end of the connection ends the body, so it must be a reset
     ],
 )
 def test_a_server_that_breaks_mid_answer_ends_the_clients_connection_and_no_other_is_asked(
     version: str, expected: type[Exception] | tuple[type[Exception], ...]
 ) -> None:
     async def main() -> None:
-        seen, go_on = list[bytes](), asyncio.Event()
+        seen, may_continue = list[bytes](), asyncio.Event()
 
         async def talk(reader: Reader, writer: Writer) -> None:
             seen.append((await read_request(reader))[1])
             writer.write(
                 b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n" + b"x" * 0x20000 + b"\r\n"
             )
-            await go_on.wait()
+            await may_continue.wait()
             writer.transport.abort()
 
         script = Script(forward)
@@ -333,11 +338,13 @@
             reader, writer = await limiter.connect()
             writer.write(ask().replace(b"HTTP/1.1", version.encode()))
             await reader.readuntil(b"\r\n\r\n")
-            go_on.set()
+            may_continue.set()
             with pytest.raises(expected):
                 while True:
                     size = int(await reader.readline(), 16) if version == "HTTP/1.1" else 1
-                    assert await reader.read(size + 2) or version == "HTTP/1.1", "a tidy end"
+                    assert await reader.read(size + 2) or version == "HTTP/1.1", (
+                        "orderly end of a truncated body"
+                    )
             (outcome,) = await script.until(api.Outcome)
             assert outcome.finished and outcome.status is api.Status.BROKEN and len(seen) == 1
             assert limiter.node.open_requests == 0 and limiter.upstream.relay.active == 0
@@ -444,7 +451,9 @@
             request = ask(POST, LARGE[:100_000], ttl=200)
             writer.write(request[:-10])
             await asyncio.sleep(0.35)
-            assert not [e for e in script.events if isinstance(e, api.Outcome)], "its time has not begun"
+            assert not [e for e in script.events if isinstance(e, api.Outcome)], (
+                "the deadline runs from the last byte of the upload"
+            )
             started = asyncio.get_running_loop().time()
             writer.write(request[-10:])
             status, _, _ = await read_message(reader)
@@ -461,7 +470,10 @@
 def test_who_waits_to_be_told_to_send_is_told(size: int) -> None:
     async def main() -> None:
         seen = list[tuple[str, bytes]]()
-        async with listening(answering(OK, seen)) as dial, Limiter(Script(forward), {"s1": dial}) as limiter:
+        async with (
+            listening(answer_requests(OK, seen)) as dial,
+            Limiter(Script(forward), {"s1": dial}) as limiter,
+        ):
             reader, writer = await limiter.connect()
             request = ask(POST, LARGE[:size], Expect="100-continue")
             writer.write(request[:-size])
@@ -530,7 +542,7 @@
         monkeypatch.setattr(net_frontend, name, value)
 
     async def main() -> None:
-        answers = [HEADS["length"][0], OK]
+        answers = [LARGE_RESPONSES["length"][0], OK]
 
         async def talk(reader: Reader, writer: Writer) -> None:
             await read_request(reader)
@@ -554,7 +566,7 @@
 
 def test_a_small_answer_behind_a_large_one_keeps_its_place() -> None:
     async def main() -> None:
-        answers = [HEADS["length"][0], OK, OK]
+        answers = [LARGE_RESPONSES["length"][0], OK, OK]
 
         async def talk(reader: Reader, writer: Writer) -> None:
             while True:
@@ -565,7 +577,7 @@
             reader, writer = await limiter.connect()
             writer.write(ask())
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(ask() + ask())  # while the large one flows
+            writer.write(ask() + ask())  # while the large response is streamed
             assert (
                 hashlib.sha256(await reader.readexactly(len(LARGE))).digest()
                 == hashlib.sha256(LARGE).digest()
@@ -596,38 +608,38 @@
                 sent += 100_000
 
         async with listening(talk) as dial, Limiter(Script(forward), {"s1": dial}) as limiter:
-            socks = []
+            sockets = []
             for _ in range(30):
                 sock = socket.create_connection(limiter._address)
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
                 sock.setblocking(False)
                 sock.send(ask())
-                socks.append(sock)
+                sockets.append(sock)
             settled = -1
-            while settled != sent or sent == 0:  # until nothing moves any more
+            while settled != sent or sent == 0:  # until no more data is transferred
                 settled = sent
                 await asyncio.sleep(0.2)
             clients = list(limiter.frontend._clients)
             held = [c._transport.get_write_buffer_size() for c in clients if c._transport is not None]
             assert len(held) == 30 and all(held)
-            # What all may hold together, and what one read brings on top of it.
+            # The limit for all transfers, and what one read of each may add.
             assert sum(held) <= net_relay.MAX_BUFFERED_BYTES + 30 * (
                 MIN_HIGH_WATER_BYTES + 4 * SOCKET_BUFFER_BYTES
             )
             assert limiter.upstream.relay.buffered == 0 and limiter.frontend.relay.buffered > 0
-            assert sent < 30 * 1_000_000, "the servers wait too"
-            for sock in socks:
+            assert sent < 30 * 1_000_000, "the servers are paused too"
+            for sock in sockets:
                 sock.close()
             while limiter.frontend._clients:
                 await asyncio.sleep(0.01)
-            assert limiter.frontend.relay.buffered == 0, "nothing is counted that is gone"
+            assert limiter.frontend.relay.buffered == 0, "closed connections are no longer counted"
 
     run(main())
 
 
 def test_a_client_that_reads_slowly_gets_all_of_it() -> None:
     async def main() -> None:
-        talk = answering(HEADS["chunks"][0], [])
+        talk = answer_requests(LARGE_RESPONSES["chunks"][0], [])
         async with listening(talk) as dial, Limiter(Script(forward), {"s1": dial}) as limiter:
             loop = asyncio.get_running_loop()
             sock = socket.create_connection(limiter._address)
@@ -651,11 +663,11 @@
     world.feed(replace(w.request(1, "post"), body_pending=True))
     server = world.gateway.load_balancer.servers["s0"]
     assert world.open_attempts and server.outstanding_work == 0.0 and server.silent_since is None
-    assert world.gateway._requests[1].account.open == 0, "an attempt is out from its last byte on"
+    assert world.gateway._requests[1].account.open == 0, "an attempt counts as open from its last byte on"
     world.gateway.handle(world.now + 60.0, api.BodyProgress(1, complete=True, replayable=False))
     assert server.outstanding_work > 0.0 and server.silent_since == world.now + 60.0
     request = world.gateway._requests[1]
-    assert request.deadline == world.now + 63.0, "its time counts from its last byte"
+    assert request.deadline == world.now + 63.0, "the deadline counts from the last byte"
     world.gateway.handle(world.now + 60.2, api.ResponseStarted(1, 0, "s0", 0.2, {}))
     assert server.outstanding_work == 0.0 and server.silent_since is None and request.account.open == 1
     world.gateway.handle(world.now + 99.0, api.Outcome(1, 0, "s0", api.Status.OK, 0.2, True, {}))
