--- a/tests/test_endings_door.py
+++ b/tests/test_endings_door.py
@@ -1,4 +1,4 @@
-"""Ends at the operators' door, of a takeover's channel and of the process, each crossed by what may meet it."""
+"""Races at the end of admin connections, of a takeover's channel and of the process."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 from cypresspulley.takeover.handover import Predecessor
 from tests.loopback import Limiter, Script, ask, run
 
-LONG = 400  # connections in a queue: more than 256 turns of the loop take
+LONG_QUEUE = 400  # connections in a queue; more than are accepted in 256 iterations of the loop
 CALL = b"GET /v1/readyz HTTP/1.1\r\nHost: door\r\n\r\n"
 
 
-async def yes(_name: str, _id: str) -> Reply:
+async def accept_call(_name: str, _id: str) -> Reply:
     return Reply(200, {"ok": True})
 
 
 class Caller:
-    """A caller's socket. What it sends is in the door's machine when ``send`` returns."""
+    """A caller's socket. Data is in the receive buffer of the admin API when ``send`` returns."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.socket = socket.socket()
@@ -39,7 +39,7 @@
         self.socket.sendall(data)
 
     async def end(self) -> bytes:
-        """All that came up to an orderly end; a reset is an error."""
+        """Return everything received up to an orderly end; a reset raises ConnectionError."""
         while data := await asyncio.get_running_loop().sock_recv(self.socket, 65536):
             self.seen += data
         return self.seen
@@ -48,13 +48,13 @@
         return self.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) != 0
 
 
-async def turns(count: int = 20) -> None:
+async def yield_to_loop(count: int = 20) -> None:
     for _ in range(count):
         await asyncio.sleep(0)
 
 
-async def until(true: Any) -> None:
-    while not true():
+async def until(condition: Any) -> None:
+    while not condition():
         await asyncio.sleep(0.001)
 
 
@@ -62,29 +62,29 @@
 def test_bytes_that_cross_a_calls_answer_do_not_reset_it(
     before: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Unread when the answer is written, or sent once it has come."""
-    answer, crossing = _AdminConnection.answer, list[Caller]()
+    """Guards against a reset by bytes that are unread when the response is written, or sent after it."""
+    answer, late_senders = _AdminConnection.answer, list[Caller]()
 
     def answered(caller: _AdminConnection, reply: Reply) -> None:
-        if before and crossing:
-            crossing.pop().send(b"and more" * 100)
+        if before and late_senders:
+            late_senders.pop().send(b"and more" * 100)
         answer(caller, reply)
 
     monkeypatch.setattr(_AdminConnection, "answer", answered)
 
     async def main() -> None:
-        door = AdminServer(yes)
-        caller = Caller(await door.listen("127.0.0.1", 0))
-        crossing.append(caller)
+        server = AdminServer(accept_call)
+        caller = Caller(await server.listen("127.0.0.1", 0))
+        late_senders.append(caller)
         caller.send(CALL)
         assert b" 200 " in await caller.end()
         if not before:
             caller.send(b"and more" * 100)
-        await turns(50)
+        await yield_to_loop(50)
         assert not caller.reset()
         caller.socket.close()
-        await until(lambda: not door._connections)
-        door.close()
+        await until(lambda: not server._connections)
+        server.close()
 
     run(main())
 
@@ -93,18 +93,18 @@
     monkeypatch.setattr(net_admin, "LINGER_SECONDS", 0.05, raising=False)
 
     async def main() -> None:
-        door = AdminServer(yes)
-        address = await door.listen("127.0.0.1", 0)
-        silent, floods = Caller(address), Caller(address)
-        for caller in (silent, floods):
+        server = AdminServer(accept_call)
+        address = await server.listen("127.0.0.1", 0)
+        silent, flooding = Caller(address), Caller(address)
+        for caller in (silent, flooding):
             caller.send(CALL)
             assert b" 200 " in await caller.end()
         with pytest.raises(ConnectionError):
             while True:
-                await asyncio.get_running_loop().sock_sendall(floods.socket, b"x" * 65536)
-        await until(lambda: not door._connections)
+                await asyncio.get_running_loop().sock_sendall(flooding.socket, b"x" * 65536)
+        await until(lambda: not server._connections)
         silent.socket.close()
-        door.close()
+        server.close()
 
     run(main())
 
@@ -113,21 +113,21 @@
 def test_a_calls_last_bytes_that_lie_unread_are_no_silence(
     rest: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Where the loop was held its timer runs first. With nothing unread it is silence."""
+    """After the loop was blocked, the timeout runs before the read; only without unread data it must fail."""
     monkeypatch.setattr(net_admin, "REQUEST_TIMEOUT_SECONDS", 60.0)
 
     async def main() -> None:
-        door = AdminServer(yes)
-        caller = Caller(await door.listen("127.0.0.1", 0))
+        server = AdminServer(accept_call)
+        caller = Caller(await server.listen("127.0.0.1", 0))
         caller.send(b"GET /v1/r")
-        await until(lambda: door._connections and next(iter(door._connections))._request_size)
+        await until(lambda: server._connections and next(iter(server._connections))._request_size)
         if rest:
             caller.send(rest)
-        next(iter(door._connections))._on_request_timeout()
+        next(iter(server._connections))._on_request_timeout()
         assert (b" 200 " if rest else b" 408 ") in await caller.end()
         caller.socket.close()
-        await until(lambda: not door._connections)
-        door.close()
+        await until(lambda: not server._connections)
+        server.close()
 
     run(main())
 
@@ -137,27 +137,27 @@
     monkeypatch.setattr(net_admin, "LINGER_SECONDS", 60.0)
 
     async def main() -> None:
-        door = AdminServer(yes)
-        address = await door.listen("127.0.0.1", 0)
+        server = AdminServer(accept_call)
+        address = await server.listen("127.0.0.1", 0)
         callers = list[Caller]()
-        for _ in range(8):  # none of them closes
+        for _ in range(8):  # no caller closes its connection
             callers.append(caller := Caller(address))
             caller.send(CALL)
             assert b" 200 " in await caller.end()
-            assert len(door._connections) <= 3
+            assert len(server._connections) <= 3
         for caller in callers:
             caller.socket.close()
-        await until(lambda: not door._connections)
-        door.close()
+        await until(lambda: not server._connections)
+        server.close()
 
     run(main())
 
 
-# A takeover's channel that ends.
+# The end of a takeover's channel.
 
 
 class Host:
-    """What a predecessor needs of its process to pass clients on."""
+    """The host operations that a predecessor needs to hand over clients."""
 
     def __init__(self, limiter: Limiter) -> None:
         self._limiter = limiter
@@ -171,7 +171,7 @@
 
 @pytest.mark.parametrize("dies", ["full", "before"])
 def test_a_client_that_its_successor_never_got_is_served_on_here(dies: str, tmp_path: Path) -> None:
-    """The successor takes nothing until its socket is full, and dies; or it is dead when the client is passed on."""
+    """The successor reads nothing until its socket is full and dies, or is dead when the client is handed over."""
 
     async def main() -> None:
         ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -199,7 +199,7 @@
             await until(lambda: not channel.is_open)
             limiter.frontend.set_handoff(None)
             await until(lambda: len([e for e in script.events if isinstance(e, api.Request)]) == 2)
-            assert len(limiter.frontend._clients) == 1, "one connection, one who reads it"
+            assert len(limiter.frontend._clients) == 1, "one connection with one reader"
             client.socket.shutdown(socket.SHUT_WR)
             assert (await client.end()).count(b"HTTP/1.1 429") == 2
             client.socket.close()
@@ -214,7 +214,7 @@
 
 
 def test_a_connection_that_was_passed_on_at_the_end_is_taken_and_answered() -> None:
-    """The task that takes it has had no turn when the process is told to end."""
+    """The task that adopts the connection has not run yet when the process starts to shut down."""
 
     async def main() -> None:
         script = Script(lambda event: [api.Refuse(event.id, 0.25)] if isinstance(event, api.Request) else [])
@@ -239,7 +239,7 @@
         async with Limiter(script, {}) as limiter:
             limiter.frontend._max = 2000
             limiter.frontend.drain()
-            clients = [Caller(limiter._address) for _ in range(LONG)]
+            clients = [Caller(limiter._address) for _ in range(LONG_QUEUE)]
             for client in clients:
                 client.send(ask())
             closing = asyncio.create_task(limiter.frontend.close(10))
