--- a/tests/test_accept.py
+++ b/tests/test_accept.py
@@ -172,7 +172,7 @@
 
 @contextmanager
 def share_processor(pid: int) -> Iterator[None]:
-    """Pin a process to one processor that it shares with a busy_loop loop."""
+    """Pin a process to one processor that it shares with a busy loop."""
     busy_loop = subprocess.Popen([sys.executable, "-c", "while True: pass"])
     cpu = max(os.sched_getaffinity(0))
     try:
