--- a/tests/closing/test_node.py
+++ b/tests/closing/test_node.py
@@ -37,7 +37,7 @@
     read_message,
     run,
 )
-from tests.test_door import call, opened
+from tests.test_door import admin_server, call
 
 
 class Kept:
@@ -241,7 +241,7 @@
     async def main() -> None:
         service, origin = Service(Lifecycle()), Origin()
         path = "/v1/accounts/00000000b4d65521/purge"
-        async with opened(service) as door, keeping(origin.talk) as limiter:
+        async with admin_server(service) as door, keeping(origin.talk) as limiter:
             assert (await call(door, "PUT", path))[0] == 503  # it starts
             service.serve(limiter.node, limiter.frontend)
             assert (await call(door, "PUT", path))[0] == 404  # closing is off
