--- a/tests/test_earliest_kill.py
+++ b/tests/test_earliest_kill.py
@@ -1,4 +1,4 @@
-"""SIGKILL comes at the longest deadline (3 s at most) and 0.7 s after SIGTERM: what was taken is answered by then."""
+"""Accepted requests are answered before SIGKILL, sent 0.7 s + the longest deadline (at most 3 s) after SIGTERM."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from tests.loopback import Origin, ask, listening, run
 from tests.test_program import WIRE_SETTINGS, config, started
 
-GRACE = 0.7
-# Seconds after SIGTERM: clients have not heard yet, and go on with what they opened.
-OPENED = 0.45
-SENT = 0.74
+KILL_GRACE_SECONDS = 0.7  # seconds from the longest deadline to SIGKILL
+# Seconds after SIGTERM at which a client that has not noticed the shutdown connects and sends its request.
+CONNECT_AT = 0.45
+SEND_AT = 0.74
 
 
 def with_deadline(seconds: float) -> dict[str, Any]:
@@ -23,18 +23,18 @@
 
 
 def test_a_request_that_came_late_in_a_drain_is_answered_before_the_earliest_kill(tmp_path: Path) -> None:
-    """Its server hangs through the whole of the shutdown."""
+    """Guards against a request whose server hangs during the whole shutdown, so that it gets no response."""
 
     async def main() -> None:
         await asyncio.gather(
-            *(drained(deadline, tmp_path / f"{deadline}") for deadline in (0.25, 0.5, 1.0, 3.0))
+            *(shut_down(deadline, tmp_path / f"{deadline}") for deadline in (0.25, 0.5, 1.0, 3.0))
         )
 
     run(main())
 
 
-async def drained(deadline: float, folder: Path) -> None:
-    """End a limiter whose classes have this longest deadline, in seconds."""
+async def shut_down(deadline: float, folder: Path) -> None:
+    """Shut down a limiter whose request class has this deadline in seconds."""
     folder.mkdir()
     origin = Origin(lambda _n: None)
     raw = config("127.0.0.1:1") | {"settings": with_deadline(deadline)}
@@ -42,13 +42,13 @@
         raw["known"]["hosts"][0]["dial"] = dial
         async with started(raw, folder) as program:
             program.process.send_signal(signal.SIGTERM)
-            told_at = time.monotonic()
-            await asyncio.sleep(OPENED)
+            terminated_at = time.monotonic()
+            await asyncio.sleep(CONNECT_AT)
             reader, writer = await program.connect()
-            await asyncio.sleep(told_at + SENT - time.monotonic())
-            kill_at = told_at + min(3.0, deadline) + GRACE
+            await asyncio.sleep(terminated_at + SEND_AT - time.monotonic())
+            kill_at = terminated_at + min(3.0, deadline) + KILL_GRACE_SECONDS
             async with asyncio.timeout(kill_at - time.monotonic()):
-                if not reader.at_eof():  # it stays open: a request on it is taken
+                if not reader.at_eof():  # the connection is open: a request on it is accepted
                     writer.write(ask(ttl=int(deadline * 1000)))
                     await origin.got.wait()
                     head = await reader.readuntil(b"\r\n\r\n")
