--- a/tests/test_endings_descriptors.py
+++ b/tests/test_endings_descriptors.py
@@ -1,4 +1,4 @@
-"""Idle clients that fill up the descriptors: discovery, the counter, servers and the listener have their own."""
+"""Idle clients that use up the file descriptors: discovery, the counter, servers and the listener have a reserve."""
 
 from __future__ import annotations
 
@@ -27,18 +27,18 @@
 from tests.test_endings_clients import Peer, refuse, until
 from tests.test_program import Program, config, free_port
 
-ALLOWED = 128  # descriptors of the process
-LEARNT = 6.0  # seconds within which a list counts as told, once discovery is back
+DESCRIPTOR_LIMIT = 128  # descriptor limit of the process
+LIST_TIMEOUT_SECONDS = 6.0  # seconds within which a list must be learned once discovery is back
 
 
 @asynccontextmanager
 async def started(raw: dict[str, Any], folder: Path) -> AsyncIterator[Program]:
-    """A limiter that may hold so many descriptors; its log goes to a file beside its configuration."""
+    """Start a limiter that may use ``DESCRIPTOR_LIMIT`` descriptors; its log goes to a file next to its configuration."""
     path = folder / "config.json"
     path.write_text(json.dumps(raw))
     with open(folder / "log", "wb") as log:
         process = await asyncio.create_subprocess_exec(
-            "sh", "-c", f'ulimit -n {ALLOWED}; exec "$0" -m cypresspulley', sys.executable,
+            "sh", "-c", f'ulimit -n {DESCRIPTOR_LIMIT}; exec "$0" -m cypresspulley', sys.executable,
             env={**os.environ, "LB_CONFIG": str(path)}, stderr=log,
         )  # fmt: skip
     program = Program(process, raw["listen"])
@@ -50,11 +50,11 @@
         await process.wait()
 
 
-class Crowd:
-    """Clients that connect, say nothing, and connect again where they are closed."""
+class IdleClients:
+    """Clients that keep opening connections and send nothing on them."""
 
     def __init__(self, address: str) -> None:
-        self._address, self.came = split_address(address), 0
+        self._address, self.opened = split_address(address), 0
         self._idle = list[socket.socket]()
         self._task = asyncio.create_task(self._fill())
 
@@ -65,11 +65,11 @@
                 sock.setblocking(False)
                 sock.connect_ex(self._address)
                 self._idle.append(sock)
-                self.came += 1
+                self.opened += 1
             await asyncio.sleep(0.002)
 
-    async def until(self, came: int) -> None:
-        while self.came < came:
+    async def until(self, count: int) -> None:
+        while self.opened < count:
             await asyncio.sleep(0.01)
 
     def close(self) -> None:
@@ -78,8 +78,8 @@
             sock.close()
 
 
-def agent_on(port: int, answers: list[bytes], asked: list[float]) -> Any:
-    """Discovery: it says nothing while it has nothing to say."""
+def start_discovery_agent(port: int, answers: list[bytes], asked: list[float]) -> Any:
+    """A discovery agent that sends nothing while ``answers`` is empty."""
 
     async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -97,10 +97,15 @@
 
 
 @pytest.mark.parametrize("down", ["refuses", "silent"])
-@pytest.mark.parametrize("told", [1024, ALLOWED], ids=["told more than allowed", "told what is allowed"])
+@pytest.mark.parametrize(
+    "told", [1024, DESCRIPTOR_LIMIT], ids=["told more than allowed", "told what is allowed"]
+)
 def test_idle_clients_keep_the_list_from_nobody(told: int, down: str, tmp_path: Path) -> None:
-    """They fill up what they may while discovery is down. When it is back, its list is learnt, and who asks is served;
-    nobody who has asked is shut in between."""
+    """Guards against idle clients that take the descriptors needed for discovery.
+
+    They fill their share while discovery is down. Once it is back, its list must be learned and requests served, and no
+    connection with a request may be closed in between.
+    """
 
     async def main() -> None:
         origin, answers, asked = Origin(), list[bytes](), list[float]()
@@ -108,26 +113,26 @@
         async with listening(origin.talk) as dial:
             raw = config(dial, f"127.0.0.1:{port}") | {"limits": {"sockets": told}}
             host = raw["known"]["hosts"].pop()
-            agent = await agent_on(port, answers, asked) if down == "silent" else None
+            agent = await start_discovery_agent(port, answers, asked) if down == "silent" else None
             async with started(raw, tmp_path) as program:
-                crowd = Crowd(raw["listen"])
-                await crowd.until(2 * ALLOWED)
+                idle_clients = IdleClients(raw["listen"])
+                await idle_clients.until(2 * DESCRIPTOR_LIMIT)
                 answers.append(json.dumps({"seq": 43, "whole": True, "hosts": [host]}).encode() + b"\n")
                 back = time.monotonic()
-                agent = agent or await agent_on(port, answers, asked)
+                agent = agent or await start_discovery_agent(port, answers, asked)
                 seen = Counter[str]()
-                while not origin.seen and time.monotonic() < back + LEARNT:
+                while not origin.seen and time.monotonic() < back + LIST_TIMEOUT_SECONDS:
                     reader, writer = await program.connect()
                     writer.write(ask())
                     first, _, _ = await read_message(reader)
                     seen[first.split(" ")[1]] += 1
                     writer.close()
                 assert seen["200"] == 1 and set(seen) <= {"200", "429"}, seen
-                assert asked[-1] < back + LEARNT
-                assert len(os.listdir(f"/proc/{program.process.pid}/fd")) < ALLOWED - 8, (
+                assert asked[-1] < back + LIST_TIMEOUT_SECONDS
+                assert len(os.listdir(f"/proc/{program.process.pid}/fd")) < DESCRIPTOR_LIMIT - 8, (
                     "the reserve is used up"
                 )
-                crowd.close()
+                idle_clients.close()
             agent.close()
         assert "Too many open files" not in (tmp_path / "log").read_text()
 
@@ -155,7 +160,7 @@
 def test_where_all_have_asked_a_new_client_waits_and_nobody_who_asked_is_shut(
     asks: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """At the limit, with requests unread. The new one is accepted once one of the others has its answer."""
+    """At the limit with unread requests: a new connection is accepted only once one of the others has its response."""
 
     async def main() -> None:
         async with Limiter(Script(refuse), {}) as limiter:
@@ -174,7 +179,7 @@
             monkeypatch.setattr(limiter.frontend, "make_room", crossing)
             new = Peer(limiter)
             assert [await status(peer) for peer in old] == [429, 429, 429]
-            assert await status(new) == (429 if asks else None)  # the silent one was closed by its time
+            assert await status(new) == (429 if asks else None)  # the silent one is closed by its timeout
             assert crossed[0] is False
             for peer in (*old, new):
                 peer.socket.close()
@@ -183,7 +188,7 @@
 
 
 async def status(peer: Peer) -> int | None:
-    """Its answer's; None where it was shut without."""
+    """Return the status code of the peer's response, or None if it was closed without one."""
     try:
         await peer.until(b"\r\n\r\n")
     except (AssertionError, ConnectionResetError):
