--- a/tests/test_endings_descriptors.py
+++ b/tests/test_endings_descriptors.py
@@ -33,7 +33,7 @@
 
 @asynccontextmanager
 async def started(raw: dict[str, Any], folder: Path) -> AsyncIterator[Program]:
-    """Start a limiter that may use ``DESCRIPTOR_LIMIT`` descriptors; its log goes to a file next to its configuration."""
+    """Start a limiter that may use ``DESCRIPTOR_LIMIT`` descriptors and logs to a file next to its configuration."""
     path = folder / "config.json"
     path.write_text(json.dumps(raw))
     with open(folder / "log", "wb") as log:
