--- a/tests/test_endings_leaving.py
+++ b/tests/test_endings_leaving.py
@@ -1,4 +1,4 @@
-"""Ends of clients' connections under SIGTERM and under floods, and writes that must not be held back."""
+"""The end of client connections under SIGTERM and under floods, and TCP_NODELAY on every socket."""
 
 from __future__ import annotations
 
@@ -35,12 +35,12 @@
 POST = "/post?account=00000000b4d65521"
 
 
-# The phases of a limiter that ends.
+# The phases of a shutdown.
 
 
 @pytest.mark.usefixtures("fast_sweep")
 def test_a_new_connection_that_speaks_too_late_meets_a_tidy_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its request comes behind the half-close, in the very moment: no answer, no reset, nothing passed on."""
+    """Guards against a reset or an attempt for a request that arrives right after the half-close."""
     monkeypatch.setattr(frontend, "DRAIN_IDLE_TIMEOUT", 0.05)
 
     async def main() -> None:
@@ -50,11 +50,11 @@
             await until(lambda: limiter.frontend._clients)
             half_close = _ClientConnection._half_close
 
-            def crossed(client: _ClientConnection) -> None:
+            def racing(client: _ClientConnection) -> None:
                 half_close(client)
                 peer.send(ask())
 
-            monkeypatch.setattr(_ClientConnection, "_half_close", crossed)
+            monkeypatch.setattr(_ClientConnection, "_half_close", racing)
             limiter.frontend.drain()
             closing = asyncio.create_task(limiter.frontend.close(10))
             assert await peer.end() == []
@@ -90,7 +90,7 @@
             limiter.frontend.drain()
             await limiter.frontend.close(0.05)
             client = only_client(limiter)
-            if kept:  # an answer whose head had gone before the drain began
+            if kept:  # a response whose head was sent before the drain began
                 limiter.frontend.draining = False
                 peer.send(ask())
                 await peer.until(b"\r\n\r\n")
@@ -98,12 +98,12 @@
             assert client._transport is not None
             leave = _ClientConnection.apply_shutdown_action
 
-            def crossed(self: _ClientConnection, do: object) -> None:
+            def racing(self: _ClientConnection, do: object) -> None:
                 peers.append(peer)
                 peer.send(ask())
                 leave(self, do)  # type: ignore[arg-type]
 
-            monkeypatch.setattr(_ClientConnection, "apply_shutdown_action", crossed)
+            monkeypatch.setattr(_ClientConnection, "apply_shutdown_action", racing)
             closing = asyncio.create_task(limiter.frontend.close(10))
             assert await peer.end() == [429] * kept
             await until(lambda: order)
@@ -128,7 +128,7 @@
 
             async def last() -> None:
                 if first == "rest":
-                    peer.send(request[60:])  # and the loop has had no turn since
+                    peer.send(request[60:])  # the loop does not run before the close
                 await limiter.frontend.close(10)
 
             closing = asyncio.create_task(last())
@@ -145,7 +145,7 @@
 
 
 def test_sigterm_twice_with_hanging_servers_and_connections_that_rest(tmp_path: Path) -> None:
-    """Deadlines shorter and longer than the time to SIGKILL: all is answered before it, and nothing is reset."""
+    """All requests, with deadlines before and after SIGKILL, are answered before it, and no connection is reset."""
 
     async def main() -> None:
         origin = Origin(lambda _n: None)
@@ -162,7 +162,7 @@
                 return sock
 
             async def ended(sock: socket.socket) -> tuple[list[int], float]:
-                """Status codes up to an orderly end, and when it came; the client then goes on sending."""
+                """Return the status codes up to an orderly end, and the time of that end."""
                 seen = b""
                 while data := await loop.sock_recv(sock, 65536):
                     seen += data
@@ -174,11 +174,11 @@
             long, short = await connected(ask(ttl=30_000)), await connected(ask(ttl=800))
             while len(origin.seen) < 2:
                 await asyncio.sleep(0.01)
-            told = time.monotonic()
+            terminated_at = time.monotonic()
             program.process.send_signal(signal.SIGTERM)
             while b" 200 " in (answer := await _health(program._listen)):
                 pass
-            assert b" 503 " in answer, "it still takes connections and says no"
+            assert b" 503 " in answer, "it still accepts connections and reports 503"
             late = await connected(ask(ttl=30_000))
             ends = [asyncio.create_task(ended(s)) for s in (kept, silent_one, half, long, short, late)]
             await ends[0]
@@ -186,10 +186,10 @@
             answers = [await end for end in ends]
             assert [codes for codes, _ in answers[:4]] == [[], [], [408], [504]]
             assert answers[4][0] in ([429], [504]) and answers[5][0] == [504]
-            assert all(at - told < 3.6 for _, at in answers), "before SIGKILL"
-            assert answers[4][1] - told < 1.3 and answers[0][1] - told < 1.0
-            assert await program.process.wait() == 0 and time.monotonic() - told < 3.7
-            assert len(origin.seen) == 3, "and nothing was passed on twice"
+            assert all(at - terminated_at < 3.6 for _, at in answers), "before SIGKILL"
+            assert answers[4][1] - terminated_at < 1.3 and answers[0][1] - terminated_at < 1.0
+            assert await program.process.wait() == 0 and time.monotonic() - terminated_at < 3.7
+            assert len(origin.seen) == 3, "no request was sent twice"
 
     run(main())
 
@@ -203,13 +203,16 @@
     return head
 
 
-# What lies unread when a timer is due, and what a reset would eat.
+# Data that is unread when a timeout expires, and responses that a reset would destroy.
 
 
 @pytest.mark.parametrize("cut", [20, -5, 70_000])
 @pytest.mark.parametrize("first", ["rest", "timer"])
 def test_what_lies_unread_is_no_slowness_of_its_client(cut: int, first: str) -> None:
-    """A loop that was held comes to its timers before it reads: a head, a small body, a large one."""
+    """Guards against 408 for data already in the socket: after the loop was blocked, timers run before reads.
+
+    The unread data completes a head, a small body or a large one.
+    """
 
     async def main() -> None:
         script = Script(lambda event: refuse(event) if isinstance(event, api.Request) and cut < 100 else [])
@@ -247,7 +250,7 @@
 
 
 def test_an_answer_that_breaks_before_its_turn_resets_nothing() -> None:
-    """The answers before it have just been written: a reset would take them along."""
+    """Guards against a reset that destroys the earlier responses, which have just been written."""
 
     async def main() -> None:
         gate, broken = asyncio.Event(), asyncio.Event()
@@ -265,7 +268,7 @@
             peer.send(ask("/lookup?account=00000000b4d65521&y=1") + ask())
             await script.until(api.ResponseStarted)
             broken.set()
-            await script.until(api.Outcome)  # nothing of the second has been said
+            await script.until(api.Outcome)  # nothing of the second response has been sent
             gate.set()
             await peer.until(b"hi")
             await peer.until(b" 502 ")
@@ -306,7 +309,7 @@
 
 
 def test_a_flood_behind_a_full_pipeline_costs_its_answers_nothing() -> None:
-    """More than is read of who is rejected: the rest waits until the answers are out."""
+    """The flood exceeds what is read of a rejected client; the rest stays unread until the responses are sent."""
 
     async def main() -> None:
         script = Script(no_actions)
@@ -341,12 +344,12 @@
             other.send(ask(ttl=60_000))
             (first,) = await script.until(api.Request)
             await until(lambda: origin.seen)
-            came = record_connections(limiter, monkeypatch)
+            connections = record_connections(limiter, monkeypatch)
             for _ in range(20):
                 peer = Peer(limiter)
                 peer.send(b"".join(ask() for _ in range(500)))
                 peer.socket.close()
-            await until(lambda: len(came) == 20 and len(limiter.frontend._clients) == 1)
+            await until(lambda: len(connections) == 20 and len(limiter.frontend._clients) == 1)
             assert limiter.node.open_requests == 1 and len(limiter.frontend.open_ids) == 1
             assert len(await script.until(api.Request)) <= 1 + 20 * MAX_PIPELINED_REQUESTS
             assert limiter.upstream.relay.active == 0
@@ -358,7 +361,7 @@
 
 
 def test_one_read_of_one_client_brings_no_more_than_a_pipeline(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Also where each is answered at once: hundreds of them would hold the loop, and others' answers with it."""
+    """Guards against one client that blocks the loop with hundreds of requests, even if all are answered at once."""
 
     async def main() -> None:
         script = Script(refuse)
@@ -366,7 +369,7 @@
             peer = Peer(limiter)
             peer.send(b"".join(ask() for _ in range(500)))
             assert await peer.end() == [429] * MAX_PIPELINED_REQUESTS + [400]
-            # One behind another they are as many as a client likes.
+            # There is no limit on requests that are sent one after another.
             usual = Peer(limiter)
             for n in range(1, 3 * MAX_PIPELINED_REQUESTS):
                 usual.send(ask())
@@ -399,38 +402,38 @@
 
 
 def test_no_socket_holds_small_writes_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    """TCP_NODELAY: what the machine holds back is lost when a reset comes."""
-    set_on = dict[str, list[int]]()
+    """Guards against a missing TCP_NODELAY: data that the kernel delays is lost with a reset."""
+    nodelay_values = dict[str, list[int]]()
 
-    def noted(kind: type, name: str) -> None:
+    def record_nodelay(kind: type, name: str) -> None:
         made = kind.connection_made  # type: ignore[attr-defined]
 
         def connection_made(self: object, transport: asyncio.Transport) -> None:
             sock = transport.get_extra_info("socket")
             value = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
-            set_on.setdefault(name, []).append(value)
+            nodelay_values.setdefault(name, []).append(value)
             made(self, transport)
 
         monkeypatch.setattr(kind, "connection_made", connection_made)
 
-    noted(net_upstream._Connection, "server")
-    noted(net_counter._Link, "counter")
-    noted(net_discovery._Watch, "discovery")
+    record_nodelay(net_upstream._Connection, "server")
+    record_nodelay(net_counter._Link, "counter")
+    record_nodelay(net_discovery._Watch, "discovery")
 
     async def main() -> None:
-        async def mute(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
+        async def never_answer(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
             await reader.read()
 
         script = Script(forward)
         async with (
             listening(Origin().talk) as dial,
-            listening(mute) as other,
+            listening(never_answer) as other,
             Limiter(script, {"s1": dial}) as limiter,
         ):
-            noted(_ClientConnection, "client")
+            record_nodelay(_ClientConnection, "client")
             await limiter.fetch(ask())
-            await until(lambda: len(set_on["client"]) == 1)
-            # Of a listener that is shared and taken up again, and a connection that was handed over.
+            await until(lambda: len(nodelay_values["client"]) == 1)
+            # A shared listener that is paused and resumed, and a connection that is handed over.
             shared = frontend.Frontend(limiter.node, limiter.frontend._settings, 64)
             host, port = await shared.listen_shared("127.0.0.1", 0)
             for _ in range(2):
@@ -441,32 +444,32 @@
                 shared.pause()
                 shared.resume()
             listener = socket.socket(fileno=shared.duplicate_listener())
-            heir = frontend.Frontend(limiter.node, limiter.frontend._settings, 64)
-            await heir.listen_shared("127.0.0.1", 0, listener)
+            successor = frontend.Frontend(limiter.node, limiter.frontend._settings, 64)
+            await successor.listen_shared("127.0.0.1", 0, listener)
             shared.pause()
             peer = socket.create_connection((host, port))
-            await until(lambda: heir._clients)
+            await until(lambda: successor._clients)
             fds = list[int]()
-            heir.set_handoff(lambda fd: not fds.append(fd))  # type: ignore[func-returns-value]
+            successor.set_handoff(lambda fd: not fds.append(fd))  # type: ignore[func-returns-value]
             await shared.adopt_connection(socket.socket(fileno=fds[0]))
-            await until(lambda: shared._clients and not heir._clients)
+            await until(lambda: shared._clients and not successor._clients)
             follower = net_discovery.Follower(lambda _listing: None, lambda: 0.5)
-            follower.follow(*_parts(other))
-            counter = net_counter.CounterClient(*_parts(other), 0.2)
+            follower.follow(*split_host_port(other))
+            counter = net_counter.CounterClient(*split_host_port(other), 0.2)
             counter.start()
             counter.call(1, 1.0, 1000, lambda _status, _total: None)
-            await until(lambda: {"client", "server", "counter", "discovery"} <= set(set_on))
+            await until(lambda: {"client", "server", "counter", "discovery"} <= set(nodelay_values))
             follower.close()
             counter.close()
             peer.close()
-            for each in (shared, heir):
+            for each in (shared, successor):
                 await each.close(0.1)
-            assert len(set_on["client"]) == 5
-            assert all(all(values) for values in set_on.values()), set_on
+            assert len(nodelay_values["client"]) == 5
+            assert all(all(values) for values in nodelay_values.values()), nodelay_values
 
     run(main())
 
 
-def _parts(address: str) -> tuple[str, int]:
+def split_host_port(address: str) -> tuple[str, int]:
     host, port = address.split(":")
     return host, int(port)
