--- a/tests/takeover/test_handover.py
+++ b/tests/takeover/test_handover.py
@@ -1,4 +1,4 @@
-"""Two processes' worth of limiter, joined by a folder, over loopback sockets."""
+"""Takeovers between two limiter instances in one process that share a directory, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Process:
-    """One process of a limiter, as ``__main__.serve`` joins it."""
+    """One process of a limiter, set up like ``__main__.serve`` does."""
 
     def __init__(self, folder: Path, dial: str) -> None:
         self.clock, self.dial = UnixClock(), dial
@@ -56,7 +56,7 @@
         return self
 
     @property
-    def side(self) -> TakeoverMachine:
+    def machine(self) -> TakeoverMachine:
         assert self.service._predecessor is not None
         return self.service._predecessor.machine
 
@@ -67,7 +67,7 @@
         self.service.close()
 
     def die(self) -> None:
-        """As a kill leaves it: every descriptor is closed, nobody is told."""
+        """Close every descriptor without notice, as a SIGKILL does."""
         if self.frontend._listener is not None:
             self.frontend._listener.close()
         for client in list(self.frontend._clients):
@@ -77,15 +77,15 @@
 
 
 def accepting(process: Process) -> bool:
-    """Whether a process takes new connections."""
+    """Return whether a process accepts new connections."""
     listener = process.frontend._listener
     assert isinstance(listener, SocketListener)
     return not listener.paused
 
 
 @asynccontextmanager
-async def upgraded(folder: Path, origin: Origin) -> AsyncIterator[tuple[Process, Process]]:
-    """A process that serves and its successor, right after the takeover."""
+async def upgrade(folder: Path, origin: Origin) -> AsyncIterator[tuple[Process, Process]]:
+    """Yield a serving process and its successor, right after the takeover."""
     async with listening(origin.talk) as dial:
         old = await Process(folder, dial).start()
         new = await Process(folder, dial).start()
@@ -113,13 +113,13 @@
                 assert " 200 " in (await read_message(reader))[0]
             new = await Process(tmp_path, dial).start()
             await until(lambda: old.service.life.handed_over)
-            for reader, writer in kept:  # each connection answers, whichever process holds it
+            for reader, writer in kept:  # each connection is served, whichever process holds it
                 writer.write(ask())
                 status, headers, _ = await read_message(reader)
                 assert " 200 " in status and "connection" not in headers
             await until(lambda: not old.frontend._clients)
             assert len(new.frontend._clients) == 8
-            await old.end()  # and survive the old one's end
+            await old.end()  # the connections outlast the old process
             await until(lambda: new.service.life.state is LifecycleState.READY)
             for reader, writer in kept:
                 writer.write(ask())
@@ -140,10 +140,10 @@
             old.node.listed(news)
             new = await Process(tmp_path, dial).start()
             reader, writer = await asyncio.open_connection(*new.address)
-            for expected in (1, 1):  # the first list after the takeover says what is known
+            for expected in (1, 1):  # the first list after the takeover repeats known births
                 writer.write(ask())
                 assert " 200 " in (await read_message(reader))[0]
-                await asyncio.sleep(2 * REST)  # a connection rests before its next request
+                await asyncio.sleep(2 * REST)  # a connection is not reused for this time
                 new.node.listed(news)
                 assert origin.connections == expected
             writer.close()
@@ -158,7 +158,7 @@
         origin = Origin()
         async with listening(origin.talk) as dial:
             old = await Process(tmp_path, dial).start()
-            old.frontend.pause()  # as between the offer and the successor's word
+            old.frontend.pause()  # as between the offer and the successor's "serving"
             waiting = [socket.create_connection(old.address) for _ in range(12)]
             for sock in waiting:
                 sock.sendall(ask())
@@ -176,7 +176,7 @@
 
 @pytest.mark.parametrize("step", [-3600.0, -5.0, 5.0, 3600.0])
 def test_a_wall_clock_that_stepped_between_two_starts_moves_no_instant(step: float, tmp_path: Path) -> None:
-    """A server's slow start, what accounts may still use: all are spans, and the new process goes on with them."""
+    """Guards against a stepped wall clock that shifts slow starts, births or quotas in the new process."""
 
     async def main() -> None:
         async with listening(Origin().talk) as dial:
@@ -217,9 +217,9 @@
             await taken.wait()
             new = await Process(tmp_path, dial).start()
             await until(lambda: old.service.life.handed_over)
-            ghost = [a.open for a in new.gateway.quotas.accounts.values()]
+            predecessor_attempts = [a.open for a in new.gateway.quotas.accounts.values()]
             await until(lambda: sum(a.open for a in new.gateway.quotas.accounts.values()) == 1)
-            assert sum(ghost) <= 1
+            assert sum(predecessor_attempts) <= 1
             leaving = asyncio.create_task(old.end())
             await asyncio.sleep(0)
             release.set()
@@ -237,7 +237,7 @@
 
 def test_bans_hold_in_both_processes_either_way_round_and_over_a_second_upgrade(tmp_path: Path) -> None:
     async def main() -> None:
-        async with upgraded(tmp_path, Origin()) as (old, new):
+        async with upgrade(tmp_path, Origin()) as (old, new):
             assert (await old.service.call("suspend", "s1")).status == 200
             assert new.gateway.load_balancer.bans == old.gateway.load_balancer.bans == {"s1"}
             assert (await new.service.call("resume", "s1")).status == 200
@@ -307,7 +307,7 @@
             assert " 200 " in (await read_message(reader))[0]
             writer.close()
             assert old.service.life.state is LifecycleState.READY and old.service._split is None
-            new = await Process(tmp_path, dial).start()  # and the next one finds it
+            new = await Process(tmp_path, dial).start()  # the next successor finds it
             assert new.inherited
             await old.end()
             await new.end()
@@ -318,7 +318,7 @@
 def test_a_successor_that_dies_after_its_word_leaves_the_old_process_serving(tmp_path: Path) -> None:
     async def main() -> None:
         origin = Origin()
-        async with upgraded(tmp_path, origin) as (old, new):
+        async with upgrade(tmp_path, origin) as (old, new):
             await until(lambda: old.service.life.handed_over)
             new.die()
             await until(lambda: old.service.life.state is LifecycleState.READY and accepting(old))
@@ -335,7 +335,7 @@
 
     async def main() -> None:
         folder, origin = Folder(str(tmp_path), "test"), Origin()
-        stalled = folder.listen()  # the kernel takes the connection, nobody reads
+        stalled = folder.listen()  # the kernel accepts the connection, but nobody reads
         async with listening(origin.talk) as dial:
             new = await Process(tmp_path, dial).start()
             assert not new.inherited and new.service.life.state is LifecycleState.READY
@@ -364,10 +364,10 @@
 
 
 @pytest.mark.parametrize(
-    "said",
+    "message",
     [b"", b"\xff", b"[]", b'{"is":"offer"}', b'{"is":"offer","parts":1,"checksum":"x"}', b'{"is":"part"}'],
 )
-def test_a_predecessor_that_talks_nonsense_is_left(tmp_path: Path, said: bytes) -> None:
+def test_a_predecessor_that_talks_nonsense_is_left(tmp_path: Path, message: bytes) -> None:
     async def main() -> None:
         folder, origin, loop = Folder(str(tmp_path), "test"), Origin(), asyncio.get_running_loop()
         sock = folder.listen()
@@ -375,8 +375,8 @@
         async def talk() -> None:
             peer, _ = await loop.sock_accept(sock)
             peer.setblocking(False)
-            if said:
-                peer.send(said)
+            if message:
+                peer.send(message)
             await asyncio.sleep(0)
             peer.close()
 
@@ -399,7 +399,7 @@
         async with listening(origin.talk) as dial:
             old = await Process(tmp_path, dial).start()
             monkeypatch.setattr(old.service, "take_snapshot", lambda: {"decisions": {}, "dials": {}})
-            new = await Process(tmp_path, dial).start(old.address[1])  # beside it, by SO_REUSEPORT
+            new = await Process(tmp_path, dial).start(old.address[1])  # on the same port, by SO_REUSEPORT
             assert not new.inherited
             await until(lambda: accepting(old))
             assert old.service.life.state is LifecycleState.READY and old.service._split is None
