--- a/tests/takeover/test_record.py
+++ b/tests/takeover/test_record.py
@@ -1,4 +1,4 @@
-"""The record of servers taken out, where its folder fails for a while: what is not written is not acknowledged."""
+"""The file that records suspended servers and drains: a call whose record cannot be written is not acknowledged."""
 
 from __future__ import annotations
 
@@ -21,21 +21,23 @@
         async with listening(Origin().talk) as dial:
             process = await Process(tmp_path, dial).start()
             with monkeypatch.context() as patched:
-                patched.setattr(Folder, "write", failing(error))
+                patched.setattr(Folder, "write", fail_to_write(error))
                 assert (await process.service.call("suspend", "s1")).status == 503
-                assert "s1" in process.gateway.load_balancer.bans, "it is in force, and may be called again"
+                assert "s1" in process.gateway.load_balancer.bans, (
+                    "it has taken effect, and the call may be repeated"
+                )
                 assert (await process.service.call("drain", "")).status == 503
             assert (await process.service.call("suspend", "s1")).status == 200
             assert (await process.service.call("drain", "")).status == 200
             process.die()
-            heir = await Process(tmp_path, dial).start()
-            assert heir.gateway.load_balancer.bans == {"s1"} and heir.service.life.drained
-            await heir.end()
+            successor = await Process(tmp_path, dial).start()
+            assert successor.gateway.load_balancer.bans == {"s1"} and successor.service.life.drained
+            await successor.end()
 
     run(main())
 
 
-def failing(error: int) -> object:
+def fail_to_write(error: int) -> object:
     def write(_folder: Folder, _name: str, _text: str) -> None:
         raise OSError(error, os.strerror(error))
 
