--- a/tests/takeover/test_snapshot.py
+++ b/tests/takeover/test_snapshot.py
@@ -1,4 +1,4 @@
-"""What one process hands another: conserved, checked, and taken back."""
+"""Snapshots between two processes: conservation of the stores, validation, and taking the state back."""
 
 from __future__ import annotations
 
@@ -31,20 +31,20 @@
 CONFIG = w.settings(plans=(PLAN, api.Plan("free")), gateways=1, has_counter=False)
 
 
-def asked_of(
+def make_request(
     id: int, kind: str, plan: str, account: str, ttl: float = 3.0, units: float = 1.0
 ) -> api.Request:
-    """A try of an account that this limiter serves alone."""
+    """Return a request of an account that only this limiter serves."""
     return replace(w.request(id, kind, plan, account, ttl, units), gateways=1)
 
 
-def lived(seed: int = 3) -> w.World:
-    """A limiter that has served for some seconds."""
+def make_world(seed: int = 3) -> w.World:
+    """Return a limiter that has served requests for some seconds."""
     world, rng = w.World(CONFIG, seed), Random(seed)
     world.feed(w.servers("s0", "s1", "s2"))
     for id in range(80):
         world.advance(world.now + 0.1)
-        world.feed(asked_of(id, "read", "capped", f"a{rng.randrange(3)}", 3.0, 1.0))
+        world.feed(make_request(id, "read", "capped", f"a{rng.randrange(3)}", 3.0, 1.0))
         for (request, attempt), (server, _) in list(world.open_attempts.items()):
             world.feed(w.outcome(request, attempt, server, api.Status.OK, 0.05))
     world.feed(api.Suspend("s1"))
@@ -58,7 +58,7 @@
 
 
 def test_each_store_is_split_and_conserved() -> None:
-    world = lived()
+    world = make_world()
     before = {
         key: {s: getattr(a, s) for s in SPLIT_STORES} for key, a in world.gateway.quotas.accounts.items()
     }
@@ -73,7 +73,7 @@
 
 
 def test_servers_bans_loads_and_rates_go_over() -> None:
-    world = lived()
+    world = make_world()
     after, old = successor(world), world.gateway
     assert after.load_balancer.bans == {"s1"} and [s.entry.name for s in after.load_balancer.ring] == [
         s.entry.name for s in old.load_balancer.ring
@@ -91,13 +91,13 @@
 
 
 def test_taking_a_snapshot_changes_nothing() -> None:
-    world = lived()
+    world = make_world()
     first = encode_snapshot(take_snapshot(world.gateway))
     assert encode_snapshot(take_snapshot(world.gateway)) == first
 
 
 def test_what_was_split_can_be_taken_back_whole() -> None:
-    world = lived()
+    world = make_world()
     before = {
         (key, s): getattr(a, s) for key, a in world.gateway.quotas.accounts.items() for s in SPLIT_STORES
     }
@@ -115,27 +115,27 @@
 
 
 def test_a_successor_that_served_and_died_has_used_what_it_was_given() -> None:
-    world = lived()
+    world = make_world()
     split = StateSplit(world.gateway)
     levels = {key: a.ceiling for key, a in world.gateway.quotas.accounts.items()}
     split.undo(whole=False, now=world.now)
     for key, a in world.gateway.quotas.accounts.items():
         assert a.ceiling == pytest.approx(levels[key]) and a.plan is PLAN
-    fresh = world.gateway.quotas.account(world.now, asked_of(999, "read", "capped", "new"))
-    assert fresh.ceiling == 0.0, "it may have drawn on the other side"
+    fresh = world.gateway.quotas.account(world.now, make_request(999, "read", "capped", "new"))
+    assert fresh.ceiling == 0.0, "it may have drawn units at the successor"
 
 
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=25)
 @hypothesis.given(st.integers(0, 2**32), st.booleans())
 def test_a_ceiling_holds_over_two_processes_and_a_second_upgrade(seed: int, dies: bool) -> None:
-    rng, old = Random(seed), lived(seed % 7)
+    rng, old = Random(seed), make_world(seed % 7)
     last, sent = old.now, 0.0
     new: w.World | None = None
     id = 1000
-    # What was drawn before counts: begin with what the account itself has left.
-    store = old.gateway.quotas.account(old.now, asked_of(0, "read", "capped", "a0")).ceiling
+    # Units drawn earlier count, so the bound starts at the current level of the account's store.
+    store = old.gateway.quotas.account(old.now, make_request(0, "read", "capped", "a0")).ceiling
     for step in range(160):
-        now = last + (rng.choice((0.01, 0.05, 0.2)) if step not in (40, 100) else 3.0)  # the store fills
+        now = last + (rng.choice((0.01, 0.05, 0.2)) if step not in (40, 100) else 3.0)  # the store fills up
         if step in (40, 100):
             if new is not None:
                 old, new = new, None
@@ -143,7 +143,7 @@
             text = encode_snapshot(take_snapshot(old.gateway))
             split = StateSplit(old.gateway)
             if dies and step == 40:
-                split.undo(whole=True, now=old.now)  # it ended before it served
+                split.undo(whole=True, now=old.now)  # the successor ended before it served
             else:
                 new = w.World(CONFIG, seed, old.now)
                 restore_snapshot(new.gateway, old.now, decode_snapshot(*text))
@@ -151,21 +151,21 @@
         world = rng.choice([each for each in (old, new) if each is not None])
         world.advance(now)
         before, id = len(world.sends), id + 1
-        world.feed(asked_of(id, "read", "capped", "a0", 3.0, rng.choice((1.0, 2.0))))
+        world.feed(make_request(id, "read", "capped", "a0", 3.0, rng.choice((1.0, 2.0))))
         for (request, attempt), (server, _) in list(world.open_attempts.items()):
             world.feed(w.outcome(request, attempt, server, api.Status.OK, 0.05))
         store = min(12.0, store + 4.0 * (now - last))
         last = now
         drawn = sum(asked.units for _, _, asked in world.sends[before:])
         store, sent = store - drawn, sent + drawn
-        assert store >= -1e-6, "the ceiling was passed"
+        assert store >= -1e-6, "the ceiling was exceeded"
     assert sent > 10
 
 
 def test_what_is_out_there_counts_here_until_it_has_ended() -> None:
-    world = lived()
+    world = make_world()
     world.advance(world.now + 3.0)
-    world.feed(asked_of(500, "read", "capped", "a0"))
+    world.feed(make_request(500, "read", "capped", "a0"))
     rows = count_open_attempts(world.gateway)
     assert rows == [("capped", "a0", 1)]
     after = successor(world)
@@ -176,12 +176,12 @@
 
 
 def test_a_dropped_plan_is_left_out_and_the_rest_goes_over() -> None:
-    after = successor(lived(), replace(CONFIG, plans=(api.Plan("free"),)))
+    after = successor(make_world(), replace(CONFIG, plans=(api.Plan("free"),)))
     assert after.quotas.accounts == {} and after.load_balancer.bans == {"s1"}
 
 
 def test_wrong_snapshots_are_told_apart() -> None:
-    state = take_snapshot(lived().gateway)
+    state = take_snapshot(make_world().gateway)
     text, checksum = encode_snapshot(state)
     with pytest.raises(SnapshotError, match="checksum"):
         decode_snapshot(text[:-1] + " ", checksum)
@@ -192,19 +192,19 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_a_spoilt_snapshot_is_rejected_or_changes_only_figures(seed: int) -> None:
-    """Any one value replaced: adopting it either says so or leaves a limiter that decides."""
-    rng, state = Random(seed), json.loads(json.dumps(take_snapshot(lived().gateway)))
-    spots = list[tuple[object, object]]()
+    """With one value replaced, a snapshot either raises SnapshotError or leaves a gateway that works."""
+    rng, state = Random(seed), json.loads(json.dumps(take_snapshot(make_world().gateway)))
+    places = list[tuple[object, object]]()
 
     def walk(node: object) -> None:
         for key in (
             list(node) if isinstance(node, dict) else range(len(node)) if isinstance(node, list) else ()
         ):
-            spots.append((node, key))
+            places.append((node, key))
             walk(node[key])  # type: ignore[index]
 
     walk(state)
-    owner, key = rng.choice(spots)
+    owner, key = rng.choice(places)
     owner[key] = rng.choice([None, "x", [], {}, -1.0, True])  # type: ignore[index]
     gateway = Gateway(CONFIG, 9, 200.0)
     try:
