--- a/tests/takeover/test_states.py
+++ b/tests/takeover/test_states.py
@@ -1,4 +1,4 @@
-"""The table of both sides of a takeover."""
+"""The state machine of both sides of a takeover."""
 
 from __future__ import annotations
 
@@ -8,36 +8,38 @@
 
 from cypresspulley.takeover.states import TakeoverAction, TakeoverEvent, TakeoverMachine, TakeoverState
 
-OLD = {TakeoverState.WATCHING, TakeoverState.OFFERED, TakeoverState.HANDED_OVER}
+PREDECESSOR_STATES = {TakeoverState.WATCHING, TakeoverState.OFFERED, TakeoverState.HANDED_OVER}
 
 
-def walk(at: TakeoverState, *heard: TakeoverEvent) -> tuple[TakeoverState, list[TakeoverAction]]:
-    machine, done = TakeoverMachine(at), list[TakeoverAction]()
+def run_events(state: TakeoverState, *heard: TakeoverEvent) -> tuple[TakeoverState, list[TakeoverAction]]:
+    machine, done = TakeoverMachine(state), list[TakeoverAction]()
     for each in heard:
         done += machine.handle(each)
     return machine.state, done
 
 
 def test_a_whole_takeover() -> None:
-    assert walk(TakeoverState.WATCHING, TakeoverEvent.HELLO, TakeoverEvent.SERVING) == (
+    assert run_events(TakeoverState.WATCHING, TakeoverEvent.HELLO, TakeoverEvent.SERVING) == (
         TakeoverState.HANDED_OVER,
         [TakeoverAction.PAUSE, TakeoverAction.OFFER, TakeoverAction.HAND_OVER],
     )
-    assert walk(
+    assert run_events(
         TakeoverState.ASKING, TakeoverEvent.OFFER, TakeoverEvent.OFFER_COMPLETE, TakeoverEvent.ENDED
     ) == (TakeoverState.ALONE, [TakeoverAction.ADOPT, TakeoverAction.FORGET_PREDECESSOR])
 
 
 def test_a_successor_that_dies_before_it_serves_leaves_the_predecessor_whole() -> None:
-    at, done = walk(TakeoverState.WATCHING, TakeoverEvent.HELLO, TakeoverEvent.ENDED)
-    assert at is TakeoverState.WATCHING and done[-2:] == [TakeoverAction.TAKE_BACK, TakeoverAction.RESUME]
+    state, done = run_events(TakeoverState.WATCHING, TakeoverEvent.HELLO, TakeoverEvent.ENDED)
+    assert state is TakeoverState.WATCHING and done[-2:] == [TakeoverAction.TAKE_BACK, TakeoverAction.RESUME]
 
 
 @pytest.mark.parametrize("heard", [TakeoverEvent.TIMEOUT, TakeoverEvent.INVALID])
 def test_one_that_may_serve_yet_keeps_what_it_was_given(heard: TakeoverEvent) -> None:
-    _, done = walk(TakeoverState.WATCHING, TakeoverEvent.HELLO, heard)
+    _, done = run_events(TakeoverState.WATCHING, TakeoverEvent.HELLO, heard)
     assert TakeoverAction.TAKE_BACK not in done and done[-1] is TakeoverAction.RESUME
-    _, done = walk(TakeoverState.WATCHING, TakeoverEvent.HELLO, TakeoverEvent.SERVING, TakeoverEvent.ENDED)
+    _, done = run_events(
+        TakeoverState.WATCHING, TakeoverEvent.HELLO, TakeoverEvent.SERVING, TakeoverEvent.ENDED
+    )
     assert TakeoverAction.TAKE_BACK not in done and done[-1] is TakeoverAction.RESUME
 
 
@@ -46,17 +48,19 @@
 def test_a_successor_without_a_whole_offer_starts_alone(
     before: tuple[TakeoverEvent, ...], heard: TakeoverEvent
 ) -> None:
-    at, done = walk(TakeoverState.ASKING, *before, heard)
-    assert at is TakeoverState.ALONE and done[-1] is TakeoverAction.START
+    state, done = run_events(TakeoverState.ASKING, *before, heard)
+    assert state is TakeoverState.ALONE and done[-1] is TakeoverAction.START
 
 
 def test_every_state_comes_to_rest_whatever_is_heard() -> None:
-    """Each pause is followed by a resume or a hand-over, each start or adoption comes once, in any order of words."""
-    for words in product(TakeoverEvent, repeat=4):
-        at, done = walk(TakeoverState.WATCHING, *words, TakeoverEvent.ENDED)
-        assert at in OLD and done.count(TakeoverAction.PAUSE) == done.count(TakeoverAction.RESUME)
-        at, done = walk(TakeoverState.ASKING, *words, TakeoverEvent.ENDED)
+    """For any sequence of events, each pause is followed by a resume, and exactly one start or adoption happens."""
+    for events in product(TakeoverEvent, repeat=4):
+        state, done = run_events(TakeoverState.WATCHING, *events, TakeoverEvent.ENDED)
+        assert state in PREDECESSOR_STATES and done.count(TakeoverAction.PAUSE) == done.count(
+            TakeoverAction.RESUME
+        )
+        state, done = run_events(TakeoverState.ASKING, *events, TakeoverEvent.ENDED)
         assert (
-            at is TakeoverState.ALONE
+            state is TakeoverState.ALONE
             and done.count(TakeoverAction.START) + done.count(TakeoverAction.ADOPT) == 1
         )
