--- a/benchmarks/door_answers.py
+++ b/benchmarks/door_answers.py
@@ -1,9 +1,9 @@
-"""How long an operators' call takes, idle and while the limiter is overloaded, beside a healthz of clients.
+"""Response times of the admin API on an idle and on an overloaded limiter, compared with the clients' /healthz.
 
     python -m benchmarks.door_answers [--calls 200] [--json FILE]
 
-Overloaded: more clients than it can serve ask without a pause, 50 silent ones sit at the door, and half calls come
-with every call. Each answer is due within one second.
+Overloaded: more clients than it can serve send requests without a pause, and 50 callers keep connections to the admin
+API with incomplete requests. Each call must be answered within 1 s.
 """
 
 from __future__ import annotations
@@ -21,27 +21,27 @@
 import uvloop
 
 from benchmarks.cpu_per_request import HOST, SERVERS, Server, limiter_config, request
-from benchmarks.upgrade_door import ready, start
+from benchmarks.upgrade_door import start, wait_until_ready
 from cypresspulley.rehearsal.limiters import free_port
 
-FLOOD = 80  # connections that ask without a pause
-SILENT = 50  # callers who say nothing
-DUE = 1.0
+FLOODING_CLIENTS = 80  # connections that send requests without a pause
+INCOMPLETE_CALLERS = 50  # callers that never complete a request
+MAX_RESPONSE_SECONDS = 1.0  # longest permitted response time in seconds
 CALL = b"PUT /v1/servers/s%d/%b HTTP/1.1\r\nHost: door\r\n\r\n"
 HEALTH = b"GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
 
 
-async def timed(port: int, data: bytes) -> float:
-    """Seconds until the first line of the answer."""
-    begun = time.perf_counter()
+async def measure_response_time(port: int, data: bytes) -> float:
+    """Return the seconds until the first line of the response, or infinity unless its status is 200."""
+    started_at = time.perf_counter()
     reader, writer = await asyncio.open_connection(HOST, port)
     writer.write(data)
     line = await reader.readline()
     writer.close()
-    return time.perf_counter() - begun if b" 200 " in line else float("inf")
+    return time.perf_counter() - started_at if b" 200 " in line else float("inf")
 
 
-async def flood(port: int) -> None:
+async def send_without_pause(port: int) -> None:
     while True:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             reader, writer = await asyncio.open_connection(HOST, port)
@@ -53,42 +53,46 @@
                 )
 
 
-async def silent(door: int) -> None:
+async def hold_incomplete_call(admin_port: int) -> None:
     while True:
         with contextlib.suppress(OSError):
-            reader, writer = await asyncio.open_connection(HOST, door)
+            reader, writer = await asyncio.open_connection(HOST, admin_port)
             writer.write(b"GET /v1/rea")
             await reader.read()
             writer.close()
 
 
-async def rows(calls: int) -> dict[str, list[float]]:
+async def measure(calls: int) -> dict[str, list[float]]:
     loop = asyncio.get_running_loop()
     servers = [await loop.create_server(Server, HOST, 0) for _ in range(SERVERS)]
-    port, door, found = free_port(HOST), free_port(HOST), dict[str, list[float]]()
+    port, admin_port, times_by_name = free_port(HOST), free_port(HOST), dict[str, list[float]]()
     with tempfile.TemporaryDirectory() as folder:
         path = limiter_config(Path(folder), port, [s.sockets[0].getsockname()[1] for s in servers])
-        path.write_text(json.dumps(json.loads(path.read_text()) | {"operator": f"{HOST}:{door}"}))
+        path.write_text(json.dumps(json.loads(path.read_text()) | {"operator": f"{HOST}:{admin_port}"}))
         process = await start(path, folder)
-        await ready(door)
+        await wait_until_ready(admin_port)
         load = list[asyncio.Task[None]]()
         for state in ("idle", "overloaded"):
             if state == "overloaded":
-                load += [loop.create_task(flood(port)) for _ in range(FLOOD)]
-                load += [loop.create_task(silent(door)) for _ in range(SILENT)]
+                load += [loop.create_task(send_without_pause(port)) for _ in range(FLOODING_CLIENTS)]
+                load += [
+                    loop.create_task(hold_incomplete_call(admin_port)) for _ in range(INCOMPLETE_CALLERS)
+                ]
                 await asyncio.sleep(1.0)
-            found[f"{state}: call"], found[f"{state}: healthz"] = [], []
+            times_by_name[f"{state}: call"], times_by_name[f"{state}: healthz"] = [], []
             for n in range(calls):
-                word = b"suspend" if n % 2 == 0 else b"resume"
-                found[f"{state}: call"].append(await timed(door, CALL % (n // 2 % SERVERS, word)))
-                found[f"{state}: healthz"].append(await timed(port, HEALTH))
+                action = b"suspend" if n % 2 == 0 else b"resume"
+                times_by_name[f"{state}: call"].append(
+                    await measure_response_time(admin_port, CALL % (n // 2 % SERVERS, action))
+                )
+                times_by_name[f"{state}: healthz"].append(await measure_response_time(port, HEALTH))
         for task in load:
             task.cancel()
         process.send_signal(signal.SIGTERM)
         await process.wait()
     for server in servers:
         server.close()
-    return found
+    return times_by_name
 
 
 def main() -> int:
@@ -98,17 +102,23 @@
     parser.add_argument("--calls", type=int, default=200)
     parser.add_argument("--json", type=Path)
     options = parser.parse_args()
-    found = uvloop.run(rows(options.calls))
-    for name, times in found.items():
+    times_by_name = uvloop.run(measure(options.calls))
+    for name, times in times_by_name.items():
         print(
             f"{name}: worst {1e3 * max(times):.1f} ms, median {1e3 * sorted(times)[len(times) // 2]:.1f} ms"
         )
     for state in ("idle", "overloaded"):
-        ratio = max(found[f"{state}: call"]) / max(found[f"{state}: healthz"])
+        ratio = max(times_by_name[f"{state}: call"]) / max(times_by_name[f"{state}: healthz"])
         print(f"{state}: worst call {ratio:.2f} times the worst healthz")
     if options.json:
-        options.json.write_text(json.dumps(found, indent=1) + "\n")
-    return 0 if all(t < DUE for name, times in found.items() if "call" in name for t in times) else 1
+        options.json.write_text(json.dumps(times_by_name, indent=1) + "\n")
+    return (
+        0
+        if all(
+            t < MAX_RESPONSE_SECONDS for name, times in times_by_name.items() if "call" in name for t in times
+        )
+        else 1
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/slow_transfers.py
+++ b/benchmarks/slow_transfers.py
@@ -1,10 +1,10 @@
-"""Peak memory of a limiter with many slow large transfers, beside its stated bound and beside its rest.
+"""Peak memory of a limiter with many slow large transfers, compared with its stated limit and with its idle memory.
 
     python -m benchmarks.slow_transfers [--transfers 1000] [--mb 32] [--seconds 20] [--json FILE]
 
-Fast servers give answers of so many MB to clients that read a byte a second. The bound is
-``relay.MAX_BUFFERED_BYTES`` and a read (twice ``relay.SOCKET_BUFFER_BYTES``) of each transfer,
-on top of what the process holds at rest.
+Fast servers send responses of the given size to clients that read one byte per second. The limit is
+``relay.MAX_BUFFERED_BYTES`` and one read (twice ``relay.SOCKET_BUFFER_BYTES``) for each transfer, in addition to the
+idle memory of the process.
 """
 
 from __future__ import annotations
@@ -29,13 +29,14 @@
 from cypresspulley.net.relay import MAX_BUFFERED_BYTES, MIN_HIGH_WATER_BYTES, SOCKET_BUFFER_BYTES
 from cypresspulley.rehearsal.limiters import free_port
 
-SERVERS = 40  # a limiter holds 64 connections to one
-RECEIVE = 4096  # bytes of a slow client's own buffer
-EACH = 64 * 1024  # bytes that a transfer costs beside them: connections, parsers, the allocator (46 KiB seen)
+SERVERS = 40  # a limiter opens at most 64 connections to each
+CLIENT_RECEIVE_BUFFER_BYTES = 4096  # receive buffer of a slow client in bytes
+# Further memory per transfer: connections, parsers and the allocator (46 KiB measured).
+TRANSFER_OVERHEAD_BYTES = 64 * 1024
 
 
-class Giver(asyncio.Protocol):
-    """Answers each request with a large body as fast as it is taken."""
+class LargeBodyServer(asyncio.Protocol):
+    """Answers each request with a large body, as fast as it can be written."""
 
     size = 0
 
@@ -46,9 +47,9 @@
     def data_received(self, data: bytes) -> None:
         self._left = self.size
         self._transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % self.size)
-        self._give()
+        self._write_body()
 
-    def _give(self) -> None:
+    def _write_body(self) -> None:
         while self._left and not self._paused:
             piece = min(self._left, 65_536)
             self._left -= piece
@@ -59,12 +60,12 @@
 
     def resume_writing(self) -> None:
         self._paused = False
-        self._give()
+        self._write_body()
 
 
-async def slow(port: int, begun: list[int]) -> None:
+async def read_slowly(port: int, begun: list[int]) -> None:
     loop, sock = asyncio.get_running_loop(), socket.socket()
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, CLIENT_RECEIVE_BUFFER_BYTES)
     sock.setblocking(False)
     try:
         await loop.sock_connect(sock, (HOST, port))
@@ -79,15 +80,15 @@
 
 async def measure(transfers: int, mb: int, seconds: float) -> dict[str, float]:
     loop = asyncio.get_running_loop()
-    Giver.size = mb * 1024 * 1024
-    servers = [await loop.create_server(Giver, HOST, 0) for _ in range(SERVERS)]
-    port = free_port(HOST)  # after the servers have theirs: one of them could get it
+    LargeBodyServer.size = mb * 1024 * 1024
+    servers = [await loop.create_server(LargeBodyServer, HOST, 0) for _ in range(SERVERS)]
+    port = free_port(HOST)  # after the servers have bound their ports, or one of them could get this port
     with tempfile.TemporaryDirectory() as folder:
         path = limiter_config(Path(folder), port, [s.sockets[0].getsockname()[1] for s in servers])
         raw = json.loads(path.read_text())
         path.write_text(json.dumps(raw | {"limits": {"sockets": 2 * transfers + 200}}))
         process = await start(path, None)
-        seen = psutil.Process(process.pid)
+        limiter_process = psutil.Process(process.pid)
         while True:
             try:
                 (await asyncio.open_connection(HOST, port))[1].close()
@@ -95,14 +96,16 @@
             except OSError:
                 await asyncio.sleep(0.02)
         await asyncio.sleep(0.3)
-        rest, begun, peak = seen.memory_info().rss, list[int](), 0
+        rest, begun, peak = limiter_process.memory_info().rss, list[int](), 0
         tasks = list[asyncio.Task[None]]()
         until = time.monotonic() + seconds
         while time.monotonic() < until:
-            if len(tasks) < transfers:  # a few at a time, as an admission gate would let them in
-                tasks += [loop.create_task(slow(port, begun)) for _ in range(min(10, transfers - len(tasks)))]
+            if len(tasks) < transfers:  # a few at a time, as an admission gate would admit them
+                tasks += [
+                    loop.create_task(read_slowly(port, begun)) for _ in range(min(10, transfers - len(tasks)))
+                ]
             await asyncio.sleep(0.05)
-            peak = max(peak, seen.memory_info().rss)
+            peak = max(peak, limiter_process.memory_info().rss)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -111,9 +114,13 @@
     for server in servers:
         server.close()
     under_way = sum(begun)
-    bound = rest + MAX_BUFFERED_BYTES + under_way * (MIN_HIGH_WATER_BYTES + 2 * SOCKET_BUFFER_BYTES + EACH)
+    bound = (
+        rest
+        + MAX_BUFFERED_BYTES
+        + under_way * (MIN_HIGH_WATER_BYTES + 2 * SOCKET_BUFFER_BYTES + TRANSFER_OVERHEAD_BYTES)
+    )
     return {"transfers": under_way, "rest_mb": rest / 1e6, "peak_mb": peak / 1e6, "bound_mb": bound / 1e6,
-            "asked_mb": under_way * Giver.size / 1e6}  # fmt: skip
+            "asked_mb": under_way * LargeBodyServer.size / 1e6}  # fmt: skip
 
 
 def main() -> int:
--- a/benchmarks/upgrade_door.py
+++ b/benchmarks/upgrade_door.py
@@ -1,11 +1,11 @@
-"""Requests that end at the door over upgrades under load: the listener passed on, beside port sharing alone.
+"""Requests lost to upgrades under load: handing over the listener, compared with sharing the port only.
 
     python -m benchmarks.upgrade_door [--upgrades 10] [--clients 24] [--json FILE]
 
-Both ways run the same limiter and the same load. With a folder that both processes share (TMPDIR) the new process
-takes the listener, the state and the connections over; without one both only share the port, and the old one closes
-its listener and its connections after SIGTERM. Half of the clients keep their connection, half open a new one for
-each request. A request ends at the door where no connection comes up, or it ends with no byte of an answer.
+Both modes run the same limiter and the same load. With a directory that both processes share (TMPDIR), the new process
+takes over the listener, the state and the connections. Without one they only share the port, and the old process closes
+its listener and its connections after SIGTERM. Half of the clients keep their connection, half open a new one for each
+request. A request is lost ("ended at the door") if its connection fails or closes without any byte of a response.
 """
 
 from __future__ import annotations
@@ -25,20 +25,23 @@
 from benchmarks.cpu_per_request import HOST, SERVERS, Server, limiter_config, request, up
 from cypresspulley.rehearsal.limiters import free_port
 
-PAUSE = 0.004  # seconds between two requests of a client
-APART = 0.6  # and between two upgrades
-WAYS = ("listener passed on", "port sharing alone")
+REQUEST_PAUSE_SECONDS = 0.004  # seconds between two requests of a client
+UPGRADE_INTERVAL_SECONDS = 0.6  # seconds between two upgrades
+MODES = ("listener passed on", "port sharing alone")
 
 
-async def one(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-    """One request; whether the connection serves on. OSError or IncompleteReadError where it ended at the door."""
+async def send_request(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+    """Send one request, and return whether the connection stays open.
+
+    Raises OSError or IncompleteReadError if the request was lost.
+    """
     writer.write(request())
     head = await reader.readuntil(b"\r\n\r\n")
     await reader.readexactly(int(head.lower().partition(b"content-length: ")[2].partition(b"\r")[0]))
     return b"connection: close" not in head.lower()
 
 
-async def client(port: int, keeps: bool, stop: asyncio.Event, counts: Counter[str]) -> None:
+async def run_client(port: int, keep_alive: bool, stop: asyncio.Event, counts: Counter[str]) -> None:
     kept: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
     while not stop.is_set():
         try:
@@ -46,14 +49,14 @@
                 kept = await asyncio.open_connection(HOST, port)
                 counts["connections"] += 1
             counts["requests"] += 1
-            serves = await one(*kept)
-            if not (keeps and serves):
+            stays_open = await send_request(*kept)
+            if not (keep_alive and stays_open):
                 kept[1].close()
                 kept = None
         except (OSError, asyncio.IncompleteReadError):
             counts["ended at the door"] += 1
             kept = None
-        await asyncio.sleep(PAUSE)
+        await asyncio.sleep(REQUEST_PAUSE_SECONDS)
     if kept is not None:
         kept[1].close()
 
@@ -63,15 +66,15 @@
     env.pop("TMPDIR", None)
     if shared is not None:
         env["TMPDIR"] = shared
-    words = (sys.executable, "-m", "cypresspulley")
-    return await asyncio.create_subprocess_exec(*words, env=env, stderr=asyncio.subprocess.DEVNULL)
+    command = (sys.executable, "-m", "cypresspulley")
+    return await asyncio.create_subprocess_exec(*command, env=env, stderr=asyncio.subprocess.DEVNULL)
 
 
-async def ready(door: int) -> None:
-    """Until the operators' door says yes."""
+async def wait_until_ready(admin_port: int) -> None:
+    """Wait until the admin API reports that the limiter is ready."""
     while True:
         try:
-            reader, writer = await asyncio.open_connection(HOST, door)
+            reader, writer = await asyncio.open_connection(HOST, admin_port)
             writer.write(b"GET /v1/readyz HTTP/1.1\r\nHost: door\r\n\r\n")
             if b" 200 " in await reader.readline():
                 return writer.close()
@@ -81,7 +84,7 @@
         await asyncio.sleep(0.02)
 
 
-async def measure(way: str, upgrades: int, clients: int) -> Counter[str]:
+async def measure(mode: str, upgrades: int, clients: int) -> Counter[str]:
     loop, counts, stop = asyncio.get_running_loop(), Counter[str](), asyncio.Event()
     servers = [await loop.create_server(Server, HOST, 0) for _ in range(SERVERS)]
     port = free_port(HOST)
@@ -90,22 +93,22 @@
         raw = json.loads(base.read_text())
 
         async def next_process(number: int) -> asyncio.subprocess.Process:
-            path, door = Path(folder) / f"{number}.json", free_port(HOST)
-            path.write_text(json.dumps(raw | {"operator": f"{HOST}:{door}"}))
-            process = await start(path, folder if way == WAYS[0] else None)
-            await ready(door)
+            path, admin_port = Path(folder) / f"{number}.json", free_port(HOST)
+            path.write_text(json.dumps(raw | {"operator": f"{HOST}:{admin_port}"}))
+            process = await start(path, folder if mode == MODES[0] else None)
+            await wait_until_ready(admin_port)
             return process
 
         old = await next_process(0)
         await up(port)
-        load = [loop.create_task(client(port, n % 2 == 0, stop, counts)) for n in range(clients)]
+        load = [loop.create_task(run_client(port, n % 2 == 0, stop, counts)) for n in range(clients)]
         for number in range(1, upgrades + 1):
-            await asyncio.sleep(APART)
+            await asyncio.sleep(UPGRADE_INTERVAL_SECONDS)
             new = await next_process(number)
             old.send_signal(signal.SIGTERM)
             await old.wait()
             old = new
-        await asyncio.sleep(APART)
+        await asyncio.sleep(UPGRADE_INTERVAL_SECONDS)
         stop.set()
         await asyncio.gather(*load)
         old.send_signal(signal.SIGTERM)
@@ -123,13 +126,13 @@
     parser.add_argument("--clients", type=int, default=24)
     parser.add_argument("--json", type=Path)
     options = parser.parse_args()
-    rows = {way: uvloop.run(measure(way, options.upgrades, options.clients)) for way in WAYS}
-    for way, counts in rows.items():
-        print(f"{way}: {counts['ended at the door']} of {counts['requests']} requests ended at the door in "
+    rows = {mode: uvloop.run(measure(mode, options.upgrades, options.clients)) for mode in MODES}
+    for mode, counts in rows.items():
+        print(f"{mode}: {counts['ended at the door']} of {counts['requests']} requests ended at the door in "
               f"{options.upgrades} upgrades, over {counts['connections']} connections")  # fmt: skip
     if options.json:
         options.json.write_text(json.dumps(rows, indent=1) + "\n")
-    return 0 if rows[WAYS[0]]["ended at the door"] <= rows[WAYS[1]]["ended at the door"] else 1
+    return 0 if rows[MODES[0]]["ended at the door"] <= rows[MODES[1]]["ended at the door"] else 1
 
 
 if __name__ == "__main__":
