--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -157,11 +157,11 @@
         left = max(MIN_TIME_LEFT_SECONDS, event.ttl - request.receive_delay)
         margin = min(RESPONSE_MARGIN_SECONDS, RESPONSE_MARGIN_SHARE * left)
         opened = self._open_requests[event.id] = _OpenRequest(request, float("inf"))
-        if request.upload is None or request.upload.whole:
+        if request.upload is None or request.upload.complete:
             self._set_deadline(opened, event, margin)
         else:
             event = replace(event, body_pending=True)
-            request.upload.told = partial(self._handle_body_progress, event, margin)
+            request.upload.on_progress = partial(self._handle_body_progress, event, margin)
         self.feed(replace(event, ttl=left - margin))
 
     def _set_deadline(self, opened: _OpenRequest, event: api.Request, margin: float) -> None:
@@ -277,7 +277,7 @@
             return
         number = len(opened.attempts)
         request, wait = opened.request, action.timeout or float("inf")
-        upload_incomplete = request.upload is not None and not request.upload.whole
+        upload_incomplete = request.upload is not None and not request.upload.complete
         expires = float("inf") if upload_incomplete else min(opened.deadline, self._clock() + wait)
         handler = self._handle_attempt_end if request.dialect is None else self._handle_dialect_attempt_end
         on_done = partial(handler, action.id, number)
--- a/cypresspulley/net/upstream.py
+++ b/cypresspulley/net/upstream.py
@@ -29,7 +29,14 @@
     join_address,
     split_address,
 )
-from cypresspulley.net.relay import LARGEST, STALL, Download, Relay, Upload, bound_kernel
+from cypresspulley.net.relay import (
+    MAX_STREAMED_BODY_BYTES,
+    SERVER_STALL_SECONDS,
+    Download,
+    Relay,
+    Upload,
+    limit_receive_buffer,
+)
 
 log = logging.getLogger(__name__)
 
@@ -189,7 +196,7 @@
         # With a high-water mark of 0, write() passes the data to the kernel at once, and pause_writing() is called if
         # some of it had to be buffered.
         transport.set_write_buffer_limits(high=0)
-        bound_kernel(transport.get_extra_info("socket"))
+        limit_receive_buffer(transport.get_extra_info("socket"))
 
     def pause_writing(self) -> None:
         self.has_unwritten_data = True
@@ -199,7 +206,7 @@
         exchange = self.exchange
         if exchange is None:
             return
-        if exchange.upload is None or exchange.upload.whole:
+        if exchange.upload is None or exchange.upload.complete:
             exchange.written = True
         else:
             self.last_progress_at = self._upstream.now()
@@ -227,7 +234,7 @@
         if self.transport is None or exchange is None or self.transport.is_closing():
             return
         self.transport.write(data)
-        if self.has_unwritten_data and exchange.upload is not None and not exchange.upload.whole:
+        if self.has_unwritten_data and exchange.upload is not None and not exchange.upload.complete:
             exchange.upload.hold(True)
 
     def put_end(self) -> None:
@@ -254,7 +261,7 @@
         """Return whether the server has sent nothing of a large response that is being read, or has accepted nothing
         of an upload, for ``STALL`` seconds."""
         exchange = self.exchange
-        if exchange is None or now - self.last_progress_at <= STALL:
+        if exchange is None or now - self.last_progress_at <= SERVER_STALL_SECONDS:
             return False
         return not self.is_reading_paused if exchange.download is not None else self.has_unwritten_data
 
@@ -265,7 +272,7 @@
         if exchange.download is not None:
             self._fail_response(TimeoutError("it began and stalled"))
         else:  # the last byte of the request was never sent
-            log.warning("server %s accepted no data of an upload for %g s", exchange.server, STALL)
+            log.warning("server %s accepted no data of an upload for %g s", exchange.server, SERVER_STALL_SECONDS)
             self._upstream.abort_exchange(exchange, Status.DROPPED)
 
     def detach_exchange(self) -> None:
@@ -303,7 +310,7 @@
             self.abort()  # unsolicited data must not be taken for the response to the next request
             return
         exchange = self.exchange
-        if not exchange.written and (exchange.upload is None or exchange.upload.whole):
+        if not exchange.written and (exchange.upload is None or exchange.upload.complete):
             return self.abort()  # not a valid response: the request is incomplete and never ran
         self._received_bytes += len(data)
         if exchange.download is not None:
@@ -468,7 +475,7 @@
         if self._has_surplus_data or exchange is None:
             return
         self._body_bytes += len(body)
-        if self._body_bytes > LARGEST:
+        if self._body_bytes > MAX_STREAMED_BODY_BYTES:
             raise ValueError("body is too large")
         if exchange.download is not None:
             return exchange.download.put(body)
@@ -507,7 +514,7 @@
             exchange.response_headers, exchange.response_body = b"".join(self._headers), b"".join(self._body)
             self._read_metadata(exchange, code)
         else:
-            exchange.download.whole = True
+            exchange.download.complete = True
         # A connection with bytes after the response, or with unsent bytes of its request, is not reused: they would be
         # mixed up with the next exchange.
         self._upstream.release(self, reusable)
--- a/cypresspulley/takeover/states.py
+++ b/cypresspulley/takeover/states.py
@@ -1,9 +1,10 @@
-"""Both sides of a takeover as one table: what each message, end or time-out leads to. No I/O and no clock.
+"""The state machine of both sides of a takeover: the effect of each message, disconnect or timeout.
 
-The predecessor stops taking connections, offers its listener and its state, and goes on where the successor says that
-it serves. Until then nothing is given up: a successor that dies has served nobody, so that the predecessor takes all
-of its state back. One that is only late may serve yet, so that what was split stays split. A successor that gets no
-whole offer in time starts alone, with the little that a restart knows.
+The predecessor stops accepting connections, offers its listener and its state, and hands its connections over once the
+successor reports that it is serving. It gives up nothing until then. If the successor dies first, it has served nobody,
+so the predecessor takes all of its state back. If the successor is only late, it may still start to serve, so the state
+stays split. A successor that does not receive a complete offer in time starts alone, with the little that is known
+after a restart. This module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -11,83 +12,124 @@
 from enum import Enum
 
 
-class At(Enum):
-    """Where a side stands."""
+class TakeoverState(Enum):
+    """The state of one side of a takeover."""
 
-    WATCHING = "watching"  # predecessor: nobody has come
-    OFFERED = "offered"  # its connections wait in the kernel, its state is out
-    HANDED = "handed"  # the successor serves
-    ASKING = "asking"  # successor: has said hello
-    RECEIVING = "receiving"  # the offer comes in parts
-    SERVING = "serving"  # beside its predecessor
-    ALONE = "alone"  # there is no predecessor, or none any more
+    WATCHING = "watching"  # predecessor: no successor has connected
+    OFFERED = "offered"  # predecessor: new connections wait in the kernel, the state has been sent
+    HANDED_OVER = "handed"  # predecessor: the successor is serving
+    ASKING = "asking"  # successor: has sent hello
+    RECEIVING = "receiving"  # successor: is receiving the parts of the offer
+    SERVING = "serving"  # successor: serves while its predecessor finishes
+    ALONE = "alone"  # successor: there is no predecessor, or it has ended
 
 
-class Heard(Enum):
-    """What a side hears of the other."""
+class TakeoverEvent(Enum):
+    """An event that one side observes of the other."""
 
     HELLO = "hello"
     OFFER = "offer"
-    WHOLE = "whole"  # all parts, and version and checksum fit
-    BAD = "bad"  # a message or a snapshot that cannot be used
+    OFFER_COMPLETE = "whole"  # all parts have arrived, and version and checksum match
+    INVALID = "bad"  # a message or a snapshot that cannot be used
     SERVING = "serving"
-    ENDED = "ended"  # the connection ended, or never came up
-    LATE = "late"  # the wait for the next message is over
+    ENDED = "ended"  # the connection closed, or was never established
+    TIMEOUT = "late"  # no message arrived within the state's timeout
 
 
-class Do(Enum):
-    """What a side does then, in this order."""
+class TakeoverAction(Enum):
+    """An action that one side takes on a transition; actions are executed in the order given."""
 
-    PAUSE = "pause"  # take no connections; they wait in the kernel
+    PAUSE = "pause"  # accept no connections; they wait in the kernel
     OFFER = "offer"
-    HAND = "hand"  # pass connections on as they come to rest
-    TAKE_BACK = "take back"  # all of the state that was split
-    RESUME = "resume"  # take connections again
-    DROP = "drop"  # end the connection between the two
+    HAND_OVER = "hand"  # pass connections to the successor as they become idle
+    TAKE_BACK = "take back"  # restore all of the state that was split
+    RESUME = "resume"  # accept connections again
+    CLOSE_CHANNEL = "drop"  # close the connection between the processes
     ADOPT = "adopt"
-    START = "start"  # alone, as after a restart
-    FORGET = "forget"  # what the predecessor held counts no more
-
-
-TABLE: dict[tuple[At, Heard], tuple[At, tuple[Do, ...]]] = {
-    (At.WATCHING, Heard.HELLO): (At.OFFERED, (Do.PAUSE, Do.OFFER)),
-    (At.WATCHING, Heard.BAD): (At.WATCHING, (Do.DROP,)),
-    (At.WATCHING, Heard.LATE): (At.WATCHING, (Do.DROP,)),
-    (At.WATCHING, Heard.ENDED): (At.WATCHING, ()),
-    (At.OFFERED, Heard.SERVING): (At.HANDED, (Do.HAND,)),
-    (At.OFFERED, Heard.ENDED): (At.WATCHING, (Do.TAKE_BACK, Do.RESUME)),
-    (At.OFFERED, Heard.BAD): (At.WATCHING, (Do.DROP, Do.RESUME)),
-    (At.OFFERED, Heard.LATE): (At.WATCHING, (Do.DROP, Do.RESUME)),
-    (At.HANDED, Heard.ENDED): (At.WATCHING, (Do.RESUME,)),
-    (At.HANDED, Heard.BAD): (At.WATCHING, (Do.DROP, Do.RESUME)),
-    (At.ASKING, Heard.OFFER): (At.RECEIVING, ()),
-    (At.ASKING, Heard.ENDED): (At.ALONE, (Do.START,)),
-    (At.ASKING, Heard.BAD): (At.ALONE, (Do.DROP, Do.START)),
-    (At.ASKING, Heard.LATE): (At.ALONE, (Do.DROP, Do.START)),
-    (At.RECEIVING, Heard.WHOLE): (At.SERVING, (Do.ADOPT,)),
-    (At.RECEIVING, Heard.ENDED): (At.ALONE, (Do.START,)),
-    (At.RECEIVING, Heard.BAD): (At.ALONE, (Do.DROP, Do.START)),
-    (At.RECEIVING, Heard.LATE): (At.ALONE, (Do.DROP, Do.START)),
-    (At.SERVING, Heard.ENDED): (At.ALONE, (Do.FORGET,)),
-    (At.SERVING, Heard.BAD): (At.ALONE, (Do.DROP, Do.FORGET)),
+    START = "start"  # start alone, as after a restart
+    FORGET_PREDECESSOR = "forget"  # stop counting the predecessor's open attempts
+
+
+TRANSITIONS: dict[tuple[TakeoverState, TakeoverEvent], tuple[TakeoverState, tuple[TakeoverAction, ...]]] = {
+    (TakeoverState.WATCHING, TakeoverEvent.HELLO): (
+        TakeoverState.OFFERED,
+        (TakeoverAction.PAUSE, TakeoverAction.OFFER),
+    ),
+    (TakeoverState.WATCHING, TakeoverEvent.INVALID): (
+        TakeoverState.WATCHING,
+        (TakeoverAction.CLOSE_CHANNEL,),
+    ),
+    (TakeoverState.WATCHING, TakeoverEvent.TIMEOUT): (
+        TakeoverState.WATCHING,
+        (TakeoverAction.CLOSE_CHANNEL,),
+    ),
+    (TakeoverState.WATCHING, TakeoverEvent.ENDED): (TakeoverState.WATCHING, ()),
+    (TakeoverState.OFFERED, TakeoverEvent.SERVING): (TakeoverState.HANDED_OVER, (TakeoverAction.HAND_OVER,)),
+    (TakeoverState.OFFERED, TakeoverEvent.ENDED): (
+        TakeoverState.WATCHING,
+        (TakeoverAction.TAKE_BACK, TakeoverAction.RESUME),
+    ),
+    (TakeoverState.OFFERED, TakeoverEvent.INVALID): (
+        TakeoverState.WATCHING,
+        (TakeoverAction.CLOSE_CHANNEL, TakeoverAction.RESUME),
+    ),
+    (TakeoverState.OFFERED, TakeoverEvent.TIMEOUT): (
+        TakeoverState.WATCHING,
+        (TakeoverAction.CLOSE_CHANNEL, TakeoverAction.RESUME),
+    ),
+    (TakeoverState.HANDED_OVER, TakeoverEvent.ENDED): (TakeoverState.WATCHING, (TakeoverAction.RESUME,)),
+    (TakeoverState.HANDED_OVER, TakeoverEvent.INVALID): (
+        TakeoverState.WATCHING,
+        (TakeoverAction.CLOSE_CHANNEL, TakeoverAction.RESUME),
+    ),
+    (TakeoverState.ASKING, TakeoverEvent.OFFER): (TakeoverState.RECEIVING, ()),
+    (TakeoverState.ASKING, TakeoverEvent.ENDED): (TakeoverState.ALONE, (TakeoverAction.START,)),
+    (TakeoverState.ASKING, TakeoverEvent.INVALID): (
+        TakeoverState.ALONE,
+        (TakeoverAction.CLOSE_CHANNEL, TakeoverAction.START),
+    ),
+    (TakeoverState.ASKING, TakeoverEvent.TIMEOUT): (
+        TakeoverState.ALONE,
+        (TakeoverAction.CLOSE_CHANNEL, TakeoverAction.START),
+    ),
+    (TakeoverState.RECEIVING, TakeoverEvent.OFFER_COMPLETE): (TakeoverState.SERVING, (TakeoverAction.ADOPT,)),
+    (TakeoverState.RECEIVING, TakeoverEvent.ENDED): (TakeoverState.ALONE, (TakeoverAction.START,)),
+    (TakeoverState.RECEIVING, TakeoverEvent.INVALID): (
+        TakeoverState.ALONE,
+        (TakeoverAction.CLOSE_CHANNEL, TakeoverAction.START),
+    ),
+    (TakeoverState.RECEIVING, TakeoverEvent.TIMEOUT): (
+        TakeoverState.ALONE,
+        (TakeoverAction.CLOSE_CHANNEL, TakeoverAction.START),
+    ),
+    (TakeoverState.SERVING, TakeoverEvent.ENDED): (TakeoverState.ALONE, (TakeoverAction.FORGET_PREDECESSOR,)),
+    (TakeoverState.SERVING, TakeoverEvent.INVALID): (
+        TakeoverState.ALONE,
+        (TakeoverAction.CLOSE_CHANNEL, TakeoverAction.FORGET_PREDECESSOR),
+    ),
 }
-# Seconds that each state may last. Connections wait in the kernel while an offer is out; the platform waits 6 s in all.
-WAITS = {At.OFFERED: 2.0, At.ASKING: 1.5, At.RECEIVING: 1.5}
+# Longest time in each state. New connections wait in the kernel while an offer is out; the platform allows 6 s for the
+# whole takeover.
+STATE_TIMEOUT_SECONDS = {TakeoverState.OFFERED: 2.0, TakeoverState.ASKING: 1.5, TakeoverState.RECEIVING: 1.5}
 
 
-class Side:
-    """One process's side. What has no row is of a peer that does not keep to the table: ``BAD`` where that has one."""
+class TakeoverMachine:
+    """The state machine of one process's side.
 
-    def __init__(self, at: At) -> None:
-        self.at = at
+    An event without a transition means that the other process violates the protocol. It is handled as ``INVALID`` if
+    the state has a transition for that.
+    """
+
+    def __init__(self, state: TakeoverState) -> None:
+        self.state = state
 
     def __repr__(self) -> str:
-        return f"<Side {self.at.value}>"
+        return f"<TakeoverMachine {self.state.value}>"
 
-    def hear(self, heard: Heard) -> tuple[Do, ...]:
-        """The state moves on; what is to be done for it."""
-        row = TABLE.get((self.at, heard)) or TABLE.get((self.at, Heard.BAD))
+    def handle(self, event: TakeoverEvent) -> tuple[TakeoverAction, ...]:
+        """Make the transition for an event, and return the actions to take."""
+        row = TRANSITIONS.get((self.state, event)) or TRANSITIONS.get((self.state, TakeoverEvent.INVALID))
         if row is None:
             return ()
-        self.at, do = row
-        return do
+        self.state, actions = row
+        return actions
--- a/tests/test_endings_servers.py
+++ b/tests/test_endings_servers.py
@@ -26,7 +26,7 @@
 from cypresspulley.net.frontend import Frontend
 from cypresspulley.net.http import split_address
 from cypresspulley.net.node import Node, UnixClock
-from cypresspulley.net.relay import KEEP, Download, Upload
+from cypresspulley.net.relay import MAX_REPLAYABLE_BYTES, Download, Upload
 from cypresspulley.net.upstream import Exchange, Upstream
 from cypresspulley.policy.gateway import Gateway
 from cypresspulley.rehearsal.virtual.loop import VirtualLoop, run_virtual
@@ -131,7 +131,7 @@
             self.streamed.extend(data)
             self.streaming_started.set()
 
-        download.turn(write, chunked=False)
+        download.start(write, chunked=False)
         self.streaming_started.set()
 
     @property
@@ -171,7 +171,7 @@
         done = await ended
         assert done.status is {"FIN": Status.OK, "nothing": Status.CANCELLED}.get(end, Status.BROKEN)
         if flows:
-            assert done.download is not None and done.download.whole is (end == "FIN")
+            assert done.download is not None and done.download.complete is (end == "FIN")
         else:
             assert done.response_body == (b"hello" if end == "FIN" else b"")
         await pool.at_rest()
@@ -183,7 +183,7 @@
 
 def test_a_stalled_transfer_without_a_length_is_not_whole(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(net_upstream, "SWEEP_INTERVAL_SECONDS", 0.01)
-    monkeypatch.setattr(net_upstream, "STALL", 0.05)
+    monkeypatch.setattr(net_upstream, "SERVER_STALL_SECONDS", 0.05)
 
     async def main() -> None:
         peer = Peer()
@@ -192,7 +192,7 @@
         sock, _ = await peer.request()
         sock.send(UNSIZED_RESPONSE_HEAD + b"hello")
         done = await ended
-        assert done.status is Status.ERROR and done.download is not None and not done.download.whole
+        assert done.status is Status.ERROR and done.download is not None and not done.download.complete
         assert await end_of(sock) in ("FIN", "RST")
         await pool.at_rest()
         pool.upstream.close()
@@ -826,7 +826,7 @@
         ("RESPONSE_PROGRESS_TIMEOUT_SECONDS", 0.02),
         ("UNSIZED_RESPONSE_HOLD_SECONDS", 0.02),
         ("SWEEP_INTERVAL_SECONDS", 0.02),
-        ("STALL", 0.05),
+        ("SERVER_STALL_SECONDS", 0.05),
     ):
         monkeypatch.setattr(net_upstream, name, value)
 
@@ -838,7 +838,7 @@
         sock.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nhal")
         done = await ended
         assert done.status is Status.ERROR and (done.download is not None) is flows
-        assert done.download is None or not done.download.whole
+        assert done.download is None or not done.download.complete
         assert await end_of(sock) in ("FIN", "RST")
         await pool.at_rest()
         pool.upstream.close()
@@ -1226,7 +1226,9 @@
             while not limiter.frontend._clients:
                 await asyncio.sleep(0.001)
             (client,) = limiter.frontend._clients  # one read delivers the whole request
-            client.data_received(ask("/post?account=00000000b4d65521", b"x" * (KEEP + 2000), ttl=500))
+            client.data_received(
+                ask("/post?account=00000000b4d65521", b"x" * (MAX_REPLAYABLE_BYTES + 2000), ttl=500)
+            )
             assert " 429 " in (await read_message(reader))[0] and limiter.upstream._dial_tasks
             limiter.at_rest()
             writer.close()
