--- a/cypresspulley/keeper/engine.py
+++ b/cypresspulley/keeper/engine.py
@@ -131,7 +131,8 @@
     __slots__ = ("done", "result", "sent")
 
     def __init__(self, done: Done) -> None:
-        self.done, self.sent = done, False
+        self.done = done
+        self.sent = False
         self.result: tuple[Status, float] | None = None
 
 
@@ -139,7 +140,8 @@
     """Connections to one address: idle ones are used again, those that failed are not."""
 
     def __init__(self, url: EngineUrl, address: Address) -> None:
-        self._url, self.address = url, address
+        self._url = url
+        self.address = address
         self._idle = list[Connection]()
         self._room = asyncio.Semaphore(PER_NODE)
 
@@ -190,7 +192,8 @@
     """The same calls as ``net.counter.CounterClient``: each answered once, in order for each name."""
 
     def __init__(self, url: EngineUrl, timeout: float) -> None:
-        self._url, self._timeout = url, timeout
+        self._url = url
+        self._timeout = timeout
         self._loop = asyncio.get_running_loop()
         self._nodes = dict[Address, _Node]()
         self._slots = dict[int, Address]()
--- a/cypresspulley/net/counter.py
+++ b/cypresspulley/net/counter.py
@@ -41,10 +41,14 @@
     """One connection to the counter."""
 
     def __init__(self, client: CounterClient, address: Address) -> None:
-        self._client, self.address = client, address
+        self._client = client
+        self.address = address
         self._transport: asyncio.Transport | None = None
         self.written = deque[_Call]()
-        self._buffer, self.paused, self.used, self._leaving = b"", False, 0.0, False
+        self._buffer = b""
+        self.paused = False
+        self.used = 0.0
+        self._leaving = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
@@ -141,7 +145,8 @@
     """Keeps a connection to the counter, and moves to another one without a gap."""
 
     def __init__(self, host: str, port: int, timeout: float) -> None:
-        self._address, self._timeout = (host, port), timeout
+        self._address = (host, port)
+        self._timeout = timeout
         self._loop = asyncio.get_running_loop()
         self._link: _Link | None = None
         self._left = set[_Link]()  # they only answer what they owe
@@ -149,7 +154,8 @@
         # The decisions match results to calls by their order for a name: with two connections, one left
         # and one new, an answer that overtakes another waits for it here (for the time-out at most).
         self._order = dict[int, deque[_Call]]()
-        self._failing, self._dialed = False, 0.0
+        self._failing = False
+        self._dialed = 0.0
         self._dial: asyncio.Task[None] | None = None
         self._check_at: asyncio.TimerHandle | None = None
 
--- a/cypresspulley/net/discovery.py
+++ b/cypresspulley/net/discovery.py
@@ -79,7 +79,8 @@
 TIMEOUT = {At.DIALING: 0.5, At.ASKED: 2.5, At.FOLLOWING: HEARTBEAT + 0.5, At.HALF: 1.5}
 JITTER = 0.5  # each wait is drawn from so much less to so much more of it, that limiters do not ask in step
 # Seconds until the next call after one that broke: the first wait, then four times the one before, up to the second.
-BACKOFF_FIRST, BACKOFF_BROKEN = 0.1, 0.25
+BACKOFF_FIRST = 0.1
+BACKOFF_BROKEN = 0.25
 # The longest wait between the beginnings of two calls, whatever came of the first: the second may take as long as a
 # call may, its dial, its head and its list, and is through in time. 6 - 0.3 - 0.5 - 2.5 - 1.5 = 1.2 s.
 LONGEST_WAIT = TOLD - MARGIN - TIMEOUT[At.DIALING] - TIMEOUT[At.ASKED] - TIMEOUT[At.HALF]
@@ -87,10 +88,8 @@
 # (6 - 0.3 - 2.5 - 0.15) / 6 = 0.51 s.
 URGENT_CALLS = 6
 URGENT_WAIT = (TOLD - MARGIN - TIMEOUT[At.FOLLOWING] - BACKOFF_FIRST * (1 + JITTER)) / URGENT_CALLS
-BACKOFF_BUSY, BACKOFF_URGENT = (
-    LONGEST_WAIT / (1 + JITTER),
-    URGENT_WAIT / (1 + JITTER),
-)  # after a 503, at most
+BACKOFF_BUSY = LONGEST_WAIT / (1 + JITTER)  # after a 503, at most
+BACKOFF_URGENT = URGENT_WAIT / (1 + JITTER)  # the same
 # Seconds without a step forward until the next call begins beside one that has said nothing (hedging). An agent on this
 # machine answers at once and at no cost; where lists are asked for, a call takes its turn among those of others.
 HEDGE = dict.fromkeys(At, 0.25)
@@ -100,7 +99,8 @@
 }  # it turned the call before away: this one waits for its turn
 HEDGE_URGENT = HEDGE | dict.fromkeys((At.ASKED, At.FOLLOWING, At.HALF), BACKOFF_URGENT)
 # Calls at one time. Where lists are asked for, as many as leave each its whole time: 15 x 0.5 x 0.34 s.
-MAX_CALLS, MAX_CALLS_ASKED = 4, 15
+MAX_CALLS = 4
+MAX_CALLS_ASKED = 15
 
 
 class SilenceError(ConnectionError):
@@ -120,8 +120,11 @@
 
     def __init__(self, skip: bool = False) -> None:
         """``skip``: what cannot be read is passed over, since asking again has not helped."""
-        self._skip, self._rest = skip, b""  # of a line without an end
-        self._lines, self._depth, self._size = list[bytes](), 0, 0
+        self._skip = skip
+        self._rest = b""  # of a line without an end
+        self._lines = list[bytes]()
+        self._depth = 0
+        self._size = 0
 
     def __repr__(self) -> str:
         return f"<Messages {len(self._lines)} lines and {len(self._rest)} bytes of one>"
@@ -185,9 +188,13 @@
         stepped: Callable[[], None],
     ) -> None:  # fmt: skip
         """``lived`` hears of each whole line, ``stepped`` of each step from one state to another."""
-        self._loop, self._said, self._lived, self._stepped = asyncio.get_running_loop(), said, lived, stepped
+        self._loop = asyncio.get_running_loop()
+        self._said = said
+        self._lived = lived
+        self._stepped = stepped
         self._transport: asyncio.Transport | None = None
-        self._parser, self._messages = httptools.HttpResponseParser(self), Messages(skip)
+        self._parser = httptools.HttpResponseParser(self)
+        self._messages = Messages(skip)
         self._at = At.DIALING
         self._heard = self._looked = (
             self._loop.time()
@@ -342,9 +349,16 @@
     ) -> None:  # fmt: skip
         """``pushed``: an agent on this machine has what it was sent, and a call costs nobody anything. ``lived`` hears
         of each whole line of the watch, be it empty."""
-        self._host, self._port, self._since, self._tell = host, port, since, tell
-        self._draw, self._wait, self.pushed, self._confirm = draw, BACKOFF_FIRST, pushed, lived
-        self._failing, self._busy = False, False
+        self._host = host
+        self._port = port
+        self._since = since
+        self._tell = tell
+        self._draw = draw
+        self._wait = BACKOFF_FIRST
+        self.pushed = pushed
+        self._confirm = lived
+        self._failing = False
+        self._busy = False
         self._spoilt = False  # the last message could not be read, and has been asked for again
         self._doubted = False  # the last message was older than what is known, and has been asked for again
         self._tries = dict[_Watch, asyncio.Task[None]]()  # calls that have not ended, oldest first
@@ -531,7 +545,10 @@
     ) -> None:  # fmt: skip
         """``draw`` gives numbers from 0 to 1 of the limiter's own, so that many do not ask together. ``lived`` hears of
         each sign of life of the discovery that is followed."""
-        self._tell, self._draw, self._pushed, self._lived = tell, draw, pushed, lived
+        self._tell = tell
+        self._draw = draw
+        self._pushed = pushed
+        self._lived = lived
         self._watches = dict[asyncio.Task[None], Discovery]()  # of both tasks below
         self._heard: asyncio.Task[None] | None = None  # the watch that has spoken last
         self._coming: asyncio.Task[None] | None = None
