--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -21,7 +21,7 @@
 from cypresspulley.config import Config, ConfigError, configured
 from cypresspulley.lifecycle import Lifecycle
 from cypresspulley.net.counter import Counter, CounterClient
-from cypresspulley.net.discovery import Follower
+from cypresspulley.net.discovery import DiscoveryClient
 from cypresspulley.net.door import Door
 from cypresspulley.net.frontend import Frontend, PathHandler
 from cypresspulley.net.http import split_address
@@ -164,7 +164,7 @@
     except OSError as error:
         raise ConfigError(f"cannot listen: {error}") from None
     since = config.known.version if config.known else None
-    follower = Follower(
+    follower = DiscoveryClient(
         node.apply_listing, Random(config.seed).random, timing.discovery_pushes, node.record_discovery_contact
     )
     follower.follow(*config.discovery, since)
--- a/cypresspulley/net/discovery.py
+++ b/cypresspulley/net/discovery.py
@@ -536,7 +536,7 @@
     return asyncio.get_running_loop().time()
 
 
-class Follower:
+class DiscoveryClient:
     """Follows discovery at the newest address; the one before is followed until the newest has spoken."""
 
     def __init__(
--- a/cypresspulley/reload.py
+++ b/cypresspulley/reload.py
@@ -10,7 +10,7 @@
 
 from cypresspulley import interface as api
 from cypresspulley.config import Config, ConfigError
-from cypresspulley.net.discovery import Follower
+from cypresspulley.net.discovery import DiscoveryClient
 from cypresspulley.settings import SocketSettings, check_no_missing_keys
 
 log = logging.getLogger("cypresspulley")
@@ -30,7 +30,7 @@
     """
 
     def __init__(
-        self, config: Config, follower: Follower, reread: Callable[[], Config],
+        self, config: Config, follower: DiscoveryClient, reread: Callable[[], Config],
         retune: Callable[[api.Settings, SocketSettings], None], rewire: Callable[[Config], None] = lambda _new: None,
     ) -> None:  # fmt: skip
         """``rewire`` gets each file that was taken, for the counter and the other limiters."""
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -20,7 +20,7 @@
     TIMEOUT,
     At,
     Discovery,
-    Follower,
+    DiscoveryClient,
     Listing,
     listing_from,
 )  # fmt: skip
@@ -229,7 +229,7 @@
 
         asked, came = list[str](), asyncio.Event()
         async with listening(old.talk) as first, listening(talk) as second:
-            follower = Follower(tell)
+            follower = DiscoveryClient(tell)
             for address in (first, "127.0.0.1:1", second, second):  # the third overtakes the second
                 host, port = address.split(":")
                 follower.follow(host, int(port), 41 if address == first else None)
--- a/tests/test_discovery_budget.py
+++ b/tests/test_discovery_budget.py
@@ -26,7 +26,7 @@
     TIMEOUT,
     At,
     Discovery,
-    Follower,
+    DiscoveryClient,
     Listing,
 )
 from cypresspulley.rehearsal.virtual.loop import VirtualLoop, run_virtual
@@ -148,7 +148,7 @@
                 known.set()
 
         token = OWNER.set(owner)
-        follower = Follower(tell, draw, pushed)
+        follower = DiscoveryClient(tell, draw, pushed)
         follower.follow(*WATCH, 41)
         OWNER.reset(token)
         if moves:
--- a/tests/test_endings_discovery.py
+++ b/tests/test_endings_discovery.py
@@ -19,7 +19,7 @@
 
 from cypresspulley import interface as api
 from cypresspulley.net import discovery
-from cypresspulley.net.discovery import HEDGE, At, Discovery, Follower, Listing
+from cypresspulley.net.discovery import HEDGE, At, Discovery, DiscoveryClient, Listing
 from cypresspulley.rehearsal.virtual.loop import VirtualLoop, run_virtual
 from tests.loopback import run
 from tests.test_discovery import HEAD, chunk, message
@@ -440,7 +440,7 @@
         agent, other, told = Agent(loop), Agent(loop, seq=7), Told(loop)
         await agent.listen(OLD)
         await other.listen(NEW)
-        follower = Follower(told, lambda: draw, True)
+        follower = DiscoveryClient(told, lambda: draw, True)
         follower.follow(*OLD, 41)
         await told.until(42)
         await trouble(agent)
@@ -470,7 +470,7 @@
     async def main(loop: VirtualLoop) -> None:
         agent, other, told = Agent(loop), Agent(loop, seq=7), Told(loop)
         await agent.listen(OLD)
-        follower = Follower(told, lambda: draw, True)
+        follower = DiscoveryClient(told, lambda: draw, True)
         follower.follow(*OLD, 41)
         await told.until(42)
         await trouble(agent)
@@ -492,7 +492,7 @@
         agent, other, told = Agent(loop), Agent(loop, seq=7), Told(loop)
         await agent.listen(OLD)
         await other.listen(NEW)
-        follower = Follower(told, pushed=True)
+        follower = DiscoveryClient(told, pushed=True)
         follower.follow(*OLD, 41)
         await told.until(42)
         follower.follow(*NEW)
@@ -575,7 +575,7 @@
             except ConnectionResetError:
                 return True
 
-        follower = Follower(lambda _: heard.set(), pushed=True)
+        follower = DiscoveryClient(lambda _: heard.set(), pushed=True)
         follower.follow(*addresses[0], 41)
         mute = [await accept(0) for _ in range(3)]  # accepted, and not a word
         await loop.sock_sendall(mute[1], HEAD + chunk(message(42)))
--- a/tests/test_endings_leaving.py
+++ b/tests/test_endings_leaving.py
@@ -450,7 +450,7 @@
             heir.set_handoff(lambda fd: not fds.append(fd))  # type: ignore[func-returns-value]
             await shared.adopt_connection(socket.socket(fileno=fds[0]))
             await until(lambda: shared._clients and not heir._clients)
-            follower = net_discovery.Follower(lambda _listing: None, lambda: 0.5)
+            follower = net_discovery.DiscoveryClient(lambda _listing: None, lambda: 0.5)
             follower.follow(*_parts(other))
             counter = net_counter.CounterClient(*_parts(other), 0.2)
             counter.start()
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -10,7 +10,7 @@
 import pytest
 
 from cypresspulley import interface as api
-from cypresspulley.net.discovery import Follower
+from cypresspulley.net.discovery import DiscoveryClient
 from tests import world as w
 from tests.loopback import Limiter, Origin, Script, ask, forward, listening, run
 from tests.test_discovery import HEAD, chunk
@@ -146,7 +146,7 @@
         async with listening(talk) as address, Limiter(script, {}) as limiter:
             clock = limiter.node._clock
             host, port = address.split(":")
-            follower = Follower(
+            follower = DiscoveryClient(
                 limiter.node.apply_listing, lambda: 0.5, lived=limiter.node.record_discovery_contact
             )
             follower.follow(host, int(port))
--- a/tests/test_watch_clock.py
+++ b/tests/test_watch_clock.py
@@ -14,7 +14,14 @@
 from hypothesis import strategies as st
 
 from cypresspulley.net import discovery
-from cypresspulley.net.discovery import LONGEST_WAIT, Discovery, Follower, Listing, Messages, UnreadableError
+from cypresspulley.net.discovery import (
+    LONGEST_WAIT,
+    Discovery,
+    DiscoveryClient,
+    Listing,
+    Messages,
+    UnreadableError,
+)
 from cypresspulley.rehearsal.virtual.loop import VirtualLoop, run_virtual
 from cypresspulley.rehearsal.virtual.owner import OWNER, Owner
 from tests.test_discovery import HEAD, chunk, message
@@ -237,7 +244,7 @@
         agent, known = Agent(loop, *troubles), asyncio.Event()
         agent.silent.set()
         await agent.listen()
-        follower = Follower(lambda _: known.set(), lambda: 1.0)
+        follower = DiscoveryClient(lambda _: known.set(), lambda: 1.0)
         follower.follow(*WATCH)
         await asyncio.wait_for(known.wait(), 60)
         assert loop.time() < MOVED
--- a/tests/test_whole_lists.py
+++ b/tests/test_whole_lists.py
@@ -9,7 +9,7 @@
 import pytest
 
 from cypresspulley import interface as api
-from cypresspulley.net.discovery import HEALTH, Follower
+from cypresspulley.net.discovery import HEALTH, DiscoveryClient
 from tests.loopback import Limiter, Origin, Script, ask, forward, listening, run
 from tests.test_discovery import HEAD, chunk
 
@@ -91,7 +91,7 @@
         ):
             assert " 200 " in (await limiter.fetch(ask()))[0], "s1 serves"
             host, port = discovery.split(":")
-            follower = Follower(limiter.node.apply_listing, lambda: 0.0, pushed=True)
+            follower = DiscoveryClient(limiter.node.apply_listing, lambda: 0.0, pushed=True)
             follower.follow(host, int(port), 41)
             lists = await script.until(api.ServerList, 3)  # the one it began with, and two of discovery
             assert lists[2].entries[0].health is HEALTH[health]
