--- a/cypresspulley/config.py
+++ b/cypresspulley/config.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from cypresspulley import interface as api
-from cypresspulley.net.discovery import Listing, listing_from
+from cypresspulley.net.discovery import Listing, parse_listing
 from cypresspulley.net.http import split_address
 from cypresspulley.settings import (
     MAX_NUMBER,
@@ -59,7 +59,7 @@
             counter=_address(raw, "counter") if raw.get("counter") else None,
             seed=int(str(raw.get("seed") or "0"), 16),
             sockets=_sockets(raw),
-            known=listing_from(raw["known"]) if raw.get("known") else None,
+            known=parse_listing(raw["known"]) if raw.get("known") else None,
             peers=_peers_from(raw),
             operator=_address(raw, "operator") if raw.get("operator") else None,
             settings=parse_settings(raw["settings"]),
--- a/cypresspulley/net/discovery.py
+++ b/cypresspulley/net/discovery.py
@@ -40,7 +40,7 @@
     dials: dict[str, str]
 
 
-def listing_from(raw: Any) -> Listing:
+def parse_listing(raw: Any) -> Listing:
     """A message of discovery; ``ValueError`` where it cannot be read."""
     try:
         entries, dials = [], {}
@@ -502,7 +502,7 @@
 
     def _message(self, watch: _Watch, message: Any) -> None:
         try:
-            listing = listing_from(message)
+            listing = parse_listing(message)
         except ValueError as error:
             if not self._spoilt:
                 raise UnreadableError(str(error)) from None
--- a/tests/explore/mutants.py
+++ b/tests/explore/mutants.py
@@ -115,7 +115,7 @@
         shown_by=1,
     ),
     Mutant(
-        "every server taken for a long-running one", discovery, "listing_from",
+        "every server taken for a long-running one", discovery, "parse_listing",
         'float(row.get("born_ms") or 0) / 1000', "0.0",
         "cold", ("no cold server pushed over",),
         inside=100.0,
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -22,7 +22,7 @@
     Discovery,
     DiscoveryClient,
     Listing,
-    listing_from,
+    parse_listing,
 )  # fmt: skip
 from tests.loopback import listening, run
 
@@ -76,7 +76,7 @@
 
 
 def test_an_entry_is_read_in_full() -> None:
-    listing = listing_from(json.loads(message(1)))
+    listing = parse_listing(json.loads(message(1)))
     born = 1_800_000_000.25
     assert listing.servers.entries == (api.ServerEntry("s1", api.Health.UP, "a", 3, 1.5, born),)
     assert listing.servers.complete and listing.version == 1 and listing.dials == {"s1": "10.1.0.18:7070"}
