--- a/cypresspulley/net/discovery.py
+++ b/cypresspulley/net/discovery.py
@@ -115,7 +115,7 @@
     """A message older than what is known: it is asked for again."""
 
 
-class Messages:
+class MessageDecoder:
     """Puts a watch's lines together to messages: one a line, or one over several lines where lists come indented."""
 
     def __init__(self, skip: bool = False) -> None:
@@ -130,7 +130,7 @@
         return f"<Messages {len(self._lines)} lines and {len(self._rest)} bytes of one>"
 
     @property
-    def half(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether a message has begun and not ended."""
         return bool(self._lines or self._rest)
 
@@ -194,7 +194,7 @@
         self._stepped = stepped
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
-        self._messages = Messages(skip)
+        self._messages = MessageDecoder(skip)
         self._at = At.DIALING
         self._heard = self._looked = (
             self._loop.time()
@@ -302,7 +302,7 @@
         except httptools.HttpParserError as error:
             cause = error.__context__
             return self._finish(cause if isinstance(cause, Exception) else error)
-        if not self._messages.half:
+        if not self._messages.has_partial_message:
             self._begun = None
         elif self._begun is None:
             self._begun = now
@@ -323,7 +323,7 @@
             self._begun = None
             self._said(self, message)
             self._whole()
-        if not self._messages.half:
+        if not self._messages.has_partial_message:
             self._whole()
 
     def _whole(self) -> None:
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -13,7 +13,7 @@
 from cypresspulley.fleet.options import MOST_SEEDS, options_from
 from cypresspulley.fleet.view import MOST_MEMBERS
 from cypresspulley.keeper.engine import EngineCounter, engine_url
-from cypresspulley.net.discovery import Messages, parse_listing
+from cypresspulley.net.discovery import MessageDecoder, parse_listing
 from cypresspulley.net.peers import Peers
 from cypresspulley.operators import OperatorsError
 from cypresspulley.plans import serve
@@ -83,7 +83,7 @@
         row = {"host": f"{name}{number}", "dial": loopback(number), "site": "z" * 64, "health": "ready"}
         hosts.append(row)
     line = json.dumps({"seq": 7, "whole": True, "hosts": hosts}, indent=1).encode() + b"\n"
-    messages, read = Messages(), 65_536
+    messages, read = MessageDecoder(), 65_536
     (message,) = [one for at in range(0, len(line), read) for one in messages.feed(line[at : at + read])]
     listing = parse_listing(message)
     assert len(listing.servers.entries) == LARGE_FLEET_SIZE and listing.dials[
--- a/tests/test_watch_clock.py
+++ b/tests/test_watch_clock.py
@@ -19,7 +19,7 @@
     Discovery,
     DiscoveryClient,
     Listing,
-    Messages,
+    MessageDecoder,
     UnreadableError,
 )
 from cypresspulley.rehearsal.virtual.loop import VirtualLoop, run_virtual
@@ -305,17 +305,17 @@
     for message_, (_, indent, end) in zip(raw, drawn, strict=True):
         text = json.dumps(message_, indent=indent).replace("\n", end) + end
         data += (text + rng.choice(["", "\n", "\r\n\n"])).encode()
-    messages, found = Messages(), list[Any]()
+    messages, found = MessageDecoder(), list[Any]()
     while data:
         at = rng.randint(1, len(data))
         found += messages.feed(data[:at])
         data = data[at:]
-    assert found == raw and not messages.half
+    assert found == raw and not messages.has_partial_message
 
 
 @given(st.lists(st.binary(max_size=40), max_size=20), st.booleans())
 def test_bytes_of_any_kind_are_read_or_refused(pieces: list[bytes], skip: bool) -> None:
-    messages = Messages(skip)
+    messages = MessageDecoder(skip)
     try:
         for piece in pieces:
             messages.feed(piece)
@@ -332,7 +332,7 @@
 @pytest.mark.parametrize("data", ENDLESS.values(), ids=ENDLESS)
 def test_what_has_no_end_is_bounded(data: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery, "MAX_LINE", 50_000)
-    messages = Messages()
+    messages = MessageDecoder()
     with pytest.raises(UnreadableError):
         for _ in range(10_000):
             messages.feed(data)
