--- a/cypresspulley/net/discovery.py
+++ b/cypresspulley/net/discovery.py
@@ -60,13 +60,13 @@
         raise ValueError(f"not a list of servers: {error!r:.80}") from None
 
 
-class At(Enum):
+class WatchState(Enum):
     """How far a watch has come."""
 
     DIALING = "dialing"
-    ASKED = "asked"  # no byte of an answer yet
+    AWAITING_ANSWER = "asked"  # no byte of an answer yet
     FOLLOWING = "following"
-    HALF = "half a message"  # a message has begun and not ended
+    PARTIAL_MESSAGE = "half a message"  # a message has begun and not ended
 
 
 # The budget (docs/design/restarts.md): whatever failed before, a change counts as told 6 s after discovery had it and
@@ -74,30 +74,45 @@
 TOLD = 6.0
 MARGIN = 0.3  # seconds of it kept back, for looks that come late without counting as held
 HEARTBEAT = 2.0  # seconds between two signs of life of a watch: an empty line comes while nothing changes
-# Seconds from the last byte (HALF: from the message's first) until a call is given up. Where lists are asked for, one
+# Seconds from the last byte (PARTIAL_MESSAGE: from the message's first) until a call is given up. Where lists are asked for, one
 # that waits for its turn is answered or turned away within 2 s.
-TIMEOUT = {At.DIALING: 0.5, At.ASKED: 2.5, At.FOLLOWING: HEARTBEAT + 0.5, At.HALF: 1.5}
+TIMEOUT = {
+    WatchState.DIALING: 0.5,
+    WatchState.AWAITING_ANSWER: 2.5,
+    WatchState.FOLLOWING: HEARTBEAT + 0.5,
+    WatchState.PARTIAL_MESSAGE: 1.5,
+}
 JITTER = 0.5  # each wait is drawn from so much less to so much more of it, that limiters do not ask in step
 # Seconds until the next call after one that broke: the first wait, then four times the one before, up to the second.
 BACKOFF_FIRST = 0.1
 BACKOFF_BROKEN = 0.25
 # The longest wait between the beginnings of two calls, whatever came of the first: the second may take as long as a
 # call may, its dial, its head and its list, and is through in time. 6 - 0.3 - 0.5 - 2.5 - 1.5 = 1.2 s.
-LONGEST_WAIT = TOLD - MARGIN - TIMEOUT[At.DIALING] - TIMEOUT[At.ASKED] - TIMEOUT[At.HALF]
+LONGEST_WAIT = (
+    TOLD
+    - MARGIN
+    - TIMEOUT[WatchState.DIALING]
+    - TIMEOUT[WatchState.AWAITING_ANSWER]
+    - TIMEOUT[WatchState.PARTIAL_MESSAGE]
+)
 # The same while what a silent watch missed does not count as told: six calls that fail leave time for a seventh.
 # (6 - 0.3 - 2.5 - 0.15) / 6 = 0.51 s.
 URGENT_CALLS = 6
-URGENT_WAIT = (TOLD - MARGIN - TIMEOUT[At.FOLLOWING] - BACKOFF_FIRST * (1 + JITTER)) / URGENT_CALLS
+URGENT_WAIT = (TOLD - MARGIN - TIMEOUT[WatchState.FOLLOWING] - BACKOFF_FIRST * (1 + JITTER)) / URGENT_CALLS
 BACKOFF_BUSY = LONGEST_WAIT / (1 + JITTER)  # after a 503, at most
 BACKOFF_URGENT = URGENT_WAIT / (1 + JITTER)  # the same
 # Seconds without a step forward until the next call begins beside one that has said nothing (hedging). An agent on this
 # machine answers at once and at no cost; where lists are asked for, a call takes its turn among those of others.
-HEDGE = dict.fromkeys(At, 0.25)
-HEDGE_ASKED = HEDGE | dict.fromkeys((At.ASKED, At.FOLLOWING, At.HALF), 0.6)
+HEDGE = dict.fromkeys(WatchState, 0.25)
+HEDGE_ASKED = HEDGE | dict.fromkeys(
+    (WatchState.AWAITING_ANSWER, WatchState.FOLLOWING, WatchState.PARTIAL_MESSAGE), 0.6
+)
 HEDGE_BUSY = HEDGE_ASKED | {
-    At.ASKED: BACKOFF_BUSY
+    WatchState.AWAITING_ANSWER: BACKOFF_BUSY
 }  # it turned the call before away: this one waits for its turn
-HEDGE_URGENT = HEDGE | dict.fromkeys((At.ASKED, At.FOLLOWING, At.HALF), BACKOFF_URGENT)
+HEDGE_URGENT = HEDGE | dict.fromkeys(
+    (WatchState.AWAITING_ANSWER, WatchState.FOLLOWING, WatchState.PARTIAL_MESSAGE), BACKOFF_URGENT
+)
 # Calls at one time. Where lists are asked for, as many as leave each its whole time: 15 x 0.5 x 0.34 s.
 MAX_CALLS = 4
 MAX_CALLS_ASKED = 15
@@ -195,7 +210,7 @@
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
         self._messages = MessageDecoder(skip)
-        self._at = At.DIALING
+        self._at = WatchState.DIALING
         self._heard = self._looked = (
             self._loop.time()
         )  # when a byte came last, at the latest; when the loop ran
@@ -210,9 +225,9 @@
         return f"<_Watch {self._at.value}, last byte at {self._heard:.3f}>"
 
     @property
-    def at(self) -> At:
+    def at(self) -> WatchState:
         """How far it has come."""
-        return self._at if self._begun is None else At.HALF
+        return self._at if self._begun is None else WatchState.PARTIAL_MESSAGE
 
     @property
     def heard(self) -> float:
@@ -223,7 +238,7 @@
         """Dial and ask; ``OSError`` where that fails, ``SilenceError`` where it does not come up."""
         dial = self._loop.create_task(self._loop.create_connection(lambda: self, host, port))
         try:
-            await asyncio.wait({dial}, timeout=TIMEOUT[At.DIALING])
+            await asyncio.wait({dial}, timeout=TIMEOUT[WatchState.DIALING])
             for _ in range(TURNS):
                 if not dial.done():
                     await asyncio.sleep(0)
@@ -234,7 +249,7 @@
             dial.cancel()
         assert self._transport is not None
         self._transport.write(request)
-        self._at, self._heard = At.ASKED, self._loop.time()
+        self._at, self._heard = WatchState.AWAITING_ANSWER, self._loop.time()
         self._looked = self._heard
         self._timer = self._loop.call_later(TICK, self._look)
         self._stepped()
@@ -277,7 +292,7 @@
     def _due(self) -> float:
         """When the watch will have been silent for as long as it may."""
         due = max(self._heard + TIMEOUT[self._at], self._trusted)
-        return due if self._begun is None else min(due, self._begun + TIMEOUT[At.HALF])
+        return due if self._begun is None else min(due, self._begun + TIMEOUT[WatchState.PARTIAL_MESSAGE])
 
     # The connection.
 
@@ -314,7 +329,7 @@
         if (code := self._parser.get_status_code()) != 200:
             self.refused = code
             raise ConnectionError(f"status {code}")
-        self._at = At.FOLLOWING
+        self._at = WatchState.FOLLOWING
         self._stepped()
 
     def on_body(self, body: bytes) -> None:
@@ -394,7 +409,7 @@
         wait, self._wait = min(most, self._wait), min(most, 4 * self._wait)
         return self._jittered(wait)
 
-    def _hedge(self, at: At) -> float:
+    def _hedge(self, at: WatchState) -> float:
         """Seconds until the next call beside one that stays in this state."""
         if self.pushed:
             table = HEDGE
@@ -421,7 +436,7 @@
                 wait = self.backoff() if over else self._hedge(at)
                 stands = await self._step(newest, at, over, _now() + wait)
 
-    async def _step(self, newest: _Watch, at: At, over: bool, until: float) -> bool:
+    async def _step(self, newest: _Watch, at: WatchState, over: bool, until: float) -> bool:
         """Wait for a watch that speaks, or for the newest try to leave its state; False where neither came in time."""
         turned = False
         while True:
@@ -441,7 +456,7 @@
     def _begin(self) -> _Watch:
         """The next call; a row of mute ones is bounded: of those that came least far, the oldest gives way."""
         if len(self._tries) >= (MAX_CALLS if self.pushed else MAX_CALLS_ASKED):
-            stages = list(At)
+            stages = list(WatchState)
             self._tries.pop(min(self._tries, key=lambda watch: stages.index(watch.at))).cancel()
         watch = _Watch(self._message, self._lived, self._spoilt, self._news.set)
         self._tries[watch] = asyncio.get_running_loop().create_task(self._live(watch))
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -18,10 +18,10 @@
     BACKOFF_FIRST,
     LONGEST_WAIT,
     TIMEOUT,
-    At,
     Discovery,
     DiscoveryClient,
     Listing,
+    WatchState,
     parse_listing,
 )  # fmt: skip
 from tests.loopback import listening, run
@@ -103,7 +103,7 @@
 
 
 def test_a_silent_watch_is_begun_anew(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setitem(discovery.TIMEOUT, At.FOLLOWING, 0.2)
+    monkeypatch.setitem(discovery.TIMEOUT, WatchState.FOLLOWING, 0.2)
 
     async def main() -> None:
         agent = Agent([HEAD], [HEAD, chunk(message(58))], end=False)
@@ -122,7 +122,9 @@
             task = asyncio.create_task(Discovery(host, int(port), 41, lambda _: heard.set()).follow())
             for _ in range(turns):
                 await asyncio.sleep(0)
-            time.sleep(TIMEOUT[At.DIALING] + 0.1)  # the timer is due before the loop sees that it is up
+            time.sleep(
+                TIMEOUT[WatchState.DIALING] + 0.1
+            )  # the timer is due before the loop sees that it is up
             await heard.wait()
             task.cancel()
         assert len(agent.asked) == 1 and agent.connections == 1
@@ -175,14 +177,14 @@
 
 def test_a_discovery_that_is_silent_or_breaks_is_asked_again_before_its_news_count_as_told() -> None:
     """What it has to tell counts as told after 6 s: a drain that came then was heard of 10 s and more too late."""
-    assert TIMEOUT[At.FOLLOWING] + TIMEOUT[At.ASKED] + 1.5 * BACKOFF_BROKEN < 6
+    assert TIMEOUT[WatchState.FOLLOWING] + TIMEOUT[WatchState.AWAITING_ANSWER] + 1.5 * BACKOFF_BROKEN < 6
     assert all(max(backoffs(seed, busy=False)) <= 1.5 * BACKOFF_BROKEN for seed in range(40))
 
 
 def test_a_watch_that_was_busy_once_and_then_silent_does_not_wait_as_for_a_busy_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setitem(discovery.TIMEOUT, At.ASKED, 0.05)
+    monkeypatch.setitem(discovery.TIMEOUT, WatchState.AWAITING_ANSWER, 0.05)
     monkeypatch.setattr(discovery, "BACKOFF_FIRST", 0.01)
     waited = list[float]()
 
--- a/tests/test_discovery_budget.py
+++ b/tests/test_discovery_budget.py
@@ -24,10 +24,10 @@
     MARGIN,
     MAX_CALLS_ASKED,
     TIMEOUT,
-    At,
     Discovery,
     DiscoveryClient,
     Listing,
+    WatchState,
 )
 from cypresspulley.rehearsal.virtual.loop import VirtualLoop, run_virtual
 from cypresspulley.rehearsal.virtual.owner import OWNER, Owner
@@ -225,8 +225,17 @@
 
 def test_every_wait_comes_from_the_budget() -> None:
     """The longest wait, a dial, a head and a whole list take 6 s less the margin."""
-    longest = LONGEST_WAIT + TIMEOUT[At.DIALING] + TIMEOUT[At.ASKED] + TIMEOUT[At.HALF]
-    assert longest == pytest.approx(TOLD - MARGIN) and MARGIN >= 0.3 and TIMEOUT[At.ASKED] > TURN
+    longest = (
+        LONGEST_WAIT
+        + TIMEOUT[WatchState.DIALING]
+        + TIMEOUT[WatchState.AWAITING_ANSWER]
+        + TIMEOUT[WatchState.PARTIAL_MESSAGE]
+    )
+    assert (
+        longest == pytest.approx(TOLD - MARGIN)
+        and MARGIN >= 0.3
+        and TIMEOUT[WatchState.AWAITING_ANSWER] > TURN
+    )
     hedges = [
         table[at] * (1 + JITTER) for table in (HEDGE, HEDGE_ASKED, HEDGE_BUSY, HEDGE_URGENT) for at in table
     ]
@@ -236,9 +245,10 @@
         watch._busy = busy
         waits = [watch.backoff() for _ in range(20)]
         assert max(waits) <= LONGEST_WAIT + 1e-9
-    assert MAX_CALLS_ASKED * HEDGE_URGENT[At.ASKED] * (1 - JITTER) > TIMEOUT[At.ASKED], (
-        "each has its whole time"
-    )
+    assert (
+        MAX_CALLS_ASKED * HEDGE_URGENT[WatchState.AWAITING_ANSWER] * (1 - JITTER)
+        > TIMEOUT[WatchState.AWAITING_ANSWER]
+    ), "each has its whole time"
 
 
 def test_of_the_calls_that_are_out_one_that_came_further_stays() -> None:
