--- a/cypresspulley/net/discovery.py
+++ b/cypresspulley/net/discovery.py
@@ -19,16 +19,22 @@
 
 log = logging.getLogger(__name__)
 
-TICK = 0.25  # seconds between two looks at a watch
-HELD = 0.25  # seconds by which a look may be late before the loop counts as held
-TURNS = 3  # of the loop before a verdict: one that was held comes to its timers before it reads
-TURNS_OUT = 8  # the same before the next call: a dial that came up has to be known to its own call first
-BUSY = frozenset(
+CHECK_INTERVAL = 0.25  # seconds between two looks at a watch
+STALL_THRESHOLD = 0.25  # seconds by which a look may be late before the loop counts as held
+TURNS_BEFORE_TIMEOUT = (
+    3  # of the loop before a verdict: one that was held comes to its timers before it reads
+)
+TURNS_BEFORE_CALL = (
+    8  # the same before the next call: a dial that came up has to be known to its own call first
+)
+OVERLOAD_STATUSES = frozenset(
     (429, 500, 502, 503, 504)
 )  # of discovery itself; any other refusal may be of the version asked for
-MAX_LINE = 4 * 1024 * 1024  # bytes of one message, over all of its lines
-TOKEN = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"|[{}\[\]]')  # of JSON, what tells how deep a line leaves it
-HEALTH = {"ready": api.Health.UP, "draining": api.Health.DRAINING, "gone": api.Health.GONE}
+MAX_MESSAGE_BYTES = 4 * 1024 * 1024  # bytes of one message, over all of its lines
+JSON_TOKEN = re.compile(
+    rb'"[^"\\]*(?:\\.[^"\\]*)*"|[{}\[\]]'
+)  # of JSON, what tells how deep a line leaves it
+HEALTH_BY_NAME = {"ready": api.Health.UP, "draining": api.Health.DRAINING, "gone": api.Health.GONE}
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,7 +51,7 @@
     try:
         entries, dials = [], {}
         for row in raw["hosts"]:
-            health = HEALTH[row["health"]]
+            health = HEALTH_BY_NAME[row["health"]]
             dial = str(row.get("dial") or "")
             if dial or health is not api.Health.GONE:
                 split_address(dial)
@@ -71,50 +77,54 @@
 
 # The budget (docs/design/restarts.md): whatever failed before, a change counts as told 6 s after discovery had it and
 # could be reached, and 6 s after a watch fell silent.
-TOLD = 6.0
-MARGIN = 0.3  # seconds of it kept back, for looks that come late without counting as held
-HEARTBEAT = 2.0  # seconds between two signs of life of a watch: an empty line comes while nothing changes
+DELIVERY_LIMIT = 6.0
+DELIVERY_MARGIN = 0.3  # seconds of it kept back, for looks that come late without counting as held
+HEARTBEAT_INTERVAL = (
+    2.0  # seconds between two signs of life of a watch: an empty line comes while nothing changes
+)
 # Seconds from the last byte (PARTIAL_MESSAGE: from the message's first) until a call is given up. Where lists are asked for, one
 # that waits for its turn is answered or turned away within 2 s.
-TIMEOUT = {
+TIMEOUTS = {
     WatchState.DIALING: 0.5,
     WatchState.AWAITING_ANSWER: 2.5,
-    WatchState.FOLLOWING: HEARTBEAT + 0.5,
+    WatchState.FOLLOWING: HEARTBEAT_INTERVAL + 0.5,
     WatchState.PARTIAL_MESSAGE: 1.5,
 }
 JITTER = 0.5  # each wait is drawn from so much less to so much more of it, that limiters do not ask in step
 # Seconds until the next call after one that broke: the first wait, then four times the one before, up to the second.
-BACKOFF_FIRST = 0.1
-BACKOFF_BROKEN = 0.25
+INITIAL_BACKOFF = 0.1
+MAX_BACKOFF = 0.25
 # The longest wait between the beginnings of two calls, whatever came of the first: the second may take as long as a
 # call may, its dial, its head and its list, and is through in time. 6 - 0.3 - 0.5 - 2.5 - 1.5 = 1.2 s.
-LONGEST_WAIT = (
-    TOLD
-    - MARGIN
-    - TIMEOUT[WatchState.DIALING]
-    - TIMEOUT[WatchState.AWAITING_ANSWER]
-    - TIMEOUT[WatchState.PARTIAL_MESSAGE]
+MAX_CALL_INTERVAL = (
+    DELIVERY_LIMIT
+    - DELIVERY_MARGIN
+    - TIMEOUTS[WatchState.DIALING]
+    - TIMEOUTS[WatchState.AWAITING_ANSWER]
+    - TIMEOUTS[WatchState.PARTIAL_MESSAGE]
 )
 # The same while what a silent watch missed does not count as told: six calls that fail leave time for a seventh.
 # (6 - 0.3 - 2.5 - 0.15) / 6 = 0.51 s.
 URGENT_CALLS = 6
-URGENT_WAIT = (TOLD - MARGIN - TIMEOUT[WatchState.FOLLOWING] - BACKOFF_FIRST * (1 + JITTER)) / URGENT_CALLS
-BACKOFF_BUSY = LONGEST_WAIT / (1 + JITTER)  # after a 503, at most
-BACKOFF_URGENT = URGENT_WAIT / (1 + JITTER)  # the same
+MAX_URGENT_CALL_INTERVAL = (
+    DELIVERY_LIMIT - DELIVERY_MARGIN - TIMEOUTS[WatchState.FOLLOWING] - INITIAL_BACKOFF * (1 + JITTER)
+) / URGENT_CALLS
+MAX_BACKOFF_BUSY = MAX_CALL_INTERVAL / (1 + JITTER)  # after a 503, at most
+MAX_BACKOFF_URGENT = MAX_URGENT_CALL_INTERVAL / (1 + JITTER)  # the same
 # Seconds without a step forward until the next call begins beside one that has said nothing (hedging). An agent on this
 # machine answers at once and at no cost; where lists are asked for, a call takes its turn among those of others.
-HEDGE = dict.fromkeys(WatchState, 0.25)
-HEDGE_ASKED = HEDGE | dict.fromkeys(
+HEDGE_DELAYS = dict.fromkeys(WatchState, 0.25)
+HEDGE_DELAYS_ASKED = HEDGE_DELAYS | dict.fromkeys(
     (WatchState.AWAITING_ANSWER, WatchState.FOLLOWING, WatchState.PARTIAL_MESSAGE), 0.6
 )
-HEDGE_BUSY = HEDGE_ASKED | {
-    WatchState.AWAITING_ANSWER: BACKOFF_BUSY
+HEDGE_DELAYS_BUSY = HEDGE_DELAYS_ASKED | {
+    WatchState.AWAITING_ANSWER: MAX_BACKOFF_BUSY
 }  # it turned the call before away: this one waits for its turn
-HEDGE_URGENT = HEDGE | dict.fromkeys(
-    (WatchState.AWAITING_ANSWER, WatchState.FOLLOWING, WatchState.PARTIAL_MESSAGE), BACKOFF_URGENT
+HEDGE_DELAYS_URGENT = HEDGE_DELAYS | dict.fromkeys(
+    (WatchState.AWAITING_ANSWER, WatchState.FOLLOWING, WatchState.PARTIAL_MESSAGE), MAX_BACKOFF_URGENT
 )
 # Calls at one time. Where lists are asked for, as many as leave each its whole time: 15 x 0.5 x 0.34 s.
-MAX_CALLS = 4
+MAX_CALLS_PUSHED = 4
 MAX_CALLS_ASKED = 15
 
 
@@ -153,7 +163,7 @@
         """The messages that these bytes end; ``UnreadableError`` for one that is no JSON or too large."""
         *lines, self._rest = (self._rest + data).split(b"\n")
         found = [message for line in lines for message in self._line(line.strip())]
-        if self._size + len(self._rest) > MAX_LINE:
+        if self._size + len(self._rest) > MAX_MESSAGE_BYTES:
             raise UnreadableError("a message without an end")
         return found
 
@@ -188,7 +198,7 @@
 
 def depth(line: bytes) -> int:
     """How much deeper a line of JSON leaves it; strings hold no line ends, so each line stands for itself."""
-    return sum((token in b"{[") - (token in b"}]") for token in TOKEN.findall(line) if len(token) == 1)
+    return sum((token in b"{[") - (token in b"}]") for token in JSON_TOKEN.findall(line) if len(token) == 1)
 
 
 class _Watch(asyncio.Protocol):
@@ -238,8 +248,8 @@
         """Dial and ask; ``OSError`` where that fails, ``SilenceError`` where it does not come up."""
         dial = self._loop.create_task(self._loop.create_connection(lambda: self, host, port))
         try:
-            await asyncio.wait({dial}, timeout=TIMEOUT[WatchState.DIALING])
-            for _ in range(TURNS):
+            await asyncio.wait({dial}, timeout=TIMEOUTS[WatchState.DIALING])
+            for _ in range(TURNS_BEFORE_TIMEOUT):
                 if not dial.done():
                     await asyncio.sleep(0)
             if not dial.done():
@@ -251,7 +261,7 @@
         self._transport.write(request)
         self._at, self._heard = WatchState.AWAITING_ANSWER, self._loop.time()
         self._looked = self._heard
-        self._timer = self._loop.call_later(TICK, self._look)
+        self._timer = self._loop.call_later(CHECK_INTERVAL, self._look)
         self._stepped()
 
     def close(self) -> None:
@@ -272,12 +282,12 @@
 
     def _look(self) -> None:
         now = self._loop.time()
-        if now - self._looked > TICK + HELD:
+        if now - self._looked > CHECK_INTERVAL + STALL_THRESHOLD:
             self._late_at, self._late_from = now, self._looked
         self._looked = now
-        self._timer = self._loop.call_later(min(TICK, max(0.001, self._due - now)), self._look)
+        self._timer = self._loop.call_later(min(CHECK_INTERVAL, max(0.001, self._due - now)), self._look)
         if now >= self._due:
-            self._loop.call_soon(self._judge, TURNS)
+            self._loop.call_soon(self._judge, TURNS_BEFORE_TIMEOUT)
 
     def _judge(self, turns: int) -> None:
         """What lies in the machine is read first."""
@@ -291,8 +301,8 @@
     @property
     def _due(self) -> float:
         """When the watch will have been silent for as long as it may."""
-        due = max(self._heard + TIMEOUT[self._at], self._trusted)
-        return due if self._begun is None else min(due, self._begun + TIMEOUT[WatchState.PARTIAL_MESSAGE])
+        due = max(self._heard + TIMEOUTS[self._at], self._trusted)
+        return due if self._begun is None else min(due, self._begun + TIMEOUTS[WatchState.PARTIAL_MESSAGE])
 
     # The connection.
 
@@ -306,10 +316,13 @@
 
     def data_received(self, data: bytes) -> None:
         now = self._loop.time()
-        if now - self._looked > TICK + HELD:
+        if now - self._looked > CHECK_INTERVAL + STALL_THRESHOLD:
             self._late_at, self._late_from, self._looked = now, self._looked, now
-        if now - self._late_at < TICK:
-            self._heard, self._trusted = max(self._heard, self._late_from), self._late_at + HEARTBEAT + HELD
+        if now - self._late_at < CHECK_INTERVAL:
+            self._heard, self._trusted = (
+                max(self._heard, self._late_from),
+                self._late_at + HEARTBEAT_INTERVAL + STALL_THRESHOLD,
+            )
         else:
             self._heard = now
         try:
@@ -369,7 +382,7 @@
         self._since = since
         self._tell = tell
         self._draw = draw
-        self._wait = BACKOFF_FIRST
+        self._wait = INITIAL_BACKOFF
         self.pushed = pushed
         self._confirm = lived
         self._failing = False
@@ -403,20 +416,20 @@
 
     def backoff(self) -> float:
         """Seconds until the next call after one that ended: longer after each, and not those of other limiters."""
-        most = BACKOFF_BROKEN
+        most = MAX_BACKOFF
         if self._busy and not self.pushed:
-            most = BACKOFF_URGENT if self._urgent else BACKOFF_BUSY
+            most = MAX_BACKOFF_URGENT if self._urgent else MAX_BACKOFF_BUSY
         wait, self._wait = min(most, self._wait), min(most, 4 * self._wait)
         return self._jittered(wait)
 
     def _hedge(self, at: WatchState) -> float:
         """Seconds until the next call beside one that stays in this state."""
         if self.pushed:
-            table = HEDGE
+            table = HEDGE_DELAYS
         elif self._urgent:
-            table = HEDGE_URGENT
+            table = HEDGE_DELAYS_URGENT
         else:
-            table = HEDGE_BUSY if self._busy else HEDGE_ASKED
+            table = HEDGE_DELAYS_BUSY if self._busy else HEDGE_DELAYS_ASKED
         return self._jittered(table[at])
 
     def _jittered(self, wait: float) -> float:
@@ -425,7 +438,7 @@
     @property
     def _urgent(self) -> bool:
         """Whether what the last watch missed does not count as told yet."""
-        return self._lived_at is not None and _now() < self._lived_at + TOLD
+        return self._lived_at is not None and _now() < self._lived_at + DELIVERY_LIMIT
 
     async def _race(self) -> None:
         """Up to a watch that has spoken."""
@@ -449,13 +462,13 @@
                 async with asyncio.timeout_at(until):
                     await self._news.wait()
             except TimeoutError:
-                for _ in range(TURNS_OUT):
+                for _ in range(TURNS_BEFORE_CALL):
                     await asyncio.sleep(0)
                 turned = True
 
     def _begin(self) -> _Watch:
         """The next call; a row of mute ones is bounded: of those that came least far, the oldest gives way."""
-        if len(self._tries) >= (MAX_CALLS if self.pushed else MAX_CALLS_ASKED):
+        if len(self._tries) >= (MAX_CALLS_PUSHED if self.pushed else MAX_CALLS_ASKED):
             stages = list(WatchState)
             self._tries.pop(min(self._tries, key=lambda watch: stages.index(watch.at))).cancel()
         watch = _Watch(self._message, self._lived, self._spoilt, self._news.set)
@@ -475,7 +488,7 @@
             self._failed(f"silence, {error}")
         except (OSError, httptools.HttpParserError) as error:
             self._spoilt = self._spoilt or isinstance(error, UnreadableError)
-            self._busy = watch.refused in BUSY
+            self._busy = watch.refused in OVERLOAD_STATUSES
             if watch.refused and not self._busy:
                 self._since = None  # it may be the version that is not taken
             self._failed(repr(error))
@@ -532,7 +545,7 @@
         if watch is not self._watch and watch not in self._tries:
             return  # another has spoken before
         self._check_newer(listing)
-        self._since, self._failing, self._wait, self._spoilt = listing.version, False, BACKOFF_FIRST, False
+        self._since, self._failing, self._wait, self._spoilt = listing.version, False, INITIAL_BACKOFF, False
         self._tell(listing)
 
     def _check_newer(self, listing: Listing) -> None:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,11 +13,11 @@
 from cypresspulley import interface as api
 from cypresspulley.net import discovery
 from cypresspulley.net.discovery import (
-    BACKOFF_BROKEN,
-    BACKOFF_BUSY,
-    BACKOFF_FIRST,
-    LONGEST_WAIT,
-    TIMEOUT,
+    INITIAL_BACKOFF,
+    MAX_BACKOFF,
+    MAX_BACKOFF_BUSY,
+    MAX_CALL_INTERVAL,
+    TIMEOUTS,
     Discovery,
     DiscoveryClient,
     Listing,
@@ -103,7 +103,7 @@
 
 
 def test_a_silent_watch_is_begun_anew(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setitem(discovery.TIMEOUT, WatchState.FOLLOWING, 0.2)
+    monkeypatch.setitem(discovery.TIMEOUTS, WatchState.FOLLOWING, 0.2)
 
     async def main() -> None:
         agent = Agent([HEAD], [HEAD, chunk(message(58))], end=False)
@@ -123,7 +123,7 @@
             for _ in range(turns):
                 await asyncio.sleep(0)
             time.sleep(
-                TIMEOUT[WatchState.DIALING] + 0.1
+                TIMEOUTS[WatchState.DIALING] + 0.1
             )  # the timer is due before the loop sees that it is up
             await heard.wait()
             task.cancel()
@@ -177,15 +177,15 @@
 
 def test_a_discovery_that_is_silent_or_breaks_is_asked_again_before_its_news_count_as_told() -> None:
     """What it has to tell counts as told after 6 s: a drain that came then was heard of 10 s and more too late."""
-    assert TIMEOUT[WatchState.FOLLOWING] + TIMEOUT[WatchState.AWAITING_ANSWER] + 1.5 * BACKOFF_BROKEN < 6
-    assert all(max(backoffs(seed, busy=False)) <= 1.5 * BACKOFF_BROKEN for seed in range(40))
+    assert TIMEOUTS[WatchState.FOLLOWING] + TIMEOUTS[WatchState.AWAITING_ANSWER] + 1.5 * MAX_BACKOFF < 6
+    assert all(max(backoffs(seed, busy=False)) <= 1.5 * MAX_BACKOFF for seed in range(40))
 
 
 def test_a_watch_that_was_busy_once_and_then_silent_does_not_wait_as_for_a_busy_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setitem(discovery.TIMEOUT, WatchState.AWAITING_ANSWER, 0.05)
-    monkeypatch.setattr(discovery, "BACKOFF_FIRST", 0.01)
+    monkeypatch.setitem(discovery.TIMEOUTS, WatchState.AWAITING_ANSWER, 0.05)
+    monkeypatch.setattr(discovery, "INITIAL_BACKOFF", 0.01)
     waited = list[float]()
 
     async def main() -> None:
@@ -201,13 +201,16 @@
         await follow(agent, 1, 5)
 
     run(main())
-    assert len(waited) >= 4 and waited[3] <= 1.5 * BACKOFF_BROKEN
+    assert len(waited) >= 4 and waited[3] <= 1.5 * MAX_BACKOFF
 
 
 def test_each_try_waits_longer_than_the_one_before_and_apart_from_other_limiters() -> None:
     each = [backoffs(seed, busy=True) for seed in range(40)]
-    assert sum(first[0] for first in each) / 40 == pytest.approx(BACKOFF_FIRST, rel=0.2)
-    assert all(BACKOFF_BUSY / 2 <= last[-1] <= 1.5 * BACKOFF_BUSY <= LONGEST_WAIT + 1e-9 for last in each)
+    assert sum(first[0] for first in each) / 40 == pytest.approx(INITIAL_BACKOFF, rel=0.2)
+    assert all(
+        MAX_BACKOFF_BUSY / 2 <= last[-1] <= 1.5 * MAX_BACKOFF_BUSY <= MAX_CALL_INTERVAL + 1e-9
+        for last in each
+    )
     # What 40 limiters ask together in the busiest tenth of a second, at their fifth try.
     at = sorted(sum(waits[:5]) for waits in each)
     assert max(sum(t <= other < t + 0.1 for other in at) for t in at) <= 10
--- a/tests/test_discovery_budget.py
+++ b/tests/test_discovery_budget.py
@@ -13,17 +13,17 @@
 import pytest
 
 from cypresspulley.net.discovery import (
-    BACKOFF_BROKEN,
-    HEARTBEAT,
-    HEDGE,
-    HEDGE_ASKED,
-    HEDGE_BUSY,
-    HEDGE_URGENT,
+    DELIVERY_MARGIN,
+    HEARTBEAT_INTERVAL,
+    HEDGE_DELAYS,
+    HEDGE_DELAYS_ASKED,
+    HEDGE_DELAYS_BUSY,
+    HEDGE_DELAYS_URGENT,
     JITTER,
-    LONGEST_WAIT,
-    MARGIN,
+    MAX_BACKOFF,
+    MAX_CALL_INTERVAL,
     MAX_CALLS_ASKED,
-    TIMEOUT,
+    TIMEOUTS,
     Discovery,
     DiscoveryClient,
     Listing,
@@ -101,7 +101,7 @@
             }  # fmt: skip
             writer.write(answers.get(kind, b""))
             while kind == "half, beats" and not reader.at_eof():
-                await asyncio.sleep(HEARTBEAT)
+                await asyncio.sleep(HEARTBEAT_INTERVAL)
                 writer.write(chunk(b"\n"))
         else:
             await asyncio.sleep(self._turn)
@@ -226,28 +226,30 @@
 def test_every_wait_comes_from_the_budget() -> None:
     """The longest wait, a dial, a head and a whole list take 6 s less the margin."""
     longest = (
-        LONGEST_WAIT
-        + TIMEOUT[WatchState.DIALING]
-        + TIMEOUT[WatchState.AWAITING_ANSWER]
-        + TIMEOUT[WatchState.PARTIAL_MESSAGE]
+        MAX_CALL_INTERVAL
+        + TIMEOUTS[WatchState.DIALING]
+        + TIMEOUTS[WatchState.AWAITING_ANSWER]
+        + TIMEOUTS[WatchState.PARTIAL_MESSAGE]
     )
     assert (
-        longest == pytest.approx(TOLD - MARGIN)
-        and MARGIN >= 0.3
-        and TIMEOUT[WatchState.AWAITING_ANSWER] > TURN
+        longest == pytest.approx(TOLD - DELIVERY_MARGIN)
+        and DELIVERY_MARGIN >= 0.3
+        and TIMEOUTS[WatchState.AWAITING_ANSWER] > TURN
     )
     hedges = [
-        table[at] * (1 + JITTER) for table in (HEDGE, HEDGE_ASKED, HEDGE_BUSY, HEDGE_URGENT) for at in table
+        table[at] * (1 + JITTER)
+        for table in (HEDGE_DELAYS, HEDGE_DELAYS_ASKED, HEDGE_DELAYS_BUSY, HEDGE_DELAYS_URGENT)
+        for at in table
     ]
-    assert max(hedges) <= LONGEST_WAIT + 1e-9 and BACKOFF_BROKEN * (1 + JITTER) < GRACE
+    assert max(hedges) <= MAX_CALL_INTERVAL + 1e-9 and MAX_BACKOFF * (1 + JITTER) < GRACE
     for busy, pushed in ((True, False), (False, False), (True, True)):
         watch = Discovery(*WATCH, 41, lambda _: None, lambda: 1.0, pushed)
         watch._busy = busy
         waits = [watch.backoff() for _ in range(20)]
-        assert max(waits) <= LONGEST_WAIT + 1e-9
+        assert max(waits) <= MAX_CALL_INTERVAL + 1e-9
     assert (
-        MAX_CALLS_ASKED * HEDGE_URGENT[WatchState.AWAITING_ANSWER] * (1 - JITTER)
-        > TIMEOUT[WatchState.AWAITING_ANSWER]
+        MAX_CALLS_ASKED * HEDGE_DELAYS_URGENT[WatchState.AWAITING_ANSWER] * (1 - JITTER)
+        > TIMEOUTS[WatchState.AWAITING_ANSWER]
     ), "each has its whole time"
 
 
--- a/tests/test_endings_discovery.py
+++ b/tests/test_endings_discovery.py
@@ -19,7 +19,7 @@
 
 from cypresspulley import interface as api
 from cypresspulley.net import discovery
-from cypresspulley.net.discovery import HEDGE, Discovery, DiscoveryClient, Listing, WatchState
+from cypresspulley.net.discovery import HEDGE_DELAYS, Discovery, DiscoveryClient, Listing, WatchState
 from cypresspulley.rehearsal.virtual.loop import VirtualLoop, run_virtual
 from tests.loopback import run
 from tests.test_discovery import HEAD, chunk, message
@@ -151,9 +151,9 @@
             await asyncio.sleep(0.05)
             assert ends(loop, OLD) <= 4
         assert (
-            10 / (1.5 * HEDGE[WatchState.AWAITING_ANSWER]) - 2
+            10 / (1.5 * HEDGE_DELAYS[WatchState.AWAITING_ANSWER]) - 2
             < len(agent.asked)
-            < 10 / (0.5 * HEDGE[WatchState.AWAITING_ANSWER])
+            < 10 / (0.5 * HEDGE_DELAYS[WatchState.AWAITING_ANSWER])
         )
         task.cancel()
         await asyncio.sleep(0.1)
@@ -514,7 +514,7 @@
 
 def quick(monkeypatch: pytest.MonkeyPatch) -> None:
     for at in WatchState:
-        monkeypatch.setitem(discovery.HEDGE, at, 0.02)
+        monkeypatch.setitem(discovery.HEDGE_DELAYS, at, 0.02)
 
 
 @pytest.mark.parametrize("how", ["reset", "end"])
@@ -604,7 +604,7 @@
 def test_dials_that_never_come_up_leave_no_descriptor(monkeypatch: pytest.MonkeyPatch) -> None:
     """A listener with a full queue: the machine of a discovery that takes nobody."""
     quick(monkeypatch)
-    monkeypatch.setitem(discovery.TIMEOUT, WatchState.DIALING, 0.05)
+    monkeypatch.setitem(discovery.TIMEOUTS, WatchState.DIALING, 0.05)
     begin = Discovery._begin
 
     async def play(loop: asyncio.AbstractEventLoop, host: str, port: int) -> int:
--- a/tests/test_watch_clock.py
+++ b/tests/test_watch_clock.py
@@ -15,7 +15,7 @@
 
 from cypresspulley.net import discovery
 from cypresspulley.net.discovery import (
-    LONGEST_WAIT,
+    MAX_CALL_INTERVAL,
     Discovery,
     DiscoveryClient,
     Listing,
@@ -147,7 +147,7 @@
 @pytest.mark.parametrize("troubles", [("busy",) * 7, ("mute",) * 7], ids=", ".join)
 def test_what_cannot_be_met_is_known_soon_after_the_trouble(troubles: tuple[str, ...]) -> None:
     """The note states these; the decisions have to do with them."""
-    assert TOLD < seconds(*troubles, pushed=False) < TOLD + LONGEST_WAIT
+    assert TOLD < seconds(*troubles, pushed=False) < TOLD + MAX_CALL_INTERVAL
 
 
 def test_where_lists_are_pushed_a_row_of_refusals_ends_in_time() -> None:
@@ -331,7 +331,7 @@
 
 @pytest.mark.parametrize("data", ENDLESS.values(), ids=ENDLESS)
 def test_what_has_no_end_is_bounded(data: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "MAX_LINE", 50_000)
+    monkeypatch.setattr(discovery, "MAX_MESSAGE_BYTES", 50_000)
     messages = MessageDecoder()
     with pytest.raises(UnreadableError):
         for _ in range(10_000):
--- a/tests/test_whole_lists.py
+++ b/tests/test_whole_lists.py
@@ -9,7 +9,7 @@
 import pytest
 
 from cypresspulley import interface as api
-from cypresspulley.net.discovery import HEALTH, DiscoveryClient
+from cypresspulley.net.discovery import HEALTH_BY_NAME, DiscoveryClient
 from tests.loopback import Limiter, Origin, Script, ask, forward, listening, run
 from tests.test_discovery import HEAD, chunk
 
@@ -94,7 +94,7 @@
             follower = DiscoveryClient(limiter.node.apply_listing, lambda: 0.0, pushed=True)
             follower.follow(host, int(port), 41)
             lists = await script.until(api.ServerList, 3)  # the one it began with, and two of discovery
-            assert lists[2].entries[0].health is HEALTH[health]
+            assert lists[2].entries[0].health is HEALTH_BY_NAME[health]
             go.set()
             (*_, last) = await script.until(api.ServerList, 4)
             assert last.complete and [entry.name for entry in last.entries] == ["s2"]
