--- a/cypresspulley/net/discovery.py
+++ b/cypresspulley/net/discovery.py
@@ -128,15 +128,15 @@
 MAX_CALLS_ASKED = 15
 
 
-class SilenceError(ConnectionError):
+class WatchTimeoutError(ConnectionError):
     """A watch has said nothing for as long as it may."""
 
 
-class UnreadableError(ConnectionError):
+class MalformedMessageError(ConnectionError):
     """A message that is none: what it had to tell is asked for again."""
 
 
-class BehindError(ConnectionError):
+class OutdatedListError(ConnectionError):
     """A message older than what is known: it is asked for again."""
 
 
@@ -164,7 +164,7 @@
         *lines, self._rest = (self._rest + data).split(b"\n")
         found = [message for line in lines for message in self._line(line.strip())]
         if self._size + len(self._rest) > MAX_MESSAGE_BYTES:
-            raise UnreadableError("a message without an end")
+            raise MalformedMessageError("a message without an end")
         return found
 
     def _line(self, line: bytes) -> list[Any]:
@@ -191,7 +191,7 @@
 
     def _unreadable(self, error: Exception) -> list[Any]:
         if not self._skip:
-            raise UnreadableError(f"not JSON: {error!r:.80}") from None
+            raise MalformedMessageError(f"not JSON: {error!r:.80}") from None
         log.warning("dropped an unreadable line of discovery: %r", error)
         return []
 
@@ -253,7 +253,7 @@
                 if not dial.done():
                     await asyncio.sleep(0)
             if not dial.done():
-                raise SilenceError("a dial that did not come up")
+                raise WatchTimeoutError("a dial that did not come up")
             await dial
         finally:
             dial.cancel()
@@ -296,7 +296,7 @@
         if turns:
             self._loop.call_soon(self._judge, turns - 1)
         else:
-            self._finish(SilenceError(self.at.value))
+            self._finish(WatchTimeoutError(self.at.value))
 
     @property
     def _due(self) -> float:
@@ -483,11 +483,11 @@
         try:
             await watch.open(self._host, self._port, request.encode())
             await watch.ended
-        except SilenceError as error:
+        except WatchTimeoutError as error:
             keep = watch is self._watch
             self._failed(f"silence, {error}")
         except (OSError, httptools.HttpParserError) as error:
-            self._spoilt = self._spoilt or isinstance(error, UnreadableError)
+            self._spoilt = self._spoilt or isinstance(error, MalformedMessageError)
             self._busy = watch.refused in OVERLOAD_STATUSES
             if watch.refused and not self._busy:
                 self._since = None  # it may be the version that is not taken
@@ -533,7 +533,7 @@
             listing = parse_listing(message)
         except ValueError as error:
             if not self._spoilt:
-                raise UnreadableError(str(error)) from None
+                raise MalformedMessageError(str(error)) from None
             return log.warning("dropped an unreadable message of discovery: %s", error)
         if watch is self._old:
             # It may have missed something: what it tells holds, but the next is asked from before.
@@ -556,7 +556,7 @@
             self._doubted = True
             if part and listing.version < (since or 0):
                 self._since = None  # a part of a list that is not known
-            raise BehindError(f"version {listing.version} behind {max(self._ahead or 0, since or 0)}")
+            raise OutdatedListError(f"version {listing.version} behind {max(self._ahead or 0, since or 0)}")
         self._doubted, self._ahead = False, None
 
 
--- a/tests/test_watch_clock.py
+++ b/tests/test_watch_clock.py
@@ -19,8 +19,8 @@
     Discovery,
     DiscoveryClient,
     Listing,
+    MalformedMessageError,
     MessageDecoder,
-    UnreadableError,
 )
 from cypresspulley.rehearsal.virtual.loop import VirtualLoop, run_virtual
 from cypresspulley.rehearsal.virtual.owner import OWNER, Owner
@@ -319,7 +319,7 @@
     try:
         for piece in pieces:
             messages.feed(piece)
-    except UnreadableError:
+    except MalformedMessageError:
         pass
 
 
@@ -333,7 +333,7 @@
 def test_what_has_no_end_is_bounded(data: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery, "MAX_MESSAGE_BYTES", 50_000)
     messages = MessageDecoder()
-    with pytest.raises(UnreadableError):
+    with pytest.raises(MalformedMessageError):
         for _ in range(10_000):
             messages.feed(data)
             messages.feed(b"x" * 100)
