--- a/cypresspulley/net/discovery.py
+++ b/cypresspulley/net/discovery.py
@@ -215,7 +215,7 @@
         """``lived`` hears of each whole line, ``stepped`` of each step from one state to another."""
         self._loop = asyncio.get_running_loop()
         self._said = said
-        self._lived = lived
+        self._lived = on_contact
         self._stepped = stepped
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
@@ -373,7 +373,7 @@
     def __init__(
         self, host: str, port: int, since: int | None, tell: Callable[[Listing], None],
         draw: Callable[[], float] = lambda: 0.5, pushed: bool = False,
-        lived: Callable[[], None] = lambda: None,
+        on_contact: Callable[[], None] = lambda: None,
     ) -> None:  # fmt: skip
         """``pushed``: an agent on this machine has what it was sent, and a call costs nobody anything. ``lived`` hears
         of each whole line of the watch, be it empty."""
@@ -384,7 +384,7 @@
         self._draw = draw
         self._wait = INITIAL_BACKOFF
         self.pushed = pushed
-        self._confirm = lived
+        self._confirm = on_contact
         self._failing = False
         self._busy = False
         self._spoilt = False  # the last message could not be read, and has been asked for again
@@ -569,14 +569,14 @@
 
     def __init__(
         self, tell: Callable[[Listing], None], draw: Callable[[], float] = lambda: 0.5, pushed: bool = False,
-        lived: Callable[[], None] = lambda: None,
+        on_contact: Callable[[], None] = lambda: None,
     ) -> None:  # fmt: skip
         """``draw`` gives numbers from 0 to 1 of the limiter's own, so that many do not ask together. ``lived`` hears of
         each sign of life of the discovery that is followed."""
         self._tell = tell
         self._draw = draw
         self._pushed = pushed
-        self._lived = lived
+        self._lived = on_contact
         self._watches = dict[asyncio.Task[None], Discovery]()  # of both tasks below
         self._heard: asyncio.Task[None] | None = None  # the watch that has spoken last
         self._coming: asyncio.Task[None] | None = None
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -147,7 +147,7 @@
             clock = limiter.node._clock
             host, port = address.split(":")
             follower = DiscoveryClient(
-                limiter.node.apply_listing, lambda: 0.5, lived=limiter.node.record_discovery_contact
+                limiter.node.apply_listing, lambda: 0.5, on_contact=limiter.node.record_discovery_contact
             )
             follower.follow(host, int(port))
             await until(lambda: len(lists(script)) == 2)
