--- a/cypresspulley/net/counter.py
+++ b/cypresspulley/net/counter.py
@@ -37,7 +37,7 @@
     result: tuple[Status, float] | None = None
 
 
-class _Link(asyncio.Protocol):
+class _Connection(asyncio.Protocol):
     """One connection to the counter."""
 
     def __init__(self, client: CounterClient, address: Address) -> None:
@@ -48,7 +48,7 @@
         self._buffer = b""
         self.paused = False
         self.used = 0.0
-        self._leaving = False
+        self._closes_when_answered = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
@@ -56,7 +56,7 @@
         self._transport = transport
 
     @property
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         return self._transport is not None and not self._transport.is_closing()
 
     def write(self, call: _Call, now: float) -> None:
@@ -65,9 +65,9 @@
         call.sent = self.used = now
         self._transport.write(call.line)
 
-    def leave(self) -> None:
+    def close_when_answered(self) -> None:
         """Take no new calls, and close once those that are out have been answered."""
-        self._leaving = True
+        self._closes_when_answered = True
         if not self.written:
             self.abort()
 
@@ -90,10 +90,10 @@
     def data_received(self, data: bytes) -> None:
         *lines, self._buffer = (self._buffer + data).split(b"\n")
         for line in lines:
-            if not self.usable:
+            if not self.is_usable:
                 return
             self._answered(line.rstrip(b"\r"))
-        if self._leaving and not self.written:
+        if self._closes_when_answered and not self.written:
             self.abort()
         elif not _may_begin_an_answer(self._buffer):
             self._spoilt(self._buffer)  # noise need not end its line, and the wait for that would be silence
@@ -148,8 +148,8 @@
         self._address = (host, port)
         self._timeout = timeout
         self._loop = asyncio.get_running_loop()
-        self._link: _Link | None = None
-        self._left = set[_Link]()  # they only answer what they owe
+        self._connection: _Connection | None = None
+        self._draining = set[_Connection]()  # they only answer what they owe
         self._queued = deque[_Call]()
         # The decisions match results to calls by their order for a name: with two connections, one left
         # and one new, an answer that overtakes another waits for it here (for the time-out at most).
@@ -191,7 +191,7 @@
             self._check_at.cancel()
         if self._dial is not None:
             self._dial.cancel()
-        for link in (*self._left, self._link):
+        for link in (*self._draining, self._connection):
             if link is not None:
                 link.abort()
         queued, self._queued = self._queued, deque()
@@ -200,7 +200,7 @@
 
     def flush(self) -> None:
         # One line at a time goes to the transport: what stands in the queue is known not to be written.
-        while self._queued and (link := self._link) is not None and link.usable and not link.paused:
+        while self._queued and (link := self._connection) is not None and link.is_usable and not link.paused:
             link.write(self._queued.popleft(), self._loop.time())
 
     def finish(self, call: _Call, status: Status, total: float = 0.0) -> None:
@@ -218,11 +218,11 @@
             assert first.done is not None
             first.done(*result)
 
-    def lost(self, link: _Link) -> None:
+    def lost(self, link: _Connection) -> None:
         """A connection has ended: the one in use is replaced at once, and what waits goes out on the next."""
-        self._left.discard(link)
-        if link is self._link:
-            self._link = None
+        self._draining.discard(link)
+        if link is self._connection:
+            self._connection = None
             self._loop.call_later(max(0.0, self._dialed + REDIAL - self._loop.time()), self._redial)
 
     def _put(self, call: _Call) -> None:
@@ -239,8 +239,8 @@
     def _check(self) -> None:
         """Redial a lost connection, ping an idle one, give up a silent one."""
         self._check_at = self._loop.call_later(CHECK, self._check)
-        now, link = self._loop.time(), self._link
-        for left in list(self._left):
+        now, link = self._loop.time(), self._connection
+        for left in list(self._draining):
             if left.written and now - left.written[0].sent > DEAD:
                 left.abort()
         if link is not None and link.written and now - link.written[0].sent > DEAD:
@@ -251,14 +251,14 @@
         self._redial()
 
     def _redial(self) -> None:
-        settled = self._link is not None and self._link.address == self._address
+        settled = self._connection is not None and self._connection.address == self._address
         if self._check_at is None or self._check_at.cancelled() or self._dial is not None or settled:
             return
         self._dialed = self._loop.time()
         self._dial = self._loop.create_task(self._connect(self._address))
 
     async def _connect(self, address: Address) -> None:
-        link = _Link(self, address)
+        link = _Connection(self, address)
         try:
             async with asyncio.timeout(DIAL_TIMEOUT):
                 await self._loop.create_connection(lambda: link, *address)
@@ -270,11 +270,11 @@
         except asyncio.CancelledError:
             return link.abort()  # whoever cancelled it has forgotten it
         self._dial, self._failing, link.used = None, False, self._loop.time()
-        old, self._link = self._link, link
+        old, self._connection = self._connection, link
         if old is not None:
-            self._left.add(old)
-            old.leave()
-        if link.usable:
+            self._draining.add(old)
+            old.close_when_answered()
+        if link.is_usable:
             self.flush()
         else:
             self.lost(link)  # it broke before it was known here
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -82,7 +82,7 @@
         async with connected(10.0) as (tally, writer, client):
             written = call(client, 1)
             await tally.lines.get()
-            link = client._link
+            link = client._connection
             assert link is not None
             link.pause_writing()  # as when the socket's buffer is full
             partly = call(client, 2)
@@ -151,7 +151,7 @@
             during = call(client, 8)  # the new one is not up: the old one still serves
             assert (await here.lines.get()).startswith(b"tally 8 ")
             new = await there.connections.get()
-            while client._link is None or client._link.address[1] != int(port):
+            while client._connection is None or client._connection.address[1] != int(port):
                 await asyncio.sleep(0.001)
             late, other = call(client, 7), call(client, 9)
             assert (await there.lines.get()).startswith(b"tally 7 ")
@@ -162,7 +162,7 @@
             old.write(b"ok 1\r\nok 8\r\n")
             assert [await owed, await late, await during] == [(Status.OK, float(n)) for n in (1, 2, 8)]
             assert not client._order
-            while client._left:  # and the old connection closes by itself
+            while client._draining:  # and the old connection closes by itself
                 await asyncio.sleep(0.001)
 
     run(main())
--- a/tests/test_endings_counter.py
+++ b/tests/test_endings_counter.py
@@ -62,7 +62,7 @@
     calls = Calls(peer, timeout)
     calls.client.start()
     sock = await peer.accept()
-    while calls.client._link is None:
+    while calls.client._connection is None:
         await asyncio.sleep(0.001)
     try:
         yield peer, sock, calls
@@ -86,8 +86,8 @@
             elif end == "FIN":
                 sock.close()
             else:
-                assert calls.client._link is not None
-                calls.client._link.abort()
+                assert calls.client._connection is not None
+                calls.client._connection.abort()
             said = await calls.until(3)
             assert said == [(0, Status.OK, 1.0), (1, Status.BROKEN, 0.0), (2, Status.BROKEN, 0.0)]
             calls.call()  # goes on the next connection, which owes nothing of the last one
@@ -106,7 +106,7 @@
 
     async def main() -> None:
         async with connected() as (_, sock, calls):
-            link = calls.client._link
+            link = calls.client._connection
             assert link is not None
             calls.call()
             link.pause_writing()  # as when the socket's buffer took half of it
@@ -184,7 +184,7 @@
             host, port = there.dial.split(":")
             calls.client.move(host, int(port))
             new = await there.accept()
-            while calls.client._link is None or calls.client._link.address[1] != int(port):
+            while calls.client._connection is None or calls.client._connection.address[1] != int(port):
                 await asyncio.sleep(0.001)
             calls.call()
             assert len(await read_lines(new, 1)) == 1
@@ -201,7 +201,7 @@
                 (0, Status.OK, 1.0), second.get(owed, (1, Status.MALFORMED, 0.0)), (2, Status.OK, 30.0),
             ]  # fmt: skip
             calls.at_rest()
-            while calls.client._left:
+            while calls.client._draining:
                 await asyncio.sleep(0.001)
             if owed != "broken":
                 assert await end_of(old) in ("FIN", "RST")
@@ -227,7 +227,7 @@
             last = await peers[2].accept()
             old.send(b"ok 1\r\n")
             assert await calls.until(1) == [(0, Status.OK, 1.0)]
-            while calls.client._left or calls.client._link is None:
+            while calls.client._draining or calls.client._connection is None:
                 await asyncio.sleep(0.001)
             calls.call()
             assert len(await read_lines(last, 1)) == 1
@@ -270,7 +270,7 @@
         calls.client.move("127.0.0.1", 1)
         while calls.client._dial is not None:
             await asyncio.sleep(0.001)
-        assert calls.client._link is None
+        assert calls.client._connection is None
         peer.close()
 
     run(main())
--- a/tests/test_endings_leaving.py
+++ b/tests/test_endings_leaving.py
@@ -414,7 +414,7 @@
         monkeypatch.setattr(kind, "connection_made", connection_made)
 
     noted(net_upstream._Connection, "server")
-    noted(net_counter._Link, "counter")
+    noted(net_counter._Connection, "counter")
     noted(net_discovery._Watch, "discovery")
 
     async def main() -> None:
--- a/tests/test_endings_servers.py
+++ b/tests/test_endings_servers.py
@@ -924,9 +924,9 @@
             client = CounterClient(host, int(port), 1.0)
             client.start()
             await peer.accept()
-            while client._link is None:
+            while client._connection is None:
                 await asyncio.sleep(0.001)
-            transport, close = client._link._transport, client.close
+            transport, close = client._connection._transport, client.close
         sock = transport.get_extra_info("socket")
         assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
         transport.abort()
@@ -1146,7 +1146,7 @@
         servers = self.upstream._servers.values()
         assert all(s.open_connections == len(s.idle) and not s.waiting_for_dial for s in servers)
         assert self.upstream._open_connections == sum(s.open_connections for s in servers)
-        assert not self.counter._order and not self.counter._left
+        assert not self.counter._order and not self.counter._draining
         for client in self.clients:
             got, id = client["got"], client["id"]
             assert got.count(b"HTTP/1.1 ") == 1 if not client["left"] else not got, f"{id}: {got!r:.200}"
