--- a/cypresspulley/net/counter.py
+++ b/cypresspulley/net/counter.py
@@ -150,10 +150,10 @@
         self._loop = asyncio.get_running_loop()
         self._connection: _Connection | None = None
         self._draining = set[_Connection]()  # they only answer what they owe
-        self._queued = deque[_Call]()
+        self._queue = deque[_Call]()
         # The decisions match results to calls by their order for a name: with two connections, one left
         # and one new, an answer that overtakes another waits for it here (for the time-out at most).
-        self._order = dict[int, deque[_Call]]()
+        self._calls_by_name = dict[int, deque[_Call]]()
         self._failing = False
         self._dialed = 0.0
         self._dial: asyncio.Task[None] | None = None
@@ -183,7 +183,7 @@
         line = b"tally %d %.6f %d\r\n" % (name, amount, milliseconds)
         call = _Call(line, self._loop.time(), name, done)
         call.timer = self._loop.call_later(self._timeout, self._give_up, call)
-        self._order.setdefault(name, deque()).append(call)
+        self._calls_by_name.setdefault(name, deque()).append(call)
         self._put(call)
 
     def close(self) -> None:
@@ -194,14 +194,14 @@
         for link in (*self._draining, self._connection):
             if link is not None:
                 link.abort()
-        queued, self._queued = self._queued, deque()
+        queued, self._queue = self._queue, deque()
         for call in queued:
             self.finish(call, Status.UNREACHABLE)
 
     def flush(self) -> None:
         # One line at a time goes to the transport: what stands in the queue is known not to be written.
-        while self._queued and (link := self._connection) is not None and link.is_usable and not link.paused:
-            link.write(self._queued.popleft(), self._loop.time())
+        while self._queue and (link := self._connection) is not None and link.is_usable and not link.paused:
+            link.write(self._queue.popleft(), self._loop.time())
 
     def finish(self, call: _Call, status: Status, total: float = 0.0) -> None:
         """Settle a call once, behind the earlier ones for its name."""
@@ -210,11 +210,11 @@
         call.result = status, total
         if call.timer is not None:
             call.timer.cancel()
-        line = self._order[call.name]
+        line = self._calls_by_name[call.name]
         while line and (result := line[0].result) is not None:
             first = line.popleft()
             if not line:
-                del self._order[call.name]  # names come from outside: those at rest are not kept
+                del self._calls_by_name[call.name]  # names come from outside: those at rest are not kept
             assert first.done is not None
             first.done(*result)
 
@@ -226,12 +226,12 @@
             self._loop.call_later(max(0.0, self._dialed + REDIAL - self._loop.time()), self._redial)
 
     def _put(self, call: _Call) -> None:
-        self._queued.append(call)
+        self._queue.append(call)
         self.flush()
 
     def _give_up(self, call: _Call) -> None:
-        if call in self._queued:
-            self._queued.remove(call)
+        if call in self._queue:
+            self._queue.remove(call)
             self.finish(call, Status.UNREACHABLE)
         else:
             self.finish(call, Status.TIMEOUT)  # it keeps its place: its answer is still to come
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -161,7 +161,7 @@
             assert not late.done()  # for this name the old one owes an earlier answer
             old.write(b"ok 1\r\nok 8\r\n")
             assert [await owed, await late, await during] == [(Status.OK, float(n)) for n in (1, 2, 8)]
-            assert not client._order
+            assert not client._calls_by_name
             while client._draining:  # and the old connection closes by itself
                 await asyncio.sleep(0.001)
 
--- a/tests/test_endings_counter.py
+++ b/tests/test_endings_counter.py
@@ -53,7 +53,7 @@
     def at_rest(self) -> None:
         """Each call has ended once; nothing is kept of it."""
         assert sorted(number for number, _, _ in self.ended) == list(range(self.made))
-        assert not self.client._order and not self.client._queued
+        assert not self.client._calls_by_name and not self.client._queue
 
 
 @asynccontextmanager
@@ -130,7 +130,7 @@
             calls.call()
             calls.call()
             await read_lines(sock, 2)
-            (one, two) = calls.client._order[7]
+            (one, two) = calls.client._calls_by_name[7]
             if first == "time-out":
                 calls.client._give_up(one)
                 sock.send(b"ok 1\r\nok 2\r\n")
@@ -157,7 +157,7 @@
         calls.client.start()
         calls.call()
         calls.call()
-        calls.client._give_up(calls.client._queued[0])
+        calls.client._give_up(calls.client._queue[0])
         assert calls.ended == [(0, Status.UNREACHABLE, 0.0)]
         await peer.admit()
         sock = await peer.accept()
--- a/tests/test_endings_servers.py
+++ b/tests/test_endings_servers.py
@@ -1146,7 +1146,7 @@
         servers = self.upstream._servers.values()
         assert all(s.open_connections == len(s.idle) and not s.waiting_for_dial for s in servers)
         assert self.upstream._open_connections == sum(s.open_connections for s in servers)
-        assert not self.counter._order and not self.counter._draining
+        assert not self.counter._calls_by_name and not self.counter._draining
         for client in self.clients:
             got, id = client["got"], client["id"]
             assert got.count(b"HTTP/1.1 ") == 1 if not client["left"] else not got, f"{id}: {got!r:.200}"
