--- a/cypresspulley/net/counter.py
+++ b/cypresspulley/net/counter.py
@@ -14,15 +14,15 @@
 
 log = logging.getLogger(__name__)
 
-CHECK = 0.5  # seconds between two looks at the line
-PING = 2.0  # silent seconds until a ping keeps the connection: an idle one is closed
-DEAD = 1.5  # seconds that the oldest unanswered line may wait before the connection is given up
+CHECK_INTERVAL = 0.5  # seconds between two looks at the line
+PING_INTERVAL = 2.0  # silent seconds until a ping keeps the connection: an idle one is closed
+ANSWER_TIMEOUT = 1.5  # seconds that the oldest unanswered line may wait before the connection is given up
 DIAL_TIMEOUT = 1.0
-REDIAL = 0.05  # seconds between two dials after breaks, so that a peer that only closes is no busy loop
-MAX_LINE = 64
-TOTAL = re.compile(rb"ok ([+-]?[0-9]{1,20}(?:\.[0-9]{0,20})?(?:[eE][+-]?[0-9]{1,2})?)")
-BEGUN = re.compile(rb"ok [-+.0-9eE]*\r?")
-PLAIN = {b"busy": Status.FULL, b"error": Status.ERROR, b"pong": Status.OK}
+REDIAL_DELAY = 0.05  # seconds between two dials after breaks, so that a peer that only closes is no busy loop
+MAX_LINE_BYTES = 64
+TOTAL_ANSWER = re.compile(rb"ok ([+-]?[0-9]{1,20}(?:\.[0-9]{0,20})?(?:[eE][+-]?[0-9]{1,2})?)")
+PARTIAL_TOTAL_ANSWER = re.compile(rb"ok [-+.0-9eE]*\r?")
+STATUS_BY_ANSWER = {b"busy": Status.FULL, b"error": Status.ERROR, b"pong": Status.OK}
 Address = tuple[str, int]
 Done = Callable[[Status, float], None]
 
@@ -99,8 +99,8 @@
             self._spoilt(self._buffer)  # noise need not end its line, and the wait for that would be silence
 
     def _answered(self, line: bytes) -> None:
-        form = TOTAL.fullmatch(line)
-        status = Status.OK if form else PLAIN.get(line)
+        form = TOTAL_ANSWER.fullmatch(line)
+        status = Status.OK if form else STATUS_BY_ANSWER.get(line)
         if status is None or not self.written:
             return self._spoilt(line)
         self._client.finish(self.written.popleft(), status, float(form[1]) if form else 0.0)
@@ -121,10 +121,10 @@
 
 
 def _may_begin_an_answer(text: bytes) -> bool:
-    if len(text) > MAX_LINE:
+    if len(text) > MAX_LINE_BYTES:
         return False
-    words = any(word.startswith(text.rstrip(b"\r")) for word in (b"ok ", *PLAIN))
-    return words or BEGUN.fullmatch(text) is not None
+    words = any(word.startswith(text.rstrip(b"\r")) for word in (b"ok ", *STATUS_BY_ANSWER))
+    return words or PARTIAL_TOTAL_ANSWER.fullmatch(text) is not None
 
 
 class Counter(Protocol):
@@ -223,7 +223,7 @@
         self._draining.discard(link)
         if link is self._connection:
             self._connection = None
-            self._loop.call_later(max(0.0, self._dialed + REDIAL - self._loop.time()), self._redial)
+            self._loop.call_later(max(0.0, self._dialed + REDIAL_DELAY - self._loop.time()), self._redial)
 
     def _put(self, call: _Call) -> None:
         self._queue.append(call)
@@ -238,15 +238,15 @@
 
     def _check(self) -> None:
         """Redial a lost connection, ping an idle one, give up a silent one."""
-        self._check_at = self._loop.call_later(CHECK, self._check)
+        self._check_at = self._loop.call_later(CHECK_INTERVAL, self._check)
         now, link = self._loop.time(), self._connection
         for left in list(self._draining):
-            if left.written and now - left.written[0].sent > DEAD:
+            if left.written and now - left.written[0].sent > ANSWER_TIMEOUT:
                 left.abort()
-        if link is not None and link.written and now - link.written[0].sent > DEAD:
+        if link is not None and link.written and now - link.written[0].sent > ANSWER_TIMEOUT:
             log.warning("the counter is silent: connecting anew")
             link.abort()
-        elif link is not None and now - link.used > PING:
+        elif link is not None and now - link.used > PING_INTERVAL:
             self._put(_Call(b"ping\r\n", now))
         self._redial()
 
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -188,9 +188,9 @@
 def test_an_idle_connection_is_kept_by_pings_and_a_silent_one_replaced(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(counter, "CHECK", 0.01)
-    monkeypatch.setattr(counter, "PING", 0.02)
-    monkeypatch.setattr(counter, "DEAD", 0.1)
+    monkeypatch.setattr(counter, "CHECK_INTERVAL", 0.01)
+    monkeypatch.setattr(counter, "PING_INTERVAL", 0.02)
+    monkeypatch.setattr(counter, "ANSWER_TIMEOUT", 0.1)
 
     async def main() -> None:
         async with connected(10.0) as (tally, _, _):
