--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -184,7 +184,7 @@
         upstream.retune(timing.dial_timeout, timing.idle_timeout)
         follower.retune(timing.discovery_pushes)
         if counter is not None and settings.counter_timeout > 0:
-            counter.retune(settings.counter_timeout)
+            counter.set_timeout(settings.counter_timeout)
         node.retune(settings)
         frontend.reader.retune(settings)
         service.retuned()
--- a/cypresspulley/keeper/engine.py
+++ b/cypresspulley/keeper/engine.py
@@ -213,7 +213,7 @@
     def move(self, host: str, port: int) -> None:
         """The platform's configuration names another keeper: not ours, the operators' file has the engine."""
 
-    def retune(self, timeout: float) -> None:
+    def set_timeout(self, timeout: float) -> None:
         """Other settings: calls from now on are waited for so many seconds."""
         self._timeout = timeout
 
--- a/cypresspulley/net/counter.py
+++ b/cypresspulley/net/counter.py
@@ -134,7 +134,7 @@
 
     def move(self, host: str, port: int) -> None: ...
 
-    def retune(self, timeout: float) -> None: ...
+    def set_timeout(self, timeout: float) -> None: ...
 
     def call(self, name: int, amount: float, lifetime: float, done: Done) -> None: ...
 
@@ -173,7 +173,7 @@
             self._dial = None
         self._redial()
 
-    def retune(self, timeout: float) -> None:
+    def set_timeout(self, timeout: float) -> None:
         """Other settings: calls from now on are waited for so many seconds."""
         self._timeout = timeout
 
