--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -182,7 +182,7 @@
         nonlocal timing
         timing = newest
         upstream.retune(timing.dial_timeout, timing.idle_timeout)
-        follower.retune(timing.discovery_pushes)
+        follower.set_pushed(timing.discovery_pushes)
         if counter is not None and settings.counter_timeout > 0:
             counter.set_timeout(settings.counter_timeout)
         node.retune(settings)
--- a/cypresspulley/net/discovery.py
+++ b/cypresspulley/net/discovery.py
@@ -595,7 +595,7 @@
         task = self._coming = asyncio.get_running_loop().create_task(watch.follow())
         self._watches[task] = watch
 
-    def retune(self, pushed: bool) -> None:
+    def set_pushed(self, pushed: bool) -> None:
         """Lists are pushed from now on, or asked for."""
         self._pushed = pushed
         for watch in self._watches.values():
