--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -359,7 +359,7 @@
         if addresses is None:
             return
         if self._peers is not None:
-            return self._peers.follow(list(addresses.peers), addresses.everyone)
+            return self._peers.set_peers(list(addresses.peers), addresses.everyone)
         from cypresspulley.net.peers import Peers
 
         peers = Peers(
@@ -371,7 +371,7 @@
             await peers.listen(*addresses.listen)
         except OSError as error:
             raise ConfigError(f"cannot listen for messages of limiters: {error}") from None
-        self._peers, self._listen, self._node.broadcast = peers, addresses.listen, peers.tell
+        self._peers, self._listen, self._node.broadcast = peers, addresses.listen, peers.broadcast
 
     def follow_later(self, config: Config) -> None:
         """The same from a reload: an address that cannot be had is told in the log, and messages are off."""
--- a/cypresspulley/net/peers.py
+++ b/cypresspulley/net/peers.py
@@ -24,11 +24,11 @@
     """
 
     def __init__(self, peers: list[str], everyone: str, heard: Heard) -> None:
-        self.follow(peers, everyone)
+        self.set_peers(peers, everyone)
         self._heard = heard
         self._transport: asyncio.DatagramTransport | None = None
 
-    def follow(self, peers: list[str], everyone: str) -> None:
+    def set_peers(self, peers: list[str], everyone: str) -> None:
         """Whose messages count from now on, and the address that reaches all of them."""
         self._numbers = {split_address(peer): number for number, peer in enumerate(peers)}
         self._everyone = split_address(everyone)
@@ -52,7 +52,7 @@
     def error_received(self, exc: Exception) -> None:
         """A peer that is down: its address says so, and nothing is owed to it."""
 
-    def tell(self, text: str) -> None:
+    def broadcast(self, text: str) -> None:
         """Send to all others of the tier."""
         data = text.encode()
         if len(data) > MAX_MESSAGE:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -215,11 +215,11 @@
             await came.wait()
             assert heard == [(1, "good")]
             known.setblocking(False)
-            peers.tell("y" * 300)  # said in the log, not sent
-            peers.tell("hello")
+            peers.broadcast("y" * 300)  # said in the log, not sent
+            peers.broadcast("hello")
             assert await asyncio.get_running_loop().sock_recv(known, 500) == b"hello"
             peers.close()
-            peers.tell("nobody")
+            peers.broadcast("nobody")
 
     run(main())
 
