--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -312,11 +312,11 @@
     if not timeout or operators.keeper is None:
         return CounterClient(*config.counter, timeout) if config.counter and timeout else None
     try:
-        from cypresspulley.keeper.engine import EngineCounter, engine_url
+        from cypresspulley.keeper.engine import EngineCounter, parse_engine_url
     except ImportError as error:
         raise ConfigError(f"keeper needs its extra: pip install 'cypresspulley[keeper]' ({error})") from None
     try:
-        return EngineCounter(engine_url(operators.keeper), timeout)
+        return EngineCounter(parse_engine_url(operators.keeper), timeout)
     except ValueError as error:
         raise ConfigError(f"keeper.url: {error}") from None
 
--- a/cypresspulley/keeper/engine.py
+++ b/cypresspulley/keeper/engine.py
@@ -92,7 +92,7 @@
         return f"<EngineUrl {','.join(f'{h}:{p}' for h, p in self.nodes)}{' cluster' * self.cluster}>"  # no password
 
 
-def engine_url(text: str) -> EngineUrl:
+def parse_engine_url(text: str) -> EngineUrl:
     """Parse and check a URL. Raises EngineError."""
     parts = urlsplit(text)
     login, _, hosts = parts.netloc.rpartition("@")
--- a/tests/keeper/test_engine.py
+++ b/tests/keeper/test_engine.py
@@ -12,7 +12,7 @@
 from redis.crc import key_slot
 
 from cypresspulley.interface import Status
-from cypresspulley.keeper.engine import EngineCounter, EngineError, EngineUrl, engine_url
+from cypresspulley.keeper.engine import EngineCounter, EngineError, EngineUrl, parse_engine_url
 from cypresspulley.rehearsal.standins.engine import SLOTS, EngineNode
 from tests.loopback import run
 
@@ -45,7 +45,7 @@
     nodes = [EngineNode() for _ in range(count)]
     ports = [await node.listen() for node in nodes]
     hosts = ",".join(f"127.0.0.1:{port}" for port in ports)
-    counter = EngineCounter(engine_url(f"redis://{hosts}/{query}"), timeout)
+    counter = EngineCounter(parse_engine_url(f"redis://{hosts}/{query}"), timeout)
     try:
         yield nodes, Caller(counter)
     finally:
@@ -77,7 +77,7 @@
     async def main() -> None:
         now = 100.0
         node = EngineNode(lambda: now)
-        counter = EngineCounter(engine_url(f"redis://127.0.0.1:{await node.listen()}"), GENEROUS)
+        counter = EngineCounter(parse_engine_url(f"redis://127.0.0.1:{await node.listen()}"), GENEROUS)
         caller = Caller(counter)
         assert await caller.add(1, 1.0, 4.0) == (Status.OK, 1.0)
         now = 103.0
@@ -297,7 +297,7 @@
 
 
 def test_a_url_is_read_whole_and_its_password_not_shown() -> None:
-    url = engine_url("redis://me:s%40cret@a:1,b:2/0?cluster=1&prefix=q:&protocol=2")
+    url = parse_engine_url("redis://me:s%40cret@a:1,b:2/0?cluster=1&prefix=q:&protocol=2")
     assert url == EngineUrl((("a", 1), ("b", 2)), "me", "s@cret", 0, True, "q:", 2)
     assert "s@cret" not in repr(url) and "cret" not in repr(url)
 
@@ -311,4 +311,4 @@
 )  # fmt: skip
 def test_a_wrong_url_says_what_was_expected(text: str) -> None:
     with pytest.raises(EngineError):
-        engine_url(text)
+        parse_engine_url(text)
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -12,7 +12,7 @@
 
 from cypresspulley.fleet.options import MOST_SEEDS, options_from
 from cypresspulley.fleet.view import MOST_MEMBERS
-from cypresspulley.keeper.engine import EngineCounter, engine_url
+from cypresspulley.keeper.engine import EngineCounter, parse_engine_url
 from cypresspulley.net.discovery import MessageDecoder, parse_listing
 from cypresspulley.net.peers import Peers
 from cypresspulley.operators import OperatorsError
@@ -139,7 +139,7 @@
 
 def test_a_cluster_of_the_keeper_has_as_many_nodes_as_it_likes() -> None:
     async def main() -> None:
-        counter = EngineCounter(engine_url("redis://127.0.0.1:1/"), 1.0)
+        counter = EngineCounter(parse_engine_url("redis://127.0.0.1:1/"), 1.0)
         nodes = {id(counter._node(("127.0.0.1", 1 + number))) for number in range(LARGE_FLEET_SIZE)}
         assert len(nodes) == LARGE_FLEET_SIZE
         counter.close()
