--- a/cypresspulley/net/discovery.py
+++ b/cypresspulley/net/discovery.py
@@ -215,7 +215,7 @@
         """``lived`` hears of each whole line, ``stepped`` of each step from one state to another."""
         self._loop = asyncio.get_running_loop()
         self._said = said
-        self._lived = on_contact
+        self._lived = lived
         self._stepped = stepped
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
