--- a/cypresspulley/net/discovery.py
+++ b/cypresspulley/net/discovery.py
@@ -43,13 +43,13 @@
 
     version: int
     servers: api.ServerList
-    dials: dict[str, str]
+    addresses: dict[str, str]
 
 
 def parse_listing(raw: Any) -> Listing:
     """A message of discovery; ``ValueError`` where it cannot be read."""
     try:
-        entries, dials = [], {}
+        entries, addresses = [], {}
         for row in raw["hosts"]:
             health = HEALTH_BY_NAME[row["health"]]
             dial = str(row.get("dial") or "")
@@ -60,8 +60,8 @@
             if not (0 <= born < math.inf and 0 < size < math.inf):
                 raise ValueError(f"{name!r:.40}: a birth or a share that is no figure")
             entries.append(api.ServerEntry(name, health, str(row.get("site") or ""), cell, size, born))
-            dials[name] = dial
-        return Listing(int(raw["seq"]), api.ServerList(tuple(entries), bool(raw.get("whole"))), dials)
+            addresses[name] = dial
+        return Listing(int(raw["seq"]), api.ServerList(tuple(entries), bool(raw.get("whole"))), addresses)
     except (KeyError, TypeError, AttributeError, ValueError, OverflowError) as error:
         raise ValueError(f"not a list of servers: {error!r:.80}") from None
 
--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -134,10 +134,10 @@
         was_handling, self._is_handling_events = self._is_handling_events, True
         try:
             if listing.servers.complete:
-                self._upstream.retain_servers(set(listing.dials))
+                self._upstream.retain_servers(set(listing.addresses))
             for entry in listing.servers.entries:
                 up = entry.health is api.Health.UP
-                self._upstream.update_server(entry.name, listing.dials[entry.name], up, entry.born)
+                self._upstream.update_server(entry.name, listing.addresses[entry.name], up, entry.born)
         finally:
             self._is_handling_events = was_handling
         self._handle_pending_events()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -79,7 +79,7 @@
     listing = parse_listing(json.loads(message(1)))
     born = 1_800_000_000.25
     assert listing.servers.entries == (api.ServerEntry("s1", api.Health.UP, "a", 3, 1.5, born),)
-    assert listing.servers.complete and listing.version == 1 and listing.dials == {"s1": "10.1.0.18:7070"}
+    assert listing.servers.complete and listing.version == 1 and listing.addresses == {"s1": "10.1.0.18:7070"}
 
 
 def test_chunks_end_where_they_like() -> None:
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -86,7 +86,7 @@
     messages, read = MessageDecoder(), 65_536
     (message,) = [one for at in range(0, len(line), read) for one in messages.feed(line[at : at + read])]
     listing = parse_listing(message)
-    assert len(listing.servers.entries) == LARGE_FLEET_SIZE and listing.dials[
+    assert len(listing.servers.entries) == LARGE_FLEET_SIZE and listing.addresses[
         f"{name}{LARGE_FLEET_SIZE - 1}"
     ] == loopback(LARGE_FLEET_SIZE - 1)
 
