--- a/cypresspulley/net/discovery.py
+++ b/cypresspulley/net/discovery.py
@@ -145,52 +145,52 @@
 
     def __init__(self, skip: bool = False) -> None:
         """``skip``: what cannot be read is passed over, since asking again has not helped."""
-        self._skip = skip
-        self._rest = b""  # of a line without an end
-        self._lines = list[bytes]()
+        self._skips_malformed = skip
+        self._partial_line = b""  # of a line without an end
+        self._partial_message = list[bytes]()
         self._depth = 0
-        self._size = 0
+        self._partial_size = 0
 
     def __repr__(self) -> str:
-        return f"<Messages {len(self._lines)} lines and {len(self._rest)} bytes of one>"
+        return f"<Messages {len(self._partial_message)} lines and {len(self._partial_line)} bytes of one>"
 
     @property
     def has_partial_message(self) -> bool:
         """Whether a message has begun and not ended."""
-        return bool(self._lines or self._rest)
+        return bool(self._partial_message or self._partial_line)
 
     def feed(self, data: bytes) -> list[Any]:
         """The messages that these bytes end; ``UnreadableError`` for one that is no JSON or too large."""
-        *lines, self._rest = (self._rest + data).split(b"\n")
-        found = [message for line in lines for message in self._line(line.strip())]
-        if self._size + len(self._rest) > MAX_MESSAGE_BYTES:
+        *lines, self._partial_line = (self._partial_line + data).split(b"\n")
+        found = [message for line in lines for message in self._decode_line(line.strip())]
+        if self._partial_size + len(self._partial_line) > MAX_MESSAGE_BYTES:
             raise MalformedMessageError("a message without an end")
         return found
 
-    def _line(self, line: bytes) -> list[Any]:
+    def _decode_line(self, line: bytes) -> list[Any]:
         if not line:
             return []  # a sign of life, or white space inside a message
-        if not self._lines:
+        if not self._partial_message:
             try:
                 return [json.loads(line)]
             except (ValueError, RecursionError) as error:
                 self._depth = depth(line)
                 if self._depth <= 0:
-                    return self._unreadable(error)
+                    return self._handle_malformed(error)
         else:
             self._depth += depth(line)
-        self._lines.append(line)
-        self._size += len(line)
+        self._partial_message.append(line)
+        self._partial_size += len(line)
         if self._depth > 0:
             return []  # ``feed`` bounds it
-        text, self._lines, self._size = b"\n".join(self._lines), [], 0
+        text, self._partial_message, self._partial_size = b"\n".join(self._partial_message), [], 0
         try:
             return [json.loads(text)]
         except (ValueError, RecursionError) as error:
-            return self._unreadable(error)
+            return self._handle_malformed(error)
 
-    def _unreadable(self, error: Exception) -> list[Any]:
-        if not self._skip:
+    def _handle_malformed(self, error: Exception) -> list[Any]:
+        if not self._skips_malformed:
             raise MalformedMessageError(f"not JSON: {error!r:.80}") from None
         log.warning("dropped an unreadable line of discovery: %r", error)
         return []
@@ -209,40 +209,40 @@
     """
 
     def __init__(
-        self, said: Callable[[_Watch, Any], None], lived: Callable[[_Watch], None], skip: bool,
-        stepped: Callable[[], None],
+        self, on_message: Callable[[_Watch, Any], None], on_line: Callable[[_Watch], None], skip_malformed: bool,
+        on_state_change: Callable[[], None],
     ) -> None:  # fmt: skip
         """``lived`` hears of each whole line, ``stepped`` of each step from one state to another."""
         self._loop = asyncio.get_running_loop()
-        self._said = said
-        self._lived = lived
-        self._stepped = stepped
+        self._on_message = on_message
+        self._on_line = on_line
+        self._on_state_change = on_state_change
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
-        self._messages = MessageDecoder(skip)
-        self._at = WatchState.DIALING
-        self._heard = self._looked = (
+        self._decoder = MessageDecoder(skip_malformed)
+        self._state = WatchState.DIALING
+        self._last_byte_at = self._loop_ran_at = (
             self._loop.time()
         )  # when a byte came last, at the latest; when the loop ran
-        self._begun: float | None = None  # when the message that has not ended yet began
-        self._trusted = self._late_at = self._late_from = -1e9
+        self._message_started_at: float | None = None  # when the message that has not ended yet began
+        self._grace_until = self._stall_end = self._stall_start = -1e9
         self._timer: asyncio.TimerHandle | None = None
         self.ended: asyncio.Future[None] = self._loop.create_future()
-        self.refused = 0  # the status, where it is not 200
-        self.spoke = False  # a whole line
+        self.refusal_status = 0  # the status, where it is not 200
+        self.has_line = False  # a whole line
 
     def __repr__(self) -> str:
-        return f"<_Watch {self._at.value}, last byte at {self._heard:.3f}>"
+        return f"<_Watch {self._state.value}, last byte at {self._last_byte_at:.3f}>"
 
     @property
-    def at(self) -> WatchState:
+    def state(self) -> WatchState:
         """How far it has come."""
-        return self._at if self._begun is None else WatchState.PARTIAL_MESSAGE
+        return self._state if self._message_started_at is None else WatchState.PARTIAL_MESSAGE
 
     @property
-    def heard(self) -> float:
+    def last_byte_at(self) -> float:
         """When its last byte came, at the latest."""
-        return self._heard
+        return self._last_byte_at
 
     async def open(self, host: str, port: int, request: bytes) -> None:
         """Dial and ask; ``OSError`` where that fails, ``SilenceError`` where it does not come up."""
@@ -259,10 +259,10 @@
             dial.cancel()
         assert self._transport is not None
         self._transport.write(request)
-        self._at, self._heard = WatchState.AWAITING_ANSWER, self._loop.time()
-        self._looked = self._heard
-        self._timer = self._loop.call_later(CHECK_INTERVAL, self._look)
-        self._stepped()
+        self._state, self._last_byte_at = WatchState.AWAITING_ANSWER, self._loop.time()
+        self._loop_ran_at = self._last_byte_at
+        self._timer = self._loop.call_later(CHECK_INTERVAL, self._check_timeout)
+        self._on_state_change()
 
     def close(self) -> None:
         self._finish(ConnectionError("closed here"))
@@ -280,29 +280,35 @@
 
     # The clock.
 
-    def _look(self) -> None:
+    def _check_timeout(self) -> None:
         now = self._loop.time()
-        if now - self._looked > CHECK_INTERVAL + STALL_THRESHOLD:
-            self._late_at, self._late_from = now, self._looked
-        self._looked = now
-        self._timer = self._loop.call_later(min(CHECK_INTERVAL, max(0.001, self._due - now)), self._look)
-        if now >= self._due:
-            self._loop.call_soon(self._judge, TURNS_BEFORE_TIMEOUT)
-
-    def _judge(self, turns: int) -> None:
+        if now - self._loop_ran_at > CHECK_INTERVAL + STALL_THRESHOLD:
+            self._stall_end, self._stall_start = now, self._loop_ran_at
+        self._loop_ran_at = now
+        self._timer = self._loop.call_later(
+            min(CHECK_INTERVAL, max(0.001, self._expires_at - now)), self._check_timeout
+        )
+        if now >= self._expires_at:
+            self._loop.call_soon(self._expire_after_turns, TURNS_BEFORE_TIMEOUT)
+
+    def _expire_after_turns(self, turns: int) -> None:
         """What lies in the machine is read first."""
-        if self.ended.done() or self._loop.time() < self._due:
+        if self.ended.done() or self._loop.time() < self._expires_at:
             return
         if turns:
-            self._loop.call_soon(self._judge, turns - 1)
+            self._loop.call_soon(self._expire_after_turns, turns - 1)
         else:
-            self._finish(WatchTimeoutError(self.at.value))
+            self._finish(WatchTimeoutError(self.state.value))
 
     @property
-    def _due(self) -> float:
+    def _expires_at(self) -> float:
         """When the watch will have been silent for as long as it may."""
-        due = max(self._heard + TIMEOUTS[self._at], self._trusted)
-        return due if self._begun is None else min(due, self._begun + TIMEOUTS[WatchState.PARTIAL_MESSAGE])
+        due = max(self._last_byte_at + TIMEOUTS[self._state], self._grace_until)
+        return (
+            due
+            if self._message_started_at is None
+            else min(due, self._message_started_at + TIMEOUTS[WatchState.PARTIAL_MESSAGE])
+        )
 
     # The connection.
 
@@ -316,47 +322,47 @@
 
     def data_received(self, data: bytes) -> None:
         now = self._loop.time()
-        if now - self._looked > CHECK_INTERVAL + STALL_THRESHOLD:
-            self._late_at, self._late_from, self._looked = now, self._looked, now
-        if now - self._late_at < CHECK_INTERVAL:
-            self._heard, self._trusted = (
-                max(self._heard, self._late_from),
-                self._late_at + HEARTBEAT_INTERVAL + STALL_THRESHOLD,
+        if now - self._loop_ran_at > CHECK_INTERVAL + STALL_THRESHOLD:
+            self._stall_end, self._stall_start, self._loop_ran_at = now, self._loop_ran_at, now
+        if now - self._stall_end < CHECK_INTERVAL:
+            self._last_byte_at, self._grace_until = (
+                max(self._last_byte_at, self._stall_start),
+                self._stall_end + HEARTBEAT_INTERVAL + STALL_THRESHOLD,
             )
         else:
-            self._heard = now
+            self._last_byte_at = now
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
             cause = error.__context__
             return self._finish(cause if isinstance(cause, Exception) else error)
-        if not self._messages.has_partial_message:
-            self._begun = None
-        elif self._begun is None:
-            self._begun = now
-            self._stepped()
+        if not self._decoder.has_partial_message:
+            self._message_started_at = None
+        elif self._message_started_at is None:
+            self._message_started_at = now
+            self._on_state_change()
 
     # The parser's callbacks.
 
     def on_headers_complete(self) -> None:
         if (code := self._parser.get_status_code()) != 200:
-            self.refused = code
+            self.refusal_status = code
             raise ConnectionError(f"status {code}")
-        self._at = WatchState.FOLLOWING
-        self._stepped()
+        self._state = WatchState.FOLLOWING
+        self._on_state_change()
 
     def on_body(self, body: bytes) -> None:
         # Chunks end where they like; only line ends part the messages.
-        for message in self._messages.feed(body):
-            self._begun = None
-            self._said(self, message)
-            self._whole()
-        if not self._messages.has_partial_message:
-            self._whole()
+        for message in self._decoder.feed(body):
+            self._message_started_at = None
+            self._on_message(self, message)
+            self._handle_complete_line()
+        if not self._decoder.has_partial_message:
+            self._handle_complete_line()
 
-    def _whole(self) -> None:
-        self.spoke = True
-        self._lived(self)
+    def _handle_complete_line(self) -> None:
+        self.has_line = True
+        self._on_line(self)
 
     def on_message_complete(self) -> None:
         raise ConnectionError("the watch was ended")
@@ -371,7 +377,7 @@
     """
 
     def __init__(
-        self, host: str, port: int, since: int | None, tell: Callable[[Listing], None],
+        self, host: str, port: int, since: int | None, on_listing: Callable[[Listing], None],
         draw: Callable[[], float] = lambda: 0.5, pushed: bool = False,
         on_contact: Callable[[], None] = lambda: None,
     ) -> None:  # fmt: skip
@@ -380,184 +386,197 @@
         self._host = host
         self._port = port
         self._since = since
-        self._tell = tell
-        self._draw = draw
-        self._wait = INITIAL_BACKOFF
+        self._on_listing = on_listing
+        self._random = draw
+        self._next_backoff = INITIAL_BACKOFF
         self.pushed = pushed
-        self._confirm = on_contact
-        self._failing = False
-        self._busy = False
-        self._spoilt = False  # the last message could not be read, and has been asked for again
-        self._doubted = False  # the last message was older than what is known, and has been asked for again
-        self._tries = dict[_Watch, asyncio.Task[None]]()  # calls that have not ended, oldest first
-        self._watch: _Watch | None = None  # the one that has spoken
-        self._old: _Watch | None = None  # one that fell silent after it had
-        self._ahead: int | None = None  # the newest version that the silent one has told since
-        self._lived_at: float | None = None  # when the last byte of a watch came
-        self._news = asyncio.Event()  # a call has come further, spoken or ended
+        self._on_contact = on_contact
+        self._failure_logged = False
+        self._is_overloaded = False
+        self._malformed_retried = False  # the last message could not be read, and has been asked for again
+        self._outdated_retried = (
+            False  # the last message was older than what is known, and has been asked for again
+        )
+        self._calls = dict[_Watch, asyncio.Task[None]]()  # calls that have not ended, oldest first
+        self._active_watch: _Watch | None = None  # the one that has spoken
+        self._silent_watch: _Watch | None = None  # one that fell silent after it had
+        self._silent_version: int | None = None  # the newest version that the silent one has told since
+        self._last_contact_at: float | None = None  # when the last byte of a watch came
+        self._progress = asyncio.Event()  # a call has come further, spoken or ended
 
     async def follow(self) -> None:
         try:
             while True:
-                await self._race()
-                while self._watch is not None:
-                    self._news.clear()
-                    await self._news.wait()
+                await self._open_watch()
+                while self._active_watch is not None:
+                    self._progress.clear()
+                    await self._progress.wait()
                 await asyncio.sleep(self.backoff())
         finally:
             self.close()
 
     def close(self) -> None:
         """End all calls at once; whoever follows cancels that as well."""
-        for watch, task in self._tries.items():
+        for watch, task in self._calls.items():
             task.cancel()
             watch.close()
-        self._drop_old()
+        self._close_silent_watch()
 
     def backoff(self) -> float:
         """Seconds until the next call after one that ended: longer after each, and not those of other limiters."""
-        most = MAX_BACKOFF
-        if self._busy and not self.pushed:
-            most = MAX_BACKOFF_URGENT if self._urgent else MAX_BACKOFF_BUSY
-        wait, self._wait = min(most, self._wait), min(most, 4 * self._wait)
-        return self._jittered(wait)
+        limit = MAX_BACKOFF
+        if self._is_overloaded and not self.pushed:
+            limit = MAX_BACKOFF_URGENT if self._is_urgent else MAX_BACKOFF_BUSY
+        wait, self._next_backoff = min(limit, self._next_backoff), min(limit, 4 * self._next_backoff)
+        return self._apply_jitter(wait)
 
-    def _hedge(self, at: WatchState) -> float:
+    def _hedge_delay(self, state: WatchState) -> float:
         """Seconds until the next call beside one that stays in this state."""
         if self.pushed:
             table = HEDGE_DELAYS
-        elif self._urgent:
+        elif self._is_urgent:
             table = HEDGE_DELAYS_URGENT
         else:
-            table = HEDGE_DELAYS_BUSY if self._busy else HEDGE_DELAYS_ASKED
-        return self._jittered(table[at])
+            table = HEDGE_DELAYS_BUSY if self._is_overloaded else HEDGE_DELAYS_ASKED
+        return self._apply_jitter(table[state])
 
-    def _jittered(self, wait: float) -> float:
-        return wait * (1 - JITTER + 2 * JITTER * self._draw())
+    def _apply_jitter(self, wait: float) -> float:
+        return wait * (1 - JITTER + 2 * JITTER * self._random())
 
     @property
-    def _urgent(self) -> bool:
+    def _is_urgent(self) -> bool:
         """Whether what the last watch missed does not count as told yet."""
-        return self._lived_at is not None and _now() < self._lived_at + DELIVERY_LIMIT
+        return self._last_contact_at is not None and _now() < self._last_contact_at + DELIVERY_LIMIT
 
-    async def _race(self) -> None:
+    async def _open_watch(self) -> None:
         """Up to a watch that has spoken."""
-        while self._watch is None:
-            newest, stands = self._begin(), True
-            while stands and self._watch is None:
-                at, over = newest.at, newest.ended.done()
-                wait = self.backoff() if over else self._hedge(at)
-                stands = await self._step(newest, at, over, _now() + wait)
-
-    async def _step(self, newest: _Watch, at: WatchState, over: bool, until: float) -> bool:
+        while self._active_watch is None:
+            newest, advanced = self._begin_call(), True
+            while advanced and self._active_watch is None:
+                state, ended_before = newest.state, newest.ended.done()
+                wait = self.backoff() if ended_before else self._hedge_delay(state)
+                advanced = await self._wait_for_progress(newest, state, ended_before, _now() + wait)
+
+    async def _wait_for_progress(
+        self, newest: _Watch, state: WatchState, ended_before: bool, until: float
+    ) -> bool:
         """Wait for a watch that speaks, or for the newest try to leave its state; False where neither came in time."""
-        turned = False
+        waited = False
         while True:
-            self._news.clear()
-            if self._watch is not None or (newest.at, newest.ended.done()) != (at, over):
+            self._progress.clear()
+            if self._active_watch is not None or (newest.state, newest.ended.done()) != (state, ended_before):
                 return True
-            if turned:
+            if waited:
                 return False
             try:
                 async with asyncio.timeout_at(until):
-                    await self._news.wait()
+                    await self._progress.wait()
             except TimeoutError:
                 for _ in range(TURNS_BEFORE_CALL):
                     await asyncio.sleep(0)
-                turned = True
+                waited = True
 
-    def _begin(self) -> _Watch:
+    def _begin_call(self) -> _Watch:
         """The next call; a row of mute ones is bounded: of those that came least far, the oldest gives way."""
-        if len(self._tries) >= (MAX_CALLS_PUSHED if self.pushed else MAX_CALLS_ASKED):
+        if len(self._calls) >= (MAX_CALLS_PUSHED if self.pushed else MAX_CALLS_ASKED):
             stages = list(WatchState)
-            self._tries.pop(min(self._tries, key=lambda watch: stages.index(watch.at))).cancel()
-        watch = _Watch(self._message, self._lived, self._spoilt, self._news.set)
-        self._tries[watch] = asyncio.get_running_loop().create_task(self._live(watch))
+            self._calls.pop(min(self._calls, key=lambda watch: stages.index(watch.state))).cancel()
+        watch = _Watch(self._handle_message, self._handle_line, self._malformed_retried, self._progress.set)
+        self._calls[watch] = asyncio.get_running_loop().create_task(self._run_call(watch))
         return watch
 
-    async def _live(self, watch: _Watch) -> None:
+    async def _run_call(self, watch: _Watch) -> None:
         """One call, up to its end."""
         since = "" if self._since is None else f"&since={self._since}"
         request = f"GET /v1/servers?follow=1{since} HTTP/1.1\r\nHost: {self._host}:{self._port}\r\n\r\n"
-        keep = False
+        keep_open = False
         try:
             await watch.open(self._host, self._port, request.encode())
             await watch.ended
         except WatchTimeoutError as error:
-            keep = watch is self._watch
-            self._failed(f"silence, {error}")
+            keep_open = watch is self._active_watch
+            self._log_failure(f"silence, {error}")
         except (OSError, httptools.HttpParserError) as error:
-            self._spoilt = self._spoilt or isinstance(error, MalformedMessageError)
-            self._busy = watch.refused in OVERLOAD_STATUSES
-            if watch.refused and not self._busy:
+            self._malformed_retried = self._malformed_retried or isinstance(error, MalformedMessageError)
+            self._is_overloaded = watch.refusal_status in OVERLOAD_STATUSES
+            if watch.refusal_status and not self._is_overloaded:
                 self._since = None  # it may be the version that is not taken
-            self._failed(repr(error))
+            self._log_failure(repr(error))
         except Exception:
             log.exception("the watch on discovery failed")
         finally:
-            self._tries.pop(watch, None)
-            if watch is self._watch:
-                self._watch, self._lived_at = None, watch.heard
-            if keep:
-                self._old = watch
+            self._calls.pop(watch, None)
+            if watch is self._active_watch:
+                self._active_watch, self._last_contact_at = None, watch.last_byte_at
+            if keep_open:
+                self._silent_watch = watch
             else:
                 watch.close()
-            self._news.set()
+            self._progress.set()
 
-    def _failed(self, why: str) -> None:
-        if not self._failing:  # once for a row of failures
-            log.warning("the watch on discovery ended: %s", why)
-        self._failing = True
+    def _log_failure(self, reason: str) -> None:
+        if not self._failure_logged:  # once for a row of failures
+            log.warning("the watch on discovery ended: %s", reason)
+        self._failure_logged = True
 
-    def _lived(self, watch: _Watch) -> None:
+    def _handle_line(self, watch: _Watch) -> None:
         """A watch has said something, be it an empty line: those before and beside it are done with."""
-        if watch is self._watch:
-            return self._confirm()
-        if watch is self._old or watch not in self._tries:
+        if watch is self._active_watch:
+            return self._on_contact()
+        if watch is self._silent_watch or watch not in self._calls:
             return
-        self._drop_old()
-        self._watch, self._busy = watch, False
-        others, self._tries = self._tries, {watch: self._tries[watch]}  # what they still say counts no more
+        self._close_silent_watch()
+        self._active_watch, self._is_overloaded = watch, False
+        others, self._calls = self._calls, {watch: self._calls[watch]}  # what they still say counts no more
         for other, task in others.items():
             if other is not watch:
                 task.cancel()
-        self._news.set()
+        self._progress.set()
 
-    def _drop_old(self) -> None:
-        if self._old is not None:
-            self._old.close()
-            self._old = None
+    def _close_silent_watch(self) -> None:
+        if self._silent_watch is not None:
+            self._silent_watch.close()
+            self._silent_watch = None
 
-    def _message(self, watch: _Watch, message: Any) -> None:
+    def _handle_message(self, watch: _Watch, message: Any) -> None:
         try:
             listing = parse_listing(message)
         except ValueError as error:
-            if not self._spoilt:
+            if not self._malformed_retried:
                 raise MalformedMessageError(str(error)) from None
             return log.warning("dropped an unreadable message of discovery: %s", error)
-        if watch is self._old:
+        if watch is self._silent_watch:
             # It may have missed something: what it tells holds, but the next is asked from before.
-            newest = max(self._since or 0, self._ahead or 0)
+            newest = max(self._since or 0, self._silent_version or 0)
             if listing.version > newest:
-                self._ahead = listing.version
-                self._tell(listing)
+                self._silent_version = listing.version
+                self._on_listing(listing)
             return
-        if watch is not self._watch and watch not in self._tries:
+        if watch is not self._active_watch and watch not in self._calls:
             return  # another has spoken before
-        self._check_newer(listing)
-        self._since, self._failing, self._wait, self._spoilt = listing.version, False, INITIAL_BACKOFF, False
-        self._tell(listing)
-
-    def _check_newer(self, listing: Listing) -> None:
+        self._check_version(listing)
+        self._since, self._failure_logged, self._next_backoff, self._malformed_retried = (
+            listing.version,
+            False,
+            INITIAL_BACKOFF,
+            False,
+        )
+        self._on_listing(listing)
+
+    def _check_version(self, listing: Listing) -> None:
         """Nothing goes back to what was before. What is older all the same when asked anew is another discovery's."""
-        since, part = self._since, not listing.servers.complete
-        behind = listing.version < (self._ahead or 0) or (part and listing.version < (since or 0))
-        if behind and not self._doubted:
-            self._doubted = True
-            if part and listing.version < (since or 0):
+        since, is_partial = self._since, not listing.servers.complete
+        is_outdated = listing.version < (self._silent_version or 0) or (
+            is_partial and listing.version < (since or 0)
+        )
+        if is_outdated and not self._outdated_retried:
+            self._outdated_retried = True
+            if is_partial and listing.version < (since or 0):
                 self._since = None  # a part of a list that is not known
-            raise OutdatedListError(f"version {listing.version} behind {max(self._ahead or 0, since or 0)}")
-        self._doubted, self._ahead = False, None
+            raise OutdatedListError(
+                f"version {listing.version} behind {max(self._silent_version or 0, since or 0)}"
+            )
+        self._outdated_retried, self._silent_version = False, None
 
 
 def _now() -> float:
@@ -568,31 +587,31 @@
     """Follows discovery at the newest address; the one before is followed until the newest has spoken."""
 
     def __init__(
-        self, tell: Callable[[Listing], None], draw: Callable[[], float] = lambda: 0.5, pushed: bool = False,
+        self, on_listing: Callable[[Listing], None], draw: Callable[[], float] = lambda: 0.5, pushed: bool = False,
         on_contact: Callable[[], None] = lambda: None,
     ) -> None:  # fmt: skip
         """``draw`` gives numbers from 0 to 1 of the limiter's own, so that many do not ask together. ``lived`` hears of
         each sign of life of the discovery that is followed."""
-        self._tell = tell
-        self._draw = draw
+        self._on_listing = on_listing
+        self._random = draw
         self._pushed = pushed
-        self._lived = on_contact
+        self._on_contact = on_contact
         self._watches = dict[asyncio.Task[None], Discovery]()  # of both tasks below
-        self._heard: asyncio.Task[None] | None = None  # the watch that has spoken last
-        self._coming: asyncio.Task[None] | None = None
+        self._current: asyncio.Task[None] | None = None  # the watch that has spoken last
+        self._next: asyncio.Task[None] | None = None
         self._address: tuple[str, int] | None = None
 
     def follow(self, host: str, port: int, since: int | None = None) -> None:
         if (host, port) == self._address:
             return
         self._address = (host, port)
-        self._end(self._coming)  # told to move again before it said anything
+        self._stop(self._next)  # told to move again before it said anything
         # Without a version another discovery tells the whole list: its numbers need not be the old one's.
         watch = Discovery(
-            host, port, since, lambda listing: self._said(task, listing), self._draw, self._pushed,
-            lambda: self._confirmed(task),
+            host, port, since, lambda listing: self._handle_listing(task, listing), self._random, self._pushed,
+            lambda: self._handle_contact(task),
         )  # fmt: skip
-        task = self._coming = asyncio.get_running_loop().create_task(watch.follow())
+        task = self._next = asyncio.get_running_loop().create_task(watch.follow())
         self._watches[task] = watch
 
     def set_pushed(self, pushed: bool) -> None:
@@ -603,20 +622,20 @@
 
     def close(self) -> None:
         for task in list(self._watches):
-            self._end(task)
+            self._stop(task)
 
-    def _end(self, task: asyncio.Task[None] | None) -> None:
+    def _stop(self, task: asyncio.Task[None] | None) -> None:
         if task is not None and (watch := self._watches.pop(task, None)) is not None:
             watch.close()
             task.cancel()
 
-    def _confirmed(self, task: asyncio.Task[None]) -> None:
-        if task is self._heard:
-            self._lived()
+    def _handle_contact(self, task: asyncio.Task[None]) -> None:
+        if task is self._current:
+            self._on_contact()
 
-    def _said(self, task: asyncio.Task[None], listing: Listing) -> None:
-        if task is self._coming:
-            old, self._heard, self._coming = self._heard, task, None
-            self._end(old)
-        if task is self._heard:  # else it was cancelled and has not noticed yet
-            self._tell(listing)
+    def _handle_listing(self, task: asyncio.Task[None], listing: Listing) -> None:
+        if task is self._next:
+            old, self._current, self._next = self._current, task, None
+            self._stop(old)
+        if task is self._current:  # else it was cancelled and has not noticed yet
+            self._on_listing(listing)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -171,7 +171,7 @@
 
 def backoffs(seed: int, busy: bool) -> list[float]:
     watch = Discovery("127.0.0.1", 1, 41, lambda _: None, Random(seed).random)
-    watch._busy = busy
+    watch._is_overloaded = busy
     return [watch.backoff() for _ in range(9)]
 
 
@@ -241,8 +241,8 @@
                 if address == first:
                     await heard.wait()
             await came.wait()
-            assert follower._heard is not None and not follower._heard.cancelled()
-            task = follower._heard
+            assert follower._current is not None and not follower._current.cancelled()
+            task = follower._current
             heard.clear()
             speak.set()
             await heard.wait()
--- a/tests/test_discovery_budget.py
+++ b/tests/test_discovery_budget.py
@@ -244,7 +244,7 @@
     assert max(hedges) <= MAX_CALL_INTERVAL + 1e-9 and MAX_BACKOFF * (1 + JITTER) < GRACE
     for busy, pushed in ((True, False), (False, False), (True, True)):
         watch = Discovery(*WATCH, 41, lambda _: None, lambda: 1.0, pushed)
-        watch._busy = busy
+        watch._is_overloaded = busy
         waits = [watch.backoff() for _ in range(20)]
         assert max(waits) <= MAX_CALL_INTERVAL + 1e-9
     assert (
--- a/tests/test_endings_discovery.py
+++ b/tests/test_endings_discovery.py
@@ -385,14 +385,14 @@
         task = loop.create_task(watch.follow())
         while len(agent.asked) < 2:
             await asyncio.sleep(0.01)
-        first, second = list(watch._tries)
+        first, second = list(watch._calls)
         first.data_received(HEAD + chunk(message(43)) + chunk(message(44)))
         for _ in range(turns):
             await asyncio.sleep(0)
         second.data_received(HEAD + chunk(message(43, "draining")))
-        assert watch._watch is first and told.versions == [43, 44]
+        assert watch._active_watch is first and told.versions == [43, 44]
         await asyncio.sleep(0.1)
-        assert watch._watch is first and not first.ended.done() and ends(loop, OLD) == 1
+        assert watch._active_watch is first and not first.ended.done() and ends(loop, OLD) == 1
         assert watch._since == 44
         task.cancel()
 
@@ -605,7 +605,7 @@
     """A listener with a full queue: the machine of a discovery that takes nobody."""
     quick(monkeypatch)
     monkeypatch.setitem(discovery.TIMEOUTS, WatchState.DIALING, 0.05)
-    begin = Discovery._begin
+    begin = Discovery._begin_call
 
     async def play(loop: asyncio.AbstractEventLoop, host: str, port: int) -> int:
         """Twelve dials; the most descriptors there were."""
@@ -617,7 +617,7 @@
                 enough.set()
             return begin(of)
 
-        monkeypatch.setattr(Discovery, "_begin", counted)
+        monkeypatch.setattr(Discovery, "_begin_call", counted)
         task = loop.create_task(Discovery(host, port, 41, lambda _: None, pushed=True).follow())
         await enough.wait()
         task.cancel()
