--- a/cypresspulley/net/discovery.py
+++ b/cypresspulley/net/discovery.py
@@ -113,18 +113,18 @@
 # Seconds without progress until the next call starts beside one that has not responded (hedging). An agent on this
 # machine responds at once and at no cost; at a shared discovery service, a call is queued behind those of others.
 HEDGE_DELAYS = dict.fromkeys(WatchState, 0.25)
-HEDGE_DELAYS_ASKED = HEDGE_DELAYS | dict.fromkeys(
+HEDGE_DELAYS_SHARED = HEDGE_DELAYS | dict.fromkeys(
     (WatchState.AWAITING_ANSWER, WatchState.FOLLOWING, WatchState.PARTIAL_MESSAGE), 0.6
 )
 # Discovery turned the previous call away and not this one, so this one is queued.
-HEDGE_DELAYS_BUSY = HEDGE_DELAYS_ASKED | {WatchState.AWAITING_ANSWER: MAX_BACKOFF_BUSY}
+HEDGE_DELAYS_BUSY = HEDGE_DELAYS_SHARED | {WatchState.AWAITING_ANSWER: MAX_BACKOFF_BUSY}
 HEDGE_DELAYS_URGENT = HEDGE_DELAYS | dict.fromkeys(
     (WatchState.AWAITING_ANSWER, WatchState.FOLLOWING, WatchState.PARTIAL_MESSAGE), MAX_BACKOFF_URGENT
 )
 # Concurrent calls, to an agent on this machine and to a shared discovery service. The latter are as many as leave each
 # call its full timeout: 15 x 0.5 x 0.34 s.
-MAX_CALLS_PUSHED = 4
-MAX_CALLS_ASKED = 15
+MAX_CALLS_LOCAL = 4
+MAX_CALLS_SHARED = 15
 
 
 class WatchTimeoutError(ConnectionError):
@@ -444,7 +444,7 @@
         elif self._is_urgent:
             table = HEDGE_DELAYS_URGENT
         else:
-            table = HEDGE_DELAYS_BUSY if self._is_overloaded else HEDGE_DELAYS_ASKED
+            table = HEDGE_DELAYS_BUSY if self._is_overloaded else HEDGE_DELAYS_SHARED
         return self._apply_jitter(table[state])
 
     def _apply_jitter(self, wait: float) -> float:
@@ -485,7 +485,7 @@
 
     def _begin_call(self) -> _Watch:
         """Start the next call. At the limit of calls, the oldest of those with the least progress is cancelled."""
-        if len(self._calls) >= (MAX_CALLS_PUSHED if self.pushed else MAX_CALLS_ASKED):
+        if len(self._calls) >= (MAX_CALLS_LOCAL if self.pushed else MAX_CALLS_SHARED):
             stages = list(WatchState)
             self._calls.pop(min(self._calls, key=lambda watch: stages.index(watch.state))).cancel()
         watch = _Watch(self._handle_message, self._handle_line, self._malformed_retried, self._progress.set)
--- a/tests/test_discovery_budget.py
+++ b/tests/test_discovery_budget.py
@@ -16,13 +16,13 @@
     DELIVERY_MARGIN,
     HEARTBEAT_INTERVAL,
     HEDGE_DELAYS,
-    HEDGE_DELAYS_ASKED,
     HEDGE_DELAYS_BUSY,
+    HEDGE_DELAYS_SHARED,
     HEDGE_DELAYS_URGENT,
     JITTER,
     MAX_BACKOFF,
     MAX_CALL_INTERVAL,
-    MAX_CALLS_ASKED,
+    MAX_CALLS_SHARED,
     TIMEOUTS,
     Discovery,
     DiscoveryClient,
@@ -238,7 +238,7 @@
     )
     hedges = [
         table[at] * (1 + JITTER)
-        for table in (HEDGE_DELAYS, HEDGE_DELAYS_ASKED, HEDGE_DELAYS_BUSY, HEDGE_DELAYS_URGENT)
+        for table in (HEDGE_DELAYS, HEDGE_DELAYS_SHARED, HEDGE_DELAYS_BUSY, HEDGE_DELAYS_URGENT)
         for at in table
     ]
     assert max(hedges) <= MAX_CALL_INTERVAL + 1e-9 and MAX_BACKOFF * (1 + JITTER) < GRACE
@@ -248,7 +248,7 @@
         waits = [watch.backoff() for _ in range(20)]
         assert max(waits) <= MAX_CALL_INTERVAL + 1e-9
     assert (
-        MAX_CALLS_ASKED * HEDGE_DELAYS_URGENT[WatchState.AWAITING_ANSWER] * (1 - JITTER)
+        MAX_CALLS_SHARED * HEDGE_DELAYS_URGENT[WatchState.AWAITING_ANSWER] * (1 - JITTER)
         > TIMEOUTS[WatchState.AWAITING_ANSWER]
     ), "each has its whole time"
 
