--- a/cypresspulley/net/counter.py
+++ b/cypresspulley/net/counter.py
@@ -1,4 +1,4 @@
-"""The client of the shared counter: pipelined calls, each answered once, in order for each name."""
+"""The client of the shared counter. Calls are pipelined; each gets one result, in the order of the calls for a name."""
 
 from __future__ import annotations
 
@@ -14,27 +14,28 @@
 
 log = logging.getLogger(__name__)
 
-CHECK_INTERVAL = 0.5  # seconds between two looks at the line
-PING_INTERVAL = 2.0  # silent seconds until a ping keeps the connection: an idle one is closed
-ANSWER_TIMEOUT = 1.5  # seconds that the oldest unanswered line may wait before the connection is given up
-DIAL_TIMEOUT = 1.0
-REDIAL_DELAY = 0.05  # seconds between two dials after breaks, so that a peer that only closes is no busy loop
-MAX_LINE_BYTES = 64
+CHECK_INTERVAL = 0.5  # seconds between two checks of the connection
+PING_INTERVAL = 2.0  # idle seconds until a ping is sent: the counter closes idle connections
+ANSWER_TIMEOUT = 1.5  # seconds that the oldest unanswered line may wait before the connection is closed
+DIAL_TIMEOUT = 1.0  # seconds
+# Seconds from one dial to the next after a break, which prevents a busy loop if the peer closes each connection.
+REDIAL_DELAY = 0.05
+MAX_LINE_BYTES = 64  # of a response
 TOTAL_ANSWER = re.compile(rb"ok ([+-]?[0-9]{1,20}(?:\.[0-9]{0,20})?(?:[eE][+-]?[0-9]{1,2})?)")
 PARTIAL_TOTAL_ANSWER = re.compile(rb"ok [-+.0-9eE]*\r?")
 STATUS_BY_ANSWER = {b"busy": Status.FULL, b"error": Status.ERROR, b"pong": Status.OK}
 Address = tuple[str, int]
-Done = Callable[[Status, float], None]
+ResultCallback = Callable[[Status, float], None]
 
 
 @dataclass(slots=True, eq=False)
 class _Call:
     line: bytes
-    sent: float
-    name: int | None = None  # None for a ping
-    done: Done | None = None
+    sent_at: float
+    name: int | None = None  # of the count; None for a ping
+    done: ResultCallback | None = None
     timer: asyncio.TimerHandle | None = None
-    result: tuple[Status, float] | None = None
+    result: tuple[Status, float] | None = None  # held until the earlier calls for the name have theirs
 
 
 class _Connection(asyncio.Protocol):
@@ -44,15 +45,16 @@
         self._client = client
         self.address = address
         self._transport: asyncio.Transport | None = None
-        self.written = deque[_Call]()
+        self.unanswered = deque[_Call]()
         self._buffer = b""
-        self.paused = False
-        self.used = 0.0
+        self.is_paused = False
+        self.last_used_at = 0.0
         self._closes_when_answered = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
-        transport.set_write_buffer_limits(high=0)  # pause_writing then tells that a line is not out whole
+        transport = cast(asyncio.Transport, transport)  # uvloop's transports are not subclasses of it
+        # With this limit, pause_writing is called whenever a line is only partly written.
+        transport.set_write_buffer_limits(high=0)
         self._transport = transport
 
     @property
@@ -61,14 +63,14 @@
 
     def write(self, call: _Call, now: float) -> None:
         assert self._transport is not None
-        self.written.append(call)
-        call.sent = self.used = now
+        self.unanswered.append(call)
+        call.sent_at = self.last_used_at = now
         self._transport.write(call.line)
 
     def close_when_answered(self) -> None:
-        """Take no new calls, and close once those that are out have been answered."""
+        """Close once all calls on it have been answered; no new ones may be written."""
         self._closes_when_answered = True
-        if not self.written:
+        if not self.unanswered:
             self.abort()
 
     def abort(self) -> None:
@@ -76,59 +78,60 @@
             self._transport.abort()
 
     def pause_writing(self) -> None:
-        self.paused = True
+        self.is_paused = True
 
     def resume_writing(self) -> None:
-        self.paused = False
+        self.is_paused = False
         self._client.flush()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = None
-        self._fail(Status.BROKEN)
-        self._client.lost(self)
+        self._finish_all(Status.BROKEN)
+        self._client.on_connection_lost(self)
 
     def data_received(self, data: bytes) -> None:
         *lines, self._buffer = (self._buffer + data).split(b"\n")
         for line in lines:
             if not self.is_usable:
                 return
-            self._answered(line.rstrip(b"\r"))
-        if self._closes_when_answered and not self.written:
+            self._handle_answer(line.rstrip(b"\r"))
+        if self._closes_when_answered and not self.unanswered:
             self.abort()
-        elif not _may_begin_an_answer(self._buffer):
-            self._spoilt(self._buffer)  # noise need not end its line, and the wait for that would be silence
-
-    def _answered(self, line: bytes) -> None:
-        form = TOTAL_ANSWER.fullmatch(line)
-        status = Status.OK if form else STATUS_BY_ANSWER.get(line)
-        if status is None or not self.written:
-            return self._spoilt(line)
-        self._client.finish(self.written.popleft(), status, float(form[1]) if form else 0.0)
-
-    def _spoilt(self, line: bytes) -> None:
-        """What cannot be read says nothing of the count, and what follows may belong to any call."""
-        log.warning("an unreadable counter line: connecting anew: %.80r", line)
-        self.abort()  # first: the results may bring new calls, and none must be written here
-        self._fail(Status.MALFORMED)
-
-    def _fail(self, status: Status) -> None:
-        written, self.written = self.written, deque()
-        partly = written.pop() if self.paused and written else None
-        for call in written:
+        elif not _may_start_answer(self._buffer):
+            self._fail_malformed(self._buffer)  # malformed data may have no line end to wait for
+
+    def _handle_answer(self, line: bytes) -> None:
+        match = TOTAL_ANSWER.fullmatch(line)
+        status = Status.OK if match else STATUS_BY_ANSWER.get(line)
+        if status is None or not self.unanswered:
+            return self._fail_malformed(line)
+        self._client.finish(self.unanswered.popleft(), status, float(match[1]) if match else 0.0)
+
+    def _fail_malformed(self, line: bytes) -> None:
+        """Close the connection: a malformed line says nothing about the count, and the next may answer any call."""
+        log.warning("the counter sent a malformed line; reconnecting: %.80r", line)
+        self.abort()  # before the results, which may cause new calls: none may be written to this connection
+        self._finish_all(Status.MALFORMED)
+
+    def _finish_all(self, status: Status) -> None:
+        """Finish all unanswered calls. The last one cannot have been counted while its line is only partly written."""
+        unanswered, self.unanswered = self.unanswered, deque()
+        partly_written = unanswered.pop() if self.is_paused and unanswered else None
+        for call in unanswered:
             self._client.finish(call, status)
-        if partly is not None:
-            self._client.finish(partly, Status.UNREACHABLE)
+        if partly_written is not None:
+            self._client.finish(partly_written, Status.UNREACHABLE)
 
 
-def _may_begin_an_answer(text: bytes) -> bool:
+def _may_start_answer(text: bytes) -> bool:
     if len(text) > MAX_LINE_BYTES:
         return False
-    words = any(word.startswith(text.rstrip(b"\r")) for word in (b"ok ", *STATUS_BY_ANSWER))
-    return words or PARTIAL_TOTAL_ANSWER.fullmatch(text) is not None
+    is_keyword = any(word.startswith(text.rstrip(b"\r")) for word in (b"ok ", *STATUS_BY_ANSWER))
+    return is_keyword or PARTIAL_TOTAL_ANSWER.fullmatch(text) is not None
 
 
 class Counter(Protocol):
-    """The shared counter, whatever keeps it. Each call is made once and answered once, in order for each name."""
+    """The shared counter. Each call is sent at most once and gets one result, in the order of the calls for a name."""
 
     def start(self) -> None: ...
 
@@ -136,75 +139,83 @@
 
     def set_timeout(self, timeout: float) -> None: ...
 
-    def call(self, name: int, amount: float, lifetime: float, done: Done) -> None: ...
+    def call(self, name: int, amount: float, lifetime: float, done: ResultCallback) -> None: ...
 
     def close(self) -> None: ...
 
 
 class CounterClient:
-    """Keeps a connection to the counter, and moves to another one without a gap."""
+    """Keeps a connection to the counter, and changes to another address without interrupting calls."""
 
     def __init__(self, host: str, port: int, timeout: float) -> None:
         self._address = (host, port)
         self._timeout = timeout
         self._loop = asyncio.get_running_loop()
         self._connection: _Connection | None = None
-        self._draining = set[_Connection]()  # they only answer what they owe
+        self._draining = set[_Connection]()  # connections that only answer the calls already written
         self._queue = deque[_Call]()
-        # The decisions match results to calls by their order for a name: with two connections, one left
-        # and one new, an answer that overtakes another waits for it here (for the time-out at most).
+        # The decision module matches results to calls by their order for a name. With two connections, one draining and
+        # one new, a result that overtakes an earlier one waits for it here, at most until the call's timeout.
         self._calls_by_name = dict[int, deque[_Call]]()
-        self._failing = False
-        self._dialed = 0.0
-        self._dial: asyncio.Task[None] | None = None
-        self._check_at: asyncio.TimerHandle | None = None
+        self._failure_logged = False
+        self._dialed_at = 0.0
+        self._dial_task: asyncio.Task[None] | None = None
+        self._check_timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Connect, and from then on keep a connection."""
-        self._check()
+        """Connect, and reconnect from then on."""
+        self._check_connection()
 
     def move(self, host: str, port: int) -> None:
-        """Go on at another address; the connection in use serves until the new one is up."""
+        """Change to another address. The current connection takes calls until the new one is established."""
         if (host, port) == self._address:
             return
         self._address = (host, port)
-        if self._dial is not None:
-            self._dial.cancel()
-            self._dial = None
+        if self._dial_task is not None:
+            self._dial_task.cancel()
+            self._dial_task = None
         self._redial()
 
     def set_timeout(self, timeout: float) -> None:
-        """Other settings: calls from now on are waited for so many seconds."""
+        """Set the timeout of new calls, in seconds."""
         self._timeout = timeout
 
-    def call(self, name: int, amount: float, lifetime: float, done: Done) -> None:
-        """Add to a number; ``done`` gets the status and the total, later than this call returns."""
+    def call(self, name: int, amount: float, lifetime: float, done: ResultCallback) -> None:
+        """Add ``amount`` to the count of a name; a new count lives for ``lifetime`` seconds, from 0.001 to 60.
+
+        ``done`` gets the status and the total, after this method has returned.
+        """
         milliseconds = max(1, min(60_000, round(lifetime * 1000)))
         line = b"tally %d %.6f %d\r\n" % (name, amount, milliseconds)
         call = _Call(line, self._loop.time(), name, done)
         call.timer = self._loop.call_later(self._timeout, self._give_up, call)
         self._calls_by_name.setdefault(name, deque()).append(call)
-        self._put(call)
+        self._enqueue(call)
 
     def close(self) -> None:
-        if self._check_at is not None:
-            self._check_at.cancel()
-        if self._dial is not None:
-            self._dial.cancel()
-        for link in (*self._draining, self._connection):
-            if link is not None:
-                link.abort()
+        if self._check_timer is not None:
+            self._check_timer.cancel()
+        if self._dial_task is not None:
+            self._dial_task.cancel()
+        for connection in (*self._draining, self._connection):
+            if connection is not None:
+                connection.abort()
         queued, self._queue = self._queue, deque()
         for call in queued:
             self.finish(call, Status.UNREACHABLE)
 
     def flush(self) -> None:
-        # One line at a time goes to the transport: what stands in the queue is known not to be written.
-        while self._queue and (link := self._connection) is not None and link.is_usable and not link.paused:
-            link.write(self._queue.popleft(), self._loop.time())
+        # Lines are passed to the transport one at a time, so that those in the queue are known not to have been sent.
+        while (
+            self._queue
+            and (connection := self._connection) is not None
+            and connection.is_usable
+            and not connection.is_paused
+        ):
+            connection.write(self._queue.popleft(), self._loop.time())
 
     def finish(self, call: _Call, status: Status, total: float = 0.0) -> None:
-        """Settle a call once, behind the earlier ones for its name."""
+        """Finish a call once. Its result is delivered after those of the earlier calls for its name."""
         if call.result is not None or call.name is None:
             return
         call.result = status, total
@@ -214,18 +225,19 @@
         while line and (result := line[0].result) is not None:
             first = line.popleft()
             if not line:
-                del self._calls_by_name[call.name]  # names come from outside: those at rest are not kept
+                # Names come from outside: unused ones must not accumulate.
+                del self._calls_by_name[call.name]
             assert first.done is not None
             first.done(*result)
 
-    def lost(self, link: _Connection) -> None:
-        """A connection has ended: the one in use is replaced at once, and what waits goes out on the next."""
-        self._draining.discard(link)
-        if link is self._connection:
+    def on_connection_lost(self, connection: _Connection) -> None:
+        """Handle the end of a connection. The current one is replaced at once; queued calls are sent on the next."""
+        self._draining.discard(connection)
+        if connection is self._connection:
             self._connection = None
-            self._loop.call_later(max(0.0, self._dialed + REDIAL_DELAY - self._loop.time()), self._redial)
+            self._loop.call_later(max(0.0, self._dialed_at + REDIAL_DELAY - self._loop.time()), self._redial)
 
-    def _put(self, call: _Call) -> None:
+    def _enqueue(self, call: _Call) -> None:
         self._queue.append(call)
         self.flush()
 
@@ -234,47 +246,56 @@
             self._queue.remove(call)
             self.finish(call, Status.UNREACHABLE)
         else:
-            self.finish(call, Status.TIMEOUT)  # it keeps its place: its answer is still to come
-
-    def _check(self) -> None:
-        """Redial a lost connection, ping an idle one, give up a silent one."""
-        self._check_at = self._loop.call_later(CHECK_INTERVAL, self._check)
-        now, link = self._loop.time(), self._connection
-        for left in list(self._draining):
-            if left.written and now - left.written[0].sent > ANSWER_TIMEOUT:
-                left.abort()
-        if link is not None and link.written and now - link.written[0].sent > ANSWER_TIMEOUT:
-            log.warning("the counter is silent: connecting anew")
-            link.abort()
-        elif link is not None and now - link.used > PING_INTERVAL:
-            self._put(_Call(b"ping\r\n", now))
+            self.finish(call, Status.TIMEOUT)  # it stays in ``unanswered``: its answer is still to come
+
+    def _check_connection(self) -> None:
+        """Redial a lost connection, ping an idle one, and close one that does not answer."""
+        self._check_timer = self._loop.call_later(CHECK_INTERVAL, self._check_connection)
+        now, connection = self._loop.time(), self._connection
+        for draining in list(self._draining):
+            if draining.unanswered and now - draining.unanswered[0].sent_at > ANSWER_TIMEOUT:
+                draining.abort()
+        if (
+            connection is not None
+            and connection.unanswered
+            and now - connection.unanswered[0].sent_at > ANSWER_TIMEOUT
+        ):
+            log.warning("the counter did not answer in time; reconnecting")
+            connection.abort()
+        elif connection is not None and now - connection.last_used_at > PING_INTERVAL:
+            self._enqueue(_Call(b"ping\r\n", now))
         self._redial()
 
     def _redial(self) -> None:
-        settled = self._connection is not None and self._connection.address == self._address
-        if self._check_at is None or self._check_at.cancelled() or self._dial is not None or settled:
+        is_connected = self._connection is not None and self._connection.address == self._address
+        if (
+            self._check_timer is None
+            or self._check_timer.cancelled()
+            or self._dial_task is not None
+            or is_connected
+        ):
             return
-        self._dialed = self._loop.time()
-        self._dial = self._loop.create_task(self._connect(self._address))
+        self._dialed_at = self._loop.time()
+        self._dial_task = self._loop.create_task(self._connect(self._address))
 
     async def _connect(self, address: Address) -> None:
-        link = _Connection(self, address)
+        connection = _Connection(self, address)
         try:
             async with asyncio.timeout(DIAL_TIMEOUT):
-                await self._loop.create_connection(lambda: link, *address)
+                await self._loop.create_connection(lambda: connection, *address)
         except (OSError, TimeoutError) as error:
-            if not self._failing:  # once for a row of failures
-                log.warning("no connection to the counter: %r", error)
-            self._failing, self._dial = True, None
-            return link.abort()
+            if not self._failure_logged:  # once for a series of failures
+                log.warning("cannot connect to the counter: %r", error)
+            self._failure_logged, self._dial_task = True, None
+            return connection.abort()
         except asyncio.CancelledError:
-            return link.abort()  # whoever cancelled it has forgotten it
-        self._dial, self._failing, link.used = None, False, self._loop.time()
-        old, self._connection = self._connection, link
+            return connection.abort()  # the caller that cancelled the task has dropped it
+        self._dial_task, self._failure_logged, connection.last_used_at = None, False, self._loop.time()
+        old, self._connection = self._connection, connection
         if old is not None:
             self._draining.add(old)
             old.close_when_answered()
-        if link.is_usable:
+        if connection.is_usable:
             self.flush()
         else:
-            self.lost(link)  # it broke before it was known here
+            self.on_connection_lost(connection)  # it broke before this task ran again
--- a/tests/test_endings_counter.py
+++ b/tests/test_endings_counter.py
@@ -268,7 +268,7 @@
         calls.call()  # behind the end: nothing can be added, and it is said
         assert (await calls.until(3))[2][1] in NEVER_ADDED
         calls.client.move("127.0.0.1", 1)
-        while calls.client._dial is not None:
+        while calls.client._dial_task is not None:
             await asyncio.sleep(0.001)
         assert calls.client._connection is None
         peer.close()
