--- a/cypresspulley/keeper/engine.py
+++ b/cypresspulley/keeper/engine.py
@@ -1,20 +1,20 @@
-"""The counter's calls over an engine that speaks the Redis protocol (RESP2 or 3), alone or as a cluster.
+"""The shared counter on an engine that speaks the Redis protocol (RESP2 or RESP3), single or as a cluster.
 
-A call is one script that adds and, on a new name, sets its life: atomic at the engine, and its answer is the total.
-Nothing is ever sent twice by itself: an addition that may have happened is told as such, and the decisions take it for
-added. For that the library's connections and parser are used and its retries are not.
+A call is one script that adds to a count and sets the expiry of a new one. The engine runs it atomically, and its reply
+is the total. No call is sent twice: an addition that may have happened is reported as such, and the decision module
+takes it for added. The redis library's connections and parser are used for that, and its retries are not.
 
-| what comes back | told as | added? |
+| reply or failure | status | added? |
 | --- | --- | --- |
 | a total | OK | yes |
-| MOVED, ASK, NOSCRIPT | followed, a few times | not yet |
+| MOVED, ASK, NOSCRIPT | followed, up to ``MAX_REDIRECTS`` times | not yet |
 | OOM, BUSY, TRYAGAIN | FULL | no |
 | LOADING, READONLY, CLUSTERDOWN, MASTERDOWN, no connection | UNREACHABLE | no |
 | any other error | ERROR | no |
-| the connection ends behind the call | BROKEN | maybe |
-| nothing in time, behind the call | TIMEOUT | maybe |
+| the connection breaks after the call was sent | BROKEN | maybe |
+| no reply in time after the call was sent | TIMEOUT | maybe |
 
-What a failover loses is lost silently: totals then run backwards, which the decisions take for a fresh count.
+A failover may lose additions without notice: totals then decrease, which the decision module takes for a new count.
 """
 
 from __future__ import annotations
@@ -50,34 +50,34 @@
 
 log = logging.getLogger(__name__)
 
-ADD = (
+ADD_SCRIPT = (
     "local total = redis.call('INCRBYFLOAT', KEYS[1], ARGV[1]) "
     "if redis.call('PTTL', KEYS[1]) < 0 then redis.call('PEXPIRE', KEYS[1], ARGV[2]) end "
     "return total"
 )
-ADD_SHA = sha1(ADD.encode()).hexdigest()
-HOPS = 5  # answers that send a call elsewhere, until it is given up
-PER_NODE = 8  # connections to one node
-DIAL_TIMEOUT = 1.0
-FRESH = 0.5  # seconds between two readings of a cluster's slots
-SLOTS = 16384
-MOST_NODES = SLOTS  # addresses of one life: no cluster has more masters than slots
-Done = Callable[[Status, float], None]
+ADD_SCRIPT_SHA = sha1(ADD_SCRIPT.encode()).hexdigest()
+MAX_REDIRECTS = 5  # attempts at one call that may end with MOVED, ASK or NOSCRIPT
+MAX_NODE_CONNECTIONS = 8  # to one node
+DIAL_TIMEOUT = 1.0  # seconds
+SLOTS_READ_INTERVAL = 0.5  # seconds between two readings of a cluster's slots
+SLOT_COUNT = 16384  # of a cluster
+MAX_NODES = SLOT_COUNT  # addresses seen by one process: no cluster has more masters than slots
+ResultCallback = Callable[[Status, float], None]
 Address = tuple[str, int]
 
-REFUSED_FOR_NOW = (BusyLoadingError, ReadOnlyError, ClusterDownError, MasterDownError)
-TURNED_AWAY = (OutOfMemoryError, TryAgainError)
+UNAVAILABLE_ERRORS = (BusyLoadingError, ReadOnlyError, ClusterDownError, MasterDownError)
+OVERLOAD_ERRORS = (OutOfMemoryError, TryAgainError)
 
 
 class EngineError(ValueError):
-    """A URL that cannot be used; the text says what was expected."""
+    """An engine URL is not usable; the message says what is expected."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineUrl:
     """``redis://[user:password@]host:port[,host:port...][/DB][?cluster=1&prefix=quota:&protocol=3]``.
 
-    Several addresses of one that is no cluster are tried in turn: a primary and those that may take its place.
+    Without a cluster, several addresses are tried in turn: a primary, and the replicas that may replace it.
     """
 
     nodes: tuple[Address, ...]
@@ -93,27 +93,27 @@
 
 
 def parse_engine_url(text: str) -> EngineUrl:
-    """Parse and check a URL. Raises EngineError."""
+    """Parse and check an engine URL. Raises EngineError."""
     parts = urlsplit(text)
     login, _, hosts = parts.netloc.rpartition("@")
     if parts.scheme != "redis" or not hosts:
         raise EngineError("expected redis://host:port[,host:port]/[DB][?cluster=1&prefix=quota:&protocol=3]")
     nodes = list[Address]()
-    for each in hosts.split(","):
-        host, _, port = each.rpartition(":")
+    for part in hosts.split(","):
+        host, _, port = part.rpartition(":")
         if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= 65535:
-            raise EngineError(f"{each!r:.60}: expected host:port")
+            raise EngineError(f"{part!r:.60}: expected host:port")
         nodes.append((host.strip("[]"), int(port)))
     try:
         options = parse_qs(parts.query, strict_parsing=bool(parts.query))
     except ValueError as error:
-        raise EngineError(f"its query: {error}") from None
+        raise EngineError(f"malformed query: {error}") from None
     if unknown := set(options) - {"cluster", "prefix", "protocol"}:
         raise EngineError(f"{min(unknown)}: unknown; expected cluster, prefix, protocol")
     database, protocol = parts.path.strip("/") or "0", options.get("protocol", ["3"])[0]
     cluster = options.get("cluster", ["0"])[0]
     if not database.isdigit() or protocol not in ("2", "3") or cluster not in ("0", "1"):
-        raise EngineError("expected a database's number, protocol 2 or 3, cluster 0 or 1")
+        raise EngineError("expected a database number, protocol 2 or 3, cluster 0 or 1")
     if cluster == "1" and int(database):
         raise EngineError("a cluster has database 0 only")
     user, _, password = login.partition(":")
@@ -124,33 +124,33 @@
 
 
 class _NotSentError(Exception):
-    """No connection: the call has not left."""
+    """There is no connection, so the call was not sent."""
 
 
 class _Call:
     __slots__ = ("done", "result", "sent")
 
-    def __init__(self, done: Done) -> None:
+    def __init__(self, done: ResultCallback) -> None:
         self.done = done
         self.sent = False
         self.result: tuple[Status, float] | None = None
 
 
 class _Node:
-    """Connections to one address: idle ones are used again, those that failed are not."""
+    """A pool of connections to one address. Failed connections are not reused."""
 
     def __init__(self, url: EngineUrl, address: Address) -> None:
         self._url = url
         self.address = address
         self._idle = list[Connection]()
-        self._room = asyncio.Semaphore(PER_NODE)
+        self._limit = asyncio.Semaphore(MAX_NODE_CONNECTIONS)
 
     def __repr__(self) -> str:
         return f"<_Node {self.address[0]}:{self.address[1]}, {len(self._idle)} idle>"
 
-    async def take(self) -> Connection:
-        """A connection that is up; ``_NotSentError`` where there is none to be had."""
-        await self._room.acquire()
+    async def acquire(self) -> Connection:
+        """Return an established connection. Raises _NotSentError if there is none."""
+        await self._limit.acquire()
         try:
             if self._idle:
                 return self._idle.pop()
@@ -162,21 +162,21 @@
             await connection.connect()  # type: ignore[no-untyped-call]
             return connection
         except (RedisError, OSError) as error:
-            self._room.release()
+            self._limit.release()
             if isinstance(error, AuthenticationError):
-                log.error("the engine at %s:%d refuses the login: %s", *self.address, error)
+                log.error("the engine at %s:%d rejected the credentials: %s", *self.address, error)
             raise _NotSentError(str(error)) from None
         except BaseException:
-            self._room.release()
+            self._limit.release()
             raise
 
-    def give_back(self, connection: Connection) -> None:
+    def release(self, connection: Connection) -> None:
         self._idle.append(connection)
-        self._room.release()
+        self._limit.release()
 
-    def drop(self, connection: Connection) -> None:
-        """What comes on it now belongs to nobody."""
-        self._room.release()
+    def discard(self, connection: Connection) -> None:
+        """Close a connection on which a reply may still arrive that no call waits for."""
+        self._limit.release()
         writer = connection._writer
         if writer is not None:
             writer.transport.abort()
@@ -189,7 +189,7 @@
 
 
 class EngineCounter:
-    """The same calls as ``net.counter.CounterClient``: each answered once, in order for each name."""
+    """Makes the calls of ``net.counter.Counter``: each gets one result, in the order of the calls for a name."""
 
     def __init__(self, url: EngineUrl, timeout: float) -> None:
         self._url = url
@@ -197,24 +197,26 @@
         self._loop = asyncio.get_running_loop()
         self._nodes = dict[Address, _Node]()
         self._slots = dict[int, Address]()
-        self._first = 0  # which of the URL's addresses is asked; the next one's turn comes when it fails
-        self._read_at = -math.inf
-        self._order = dict[int, deque[_Call]]()
+        self._node_index = 0  # index of the URL's address in use; increased when a node fails
+        self._slots_read_at = -math.inf
+        self._calls_by_name = dict[int, deque[_Call]]()
         self._tasks = set[asyncio.Task[None]]()
-        self._said = ""
+        self._last_warning = ""
 
     def __repr__(self) -> str:
-        return f"<EngineCounter {self._url!r}, {len(self._nodes)} nodes, {len(self._tasks)} calls out>"
+        return (
+            f"<EngineCounter {self._url!r}, {len(self._nodes)} nodes, {len(self._tasks)} calls in progress>"
+        )
 
     def start(self) -> None:
-        """Connect ahead of the first call."""
-        self._spawn(self._warm())
+        """Connect before the first call."""
+        self._spawn(self._connect_early())
 
     def move(self, host: str, port: int) -> None:
-        """The platform's configuration names another keeper: not ours, the operators' file has the engine."""
+        """Ignore the address in the platform's configuration: the engine's URL is in the operators' file."""
 
     def set_timeout(self, timeout: float) -> None:
-        """Other settings: calls from now on are waited for so many seconds."""
+        """Set the timeout of new calls, in seconds."""
         self._timeout = timeout
 
     def close(self) -> None:
@@ -223,10 +225,13 @@
         for node in self._nodes.values():
             node.close()
 
-    def call(self, name: int, amount: float, lifetime: float, done: Done) -> None:
-        """Add to a number; ``done`` gets the status and the total, later than this call returns."""
+    def call(self, name: int, amount: float, lifetime: float, done: ResultCallback) -> None:
+        """Add ``amount`` to the count of a name; a new count lives for ``lifetime`` seconds, from 0.001 to 60.
+
+        ``done`` gets the status and the total, after this method has returned.
+        """
         call = _Call(done)
-        self._order.setdefault(name, deque()).append(call)
+        self._calls_by_name.setdefault(name, deque()).append(call)
         milliseconds = max(1, min(60_000, round(lifetime * 1000)))
         self._spawn(self._run(name, call, f"{amount:.6f}", milliseconds))
 
@@ -239,142 +244,143 @@
         status, total = Status.UNREACHABLE, 0.0
         try:
             async with asyncio.timeout(self._timeout):
-                total = await self._add(f"{self._url.prefix}{{{name}}}", call, amount, milliseconds)
+                total = await self._send_add(f"{self._url.prefix}{{{name}}}", call, amount, milliseconds)
             status = Status.OK
         except TimeoutError:
             status = Status.TIMEOUT if call.sent else Status.UNREACHABLE
         except _NotSentError as error:
-            self._say(f"no connection to the engine: {error}")
-            self._elsewhere()
-        except TURNED_AWAY:
+            self._warn_once(f"cannot connect to the engine: {error}")
+            self._switch_node()
+        except OVERLOAD_ERRORS:
             status = Status.FULL
-        except REFUSED_FOR_NOW as error:
-            self._say(f"the engine takes no writes: {error}")
-            self._elsewhere()
+        except UNAVAILABLE_ERRORS as error:
+            self._warn_once(f"the engine does not accept writes: {error}")
+            self._switch_node()
         except ResponseError as error:
             status = Status.FULL if str(error).startswith("BUSY") else Status.ERROR
-            self._say(f"the engine refuses: {error}")
+            self._warn_once(f"the engine rejected a call: {error}")
         except (RedisError, OSError, ValueError):
             status = Status.BROKEN if call.sent else Status.UNREACHABLE
         except Exception:
             log.exception("a call to the engine failed")
             status = Status.BROKEN
         if status is Status.OK:
-            self._said = ""
-        self._finish(name, call, status, total)
+            self._last_warning = ""
+        self._finish_call(name, call, status, total)
 
-    def _say(self, text: str) -> None:
-        """Once for a row of the same."""
-        if text != self._said:
+    def _warn_once(self, text: str) -> None:
+        """Log a warning, once for a series of the same."""
+        if text != self._last_warning:
             log.warning("%s", text)
-        self._said = text
+        self._last_warning = text
 
-    def _finish(self, name: int, call: _Call, status: Status, total: float) -> None:
-        """Settle a call behind the earlier ones for its name."""
+    def _finish_call(self, name: int, call: _Call, status: Status, total: float) -> None:
+        """Finish a call. Its result is delivered after those of the earlier calls for its name."""
         call.result = status, total
-        line = self._order[name]
-        while line and (result := line[0].result) is not None:
-            first = line.popleft()
-            if not line:
-                del self._order[name]
+        calls = self._calls_by_name[name]
+        while calls and (result := calls[0].result) is not None:
+            first = calls.popleft()
+            if not calls:
+                del self._calls_by_name[name]
             first.done(*result)
 
-    # One call.
+    # Calls.
 
-    async def _add(self, key: str, call: _Call, amount: str, milliseconds: int) -> float:
+    async def _send_add(self, key: str, call: _Call, amount: str, milliseconds: int) -> float:
         slot = key_slot(key.encode()) if self._url.cluster else 0
-        words: Sequence[Any] = ("EVALSHA", ADD_SHA, 1, key, amount, milliseconds)
+        words: Sequence[Any] = ("EVALSHA", ADD_SCRIPT_SHA, 1, key, amount, milliseconds)
         asking: Address | None = None
-        for _ in range(HOPS):
-            node = self._node(asking) if asking is not None else await self._route(slot)
-            connection = await node.take()
+        for _ in range(MAX_REDIRECTS):
+            node = self._node(asking) if asking is not None else await self._find_node(slot)
+            connection = await node.acquire()
             try:
                 if asking is not None:
-                    await self._ask(connection, "ASKING")
+                    await self._execute(connection, "ASKING")
                     asking = None
                 call.sent = True
-                reply = await self._ask(connection, *words)
+                reply = await self._execute(connection, *words)
             except ResponseError as error:
-                call.sent = False  # an error is an answer: nothing was added
-                node.give_back(connection)
-                if isinstance(error, MovedError):  # of AskError's kind in the library, and to be told first
+                call.sent = False  # an error reply says that nothing was added
+                node.release(connection)
+                # MovedError is a subclass of AskError in the library, so it is checked first.
+                if isinstance(error, MovedError):
                     self._slots[slot] = error.host, int(error.port)
-                elif isinstance(error, AskError):  # for this call only
+                elif isinstance(error, AskError):  # holds for this call only
                     asking = error.host, int(error.port)
                 elif isinstance(error, NoScriptError):
-                    words = ("EVAL", ADD, 1, key, amount, milliseconds)
+                    words = ("EVAL", ADD_SCRIPT, 1, key, amount, milliseconds)
                 else:
                     raise
                 continue
             except BaseException:
-                node.drop(connection)
+                node.discard(connection)
                 raise
-            node.give_back(connection)
-            return _total(reply)
-        raise ClusterDownError("CLUSTERDOWN sent from node to node")
+            node.release(connection)
+            return _parse_total(reply)
+        raise ClusterDownError(f"CLUSTERDOWN after {MAX_REDIRECTS} redirects")
 
     @staticmethod
-    async def _ask(connection: Connection, *words: Any) -> Any:
+    async def _execute(connection: Connection, *words: Any) -> Any:
         await connection.send_command(*words, check_health=False)
         return await connection.read_response(timeout=math.inf)
 
-    # Which node.
+    # Nodes.
 
     def _node(self, address: Address) -> _Node:
         if address not in self._nodes:
-            if len(self._nodes) >= MOST_NODES:
-                raise _NotSentError("more nodes than any cluster has")
+            if len(self._nodes) >= MAX_NODES:
+                raise _NotSentError(f"more than {MAX_NODES} node addresses")
             self._nodes[address] = _Node(self._url, address)
         return self._nodes[address]
 
-    async def _route(self, slot: int) -> _Node:
+    async def _find_node(self, slot: int) -> _Node:
         if not self._url.cluster:
-            return self._node(self._url.nodes[self._first % len(self._url.nodes)])
-        if slot not in self._slots and self._loop.time() - self._read_at > FRESH:
+            return self._node(self._url.nodes[self._node_index % len(self._url.nodes)])
+        if slot not in self._slots and self._loop.time() - self._slots_read_at > SLOTS_READ_INTERVAL:
             await self._read_slots()
         address = self._slots.get(slot)
-        return self._node(address or self._url.nodes[self._first % len(self._url.nodes)])
+        return self._node(address or self._url.nodes[self._node_index % len(self._url.nodes)])
 
-    def _elsewhere(self) -> None:
-        """What was believed of the nodes did not hold: the next of the URL is asked, slots are read anew."""
-        self._first += 1
+    def _switch_node(self) -> None:
+        """Use the URL's next address and read the slots again, because what was known of the nodes did not hold."""
+        self._node_index += 1
         self._slots.clear()
 
     async def _read_slots(self) -> None:
-        """CLUSTER SLOTS of the node that is asked; one that cannot tell is passed over."""
-        self._read_at = self._loop.time()
-        node = self._node(self._url.nodes[self._first % len(self._url.nodes)])
-        connection = await node.take()
+        """Read CLUSTER SLOTS from the URL's address in use. Raises ResponseError if the node cannot provide them."""
+        self._slots_read_at = self._loop.time()
+        node = self._node(self._url.nodes[self._node_index % len(self._url.nodes)])
+        connection = await node.acquire()
         try:
-            rows = await self._ask(connection, "CLUSTER", "SLOTS")
+            rows = await self._execute(connection, "CLUSTER", "SLOTS")
         except ResponseError:
-            node.give_back(connection)
+            node.release(connection)
             raise
         except BaseException:
-            node.drop(connection)
+            node.discard(connection)
             raise
-        node.give_back(connection)
+        node.release(connection)
         for low, high, primary, *_ in rows:
-            if 0 <= low <= high < SLOTS:
-                address = _text(primary[0]) or node.address[0], int(primary[1])
+            if 0 <= low <= high < SLOT_COUNT:
+                address = _decode_text(primary[0]) or node.address[0], int(primary[1])
                 self._slots.update(dict.fromkeys(range(low, high + 1), address))
 
-    async def _warm(self) -> None:
+    async def _connect_early(self) -> None:
         try:
             async with asyncio.timeout(DIAL_TIMEOUT):
-                node = await self._route(0)
-                node.give_back(await node.take())
+                node = await self._find_node(0)
+                node.release(await node.acquire())
         except (TimeoutError, _NotSentError, RedisError, OSError) as error:
-            self._say(f"no connection to the engine: {error}")
-            self._elsewhere()
+            self._warn_once(f"cannot connect to the engine: {error}")
+            self._switch_node()
 
 
-def _text(word: Any) -> str:
+def _decode_text(word: Any) -> str:
     return word.decode() if isinstance(word, bytes) else str(word or "")
 
 
-def _total(reply: Any) -> float:
+def _parse_total(reply: Any) -> float:
     total = float(reply)
     if not math.isfinite(total):
-        raise ValueError(f"no total: {reply!r:.40}")
+        raise ValueError(f"the reply is not a finite total: {reply!r:.40}")
     return total
--- a/cypresspulley/net/peers.py
+++ b/cypresspulley/net/peers.py
@@ -19,8 +19,8 @@
 class Peers(asyncio.DatagramProtocol):
     """Sends and receives messages; ``on_message`` gets the sender's number and the text of each.
 
-    A datagram is accepted only from an address in ``peers`` and only if it is complete ASCII text, because anyone on the
-    network can send one and messages change quotas. The source address does not authenticate the sender: that
+    A datagram is accepted only from an address in ``peers`` and only if it is complete ASCII text, because anyone on
+    the network can send one and messages change quotas. The source address does not authenticate the sender: that
     would take keys, which the protocol does not have.
     """
 
