--- a/cypresspulley/keeper/engine.py
+++ b/cypresspulley/keeper/engine.py
@@ -291,7 +291,7 @@
         words: Sequence[Any] = ("EVALSHA", ADD_SCRIPT_SHA, 1, key, amount, milliseconds)
         asking: Address | None = None
         for _ in range(MAX_REDIRECTS):
-            node = self._node(asking) if asking is not None else await self._find_node(slot)
+            node = self._get_node(asking) if asking is not None else await self._find_node(slot)
             connection = await node.acquire()
             try:
                 if asking is not None:
@@ -326,7 +326,7 @@
 
     # Nodes.
 
-    def _node(self, address: Address) -> _Node:
+    def _get_node(self, address: Address) -> _Node:
         if address not in self._nodes:
             if len(self._nodes) >= MAX_NODES:
                 raise _NotSentError(f"more than {MAX_NODES} node addresses")
@@ -335,11 +335,11 @@
 
     async def _find_node(self, slot: int) -> _Node:
         if not self._url.cluster:
-            return self._node(self._url.nodes[self._node_index % len(self._url.nodes)])
+            return self._get_node(self._url.nodes[self._node_index % len(self._url.nodes)])
         if slot not in self._slots and self._loop.time() - self._slots_read_at > SLOTS_READ_INTERVAL:
             await self._read_slots()
         address = self._slots.get(slot)
-        return self._node(address or self._url.nodes[self._node_index % len(self._url.nodes)])
+        return self._get_node(address or self._url.nodes[self._node_index % len(self._url.nodes)])
 
     def _switch_node(self) -> None:
         """Use the URL's next address and read the slots again, because what was known of the nodes did not hold."""
@@ -349,7 +349,7 @@
     async def _read_slots(self) -> None:
         """Read CLUSTER SLOTS from the URL's address in use. Raises ResponseError if the node cannot provide them."""
         self._slots_read_at = self._loop.time()
-        node = self._node(self._url.nodes[self._node_index % len(self._url.nodes)])
+        node = self._get_node(self._url.nodes[self._node_index % len(self._url.nodes)])
         connection = await node.acquire()
         try:
             rows = await self._execute(connection, "CLUSTER", "SLOTS")
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -140,7 +140,7 @@
 def test_a_cluster_of_the_keeper_has_as_many_nodes_as_it_likes() -> None:
     async def main() -> None:
         counter = EngineCounter(parse_engine_url("redis://127.0.0.1:1/"), 1.0)
-        nodes = {id(counter._node(("127.0.0.1", 1 + number))) for number in range(LARGE_FLEET_SIZE)}
+        nodes = {id(counter._get_node(("127.0.0.1", 1 + number))) for number in range(LARGE_FLEET_SIZE)}
         assert len(nodes) == LARGE_FLEET_SIZE
         counter.close()
 
