--- a/benchmarks/discovery_load.py
+++ b/benchmarks/discovery_load.py
@@ -1,14 +1,14 @@
-"""Calls that a restarted fleet makes to discovery while it is of no use and at its return, in virtual time.
+"""Counts the calls of a restarted fleet to discovery during an outage and after it, in virtual time.
 
     python -m benchmarks.discovery_load [--limiters 230] [--beside CHECKOUT] [--json FILE]
 
-All limiters start at one moment, have heard nothing, and ask for lists. For ``LASTS`` seconds discovery turns all away
-(503), refuses dials, lets them hang, or takes calls and says nothing. Then it is back, as the bench's page has it: one
-service that could answer a call of each limiter in ``ALL_IN`` seconds, one after another, and that turns away (503)
-what it could not answer within ``TURN`` seconds; a call that its caller gives up is worked off all the same. What a
-refusal costs it is not on the page: played with nothing and with a tenth of a call. Printed are calls a second over
-the last half of the trouble, the most in a tenth of a second and in a second from the return on, and when half and all
-of the limiters had their list. ``--beside`` plays the discovery.py of another checkout as well. A run takes some 60 s.
+All limiters start at one moment without a list. For ``LASTS`` seconds discovery turns all calls away (503), refuses
+connections, lets dials hang, or accepts calls without a response. Then it is back, as described on the bench's page:
+one service that would need ``ALL_IN`` seconds for a call of each limiter, one after another, and that turns away (503)
+what it could not answer within ``TURN`` seconds. A call that its caller has given up is still processed. The page does
+not say what a refusal costs; it is played with nothing and with a tenth of a call. Printed are the calls per second
+over the last half of the outage, the most calls within 0.1 s and within 1 s after the return, and when half and all of
+the limiters had their list. ``--beside`` plays the discovery.py of another checkout as well. A run takes some 60 s.
 """
 
 from __future__ import annotations
@@ -30,22 +30,22 @@
 from cypresspulley.rehearsal.virtual.loop import VirtualLoop, run_virtual
 
 ADDRESS = ("10.0.0.1", 8500)
-LASTS, WITHIN = 20.0, 90.0  # seconds of the trouble, and at most after it
+LASTS, WITHIN = 20.0, 90.0  # seconds of the outage, and at most after it
 ALL_IN, TURN = 8.0, 2.0
 TROUBLES = ("503", "refused", "hangs", "mute")
-BUSY = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+BUSY_RESPONSE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 TEXT = b'{"seq":43,"whole":true,"hosts":[]}\n'
 ANSWER = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(TEXT), TEXT)
-BEAT = b"1\r\n\n\r\n"
+HEARTBEAT_CHUNK = b"1\r\n\n\r\n"
 
 
 class Service:
-    """Discovery for all limiters: one line of calls, worked off in turn."""
+    """Discovery for all limiters: one queue of calls, processed in order."""
 
     def __init__(self, loop: VirtualLoop, trouble: str, call: float, refusal: float) -> None:
-        """``call`` and ``refusal``: seconds of work."""
+        """``call`` and ``refusal`` are the processing times of a call and of a refusal, in seconds."""
         self._loop, self._trouble, self._call, self._refusal = loop, trouble, call, refusal
-        self._free_at = 0.0  # when what was taken is worked off
+        self._free_at = 0.0  # when all accepted calls have been processed
         self.calls = list[float]()
 
     def __repr__(self) -> str:
@@ -69,15 +69,15 @@
         self._loop.network.connect = dial  # type: ignore[method-assign]
         await self._loop.create_server(lambda: _Call(self), *ADDRESS)
 
-    def asked(self, call: _Call) -> None:
+    def receive_request(self, call: _Call) -> None:
         now = self._loop.time()
         if not self.up:
-            return call.say(BUSY) if self._trouble == "503" else None
-        begins = max(now, self._free_at)
-        if begins + self._call - now > TURN:
-            self._free_at = begins + self._refusal
-            return call.say(BUSY)
-        self._free_at = begins + self._call
+            return call.send(BUSY_RESPONSE) if self._trouble == "503" else None
+        starts_at = max(now, self._free_at)
+        if starts_at + self._call - now > TURN:
+            self._free_at = starts_at + self._refusal
+            return call.send(BUSY_RESPONSE)
+        self._free_at = starts_at + self._call
         self._loop.call_at(self._free_at, call.follow)
         return None
 
@@ -100,26 +100,26 @@
         self._data += data
         if self._data.endswith(b"\r\n\r\n"):
             self._data = b""
-            self._service.asked(self)
+            self._service.receive_request(self)
 
-    def say(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         if self._transport is not None:
             self._transport.write(data)
 
     def follow(self) -> None:
-        self.say(ANSWER)
-        self._loop.call_later(2.0, self._beat)
+        self.send(ANSWER)
+        self._loop.call_later(2.0, self._send_heartbeat)
 
-    def _beat(self) -> None:
+    def _send_heartbeat(self) -> None:
         if self._transport is not None:
-            self.say(BEAT)
-            self._loop.call_later(2.0, self._beat)
+            self.send(HEARTBEAT_CHUNK)
+            self._loop.call_later(2.0, self._send_heartbeat)
 
 
 async def play(
     loop: VirtualLoop, module: ModuleType, limiters: int, trouble: str, refusal: float
 ) -> dict[str, float]:
-    """One row of the table."""
+    """Play one combination and return a row of the table."""
     call = ALL_IN / limiters
     service, read, done = Service(loop, trouble, call, refusal * call), dict[int, float](), asyncio.Event()
     await service.listen()
@@ -142,21 +142,27 @@
     for task in tasks:
         task.cancel()
     calls = sorted(service.calls)
-    back = [at for at in calls if at >= LASTS]
+    calls_after_return = [at for at in calls if at >= LASTS]
     times = sorted(read.values()) + [float("inf")] * (limiters - len(read))
 
-    def most(seconds: float) -> int:
-        return max((bisect_left(back, at + seconds) - place for place, at in enumerate(back)), default=0)
+    def peak_calls(seconds: float) -> int:
+        return max(
+            (
+                bisect_left(calls_after_return, at + seconds) - place
+                for place, at in enumerate(calls_after_return)
+            ),
+            default=0,
+        )
 
     before = bisect_left(calls, LASTS) - bisect_left(calls, LASTS / 2)
     return {
-        "calls_per_s": before / (LASTS / 2), "most_in_0.1_s": most(0.1), "most_in_1_s": most(1.0),
-        "calls_after": len(back), "half_read_s": times[limiters // 2], "all_read_s": times[-1],
+        "calls_per_s": before / (LASTS / 2), "most_in_0.1_s": peak_calls(0.1), "most_in_1_s": peak_calls(1.0),
+        "calls_after": len(calls_after_return), "half_read_s": times[limiters // 2], "all_read_s": times[-1],
     }  # fmt: skip
 
 
-def other(checkout: str) -> ModuleType:
-    """The discovery module of another checkout, beside this one."""
+def load_discovery(checkout: str) -> ModuleType:
+    """Load the discovery module of another checkout."""
     spec = importlib.util.spec_from_file_location(
         "other_discovery", Path(checkout) / "cypresspulley/net/discovery.py"
     )
@@ -176,7 +182,7 @@
     parser.add_argument("--json", help="a file for the figures")
     options = parser.parse_args()
     logging.disable(logging.CRITICAL)
-    modules = {"this": discovery} | ({"other": other(options.beside)} if options.beside else {})
+    modules = {"this": discovery} | ({"other": load_discovery(options.beside)} if options.beside else {})
     rows = []
     for refusal in (0.0, 0.1):
         for trouble in TROUBLES:
--- a/cypresspulley/net/peers.py
+++ b/cypresspulley/net/peers.py
@@ -40,9 +40,8 @@
         await loop.create_datagram_endpoint(lambda: self, local_addr=(host, port))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(
-            asyncio.DatagramTransport, transport
-        )  # uvloop's transports are not subclasses of it
+        # uvloop's transports are not subclasses of DatagramTransport.
+        self._transport = cast(asyncio.DatagramTransport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = None
--- a/tests/keeper/test_engine.py
+++ b/tests/keeper/test_engine.py
@@ -1,4 +1,4 @@
-"""Counts over the Redis protocol against the stand-in: every refusal, break and failover, and nothing added twice."""
+"""The counter over the Redis protocol: errors, broken connections and failovers of the stand-in add nothing twice."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from cypresspulley.rehearsal.standins.engine import SLOTS, EngineNode
 from tests.loopback import run
 
-GENEROUS = 5.0
+LONG_TIMEOUT = 5.0  # seconds; a timeout that no call should reach
 
 
 class Caller:
-    """Calls that are waited for."""
+    """Makes calls, waits for each and records the results."""
 
     def __init__(self, counter: EngineCounter) -> None:
         self.counter = counter
@@ -40,7 +40,7 @@
 
 @asynccontextmanager
 async def engines(
-    count: int = 1, timeout: float = GENEROUS, query: str = ""
+    count: int = 1, timeout: float = LONG_TIMEOUT, query: str = ""
 ) -> AsyncIterator[tuple[list[EngineNode], Caller]]:
     nodes = [EngineNode() for _ in range(count)]
     ports = [await node.listen() for node in nodes]
@@ -54,30 +54,30 @@
             node.stop()
 
 
-def played(work: Callable[[list[EngineNode], Caller], Awaitable[None]], **how: object) -> None:
+def run_with_engines(scenario: Callable[[list[EngineNode], Caller], Awaitable[None]], **how: object) -> None:
     async def main() -> None:
         async with engines(**how) as (nodes, caller):  # type: ignore[arg-type]
-            await work(nodes, caller)
+            await scenario(nodes, caller)
 
     run(main())
 
 
 @pytest.mark.parametrize("protocol", [2, 3])
 def test_totals_add_up_and_names_are_apart(protocol: int) -> None:
-    async def work(nodes: list[EngineNode], caller: Caller) -> None:
+    async def scenario(nodes: list[EngineNode], caller: Caller) -> None:
         assert await caller.add(1, 2.5) == (Status.OK, 2.5)
         assert await caller.add(1, -1.0) == (Status.OK, 1.5)
         assert await caller.add(2, 0.0) == (Status.OK, 0.0)
         assert nodes[0].total("fawnseam:{1}") == 1.5
 
-    played(work, query=f"?protocol={protocol}")
+    run_with_engines(scenario, query=f"?protocol={protocol}")
 
 
 def test_a_name_lives_from_its_first_call_and_later_ones_do_not_extend_it() -> None:
     async def main() -> None:
         now = 100.0
         node = EngineNode(lambda: now)
-        counter = EngineCounter(parse_engine_url(f"redis://127.0.0.1:{await node.listen()}"), GENEROUS)
+        counter = EngineCounter(parse_engine_url(f"redis://127.0.0.1:{await node.listen()}"), LONG_TIMEOUT)
         caller = Caller(counter)
         assert await caller.add(1, 1.0, 4.0) == (Status.OK, 1.0)
         now = 103.0
@@ -97,53 +97,53 @@
     ],
 )  # fmt: skip
 def test_a_refusal_adds_nothing_and_is_over_with_its_cause(fault: str, status: Status) -> None:
-    async def work(nodes: list[EngineNode], caller: Caller) -> None:
+    async def scenario(nodes: list[EngineNode], caller: Caller) -> None:
         setattr(nodes[0], fault, True)
         assert (await caller.add())[0] is status
         assert nodes[0].total("fawnseam:{1}") == 0.0
         setattr(nodes[0], fault, False)
         assert await caller.add() == (Status.OK, 1.0)
 
-    played(work)
+    run_with_engines(scenario)
 
 
 @pytest.mark.parametrize(("drop", "added"), [("before", 0.0), ("after", 1.0)])
 def test_a_break_behind_the_call_is_told_as_maybe_and_nothing_is_sent_again(drop: str, added: float) -> None:
-    async def work(nodes: list[EngineNode], caller: Caller) -> None:
-        await caller.add(9)  # the script is known and a connection is up
+    async def scenario(nodes: list[EngineNode], caller: Caller) -> None:
+        await caller.add(9)  # loads the script and opens a connection
         nodes[0].drop, nodes[0].drops_left = drop, 1
         calls = nodes[0].calls
         assert (await caller.add())[0] is Status.BROKEN
         assert nodes[0].calls == calls + 1 and nodes[0].total("fawnseam:{1}") == added
         assert await caller.add() == (Status.OK, added + 1)
 
-    played(work)
+    run_with_engines(scenario)
 
 
 def test_no_answer_in_time_is_told_as_maybe_and_a_late_one_meets_no_other_call() -> None:
-    async def work(nodes: list[EngineNode], caller: Caller) -> None:
-        await caller.add(9)  # the script is known from here on
+    async def scenario(nodes: list[EngineNode], caller: Caller) -> None:
+        await caller.add(9)  # loads the script
         nodes[0].delay = 0.3
         assert (await caller.add(1, 5.0))[0] is Status.TIMEOUT
         nodes[0].delay = 0.0
         assert await caller.add(2, 1.0) == (Status.OK, 1.0)
         assert nodes[0].total("fawnseam:{1}") == 5.0
 
-    played(work, timeout=0.1)
+    run_with_engines(scenario, timeout=0.1)
 
 
 def test_nobody_there_is_unreachable_and_the_next_address_takes_over() -> None:
-    async def work(nodes: list[EngineNode], caller: Caller) -> None:
+    async def scenario(nodes: list[EngineNode], caller: Caller) -> None:
         await caller.add()
         nodes[0].stop()
         statuses = [(await caller.add())[0] for _ in range(4)]
         assert statuses[-1] is Status.OK and set(statuses) <= {Status.BROKEN, Status.UNREACHABLE, Status.OK}
 
-    played(work, count=2)
+    run_with_engines(scenario, count=2)
 
 
 def test_a_failover_that_forgets_is_a_total_that_runs_backwards() -> None:
-    async def work(nodes: list[EngineNode], caller: Caller) -> None:
+    async def scenario(nodes: list[EngineNode], caller: Caller) -> None:
         old, new = nodes
         new.replica = True
         totals = [(await caller.add())[1] for _ in range(5)]
@@ -152,32 +152,32 @@
         assert (await caller.add())[0] is Status.UNREACHABLE  # READONLY: nothing was added
         assert totals == [1.0, 2.0, 3.0, 4.0, 5.0] and await caller.add() == (Status.OK, 3.0)
 
-    played(work, count=2)
+    run_with_engines(scenario, count=2)
 
 
 def test_answers_of_one_name_come_in_the_order_of_the_calls() -> None:
-    async def work(nodes: list[EngineNode], caller: Caller) -> None:
+    async def scenario(nodes: list[EngineNode], caller: Caller) -> None:
         await caller.add(7)
         await asyncio.gather(*(caller.add(1, amount) for amount in (1.0, 10.0, 100.0)))
         assert [name for name, _, _ in caller.answers] == [7, 1, 1, 1]
         assert nodes[0].total("fawnseam:{1}") == 111.0
 
-    played(work)
+    run_with_engines(scenario)
 
 
 def test_noise_is_no_total() -> None:
-    async def work(nodes: list[EngineNode], caller: Caller) -> None:
+    async def scenario(nodes: list[EngineNode], caller: Caller) -> None:
         nodes[0].garbled = True
         assert (await caller.add())[0] is Status.BROKEN  # it was added, or may have been
 
-    played(work)
+    run_with_engines(scenario)
 
 
 # Clusters.
 
 
-def clustered(nodes: list[EngineNode]) -> None:
-    """Two halves, as CLUSTER SLOTS of both tells."""
+def form_cluster(nodes: list[EngineNode]) -> None:
+    """Give each node half of the slots, as both report in CLUSTER SLOTS."""
     half = SLOTS // 2
     rows = [(0, half - 1, "127.0.0.1", nodes[0].port), (half, SLOTS - 1, "127.0.0.1", nodes[1].port)]
     for n, node in enumerate(nodes):
@@ -192,20 +192,20 @@
 
 
 def test_calls_go_to_the_node_of_their_slot() -> None:
-    async def work(nodes: list[EngineNode], caller: Caller) -> None:
-        clustered(nodes)
+    async def scenario(nodes: list[EngineNode], caller: Caller) -> None:
+        form_cluster(nodes)
         for name in range(40):
             assert await caller.add(name) == (Status.OK, 1.0)
         assert all(len(node.values) > 5 for node in nodes)
         for node in nodes:
             assert node.owns is not None and all(key_slot(key.encode()) in node.owns for key in node.values)
 
-    played(work, count=2, query="?cluster=1")
+    run_with_engines(scenario, count=2, query="?cluster=1")
 
 
 def test_moved_slots_are_followed_and_remembered() -> None:
-    async def work(nodes: list[EngineNode], caller: Caller) -> None:
-        clustered(nodes)
+    async def scenario(nodes: list[EngineNode], caller: Caller) -> None:
+        form_cluster(nodes)
         name = next(n for n in range(100) if slot_of(n) < SLOTS // 2)
         await caller.add(name)
         slot, (here, there) = slot_of(name), nodes
@@ -213,16 +213,16 @@
         here.owns.discard(slot)
         here.moved[slot] = ("127.0.0.1", there.port)
         there.owns.add(slot)
-        assert await caller.add(name) == (Status.OK, 1.0)  # its value has not come along here
+        assert await caller.add(name) == (Status.OK, 1.0)  # the value was not migrated
         before = here.calls
         assert await caller.add(name) == (Status.OK, 2.0) and here.calls == before
 
-    played(work, count=2, query="?cluster=1")
+    run_with_engines(scenario, count=2, query="?cluster=1")
 
 
 def test_a_slot_on_its_way_is_asked_for_once_and_not_remembered() -> None:
-    async def work(nodes: list[EngineNode], caller: Caller) -> None:
-        clustered(nodes)
+    async def scenario(nodes: list[EngineNode], caller: Caller) -> None:
+        form_cluster(nodes)
         name = next(n for n in range(100) if slot_of(n) < SLOTS // 2)
         slot, (here, there) = slot_of(name), nodes
         here.asking[slot] = ("127.0.0.1", there.port)
@@ -233,30 +233,30 @@
         await caller.add(name)
         assert here.calls > calls
 
-    played(work, count=2, query="?cluster=1")
+    run_with_engines(scenario, count=2, query="?cluster=1")
 
 
 def test_nodes_that_send_a_call_round_do_not_hold_it_for_ever() -> None:
-    async def work(nodes: list[EngineNode], caller: Caller) -> None:
-        clustered(nodes)
+    async def scenario(nodes: list[EngineNode], caller: Caller) -> None:
+        form_cluster(nodes)
         for node, other in zip(nodes, reversed(nodes), strict=True):
             node.owns, node.moved = set(), dict.fromkeys(range(SLOTS), ("127.0.0.1", other.port))
         assert (await caller.add())[0] is Status.UNREACHABLE
 
-    played(work, count=2, query="?cluster=1")
+    run_with_engines(scenario, count=2, query="?cluster=1")
 
 
 def test_a_slot_nobody_serves_is_unreachable() -> None:
-    async def work(nodes: list[EngineNode], caller: Caller) -> None:
-        clustered(nodes)
+    async def scenario(nodes: list[EngineNode], caller: Caller) -> None:
+        form_cluster(nodes)
         for node in nodes:
             node.owns, node.moved = set(), {}
         assert (await caller.add())[0] is Status.UNREACHABLE
 
-    played(work, count=2, query="?cluster=1")
+    run_with_engines(scenario, count=2, query="?cluster=1")
 
 
-# Nothing twice, whatever happens.
+# No addition is made twice.
 
 
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=25)
@@ -264,9 +264,9 @@
     st.lists(st.sampled_from(("ok", "before", "after", "loading", "oom")), min_size=1, max_size=25)
 )
 def test_what_is_told_as_added_was_added_once_and_what_is_told_as_not_was_not(faults: list[str]) -> None:
-    async def work(nodes: list[EngineNode], caller: Caller) -> None:
+    async def scenario(nodes: list[EngineNode], caller: Caller) -> None:
         node, sure, maybe = nodes[0], 0, 0
-        await caller.add(9)  # the script is known from here on
+        await caller.add(9)  # loads the script
         for fault in faults:
             node.loading, node.out_of_memory = fault == "loading", fault == "oom"
             node.drop, node.drops_left = (fault, 1) if fault in ("before", "after") else ("", 0)
@@ -276,13 +276,13 @@
         assert sure <= node.total("fawnseam:{1}") <= sure + maybe
         assert node.total("fawnseam:{1}") == sum(fault in ("ok", "after") for fault in faults)
 
-    played(work)
+    run_with_engines(scenario)
 
 
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=25)
 @hypothesis.given(st.binary(max_size=200))
 def test_the_stand_in_stands_any_bytes(data: bytes) -> None:
-    async def work(nodes: list[EngineNode], caller: Caller) -> None:
+    async def scenario(nodes: list[EngineNode], caller: Caller) -> None:
         _, writer = await asyncio.open_connection("127.0.0.1", nodes[0].port)
         writer.write(data)
         writer.write_eof()
@@ -290,7 +290,7 @@
         assert await caller.add() == (Status.OK, 1.0)
         writer.close()
 
-    played(work)
+    run_with_engines(scenario)
 
 
 # URLs.
--- a/tests/keeper/test_wiring.py
+++ b/tests/keeper/test_wiring.py
@@ -1,4 +1,4 @@
-"""The program with its counts on an engine: on by the operators' file, off and not imported without it."""
+"""The program with the counter on an engine: enabled by the operators' file, otherwise not even imported."""
 
 from __future__ import annotations
 
--- a/tests/test_bad_lists.py
+++ b/tests/test_bad_lists.py
@@ -1,4 +1,4 @@
-"""An empty server list is followed; of a spoilt one the last good list holds, and the watch goes on."""
+"""An empty server list is applied. A malformed one is dropped: the last valid list stays, and the watch continues."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.test_program import Program, config, stand_in_stage, started
 
 ROW: dict[str, Any] = {"host": "s1", "dial": "127.0.0.1:7070", "site": "a", "health": "ready"}
-SPOILT: dict[str, Any] = {
+MALFORMED: dict[str, Any] = {
     "no object": "x", "a list": [ROW], "no servers": {"seq": 9, "whole": True},
     "servers that are none": {"seq": 9, "whole": True, "hosts": None},
     "a text for them": {"seq": 9, "whole": True, "hosts": "s1"},
@@ -33,7 +33,7 @@
 }  # fmt: skip
 
 
-async def status(program: Program) -> int:
+async def fetch_status(program: Program) -> int:
     reader, writer = await program.connect()
     writer.write(ask())
     first, _, _ = await read_message(reader)
@@ -41,8 +41,8 @@
     return int(first.split()[1])
 
 
-async def until(program: Program, wanted: int) -> None:
-    while await status(program) != wanted:
+async def wait_for_status(program: Program, wanted: int) -> None:
+    while await fetch_status(program) != wanted:
         await asyncio.sleep(0.01)
 
 
@@ -51,11 +51,12 @@
         origin, agent = Origin(), Agent(stand_in_stage(), "n0")
         async with listening(origin.talk) as dial:
             raw = config(dial, agent.listen("127.0.0.1"))
-            raw["known"]["seq"] = 0  # older than what discovery has: it tells the whole list, of nobody
+            # Older than discovery's version, so that it sends the complete list, which is empty.
+            raw["known"]["seq"] = 0
             async with started(raw, tmp_path) as program:
-                await until(program, 429)
+                await wait_for_status(program, 429)
                 agent.publish(Host("s1", dial, "a", 0, "ready"))
-                await until(program, 200)
+                await wait_for_status(program, 200)
         agent.close()
 
     run(main())
@@ -67,9 +68,9 @@
         async with listening(origin.talk) as dial:
             agent.publish(Host("s1", dial, "a", 0, "ready"))
             async with started(config("127.0.0.1:1", agent.listen("127.0.0.1")), tmp_path) as program:
-                await until(program, 200)
+                await wait_for_status(program, 200)
                 for text in (
-                    *map(json.dumps, SPOILT.values()),
+                    *map(json.dumps, MALFORMED.values()),
                     "{",
                     '{"seq": 1e400, "whole": true, "hosts": []}',
                 ):
@@ -77,15 +78,15 @@
                         await asyncio.sleep(0.005)
                     for watcher in list(agent.watchers):
                         watcher.chunk(text.encode() + b"\n")
-                    assert await status(program) == 200
+                    assert await fetch_status(program) == 200
                 agent.publish(Host("s1", dial, "a", 0, "gone"))
-                await until(program, 429)  # what comes next is heard
+                await wait_for_status(program, 429)  # the next message is applied
         agent.close()
 
     run(main())
 
 
-@pytest.mark.parametrize("known", SPOILT.values(), ids=SPOILT)
+@pytest.mark.parametrize("known", MALFORMED.values(), ids=MALFORMED)
 def test_a_spoilt_list_in_the_configuration_is_named(known: object) -> None:
     with pytest.raises(ConfigError, match=r"^not a list of servers: "):
         config_from(config("127.0.0.1:1") | {"known": known})
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -1,4 +1,4 @@
-"""The counter's client over loopback sockets: order, give-ups, breaks."""
+"""The client of the counter over loopback sockets: order of results, timeouts and broken connections."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from tests.loopback import listening, run
 
 
-class Tally:
-    """A counter whose answers a test writes; ``lines`` is what it was asked."""
+class CounterServer:
+    """A counter whose answers the test writes; ``lines`` holds the calls it received."""
 
     def __init__(self) -> None:
         self.lines = asyncio.Queue[bytes]()
@@ -28,14 +28,16 @@
 
 
 @asynccontextmanager
-async def connected(timeout: float) -> AsyncIterator[tuple[Tally, asyncio.StreamWriter, CounterClient]]:
-    tally = Tally()
-    async with listening(tally.talk) as address:
+async def connected(
+    timeout: float,
+) -> AsyncIterator[tuple[CounterServer, asyncio.StreamWriter, CounterClient]]:
+    server = CounterServer()
+    async with listening(server.talk) as address:
         host, port = address.split(":")
         client = CounterClient(host, int(port), timeout)
         client.start()
         try:
-            yield tally, await tally.connections.get(), client
+            yield server, await server.connections.get(), client
         finally:
             client.close()
 
@@ -48,11 +50,11 @@
 
 def test_calls_are_pipelined_and_answered_in_order() -> None:
     async def main() -> None:
-        async with connected(10.0) as (tally, writer, client):
+        async with connected(10.0) as (server, writer, client):
             results = [call(client, 7, -2.5), call(client, 8), call(client, 9), call(client, 10)]
-            assert await tally.lines.get() == b"tally 7 -2.500000 4000\r\n"
+            assert await server.lines.get() == b"tally 7 -2.500000 4000\r\n"
             for _ in range(3):
-                await tally.lines.get()
+                await server.lines.get()
             for piece in (b"ok 1", b"2.5\r", b"\nbusy\r\ner", b"ror\r\nok 3e2\r\n"):
                 writer.write(piece)
                 await asyncio.sleep(0)
@@ -65,12 +67,12 @@
 
 def test_a_call_given_up_keeps_its_place_in_line() -> None:
     async def main() -> None:
-        async with connected(0.05) as (tally, writer, client):
+        async with connected(0.05) as (server, writer, client):
             assert await call(client, 1) == (Status.TIMEOUT, 0.0)
             client._timeout = 10.0
             second = call(client, 2)
             for _ in range(2):
-                await tally.lines.get()
+                await server.lines.get()
             writer.write(b"ok 1\r\nok 2\r\n")
             assert await second == (Status.OK, 2.0)
 
@@ -79,9 +81,9 @@
 
 def test_a_break_leaves_written_calls_unknown_and_adds_nothing_for_the_others() -> None:
     async def main() -> None:
-        async with connected(10.0) as (tally, writer, client):
+        async with connected(10.0) as (server, writer, client):
             written = call(client, 1)
-            await tally.lines.get()
+            await server.lines.get()
             link = client._connection
             assert link is not None
             link.pause_writing()  # as when the socket's buffer is full
@@ -89,12 +91,12 @@
             link.resume_writing()
             link.pause_writing()
             waiting = call(client, 3)
-            await tally.lines.get()
+            await server.lines.get()
             writer.transport.abort()
             assert (await written)[0] is Status.BROKEN
-            assert (await partly)[0] is Status.UNREACHABLE  # the last handed over, while writing was held up
-            writer = await tally.connections.get()  # it connects anew at once, for what waits
-            assert (await tally.lines.get()).startswith(b"tally 3 ")
+            assert (await partly)[0] is Status.UNREACHABLE  # the last line passed on while writing was paused
+            writer = await server.connections.get()  # the client reconnects at once for the queued call
+            assert (await server.lines.get()).startswith(b"tally 3 ")
             writer.write(b"ok 4\r\n")
             assert await waiting == (Status.OK, 4.0)
 
@@ -125,15 +127,16 @@
 )
 def test_a_spoilt_answer_leaves_all_behind_it_unknown_and_a_new_connection_serves(answer: bytes) -> None:
     async def main() -> None:
-        async with connected(10.0) as (tally, writer, client):
+        async with connected(10.0) as (server, writer, client):
             first, second = call(client, 1), call(client, 2)
             for _ in range(2):
-                await tally.lines.get()
-            writer.write(answer + b"ok 5\r\n" * answer.endswith(b"\n"))  # not to be taken for the second's
+                await server.lines.get()
+            # The second line must not be taken for the answer to the second call.
+            writer.write(answer + b"ok 5\r\n" * answer.endswith(b"\n"))
             assert [await first, await second] == [(Status.MALFORMED, 0.0)] * 2
             third = call(client, 3)  # waits for the new connection
-            writer = await tally.connections.get()
-            assert (await tally.lines.get()).startswith(b"tally 3 ")
+            writer = await server.connections.get()
+            assert (await server.lines.get()).startswith(b"tally 3 ")
             writer.write(b"ok 7\r\n")
             assert await third == (Status.OK, 7.0)
 
@@ -142,27 +145,27 @@
 
 def test_a_move_is_made_before_the_break_and_results_keep_their_order() -> None:
     async def main() -> None:
-        there = Tally()
-        async with connected(10.0) as (here, old, client), listening(there.talk) as address:
+        new_server = CounterServer()
+        async with connected(10.0) as (old_server, old, client), listening(new_server.talk) as address:
             owed = call(client, 7)
-            await here.lines.get()
+            await old_server.lines.get()
             host, port = address.split(":")
             client.move(host, int(port))
-            during = call(client, 8)  # the new one is not up: the old one still serves
-            assert (await here.lines.get()).startswith(b"tally 8 ")
-            new = await there.connections.get()
+            during = call(client, 8)  # the new connection is not established, so the old one is used
+            assert (await old_server.lines.get()).startswith(b"tally 8 ")
+            new = await new_server.connections.get()
             while client._connection is None or client._connection.address[1] != int(port):
                 await asyncio.sleep(0.001)
             late, other = call(client, 7), call(client, 9)
-            assert (await there.lines.get()).startswith(b"tally 7 ")
-            await there.lines.get()
+            assert (await new_server.lines.get()).startswith(b"tally 7 ")
+            await new_server.lines.get()
             new.write(b"ok 2\r\nok 9\r\n")
             assert await other == (Status.OK, 9.0)
-            assert not late.done()  # for this name the old one owes an earlier answer
+            assert not late.done()  # the old connection still owes an earlier answer for this name
             old.write(b"ok 1\r\nok 8\r\n")
             assert [await owed, await late, await during] == [(Status.OK, float(n)) for n in (1, 2, 8)]
             assert not client._calls_by_name
-            while client._draining:  # and the old connection closes by itself
+            while client._draining:  # the old connection closes by itself
                 await asyncio.sleep(0.001)
 
     run(main())
@@ -170,17 +173,17 @@
 
 def test_a_second_move_overtakes_the_first_and_a_dead_address_leaves_the_old_one_in_use() -> None:
     async def main() -> None:
-        there = Tally()
-        async with connected(10.0) as (here, old, client), listening(there.talk) as address:
+        new_server = CounterServer()
+        async with connected(10.0) as (old_server, old, client), listening(new_server.talk) as address:
             host, port = address.split(":")
             client.move("127.0.0.1", 1)
             first = call(client, 1)
-            await here.lines.get()
+            await old_server.lines.get()
             old.write(b"ok 1\r\n")
             assert await first == (Status.OK, 1.0)
             client.move("127.0.0.1", 2)
             client.move(host, int(port))
-            (await there.connections.get()).write(b"")
+            (await new_server.connections.get()).write(b"")
 
     run(main())
 
@@ -193,8 +196,8 @@
     monkeypatch.setattr(counter, "ANSWER_TIMEOUT", 0.1)
 
     async def main() -> None:
-        async with connected(10.0) as (tally, _, _):
-            assert await tally.lines.get() == b"ping\r\n"
-            await tally.connections.get()  # no pong came: given up for a new one
+        async with connected(10.0) as (server, _, _):
+            assert await server.lines.get() == b"ping\r\n"
+            await server.connections.get()  # no pong arrived, so the connection is replaced
 
     run(main())
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The watch on discovery over loopback sockets: chunks, versions, silence, odd lines."""
+"""The watch on discovery over loopback sockets: chunk boundaries, versions, timeouts and malformed lines."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class Agent:
-    """Discovery's agent: each connection gets the next of the scripts, byte groups with pauses."""
+    """An agent of discovery: each connection is sent the pieces of the next script, one per turn of the loop."""
 
     def __init__(self, *scripts: list[bytes], end: bool = True) -> None:
         self.scripts, self.asked, self._end = list(scripts), list[str](), end
@@ -122,9 +122,8 @@
             task = asyncio.create_task(Discovery(host, int(port), 41, lambda _: heard.set()).follow())
             for _ in range(turns):
                 await asyncio.sleep(0)
-            time.sleep(
-                TIMEOUTS[WatchState.DIALING] + 0.1
-            )  # the timer is due before the loop sees that it is up
+            # The timer is due before the loop sees that the dial has completed.
+            time.sleep(TIMEOUTS[WatchState.DIALING] + 0.1)
             await heard.wait()
             task.cancel()
         assert len(agent.asked) == 1 and agent.connections == 1
@@ -134,15 +133,20 @@
 
 def test_odd_lines_are_dropped_and_the_watch_goes_on() -> None:
     async def main() -> None:
-        odd = [
+        malformed_lines = [
             b"not json\n", b"[]\n", b'{"seq":1}\n', b'{"seq":1,"whole":true,"hosts":[3]}\n', b"\xff\n",
             message(9, "upbeat"), message(9, dial="nowhere"), message(9, born_ms="then"),
         ]  # fmt: skip
-        spoilt, rest = [HEAD, chunk(odd[0])], [HEAD, chunk(b"".join(odd) + message(60))]
-        agent = Agent(spoilt, rest)
+        malformed_first, malformed_again = (
+            [HEAD, chunk(malformed_lines[0])],
+            [HEAD, chunk(b"".join(malformed_lines) + message(60))],
+        )
+        agent = Agent(malformed_first, malformed_again)
         heard = await follow(agent, 1)
         assert [listing.version for listing in heard] == [60]
-        assert len(agent.asked) == 2 and agent.asked[1].endswith("since=41"), "it is asked for once more"
+        assert len(agent.asked) == 2 and agent.asked[1].endswith("since=41"), (
+            "the version is requested once more"
+        )
 
     run(main())
 
@@ -169,16 +173,16 @@
     run(main())
 
 
-def backoffs(seed: int, busy: bool) -> list[float]:
+def draw_backoffs(seed: int, busy: bool) -> list[float]:
     watch = Discovery("127.0.0.1", 1, 41, lambda _: None, Random(seed).random)
     watch._is_overloaded = busy
     return [watch.backoff() for _ in range(9)]
 
 
 def test_a_discovery_that_is_silent_or_breaks_is_asked_again_before_its_news_count_as_told() -> None:
-    """What it has to tell counts as told after 6 s: a drain that came then was heard of 10 s and more too late."""
+    """A change counts as known after 6 s. Longer waits once let the limiter hear of a drain 10 s too late and more."""
     assert TIMEOUTS[WatchState.FOLLOWING] + TIMEOUTS[WatchState.AWAITING_ANSWER] + 1.5 * MAX_BACKOFF < 6
-    assert all(max(backoffs(seed, busy=False)) <= 1.5 * MAX_BACKOFF for seed in range(40))
+    assert all(max(draw_backoffs(seed, busy=False)) <= 1.5 * MAX_BACKOFF for seed in range(40))
 
 
 def test_a_watch_that_was_busy_once_and_then_silent_does_not_wait_as_for_a_busy_one(
@@ -193,11 +197,11 @@
         agent = Agent(busy, busy, busy, [], [HEAD, chunk(message(1))])
         backoff = Discovery.backoff
 
-        def noted(watch: Discovery) -> float:
+        def recorded_backoff(watch: Discovery) -> float:
             waited.append(backoff(watch))
             return 0.0
 
-        monkeypatch.setattr(Discovery, "backoff", noted)
+        monkeypatch.setattr(Discovery, "backoff", recorded_backoff)
         await follow(agent, 1, 5)
 
     run(main())
@@ -205,13 +209,13 @@
 
 
 def test_each_try_waits_longer_than_the_one_before_and_apart_from_other_limiters() -> None:
-    each = [backoffs(seed, busy=True) for seed in range(40)]
+    each = [draw_backoffs(seed, busy=True) for seed in range(40)]
     assert sum(first[0] for first in each) / 40 == pytest.approx(INITIAL_BACKOFF, rel=0.2)
     assert all(
         MAX_BACKOFF_BUSY / 2 <= last[-1] <= 1.5 * MAX_BACKOFF_BUSY <= MAX_CALL_INTERVAL + 1e-9
         for last in each
     )
-    # What 40 limiters ask together in the busiest tenth of a second, at their fifth try.
+    # The number of calls of 40 limiters in the busiest 0.1 s, at the fifth call of each.
     at = sorted(sum(waits[:5]) for waits in each)
     assert max(sum(t <= other < t + 0.1 for other in at) for t in at) <= 10
 
@@ -223,7 +227,7 @@
 
         async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             asked.append((await reader.readuntil(b"\r\n\r\n")).decode().split()[1])
-            came.set()
+            requested.set()
             await speak.wait()
             writer.write(HEAD + chunk(message(3)))
             await asyncio.Event().wait()
@@ -232,15 +236,15 @@
             versions.append(listing.version)
             heard.set()
 
-        asked, came = list[str](), asyncio.Event()
+        asked, requested = list[str](), asyncio.Event()
         async with listening(old.talk) as first, listening(talk) as second:
             follower = DiscoveryClient(tell)
-            for address in (first, "127.0.0.1:1", second, second):  # the third overtakes the second
+            for address in (first, "127.0.0.1:1", second, second):  # the third address replaces the second
                 host, port = address.split(":")
                 follower.follow(host, int(port), 41 if address == first else None)
                 if address == first:
                     await heard.wait()
-            await came.wait()
+            await requested.wait()
             assert follower._current is not None and not follower._current.cancelled()
             task = follower._current
             heard.clear()
--- a/tests/test_endings_counter.py
+++ b/tests/test_endings_counter.py
@@ -1,4 +1,4 @@
-"""How calls to the counter end: each once, in order for a name, whatever crosses the end of a connection."""
+"""Calls to the counter end once and in order for a name, whatever coincides with the end of a connection."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Calls:
-    """Calls and what came of each, in the order in which they ended."""
+    """Makes calls and records their results in the order in which they ended."""
 
     def __init__(self, peer: Peer, timeout: float = 15.0) -> None:
         host, port = peer.dial.split(":")
@@ -50,8 +50,8 @@
             await self.changed.wait()
         return self.ended
 
-    def at_rest(self) -> None:
-        """Each call has ended once; nothing is kept of it."""
+    def assert_all_ended(self) -> None:
+        """Check that each call has ended once and that the client holds no state of it."""
         assert sorted(number for number, _, _ in self.ended) == list(range(self.made))
         assert not self.client._calls_by_name and not self.client._queue
 
@@ -88,21 +88,21 @@
             else:
                 assert calls.client._connection is not None
                 calls.client._connection.abort()
-            said = await calls.until(3)
-            assert said == [(0, Status.OK, 1.0), (1, Status.BROKEN, 0.0), (2, Status.BROKEN, 0.0)]
-            calls.call()  # goes on the next connection, which owes nothing of the last one
+            results = await calls.until(3)
+            assert results == [(0, Status.OK, 1.0), (1, Status.BROKEN, 0.0), (2, Status.BROKEN, 0.0)]
+            calls.call()  # is sent on the next connection, which owes no answers of the previous one
             again = await peer.accept()
             assert await read_lines(again, 1) == [b"tally 7 1.000000 4000"]
             again.send(b"ok 9\r\n")
             assert (await calls.until(4))[-1] == (3, Status.OK, 9.0)
-            calls.at_rest()
+            calls.assert_all_ended()
 
     run(main())
 
 
 @pytest.mark.parametrize("answer", ["before its line is out", "behind"])
 def test_a_call_whose_line_is_not_out_whole_was_never_added(answer: str) -> None:
-    """Writing is held up: the last line handed over may be out in part. Nothing can answer it yet."""
+    """While writing is paused, the last line may be partly written, so that nothing can have answered it."""
 
     async def main() -> None:
         async with connected() as (_, sock, calls):
@@ -116,9 +116,9 @@
                 link.resume_writing()
                 await read_lines(sock, 1)
             reset(sock)
-            said = await calls.until(1 if answer == "before its line is out" else 2)
+            results = await calls.until(1 if answer == "before its line is out" else 2)
             expected = [Status.UNREACHABLE] if answer == "before its line is out" else [Status.BROKEN] * 2
-            assert [status for _, status, _ in said] == expected
+            assert [status for _, status, _ in results] == expected
 
     run(main())
 
@@ -134,21 +134,21 @@
             if first == "time-out":
                 calls.client._give_up(one)
                 sock.send(b"ok 1\r\nok 2\r\n")
-                said = await calls.until(2)
-                assert said == [(0, Status.TIMEOUT, 0.0), (1, Status.OK, 2.0)]
+                results = await calls.until(2)
+                assert results == [(0, Status.TIMEOUT, 0.0), (1, Status.OK, 2.0)]
             else:
                 sock.send(b"ok 1\r\nok 2\r\n")
-                said = await calls.until(2)
-                calls.client._give_up(one)  # a loop that was held: its timer is due in the same turn
+                results = await calls.until(2)
+                calls.client._give_up(one)  # after a stall of the loop, its timer is due in the same turn
                 calls.client._give_up(two)
-                assert said == [(0, Status.OK, 1.0), (1, Status.OK, 2.0)]
-            calls.at_rest()
+                assert results == [(0, Status.OK, 1.0), (1, Status.OK, 2.0)]
+            calls.assert_all_ended()
 
     run(main())
 
 
 def test_a_call_given_up_while_it_waits_for_a_connection_is_not_sent_when_one_comes_up() -> None:
-    """A dial that comes up late."""
+    """The dial completes late."""
 
     async def main() -> None:
         peer = Peer()
@@ -164,7 +164,7 @@
         assert await read_lines(sock, 1) == [b"tally 7 1.000000 4000"]
         sock.send(b"ok 1\r\n")
         assert (await calls.until(2))[1] == (1, Status.OK, 1.0)
-        calls.at_rest()
+        calls.assert_all_ended()
         calls.client.close()
         peer.close()
 
@@ -173,7 +173,7 @@
 
 @pytest.mark.parametrize("owed", ["answered", "broken", "spoilt"])
 def test_a_move_with_calls_out_ends_each_once_and_in_order(owed: str) -> None:
-    """SIGHUP: the old connection answers what it owes, the new one takes what comes."""
+    """After SIGHUP, the old connection answers the calls already written, and the new one takes new calls."""
 
     async def main() -> None:
         there = Peer()
@@ -200,7 +200,7 @@
             assert await calls.until(3) == [
                 (0, Status.OK, 1.0), second.get(owed, (1, Status.MALFORMED, 0.0)), (2, Status.OK, 30.0),
             ]  # fmt: skip
-            calls.at_rest()
+            calls.assert_all_ended()
             while calls.client._draining:
                 await asyncio.sleep(0.001)
             if owed != "broken":
@@ -211,7 +211,7 @@
 
 
 def test_moves_one_behind_the_other_leave_one_connection() -> None:
-    """The second crosses the dial of the first, before it is up and when it just is."""
+    """A change of address during the dial to the previous one, before and just after that dial completes."""
 
     async def main() -> None:
         peers = [Peer(), Peer(), Peer()]
@@ -221,7 +221,7 @@
             for peer in peers:
                 host, port = peer.dial.split(":")
                 calls.client.move(host, int(port))
-                if peer is peers[1]:  # this one's dial is up, and not known to be
+                if peer is peers[1]:  # this dial has completed, and the client has not noticed
                     assert not peer.taken
                     await peer.accept()
             last = await peers[2].accept()
@@ -233,7 +233,7 @@
             assert len(await read_lines(last, 1)) == 1
             last.send(b"ok 2\r\n")
             await calls.until(2)
-            calls.at_rest()
+            calls.assert_all_ended()
             for sock in (old, *peers[1].taken):
                 assert await end_of(sock) in ("FIN", "RST")
         for peer in peers:
@@ -257,15 +257,15 @@
             sock = await peer.accept()
             await read_lines(sock, 2)
         calls.client.close()
-        assert len(calls.ended) == (0 if out else 2), "what waits for a connection ends at once"
-        said = await calls.until(2)
+        assert len(calls.ended) == (0 if out else 2), "queued calls end at once"
+        results = await calls.until(2)
         status = Status.BROKEN if out else Status.UNREACHABLE
-        assert [each[1] for each in said] == [status] * 2
-        calls.at_rest()
+        assert [each[1] for each in results] == [status] * 2
+        calls.assert_all_ended()
         if sock is not None:
             assert await end_of(sock) in ("FIN", "RST")
         calls.client._timeout = 0.02
-        calls.call()  # behind the end: nothing can be added, and it is said
+        calls.call()  # after close: nothing can be added, and the status says so
         assert (await calls.until(3))[2][1] in NEVER_ADDED
         calls.client.move("127.0.0.1", 1)
         while calls.client._dial_task is not None:
@@ -283,8 +283,8 @@
                 calls.call()
             await read_lines(sock, 4)
             sock.send(b"busy\r\nbusy\r\nbusy\r\nok 1\r\n")
-            said = await calls.until(4)
-            assert [each[1] for each in said] == [Status.FULL] * 3 + [Status.OK]
-            calls.at_rest()
+            results = await calls.until(4)
+            assert [each[1] for each in results] == [Status.FULL] * 3 + [Status.OK]
+            calls.assert_all_ended()
 
     run(main())
--- a/tests/test_endings_discovery.py
+++ b/tests/test_endings_discovery.py
@@ -1,7 +1,8 @@
-"""Each way the watch on discovery ends, and what may cross it: resets, silences, moves and outages, in virtual time.
+"""Each way in which the watch on discovery ends, with what may coincide: resets, silence, changes of address and
+outages, in virtual time.
 
-The clock is the standing page's: what an agent has counts as told at once, what a silent watch missed 6 s after its
-last byte, and what a new address has 4 s after SIGHUP.
+The limits are those of the standing page: a change counts as known at once if an agent has it, 6 s after the last byte
+if a silent watch missed it, and 4 s after SIGHUP if a new address has it.
 """
 
 from __future__ import annotations
@@ -24,24 +25,24 @@
 from tests.loopback import run
 from tests.test_discovery import HEAD, chunk, message
 
-GRACE = 0.5  # seconds of the shortest grace of a drain that a customer of ours has
-MOVED = 4.0  # seconds after SIGHUP
+GRACE = 0.5  # shortest drain grace in use, in seconds
+MOVE_LIMIT = 4.0  # seconds after SIGHUP until the list of the new address counts as known
 OLD, NEW = ("10.0.0.1", 8500), ("10.0.0.2", 8500)
 Reader = asyncio.StreamReader
 Writer = asyncio.StreamWriter
-LONGEST = pytest.mark.parametrize("draw", [0.0, 0.5, 1.0])
+each_draw = pytest.mark.parametrize("draw", [0.0, 0.5, 1.0])
 BUSY = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 
 
 class Agent:
-    """An agent with a list of one server: it tells each watch what it has, and how is the test's affair."""
+    """An agent with a list of one server, which it sends to each watch unless the test makes it fail."""
 
     def __init__(self, loop: VirtualLoop, seq: int = 42) -> None:
         self.loop, self.seq, self.health = loop, seq, "ready"
         self.asked, self.open = list[str](), list[Writer]()
-        self.down = False  # it takes connections and says nothing
+        self.down = False  # it accepts connections and does not respond
         self.busy = False
-        self.silent = set[Writer]()  # watches that stay open and say nothing any more
+        self.silent = set[Writer]()  # open watches that get nothing more
 
     async def listen(self, address: tuple[str, int]) -> None:
         await asyncio.start_server(self._talk, *address)
@@ -62,7 +63,7 @@
             writer.write(chunk(b"\n"))
 
     def publish(self, health: str) -> None:
-        """A change, told at once to the watches that are open and to those that come."""
+        """Change the server's health, and send the change to open and later watches."""
         self.seq, self.health = self.seq + 1, health
         for writer in self.open:
             if not self.down and writer not in self.silent and not writer.transport.is_closing():
@@ -73,8 +74,8 @@
             writer.transport.abort()
 
 
-class Told:
-    """What a limiter was told, and when."""
+class ListingRecorder:
+    """Records which lists a limiter got, and when."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self._loop, self.rows, self._news = loop, list[tuple[float, int, str]](), asyncio.Event()
@@ -92,27 +93,27 @@
         while version not in self.versions:
             self._news.clear()
             await asyncio.wait_for(self._news.wait(), 60)
-        return next(at for at, told, _ in self.rows if told == version)
+        return next(at for at, seen, _ in self.rows if seen == version)
 
 
-def ends(loop: VirtualLoop, address: tuple[str, int]) -> int:
-    """Connections to an address that a limiter holds."""
+def count_connections(loop: VirtualLoop, address: tuple[str, int]) -> int:
+    """Return the number of connections to an address that a limiter has open."""
     return sum(end.peer_address == address and not end._closing for end in loop.network.open)
 
 
-@LONGEST
+@each_draw
 def test_a_reset_just_before_a_drain_is_no_reason_to_miss_it(draw: float) -> None:
     async def main(loop: VirtualLoop, ahead: float) -> None:
-        agent, told = Agent(loop), Told(loop)
+        agent, recorder = Agent(loop), ListingRecorder(loop)
         await agent.listen(OLD)
-        task = loop.create_task(Discovery(*OLD, 41, told, lambda: draw, True).follow())
-        await told.until(42)
+        task = loop.create_task(Discovery(*OLD, 41, recorder, lambda: draw, True).follow())
+        await recorder.until(42)
         await asyncio.sleep(3.0)
         agent.reset()
         await asyncio.sleep(ahead)
         at = loop.time()
         agent.publish("draining")
-        assert await told.until(43) - at < GRACE
+        assert await recorder.until(43) - at < GRACE
         task.cancel()
 
     for ahead in (0.0, 0.001, 0.04, 0.1, 0.3):
@@ -120,21 +121,21 @@
 
 
 def test_after_an_outage_what_counts_at_once_is_known_within_the_shortest_grace() -> None:
-    """Calls made while discovery was down are never answered: the worst phase of many."""
+    """Calls made during the outage never get a response. The longest delay of 60 phases is tested."""
 
     async def main(loop: VirtualLoop, phase: int) -> float:
-        agent, told = Agent(loop), Told(loop)
+        agent, recorder = Agent(loop), ListingRecorder(loop)
         await agent.listen(OLD)
-        task = loop.create_task(Discovery(*OLD, 41, told, Random(phase).random, True).follow())
-        await told.until(42)
+        task = loop.create_task(Discovery(*OLD, 41, recorder, Random(phase).random, True).follow())
+        await recorder.until(42)
         agent.down = True
         await asyncio.sleep(8.0 + 0.05 * phase)
         agent.down = False
         agent.publish("draining")
         at = loop.time()
-        waited = await told.until(43) - at
+        waited = await recorder.until(43) - at
         await asyncio.sleep(0.1)
-        assert ends(loop, OLD) == 1, "the calls beside it have ended"
+        assert count_connections(loop, OLD) == 1, "the hedged calls have ended"
         task.cancel()
         return waited
 
@@ -143,13 +144,13 @@
 
 def test_an_outage_costs_no_more_than_a_few_connections_at_a_time() -> None:
     async def main(loop: VirtualLoop) -> None:
-        agent, told = Agent(loop), Told(loop)
+        agent, recorder = Agent(loop), ListingRecorder(loop)
         agent.down = True
         await agent.listen(OLD)
-        task = loop.create_task(Discovery(*OLD, 41, told, Random(7).random, True).follow())
+        task = loop.create_task(Discovery(*OLD, 41, recorder, Random(7).random, True).follow())
         for _ in range(200):
             await asyncio.sleep(0.05)
-            assert ends(loop, OLD) <= 4
+            assert count_connections(loop, OLD) <= 4
         assert (
             10 / (1.5 * HEDGE_DELAYS[WatchState.AWAITING_ANSWER]) - 2
             < len(agent.asked)
@@ -157,20 +158,20 @@
         )
         task.cancel()
         await asyncio.sleep(0.1)
-        assert ends(loop, OLD) == 0, "nothing is left of it"
+        assert count_connections(loop, OLD) == 0, "no connection is left open"
 
     run_virtual(main)
 
 
 @pytest.mark.parametrize("pushed", [True, False], ids=["pushed", "asked"])
 def test_limiters_that_lose_their_watches_together_do_not_ask_in_step(pushed: bool) -> None:
-    """Forty that all lose theirs at one moment: what they ask in the busiest tenth of a second later on."""
+    """Forty limiters lose their watches at one moment. Their later calls in the busiest 0.1 s are counted."""
 
     async def main(loop: VirtualLoop, seed: int) -> list[float]:
-        agent, told, at = Agent(loop), Told(loop), list[float]()
+        agent, recorder, at = Agent(loop), ListingRecorder(loop), list[float]()
         await agent.listen(OLD)
-        task = loop.create_task(Discovery(*OLD, 41, told, Random(seed).random, pushed).follow())
-        await told.until(42)
+        task = loop.create_task(Discovery(*OLD, 41, recorder, Random(seed).random, pushed).follow())
+        await recorder.until(42)
         agent.down = True
         while loop.time() < 12.0:
             if len(agent.asked) - 1 > len(at):
@@ -185,31 +186,31 @@
     assert max(sum(t <= other < t + 0.1 for other in late) for t in late) < 2.2 * mean
 
 
-@LONGEST
+@each_draw
 def test_all_watches_silent_at_once_and_a_drain_right_behind(draw: float) -> None:
-    """The drain begins right after the last byte."""
+    """The drain begins right after the last byte of the watches."""
 
     async def main(loop: VirtualLoop) -> None:
-        agent, told = Agent(loop), Told(loop)
+        agent, recorder = Agent(loop), ListingRecorder(loop)
         await agent.listen(OLD)
-        task = loop.create_task(Discovery(*OLD, 41, told, lambda: draw, True).follow())
-        await told.until(42)
+        task = loop.create_task(Discovery(*OLD, 41, recorder, lambda: draw, True).follow())
+        await recorder.until(42)
         before = loop.time()
         agent.silent |= set(agent.open)
         agent.publish("draining")
-        assert await told.until(43) - before < 3.2
+        assert await recorder.until(43) - before < 3.2
         task.cancel()
 
     run_virtual(main)
 
 
 @pytest.mark.parametrize("how", ["end", "reset", "silence"])
-@LONGEST
+@each_draw
 def test_a_watch_that_dies_in_the_middle_of_a_message_tells_none_of_it_and_asks_again(
     how: str, draw: float
 ) -> None:
     async def main(loop: VirtualLoop) -> None:
-        asked, told, cut = list[str](), Told(loop), asyncio.Event()
+        asked, recorder, cut = list[str](), ListingRecorder(loop), asyncio.Event()
 
         async def talk(reader: Reader, writer: Writer) -> None:
             asked.append((await reader.readuntil(b"\r\n\r\n")).decode().split()[1])
@@ -228,19 +229,19 @@
             await asyncio.Event().wait()
 
         await asyncio.start_server(talk, *OLD)
-        task = loop.create_task(Discovery(*OLD, 41, told, lambda: draw, True).follow())
+        task = loop.create_task(Discovery(*OLD, 41, recorder, lambda: draw, True).follow())
         await cut.wait()
         at = loop.time()
-        waited = await told.until(43) - at
-        assert waited < (GRACE if how != "silence" else 2.5), "half a message is given up soon"
-        assert [row[1:] for row in told.rows] == [(42, "up"), (43, "draining")]
+        waited = await recorder.until(43) - at
+        assert waited < (GRACE if how != "silence" else 2.5), "an incomplete message times out soon"
+        assert [row[1:] for row in recorder.rows] == [(42, "up"), (43, "draining")]
         assert asked[1].endswith("since=42")
         task.cancel()
 
     run_virtual(main)
 
 
-# Versions never go back.
+# Versions never decrease.
 
 
 def script(
@@ -256,7 +257,7 @@
 
 def test_news_on_the_silent_watch_are_not_taken_back_by_an_older_answer_to_the_new_one() -> None:
     async def main(loop: VirtualLoop) -> None:
-        told, asked, late = Told(loop), list[str](), asyncio.Event()
+        recorder, asked, late = ListingRecorder(loop), list[str](), asyncio.Event()
 
         async def silent(writer: Writer) -> None:
             writer.write(HEAD + chunk(message(42)))
@@ -273,22 +274,22 @@
             writer.write(HEAD + chunk(message(46, "draining")))
 
         await script(loop, asked, silent, behind, newest)
-        task = loop.create_task(Discovery(*OLD, 41, told, pushed=True).follow())
-        await told.until(46)
-        assert [row[1:] for row in told.rows] == [(42, "up"), (45, "draining"), (46, "draining")]
-        assert told.rows[-1][0] - told.rows[-2][0] < GRACE
+        task = loop.create_task(Discovery(*OLD, 41, recorder, pushed=True).follow())
+        await recorder.until(46)
+        assert [row[1:] for row in recorder.rows] == [(42, "up"), (45, "draining"), (46, "draining")]
+        assert recorder.rows[-1][0] - recorder.rows[-2][0] < GRACE
         await asyncio.sleep(0.1)
-        assert ends(loop, OLD) == 1
+        assert count_connections(loop, OLD) == 1
         task.cancel()
 
     run_virtual(main)
 
 
 def test_a_list_that_stays_older_is_that_of_another_discovery() -> None:
-    """It was asked for again and is as old as before: the numbers began anew."""
+    """The list is as old when requested again, so the versions have been restarted."""
 
     async def main(loop: VirtualLoop) -> None:
-        told, asked, late = Told(loop), list[str](), asyncio.Event()
+        recorder, asked, late = ListingRecorder(loop), list[str](), asyncio.Event()
 
         async def silent(writer: Writer) -> None:
             writer.write(HEAD + chunk(message(42)))
@@ -302,19 +303,19 @@
             writer.write(HEAD + chunk(message(1, "ready")))
 
         await script(loop, asked, silent, replaced)
-        task = loop.create_task(Discovery(*OLD, 41, told, pushed=True).follow())
-        assert await told.until(1) < 4.0
-        assert told.versions == [42, 45, 1]
+        task = loop.create_task(Discovery(*OLD, 41, recorder, pushed=True).follow())
+        assert await recorder.until(1) < 4.0
+        assert recorder.versions == [42, 45, 1]
         task.cancel()
 
     run_virtual(main)
 
 
 def test_numbers_that_began_anew_are_followed_from_a_whole_list() -> None:
-    """A part of a list whose beginning is not known is not taken: the whole one is asked for."""
+    """A partial update of an unknown list is not applied: the complete list is requested."""
 
     async def main(loop: VirtualLoop) -> None:
-        told, asked = Told(loop), list[str]()
+        recorder, asked = ListingRecorder(loop), list[str]()
 
         async def before(writer: Writer) -> None:
             writer.write(HEAD + chunk(message(42)))
@@ -329,9 +330,9 @@
             writer.write(HEAD + chunk(text) + chunk(message(4, "ready")))
 
         await script(loop, asked, before, part, whole)
-        task = loop.create_task(Discovery(*OLD, 41, told, pushed=True).follow())
-        await told.until(4)
-        assert [row[1:] for row in told.rows] == [(42, "up"), (3, "draining"), (4, "up")]
+        task = loop.create_task(Discovery(*OLD, 41, recorder, pushed=True).follow())
+        await recorder.until(4)
+        assert [row[1:] for row in recorder.rows] == [(42, "up"), (3, "draining"), (4, "up")]
         assert asked == [f"/v1/servers?follow=1{since}" for since in ("&since=41", "&since=42", "")]
         task.cancel()
 
@@ -340,10 +341,10 @@
 
 @pytest.mark.parametrize("first", [0, 1, 2])
 def test_calls_that_are_answered_in_one_moment_leave_one_watch(first: int) -> None:
-    """The one that speaks first is the watch; what the others say in the same moment takes nothing back."""
+    """The first call to send a line becomes the watch. Messages of the others at the same moment are ignored."""
 
     async def main(loop: VirtualLoop, seed: int) -> None:
-        told, writers = Told(loop), list[Writer]()
+        recorder, writers = ListingRecorder(loop), list[Writer]()
 
         async def talk(reader: Reader, writer: Writer) -> None:
             await reader.readuntil(b"\r\n\r\n")
@@ -360,14 +361,14 @@
             await asyncio.Event().wait()
 
         await asyncio.start_server(talk, *OLD)
-        task = loop.create_task(Discovery(*OLD, 42, told, pushed=True).follow())
-        await told.until(43)
+        task = loop.create_task(Discovery(*OLD, 42, recorder, pushed=True).follow())
+        await recorder.until(43)
         await asyncio.sleep(0.4)
-        assert ends(loop, OLD) == 1 and len(writers) == 3
-        assert told.versions in ([43, 44], [43])
+        assert count_connections(loop, OLD) == 1 and len(writers) == 3
+        assert recorder.versions in ([43, 44], [43])
         task.cancel()
         await asyncio.sleep(0.1)
-        assert ends(loop, OLD) == 0
+        assert count_connections(loop, OLD) == 0
 
     for seed in range(20):
         run_virtual(partial(main, seed=seed), seed)
@@ -375,13 +376,13 @@
 
 @pytest.mark.parametrize("turns", [0, 1])
 def test_an_answer_in_the_same_turn_of_the_loop_meets_a_call_that_is_done_with(turns: int) -> None:
-    """Both lie in the machine: the second is read before its cancelled task has had a turn, or after it."""
+    """Two responses are in the socket buffers. The second is read before or after its cancelled task has run."""
 
     async def main(loop: VirtualLoop) -> None:
-        agent, told = Agent(loop), Told(loop)
+        agent, recorder = Agent(loop), ListingRecorder(loop)
         agent.down = True
         await agent.listen(OLD)
-        watch = Discovery(*OLD, 42, told, pushed=True)
+        watch = Discovery(*OLD, 42, recorder, pushed=True)
         task = loop.create_task(watch.follow())
         while len(agent.asked) < 2:
             await asyncio.sleep(0.01)
@@ -390,16 +391,16 @@
         for _ in range(turns):
             await asyncio.sleep(0)
         second.data_received(HEAD + chunk(message(43, "draining")))
-        assert watch._active_watch is first and told.versions == [43, 44]
+        assert watch._active_watch is first and recorder.versions == [43, 44]
         await asyncio.sleep(0.1)
-        assert watch._active_watch is first and not first.ended.done() and ends(loop, OLD) == 1
+        assert watch._active_watch is first and not first.ended.done() and count_connections(loop, OLD) == 1
         assert watch._since == 44
         task.cancel()
 
     run_virtual(main)
 
 
-# A move (SIGHUP) during each of these.
+# A change of address (SIGHUP) during each of these failures.
 
 
 async def fine(agent: Agent) -> None:
@@ -435,48 +436,48 @@
 TROUBLES = [fine, outage, silence, refusal, reset, half]
 
 
-@LONGEST
+@each_draw
 @pytest.mark.parametrize("trouble", TROUBLES, ids=lambda f: f.__name__)
 def test_a_move_is_followed_at_once_whatever_the_old_address_does(
     trouble: Callable[[Agent], Awaitable[None]], draw: float
 ) -> None:
     async def main(loop: VirtualLoop) -> None:
-        agent, other, told = Agent(loop), Agent(loop, seq=7), Told(loop)
+        agent, other, recorder = Agent(loop), Agent(loop, seq=7), ListingRecorder(loop)
         await agent.listen(OLD)
         await other.listen(NEW)
-        follower = DiscoveryClient(told, lambda: draw, True)
+        follower = DiscoveryClient(recorder, lambda: draw, True)
         follower.follow(*OLD, 41)
-        await told.until(42)
+        await recorder.until(42)
         await trouble(agent)
         moved = loop.time()
         follower.follow(*NEW)
-        assert await told.until(7) - moved < 0.1
-        assert other.asked == ["/v1/servers?follow=1"], "its numbers need not be the old one's"
+        assert await recorder.until(7) - moved < 0.1
+        assert other.asked == ["/v1/servers?follow=1"], "the versions of another service are its own"
         agent.down = agent.busy = False
         agent.publish("gone")
         await asyncio.sleep(8.0)
-        assert told.versions == [42, 7], "the old address has no word any more"
-        assert ends(loop, OLD) == 0 and ends(loop, NEW) == 1
+        assert recorder.versions == [42, 7], "lists of the old address are ignored"
+        assert count_connections(loop, OLD) == 0 and count_connections(loop, NEW) == 1
         follower.close()
         await asyncio.sleep(0.1)
-        assert ends(loop, NEW) == 0
+        assert count_connections(loop, NEW) == 0
 
     run_virtual(main)
 
 
-@LONGEST
+@each_draw
 @pytest.mark.parametrize("trouble", TROUBLES, ids=lambda f: f.__name__)
 def test_a_move_to_an_address_that_is_not_there_yet_is_known_in_time(
     trouble: Callable[[Agent], Awaitable[None]], draw: float
 ) -> None:
-    """The new address refuses and then is silent for a while; it counts 4 s after the move."""
+    """The new address first refuses connections and then is silent. Its list counts as known 4 s after the change."""
 
     async def main(loop: VirtualLoop) -> None:
-        agent, other, told = Agent(loop), Agent(loop, seq=7), Told(loop)
+        agent, other, recorder = Agent(loop), Agent(loop, seq=7), ListingRecorder(loop)
         await agent.listen(OLD)
-        follower = DiscoveryClient(told, lambda: draw, True)
+        follower = DiscoveryClient(recorder, lambda: draw, True)
         follower.follow(*OLD, 41)
-        await told.until(42)
+        await recorder.until(42)
         await trouble(agent)
         moved = loop.time()
         follower.follow(*NEW)
@@ -485,7 +486,7 @@
         await other.listen(NEW)
         await asyncio.sleep(2.0)
         other.down = False
-        assert await told.until(7) - moved < MOVED
+        assert await recorder.until(7) - moved < MOVE_LIMIT
         follower.close()
 
     run_virtual(main)
@@ -493,26 +494,26 @@
 
 def test_two_moves_in_a_row_leave_the_last() -> None:
     async def main(loop: VirtualLoop) -> None:
-        agent, other, told = Agent(loop), Agent(loop, seq=7), Told(loop)
+        agent, other, recorder = Agent(loop), Agent(loop, seq=7), ListingRecorder(loop)
         await agent.listen(OLD)
         await other.listen(NEW)
-        follower = DiscoveryClient(told, pushed=True)
+        follower = DiscoveryClient(recorder, pushed=True)
         follower.follow(*OLD, 41)
-        await told.until(42)
+        await recorder.until(42)
         follower.follow(*NEW)
-        follower.follow(*OLD)  # and back, before the first has said anything
+        follower.follow(*OLD)  # and back, before the new address has sent anything
         await asyncio.sleep(5.0)
-        assert ends(loop, NEW) == 0 and ends(loop, OLD) == 1
-        assert told.versions == [42, 42], "its whole list, anew"
+        assert count_connections(loop, NEW) == 0 and count_connections(loop, OLD) == 1
+        assert recorder.versions == [42, 42], "the complete list, requested again"
         follower.close()
 
     run_virtual(main)
 
 
-# On real sockets: what the system says, and what is left behind.
+# On real sockets: errors of the operating system, and leaked descriptors.
 
 
-def quick(monkeypatch: pytest.MonkeyPatch) -> None:
+def shorten_hedge_delays(monkeypatch: pytest.MonkeyPatch) -> None:
     for at in WatchState:
         monkeypatch.setitem(discovery.HEDGE_DELAYS, at, 0.02)
 
@@ -550,7 +551,7 @@
         await heard.wait()
         assert versions == [42, 43]
         task.cancel()
-        assert await loop.sock_recv(conn, 100) == b"", "its end is seen here"
+        assert await loop.sock_recv(conn, 100) == b"", "the client closed the connection"
         listener.close()
 
     run(main())
@@ -559,7 +560,7 @@
 def test_calls_beside_the_one_that_speaks_are_ended_and_so_is_a_watch_that_moved(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    quick(monkeypatch)
+    shorten_hedge_delays(monkeypatch)
 
     async def main() -> None:
         loop, heard = asyncio.get_running_loop(), asyncio.Event()
@@ -581,7 +582,7 @@
 
         follower = DiscoveryClient(lambda _: heard.set(), pushed=True)
         follower.follow(*addresses[0], 41)
-        mute = [await accept(0) for _ in range(3)]  # accepted, and not a word
+        mute = [await accept(0) for _ in range(3)]  # accepted without a response
         await loop.sock_sendall(mute[1], HEAD + chunk(message(42)))
         await heard.wait()
         assert await ended(mute[0]) and await ended(mute[2])
@@ -590,34 +591,34 @@
         new = await accept(1)
         await loop.sock_sendall(new, HEAD + chunk(message(7)))
         await heard.wait()
-        assert await ended(mute[1]), "the watch before the move is closed, not forgotten"
+        assert await ended(mute[1]), "the watch of the previous address is closed"
         follower.close()
         assert await ended(new)
 
     run(main())
 
 
-def descriptors() -> int:
+def count_descriptors() -> int:
     return len(os.listdir("/proc/self/fd"))
 
 
 def test_dials_that_never_come_up_leave_no_descriptor(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A listener with a full queue: the machine of a discovery that takes nobody."""
-    quick(monkeypatch)
+    """The listener's accept queue is full, so that dials do not complete."""
+    shorten_hedge_delays(monkeypatch)
     monkeypatch.setitem(discovery.TIMEOUTS, WatchState.DIALING, 0.05)
     begin = Discovery._begin_call
 
     async def play(loop: asyncio.AbstractEventLoop, host: str, port: int) -> int:
-        """Twelve dials; the most descriptors there were."""
+        """Make twelve dials and return the highest number of descriptors."""
         seen, enough = list[int](), asyncio.Event()
 
-        def counted(of: Discovery) -> discovery._Watch:
-            seen.append(descriptors())
+        def begin_counted_call(of: Discovery) -> discovery._Watch:
+            seen.append(count_descriptors())
             if len(seen) == 12:
                 enough.set()
             return begin(of)
 
-        monkeypatch.setattr(Discovery, "_begin_call", counted)
+        monkeypatch.setattr(Discovery, "_begin_call", begin_counted_call)
         task = loop.create_task(Discovery(host, port, 41, lambda _: None, pushed=True).follow())
         await enough.wait()
         task.cancel()
@@ -635,11 +636,11 @@
             each.setblocking(False)
             each.connect_ex((host, port))
         await asyncio.sleep(0)
-        await play(loop, host, port)  # the loop opens some of its own with the first dial
-        before = descriptors()
+        await play(loop, host, port)  # the loop opens some descriptors of its own with the first dial
+        before = count_descriptors()
         most = await play(loop, host, port)
         assert most <= before + 4
-        while descriptors() > before:
+        while count_descriptors() > before:
             await asyncio.sleep(0)
         for each in (listener, *full):
             each.close()
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Quotas shared by messages: what gateways tell each other, what is lost, and datagrams nobody should send."""
+"""Quotas shared by messages between gateways, with lost messages, and datagrams from unknown senders."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
 PLAN = api.Plan("small", rate=2.0, burst=8.0, over_cost=0.5)
 
 
-def told(**changes: object) -> api.Settings:
+def shared_settings(**changes: object) -> api.Settings:
     settings = w.settings(plans=(PLAN,), has_counter=False, may_message_peers=True, inbox_rate=40.0)
     return replace(settings, **changes)  # type: ignore[arg-type]
 
 
-class Telling(w.World):
-    """A world that keeps the messages of its gateway."""
+class RecordingWorld(w.World):
+    """A world that records the messages of its gateway."""
 
     def __init__(self, config: api.Settings, seed: int = 1, now: float = 100.0) -> None:
         self.texts = list[str]()
         super().__init__(config, seed, now)
 
-    def take(self) -> list[str]:
+    def take_messages(self) -> list[str]:
         texts, self.texts = self.texts, []
         return texts
 
@@ -47,31 +47,31 @@
 
 
 class Fleet:
-    """Gateways whose messages reach each other late by ``delay`` seconds, or are lost."""
+    """Gateways whose messages reach each other at once, or are lost with the probability ``loss``."""
 
     def __init__(self, loss: float = 0.0, seed: int = 1, config: api.Settings | None = None) -> None:
-        base = config or told()
+        base = config or shared_settings()
         self.rng, self.loss = Random(seed), loss
-        self.worlds = [Telling(replace(base, index=i), seed + i) for i in range(base.gateways)]
+        self.worlds = [RecordingWorld(replace(base, index=i), seed + i) for i in range(base.gateways)]
         for world in self.worlds:
             world.feed(w.servers("s0", "s1", "s2", "s3"))
 
     def ask(self, at: int, now: float, id: int, units: float = 1.0, settle: float | None = None) -> bool:
-        """One request through gateway ``at``, answered at once; whether it was sent on."""
+        """Pass a request to gateway ``at``; the response arrives at once. Return whether it was sent to a server."""
         world = self.worlds[at]
         world.advance(now)
         before = len(world.sends)
         world.feed(w.request(id, "read", "small", "hotel", 3.0, units))
         for index, each in enumerate(self.worlds):
             each.advance(now)
-            for text in each.take():
-                self._tell(index, now, text)
+            for text in each.take_messages():
+                self._broadcast(index, now, text)
         for (asked, attempt), (server, _) in list(world.open_attempts.items()):
             event = w.outcome(asked, attempt, server, api.Status.OK)
             world.feed(replace(event, units=settle))
         return len(world.sends) > before
 
-    def _tell(self, at: int, now: float, text: str) -> None:
+    def _broadcast(self, at: int, now: float, text: str) -> None:
         assert len(text.encode()) <= MAX_MESSAGE
         for index, world in enumerate(self.worlds):
             if index != at and self.rng.random() >= self.loss:
@@ -80,7 +80,7 @@
 
 
 def play(fleet: Fleet, seconds: float, shares: tuple[float, ...], every: float = 0.05) -> float:
-    """Units sent on while every request of an account that asks far beyond its quota comes in unevenly."""
+    """Return the units sent to servers for an account far above its quota, spread over the gateways by ``shares``."""
     sent, now, id = 0.0, 100.0, 0
     while now < 100.0 + seconds:
         at = fleet.rng.choices(range(len(shares)), shares)[0]
@@ -106,7 +106,7 @@
     for fleet, units in ((dear, 4.0), (cheap, 0.25)):
         for id in range(8):
             fleet.ask(0, 100.0 + 0.01 * id, id, 1.0, units)
-        fleet.ask(0, 100.3, 8, 1.0, units)  # tells the others
+        fleet.ask(0, 100.3, 8, 1.0, units)  # broadcasts the use
     assert [len(fleet.worlds[0].sends) for fleet in (dear, cheap)] == [2, 9]
     assert not dear.ask(1, 100.31, 99) and cheap.ask(1, 100.31, 99)
 
@@ -123,7 +123,7 @@
     fleet = Fleet()
     for id in range(8):
         assert fleet.ask(0, 100.0 + 0.01 * id, id)
-    fleet.ask(0, 100.4, 8)  # tells the rest
+    fleet.ask(0, 100.4, 8)  # broadcasts the use
     assert not any(fleet.ask(1, 100.5, 20 + n) for n in range(2, 5))
 
 
@@ -138,16 +138,16 @@
 
 
 def test_a_gateway_that_is_back_does_not_take_the_stores_for_full() -> None:
-    """Its account's store was emptied before it was killed; the others, which are older, say that it is back."""
+    """The account's store was empty when the gateway was killed. Messages of older gateways show the restart to it."""
     fleet = Fleet()
     for id in range(100):
         fleet.ask(0, 100.0 + 0.05 * id, id)
     now = 105.0
-    fleet.worlds[0] = Telling(replace(told(), index=0), 9, now)
+    fleet.worlds[0] = RecordingWorld(replace(shared_settings(), index=0), 9, now)
     fleet.worlds[0].feed(w.servers("s0", "s1", "s2", "s3"))
     for world in fleet.worlds[1:]:
         world.advance(now + 1.1)
-        for text in world.take():
+        for text in world.take_messages():
             fleet.worlds[0].advance(now + 1.1)
             fleet.worlds[0].feed(api.PeerMessage(1, text))
     sent = sum(fleet.ask(0, now + 1.2 + 0.01 * n, 200 + n) for n in range(8))
@@ -215,7 +215,7 @@
             await came.wait()
             assert heard == [(1, "good")]
             known.setblocking(False)
-            peers.broadcast("y" * 300)  # said in the log, not sent
+            peers.broadcast("y" * 300)  # logged, not sent
             peers.broadcast("hello")
             assert await asyncio.get_running_loop().sock_recv(known, 500) == b"hello"
             peers.close()
@@ -229,7 +229,7 @@
         sent = list[str]()
         script = Script(lambda event: [api.Broadcast("AAAAAAgg")] if isinstance(event, api.Request) else [])
         async with Limiter(script, {}) as limiter:
-            await limiter.fetch(ask(ttl=50))  # with no way to the others it is dropped
+            await limiter.fetch(ask(ttl=50))  # without a socket for messages it is dropped
             limiter.node.broadcast = sent.append
             await limiter.fetch(ask(ttl=50))
         assert sent == ["AAAAAAgg"]
--- a/tests/test_watch_clock.py
+++ b/tests/test_watch_clock.py
@@ -1,4 +1,4 @@
-"""One clock for silence: from a watch's last byte until its limiter knows what it missed, in virtual time."""
+"""Timeouts of a silent watch: from its last byte until the limiter knows the changes it missed, in virtual time."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 from cypresspulley.rehearsal.virtual.owner import OWNER, Owner
 from tests.test_discovery import HEAD, chunk, message
 
-TOLD = 6.0  # seconds after a watch fell silent: what it missed counts as told
-MOVED = 4.0  # the same after SIGHUP
-BEAT = 2.0
-WATCH = ("10.0.0.1", 8500)
+DELIVERY_LIMIT = 6.0  # seconds after a watch fell silent until the changes it missed count as known
+MOVE_LIMIT = 4.0  # the same after a change of address by SIGHUP
+HEARTBEAT = 2.0  # seconds between heartbeats
+ADDRESS = ("10.0.0.1", 8500)
 Reader = asyncio.StreamReader
 Writer = asyncio.StreamWriter
 Talk = Callable[[Reader, Writer], Awaitable[None]]
 
 
-async def says(writer: Writer, *pieces: bytes) -> None:
+async def send_and_hold(writer: Writer, *pieces: bytes) -> None:
     for piece in pieces:
         writer.write(piece)
         await asyncio.sleep(0)
@@ -43,18 +43,18 @@
 
 
 async def beats(writer: Writer, first: bytes, count: int) -> None:
-    """A message, and then signs of life."""
+    """Send a message and then heartbeats."""
     writer.write(HEAD + first)
     for _ in range(count):
-        await asyncio.sleep(BEAT)
+        await asyncio.sleep(HEARTBEAT)
         writer.write(chunk(b"\n"))
 
 
-HALF = chunk(message(43)[:70])
+PARTIAL_CHUNK = chunk(message(43)[:70])
 
 
 class Agent:
-    """Discovery's agent: the first watch lives for a while and falls silent; then comes one trouble after another."""
+    """An agent whose first watch falls silent after ``beats`` heartbeats. Each later call meets the next trouble."""
 
     def __init__(self, loop: VirtualLoop, *troubles: str, beats: int = 2) -> None:
         self._loop, self._troubles, self._beats = loop, list(troubles), beats
@@ -63,7 +63,7 @@
         self.silent = asyncio.Event()
 
     async def listen(self) -> None:
-        await asyncio.start_server(self.talk, *WATCH)
+        await asyncio.start_server(self.talk, *ADDRESS)
         self._loop.network.connect = self._dial  # type: ignore[method-assign]
 
     async def _dial(self, factory: Any, host: str, port: int, source: str = "127.0.0.1") -> Any:
@@ -86,16 +86,21 @@
         if trouble == "busy":
             return writer.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
         if trouble == "half, beats":
-            writer.write(HEAD + HALF)
+            writer.write(HEAD + PARTIAL_CHUNK)
             while True:
-                await asyncio.sleep(BEAT)
+                await asyncio.sleep(HEARTBEAT)
                 writer.write(chunk(b"\n"))
-        pieces = {"mute": (), "head": (HEAD,), "half": (HEAD, HALF), "": (HEAD, chunk(message(43)))}
-        await says(writer, *pieces[trouble])
+        pieces = {
+            "mute": (),
+            "head": (HEAD,),
+            "half": (HEAD, PARTIAL_CHUNK),
+            "": (HEAD, chunk(message(43))),
+        }
+        await send_and_hold(writer, *pieces[trouble])
 
 
-def seconds(*troubles: str, pushed: bool, draw: Callable[[], float] = lambda: 1.0) -> float:
-    """Seconds from the last byte until the change is known, at the longest pauses."""
+def measure_delay(*troubles: str, pushed: bool, draw: Callable[[], float] = lambda: 1.0) -> float:
+    """Return the seconds from the last byte until the change is known; by default, with the longest waits."""
 
     async def main(loop: VirtualLoop) -> float:
         agent, known = Agent(loop, *troubles), asyncio.Event()
@@ -105,10 +110,10 @@
             if listing.version == 43:
                 known.set()
 
-        task = loop.create_task(Discovery(*WATCH, 41, tell, draw, pushed).follow())
+        task = loop.create_task(Discovery(*ADDRESS, 41, tell, draw, pushed).follow())
         await asyncio.wait_for(known.wait(), 60)
         assert all(line.endswith("since=42") for line in agent.asked[1:]), (
-            "what it missed is what it asks for"
+            "the changes since the last version are requested"
         )
         task.cancel()
         return loop.time() - agent.silent_at
@@ -116,7 +121,7 @@
     return run_virtual(main)
 
 
-MET = [
+TOLERATED = [
     (), ("never up",), ("never up",) * 2, ("never up",) * 3, ("never up",) * 4, ("never up",) * 6,
     ("refused",) * 6, ("mute",), ("mute",) * 2, ("mute",) * 3, ("mute", "never up"), ("head",), ("head",) * 2,
     ("head",) * 3, ("busy",), ("busy",) * 2, ("busy",) * 3, ("busy", "never up"), ("busy", "mute"), ("half",),
@@ -128,11 +133,11 @@
 
 
 @pytest.mark.parametrize("pushed", [True, False], ids=["pushed", "asked"])
-@pytest.mark.parametrize("troubles", MET, ids=", ".join)
+@pytest.mark.parametrize("troubles", TOLERATED, ids=", ".join)
 def test_what_a_silent_watch_missed_is_known_before_it_counts_as_told(
     troubles: tuple[str, ...], pushed: bool
 ) -> None:
-    assert seconds(*troubles, pushed=pushed) < TOLD
+    assert measure_delay(*troubles, pushed=pushed) < DELIVERY_LIMIT
 
 
 @pytest.mark.parametrize("pushed", [True, False], ids=["pushed", "asked"])
@@ -141,28 +146,28 @@
     st.integers(0, 2**32),
 )
 def test_no_mixture_of_three_troubles_comes_too_late(pushed: bool, troubles: list[str], seed: int) -> None:
-    assert seconds(*troubles, pushed=pushed, draw=Random(seed).random) < TOLD
+    assert measure_delay(*troubles, pushed=pushed, draw=Random(seed).random) < DELIVERY_LIMIT
 
 
 @pytest.mark.parametrize("troubles", [("busy",) * 7, ("mute",) * 7], ids=", ".join)
 def test_what_cannot_be_met_is_known_soon_after_the_trouble(troubles: tuple[str, ...]) -> None:
-    """The note states these; the decisions have to do with them."""
-    assert TOLD < seconds(*troubles, pushed=False) < TOLD + MAX_CALL_INTERVAL
+    """The design note names these cases, which the decision module has to tolerate."""
+    assert DELIVERY_LIMIT < measure_delay(*troubles, pushed=False) < DELIVERY_LIMIT + MAX_CALL_INTERVAL
 
 
 def test_where_lists_are_pushed_a_row_of_refusals_ends_in_time() -> None:
-    assert seconds(*("busy",) * 8, pushed=True) < TOLD
+    assert measure_delay(*("busy",) * 8, pushed=True) < DELIVERY_LIMIT
 
 
 @pytest.mark.parametrize("count", [4, 8, 11])
 def test_where_lists_are_pushed_a_row_of_mute_calls_ends_in_time(count: int) -> None:
-    assert seconds(*("mute",) * min(count, 8), pushed=True) < TOLD
+    assert measure_delay(*("mute",) * min(count, 8), pushed=True) < DELIVERY_LIMIT
 
 
 def follow(loop: VirtualLoop, owner: Owner | None, tell: Callable[[Listing], None]) -> asyncio.Task[None]:
     token = OWNER.set(owner)
     try:
-        return loop.create_task(Discovery(*WATCH, 41, tell).follow())
+        return loop.create_task(Discovery(*ADDRESS, 41, tell).follow())
     finally:
         OWNER.reset(token)
 
@@ -188,18 +193,18 @@
 @pytest.mark.parametrize("after", [-0.01, 0.01, 0.3])
 @pytest.mark.parametrize("held", [1.0, 2.6, 3.4, 5.0])
 def test_a_held_loop_does_not_miss_a_silence(held: float, after: float) -> None:
-    """It is held from about the last byte on: what it reads on its return may be as old as the hold."""
+    """The stall begins near the last byte: what is read after it may be as old as the stall."""
 
     async def main(loop: VirtualLoop) -> None:
         agent, owner, known = Agent(loop), Owner("n0"), asyncio.Event()
         await agent.listen()
         task = follow(loop, owner, lambda listing: known.set() if listing.version == 43 else None)
-        await asyncio.sleep(2 * BEAT + after)
+        await asyncio.sleep(2 * HEARTBEAT + after)
         loop.stop_owner(owner)
         await asyncio.sleep(held)
         loop.wake_owner(owner)
         await asyncio.wait_for(known.wait(), 60)
-        assert loop.time() - agent.silent_at < max(TOLD, held + BEAT + 0.5)
+        assert loop.time() - agent.silent_at < max(DELIVERY_LIMIT, held + HEARTBEAT + 0.5)
         task.cancel()
 
     run_virtual(main)
@@ -214,10 +219,10 @@
             if len(asked) == 1:
                 writer.write(HEAD + chunk(message(42)))
                 await asyncio.sleep(8.0)
-                await says(writer, chunk(message(44)), chunk(message(45)))
+                await send_and_hold(writer, chunk(message(44)), chunk(message(45)))
             if not late.is_set():
                 await asyncio.Event().wait()
-            await says(writer, HEAD, chunk(message(46)))
+            await send_and_hold(writer, HEAD, chunk(message(46)))
 
         def tell(listing: Listing) -> None:
             heard.append(listing.version)
@@ -225,14 +230,14 @@
             {45: late, 46: done}.get(listing.version, asyncio.Event()).set()
 
         asked, told_at = list[str](), list[float]()
-        await asyncio.start_server(talk, *WATCH)
+        await asyncio.start_server(talk, *ADDRESS)
         task = follow(loop, None, tell)
         await asyncio.wait_for(done.wait(), 60)
         await asyncio.sleep(0.1)
         assert heard == [42, 44, 45, 46] and told_at[1] < 8.1
-        assert all(line.endswith("since=42") for line in asked[1:]), "it may have missed something: 43"
-        mine = [end for end in loop.network.open if end.peer_address == WATCH and not end._closing]
-        assert len(mine) == 1, "the watch that spoke last"
+        assert all(line.endswith("since=42") for line in asked[1:]), "version 43 may have been missed"
+        mine = [end for end in loop.network.open if end.peer_address == ADDRESS and not end._closing]
+        assert len(mine) == 1, "only the newest watch is open"
         task.cancel()
 
     run_virtual(main)
@@ -245,16 +250,16 @@
         agent.silent.set()
         await agent.listen()
         follower = DiscoveryClient(lambda _: known.set(), lambda: 1.0)
-        follower.follow(*WATCH)
+        follower.follow(*ADDRESS)
         await asyncio.wait_for(known.wait(), 60)
-        assert loop.time() < MOVED
+        assert loop.time() < MOVE_LIMIT
         follower.close()
 
     run_virtual(main)
 
 
 def test_after_an_outage_the_agent_is_asked_before_the_grace_of_a_drain_is_over() -> None:
-    """An agent that answers nothing it was asked while discovery was down: the worst phase of all seeds."""
+    """The agent never responds to calls made during the outage. The longest delay of 60 phases is tested."""
 
     async def main(loop: VirtualLoop, up_at: float) -> float:
         known = asyncio.Event()
@@ -262,18 +267,18 @@
         async def talk(reader: Reader, writer: Writer) -> None:
             await reader.readuntil(b"\r\n\r\n")
             if loop.time() < 1.0:
-                await says(writer, HEAD, chunk(message(42)))
+                await send_and_hold(writer, HEAD, chunk(message(42)))
             if loop.time() < up_at:
                 await asyncio.Event().wait()
-            await says(writer, HEAD, chunk(message(43)))
+            await send_and_hold(writer, HEAD, chunk(message(43)))
 
-        await asyncio.start_server(talk, *WATCH)
+        await asyncio.start_server(talk, *ADDRESS)
 
         def tell(listing: Listing) -> None:
             if listing.version == 43:
                 known.set()
 
-        task = loop.create_task(Discovery(*WATCH, 41, tell, Random(int(up_at * 100)).random).follow())
+        task = loop.create_task(Discovery(*ADDRESS, 41, tell, Random(int(up_at * 100)).random).follow())
         await asyncio.wait_for(known.wait(), 60)
         task.cancel()
         return loop.time() - up_at
@@ -282,7 +287,7 @@
     assert max(waits) < 1.5
 
 
-# Messages: one a line, or indented.
+# Messages on one line, or indented.
 
 Rows = st.lists(
     st.dictionaries(
@@ -344,7 +349,9 @@
         async def talk(reader: Reader, writer: Writer) -> None:
             await reader.readuntil(b"\r\n\r\n")
             text = json.dumps(json.loads(message(42)), indent=2).encode() + b"\n"
-            await says(writer, HEAD, *(chunk(line + b"\n") for line in text.splitlines()), chunk(message(43)))
+            await send_and_hold(
+                writer, HEAD, *(chunk(line + b"\n") for line in text.splitlines()), chunk(message(43))
+            )
 
         heard, enough = list[int](), asyncio.Event()
 
@@ -352,7 +359,7 @@
             heard.append(listing.version)
             enough.set() if listing.version == 43 else None
 
-        await asyncio.start_server(talk, *WATCH)
+        await asyncio.start_server(talk, *ADDRESS)
         task = follow(loop, None, tell)
         await asyncio.wait_for(enough.wait(), 60)
         assert heard == [42, 43] and loop.time() < 1.0
--- a/tests/test_whole_lists.py
+++ b/tests/test_whole_lists.py
@@ -1,4 +1,4 @@
-"""What a whole list does not name is gone, also while it still answers: from discovery's bytes to the decisions."""
+"""A server that a complete list leaves out is gone, even if it still responds, from discovery's bytes to decisions."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from tests.loopback import Limiter, Origin, Script, ask, forward, listening, run
 from tests.test_discovery import HEAD, chunk
 
-END = b"0\r\n\r\n"
+LAST_CHUNK = b"0\r\n\r\n"
 Writer = asyncio.StreamWriter
-Way = Callable[[Writer, bytes], Awaitable[None]]
+Sender = Callable[[Writer, bytes], Awaitable[None]]
 
 
 def servers(seq: int, dial: str, *hosts: tuple[str, str], whole: bool, indent: int | None = None) -> bytes:
@@ -45,24 +45,24 @@
 
 
 async def and_ends(writer: Writer, text: bytes) -> None:
-    writer.write(HEAD + chunk(text) + END)
+    writer.write(HEAD + chunk(text) + LAST_CHUNK)
 
 
 async def ends_first(writer: Writer, text: bytes) -> None:
-    """The watch ends instead of telling, twice: the third call is told."""
+    """End the watch without a list twice; the third call gets the list."""
     calls.append(text)
-    writer.write(HEAD + (END if len(calls) < 3 else chunk(text)))
+    writer.write(HEAD + (LAST_CHUNK if len(calls) < 3 else chunk(text)))
 
 
 calls = list[bytes]()
-WAYS: list[Way] = [at_once, in_pieces, behind_a_beat, and_ends, ends_first]
+SENDERS: list[Sender] = [at_once, in_pieces, behind_a_beat, and_ends, ends_first]
 
 
 @pytest.mark.parametrize("health", ["draining", "ready"])
 @pytest.mark.parametrize("seq", [40, 57, 58], ids=["older", "same", "newer"])
-@pytest.mark.parametrize("way", WAYS, ids=lambda way: way.__name__)
-def test_a_server_that_a_whole_list_leaves_out_gets_nothing_more(way: Way, seq: int, health: str) -> None:
-    """The watch breaks, and the first answer to the next call is the whole list. Its number may be any."""
+@pytest.mark.parametrize("way", SENDERS, ids=lambda way: way.__name__)
+def test_a_server_that_a_whole_list_leaves_out_gets_nothing_more(way: Sender, seq: int, health: str) -> None:
+    """The watch breaks, and the next call gets a complete list, whose version may be any."""
     indent = 1 if way is in_pieces else None
 
     async def main() -> None:
@@ -93,13 +93,13 @@
             host, port = discovery.split(":")
             follower = DiscoveryClient(limiter.node.apply_listing, lambda: 0.0, pushed=True)
             follower.follow(host, int(port), 41)
-            lists = await script.until(api.ServerList, 3)  # the one it began with, and two of discovery
+            lists = await script.until(api.ServerList, 3)  # the initial one, and two from discovery
             assert lists[2].entries[0].health is HEALTH_BY_NAME[health]
             go.set()
             (*_, last) = await script.until(api.ServerList, 4)
             assert last.complete and [entry.name for entry in last.entries] == ["s2"]
             seen = len(origin.seen)
-            assert " 200 " not in (await limiter.fetch(ask()))[0], "the sockets heed it as well"
+            assert " 200 " not in (await limiter.fetch(ask()))[0], "the proxy applies the list as well"
             assert len(origin.seen) == seen, (
                 "nothing is sent to a server that is gone, though it still answers"
             )
