--- a/tests/test_discovery_budget.py
+++ b/tests/test_discovery_budget.py
@@ -97,7 +97,7 @@
             writer.transport.abort()
         elif not self.up:
             answers = {
-                "busy": BUSY_RESPONSE, "head": HEAD, "half": HEAD + PARTIAL_CHUNK, "half, beats": HEAD + PARTIAL_CHUNK, 
+                "busy": BUSY_RESPONSE, "head": HEAD, "half": HEAD + PARTIAL_CHUNK, "half, beats": HEAD + PARTIAL_CHUNK,
                 "ends": HEAD + chunk(b"\n") + LAST_CHUNK, "ends at once": HEAD + LAST_CHUNK,
             }  # fmt: skip
             writer.write(answers.get(kind, b""))
