--- a/benchmarks/discovery_load.py
+++ b/benchmarks/discovery_load.py
@@ -121,16 +121,20 @@
 ) -> dict[str, float]:
     """Play one combination and return a row of the table."""
     call = ALL_IN / limiters
-    service, read, done = Service(loop, trouble, call, refusal * call), dict[int, float](), asyncio.Event()
+    service, first_list_at, done = (
+        Service(loop, trouble, call, refusal * call),
+        dict[int, float](),
+        asyncio.Event(),
+    )
     await service.listen()
 
-    def tell(limiter: int, _listing: Any) -> None:
-        read.setdefault(limiter, loop.time() - LASTS)
-        if len(read) == limiters:
+    def on_listing(limiter: int, _listing: Any) -> None:
+        first_list_at.setdefault(limiter, loop.time() - LASTS)
+        if len(first_list_at) == limiters:
             done.set()
 
     followers = [
-        module.Discovery(*ADDRESS, 41, partial(tell, limiter), Random(limiter).random)
+        module.Discovery(*ADDRESS, 41, partial(on_listing, limiter), Random(limiter).random)
         for limiter in range(limiters)
     ]
     tasks = [loop.create_task(follower.follow()) for follower in followers]
@@ -143,7 +147,7 @@
         task.cancel()
     calls = sorted(service.calls)
     calls_after_return = [at for at in calls if at >= LASTS]
-    times = sorted(read.values()) + [float("inf")] * (limiters - len(read))
+    times = sorted(first_list_at.values()) + [float("inf")] * (limiters - len(first_list_at))
 
     def peak_calls(seconds: float) -> int:
         return max(
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -60,19 +60,19 @@
 
 
 async def follow(agent: Agent, count: int, connections: int = 1) -> list[Listing]:
-    heard, enough = list[Listing](), asyncio.Event()
+    received, all_received = list[Listing](), asyncio.Event()
 
-    def tell(listing: Listing) -> None:
-        heard.append(listing)
-        if len(heard) >= count and len(agent.asked) >= connections:
-            enough.set()
+    def on_listing(listing: Listing) -> None:
+        received.append(listing)
+        if len(received) >= count and len(agent.asked) >= connections:
+            all_received.set()
 
     async with listening(agent.talk) as address:
         host, port = address.split(":")
-        task = asyncio.create_task(Discovery(host, int(port), 41, tell).follow())
-        await enough.wait()
+        task = asyncio.create_task(Discovery(host, int(port), 41, on_listing).follow())
+        await all_received.wait()
         task.cancel()
-    return heard
+    return received
 
 
 def test_an_entry_is_read_in_full() -> None:
@@ -86,8 +86,8 @@
     async def main() -> None:
         data = message(42) + b"\n" + message(43, "draining") + message(44, "gone", dial="")
         pieces = [HEAD] + [chunk(data[at : at + 11]) for at in range(0, len(data), 11)]
-        heard = await follow(Agent(pieces), 3)
-        states = [listing.servers.entries[0].health for listing in heard]
+        received = await follow(Agent(pieces), 3)
+        states = [listing.servers.entries[0].health for listing in received]
         assert states == [api.Health.UP, api.Health.DRAINING, api.Health.GONE]
 
     run(main())
@@ -116,15 +116,15 @@
 @pytest.mark.parametrize("turns", [1, 2, 3, 4])
 def test_a_dial_that_came_up_while_the_loop_was_held_is_used(turns: int) -> None:
     async def main() -> None:
-        agent, heard = Agent([HEAD, chunk(message(57))]), asyncio.Event()
+        agent, received = Agent([HEAD, chunk(message(57))]), asyncio.Event()
         async with listening(agent.talk) as address:
             host, port = address.split(":")
-            task = asyncio.create_task(Discovery(host, int(port), 41, lambda _: heard.set()).follow())
+            task = asyncio.create_task(Discovery(host, int(port), 41, lambda _: received.set()).follow())
             for _ in range(turns):
                 await asyncio.sleep(0)
             # The timer is due before the loop sees that the dial has completed.
             time.sleep(TIMEOUTS[WatchState.DIALING] + 0.1)
-            await heard.wait()
+            await received.wait()
             task.cancel()
         assert len(agent.asked) == 1 and agent.connections == 1
 
@@ -142,8 +142,8 @@
             [HEAD, chunk(b"".join(malformed_lines) + message(60))],
         )
         agent = Agent(malformed_first, malformed_again)
-        heard = await follow(agent, 1)
-        assert [listing.version for listing in heard] == [60]
+        received = await follow(agent, 1)
+        assert [listing.version for listing in received] == [60]
         assert len(agent.asked) == 2 and agent.asked[1].endswith("since=41"), (
             "the version is requested once more"
         )
@@ -222,7 +222,7 @@
 
 def test_a_move_follows_the_old_until_the_new_has_spoken() -> None:
     async def main() -> None:
-        speak, versions, heard = asyncio.Event(), list[int](), asyncio.Event()
+        speak, versions, received = asyncio.Event(), list[int](), asyncio.Event()
         old = Agent([HEAD, chunk(message(57))], end=False)
 
         async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -232,24 +232,24 @@
             writer.write(HEAD + chunk(message(3)))
             await asyncio.Event().wait()
 
-        def tell(listing: Listing) -> None:
+        def on_listing(listing: Listing) -> None:
             versions.append(listing.version)
-            heard.set()
+            received.set()
 
         asked, requested = list[str](), asyncio.Event()
         async with listening(old.talk) as first, listening(talk) as second:
-            follower = DiscoveryClient(tell)
+            follower = DiscoveryClient(on_listing)
             for address in (first, "127.0.0.1:1", second, second):  # the third address replaces the second
                 host, port = address.split(":")
                 follower.follow(host, int(port), 41 if address == first else None)
                 if address == first:
-                    await heard.wait()
+                    await received.wait()
             await requested.wait()
             assert follower._current is not None and not follower._current.cancelled()
             task = follower._current
-            heard.clear()
+            received.clear()
             speak.set()
-            await heard.wait()
+            await received.wait()
             assert versions == [57, 3] and asked == ["/v1/servers?follow=1"]
             await asyncio.wait([task])
             assert task.cancelled()
--- a/tests/test_discovery_budget.py
+++ b/tests/test_discovery_budget.py
@@ -144,12 +144,12 @@
         if not heard or moves:
             service.first_list_sent.set()
 
-        def tell(listing: Listing) -> None:
+        def on_listing(listing: Listing) -> None:
             if listing.version == 43 and service.up:
                 known.set()
 
         token = OWNER.set(owner)
-        follower = DiscoveryClient(tell, draw, pushed)
+        follower = DiscoveryClient(on_listing, draw, pushed)
         follower.follow(*ADDRESS, 41)
         OWNER.reset(token)
         if moves:
--- a/tests/test_endings_discovery.py
+++ b/tests/test_endings_discovery.py
@@ -526,7 +526,7 @@
         listener.setblocking(False)
         versions = list[int]()
 
-        def tell(listing: Listing) -> None:
+        def on_listing(listing: Listing) -> None:
             versions.append(listing.version)
             assert listing.servers.entries[0].health is api.Health.UP
             heard.set()
@@ -536,7 +536,7 @@
             return conn, await loop.sock_recv(conn, 4096)
 
         host, port = listener.getsockname()
-        task = loop.create_task(Discovery(host, port, 41, tell, pushed=True).follow())
+        task = loop.create_task(Discovery(host, port, 41, on_listing, pushed=True).follow())
         conn, _ = await accept()
         await loop.sock_sendall(conn, HEAD + chunk(message(42)))
         await heard.wait()
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -171,13 +171,13 @@
     ]
     for account, amount in zip(accounts, amounts, strict=True):
         account.unreported = amount
-    usage, heard = UsageBroadcast(0.0, 3, 40.0), dict[int, float]()
+    usage, received = UsageBroadcast(0.0, 3, 40.0), dict[int, float]()
     for now in (1.0, 2.0):
         usage.unreported_accounts = {a.counter_name: a for a in accounts}
         for key, units in usage.read_message(now, usage.write_message(now)):
-            heard[key] = heard.get(key, 0.0) + units
+            received[key] = received.get(key, 0.0) + units
     for account, amount in zip(accounts, amounts, strict=True):
-        assert heard.get(account.counter_name % 64**6, 0.0) + account.unreported == pytest.approx(amount)
+        assert received.get(account.counter_name % 64**6, 0.0) + account.unreported == pytest.approx(amount)
         assert abs(account.unreported) <= UNITS_PER_STEP
 
 
@@ -191,33 +191,33 @@
 
 def test_datagrams_come_from_known_addresses_only_and_whole() -> None:
     async def main() -> None:
-        heard, came = list[tuple[int, str]](), asyncio.Event()
+        received, message_received = list[tuple[int, str]](), asyncio.Event()
 
-        def hear(sender: int, text: str) -> None:
-            heard.append((sender, text))
-            came.set()
+        def on_message(sender: int, text: str) -> None:
+            received.append((sender, text))
+            message_received.set()
 
         with (
-            socket.socket(type=socket.SOCK_DGRAM) as known,
-            socket.socket(type=socket.SOCK_DGRAM) as stranger,
+            socket.socket(type=socket.SOCK_DGRAM) as known_sender,
+            socket.socket(type=socket.SOCK_DGRAM) as unknown_sender,
         ):
-            for peer in (known, stranger):
+            for peer in (known_sender, unknown_sender):
                 peer.bind(("127.0.0.1", 0))
             with socket.socket(type=socket.SOCK_DGRAM) as probe:
                 probe.bind(("127.0.0.1", 0))
                 port = probe.getsockname()[1]
-            here, there = f"127.0.0.1:{port}", "{}:{}".format(*known.getsockname())
-            peers = Peers([here, there], there, hear)
+            here, there = f"127.0.0.1:{port}", "{}:{}".format(*known_sender.getsockname())
+            peers = Peers([here, there], there, on_message)
             await peers.listen("127.0.0.1", port)
-            stranger.sendto(b"AAAAAAgg", ("127.0.0.1", port))
+            unknown_sender.sendto(b"AAAAAAgg", ("127.0.0.1", port))
             for data in (b"x" * 257, b"", b"\xff" * 8, b"good"):
-                known.sendto(data, ("127.0.0.1", port))
-            await came.wait()
-            assert heard == [(1, "good")]
-            known.setblocking(False)
+                known_sender.sendto(data, ("127.0.0.1", port))
+            await message_received.wait()
+            assert received == [(1, "good")]
+            known_sender.setblocking(False)
             peers.broadcast("y" * 300)  # logged, not sent
             peers.broadcast("hello")
-            assert await asyncio.get_running_loop().sock_recv(known, 500) == b"hello"
+            assert await asyncio.get_running_loop().sock_recv(known_sender, 500) == b"hello"
             peers.close()
             peers.broadcast("nobody")
 
--- a/tests/test_watch_clock.py
+++ b/tests/test_watch_clock.py
@@ -106,11 +106,11 @@
         agent, known = Agent(loop, *troubles), asyncio.Event()
         await agent.listen()
 
-        def tell(listing: Listing) -> None:
+        def on_listing(listing: Listing) -> None:
             if listing.version == 43:
                 known.set()
 
-        task = loop.create_task(Discovery(*ADDRESS, 41, tell, draw, pushed).follow())
+        task = loop.create_task(Discovery(*ADDRESS, 41, on_listing, draw, pushed).follow())
         await asyncio.wait_for(known.wait(), 60)
         assert all(line.endswith("since=42") for line in agent.asked[1:]), (
             "the changes since the last version are requested"
@@ -164,10 +164,12 @@
     assert measure_delay(*("mute",) * min(count, 8), pushed=True) < DELIVERY_LIMIT
 
 
-def follow(loop: VirtualLoop, owner: Owner | None, tell: Callable[[Listing], None]) -> asyncio.Task[None]:
+def follow(
+    loop: VirtualLoop, owner: Owner | None, on_listing: Callable[[Listing], None]
+) -> asyncio.Task[None]:
     token = OWNER.set(owner)
     try:
-        return loop.create_task(Discovery(*ADDRESS, 41, tell).follow())
+        return loop.create_task(Discovery(*ADDRESS, 41, on_listing).follow())
     finally:
         OWNER.reset(token)
 
@@ -212,7 +214,7 @@
 
 def test_a_watch_that_was_only_late_is_heard_until_the_next_speaks() -> None:
     async def main(loop: VirtualLoop) -> None:
-        heard, late, done = list[int](), asyncio.Event(), asyncio.Event()
+        received, late, done = list[int](), asyncio.Event(), asyncio.Event()
 
         async def talk(reader: Reader, writer: Writer) -> None:
             asked.append((await reader.readuntil(b"\r\n\r\n")).decode().split()[1])
@@ -224,17 +226,17 @@
                 await asyncio.Event().wait()
             await send_and_hold(writer, HEAD, chunk(message(46)))
 
-        def tell(listing: Listing) -> None:
-            heard.append(listing.version)
-            told_at.append(loop.time())
+        def on_listing(listing: Listing) -> None:
+            received.append(listing.version)
+            received_at.append(loop.time())
             {45: late, 46: done}.get(listing.version, asyncio.Event()).set()
 
-        asked, told_at = list[str](), list[float]()
+        asked, received_at = list[str](), list[float]()
         await asyncio.start_server(talk, *ADDRESS)
-        task = follow(loop, None, tell)
+        task = follow(loop, None, on_listing)
         await asyncio.wait_for(done.wait(), 60)
         await asyncio.sleep(0.1)
-        assert heard == [42, 44, 45, 46] and told_at[1] < 8.1
+        assert received == [42, 44, 45, 46] and received_at[1] < 8.1
         assert all(line.endswith("since=42") for line in asked[1:]), "version 43 may have been missed"
         mine = [end for end in loop.network.open if end.peer_address == ADDRESS and not end._closing]
         assert len(mine) == 1, "only the newest watch is open"
@@ -274,11 +276,11 @@
 
         await asyncio.start_server(talk, *ADDRESS)
 
-        def tell(listing: Listing) -> None:
+        def on_listing(listing: Listing) -> None:
             if listing.version == 43:
                 known.set()
 
-        task = loop.create_task(Discovery(*ADDRESS, 41, tell, Random(int(up_at * 100)).random).follow())
+        task = loop.create_task(Discovery(*ADDRESS, 41, on_listing, Random(int(up_at * 100)).random).follow())
         await asyncio.wait_for(known.wait(), 60)
         task.cancel()
         return loop.time() - up_at
@@ -353,16 +355,16 @@
                 writer, HEAD, *(chunk(line + b"\n") for line in text.splitlines()), chunk(message(43))
             )
 
-        heard, enough = list[int](), asyncio.Event()
+        received, all_received = list[int](), asyncio.Event()
 
-        def tell(listing: Listing) -> None:
-            heard.append(listing.version)
-            enough.set() if listing.version == 43 else None
+        def on_listing(listing: Listing) -> None:
+            received.append(listing.version)
+            all_received.set() if listing.version == 43 else None
 
         await asyncio.start_server(talk, *ADDRESS)
-        task = follow(loop, None, tell)
-        await asyncio.wait_for(enough.wait(), 60)
-        assert heard == [42, 43] and loop.time() < 1.0
+        task = follow(loop, None, on_listing)
+        await asyncio.wait_for(all_received.wait(), 60)
+        assert received == [42, 43] and loop.time() < 1.0
         task.cancel()
 
     run_virtual(main)
