--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -164,7 +164,7 @@
     except OSError as error:
         raise ConfigError(f"cannot listen: {error}") from None
     since = config.known.version if config.known else None
-    follower = Follower(
+    follower = DiscoveryClient(
         node.apply_listing, Random(config.seed).random, timing.discovery_pushes, node.record_discovery_contact
     )
     follower.follow(*config.discovery, since)
@@ -182,9 +182,9 @@
         nonlocal timing
         timing = newest
         upstream.retune(timing.dial_timeout, timing.idle_timeout)
-        follower.retune(timing.discovery_pushes)
+        follower.set_pushed(timing.discovery_pushes)
         if counter is not None and settings.counter_timeout > 0:
-            counter.retune(settings.counter_timeout)
+            counter.set_timeout(settings.counter_timeout)
         node.retune(settings)
         frontend.reader.retune(settings)
         service.retuned()
@@ -312,11 +312,11 @@
     if not timeout or operators.keeper is None:
         return CounterClient(*config.counter, timeout) if config.counter and timeout else None
     try:
-        from cypresspulley.keeper.engine import EngineCounter, engine_url
+        from cypresspulley.keeper.engine import EngineCounter, parse_engine_url
     except ImportError as error:
         raise ConfigError(f"keeper needs its extra: pip install 'cypresspulley[keeper]' ({error})") from None
     try:
-        return EngineCounter(engine_url(operators.keeper), timeout)
+        return EngineCounter(parse_engine_url(operators.keeper), timeout)
     except ValueError as error:
         raise ConfigError(f"keeper.url: {error}") from None
 
@@ -359,7 +359,7 @@
         if addresses is None:
             return
         if self._peers is not None:
-            return self._peers.follow(list(addresses.peers), addresses.everyone)
+            return self._peers.set_peers(list(addresses.peers), addresses.everyone)
         from cypresspulley.net.peers import Peers
 
         peers = Peers(
@@ -371,7 +371,7 @@
             await peers.listen(*addresses.listen)
         except OSError as error:
             raise ConfigError(f"cannot listen for messages of limiters: {error}") from None
-        self._peers, self._listen, self._node.broadcast = peers, addresses.listen, peers.tell
+        self._peers, self._listen, self._node.broadcast = peers, addresses.listen, peers.broadcast
 
     def follow_later(self, config: Config) -> None:
         """The same from a reload: an address that cannot be had is told in the log, and messages are off."""
--- a/tests/test_endings_leaving.py
+++ b/tests/test_endings_leaving.py
@@ -417,7 +417,7 @@
         monkeypatch.setattr(kind, "connection_made", connection_made)
 
     record_nodelay(net_upstream._Connection, "server")
-    record_nodelay(net_counter._Link, "counter")
+    record_nodelay(net_counter._Connection, "counter")
     record_nodelay(net_discovery._Watch, "discovery")
 
     async def main() -> None:
@@ -453,7 +453,7 @@
             successor.set_handoff(lambda fd: not fds.append(fd))  # type: ignore[func-returns-value]
             await shared.adopt_connection(socket.socket(fileno=fds[0]))
             await until(lambda: shared._clients and not successor._clients)
-            follower = net_discovery.Follower(lambda _listing: None, lambda: 0.5)
+            follower = net_discovery.DiscoveryClient(lambda _listing: None, lambda: 0.5)
             follower.follow(*split_host_port(other))
             counter = net_counter.CounterClient(*split_host_port(other), 0.2)
             counter.start()
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -12,8 +12,8 @@
 
 from cypresspulley.fleet.options import MAX_SEEDS, options_from
 from cypresspulley.fleet.view import MAX_MEMBERS
-from cypresspulley.keeper.engine import EngineCounter, engine_url
-from cypresspulley.net.discovery import Messages, listing_from
+from cypresspulley.keeper.engine import EngineCounter, parse_engine_url
+from cypresspulley.net.discovery import MessageDecoder, parse_listing
 from cypresspulley.net.peers import Peers
 from cypresspulley.operators import OperatorsError
 from cypresspulley.plans import serve
@@ -81,10 +81,10 @@
         row = {"host": f"{name}{number}", "dial": loopback(number), "site": "z" * 64, "health": "ready"}
         hosts.append(row)
     line = json.dumps({"seq": 7, "whole": True, "hosts": hosts}, indent=1).encode() + b"\n"
-    messages, read = Messages(), 65_536
+    messages, read = MessageDecoder(), 65_536
     (message,) = [one for at in range(0, len(line), read) for one in messages.feed(line[at : at + read])]
-    listing = listing_from(message)
-    assert len(listing.servers.entries) == LARGE_FLEET_SIZE and listing.dials[
+    listing = parse_listing(message)
+    assert len(listing.servers.entries) == LARGE_FLEET_SIZE and listing.addresses[
         f"{name}{LARGE_FLEET_SIZE - 1}"
     ] == loopback(LARGE_FLEET_SIZE - 1)
 
@@ -137,8 +137,8 @@
 
 def test_a_cluster_of_the_keeper_has_as_many_nodes_as_it_likes() -> None:
     async def main() -> None:
-        counter = EngineCounter(engine_url("redis://127.0.0.1:1/"), 1.0)
-        nodes = {id(counter._node(("127.0.0.1", 1 + number))) for number in range(LARGE_FLEET_SIZE)}
+        counter = EngineCounter(parse_engine_url("redis://127.0.0.1:1/"), 1.0)
+        nodes = {id(counter._get_node(("127.0.0.1", 1 + number))) for number in range(LARGE_FLEET_SIZE)}
         assert len(nodes) == LARGE_FLEET_SIZE
         counter.close()
 
