--- a/benchmarks/lanes_shed.py
+++ b/benchmarks/lanes_shed.py
@@ -23,7 +23,9 @@
 from cypresspulley.net.node import DecisionModule
 from tests.lanes.day import LANES, MIX, PLANS, START, Day, Limiter, Shape, no_lanes, span, with_lanes
 
-GUESS, CALM, SPANS = 66.0, 0.6, (20.0, 60.0, 20.0)
+GUESS = 66.0  # units a second that the fleet bears
+CALM = 0.6  # times what the fleet bears
+SPANS = (20.0, 60.0, 20.0)  # seconds: calm, overloaded, calm
 SPREAD = 0.5  # seconds that a row travels at most
 WARM = 10.0  # seconds of the overload after which it is steady
 PLATFORM = {"guesthouse": 0.2, "standard": 0.2, "business": 0.3, "chain": 0.3}
--- a/cypresspulley/lanes/course.py
+++ b/cypresspulley/lanes/course.py
@@ -27,7 +27,9 @@
 
     def __init__(self, options: LanesOptions, count: int, now: float) -> None:
         self._options, self.spell = options, spells.first(count)
-        self._since, self._ends, self._wanted = now, 0.0, None  # type: float, float, float | None
+        self._since: float = now
+        self._ends: float = 0.0
+        self._wanted: float | None = None
         self._let = set[str]()
         self.off = True  # until there is a view
 
--- a/cypresspulley/lanes/meter.py
+++ b/cypresspulley/lanes/meter.py
@@ -9,10 +9,8 @@
 from cypresspulley import interface as api
 from cypresspulley.lanes.rows import Figures
 
-WINDOW, LONG = (
-    2.0,
-    8.0,
-)  # seconds of which figures are a mean; of which what is asked is one, while it is steady
+WINDOW = 2.0  # seconds of which figures are a mean
+LONG = 8.0  # seconds of which what is asked is a mean, while it is steady
 YOUNG = (
     8.0  # seconds from the first try, in which refusals tell of this limiter: it knows no server's rate yet
 )
--- a/cypresspulley/lanes/options.py
+++ b/cypresspulley/lanes/options.py
@@ -40,7 +40,9 @@
 PERIODS = (100, 5_000)  # ms
 SPANS = (1.0, 600.0)  # seconds, of spells and leases
 MOST_FLOOR = 1e6  # units a second
-PERIOD, SPELL, LEASE = 500, 20.0, 5.0  # where the table does not say: ms, seconds, seconds
+PERIOD = 500  # ms, where the table does not say
+SPELL = 20.0  # seconds, where the table does not say
+LEASE = 5.0  # seconds, where the table does not say
 KEYS = ("period_ms", "spell_s", "lease_s", "lane")
 LANE_KEYS = ("name", "plans", "floor", "floor_units")
 
--- a/cypresspulley/lanes/rows.py
+++ b/cypresspulley/lanes/rows.py
@@ -18,7 +18,8 @@
 
 VERSION = 1
 TENTHS = 10  # figures are told in tenths of units a second, or where these are large in 2 ** scale of them
-MOST_FIGURE, MOST_SCALE = 65_535, 32
+MOST_FIGURE = 65_535  # of an encoded figure
+MOST_SCALE = 32  # bits by which encoded figures are shifted
 EACH = 5  # figures of a lane
 MOST_LEFT = 600_000  # ms
 COARSE = 100  # steps of a threshold beyond quota
--- a/cypresspulley/lanes/share.py
+++ b/cypresspulley/lanes/share.py
@@ -23,10 +23,12 @@
 WANTED_FIRST = 0.04  # share of what the first lane lets pass that is never sent on
 WANTED_LANE = 0.3  # the same of any other lane
 ENTRY = 0.9  # of what was sent on while all was full: what is borne at first
-FALL, MOST_FALL = 0.05, 0.1  # of what is borne, a revision: for refusals of twice what is wanted; at most
+FALL = 0.05  # of what is borne, a revision: for refusals of twice what is wanted
+MOST_FALL = 0.1  # of what is borne, a revision, at most
 FULL = 0.6  # share refused from which what is sent on is all that servers do
 RISE = 0.25  # the same where nothing is refused
-LEAST_SENT, MOST_ASKED = 0.85, 1.1  # times what is sent on, and what is asked: between these it is held
+LEAST_SENT = 0.85  # times what is sent on: the least that is held to be borne
+MOST_ASKED = 1.1  # times what is asked: the most that is held to be borne
 SEEN = 1.0  # units a second that a lane must let pass to tell anything
 FEW = 0.02  # share refused below which a limiter is not pressed
 
--- a/cypresspulley/lanes/states.py
+++ b/cypresspulley/lanes/states.py
@@ -39,7 +39,8 @@
     HIGH = 2
 
 
-HIGH, LOW = 0.3, 0.1  # of the pressure
+HIGH = 0.3  # of the pressure
+LOW = 0.1  # of the pressure
 TABLE: dict[tuple[State, Signal], tuple[State, int]] = {
     (State.CALM, Signal.HIGH): (State.PRESSED, 1),
     (State.PRESSED, Signal.HIGH): (State.SHEDDING, 2),
--- a/tests/lanes/day.py
+++ b/tests/lanes/day.py
@@ -50,11 +50,10 @@
 )
 MIX = {"guesthouse": 0.3, "standard": 0.3, "business": 0.2, "chain": 0.2}
 WAY = 0.001  # seconds between limiter and server or counter
-TRIES, MOST_WAIT = 4, 2.0  # of a client's; seconds of Retry-After that it honours, at most
-BACKOFF, HONOUR = (
-    0.25,
-    0.8,
-)  # seconds of its own pause; share of the refusals whose Retry-After it honours at all
+TRIES = 4  # of a client's
+MOST_WAIT = 2.0  # seconds of Retry-After that a client honours, at most
+BACKOFF = 0.25  # seconds of a client's own pause
+HONOUR = 0.8  # share of the refusals whose Retry-After a client honours at all
 START = 1_000_000.0  # Unix seconds at which the day begins
 
 
