--- a/benchmarks/lanes_shed.py
+++ b/benchmarks/lanes_shed.py
@@ -18,8 +18,8 @@
 
 from cypresspulley import interface as api
 from cypresspulley.histories.events import Kind
+from cypresspulley.lanes.allocation import fill
 from cypresspulley.lanes.limiter import inversion_bound
-from cypresspulley.lanes.share import fill
 from cypresspulley.net.node import DecisionModule
 from tests.lanes.day import LANES, MIX, PLANS, START, Day, Limiter, Shape, no_lanes, span, with_lanes
 
--- a/benchmarks/together_mutants.py
+++ b/benchmarks/together_mutants.py
@@ -31,7 +31,7 @@
 from cypresspulley.fleet.records import State
 from cypresspulley.fleet.view import Held, View
 from cypresspulley.histories.check import CHECKERS
-from cypresspulley.lanes import share, spells
+from cypresspulley.lanes import allocation, shedding_policy
 
 
 @dataclass(frozen=True)
@@ -77,21 +77,21 @@
 
 
 def _floor_ignored() -> None:
-    fill = share.fill
+    fill = allocation.fill
 
     def no_floors(lanes: Any, *rest: Any) -> Any:
         return fill([replace(lane, floor=0.0, floor_units=0.0) for lane in lanes], *rest)
 
-    share.fill = no_floors  # type: ignore[assignment]
+    allocation.fill = no_floors  # type: ignore[assignment]
 
 
 def _excess_first() -> None:
-    revised = spells.revised
+    revised = shedding_policy.revised
 
     def excess(before: Any, maker: int, until: float, bears: float, inside: Any, beyond: Any) -> Any:
         return revised(before, maker, until, bears, inside, (1.0,) * len(beyond))
 
-    spells.revised = excess
+    shedding_policy.revised = excess
 
 
 def _lease_without_end() -> None:
--- a/cypresspulley/lanes/course.py
+++ b/cypresspulley/lanes/active_policy.py
@@ -6,11 +6,11 @@
 
 from __future__ import annotations
 
-from cypresspulley.lanes import spells
+from cypresspulley.lanes import shedding_policy
+from cypresspulley.lanes.allocation import Pressure, Told, borne, shares
 from cypresspulley.lanes.options import LanesOptions
 from cypresspulley.lanes.rows import TENTHS, LanesRow
-from cypresspulley.lanes.share import Pressure, Told, borne, shares
-from cypresspulley.lanes.spells import WHOLE, Spell
+from cypresspulley.lanes.shedding_policy import WHOLE, Spell
 from cypresspulley.lanes.states import State
 
 PATIENCE = 2  # periods that each limiter leaves to the one before it by name to make the next spell
@@ -26,7 +26,7 @@
     """The spell that holds here, and when the next one is due."""
 
     def __init__(self, options: LanesOptions, count: int, now: float) -> None:
-        self._options, self.spell = options, spells.first(count)
+        self._options, self.spell = options, shedding_policy.first(count)
         self._since: float = now
         self._ends: float = 0.0
         self._wanted: float | None = None
@@ -109,12 +109,12 @@
             inside = tuple(min(s, h / WHOLE) for s, h in zip(inside, self.spell.inside, strict=True))
             beyond = tuple(min(s, h / WHOLE) for s, h in zip(beyond, self.spell.beyond, strict=True))
         elif state is State.EASING and min(inside) >= 1:
-            return self._enter(now, spells.opened(self.spell, maker), 0.0)
+            return self._enter(now, shedding_policy.opened(self.spell, maker), 0.0)
         over = self.spell.open or now >= self._ends
         if not over:
             inside = tuple(_steady(s, h / WHOLE) for s, h in zip(inside, self.spell.inside, strict=True))
         until = now + self._options.spell if over else 0.0
-        spell = spells.revised(self.spell, maker, until, bears, inside, beyond)
+        spell = shedding_policy.revised(self.spell, maker, until, bears, inside, beyond)
         return self._enter(now, spell, self._options.spell if over else self.left(now))
 
 
--- a/cypresspulley/lanes/limiter.py
+++ b/cypresspulley/lanes/limiter.py
@@ -16,16 +16,16 @@
 from cypresspulley.fleet.records import FleetView
 from cypresspulley.histories.events import Kind
 from cypresspulley.histories.writer import AnyHistory
-from cypresspulley.lanes import spells
-from cypresspulley.lanes.course import MOST_PATIENT, Course
-from cypresspulley.lanes.heard import Heard
+from cypresspulley.lanes import shedding_policy
+from cypresspulley.lanes.active_policy import MOST_PATIENT, Course
+from cypresspulley.lanes.allocation import Pressure, Shares, Told, borne, pressure, shares
 from cypresspulley.lanes.meter import Meter, Period
 from cypresspulley.lanes.options import LanesOptions
+from cypresspulley.lanes.peer_rows import Heard
+from cypresspulley.lanes.quota_estimate import Stores
 from cypresspulley.lanes.rows import LanesRow, encode
-from cypresspulley.lanes.share import Pressure, Shares, Told, borne, pressure, shares
+from cypresspulley.lanes.shedding_module import Way
 from cypresspulley.lanes.states import Machine, signal_of
-from cypresspulley.lanes.stores import Stores
-from cypresspulley.lanes.way import Way
 from cypresspulley.net.node import DecisionModule
 from cypresspulley.policy.gateway import Gateway
 
@@ -125,7 +125,7 @@
         if machine.heard(signal_of(value)):
             self._state(found)
         if course.due(now, machine.state, found, told, min(before, MOST_PATIENT)):
-            maker = spells.maker_of(self._view.me, self._view.life)
+            maker = shedding_policy.maker_of(self._view.me, self._view.life)
             course.turn(now, machine.state, told, maker)
             self.meter.changed()
             self._held(found)
--- a/cypresspulley/lanes/heard.py
+++ b/cypresspulley/lanes/peer_rows.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 
 from cypresspulley.fleet.records import Member, Row, State
+from cypresspulley.lanes.allocation import Told
 from cypresspulley.lanes.rows import LanesRow, decode
-from cypresspulley.lanes.share import Told
 
 MOST_OWNERS = 4096  # rows that are kept
 
--- a/cypresspulley/lanes/who.py
+++ b/cypresspulley/lanes/rotation.py
@@ -10,7 +10,7 @@
 
 from hashlib import blake2b
 
-from cypresspulley.lanes.spells import WHOLE
+from cypresspulley.lanes.shedding_policy import WHOLE
 
 GOLDEN = (5**0.5 - 1) / 2
 FRACTION = round(GOLDEN * 2**32)  # of the ring, which has 2**32 places
--- a/cypresspulley/lanes/rows.py
+++ b/cypresspulley/lanes/rows.py
@@ -14,7 +14,7 @@
 
 from cypresspulley.fleet.records import MOST_ROW
 from cypresspulley.lanes.options import MOST_LANES
-from cypresspulley.lanes.spells import WHOLE, Spell
+from cypresspulley.lanes.shedding_policy import WHOLE, Spell
 
 VERSION = 1
 TENTHS = 10  # figures are told in tenths of units a second, or where these are large in 2 ** scale of them
--- a/cypresspulley/lanes/way.py
+++ b/cypresspulley/lanes/shedding_module.py
@@ -5,11 +5,11 @@
 from cypresspulley import interface as api
 from cypresspulley.histories.events import Kind
 from cypresspulley.histories.writer import AnyHistory
-from cypresspulley.lanes.course import Course
+from cypresspulley.lanes.active_policy import Course
 from cypresspulley.lanes.meter import Meter
 from cypresspulley.lanes.options import LanesOptions
-from cypresspulley.lanes.stores import Stores
-from cypresspulley.lanes.who import passes
+from cypresspulley.lanes.quota_estimate import Stores
+from cypresspulley.lanes.rotation import passes
 from cypresspulley.net.node import DecisionModule
 
 LEAST_WAIT = 0.1  # seconds of Retry-After
--- a/tests/lanes/test_limiter.py
+++ b/tests/lanes/test_limiter.py
@@ -12,11 +12,11 @@
 from cypresspulley import interface as api
 from cypresspulley.fleet.records import Member, Row, State
 from cypresspulley.histories.events import FACTS, Kind
-from cypresspulley.lanes.heard import Heard
 from cypresspulley.lanes.limiter import LOST, Lanes, inversion_bound
 from cypresspulley.lanes.options import Lane, LanesOptions
+from cypresspulley.lanes.peer_rows import Heard
 from cypresspulley.lanes.rows import Figures, LanesRow, encode
-from cypresspulley.lanes.spells import first
+from cypresspulley.lanes.shedding_policy import first
 from cypresspulley.policy.gateway import Gateway
 from tests.lanes.day import History
 from tests.lanes.fabric import Fabric
--- a/tests/lanes/test_rows.py
+++ b/tests/lanes/test_rows.py
@@ -12,7 +12,7 @@
 from cypresspulley.fleet.records import MOST_ROW
 from cypresspulley.lanes.options import MOST_LANES
 from cypresspulley.lanes.rows import Figures, LanesRow, decode, encode
-from cypresspulley.lanes.spells import Spell, first, maker_of, opened, revised
+from cypresspulley.lanes.shedding_policy import Spell, first, maker_of, opened, revised
 
 STEPS = st.integers(0, 1000)
 RATES = st.floats(0, 5e8, allow_nan=False)
--- a/tests/lanes/test_share.py
+++ b/tests/lanes/test_share.py
@@ -8,9 +8,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from cypresspulley.lanes.allocation import Told, borne, fill, pressure, shares
 from cypresspulley.lanes.options import Lane
 from cypresspulley.lanes.rows import Figures
-from cypresspulley.lanes.share import Told, borne, fill, pressure, shares
 
 LANES = (
     Lane("premium", ("chain",), 0.4),
--- a/tests/lanes/test_who.py
+++ b/tests/lanes/test_who.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cypresspulley.lanes.who import longest_wait, passes
+from cypresspulley.lanes.rotation import longest_wait, passes
 
 ACCOUNTS = [f"{0xA000 + n:016x}" for n in range(2000)]
 
