--- a/cypresspulley/lanes/rows.py
+++ b/cypresspulley/lanes/rows.py
@@ -14,11 +14,12 @@
 
 from cypresspulley.fleet.records import MAX_ROW_BYTES
 from cypresspulley.lanes.options import MOST_LANES
-from cypresspulley.lanes.spells import WHOLE, Spell
+from cypresspulley.lanes.shedding_policy import WHOLE, Spell
 
 VERSION = 1
 TENTHS = 10  # figures are told in tenths of units a second, or where these are large in 2 ** scale of them
-MOST_FIGURE, MOST_SCALE = 65_535, 32
+MOST_FIGURE = 65_535  # of an encoded figure
+MOST_SCALE = 32  # bits by which encoded figures are shifted
 EACH = 5  # figures of a lane
 MOST_LEFT = 600_000  # ms
 COARSE = 100  # steps of a threshold beyond quota
