--- a/benchmarks/together_mutants.py
+++ b/benchmarks/together_mutants.py
@@ -1,10 +1,10 @@
-"""Whether the checkers convict limiters with one fault each, by the histories of days in virtual time.
+"""Checks that the history checkers detect limiters with one fault each, on days in virtual time.
 
     python -m benchmarks.together_mutants [--seeds 2] [--jobs 2] [--json FILE]
 
-Each mutant is a patch of the program in a process of its own; the right program is played on the same days and has to
-be acquitted. A mutant that no seed convicts of a promise that it breaks has escaped: exit code 1. Where two guards
-each hold alone, the mutant has both taken out, and says so.
+Each mutant is a patch of the program in a process of its own. The unpatched program runs on the same days and must
+pass the checkers. A mutant for which no seed shows a broken promise of its list has escaped: exit code 1. Where either
+of two guards is sufficient, the mutant removes both, and its name says so.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class Mutant:
-    """``patch`` changes the program in this process; ``promises`` are those that it breaks, any of which convicts."""
+    """``patch`` changes the program in this process; a finding of any of ``promises``, which it breaks, detects it."""
 
     name: str
     play: str
@@ -77,21 +77,23 @@
 
 
 def _floor_ignored() -> None:
-    fill = allocation.fill
+    split_capacity = allocation.split_capacity
 
     def no_floors(lanes: Any, *rest: Any) -> Any:
-        return fill([replace(lane, floor=0.0, floor_units=0.0) for lane in lanes], *rest)
+        return split_capacity([replace(lane, floor=0.0, floor_units=0.0) for lane in lanes], *rest)
 
-    allocation.fill = no_floors  # type: ignore[assignment]
+    allocation.split_capacity = no_floors  # type: ignore[assignment]
 
 
 def _excess_first() -> None:
-    revised = shedding_policy.revised
+    revise_policy = shedding_policy.revise_policy
 
-    def excess(before: Any, maker: int, until: float, bears: float, inside: Any, beyond: Any) -> Any:
-        return revised(before, maker, until, bears, inside, (1.0,) * len(beyond))
+    def excess_first(
+        before: Any, author: int, ends_at: float, capacity: float, within_quota: Any, over_quota: Any
+    ) -> Any:
+        return revise_policy(before, author, ends_at, capacity, within_quota, (1.0,) * len(over_quota))
 
-    shedding_policy.revised = excess
+    shedding_policy.revise_policy = excess_first
 
 
 def _lease_without_end() -> None:
@@ -151,7 +153,7 @@
 
 
 def played(number: int | None, play: str, seed: int) -> dict[str, Any]:
-    """One day with a mutant, or with the right program, and what its checker says."""
+    """Run one day with a mutant, or with the unpatched program, and return the checker's verdict."""
     if number is not None:
         MUTANTS[number].patch()
     began = time.process_time()
@@ -167,12 +169,12 @@
 
 
 def _verdict(number: int | None, days: list[dict[str, Any]]) -> tuple[bool, str]:
-    """Whether it is as it has to be, in a word too."""
+    """Return whether the verdict is as expected, and the verdict in a word."""
     if number is None:
-        right = all(not day["found"] and day["checked"] for day in days)
-        return right, "acquitted" if right else "CONVICTED"
-    right = any(MUTANTS[number].promises & set(day["found"]) for day in days)
-    return right, "convicted" if right else "ESCAPED"
+        is_expected = all(not day["found"] and day["checked"] for day in days)
+        return is_expected, "acquitted" if is_expected else "CONVICTED"
+    is_expected = any(MUTANTS[number].promises & set(day["found"]) for day in days)
+    return is_expected, "convicted" if is_expected else "ESCAPED"
 
 
 def main() -> int:
@@ -183,17 +185,17 @@
     parser.add_argument("--jobs", type=int, default=2)
     parser.add_argument("--json", type=Path)
     options = parser.parse_args()
-    wanted = [(None, play) for play in PLAYS] + [(n, mutant.play) for n, mutant in enumerate(MUTANTS)]
-    rows, right = list[dict[str, Any]](), True
+    runs = [(None, play) for play in PLAYS] + [(n, mutant.play) for n, mutant in enumerate(MUTANTS)]
+    rows, all_expected = list[dict[str, Any]](), True
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(options.jobs, mp_context=context, max_tasks_per_child=1) as pool:
         seeds = range(1, options.seeds + 1)
-        under_way = [[pool.submit(played, number, play, seed) for seed in seeds] for number, play in wanted]
-        for (number, play), futures in zip(wanted, under_way, strict=True):
+        submitted = [[pool.submit(played, number, play, seed) for seed in seeds] for number, play in runs]
+        for (number, play), futures in zip(runs, submitted, strict=True):
             days = [future.result() for future in futures]
             name = "none" if number is None else MUTANTS[number].name
-            as_wanted, word = _verdict(number, days)
-            right = right and as_wanted
+            is_expected, word = _verdict(number, days)
+            all_expected = all_expected and is_expected
             rows.append({"mutant": name, "play": play, "verdict": word, "days": days})
             found = "; ".join(", ".join(f"{k} {v}" for k, v in day["found"].items()) or "-" for day in days)
             print(
@@ -201,7 +203,7 @@
             )
     if options.json:
         options.json.write_text(json.dumps(rows, indent=1) + "\n")
-    return 0 if right else 1
+    return 0 if all_expected else 1
 
 
 if __name__ == "__main__":
--- a/benchmarks/together_plays.py
+++ b/benchmarks/together_plays.py
@@ -1,12 +1,13 @@
-"""Days in virtual time for ``together_mutants``: each returns the histories of its processes and of who played it.
+"""Days in virtual time for ``together_mutants``: each returns the histories of its processes and of the harness.
 
-    lanes      four gateways before modelled servers, 2.5 times what these bear for 45 seconds (``tests.lanes.day``)
-    closing    four limiters with clocks of their own over two closings: one paused, one stepped back, one cut off,
-               purges, handovers
-               (``tests.closing.world``)
-    fleet      eight detectors on a network that loses: a kill and return, a pause, a cut, a leaver (``fleet_bed``)
+    lanes      four gateways with modelled servers, loaded at 2.5 times their capacity for 45 seconds
+               (``tests.lanes.day``)
+    closing    four limiters with clocks of their own over two closings: one is paused, the clock of one steps back, one
+               is partitioned; with purges and handovers (``tests.closing.world``)
+    fleet      eight failure detectors on a lossy network: a kill and restart, a pause, a partition, a leave
+               (``fleet_bed``)
 
-The worlds are those that the rooms try themselves on; here only the histories leave them, and the checkers judge.
+The simulations are those of the packages' own tests. Here only their histories are used, which the checkers judge.
 """
 
 from __future__ import annotations
@@ -33,50 +34,52 @@
 from tests.lanes import day as lanes_day
 
 
-def begin(
+def start_history(
     history: MemoryHistory, name: str, life: int, bounds: dict[str, float] | None = None
 ) -> MemoryHistory:
-    """A life's first event."""
+    """Write the first event of a life."""
     history.opened_at(life)
     history.put(Kind.START, name=name, life=life, zone="", period=0.5, bounds=bounds or {})
     return history
 
 
-# Premium asks for 1.5 times what the fleet bears where load is 2.5: what else passes, passes by its floor.
+# At a load of 2.5 the demand of premium is 1.5 times the capacity, so other lanes are admitted only by their floors.
 MIX = {"guesthouse": 0.2, "standard": 0.2, "business": 0.3, "chain": 0.3}
 
-SMALLER = 5  # accounts, and so many times as many: who gives way is decided by account, and a floor is a few of them
+# Accounts have a fifth of the rate, so that there are five times as many: shedding selects whole accounts, and a floor
+# is the rate of a few of them.
+ACCOUNT_DIVISOR = 5
 
 
 def lanes(seed: int = 3) -> Histories:
-    """Calm, far more than the fleet bears, calm again."""
-    told: list[MemoryHistory] = []
+    """Run a calm phase, an overload, and a calm phase."""
+    histories: list[MemoryHistory] = []
     bounds = {"inversion": inversion_bound(lanes_day.LANES, 0.5)}
 
     def history(clock: Callable[[], float]) -> MemoryHistory:
-        told.append(begin(MemoryHistory(clock, clock), f"limiter-{len(told)}", 1, bounds))
-        return told[-1]
+        histories.append(start_history(MemoryHistory(clock, clock), f"limiter-{len(histories)}", 1, bounds))
+        return histories[-1]
 
     lanes_day.History = history  # type: ignore[assignment,misc]
     lanes_day.PLANS = tuple(  # type: ignore[assignment]
-        replace(plan, rate=plan.rate / SMALLER, burst=plan.burst / 2) for plan in lanes_day.PLANS
+        replace(plan, rate=plan.rate / ACCOUNT_DIVISOR, burst=plan.burst / 2) for plan in lanes_day.PLANS
     )
-    shape = lanes_day.Shape(
-        spans=((10.0, 0.5), (45.0, 2.5), (15.0, 0.5)), bears=40.0, mix=MIX, limiters=4, servers=4
+    options = lanes_day.DayOptions(
+        phases=((10.0, 0.5), (45.0, 2.5), (15.0, 0.5)), capacity=40.0, mix=MIX, limiters=4, servers=4
     )
-    lanes_day.Day(shape, seed, lanes_day.with_lanes).run()
-    return from_memory([events for one in told for events in one.lives])
+    lanes_day.Day(options, seed, lanes_day.with_lanes).run()
+    return from_memory([events for recorded in histories for events in recorded.lives])
 
 
-class Judged(Bed):
-    """The fleet's bed with a history for each process, and the harness's."""
+class RecordedBed(Bed):
+    """The fleet's test bed with a history for each process and one for the harness."""
 
     def __init__(self, seed: int, size: int) -> None:
         super().__init__(seed, loss=0.02, double=0.01)
         self._size = size
-        self._told = dict[str, MemoryHistory]()
+        self._histories = dict[str, MemoryHistory]()
         self._lives = list[MemoryHistory]()
-        self.harness = begin(MemoryHistory(self._clock, self._clock), HARNESS, 1)
+        self.harness = start_history(MemoryHistory(self._clock, self._clock), HARNESS, 1)
         self.harness.put(Kind.TRUTH, closings=[], lanes=[], clock_bound=0.0, seconds=0.0)
 
     def _clock(self) -> float:
@@ -86,20 +89,20 @@
         self, name: str, seeds: Sequence[str] = (), offset: float = 0.0, **more: Any
     ) -> Host:  # fmt: skip
         history = MemoryHistory(self._clock, lambda: self._clock() + offset)
-        self._told[name] = history
+        self._histories[name] = history
         self._lives.append(history)
         return super().start(name, seeds, offset, **more)
 
     def leave(self, name: str, after: float = 1.0) -> None:
         super().leave(name, after)
-        self.at(self.now + after, lambda: self._told[name].put(Kind.END, reason="asked to"))
+        self.at(self.now + after, lambda: self._histories[name].put(Kind.END, reason="asked to"))
 
     def _do(self, host: Host, action: Action) -> None:
-        history = self._told[host.name]
+        history = self._histories[host.name]
         if not history.lives or isinstance(action, Rose):
             size = self._size
             bounds = {"detect": timing.detect_bound(size, 0.5), "settle": timing.settle_bound(size, 0.5)}
-            begin(history, host.name, host.detector.view.myself.life, bounds)
+            start_history(history, host.name, host.detector.view.myself.life, bounds)
         match action:
             case Changed(member, cause):
                 history.put(
@@ -117,14 +120,16 @@
 
     def histories(self) -> Histories:
         self.harness.put(Kind.END, reason="over")
-        return from_memory([*(events for one in self._lives for events in one.lives), *self.harness.lives])
+        return from_memory(
+            [*(events for history in self._lives for events in history.lives), *self.harness.lives]
+        )
 
 
 def fleet(seed: int = 1) -> Histories:
-    """Each trouble has time to settle before the next one."""
-    bed, names = Judged(seed, 8), [f"l{n}" for n in range(8)]
-    caught: list[tuple[str, bytes]] = []
-    bed.tap = lambda source, target, data: caught.append((target, data)) if source == "l7" else None
+    """Run a fleet through several faults, each of which has time to settle before the next one."""
+    bed, names = RecordedBed(seed, 8), [f"l{n}" for n in range(8)]
+    captured: list[tuple[str, bytes]] = []
+    bed.tap = lambda source, target, data: captured.append((target, data)) if source == "l7" else None
     for name in names:
         bed.start(name, names[:2], rows={"lanes": name.encode()})
     bed.run(40.0)
@@ -134,7 +139,7 @@
     bed.run(95.0)
     bed.start("l7", names[:2], rows={"lanes": b"its second life"})
     bed.run(100.0)
-    for target, data in caught:  # what the network held back all the time
+    for target, data in captured:  # datagrams of the earlier life, which the network delayed until now
         bed.carry("l7", target, data)
     bed.run(135.0)
     bed.fault("limiter-pause", ["l3"], True)
@@ -143,12 +148,12 @@
     bed.fault("limiter-pause", ["l3"], False)
     bed.resume("l3")
     bed.run(185.0)
-    left = {"l0", "l1", "l2"}
-    bed.fault("fleet-cut", sorted(left), True)
-    bed.cuts.append(lambda a, b: (a in left) != (b in left))
+    cut_off = {"l0", "l1", "l2"}
+    bed.fault("fleet-cut", sorted(cut_off), True)
+    bed.cuts.append(lambda a, b: (a in cut_off) != (b in cut_off))
     bed.run(215.0)
     bed.cuts.clear()
-    bed.fault("fleet-cut", sorted(left), False)
+    bed.fault("fleet-cut", sorted(cut_off), False)
     bed.run(260.0)
     bed.leave("l6")
     bed.run(320.0)
@@ -164,11 +169,11 @@
     },  # seconds 60 and 150
     "accounts": dict.fromkeys(ACCOUNTS, "pune"),
 }
-LEASE = 1.5  # seconds: it ends before the view holds who is cut off dead
+LEASE = 1.5  # seconds: shorter than the fleet view takes to detect a partitioned limiter as dead
 
 
-class Desk:
-    """Clients and operators of a closing world, and the harness's history of what they asked and got."""
+class ClosingDay:
+    """The clients and operators of a simulation of closings, and the harness's history of their calls and answers."""
 
     def __init__(self, seed: int) -> None:
         calendar = calendar_from(CALENDAR, "the play")
@@ -176,8 +181,8 @@
         self._lives = list[MemoryHistory]()
         self.world = closing_world.World(seed, make=self._make, named=4)
         self._rng, self._asked = Random(seed), 0
-        clock = lambda: self.world.now  # noqa: E731  # the true time is both of the harness's clocks
-        self.harness = begin(MemoryHistory(clock, clock), HARNESS, 1)
+        clock = lambda: self.world.now  # noqa: E731  # both clocks of the harness show the true time
+        self.harness = start_history(MemoryHistory(clock, clock), HARNESS, 1)
         closings = calendar.line("pune").between(closing_world.BEGIN, closing_world.BEGIN + 200)
         pairs = [[account, float(at)] for account in ACCOUNTS for _, at in closings]
         self.harness.put(
@@ -188,13 +193,13 @@
         self, options: Options, view: closing_world.View, clock: Callable[[], float], wall: Callable[[], float],
         history: object, named: int,
     ) -> Closing:  # fmt: skip
-        told = MemoryHistory(lambda: self.world.now, wall)
+        recorded = MemoryHistory(lambda: self.world.now, wall)
         bounds = {"clock": options.clock_bound, "purge": DRIFT * options.lease + 0.5}
-        self._lives.append(begin(told, view.me, view.life, bounds))
-        return Closing(options, view, clock, wall, told, named)
+        self._lives.append(start_history(recorded, view.me, view.life, bounds))
+        return Closing(options, view, clock, wall, recorded, named)
 
     def lookup(self, limiter: closing_world.Limiter, account: str) -> None:
-        """A client's call now; a limiter that stands still finds it in its buffer."""
+        """Make a client's call now; a paused limiter reads it from its buffer later."""
         self._asked += 1
         id, target = str(self._asked), self._rng.choice((b"/a", b"/b"))
         self.harness.put(Kind.CALL, id=id, account=account, plan="basic", cls="lookup", limiter=limiter.name)
@@ -217,7 +222,7 @@
         self.world.at(now + took, lambda: limiter.does(answered))
 
     def handover(self, limiter: closing_world.Limiter, account: str) -> None:
-        """A request that is not safe to repeat."""
+        """Make a request that is not safe to repeat."""
         keeper = limiter.keeper
 
         def begins() -> None:
@@ -229,7 +234,7 @@
         limiter.does(begins)
 
     async def purge(self, limiter: closing_world.Limiter, account: str) -> None:
-        """By hand, at an operator's call."""
+        """Purge an account at an operator's call."""
         self._asked += 1
         id = f"purge {self._asked}"
         self.harness.put(Kind.PURGE_CALL, id=id, account=account, limiter=limiter.name)
@@ -238,14 +243,17 @@
 
     def histories(self) -> Histories:
         self.harness.put(Kind.END, reason="over")
-        return from_memory([*(events for one in self._lives for events in one.lives), *self.harness.lives])
+        return from_memory(
+            [*(events for history in self._lives for events in history.lives), *self.harness.lives]
+        )
 
 
 async def _closing(seed: int) -> Histories:
-    desk = Desk(seed)
-    world, purges = desk.world, list[asyncio.Task[None]]()
+    closing_day = ClosingDay(seed)
+    world, purges = closing_day.world, list[asyncio.Task[None]]()
     a, b, c, d = (
-        world.add(name, desk.options, off) for name, off in zip("abcd", (0.07, -0.07, 0.0, 0.02), strict=True)
+        world.add(name, closing_day.options, off)
+        for name, off in zip("abcd", (0.07, -0.07, 0.0, 0.02), strict=True)
     )
 
     def at(second: float, what: Callable[[], None]) -> None:
@@ -262,31 +270,33 @@
             171,
         )
         for _ in range(240 if near else 40):
-            at(second + rng.random(), partial(desk.lookup, rng.choice(everyone), rng.choice(ACCOUNTS)))
+            at(second + rng.random(), partial(closing_day.lookup, rng.choice(everyone), rng.choice(ACCOUNTS)))
     for moment in (20, 45, 75, 100.2, 104, 110, 130):
-        at(moment, partial(desk.handover, a, ACCOUNTS[int(moment) % 4]))
+        at(moment, partial(closing_day.handover, a, ACCOUNTS[int(moment) % 4]))
     at(100, lambda: world.cut({"d"}, {"a", "b", "c"}))
     at(120, world.cuts.clear)
     at(145, lambda: d.pause(5.2))
     at(150.6, lambda: setattr(c, "off", -3.0))
     at(156, lambda: setattr(c, "off", 0.0))
 
-    def by_hand(limiter: closing_world.Limiter) -> None:
-        purges.append(asyncio.ensure_future(desk.purge(limiter, ACCOUNTS[1])))
+    def purge_later(limiter: closing_world.Limiter) -> None:
+        purges.append(asyncio.ensure_future(closing_day.purge(limiter, ACCOUNTS[1])))
 
     for moment, limiter in ((90, a), (100.4, b), (170, c)):
-        at(moment, partial(by_hand, limiter))
+        at(moment, partial(purge_later, limiter))
     while world.now < closing_world.BEGIN + 200:
         world.run(world.now + 0.02)
-        for _ in range(3):  # whoever waits for an answer goes on
+        for _ in range(3):  # let the tasks that wait for an answer continue
             await asyncio.sleep(0)
     await asyncio.gather(*purges)
-    return desk.histories()
+    return closing_day.histories()
 
 
 def closing(seed: int = 1) -> Histories:
-    """Closings at seconds 60 and 150; d is cut off from 100 to 120 and stands still from 145 to 150.2, c's clock steps
-    back by 3 s after the second closing."""
+    """Run limiters over closings at seconds 60 and 150.
+
+    d is partitioned from 100 to 120 and paused from 145 to 150.2; c's clock steps back by 3 s after the second closing.
+    """
     return asyncio.run(_closing(seed))
 
 
--- a/cypresspulley/lanes/__init__.py
+++ b/cypresspulley/lanes/__init__.py
@@ -1,1 +1,1 @@
-"""Who gives way, in order, while the whole fleet is pressed. A lane only turns away."""
+"""Load shedding by priority: while the whole fleet is overloaded, lanes of plans are shed, the lowest first."""
--- a/cypresspulley/lanes/meter.py
+++ b/cypresspulley/lanes/meter.py
@@ -1,4 +1,4 @@
-"""What each lane was asked and what became of it, by periods, at one limiter."""
+"""Measures what is requested of each lane at one limiter and what becomes of it, by periods."""
 
 from __future__ import annotations
 
@@ -7,149 +7,169 @@
 from dataclasses import dataclass
 
 from cypresspulley import interface as api
-from cypresspulley.lanes.rows import Figures
-
-WINDOW = 2.0  # seconds of which figures are a mean
-LONG = 8.0  # seconds of which what is asked is a mean, while it is steady
-YOUNG = (
-    8.0  # seconds from the first try, in which refusals tell of this limiter: it knows no server's rate yet
+from cypresspulley.lanes.rows import LaneRates
+
+RECENT_SECONDS = 2.0  # window of the rates of admitted, refused and sent units
+DEMAND_SECONDS = 8.0  # window of the demand, while it is steady
+# Refusals in the first seconds after the first request are not counted: they are due to this limiter, which does not
+# know any server's rate yet.
+WARMUP_SECONDS = 8.0
+STEADY_DEVIATIONS = (
+    3.0  # standard deviations by which recent requests may differ from the mean of the earlier ones
 )
-STEADY = 3.0  # standard deviations by which tries in the window may be off the mean of the long one
-ROOM = ("gate", "no server")  # causes of a refusal for want of room; the others are the account's own affair
-OPEN_AT_MOST = 65_536  # tries whose first action has not come; a limiter has sockets for a few thousand
+NO_ROOM = ("gate", "no server")  # causes of a refusal for lack of room; the others concern the account alone
+MAX_OPEN = 65_536  # requests that await their first action; a limiter has sockets for a few thousand
 
 
 @dataclass(slots=True)
-class Sums:
-    """One lane in one period, units. The first four are of all tries, the others as in ``rows.Figures``."""
-
-    asked: float = 0.0
-    passed: float = 0.0
-    asked_over: float = 0.0
-    passed_over: float = 0.0
-    first: float = 0.0
-    over: float = 0.0
-    let: float = 0.0
-    short: float = 0.0
+class LaneTotals:
+    """One lane in one period, in units. The first four are of all requests, the others as in ``rows.LaneRates``."""
+
+    requested: float = 0.0
+    admitted: float = 0.0
+    requested_over_quota: float = 0.0
+    admitted_over_quota: float = 0.0
+    demand: float = 0.0
+    demand_over_quota: float = 0.0
+    first_admitted: float = 0.0
+    refused: float = 0.0
     sent: float = 0.0
 
 
 @dataclass(slots=True)
-class Period:
+class PeriodTotals:
     """All lanes in one period; ``seconds`` is set at its end."""
 
-    lanes: list[Sums]
+    lanes: list[LaneTotals]
     seconds: float = 0.0
-    tries: int = 0  # first ones
+    first_requests: int = 0  # requests that are no retries
 
     @property
-    def asked(self) -> bool:
-        return any(s.asked + s.asked_over > 0 for s in self.lanes)
+    def has_requests(self) -> bool:
+        return any(t.requested + t.requested_over_quota > 0 for t in self.lanes)
 
 
 class Meter:
-    """Counts tries, and follows each that a lane lets pass to its first action."""
+    """Counts requests, and follows each admitted request to its first action."""
 
     def __init__(self, lanes: int, period: float, now: float) -> None:
-        self._lanes, self._began = lanes, now
-        self._first: float | None = None  # when the period of the first try began
-        self._recent = max(2, round(WINDOW / period))
-        self._since = 0  # periods since thresholds changed
-        self._done = deque[Period](maxlen=max(2, round(LONG / period)))
-        self._now = self._fresh()
+        self._lanes, self._began_at = lanes, now
+        self._first_at: float | None = None  # when the period of the first request began
+        self._recent_periods = max(2, round(RECENT_SECONDS / period))
+        self._unchanged_periods = 0  # periods since thresholds changed
+        self._ended = deque[PeriodTotals](maxlen=max(2, round(DEMAND_SECONDS / period)))
+        self._current = self._new_period()
         self._open = dict[int, tuple[int, api.Request, bool]]()
 
     def __repr__(self) -> str:
-        return f"<Meter {len(self._open)} open, {len(self._done)} periods>"
-
-    def _fresh(self) -> Period:
-        return Period([Sums() for _ in range(self._lanes)])
-
-    def asked(self, lane: int, ev: api.Request, inside: bool, counts: bool) -> None:
-        """A try has come; a first one ``counts`` for what its account asks. Repeats ask for nothing more."""
-        self._first = self._began if self._first is None else self._first
-        sums = self._now.lanes[lane]
-        self._now.tries += not ev.repeat
-        if inside:
-            sums.asked += ev.units
+        return f"<Meter {len(self._open)} open, {len(self._ended)} periods>"
+
+    def _new_period(self) -> PeriodTotals:
+        return PeriodTotals([LaneTotals() for _ in range(self._lanes)])
+
+    def count_request(self, lane: int, event: api.Request, within_quota: bool, is_demand: bool) -> None:
+        """Count a request that has arrived.
+
+        ``is_demand`` says whether a first request counts as demand within quota. Retries add no demand.
+        """
+        self._first_at = self._began_at if self._first_at is None else self._first_at
+        totals = self._current.lanes[lane]
+        self._current.first_requests += not event.repeat
+        if within_quota:
+            totals.requested += event.units
         else:
-            sums.asked_over += ev.units
-        if not ev.repeat:
-            sums.first += ev.units * counts
-            sums.over += ev.units * (not counts)
-
-    def passed(self, lane: int, ev: api.Request, inside: bool) -> None:
-        """The lane lets it pass: the decisions have it next."""
-        sums = self._now.lanes[lane]
-        if inside:
-            sums.passed += ev.units
-            sums.let += 0.0 if ev.repeat else ev.units
+            totals.requested_over_quota += event.units
+        if not event.repeat:
+            totals.demand += event.units * is_demand
+            totals.demand_over_quota += event.units * (not is_demand)
+
+    def count_admitted(self, lane: int, event: api.Request, within_quota: bool) -> None:
+        """Count a request that the lane admits, which goes on to the decision module."""
+        totals = self._current.lanes[lane]
+        if within_quota:
+            totals.admitted += event.units
+            totals.first_admitted += 0.0 if event.repeat else event.units
         else:
-            sums.passed_over += ev.units
-        if len(self._open) < OPEN_AT_MOST:
-            self._open[ev.id] = lane, ev, inside
+            totals.admitted_over_quota += event.units
+        if len(self._open) < MAX_OPEN:
+            self._open[event.id] = lane, event, within_quota
 
-    def acted(self, actions: list[api.Action]) -> None:
-        """What the decisions answered to any event: the first action for a try tells what became of it."""
+    def count_actions(self, actions: list[api.Action]) -> None:
+        """Count the decision module's answer to an event: the first action for a request tells what became of it."""
         for action in actions:
             if isinstance(action, api.Send):
-                if (one := self._open.pop(action.id, None)) is not None:
-                    self._now.lanes[one[0]].sent += one[1].units
+                if (entry := self._open.pop(action.id, None)) is not None:
+                    self._current.lanes[entry[0]].sent += entry[1].units
             elif isinstance(action, api.Refuse | api.Fail) and action.id in self._open:
-                self._refused(*self._open.pop(action.id), action.why)
+                self._count_refused(*self._open.pop(action.id), action.why)
 
-    def _refused(self, lane: int, ev: api.Request, inside: bool, why: str) -> None:
-        if not inside or ev.repeat:
+    def _count_refused(self, lane: int, event: api.Request, within_quota: bool, why: str) -> None:
+        if not within_quota or event.repeat:
             return
-        sums = self._now.lanes[lane]
-        if why in ROOM:
-            sums.short += ev.units if self._began - (self._first or self._began) >= YOUNG else 0.0
-        elif why != "attempts":  # the decisions know better: it was beyond its quota or a ceiling
-            sums.let -= ev.units
+        totals = self._current.lanes[lane]
+        if why in NO_ROOM:
+            totals.refused += (
+                event.units if self._began_at - (self._first_at or self._began_at) >= WARMUP_SECONDS else 0.0
+            )
+        elif why != "attempts":  # the decision module found the request over its quota or a ceiling
+            totals.first_admitted -= event.units
 
-    def departed(self, id: int) -> None:
+    def forget_request(self, id: int) -> None:
         self._open.pop(id, None)
 
-    def changed(self) -> None:
-        """Other thresholds hold from now on: what became of tries before says little of what becomes of them now."""
-        self._since = 0
-
-    def cut(self, now: float) -> Period:
-        """A period ends; its sums."""
-        self._since += 1
-        done, self._now = self._now, self._fresh()
-        done.seconds, self._began = max(1e-3, now - self._began), now
-        self._done.append(done)
-        return done
-
-    def figures(self) -> tuple[Figures, ...]:
-        """Units a second over the recent periods, lane by lane. What is asked is a longer mean: by a short one a lower
-        lane would get what the first asks again a moment later."""
-        self._forget()
-        long = list(self._done)
-        recent = long[-max(self._recent, self._since) :]
-
-        def rate(lane: int, of: Callable[[Sums], float], periods: list[Period]) -> float:
+    def reset_window(self) -> None:
+        """Restart the recent window, as other thresholds apply from now on.
+
+        What became of earlier requests says little about what becomes of requests under the new thresholds.
+        """
+        self._unchanged_periods = 0
+
+    def end_period(self, now: float) -> PeriodTotals:
+        """End the current period and return its totals."""
+        self._unchanged_periods += 1
+        ended, self._current = self._current, self._new_period()
+        ended.seconds, self._began_at = max(1e-3, now - self._began_at), now
+        self._ended.append(ended)
+        return ended
+
+    def rates(self) -> tuple[LaneRates, ...]:
+        """Return the rates over the recent periods in units a second, lane by lane.
+
+        The demand is a mean over a longer window: with a short one, a lower lane would be given capacity that the first
+        lane demands again a moment later.
+        """
+        self._drop_old_periods()
+        demand_window = list(self._ended)
+        recent = demand_window[-max(self._recent_periods, self._unchanged_periods) :]
+
+        def rate(lane: int, of: Callable[[LaneTotals], float], periods: list[PeriodTotals]) -> float:
             seconds = sum(period.seconds for period in periods)
             return max(0.0, sum(of(period.lanes[lane]) for period in periods)) / seconds if periods else 0.0
 
         return tuple(
-            Figures(
-                rate(lane, lambda s: s.first, long), rate(lane, lambda s: s.over, long),
-                rate(lane, lambda s: s.let, recent), rate(lane, lambda s: s.short, recent),
-                rate(lane, lambda s: s.sent, recent),
+            LaneRates(
+                rate(lane, lambda t: t.demand, demand_window),
+                rate(lane, lambda t: t.demand_over_quota, demand_window),
+                rate(lane, lambda t: t.first_admitted, recent), rate(lane, lambda t: t.refused, recent),
+                rate(lane, lambda t: t.sent, recent),
             )
             for lane in range(self._lanes)
         )  # fmt: skip
 
-    def _forget(self) -> None:
-        """Where the recent are not of a kind with those before, what was before is over. Arrivals are taken for
-        Poisson's: of ``n`` that were to come, some ``n ** 0.5`` more or fewer do."""
-        periods = list(self._done)
-        before, recent = periods[: -self._recent], periods[-self._recent :]
-        if not before:
+    def _drop_old_periods(self) -> None:
+        """Drop the earlier periods where the recent ones differ from them significantly.
+
+        Arrivals are assumed to be a Poisson process: where ``n`` requests are expected, the standard deviation is
+        ``n ** 0.5``.
+        """
+        periods = list(self._ended)
+        earlier, recent = periods[: -self._recent_periods], periods[-self._recent_periods :]
+        if not earlier:
             return
         seconds = sum(p.seconds for p in recent)
-        due = sum(p.tries for p in before) / sum(p.seconds for p in before) * seconds
-        if abs(sum(p.tries for p in recent) - due) > STEADY * max(1.0, due) ** 0.5:
-            self._done = deque(recent, self._done.maxlen)
+        expected = sum(p.first_requests for p in earlier) / sum(p.seconds for p in earlier) * seconds
+        if (
+            abs(sum(p.first_requests for p in recent) - expected)
+            > STEADY_DEVIATIONS * max(1.0, expected) ** 0.5
+        ):
+            self._ended = deque(recent, self._ended.maxlen)
--- a/cypresspulley/lanes/peer_rows.py
+++ b/cypresspulley/lanes/peer_rows.py
@@ -1,4 +1,4 @@
-"""What the fleet's rows are worth: fresh, stale, or of the dead whose lease runs. No clock: time is an argument."""
+"""The rows of the other limiters: fresh, stale, or of a dead limiter whose lease runs. Time is always an argument."""
 
 from __future__ import annotations
 
@@ -6,77 +6,81 @@
 from dataclasses import dataclass
 
 from cypresspulley.fleet.records import Member, Row, State
-from cypresspulley.lanes.allocation import Told
+from cypresspulley.lanes.allocation import LimiterReport
 from cypresspulley.lanes.rows import LanesRow, decode
 
-MOST_OWNERS = 4096  # rows that are kept
+MAX_OWNERS = 4096  # owners whose rows are kept
 
 
 @dataclass(slots=True)
-class _Kept:
-    """The last row of an owner; ``gone_at``: since when its owner is dead here."""
+class _PeerRow:
+    """The last row of an owner; ``gone_at`` is when this limiter first found its owner dead or silent."""
 
     life: int
     row: LanesRow
-    stale: bool = False
+    is_stale: bool = False
     gone_at: float | None = None
 
 
-class Heard:
-    """``bound``: age in seconds past which a row is stale; ``lease``: seconds for which a dead one keeps its share."""
+class PeerRows:
+    """Keeps the last row of each other limiter.
 
-    def __init__(self, lanes: int, bound: float, lease: float) -> None:
-        self._lanes, self._bound, self._lease = lanes, bound, lease
-        self._kept = dict[str, _Kept]()
-        self.unreadable = 0  # rows that were none
+    ``max_age`` is the age in seconds past which a row is stale; ``lease_seconds`` is how long a dead limiter keeps its
+    share.
+    """
+
+    def __init__(self, lanes: int, max_age: float, lease_seconds: float) -> None:
+        self._lanes, self._max_age, self._lease_seconds = lanes, max_age, lease_seconds
+        self._rows = dict[str, _PeerRow]()
+        self.unreadable = 0  # rows that could not be decoded
 
     def __repr__(self) -> str:
-        stale = sum(kept.stale for kept in self._kept.values())
-        return f"<Heard {len(self._kept)} rows, {stale} stale, {self.unreadable} unreadable>"
+        stale = sum(peer.is_stale for peer in self._rows.values())
+        return f"<PeerRows {len(self._rows)} rows, {stale} stale, {self.unreadable} unreadable>"
 
     def update(
         self, now: float, me: str, rows: Iterable[Row], member: Callable[[str], Member | None]
     ) -> None:  # fmt: skip
-        """Take the view's rows but one's own; let go of what no longer counts."""
+        """Read the view's rows except this limiter's own, and drop the rows that no longer count."""
         seen = set[str]()
         for row in rows:
             if row.owner == me:
                 continue
-            if (told := decode(row.body, self._lanes)) is None:
+            if (decoded := decode(row.body, self._lanes)) is None:
                 self.unreadable += 1
                 continue
-            known = self._kept.get(row.owner)
+            known = self._rows.get(row.owner)
             if known is not None and row.life < known.life:
-                continue  # of a life that is over
-            if known is None and len(self._kept) >= MOST_OWNERS:
+                continue  # a row of an earlier life
+            if known is None and len(self._rows) >= MAX_OWNERS:
                 continue
             seen.add(row.owner)
-            self._kept[row.owner] = _Kept(row.life, told, row.age > self._bound)
-        for owner in [owner for owner in self._kept if owner not in seen]:
-            self._missing(now, owner, member(owner))
-
-    def _missing(self, now: float, owner: str, found: Member | None) -> None:
-        kept = self._kept[owner]
-        if found is None or found.life > kept.life or found.state is State.LEFT:
-            del self._kept[
-                owner
-            ]  # forgotten, begun anew without a row yet, or ended in order: nothing passes there
+            self._rows[row.owner] = _PeerRow(row.life, decoded, row.age > self._max_age)
+        for owner in [owner for owner in self._rows if owner not in seen]:
+            self._handle_missing(now, owner, member(owner))
+
+    def _handle_missing(self, now: float, owner: str, found: Member | None) -> None:
+        peer = self._rows[owner]
+        if found is None or found.life > peer.life or found.state is State.LEFT:
+            # The owner was forgotten, has restarted without a row yet, or has shut down: it admits nothing.
+            del self._rows[owner]
             return
-        kept.stale = True
-        kept.gone_at = now if kept.gone_at is None else kept.gone_at
-        if now - kept.gone_at >= self._lease:
-            del self._kept[owner]
+        peer.is_stale = True
+        peer.gone_at = now if peer.gone_at is None else peer.gone_at
+        if now - peer.gone_at >= self._lease_seconds:
+            del self._rows[owner]
 
-    def told(self) -> list[Told]:
-        """The rows of the others as shares count them."""
+    def reports(self) -> list[LimiterReport]:
+        """Return the rows of the others as input of the allocation."""
         return [
-            Told(owner, kept.row.figures, kept.row.load, kept.stale) for owner, kept in self._kept.items()
+            LimiterReport(owner, peer.row.rates, peer.row.load, peer.is_stale)
+            for owner, peer in self._rows.items()
         ]
 
     def rows(self) -> list[LanesRow]:
-        """Those whose spells count: stale ones too, a spell does not age."""
-        return [kept.row for kept in self._kept.values() if kept.gone_at is None]
+        """Return the rows whose policies count; these include stale rows, as a policy does not age."""
+        return [peer.row for peer in self._rows.values() if peer.gone_at is None]
 
-    def fresh(self) -> list[str]:
-        """Owners of fresh rows, sorted."""
-        return sorted(owner for owner, kept in self._kept.items() if not kept.stale)
+    def fresh_owners(self) -> list[str]:
+        """Return the owners of fresh rows, sorted."""
+        return sorted(owner for owner, peer in self._rows.items() if not peer.is_stale)
--- a/cypresspulley/lanes/rotation.py
+++ b/cypresspulley/lanes/rotation.py
@@ -1,47 +1,51 @@
-"""Who gives way: an account's place on a ring that turns from spell to spell, the same at every limiter.
+"""Selects the accounts that are shed: each has a position on a ring that rotates, the same at every limiter.
 
-A lane of which a part ``p`` passes lets those pass whose place lies below ``p``. The place is a keyed hash of the
-account, moved on by the golden ratio each spell. So accounts share the spells out evenly, and by the three-distance
-theorem (Sos 1958) one that gives way passes again within ``longest_wait(p)`` spells, whatever its hash: a fresh hash
-for each spell would leave some account out for as long as chance will have it.
+A lane that admits a part ``p`` admits the accounts whose position lies below ``p``. The position is a keyed hash of the
+account, advanced by the golden ratio in each rotation period. Accounts are therefore shed for equal shares of the time,
+and by the three-distance theorem (Sos 1958) an account that is shed is admitted again within ``longest_shed_run(p)``
+rotation periods, whatever its hash. A fresh hash for each period would have no such bound: it would keep shedding some
+account for arbitrarily long by chance.
 """
 
 from __future__ import annotations
 
 from hashlib import blake2b
 
-from cypresspulley.lanes.shedding_policy import WHOLE
+from cypresspulley.lanes.shedding_policy import THRESHOLD_SCALE
 
-GOLDEN = (5**0.5 - 1) / 2
-FRACTION = round(GOLDEN * 2**32)  # of the ring, which has 2**32 places
-RING = 2**32
-KEY = b"cypresspulley lanes"
+GOLDEN_RATIO = (5**0.5 - 1) / 2
+RING_STEP = round(GOLDEN_RATIO * 2**32)  # positions by which the ring of 2**32 rotates each period
+RING_SIZE = 2**32
+HASH_KEY = b"cypresspulley lanes"
 
 
-def place(account: str) -> int:
-    """An account's place on the ring before it turns, 0 to 2**32 - 1."""
-    return int.from_bytes(blake2b(account.encode(), digest_size=4, key=KEY).digest(), "big")
+def ring_position(account: str) -> int:
+    """Return an account's position on the ring before any rotation, from 0 to 2**32 - 1."""
+    return int.from_bytes(blake2b(account.encode(), digest_size=4, key=HASH_KEY).digest(), "big")
 
 
-def passes(account: str, spell: int, threshold: int) -> bool:
-    """Whether an account passes in the spell of this number where so many thousandths of its lane do."""
-    if threshold >= WHOLE:
+def is_admitted(account: str, rotation: int, threshold: int) -> bool:
+    """Return whether an account is admitted in this rotation period, at a threshold in thousandths of its lane."""
+    if threshold >= THRESHOLD_SCALE:
         return True
     if threshold <= 0:
         return False
-    return (place(account) + spell * FRACTION) % RING * WHOLE < threshold * RING
+    return (
+        ring_position(account) + rotation * RING_STEP
+    ) % RING_SIZE * THRESHOLD_SCALE < threshold * RING_SIZE
 
 
-def longest_wait(part: float) -> int:
-    """Most spells in a row that an account gives way where a part of its lane (above 0, at most 1) passes.
+def longest_shed_run(part: float) -> int:
+    """Return the most rotation periods in a row for which an account is shed where a part of its lane is admitted.
 
-    Turns by the golden ratio ``g`` return into an arc of length ``p`` after ``F(k)``, ``F(k+1)`` or ``F(k+2)`` steps
-    (Slater 1967), ``F(k)`` being the first Fibonacci number whose turn comes closer than ``p``: ``1 - g`` for 1 step,
-    and ``g`` times as close for each number that follows. The step that returns is none of giving way.
+    ``part`` is above 0 and at most 1. Rotations by the golden ratio ``g`` return into an arc of length ``p`` after
+    ``F(k)``, ``F(k+1)`` or ``F(k+2)`` steps (Slater 1967), where ``F(k)`` is the first Fibonacci number whose rotation
+    comes closer than ``p``: the distance is ``1 - g`` for 1 step, and ``g`` times as large for each number that
+    follows. The account is admitted in the step that returns, so that step is not counted.
     """
     if part >= 1:
         return 0
-    before, now, distance = 1, 1, 1 - GOLDEN
+    before, now, distance = 1, 1, 1 - GOLDEN_RATIO
     while distance >= part:
-        before, now, distance = now, before + now, distance * GOLDEN
+        before, now, distance = now, before + now, distance * GOLDEN_RATIO
     return before + 2 * now - 1
--- a/cypresspulley/lanes/rows.py
+++ b/cypresspulley/lanes/rows.py
@@ -1,7 +1,7 @@
-"""A limiter's row for ``lanes``: what it was asked, what went on, and the spell that it goes by; at most 200 bytes.
+"""A limiter's row for ``lanes``: its rates and the shedding policy that it applies; at most 200 bytes.
 
-msgpack (``msgspec``), an array of integers by position. Whoever wrote it is a member with the fleet's key and is not
-trusted beyond that: what cannot be read is None, every number has a range.
+A row is msgpack (``msgspec``), an array of integers by position. Its writer is a member that holds the fleet's key and
+is not trusted beyond that: what cannot be read is decoded as None, and every number has a range.
 """
 
 from __future__ import annotations
@@ -13,107 +13,151 @@
 import msgspec
 
 from cypresspulley.fleet.records import MOST_ROW
-from cypresspulley.lanes.options import MOST_LANES
-from cypresspulley.lanes.shedding_policy import WHOLE, Spell
+from cypresspulley.lanes.options import MAX_LANES
+from cypresspulley.lanes.shedding_policy import THRESHOLD_SCALE, SheddingPolicy
 
 VERSION = 1
-TENTHS = 10  # figures are told in tenths of units a second, or where these are large in 2 ** scale of them
-MOST_FIGURE = 65_535  # of an encoded figure
-MOST_SCALE = 32  # bits by which encoded figures are shifted
-EACH = 5  # figures of a lane
-MOST_LEFT = 600_000  # ms
-COARSE = 100  # steps of a threshold beyond quota
+RATE_STEPS = 10  # steps of an encoded rate in a unit a second; large rates are in 2 ** scale steps
+MAX_ENCODED_RATE = 65_535
+MAX_SCALE_BITS = 32
+RATES_PER_LANE = 5
+MAX_LEFT_MS = 600_000
+OVER_QUOTA_STEPS = 100  # steps of an encoded over-quota threshold
 
 Count = Annotated[int, msgspec.Meta(ge=0, le=2**32 - 1)]
-Figure = Annotated[int, msgspec.Meta(ge=0, le=MOST_FIGURE)]
-Share = Annotated[int, msgspec.Meta(ge=0, le=WHOLE)]
+EncodedRate = Annotated[int, msgspec.Meta(ge=0, le=MAX_ENCODED_RATE)]
+Share = Annotated[int, msgspec.Meta(ge=0, le=THRESHOLD_SCALE)]
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
-    """One lane at one limiter, units a second of the recent: ``asked`` inside quota and ``over`` beyond it, ``passed``
-    by the lane and ``short``, then refused for want of room (all these of first tries); ``sent`` on to servers."""
-
-    asked: float = 0.0
-    over: float = 0.0
-    passed: float = 0.0
-    short: float = 0.0
+class LaneRates:
+    """The recent rates of one lane at one limiter, in units a second.
+
+    ``demand`` is what accounts request within quota and ``demand_over_quota`` beyond it. ``admitted`` is what the lane
+    admitted, and ``refused`` the part of it that was then refused for lack of room. All these are of first requests.
+    ``sent`` is what was sent on to servers.
+    """
+
+    demand: float = 0.0
+    demand_over_quota: float = 0.0
+    admitted: float = 0.0
+    refused: float = 0.0
     sent: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class LanesRow:
-    """``rate``: what its gate admits, units a second; ``load``: its last reading, 0 to 1; ``left``: seconds until the
-    spell ends, by its owner."""
+    """``admit_rate`` is what the limiter's gate admits, in units a second; ``load`` is the gate's last reading, 0 to 1.
+
+    ``seconds_left`` is the time until the rotation period ends, by the row's owner.
+    """
 
     state: int
-    rate: float
+    admit_rate: float
     load: float
-    figures: tuple[Figures, ...]
-    spell: Spell
-    left: float
-
-
-class _Spell(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    number: Count
-    maker: Annotated[int, msgspec.Meta(ge=0, le=65_535)]
-    turn: Count
-    until: Annotated[int, msgspec.Meta(ge=0, le=2**53)]
-    left: Annotated[int, msgspec.Meta(ge=0, le=MOST_LEFT)]
-    bears: Count
-    inside: Annotated[list[Share], msgspec.Meta(min_length=1, max_length=MOST_LANES)]
-    beyond: Annotated[
-        list[Annotated[int, msgspec.Meta(ge=0, le=COARSE)]], msgspec.Meta(min_length=1, max_length=MOST_LANES)
+    rates: tuple[LaneRates, ...]
+    policy: SheddingPolicy
+    seconds_left: float
+
+
+class _EncodedPolicy(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
+    revision: Count
+    author: Annotated[int, msgspec.Meta(ge=0, le=65_535)]
+    rotation: Count
+    ends_at_ms: Annotated[int, msgspec.Meta(ge=0, le=2**53)]
+    left_ms: Annotated[int, msgspec.Meta(ge=0, le=MAX_LEFT_MS)]
+    capacity_tenths: Count
+    within_quota: Annotated[list[Share], msgspec.Meta(min_length=1, max_length=MAX_LANES)]
+    over_quota: Annotated[
+        list[Annotated[int, msgspec.Meta(ge=0, le=OVER_QUOTA_STEPS)]],
+        msgspec.Meta(min_length=1, max_length=MAX_LANES),
     ]
 
 
-class _Row(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
+class _EncodedRow(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     version: Annotated[int, msgspec.Meta(ge=VERSION, le=VERSION)]
     state: Annotated[int, msgspec.Meta(ge=0, le=3)]
-    rate: Count
+    admit_rate: Count
     load: Share
-    scale: Annotated[int, msgspec.Meta(ge=0, le=MOST_SCALE)]
-    figures: Annotated[list[Figure], msgspec.Meta(min_length=EACH, max_length=EACH * MOST_LANES)]
-    spell: _Spell
+    scale: Annotated[int, msgspec.Meta(ge=0, le=MAX_SCALE_BITS)]
+    rates: Annotated[
+        list[EncodedRate], msgspec.Meta(min_length=RATES_PER_LANE, max_length=RATES_PER_LANE * MAX_LANES)
+    ]
+    policy: _EncodedPolicy
 
 
-_encoder, _decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(_Row)
+_encoder, _decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(_EncodedRow)
 
 
-def _tenths(figure: float) -> int:
-    return min(2**32 - 1, round(figure * TENTHS)) if math.isfinite(figure) and figure > 0 else 0
+def _rate_steps(rate: float) -> int:
+    return min(2**32 - 1, round(rate * RATE_STEPS)) if math.isfinite(rate) and rate > 0 else 0
 
 
 def encode(row: LanesRow) -> bytes:
-    """The row's bytes. Figures below 0 are told as 0, too large ones as the largest."""
-    tenths = [_tenths(n) for f in row.figures for n in (f.asked, f.over, f.passed, f.short, f.sent)]
-    scale = max(0, max(tenths).bit_length() - 16)
-    left = max(0, min(MOST_LEFT, round(row.left * 1000)))
-    beyond = [share * COARSE // WHOLE for share in row.spell.beyond]
-    spell = row.spell
-    told = _Spell(
-        spell.number, spell.maker, spell.turn, spell.until, left, spell.bears, list(spell.inside), beyond
+    """Return the row's bytes. Rates below 0 are encoded as 0, rates that are too large as the largest."""
+    steps = [
+        _rate_steps(n)
+        for r in row.rates
+        for n in (r.demand, r.demand_over_quota, r.admitted, r.refused, r.sent)
+    ]
+    scale = max(0, max(steps).bit_length() - 16)
+    left_ms = max(0, min(MAX_LEFT_MS, round(row.seconds_left * 1000)))
+    over_quota = [share * OVER_QUOTA_STEPS // THRESHOLD_SCALE for share in row.policy.over_quota]
+    policy = row.policy
+    encoded = _EncodedPolicy(
+        policy.revision,
+        policy.author,
+        policy.rotation,
+        policy.ends_at_ms,
+        left_ms,
+        policy.capacity_tenths,
+        list(policy.within_quota),
+        over_quota,
+    )
+    load = max(0, min(THRESHOLD_SCALE, round(row.load * THRESHOLD_SCALE)))
+    rates = [n >> scale for n in steps]
+    body = _encoder.encode(
+        _EncodedRow(VERSION, row.state, _rate_steps(row.admit_rate), load, scale, rates, encoded)
     )
-    load = max(0, min(WHOLE, round(row.load * WHOLE)))
-    figures = [n >> scale for n in tenths]
-    body = _encoder.encode(_Row(VERSION, row.state, _tenths(row.rate), load, scale, figures, told))
     assert len(body) <= MOST_ROW
     return body
 
 
 def decode(body: bytes, lanes: int) -> LanesRow | None:
-    """A row with so many lanes; None for what is none, or is of another form or another table of lanes."""
+    """Return the row with this number of lanes.
+
+    None is returned for bytes that are no row, or are of another version or another number of lanes.
+    """
     if len(body) > MOST_ROW:
         return None
     try:
         row = _decoder.decode(body)
     except msgspec.DecodeError:
         return None
-    told = row.spell
-    if len(row.figures) != EACH * lanes or len(told.inside) != lanes or len(told.beyond) != lanes:
+    encoded = row.policy
+    if (
+        len(row.rates) != RATES_PER_LANE * lanes
+        or len(encoded.within_quota) != lanes
+        or len(encoded.over_quota) != lanes
+    ):
         return None
-    numbers = [(count << row.scale) / TENTHS for count in row.figures]
-    figures = tuple(Figures(*numbers[n : n + EACH]) for n in range(0, len(numbers), EACH))
-    beyond = tuple(share * WHOLE // COARSE for share in told.beyond)
-    spell = Spell(told.number, told.maker, told.turn, told.until, told.bears, tuple(told.inside), beyond)
-    return LanesRow(row.state, row.rate / TENTHS, row.load / WHOLE, figures, spell, told.left / 1000)
+    numbers = [(count << row.scale) / RATE_STEPS for count in row.rates]
+    rates = tuple(LaneRates(*numbers[n : n + RATES_PER_LANE]) for n in range(0, len(numbers), RATES_PER_LANE))
+    over_quota = tuple(share * THRESHOLD_SCALE // OVER_QUOTA_STEPS for share in encoded.over_quota)
+    policy = SheddingPolicy(
+        encoded.revision,
+        encoded.author,
+        encoded.rotation,
+        encoded.ends_at_ms,
+        encoded.capacity_tenths,
+        tuple(encoded.within_quota),
+        over_quota,
+    )
+    return LanesRow(
+        row.state,
+        row.admit_rate / RATE_STEPS,
+        row.load / THRESHOLD_SCALE,
+        rates,
+        policy,
+        encoded.left_ms / 1000,
+    )
--- a/cypresspulley/lanes/states.py
+++ b/cypresspulley/lanes/states.py
@@ -1,18 +1,19 @@
-"""The states of the lanes at one limiter, as a table.
+"""The states of load shedding at one limiter, as a table.
 
-Calm: nothing is held back. Pressed: the fleet refuses for want of room, and it is not yet sure that it goes on.
-Shedding: lanes are in force. Easing: they still are, the pressure is gone and each spell lets more pass, until one is
-open.
+Calm: nothing is shed. Pressed: the fleet refuses requests for lack of room, and it is not yet certain that this lasts.
+Shedding: a policy that sheds load is in force. Easing: such a policy is still in force but the pressure is gone, and
+each rotation period admits more until a policy is open.
 
-| state | high | level | low | a spell is in force | an open spell |
+| state | high | level | low | a policy is in force | an open policy |
 | --- | --- | --- | --- | --- | --- |
 | calm | pressed, at once | - | - | shedding | - |
 | pressed | shedding, after 2 | calm, after 4 | calm, after 2 | shedding | - |
 | shedding | - | - | easing, after 6 | - | calm |
 | easing | shedding, after 2 | - | - | - | calm |
 
-Numbers are periods in a row with that signal: in is quicker than out. The signal is of the whole fleet's pressure. A
-spell that another limiter made counts as much as an own one: states differ only for as long as rows travel.
+Numbers are consecutive periods with that signal; shedding starts faster than it ends. The signal is that of the
+pressure on the whole fleet. A policy made by another limiter counts as much as one made here: states differ between
+limiters only for as long as rows are in transit.
 """
 
 from __future__ import annotations
@@ -32,16 +33,16 @@
 
 
 class Signal(IntEnum):
-    """Of the pressure, with room between high and low, so that what is near one of them changes nothing."""
+    """The level of the pressure. The gap between high and low is a hysteresis: values in it change no state."""
 
     LOW = 0
     LEVEL = 1
     HIGH = 2
 
 
-HIGH = 0.3  # of the pressure
-LOW = 0.1  # of the pressure
-TABLE: dict[tuple[State, Signal], tuple[State, int]] = {
+HIGH_PRESSURE = 0.3  # unserved share of the demand from which the signal is high
+LOW_PRESSURE = 0.1  # unserved share of the demand up to which the signal is low
+TRANSITIONS: dict[tuple[State, Signal], tuple[State, int]] = {
     (State.CALM, Signal.HIGH): (State.PRESSED, 1),
     (State.PRESSED, Signal.HIGH): (State.SHEDDING, 2),
     (State.PRESSED, Signal.LEVEL): (State.CALM, 4),
@@ -52,38 +53,42 @@
 
 
 def signal_of(pressure: float) -> Signal:
-    return Signal.HIGH if pressure >= HIGH else Signal.LOW if pressure <= LOW else Signal.LEVEL
+    return (
+        Signal.HIGH if pressure >= HIGH_PRESSURE else Signal.LOW if pressure <= LOW_PRESSURE else Signal.LEVEL
+    )
 
 
-class Machine:
-    """One limiter's state: a signal once a period, and whatever spell holds."""
+class StateMachine:
+    """The state of one limiter, driven by one signal a period and by the policy that applies."""
 
     def __init__(self) -> None:
         self.state = State.CALM
-        self._signal, self._row = Signal.LEVEL, 0
+        self._signal, self._consecutive = Signal.LEVEL, 0
 
     def __repr__(self) -> str:
-        return f"<Machine {self.state.name.lower()}, {self._signal.name.lower()} for {self._row}>"
+        return (
+            f"<StateMachine {self.state.name.lower()}, {self._signal.name.lower()} for {self._consecutive}>"
+        )
 
-    def heard(self, signal: Signal) -> bool:
-        """A period's signal; True where the state is another now."""
-        self._row = self._row + 1 if signal is self._signal else 1
+    def handle_signal(self, signal: Signal) -> bool:
+        """Process a period's signal; return whether the state has changed."""
+        self._consecutive = self._consecutive + 1 if signal is self._signal else 1
         self._signal = signal
-        then = TABLE.get((self.state, signal))
-        if then is None or self._row < then[1]:
+        transition = TRANSITIONS.get((self.state, signal))
+        if transition is None or self._consecutive < transition[1]:
             return False
-        return self._enter(then[0])
+        return self._enter(transition[0])
 
-    def held(self, in_force: bool) -> bool:
-        """A spell holds that is in force, or is open; True where the state is another now."""
+    def handle_policy(self, in_force: bool) -> bool:
+        """Process the policy that applies, in force or open; return whether the state has changed."""
         if in_force and not self.state.in_force:
             return self._enter(State.SHEDDING)
         return not in_force and self.state.in_force and self._enter(State.CALM)
 
-    def off(self) -> bool:
-        """There is no view to go by: as if lanes were off."""
+    def reset(self) -> bool:
+        """Return to calm where there is no fleet view, as if lanes were off; return whether the state has changed."""
         return self.state is not State.CALM and self._enter(State.CALM)
 
     def _enter(self, state: State) -> bool:
-        self.state, self._row = state, 0
+        self.state, self._consecutive = state, 0
         return True
--- a/cypresspulley/together.py
+++ b/cypresspulley/together.py
@@ -22,7 +22,7 @@
 
 if TYPE_CHECKING:
     from cypresspulley.closing.limiter import Closing
-    from cypresspulley.lanes.limiter import Lanes
+    from cypresspulley.lanes.limiter import LoadShedder
 
 N = TypeVar("N", bound=Node)
 
@@ -63,7 +63,7 @@
             bounds |= {"inversion": inversion_bound(lanes_options(table, path, settings), spread)}
         self.fleet = Fleet(options, name, settings.zone, seed, clock, wall, self.history, bounds)
         self._clock, self._wall, self._settings, self._operators = clock, wall, settings, operators
-        self.lanes: Lanes | None = None
+        self.load_shedder: LoadShedder | None = None
         self.closing: Closing | None = None
         if keeping is not None:
             from cypresspulley.closing.limiter import Closing
@@ -75,13 +75,15 @@
         """The decisions with lanes before them, where the operators want these."""
         if self._operators.lanes is None:
             return decide
-        from cypresspulley.lanes.limiter import Lanes
+        from cypresspulley.lanes.limiter import LoadShedder
         from cypresspulley.lanes.options import options_from as lanes_options
 
         path, table = self._operators.lanes
         options = lanes_options(table, path, self._settings)
-        self.lanes = Lanes(options, self.fleet.view, gateway, self._settings, self.history, self._clock)
-        return self.lanes.deciding(decide)
+        self.load_shedder = LoadShedder(
+            options, self.fleet.view, gateway, self._settings, self.history, self._clock
+        )
+        return self.load_shedder.wrap(decide)
 
     def node(self, kind: type[N]) -> type[N]:
         """The class of the node: one that keeps answers, where closing is on."""
@@ -90,7 +92,7 @@
     async def start(self) -> None:
         """``OSError`` where the address for datagrams cannot be had."""
         await self.fleet.start()
-        for part in (self.lanes, self.closing):
+        for part in (self.load_shedder, self.closing):
             if part is not None:
                 part.start()
 
@@ -99,7 +101,7 @@
         self.fleet.leave()
 
     async def close(self) -> None:
-        for part in (self.lanes, self.closing):
+        for part in (self.load_shedder, self.closing):
             if part is not None:
                 part.close()
         await self.fleet.close()
--- a/tests/lanes/fabric.py
+++ b/tests/lanes/fabric.py
@@ -1,8 +1,8 @@
-"""A small view of the fleet for tests and benchmarks: rows travel late or not at all, members die and are cut off.
+"""A fake fleet view for tests and benchmarks: rows arrive late or never, members die and are partitioned.
 
-It keeps what ``fleet.records.FleetView`` says of rows and members and knows nothing of probes: a death is seen after
-``detect`` seconds, a row arrives after a delay drawn up to ``spread``. Time comes from ``clock``; whoever reads a view
-first gets all that is due by then.
+It implements what ``fleet.records.FleetView`` promises of rows and members, without any probes: a death is detected
+after ``detection_seconds``, and a row arrives after a random delay of up to ``max_delay`` seconds. Time comes from
+``clock``; reading a view first delivers the rows that are due by then.
 """
 
 from __future__ import annotations
@@ -15,115 +15,118 @@
 
 
 @dataclass(slots=True)
-class _Held:
+class _StoredRow:
     life: int
     version: int
-    made: float  # when its owner last confirmed it
+    confirmed_at: float  # when its owner last confirmed it
     body: bytes
 
 
 @dataclass
-class Fabric:
-    """All members' views. ``spread``: seconds that a row travels at most; ``loss``: share of rows that never arrive."""
+class FakeFleet:
+    """The views of all members.
+
+    ``max_delay`` is the longest time in seconds until a row arrives, and ``loss`` the share of rows that never arrive.
+    """
 
     clock: Callable[[], float]
     seed: int = 1
-    spread: float = 0.5
+    max_delay: float = 0.5
     loss: float = 0.0
-    detect: float = 5.0
-    views: dict[str, View] = field(default_factory=dict)
-    cuts: dict[frozenset[str], float] = field(default_factory=dict)  # pairs, since when
+    detection_seconds: float = 5.0
+    views: dict[str, FakeView] = field(default_factory=dict)
+    cuts: dict[frozenset[str], float] = field(default_factory=dict)  # by pair of members: when it was cut
     dead: dict[str, float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.rng = Random(self.seed)
 
-    def join(self, name: str, life: int = 1) -> View:
-        """A member comes, or returns in a new life."""
+    def join(self, name: str, life: int = 1) -> FakeView:
+        """Add a member, or restart it in a new life."""
         self.dead.pop(name, None)
-        view = self.views[name] = View(self, name, life)
+        view = self.views[name] = FakeView(self, name, life)
         return view
 
     def kill(self, name: str) -> None:
         self.dead[name] = self.clock()
 
-    def cut(self, one: list[str], other: list[str]) -> None:
-        """Nothing passes between two sides from now on."""
+    def cut(self, one_side: list[str], other_side: list[str]) -> None:
+        """Drop everything between two sides from now on."""
         now = self.clock()
-        self.cuts |= {frozenset((a, b)): now for a in one for b in other}
+        self.cuts |= {frozenset((a, b)): now for a in one_side for b in other_side}
 
     def heal(self) -> None:
         self.cuts.clear()
 
-    def apart(self, a: str, b: str) -> bool:
+    def is_cut(self, a: str, b: str) -> bool:
         return frozenset((a, b)) in self.cuts
 
-    def since(self, me: str, other: str) -> float | None:
-        """Since when a member has been silent to another; None while it is not."""
+    def silent_since(self, me: str, other: str) -> float | None:
+        """Return since when a member has been silent to another; None while it is not."""
         times = (self.dead.get(other), self.cuts.get(frozenset((me, other))))
         return min((t for t in times if t is not None), default=None)
 
 
-class View:
-    """One member's view; see ``FleetView`` for what each method promises."""
+class FakeView:
+    """The view of one member; see ``FleetView`` for the contract of each method."""
 
-    def __init__(self, fabric: Fabric, name: str, life: int) -> None:
-        self._fabric, self.me, self.life = fabric, name, life
+    def __init__(self, fleet: FakeFleet, name: str, life: int) -> None:
+        self._fleet, self.me, self.life = fleet, name, life
         self._version = 0
-        self._held = dict[str, _Held]()
-        self._coming = list[tuple[float, str, _Held]]()
-        self.age_by = 0.0  # seconds by which every row seems older: a view that lags
+        self._stored = dict[str, _StoredRow]()
+        self._in_transit = list[tuple[float, str, _StoredRow]]()
+        self.extra_age = 0.0  # seconds added to the age of every row, to simulate a view that lags
 
     def members(self) -> tuple[Member, ...]:
-        found = [self.member(name) for name in sorted(self._fabric.views)]
+        found = [self.member(name) for name in sorted(self._fleet.views)]
         return tuple(m for m in found if m is not None and m.state.present)
 
     def member(self, name: str) -> Member | None:
-        view = self._fabric.views.get(name)
+        view = self._fleet.views.get(name)
         if view is None:
             return None
-        since, now = self._fabric.since(self.me, name), self._fabric.clock()
-        over = since is not None and now - since >= self._fabric.detect
-        suspected = since is not None and now - since >= self._fabric.detect / 2
-        state = State.DEAD if over else State.SUSPECTED if suspected else State.ALIVE
+        silent_since, now = self._fleet.silent_since(self.me, name), self._fleet.clock()
+        is_dead = silent_since is not None and now - silent_since >= self._fleet.detection_seconds
+        is_suspected = silent_since is not None and now - silent_since >= self._fleet.detection_seconds / 2
+        state = State.DEAD if is_dead else State.SUSPECTED if is_suspected else State.ALIVE
         return Member(name, view.life, 0, state)
 
     def rows(self, now: float, subsystem: str) -> tuple[Row, ...]:
-        self._take(now)
+        self._receive_due(now)
         rows = list[Row]()
-        for owner, held in sorted(self._held.items()):
+        for owner, stored in sorted(self._stored.items()):
             member = self.member(owner)
-            if member is not None and member.state.present and member.life == held.life:
-                age = 0.0 if owner == self.me else now - held.made + self.age_by
-                rows.append(Row(owner, held.life, held.version, member.state, age, held.body))
+            if member is not None and member.state.present and member.life == stored.life:
+                age = 0.0 if owner == self.me else now - stored.confirmed_at + self.extra_age
+                rows.append(Row(owner, stored.life, stored.version, member.state, age, stored.body))
         return tuple(rows)
 
     def publish(self, subsystem: str, body: bytes) -> None:
         if len(body) > MOST_ROW:
             raise ValueError(f"a row of {len(body)} bytes; expected at most {MOST_ROW}")
-        fabric, now = self._fabric, self._fabric.clock()
+        fleet, now = self._fleet, self._fleet.clock()
         self._version += 1
-        held = self._held[self.me] = _Held(self.life, self._version, now, body)
-        for name, view in fabric.views.items():
-            arrives = fabric.rng.uniform(0.1, 1.0) * fabric.spread
-            if name == self.me or fabric.apart(self.me, name) or fabric.rng.random() < fabric.loss:
+        stored = self._stored[self.me] = _StoredRow(self.life, self._version, now, body)
+        for name, view in fleet.views.items():
+            arrives = fleet.rng.uniform(0.1, 1.0) * fleet.max_delay
+            if name == self.me or fleet.is_cut(self.me, name) or fleet.rng.random() < fleet.loss:
                 continue
-            view._coming.append((now + arrives, self.me, replace(held)))
+            view._in_transit.append((now + arrives, self.me, replace(stored)))
 
-    def _take(self, now: float) -> None:
-        due = [one for one in self._coming if one[0] <= now]
-        self._coming = [one for one in self._coming if one[0] > now]
-        for _, owner, held in sorted(due, key=lambda one: one[0]):
-            known = self._held.get(owner)
-            if known is None or (held.life, held.version) > (known.life, known.version):
-                self._held[owner] = held
+    def _receive_due(self, now: float) -> None:
+        due = [entry for entry in self._in_transit if entry[0] <= now]
+        self._in_transit = [entry for entry in self._in_transit if entry[0] > now]
+        for _, owner, stored in sorted(due, key=lambda entry: entry[0]):
+            known = self._stored.get(owner)
+            if known is None or (stored.life, stored.version) > (known.life, known.version):
+                self._stored[owner] = stored
 
     def settled(self, now: float) -> bool:
         return True
 
     def heard(self, now: float, within: float) -> int:
-        self._take(now)
-        return sum(now - h.made <= within for owner, h in self._held.items() if owner != self.me)
+        self._receive_due(now)
+        return sum(now - h.confirmed_at <= within for owner, h in self._stored.items() if owner != self.me)
 
     def clock_error(self, now: float) -> tuple[float, float] | None:
         return None
--- a/tests/lanes/test_options.py
+++ b/tests/lanes/test_options.py
@@ -1,4 +1,4 @@
-"""The operators' table [lanes]: what is taken, and errors that name file, key and expectation."""
+"""The operators' table [lanes]: the options read from it, and errors that name file, key and expectation."""
 
 from __future__ import annotations
 
@@ -17,27 +17,32 @@
 
 
 def example() -> dict[str, Any]:
-    """The table of the docstring, which operators copy from."""
+    """Return the table of the module's docstring, which operators copy."""
     lines = [line[4:] for line in (options.__doc__ or "").splitlines() if line.startswith("    ")]
     table: dict[str, Any] = tomllib.loads("\n".join(lines))["lanes"]
     return table
 
 
 def test_the_example_of_the_docstring_is_taken() -> None:
-    got = options.options_from(example(), "lanes.toml", SETTINGS)
-    assert [lane.name for lane in got.lanes] == ["premium", "standard", "guest"]
-    assert (got.period, got.spell, got.lease) == (0.5, 20.0, 5.0)
-    assert [got.lane_of(plan) for plan in ("business", "standard", "guesthouse", "unheard")] == [0, 1, 2, 2]
-    assert [lane.kept(40.0) for lane in got.lanes] == [20.0, 4.0, 2.0]
+    parsed = options.options_from(example(), "lanes.toml", SETTINGS)
+    assert [lane.name for lane in parsed.lanes] == ["premium", "standard", "guest"]
+    assert (parsed.period_seconds, parsed.rotation_seconds, parsed.lease_seconds) == (0.5, 20.0, 5.0)
+    assert [parsed.lane_of(plan) for plan in ("business", "standard", "guesthouse", "unheard")] == [
+        0,
+        1,
+        2,
+        2,
+    ]
+    assert [lane.floor_rate(40.0) for lane in parsed.lanes] == [20.0, 4.0, 2.0]
 
 
 def test_defaults() -> None:
     table = {key: value for key, value in example().items() if key == "lane"}
-    got = options.options_from(table, "lanes.toml", SETTINGS)
-    assert (got.period, got.spell, got.lease) == (0.5, 20.0, 5.0)
+    parsed = options.options_from(table, "lanes.toml", SETTINGS)
+    assert (parsed.period_seconds, parsed.rotation_seconds, parsed.lease_seconds) == (0.5, 20.0, 5.0)
 
 
-def _lane(table: dict[str, Any], number: int, **changes: object) -> None:
+def _change_lane(table: dict[str, Any], number: int, **changes: object) -> None:
     table["lane"][number] |= changes
 
 
@@ -53,17 +58,38 @@
         (lambda t: t.pop("lane"), "lanes.lane: expected 2 to 6 tables"),
         (lambda t: t.update(lane=t["lane"][:1]), "lanes.lane: expected 2 to 6 tables"),
         (lambda t: t["lane"].append(7), "lanes.lane.3: expected a table, got 7"),
-        (lambda t: _lane(t, 1, colour="red"), "lanes.lane.1.colour: unknown; expected name, plans"),
-        (lambda t: _lane(t, 1, name="a b"), "lanes.lane.1.name: expected a name"),
-        (lambda t: _lane(t, 1, name="premium"), "lanes.lane.1.name: expected each name once, got 'premium'"),
-        (lambda t: _lane(t, 1, plans=[]), "lanes.lane.1.plans: expected a list of names of plans"),
-        (lambda t: _lane(t, 1, plans=["chain"]), "lanes.lane.1.plans: expected each plan once; it is in pre"),
-        (lambda t: _lane(t, 1, plans=["gold"]), "lanes.lane.1.plans: expected plans of the settings (busin"),
-        (lambda t: _lane(t, 0, plans=["chain"]), "lanes.lane: expected each plan of the settings in one la"),
-        (lambda t: _lane(t, 1, floor=1.5), "lanes.lane.1.floor: expected a share from 0 to 1, got 1.5"),
-        (lambda t: _lane(t, 1, floor=0.6), "lanes.lane: expected floors that sum to 1 at most, got 1.1"),
-        (lambda t: _lane(t, 1, floor_units=1), "lanes.lane.1.floor_units: expected either this or floor"),
-        (lambda t: _lane(t, 2, floor_units=-1), "lanes.lane.2.floor_units: expected units a second"),
+        (lambda t: _change_lane(t, 1, colour="red"), "lanes.lane.1.colour: unknown; expected name, plans"),
+        (lambda t: _change_lane(t, 1, name="a b"), "lanes.lane.1.name: expected a name"),
+        (
+            lambda t: _change_lane(t, 1, name="premium"),
+            "lanes.lane.1.name: expected each name once, got 'premium'",
+        ),
+        (lambda t: _change_lane(t, 1, plans=[]), "lanes.lane.1.plans: expected a list of names of plans"),
+        (
+            lambda t: _change_lane(t, 1, plans=["chain"]),
+            "lanes.lane.1.plans: expected each plan once; it is in pre",
+        ),
+        (
+            lambda t: _change_lane(t, 1, plans=["gold"]),
+            "lanes.lane.1.plans: expected plans of the settings (busin",
+        ),
+        (
+            lambda t: _change_lane(t, 0, plans=["chain"]),
+            "lanes.lane: expected each plan of the settings in one la",
+        ),
+        (
+            lambda t: _change_lane(t, 1, floor=1.5),
+            "lanes.lane.1.floor: expected a share from 0 to 1, got 1.5",
+        ),
+        (
+            lambda t: _change_lane(t, 1, floor=0.6),
+            "lanes.lane: expected floors that sum to 1 at most, got 1.1",
+        ),
+        (
+            lambda t: _change_lane(t, 1, floor_units=1),
+            "lanes.lane.1.floor_units: expected either this or floor",
+        ),
+        (lambda t: _change_lane(t, 2, floor_units=-1), "lanes.lane.2.floor_units: expected units a second"),
     ],
 )
 def test_what_is_wrong_is_named(change: Any, said: str) -> None:
--- a/tests/lanes/test_rows.py
+++ b/tests/lanes/test_rows.py
@@ -1,4 +1,4 @@
-"""Rows and spells: their size, what is read back, what is refused, and the order of spells."""
+"""Rows and shedding policies: size, decoding, rejected rows, and the order of policies."""
 
 from __future__ import annotations
 
@@ -10,47 +10,68 @@
 from hypothesis import strategies as st
 
 from cypresspulley.fleet.records import MOST_ROW
-from cypresspulley.lanes.options import MOST_LANES
-from cypresspulley.lanes.rows import Figures, LanesRow, decode, encode
-from cypresspulley.lanes.shedding_policy import Spell, first, maker_of, opened, revised
+from cypresspulley.lanes.options import MAX_LANES
+from cypresspulley.lanes.rows import LaneRates, LanesRow, decode, encode
+from cypresspulley.lanes.shedding_policy import (
+    SheddingPolicy,
+    author_id,
+    initial_policy,
+    open_policy,
+    revise_policy,
+)
 
 STEPS = st.integers(0, 1000)
 RATES = st.floats(0, 5e8, allow_nan=False)
 
 
-def spells(lanes: int) -> st.SearchStrategy[Spell]:
-    many = st.lists(STEPS, min_size=lanes, max_size=lanes).map(tuple)
+def policies(lanes: int) -> st.SearchStrategy[SheddingPolicy]:
+    thresholds = st.lists(STEPS, min_size=lanes, max_size=lanes).map(tuple)
     count = st.integers(0, 2**32 - 1)
-    return st.builds(Spell, count, st.integers(0, 65_535), count, st.integers(0, 2**53), count, many, many)
+    return st.builds(
+        SheddingPolicy,
+        count,
+        st.integers(0, 65_535),
+        count,
+        st.integers(0, 2**53),
+        count,
+        thresholds,
+        thresholds,
+    )
 
 
 @st.composite
 def rows(draw: st.DrawFn) -> LanesRow:
-    lanes = draw(st.integers(1, MOST_LANES))
-    figures = draw(st.lists(st.builds(Figures, *[RATES] * 5), min_size=lanes, max_size=lanes))
+    lanes = draw(st.integers(1, MAX_LANES))
+    rates = draw(st.lists(st.builds(LaneRates, *[RATES] * 5), min_size=lanes, max_size=lanes))
     load, left = draw(st.floats(0, 1)), draw(st.floats(0, 600))
-    return LanesRow(draw(st.integers(0, 3)), draw(RATES), load, tuple(figures), draw(spells(lanes)), left)
+    return LanesRow(draw(st.integers(0, 3)), draw(RATES), load, tuple(rates), draw(policies(lanes)), left)
 
 
 @given(rows())
 def test_a_row_fits_and_is_read_back(row: LanesRow) -> None:
     body = encode(row)
     assert len(body) <= MOST_ROW
-    told = decode(body, len(row.figures))
-    assert told is not None
-    assert (told.state, told.spell.key, told.spell.inside) == (row.state, row.spell.key, row.spell.inside)
-    largest = max(max(f.asked, f.over, f.passed, f.short, f.sent) for f in row.figures)
-    for mine, theirs in zip(row.figures, told.figures, strict=True):
+    decoded = decode(body, len(row.rates))
+    assert decoded is not None
+    assert (decoded.state, decoded.policy.key, decoded.policy.within_quota) == (
+        row.state,
+        row.policy.key,
+        row.policy.within_quota,
+    )
+    largest = max(max(r.demand, r.demand_over_quota, r.admitted, r.refused, r.sent) for r in row.rates)
+    for mine, theirs in zip(row.rates, decoded.rates, strict=True):
         assert theirs.sent == pytest.approx(min(mine.sent, (2**32 - 1) / 10), abs=0.1 + largest / 30_000)
 
 
 def test_the_largest_row_fits() -> None:
-    spell = Spell(2**32 - 1, 65_535, 2**32 - 1, 2**53, 2**32 - 1, (999,) * MOST_LANES, (999,) * MOST_LANES)
-    row = LanesRow(3, 1e12, 1.0, (Figures(*[1e12] * 5),) * MOST_LANES, spell, 600.0)
+    policy = SheddingPolicy(
+        2**32 - 1, 65_535, 2**32 - 1, 2**53, 2**32 - 1, (999,) * MAX_LANES, (999,) * MAX_LANES
+    )
+    row = LanesRow(3, 1e12, 1.0, (LaneRates(*[1e12] * 5),) * MAX_LANES, policy, 600.0)
     assert len(encode(row)) <= MOST_ROW
 
 
-@given(st.binary(max_size=300), st.integers(1, MOST_LANES))
+@given(st.binary(max_size=300), st.integers(1, MAX_LANES))
 def test_noise_is_no_row(body: bytes, lanes: int) -> None:
     decode(body, lanes)  # never raises
 
@@ -59,42 +80,51 @@
 def test_a_row_with_a_byte_changed_is_none_or_in_range(row: LanesRow, at: int, byte: int) -> None:
     body = bytearray(encode(row))
     body[at % len(body)] = byte
-    told = decode(bytes(body), len(row.figures))
-    if told is not None:
-        assert 0 <= told.left <= 600
-        assert all(0 <= share <= 1000 for share in (*told.spell.inside, *told.spell.beyond))
+    decoded = decode(bytes(body), len(row.rates))
+    if decoded is not None:
+        assert 0 <= decoded.seconds_left <= 600
+        assert all(0 <= share <= 1000 for share in (*decoded.policy.within_quota, *decoded.policy.over_quota))
 
 
 def test_another_table_of_lanes_or_version_is_not_read() -> None:
-    body = encode(LanesRow(0, 1.0, 0.5, (Figures(),) * 3, first(3), 0.0))
+    body = encode(LanesRow(0, 1.0, 0.5, (LaneRates(),) * 3, initial_policy(3), 0.0))
     assert decode(body, 3) is not None
     assert decode(body, 2) is None
     other = [2, *msgspec.msgpack.decode(body)[1:]]
     assert decode(msgspec.msgpack.encode(other), 3) is None
 
 
-@given(st.lists(spells(2), min_size=1, max_size=6), st.integers(0, 99))
-def test_whoever_has_heard_the_same_goes_by_the_same_spell(heard: list[Spell], seed: int) -> None:
-    def last(many: list[Spell]) -> Spell:
-        held = many[0]
-        for spell in many[1:]:
-            held = spell if spell.holds_over(held) else held
-        return held
+@given(st.lists(policies(2), min_size=1, max_size=6), st.integers(0, 99))
+def test_whoever_has_heard_the_same_goes_by_the_same_spell(received: list[SheddingPolicy], seed: int) -> None:
+    def superseding(policies: list[SheddingPolicy]) -> SheddingPolicy:
+        current = policies[0]
+        for policy in policies[1:]:
+            current = policy if policy.supersedes(current) else current
+        return current
 
-    mixed = Random(seed).sample(heard, len(heard))
-    assert last(heard).key == last(mixed).key
-    found = last([last(heard), *mixed, *heard])
-    assert (found.inside, found.beyond) == (last(mixed).inside, last(mixed).beyond)
+    mixed = Random(seed).sample(received, len(received))
+    assert superseding(received).key == superseding(mixed).key
+    found = superseding([superseding(received), *mixed, *received])
+    assert (found.within_quota, found.over_quota) == (
+        superseding(mixed).within_quota,
+        superseding(mixed).over_quota,
+    )
 
 
 def test_revisions_go_on_and_spells_turn() -> None:
-    maker = maker_of("limiter-0", 7)
-    assert maker != maker_of("limiter-0", 8)
-    one = revised(first(2), maker, 1000.5, 40.0, (1.0, 0.25), (0.0, 0.0))
-    assert (one.turn, one.until, one.bears, one.inside) == (1, 1_000_500, 400, (1000, 250))
-    two = revised(one, maker, 0.0, 44.0, (1.0, 0.5), (0.0, 0.0))
-    assert (two.turn, two.until) == (1, 1_000_500)  # the same accounts give way, until the same time
-    assert two.holds_over(one)
-    assert not one.holds_over(two)
-    assert opened(two, maker).open
-    assert opened(two, maker).holds_over(two)
+    author = author_id("limiter-0", 7)
+    assert author != author_id("limiter-0", 8)
+    first = revise_policy(initial_policy(2), author, 1000.5, 40.0, (1.0, 0.25), (0.0, 0.0))
+    assert (first.rotation, first.ends_at_ms, first.capacity_tenths, first.within_quota) == (
+        1,
+        1_000_500,
+        400,
+        (1000, 250),
+    )
+    second = revise_policy(first, author, 0.0, 44.0, (1.0, 0.5), (0.0, 0.0))
+    # The same accounts are shed, until the same time.
+    assert (second.rotation, second.ends_at_ms) == (1, 1_000_500)
+    assert second.supersedes(first)
+    assert not first.supersedes(second)
+    assert open_policy(second, author).is_open
+    assert open_policy(second, author).supersedes(second)
