--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -39,7 +39,7 @@
     from cypresspulley.histories.writer import AnyHistory
     from cypresspulley.net.peers import Peers
     from cypresspulley.plans.limiter import Plans
-    from cypresspulley.together import Together
+    from cypresspulley.together import FleetServices
 
 log = logging.getLogger("cypresspulley")
 
@@ -138,7 +138,7 @@
     together = None
     if operators.fleet is not None:
         together = _together(config, operators, clock, wall, history)
-        decisions = together.deciding(decisions, gateway)
+        decisions = together.wrap(decisions, gateway)
         if together.closing is not None:
             service.purge = together.closing.purge
     if operators.tally is not None:
@@ -259,13 +259,13 @@
 def _together(
     config: Config, operators: Operators, clock: Callable[[], float], wall: Callable[[], float],
     history: AnyHistory | None,
-) -> Together:  # fmt: skip
+) -> FleetServices:  # fmt: skip
     """What limiters do together, where the operators' file has a fleet; what is off is not even imported."""
     try:
-        from cypresspulley.together import Together
+        from cypresspulley.together import FleetServices
 
         name = str(config.raw.get("name") or os.environ.get("LB_NAME") or "limiter")
-        return Together(operators, name, config.settings, config.seed, clock, wall, history)
+        return FleetServices(operators, name, config.settings, config.seed, clock, wall, history)
     except ImportError as error:
         raise ConfigError(f"fleet needs its extra: pip install 'cypresspulley[fleet]' ({error})") from None
     except (OperatorsError, OSError) as error:
@@ -400,7 +400,7 @@
 
 def _node(
     settings: api.Settings, gateway: DecisionModule, clock: Callable[[], float], upstream: Upstream,
-    counter: Counter | None, operators: Operators, together: Together | None,
+    counter: Counter | None, operators: Operators, together: FleetServices | None,
 ) -> tuple[Node, LogFile | None]:  # fmt: skip
     """The node, with an access log where the operators want one; what is off is not even imported."""
     if operators.access_log is None:
--- a/cypresspulley/together.py
+++ b/cypresspulley/together.py
@@ -27,7 +27,7 @@
 N = TypeVar("N", bound=Node)
 
 
-class Together:
+class FleetServices:
     """What one limiter of a fleet starts and ends.
 
     ``clock`` never steps, ``wall`` is the wall clock as the machine has it; both are Unix seconds. ``history`` may be
@@ -71,7 +71,7 @@
             named = len({options.advertise, *options.seeds})
             self.closing = Closing(keeping, self.fleet.view, clock, wall, self.history, named)
 
-    def deciding(self, decide: DecisionModule, gateway: Gateway) -> DecisionModule:
+    def wrap(self, decide: DecisionModule, gateway: Gateway) -> DecisionModule:
         """The decisions with lanes before them, where the operators want these."""
         if self._operators.lanes is None:
             return decide
@@ -108,4 +108,4 @@
         self.history.close()
 
 
-__all__ = ["OperatorsError", "Together"]
+__all__ = ["FleetServices", "OperatorsError"]
