--- a/benchmarks/together_mutants.py
+++ b/benchmarks/together_mutants.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.together_plays import PLAYS
+from benchmarks.together_plays import SCENARIOS
 from cypresspulley.closing.calendar import Calendar, Timeline
 from cypresspulley.closing.doubt import Doubt, WallClock
 from cypresspulley.closing.lease import Lease
@@ -39,7 +39,7 @@
     """``patch`` changes the program in this process; a finding of any of ``promises``, which it breaks, detects it."""
 
     name: str
-    play: str
+    scenario: str
     promises: frozenset[str]
     patch: Callable[[], None]
 
@@ -152,12 +152,12 @@
 )
 
 
-def played(number: int | None, play: str, seed: int) -> dict[str, Any]:
+def run_day(number: int | None, scenario: str, seed: int) -> dict[str, Any]:
     """Run one day with a mutant, or with the unpatched program, and return the checker's verdict."""
     if number is not None:
         MUTANTS[number].patch()
     began = time.process_time()
-    verdict = CHECKERS[play](PLAYS[play](seed))
+    verdict = CHECKERS[scenario](SCENARIOS[scenario](seed))
     found: dict[str, int] = {}
     for finding in verdict.findings:
         found[finding.promise] = found.get(finding.promise, 0) + 1
@@ -185,21 +185,26 @@
     parser.add_argument("--jobs", type=int, default=2)
     parser.add_argument("--json", type=Path)
     options = parser.parse_args()
-    runs = [(None, play) for play in PLAYS] + [(n, mutant.play) for n, mutant in enumerate(MUTANTS)]
+    runs = [(None, scenario) for scenario in SCENARIOS] + [
+        (n, mutant.scenario) for n, mutant in enumerate(MUTANTS)
+    ]
     rows, all_expected = list[dict[str, Any]](), True
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(options.jobs, mp_context=context, max_tasks_per_child=1) as pool:
         seeds = range(1, options.seeds + 1)
-        submitted = [[pool.submit(played, number, play, seed) for seed in seeds] for number, play in runs]
-        for (number, play), futures in zip(runs, submitted, strict=True):
+        submitted = [
+            [pool.submit(run_day, number, scenario, seed) for seed in seeds] for number, scenario in runs
+        ]
+        for (number, scenario), futures in zip(runs, submitted, strict=True):
             days = [future.result() for future in futures]
             name = "none" if number is None else MUTANTS[number].name
             is_expected, word = _verdict(number, days)
             all_expected = all_expected and is_expected
-            rows.append({"mutant": name, "play": play, "verdict": word, "days": days})
+            rows.append({"mutant": name, "play": scenario, "verdict": word, "days": days})
             found = "; ".join(", ".join(f"{k} {v}" for k, v in day["found"].items()) or "-" for day in days)
             print(
-                f"{play:8} {name:58} {word:10} {sum(day['checked'] for day in days):7}  {found}", flush=True
+                f"{scenario:8} {name:58} {word:10} {sum(day['checked'] for day in days):7}  {found}",
+                flush=True,
             )
     if options.json:
         options.json.write_text(json.dumps(rows, indent=1) + "\n")
--- a/benchmarks/together_plays.py
+++ b/benchmarks/together_plays.py
@@ -300,4 +300,4 @@
     return asyncio.run(_closing(seed))
 
 
-PLAYS: dict[str, Callable[[int], Histories]] = {"fleet": fleet, "lanes": lanes, "closing": closing}
+SCENARIOS: dict[str, Callable[[int], Histories]] = {"fleet": fleet, "lanes": lanes, "closing": closing}
