--- a/cypresspulley/together.py
+++ b/cypresspulley/together.py
@@ -1,7 +1,7 @@
-"""Joins what limiters do together: the fleet's view, lanes, closing, and the history of this process.
+"""Connects the services of a fleet of limiters: the fleet view, lanes, closing, and the history of this process.
 
-Imported only where the operators' file has ``[fleet]``. Arrows: ``lanes`` and ``closing`` read the view and write their
-own row of it; neither knows the other, and the decisions know none of the three.
+This module is imported only where the operators' file has ``[fleet]``. ``lanes`` and ``closing`` read the fleet view
+and write their own row of it. Neither depends on the other, and the decision module depends on none of the three.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
 
 
 class FleetServices:
-    """What one limiter of a fleet starts and ends.
+    """The services that one limiter of a fleet starts and stops.
 
-    ``clock`` never steps, ``wall`` is the wall clock as the machine has it; both are Unix seconds. ``history`` may be
-    given in place of the file that the operators name, as plays in virtual time do. ``OperatorsError``
-    names file, key and what was expected; ``ImportError`` an extra that is missing.
+    ``clock`` is a clock that never steps, and ``wall`` is the machine's wall clock; both return Unix seconds.
+    ``history`` replaces the file that the operators name, for simulations in virtual time. ``OperatorsError`` is raised
+    for a wrong table; it names the file, the key and what was expected. ``ImportError`` names an extra that is missing.
     """
 
     def __init__(
@@ -47,13 +47,13 @@
         self.history: AnyHistory = history or NoHistory()
         if history is None and operators.history is not None:
             self.history = History(operators.history, clock, wall)
-        bounds, keeping = dict[str, float](), None
+        bounds, closing_config = dict[str, float](), None
         if operators.closing is not None:
             from cypresspulley.closing.options import options_from as closing_options
 
             path, table = operators.closing
-            keeping = closing_options(table, path, settings)
-            bounds = keeping.bounds
+            closing_config = closing_options(table, path, settings)
+            bounds = closing_config.bounds
         if operators.lanes is not None:
             from cypresspulley.lanes.limiter import inversion_bound
             from cypresspulley.lanes.options import options_from as lanes_options
@@ -65,14 +65,14 @@
         self._clock, self._wall, self._settings, self._operators = clock, wall, settings, operators
         self.load_shedder: LoadShedder | None = None
         self.closing: Closing | None = None
-        if keeping is not None:
+        if closing_config is not None:
             from cypresspulley.closing.limiter import Closing
 
             named = len({options.advertise, *options.seeds})
-            self.closing = Closing(keeping, self.fleet.view, clock, wall, self.history, named)
+            self.closing = Closing(closing_config, self.fleet.view, clock, wall, self.history, named)
 
     def wrap(self, decide: DecisionModule, gateway: Gateway) -> DecisionModule:
-        """The decisions with lanes before them, where the operators want these."""
+        """Return the decision module, with load shedding before it where the operators configured lanes."""
         if self._operators.lanes is None:
             return decide
         from cypresspulley.lanes.limiter import LoadShedder
@@ -86,24 +86,24 @@
         return self.load_shedder.wrap(decide)
 
     def node(self, kind: type[N]) -> type[N]:
-        """The class of the node: one that keeps answers, where closing is on."""
+        """Return the class of the node; it is one that caches answers where closing is on."""
         return kind if self.closing is None else self.closing.node(kind)
 
     async def start(self) -> None:
-        """``OSError`` where the address for datagrams cannot be had."""
+        """Start all services; ``OSError`` is raised where the address for datagrams cannot be bound."""
         await self.fleet.start()
-        for part in (self.load_shedder, self.closing):
-            if part is not None:
-                part.start()
+        for service in (self.load_shedder, self.closing):
+            if service is not None:
+                service.start()
 
     def leave(self) -> None:
-        """The process has begun to end: it says so, so that nobody suspects it."""
+        """Announce that the process is shutting down, so that no other member suspects it of having failed."""
         self.fleet.leave()
 
     async def close(self) -> None:
-        for part in (self.load_shedder, self.closing):
-            if part is not None:
-                part.close()
+        for service in (self.load_shedder, self.closing):
+            if service is not None:
+                service.close()
         await self.fleet.close()
         self.history.close()
 
