--- a/cypresspulley/lanes/active_policy.py
+++ b/cypresspulley/lanes/active_policy.py
@@ -23,7 +23,7 @@
     2.0  # refusals over their target from which revisions are fast, if lower lanes exceed their floors
 )
 MIN_CHANGE = 0.08  # of a threshold: smaller changes are not made
-MAX_RECORDED_ACCOUNTS = 20_000  # admitted accounts of a rotation period that are written to the history
+MAX_RECORDED_ACCOUNTS = 20_000  # admitted accounts of a policy that are written to the history
 
 
 class ActivePolicy:
--- a/tests/lanes/test_limiter.py
+++ b/tests/lanes/test_limiter.py
@@ -209,10 +209,10 @@
             action = group.send_request("a", "guest", f"guest-{number}")
             if isinstance(action, api.Refuse) and action.why == "lane":
                 shed_accounts[group.load_shedders["a"].active.policy.rotation].add(f"guest-{number}")
-    spells = list(shed_accounts.values())
-    assert len(spells) >= 5
-    assert set.intersection(*spells) != set.union(*spells)
-    assert any(one ^ other for one, other in pairwise(spells))
+    shed_by_rotation = list(shed_accounts.values())
+    assert len(shed_by_rotation) >= 5
+    assert set.intersection(*shed_by_rotation) != set.union(*shed_by_rotation)
+    assert any(earlier ^ later for earlier, later in pairwise(shed_by_rotation))
 
 
 def test_excess_goes_before_any_quota() -> None:
@@ -277,7 +277,7 @@
 def test_two_halves_pass_no_more_than_before_the_cut() -> None:
     group = _overloaded().run(10)
     before = sum(group.admitted.values()) / 10
-    before_cut = group.load_shedders["a"].active.policy
+    policy_before_cut = group.load_shedders["a"].active.policy
     group.fleet.cut(["a", "b"], ["c", "d"])
     group.run(OPTIONS.lease_seconds + group.fleet.detection_seconds)
     assert (
@@ -287,7 +287,9 @@
     for shedder in group.load_shedders.values():  # no threshold was raised while some limiters were not heard
         assert all(
             now <= then
-            for now, then in zip(shedder.active.policy.within_quota, before_cut.within_quota, strict=True)
+            for now, then in zip(
+                shedder.active.policy.within_quota, policy_before_cut.within_quota, strict=True
+            )
         )
     group.fleet.heal()
     group.run(3)
@@ -362,7 +364,7 @@
 def test_periods_go_on_by_the_loop_and_end(caplog: pytest.LogCaptureFixture) -> None:
     group = LimiterGroup({"a": {}, "b": {}})
 
-    async def play() -> None:
+    async def run() -> None:
         shedder = group.load_shedders["a"]
         shedder.start()
         timer = shedder._timer
@@ -376,7 +378,7 @@
         shedder.close()
         assert shedder._timer is None
 
-    asyncio.run(play())
+    asyncio.run(run())
     assert "a period failed" in caplog.text
 
 
