--- a/cypresspulley/closing/doubt.py
+++ b/cypresspulley/closing/doubt.py
@@ -11,7 +11,9 @@
 from enum import StrEnum
 
 GAP = 1.0  # seconds between two looks at the fleet after which this process was asleep
-NEAR, REGAIN, STEP = 0.7, 0.6, 0.125  # of the bound
+NEAR = 0.7  # of the bound
+REGAIN = 0.6  # of the bound
+STEP = 0.125  # of the bound
 FRESH = 0.25  # seconds for which what the view says of the clock holds
 
 
--- a/cypresspulley/closing/limiter.py
+++ b/cypresspulley/closing/limiter.py
@@ -46,16 +46,15 @@
         self, options: Options, view: FleetView, clock: Callable[[], float], wall: Callable[[], float],
         history: AnyHistory, named: int = 2,
     ) -> None:  # fmt: skip
-        self.options, self.keep = (
-            options,
-            Keep(options.most_answers, options.most_bytes, options.keep_seconds),
-        )
+        self.options = options
+        self.keep = Keep(options.most_answers, options.most_bytes, options.keep_seconds)
         self._clock, self._wall, self._history = clock, wall, history
         self.peers = Peers(view, options, named)
         self.sure = Certainty(options, view, self.peers.alone)
         self.purging = Purging(self.peers, self.sure.lease, history, options.lost)
         self.calendars = Calendars(options, view, self.sure.book, history, self.peers.alone, self._drop_all)
-        self.doubt, self._noticed = Doubt.STARTING, Noticed()
+        self.doubt = Doubt.STARTING
+        self._noticed = Noticed()
         self._timer: asyncio.TimerHandle | None = None
 
     def __repr__(self) -> str:
--- a/cypresspulley/closing/options.py
+++ b/cypresspulley/closing/options.py
@@ -43,8 +43,10 @@
 from cypresspulley.operators import OperatorsError
 
 MOST_FILE = 1 << 20  # bytes of a calendar file
-MOST_PLACES, MOST_ACCOUNTS = 64, 8192
-MOST_DATES, MOST_TIMES = 400, 8  # of one place: holidays, special days and changes each; closings of one day
+MOST_PLACES = 64
+MOST_ACCOUNTS = 8192
+MOST_DATES = 400  # of one place: holidays, special days and changes each
+MOST_TIMES = 8  # closings of one day
 MOST_VERSION = 1_000_000_000
 ACCOUNT = re.compile(r"[0-9a-f]{16}")
 ACCOUNTS = 2**33  # of the protocol's account numbers
--- a/cypresspulley/closing/row.py
+++ b/cypresspulley/closing/row.py
@@ -10,9 +10,11 @@
 
 MOST_RECENT = 16  # accounts of purges that a row names
 ACCOUNT_BYTES = 5  # an account is a number below 2**33
-MOST_ECHOES, ECHO = 3, 11  # issuers whose last purge a row says to be applied; bytes of each
+MOST_ECHOES = 3  # issuers whose last purge a row says to be applied
+ECHO = 11  # bytes of each
 MOST_NUMBER = 2**53
-AGREED, DIGEST = 8, 16  # bytes
+AGREED = 8  # bytes
+DIGEST = 16  # bytes
 ISSUER = 6  # bytes of an echo that name the issuer; its count follows
 ACCOUNT = re.compile(r"[0-9a-f]{16}")
 
