--- a/cypresspulley/closing/calendars.py
+++ b/cypresspulley/closing/calendars.py
@@ -6,8 +6,8 @@
 import math
 from collections.abc import Callable
 
-from cypresspulley.closing.book import Book, Taken, decode, encode
 from cypresspulley.closing.calendar import Calendar
+from cypresspulley.closing.calendar_store import Book, Taken, decode, encode
 from cypresspulley.closing.options import Options, load_calendar
 from cypresspulley.fleet.records import FleetView
 from cypresspulley.histories.events import Kind
--- a/cypresspulley/closing/limiter.py
+++ b/cypresspulley/closing/limiter.py
@@ -12,8 +12,8 @@
 from hashlib import blake2s
 from typing import TypeVar
 
-from cypresspulley.closing.book import Taken, encode
 from cypresspulley.closing.calendar import Calendar
+from cypresspulley.closing.calendar_store import Taken, encode
 from cypresspulley.closing.calendars import Calendars
 from cypresspulley.closing.certainty import Certainty
 from cypresspulley.closing.doubt import Doubt
--- a/cypresspulley/closing/peers.py
+++ b/cypresspulley/closing/peers.py
@@ -4,8 +4,8 @@
 
 from hashlib import blake2s
 
-from cypresspulley.closing.book import Book
 from cypresspulley.closing.calendar import ZONES_VERSION
+from cypresspulley.closing.calendar_store import Book
 from cypresspulley.closing.lease import Lease, Life
 from cypresspulley.closing.options import Options
 from cypresspulley.closing.purges import Applied, Issued
--- a/tests/closing/mutants.py
+++ b/tests/closing/mutants.py
@@ -7,8 +7,8 @@
 from typing import Any
 from unittest import mock
 
-from cypresspulley.closing.book import Book
 from cypresspulley.closing.calendar import Timeline
+from cypresspulley.closing.calendar_store import Book
 from cypresspulley.closing.certainty import Certainty
 from cypresspulley.closing.doubt import Doubt, WallClock
 from cypresspulley.closing.keep import Keep
