--- a/cypresspulley/closing/limiter.py
+++ b/cypresspulley/closing/limiter.py
@@ -14,7 +14,7 @@
 
 from cypresspulley.closing.calendar import Calendar
 from cypresspulley.closing.calendar_store import Taken, encode
-from cypresspulley.closing.calendars import Calendars
+from cypresspulley.closing.calendar_sync import Calendars
 from cypresspulley.closing.certainty import Certainty
 from cypresspulley.closing.doubt import Doubt
 from cypresspulley.closing.keep import Keep, Kept, Key, Sent
