--- a/cypresspulley/closing/limiter.py
+++ b/cypresspulley/closing/limiter.py
@@ -15,8 +15,8 @@
 from cypresspulley.closing.calendar import Calendar
 from cypresspulley.closing.calendar_store import Taken, encode
 from cypresspulley.closing.calendar_sync import Calendars
-from cypresspulley.closing.certainty import Certainty
 from cypresspulley.closing.doubt import Doubt
+from cypresspulley.closing.eligibility import Certainty
 from cypresspulley.closing.keep import Keep, Kept, Key, Sent
 from cypresspulley.closing.node import keeping
 from cypresspulley.closing.noticed import Closed, Noticed
--- a/tests/closing/mutants.py
+++ b/tests/closing/mutants.py
@@ -9,8 +9,8 @@
 
 from cypresspulley.closing.calendar import Timeline
 from cypresspulley.closing.calendar_store import Book
-from cypresspulley.closing.certainty import Certainty
 from cypresspulley.closing.doubt import Doubt, WallClock
+from cypresspulley.closing.eligibility import Certainty
 from cypresspulley.closing.keep import Keep
 from cypresspulley.closing.lease import Lease
 from cypresspulley.closing.limiter import Closing
