--- a/benchmarks/together_mutants.py
+++ b/benchmarks/together_mutants.py
@@ -21,8 +21,8 @@
 from typing import Any
 
 from benchmarks.together_plays import PLAYS
+from cypresspulley.closing.bypass import Doubt, WallClock
 from cypresspulley.closing.calendar import Calendar, Timeline
-from cypresspulley.closing.doubt import Doubt, WallClock
 from cypresspulley.closing.lease import Lease
 from cypresspulley.closing.noticed import Noticed
 from cypresspulley.closing.purging import Purging
--- a/cypresspulley/closing/eligibility.py
+++ b/cypresspulley/closing/eligibility.py
@@ -5,8 +5,8 @@
 import math
 from collections.abc import Callable
 
+from cypresspulley.closing.bypass import Doubt, Sleep, WallClock
 from cypresspulley.closing.calendar_store import Book
-from cypresspulley.closing.doubt import Doubt, Sleep, WallClock
 from cypresspulley.closing.lease import Lease
 from cypresspulley.closing.options import Options
 from cypresspulley.fleet.records import FleetView
--- a/tests/closing/mutants.py
+++ b/tests/closing/mutants.py
@@ -7,9 +7,9 @@
 from typing import Any
 from unittest import mock
 
+from cypresspulley.closing.bypass import Doubt, WallClock
 from cypresspulley.closing.calendar import Timeline
 from cypresspulley.closing.calendar_store import Book
-from cypresspulley.closing.doubt import Doubt, WallClock
 from cypresspulley.closing.eligibility import Certainty
 from cypresspulley.closing.keep import Keep
 from cypresspulley.closing.lease import Lease
--- a/tests/closing/test_parts.py
+++ b/tests/closing/test_parts.py
@@ -10,9 +10,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from cypresspulley.closing.bypass import GAP, Doubt, Sleep, WallClock
 from cypresspulley.closing.calendar import Calendar, Place
 from cypresspulley.closing.calendar_store import Book, Taken, decode, encode
-from cypresspulley.closing.doubt import GAP, Doubt, Sleep, WallClock
 from cypresspulley.closing.keep import LATEST, Keep, Kept, Key
 from cypresspulley.closing.lease import Lease, Life
 from cypresspulley.closing.noticed import Noticed
