--- a/benchmarks/closing_stale.py
+++ b/benchmarks/closing_stale.py
@@ -26,9 +26,9 @@
 from datetime import UTC, datetime, time
 from functools import partial
 
+from cypresspulley.closing.cache import Keep, Kept, Key, Sent
 from cypresspulley.closing.calendar import Calendar, Place
 from cypresspulley.closing.calendar_store import decode, encode
-from cypresspulley.closing.keep import Keep, Kept, Key, Sent
 from cypresspulley.closing.limiter import Closing
 from cypresspulley.closing.options import Options
 from cypresspulley.closing.row import Said
--- a/benchmarks/together_plays.py
+++ b/benchmarks/together_plays.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 from benchmarks.fleet_bed import EPOCH, Bed, Host
-from cypresspulley.closing.keep import Key
+from cypresspulley.closing.cache import Key
 from cypresspulley.closing.limiter import Closing
 from cypresspulley.closing.options import DRIFT, Options, calendar_from
 from cypresspulley.fleet import timing
--- a/cypresspulley/closing/limiter.py
+++ b/cypresspulley/closing/limiter.py
@@ -13,11 +13,11 @@
 from typing import TypeVar
 
 from cypresspulley.closing.bypass import Doubt
+from cypresspulley.closing.cache import Keep, Kept, Key, Sent
 from cypresspulley.closing.calendar import Calendar
 from cypresspulley.closing.calendar_store import Taken, encode
 from cypresspulley.closing.calendar_sync import Calendars
 from cypresspulley.closing.eligibility import Certainty
-from cypresspulley.closing.keep import Keep, Kept, Key, Sent
 from cypresspulley.closing.node import keeping
 from cypresspulley.closing.noticed import Closed, Noticed
 from cypresspulley.closing.options import Options
--- a/cypresspulley/closing/node.py
+++ b/cypresspulley/closing/node.py
@@ -10,7 +10,7 @@
 from typing import Any, Protocol, TypeVar
 
 from cypresspulley import interface as api
-from cypresspulley.closing.keep import Kept, Key, Sent
+from cypresspulley.closing.cache import Kept, Key, Sent
 from cypresspulley.net.frontend import ClientRequest
 from cypresspulley.net.node import Node
 from cypresspulley.net.upstream import Exchange
--- a/tests/closing/mutants.py
+++ b/tests/closing/mutants.py
@@ -8,10 +8,10 @@
 from unittest import mock
 
 from cypresspulley.closing.bypass import Doubt, WallClock
+from cypresspulley.closing.cache import Keep
 from cypresspulley.closing.calendar import Timeline
 from cypresspulley.closing.calendar_store import Book
 from cypresspulley.closing.eligibility import Certainty
-from cypresspulley.closing.keep import Keep
 from cypresspulley.closing.lease import Lease
 from cypresspulley.closing.limiter import Closing
 from cypresspulley.closing.noticed import Closed, Noticed
--- a/tests/closing/test_parts.py
+++ b/tests/closing/test_parts.py
@@ -11,9 +11,9 @@
 from hypothesis import strategies as st
 
 from cypresspulley.closing.bypass import GAP, Doubt, Sleep, WallClock
+from cypresspulley.closing.cache import LATEST, Keep, Kept, Key
 from cypresspulley.closing.calendar import Calendar, Place
 from cypresspulley.closing.calendar_store import Book, Taken, decode, encode
-from cypresspulley.closing.keep import LATEST, Keep, Kept, Key
 from cypresspulley.closing.lease import Lease, Life
 from cypresspulley.closing.noticed import Noticed
 from cypresspulley.closing.options import DRIFT, MOST_ACCOUNTS
@@ -74,7 +74,7 @@
 
 
 def test_floors_are_bounded_and_never_lowered(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("cypresspulley.closing.keep.MOST_FLOORS", 3)
+    monkeypatch.setattr("cypresspulley.closing.cache.MOST_FLOORS", 3)
     keep = Keep(10, 100_000, 60.0)
     for number in range(5):
         keep.purge(f"{number:016x}", 20.0 + number, 20.0 + number)
--- a/tests/closing/world.py
+++ b/tests/closing/world.py
@@ -16,7 +16,7 @@
 from statistics import median
 from typing import Any, Protocol
 
-from cypresspulley.closing.keep import Kept, Key, Sent
+from cypresspulley.closing.cache import Kept, Key, Sent
 from cypresspulley.closing.limiter import TICK, Closing
 from cypresspulley.closing.options import Options
 from cypresspulley.fleet.records import Member, Row, State
