--- a/benchmarks/together_mutants.py
+++ b/benchmarks/together_mutants.py
@@ -23,8 +23,8 @@
 from benchmarks.together_plays import PLAYS
 from cypresspulley.closing.bypass import Doubt, WallClock
 from cypresspulley.closing.calendar import Calendar, Timeline
+from cypresspulley.closing.closing_tracker import Noticed
 from cypresspulley.closing.lease import Lease
-from cypresspulley.closing.noticed import Noticed
 from cypresspulley.closing.purging import Purging
 from cypresspulley.fleet import detector
 from cypresspulley.fleet.detector import Detector
--- a/cypresspulley/closing/limiter.py
+++ b/cypresspulley/closing/limiter.py
@@ -17,9 +17,9 @@
 from cypresspulley.closing.calendar import Calendar
 from cypresspulley.closing.calendar_store import Taken, encode
 from cypresspulley.closing.calendar_sync import Calendars
+from cypresspulley.closing.closing_tracker import Closed, Noticed
 from cypresspulley.closing.eligibility import Certainty
 from cypresspulley.closing.node import keeping
-from cypresspulley.closing.noticed import Closed, Noticed
 from cypresspulley.closing.options import Options
 from cypresspulley.closing.peers import Peers
 from cypresspulley.closing.purging import Purging, check_account
--- a/tests/closing/mutants.py
+++ b/tests/closing/mutants.py
@@ -11,10 +11,10 @@
 from cypresspulley.closing.cache import Keep
 from cypresspulley.closing.calendar import Timeline
 from cypresspulley.closing.calendar_store import Book
+from cypresspulley.closing.closing_tracker import Closed, Noticed
 from cypresspulley.closing.eligibility import Certainty
 from cypresspulley.closing.lease import Lease
 from cypresspulley.closing.limiter import Closing
-from cypresspulley.closing.noticed import Closed, Noticed
 from cypresspulley.closing.purging import Purging
 
 Patch = tuple[Any, str, Callable[..., Any]]
--- a/tests/closing/test_parts.py
+++ b/tests/closing/test_parts.py
@@ -14,8 +14,8 @@
 from cypresspulley.closing.cache import LATEST, Keep, Kept, Key
 from cypresspulley.closing.calendar import Calendar, Place
 from cypresspulley.closing.calendar_store import Book, Taken, decode, encode
+from cypresspulley.closing.closing_tracker import Noticed
 from cypresspulley.closing.lease import Lease, Life
-from cypresspulley.closing.noticed import Noticed
 from cypresspulley.closing.options import DRIFT, MOST_ACCOUNTS
 from cypresspulley.closing.purges import Applied, Issued
 from cypresspulley.closing.roster import FORGET, Roster
