--- a/cypresspulley/closing/purging.py
+++ b/cypresspulley/closing/purging.py
@@ -8,7 +8,7 @@
 from cypresspulley.closing.lease import Lease, Life
 from cypresspulley.closing.options import DRIFT
 from cypresspulley.closing.peers import Peers
-from cypresspulley.closing.purges import echo
+from cypresspulley.closing.purge_counters import echo
 from cypresspulley.closing.row import ACCOUNT
 from cypresspulley.histories.events import Kind
 from cypresspulley.histories.writer import AnyHistory
