--- a/benchmarks/together_mutants.py
+++ b/benchmarks/together_mutants.py
@@ -25,7 +25,7 @@
 from cypresspulley.closing.calendar import Calendar, Timeline
 from cypresspulley.closing.closing_tracker import Noticed
 from cypresspulley.closing.lease import Lease
-from cypresspulley.closing.purging import Purging
+from cypresspulley.closing.purge_coordinator import Purging
 from cypresspulley.fleet import detector
 from cypresspulley.fleet.detector import Detector
 from cypresspulley.fleet.records import State
--- a/cypresspulley/closing/limiter.py
+++ b/cypresspulley/closing/limiter.py
@@ -22,7 +22,7 @@
 from cypresspulley.closing.node import keeping
 from cypresspulley.closing.options import Options
 from cypresspulley.closing.peers import Peers
-from cypresspulley.closing.purging import Purging, check_account
+from cypresspulley.closing.purge_coordinator import Purging, check_account
 from cypresspulley.fleet.records import FleetView
 from cypresspulley.histories.events import Kind
 from cypresspulley.histories.writer import AnyHistory
--- a/tests/closing/mutants.py
+++ b/tests/closing/mutants.py
@@ -15,7 +15,7 @@
 from cypresspulley.closing.eligibility import Certainty
 from cypresspulley.closing.lease import Lease
 from cypresspulley.closing.limiter import Closing
-from cypresspulley.closing.purging import Purging
+from cypresspulley.closing.purge_coordinator import Purging
 
 Patch = tuple[Any, str, Callable[..., Any]]
 
