--- a/cypresspulley/closing/peers.py
+++ b/cypresspulley/closing/peers.py
@@ -7,9 +7,9 @@
 from cypresspulley.closing.calendar import ZONES_VERSION
 from cypresspulley.closing.calendar_store import Book
 from cypresspulley.closing.lease import Lease, Life
+from cypresspulley.closing.membership import Roster
 from cypresspulley.closing.options import Options
 from cypresspulley.closing.purge_counters import Applied, Issued
-from cypresspulley.closing.roster import Roster
 from cypresspulley.closing.row import AGREED, Said
 from cypresspulley.closing.row import decode as read_row
 from cypresspulley.closing.row import encode as write_row
--- a/tests/closing/test_parts.py
+++ b/tests/closing/test_parts.py
@@ -16,9 +16,9 @@
 from cypresspulley.closing.calendar_store import Book, Taken, decode, encode
 from cypresspulley.closing.closing_tracker import Noticed
 from cypresspulley.closing.lease import Lease, Life
+from cypresspulley.closing.membership import FORGET, Roster
 from cypresspulley.closing.options import DRIFT, MOST_ACCOUNTS
 from cypresspulley.closing.purge_counters import Applied, Issued
-from cypresspulley.closing.roster import FORGET, Roster
 from cypresspulley.closing.row import MOST_RECENT, Said
 from cypresspulley.closing.row import decode as read_row
 from cypresspulley.closing.row import encode as write_row
