--- a/benchmarks/closing_stale.py
+++ b/benchmarks/closing_stale.py
@@ -29,7 +29,7 @@
 from cypresspulley.closing.cache import Keep, Kept, Key, Sent
 from cypresspulley.closing.calendar import Calendar, Place
 from cypresspulley.closing.calendar_store import decode, encode
-from cypresspulley.closing.limiter import Closing
+from cypresspulley.closing.limiter import ClosingCache
 from cypresspulley.closing.options import Options
 from cypresspulley.closing.row import Said
 from cypresspulley.closing.row import decode as read_row
@@ -176,7 +176,7 @@
 
     def __init__(self, seed: int, own_timer: bool, calm: bool) -> None:
         self.own_timer, self.calm = own_timer, calm
-        self.world = World(seed, named=1, make=OwnTimer if own_timer else Closing)
+        self.world = World(seed, named=1, make=OwnTimer if own_timer else ClosingCache)
         rng = self.rng = self.world.rng
         self.count = self.world.named = rng.randint(3, 8)
         self.world.loss = 0.0 if calm else rng.choice((0.0, 0.02, 0.1))
@@ -226,7 +226,7 @@
             limiter.up
             and now >= limiter.paused
             and now < closing + BOUND
-            and isinstance(limiter.keeper, Closing)
+            and isinstance(limiter.keeper, ClosingCache)
         ):
             generation = limiter.keeper.generation(account)
             if generation is not None and now < closing:
@@ -265,7 +265,7 @@
             self.rng.choice(list(self.world.limiters.values())),
             self.rng.choice(list(ACCOUNTS)),
         )
-        if limiter.up and self.world.now >= limiter.paused and isinstance(limiter.keeper, Closing):
+        if limiter.up and self.world.now >= limiter.paused and isinstance(limiter.keeper, ClosingCache):
             task = asyncio.get_running_loop().create_task(limiter.keeper.purge(account))
             self.waiting.append((self.world.now, account, task))
 
@@ -342,7 +342,7 @@
         closes = {"v": [early, *(at for at in self.closes["v"] if at > early)], "w": self.closes["w"]}
         newer = calendar(2, now + 6.5 + self.rng.uniform(0, early - now - 6.5 - 2 * BOUND), closes)
         try:
-            assert isinstance(limiter.keeper, Closing | OwnTimer)
+            assert isinstance(limiter.keeper, ClosingCache | OwnTimer)
             limiter.keeper.tell(newer)
         except OperatorsError:
             return  # its clock is far ahead
@@ -435,7 +435,7 @@
         if (
             alive
             and not self.changed
-            and isinstance(limiter.keeper, Closing)
+            and isinstance(limiter.keeper, ClosingCache)
             and not limiter.keeper.sure.trust.doubt
         ):
             wanted = {
--- a/benchmarks/together_plays.py
+++ b/benchmarks/together_plays.py
@@ -21,7 +21,7 @@
 
 from benchmarks.fleet_bed import EPOCH, Bed, Host
 from cypresspulley.closing.cache import Key
-from cypresspulley.closing.limiter import Closing
+from cypresspulley.closing.limiter import ClosingCache
 from cypresspulley.closing.options import DRIFT, Options, calendar_from
 from cypresspulley.fleet import timing
 from cypresspulley.fleet.actions import Action, Changed, Rose, RowTaken, Settled
@@ -187,11 +187,11 @@
     def _make(
         self, options: Options, view: closing_world.View, clock: Callable[[], float], wall: Callable[[], float],
         history: object, named: int,
-    ) -> Closing:  # fmt: skip
+    ) -> ClosingCache:  # fmt: skip
         told = MemoryHistory(lambda: self.world.now, wall)
         bounds = {"clock": options.clock_bound, "purge": DRIFT * options.lease + 0.5}
         self._lives.append(begin(told, view.me, view.life, bounds))
-        return Closing(options, view, clock, wall, told, named)
+        return ClosingCache(options, view, clock, wall, told, named)
 
     def lookup(self, limiter: closing_world.Limiter, account: str) -> None:
         """A client's call now; a limiter that stands still finds it in its buffer."""
--- a/cypresspulley/closing/limiter.py
+++ b/cypresspulley/closing/limiter.py
@@ -38,7 +38,7 @@
 ALL = "*"  # in the history, for all accounts
 
 
-class Closing:
+class ClosingCache:
     """``clock`` never steps, ``wall`` may. ``named`` is how many limiters the operators' file names, this one among
     them: where it is the only one there is nobody to agree with until another is seen."""
 
--- a/cypresspulley/together.py
+++ b/cypresspulley/together.py
@@ -21,7 +21,7 @@
 from cypresspulley.policy.gateway import Gateway
 
 if TYPE_CHECKING:
-    from cypresspulley.closing.limiter import Closing
+    from cypresspulley.closing.limiter import ClosingCache
     from cypresspulley.lanes.limiter import Lanes
 
 N = TypeVar("N", bound=Node)
@@ -64,12 +64,12 @@
         self.fleet = Fleet(options, name, settings.zone, seed, clock, wall, self.history, bounds)
         self._clock, self._wall, self._settings, self._operators = clock, wall, settings, operators
         self.lanes: Lanes | None = None
-        self.closing: Closing | None = None
+        self.closing: ClosingCache | None = None
         if keeping is not None:
-            from cypresspulley.closing.limiter import Closing
+            from cypresspulley.closing.limiter import ClosingCache
 
             named = len({options.advertise, *options.seeds})
-            self.closing = Closing(keeping, self.fleet.view, clock, wall, self.history, named)
+            self.closing = ClosingCache(keeping, self.fleet.view, clock, wall, self.history, named)
 
     def deciding(self, decide: Decisions, gateway: Gateway) -> Decisions:
         """The decisions with lanes before them, where the operators want these."""
--- a/tests/closing/mutants.py
+++ b/tests/closing/mutants.py
@@ -14,7 +14,7 @@
 from cypresspulley.closing.closing_tracker import Closed, Noticed
 from cypresspulley.closing.eligibility import Certainty
 from cypresspulley.closing.lease import Lease
-from cypresspulley.closing.limiter import Closing
+from cypresspulley.closing.limiter import ClosingCache
 from cypresspulley.closing.purge_coordinator import Purging
 
 Patch = tuple[Any, str, Callable[..., Any]]
@@ -23,7 +23,7 @@
 class _Now:
     """As if a lookup had been sent at whatever moment one asks."""
 
-    def __init__(self, closing: Closing, account: str) -> None:
+    def __init__(self, closing: ClosingCache, account: str) -> None:
         self._closing, self._account = closing, account
 
     mono = property(lambda self: self._closing._clock())
@@ -31,7 +31,7 @@
     generation = property(lambda self: self._closing.generation(self._account))
 
 
-def _later(self: Closing, account: str) -> object:
+def _later(self: ClosingCache, account: str) -> object:
     return None if self.generation(account) is None else _Now(self, account)
 
 
@@ -52,7 +52,7 @@
 
 MUTANTS: dict[str, tuple[Patch, ...]] = {
     "the generation is compared by nobody": ((Certainty, "generation", lambda *_: 1),),
-    "answers are of the moment at which they come": ((Closing, "sending", _later),),
+    "answers are of the moment at which they come": ((ClosingCache, "sending", _later),),
     "round a close all goes on": (
         (Timeline, "near", lambda *_: False),
         (Book, "turning", lambda *_: False),
@@ -61,7 +61,7 @@
     "any clock is trusted": ((WallClock, "look", _trusting),),
     "closings are told again after a step": ((WallClock, "look", _trusting), (Noticed, "notice", _since_now)),
     "yes before all have it": ((Purging, "_missing", lambda *_: []),),
-    "purges of others are not heard": ((Closing, "_hear_purges", lambda *_: None),),
+    "purges of others are not heard": ((ClosingCache, "_hear_purges", lambda *_: None),),
     "a purge forgets what is on its way": ((Keep, "_old", lambda *_: False),),
     "a change under way holds up nothing": ((Keep, "begin", lambda *_: None),),
 }
--- a/tests/closing/test_node.py
+++ b/tests/closing/test_node.py
@@ -15,7 +15,7 @@
 
 from cypresspulley import interface as api
 from cypresspulley.accesslog import LogFile, LoggedNode
-from cypresspulley.closing.limiter import Closing
+from cypresspulley.closing.limiter import ClosingCache
 from cypresspulley.histories.events import Kind
 from cypresspulley.lifecycle import Lifecycle
 from cypresspulley.net.frontend import Frontend
@@ -48,7 +48,7 @@
         self.now, self.history = CLOSE - 20, Record()
         world = World(1, named=1)
         stand_in = world.add("n0", options(calendar(1, BEGIN - 86_400, CLOSE)))
-        self.closing = Closing(
+        self.closing = ClosingCache(
             stand_in.options, View(stand_in, 1), clock, lambda: self.now, self.history, named=1
         )
         self.closing.start()
--- a/tests/closing/world.py
+++ b/tests/closing/world.py
@@ -17,7 +17,7 @@
 from typing import Any, Protocol
 
 from cypresspulley.closing.cache import Kept, Key, Sent
-from cypresspulley.closing.limiter import TICK, Closing
+from cypresspulley.closing.limiter import TICK, ClosingCache
 from cypresspulley.closing.options import Options
 from cypresspulley.fleet.records import Member, Row, State
 from cypresspulley.histories.events import FACTS, Kind
@@ -205,8 +205,8 @@
         self.world.at(self.world.now + self.world.rng.uniform(0, PERIOD), lambda: self._gossip(life))
 
     @property
-    def closing(self) -> Closing:
-        assert isinstance(self.keeper, Closing)
+    def closing(self) -> ClosingCache:
+        assert isinstance(self.keeper, ClosingCache)
         return self.keeper
 
     def kill(self) -> None:
@@ -255,7 +255,7 @@
     """``truth`` gives each account's closings as they are true. ``named``: limiters that the operators' file names."""
 
     seed: int
-    make: Make = Closing
+    make: Make = ClosingCache
     named: int = 3
     late: float = 0.02  # seconds that a tick is late at most
     loss: float = 0.0
