--- a/benchmarks/closing_stale.py
+++ b/benchmarks/closing_stale.py
@@ -26,7 +26,7 @@
 from datetime import UTC, datetime, time
 from functools import partial
 
-from cypresspulley.closing.cache import Keep, Kept, Key, Sent
+from cypresspulley.closing.cache import CacheKey, Keep, Kept, Sent
 from cypresspulley.closing.calendar import Calendar, Place
 from cypresspulley.closing.calendar_store import decode, encode
 from cypresspulley.closing.limiter import ClosingCache
@@ -100,7 +100,7 @@
                 later = self._calendar.line(place).between(max(wall, wall + at - now), wall + 2 * 86_400)
                 self._next[place] = now + later[0][1] - wall if later else math.inf
 
-    def served(self, id: str, account: str, key: Key) -> tuple[Kept, float] | None:
+    def served(self, id: str, account: str, key: CacheKey) -> tuple[Kept, float] | None:
         if self._clock() - self._looked < 0.15:
             self._fire()  # timers fire on time; only who has just woken reads its buffers before them
         found = self._keep.get(key, 0, self._clock())
@@ -109,7 +109,7 @@
     def sending(self, account: str) -> Sent | None:
         return Sent(self._clock(), self._wall(), 0)
 
-    def answered(self, account: str, key: Key, sent: Sent, headers: bytes, body: bytes) -> None:
+    def answered(self, account: str, key: CacheKey, sent: Sent, headers: bytes, body: bytes) -> None:
         self._keep.put(key, Kept(account, 0, sent.mono, sent.wall, headers, body), self._clock())
 
     def changing(self, account: str) -> None:
--- a/benchmarks/together_plays.py
+++ b/benchmarks/together_plays.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 from benchmarks.fleet_bed import EPOCH, Bed, Host
-from cypresspulley.closing.cache import Key
+from cypresspulley.closing.cache import CacheKey
 from cypresspulley.closing.limiter import ClosingCache
 from cypresspulley.closing.options import DRIFT, Options, calendar_from
 from cypresspulley.fleet import timing
@@ -200,7 +200,7 @@
         self.harness.put(Kind.CALL, id=id, account=account, plan="basic", cls="lookup", limiter=limiter.name)
         limiter.does(lambda: self._look(limiter, id, account, ("lookup", "basic", target + account.encode())))
 
-    def _look(self, limiter: closing_world.Limiter, id: str, account: str, key: Key) -> None:
+    def _look(self, limiter: closing_world.Limiter, id: str, account: str, key: CacheKey) -> None:
         keeper, now = limiter.keeper, self.world.now
         found = keeper.served(id, account, key)
         if found is not None:
--- a/cypresspulley/closing/cache.py
+++ b/cypresspulley/closing/cache.py
@@ -19,7 +19,7 @@
 LATEST = 120.0
 MOST_FLOORS = 16_384  # accounts; beyond, one floor for all
 
-Key = tuple[str, str, bytes]  # class, plan, target: path and query
+CacheKey = tuple[str, str, bytes]  # class, plan, target: path and query
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,20 +43,20 @@
     generation: int
 
 
-class _Answers(LRUCache[Key, Kept]):
+class _Answers(LRUCache[CacheKey, Kept]):
     """The least lately used give way; which keys an account has is known at all times."""
 
     def __init__(self, most_bytes: int) -> None:
         super().__init__(most_bytes, getsizeof=lambda kept: len(kept.body) + len(kept.headers) + OVERHEAD)
-        self.by_account = dict[str, set[Key]]()
+        self.by_account = dict[str, set[CacheKey]]()
 
-    def __setitem__(self, key: Key, kept: Kept) -> None:
+    def __setitem__(self, key: CacheKey, kept: Kept) -> None:
         self.pop(key, None)
         super().__setitem__(key, kept)
         if key in self:
             self.by_account.setdefault(kept.account, set()).add(key)
 
-    def __delitem__(self, key: Key) -> None:
+    def __delitem__(self, key: CacheKey) -> None:
         account = self.peek(key).account
         super().__delitem__(key)
         keys = self.by_account[account]
@@ -64,7 +64,7 @@
         if not keys:
             del self.by_account[account]
 
-    def peek(self, key: Key) -> Kept:
+    def peek(self, key: CacheKey) -> Kept:
         """Without counting it as a use."""
         kept: Kept = self._Cache__data[key]  # type: ignore[attr-defined]
         return kept
@@ -88,7 +88,7 @@
     def __len__(self) -> int:
         return len(self._answers)
 
-    def get(self, key: Key, generation: int, now: float) -> Kept | None:
+    def get(self, key: CacheKey, generation: int, now: float) -> Kept | None:
         """What may be served at this generation; what may not goes."""
         kept = self._answers.get(key)
         if kept is None or kept.account in self._busy:
@@ -101,7 +101,7 @@
     def _old(self, kept: Kept) -> bool:
         return kept.sent <= max(self._floor, self._floors.get(kept.account, -math.inf))
 
-    def put(self, key: Key, kept: Kept, now: float) -> bool:
+    def put(self, key: CacheKey, kept: Kept, now: float) -> bool:
         """Keep an answer; whether it may be. One of an earlier request never takes the place of a later one's."""
         if kept.account in self._busy or self._old(kept) or now - kept.sent > LATEST:
             return False
@@ -126,7 +126,7 @@
             self._floors.clear()
         return self._drop([key for key in self._answers.by_account.get(account, ()) if self._gone(key)])
 
-    def _gone(self, key: Key) -> bool:
+    def _gone(self, key: CacheKey) -> bool:
         return self._old(self._answers.peek(key))
 
     def purge_all(self, now: float) -> int:
@@ -154,7 +154,7 @@
         self._drop([key for key, _ in gone])
         return [kept for _, kept in gone]
 
-    def _drop(self, keys: list[Key]) -> int:
+    def _drop(self, keys: list[CacheKey]) -> int:
         for key in keys:
             del self._answers[key]
         return len(keys)
--- a/cypresspulley/closing/limiter.py
+++ b/cypresspulley/closing/limiter.py
@@ -13,7 +13,7 @@
 from typing import TypeVar
 
 from cypresspulley.closing.bypass import Doubt
-from cypresspulley.closing.cache import Keep, Kept, Key, Sent
+from cypresspulley.closing.cache import CacheKey, Keep, Kept, Sent
 from cypresspulley.closing.calendar import Calendar
 from cypresspulley.closing.calendar_store import Taken, encode
 from cypresspulley.closing.calendar_sync import Calendars
@@ -110,7 +110,7 @@
         now, wall = self._now()
         return None if self._look_for_doubt(now, wall) else self.sure.generation(account, wall)
 
-    def served(self, id: str, account: str, key: Key) -> tuple[Kept, float] | None:
+    def served(self, id: str, account: str, key: CacheKey) -> tuple[Kept, float] | None:
         """A kept answer and its age in seconds, where one may be served for a request."""
         generation = self.generation(account)
         if generation is None:
@@ -130,7 +130,7 @@
         generation = self.generation(account)
         return None if generation is None else Sent(now, wall, generation)
 
-    def answered(self, account: str, key: Key, sent: Sent, headers: bytes, body: bytes) -> None:
+    def answered(self, account: str, key: CacheKey, sent: Sent, headers: bytes, body: bytes) -> None:
         """Its answer has come: it is kept if it is of this generation still, and nothing has changed meanwhile."""
         if self.generation(account) != sent.generation:
             return
@@ -251,6 +251,6 @@
             )  # fmt: skip
 
 
-def _name(key: Key) -> str:
+def _name(key: CacheKey) -> str:
     """A kept answer's name in the history."""
     return blake2s(repr(key).encode(), digest_size=8).hexdigest()
--- a/cypresspulley/closing/node.py
+++ b/cypresspulley/closing/node.py
@@ -10,7 +10,7 @@
 from typing import Any, Protocol, TypeVar
 
 from cypresspulley import interface as api
-from cypresspulley.closing.cache import Kept, Key, Sent
+from cypresspulley.closing.cache import CacheKey, Kept, Sent
 from cypresspulley.net.frontend import ClientRequest
 from cypresspulley.net.node import Node
 from cypresspulley.net.upstream import Exchange
@@ -30,11 +30,11 @@
 
     def asks(self, account: str) -> bool: ...
 
-    def served(self, id: str, account: str, key: Key) -> tuple[Kept, float] | None: ...
+    def served(self, id: str, account: str, key: CacheKey) -> tuple[Kept, float] | None: ...
 
     def sending(self, account: str) -> Sent | None: ...
 
-    def answered(self, account: str, key: Key, sent: Sent, headers: bytes, body: bytes) -> None: ...
+    def answered(self, account: str, key: CacheKey, sent: Sent, headers: bytes, body: bytes) -> None: ...
 
     def changing(self, account: str) -> None: ...
 
@@ -46,7 +46,7 @@
 
     __slots__ = ("account", "key", "sent")
 
-    def __init__(self, account: str, key: Key) -> None:
+    def __init__(self, account: str, key: CacheKey) -> None:
         self.account, self.key = account, key
         self.sent = dict[int, Sent | None]()  # by attempt
 
@@ -80,7 +80,7 @@
                     self._lookups[event.id] = _Lookup(event.account, key)
             super().arrived(request)
 
-        def _served(self, request: ClientRequest, event: api.Request, key: Key) -> bool:
+        def _served(self, request: ClientRequest, event: api.Request, key: CacheKey) -> bool:
             found = closing.served(request.id.decode("latin-1"), event.account, key)
             if found is None:
                 return False
@@ -120,7 +120,7 @@
                     closing.changed(account, tried > 0, self._sure and tried == 1)
             return opened
 
-    def _key(request: ClientRequest, event: api.Request) -> Key | None:
+    def _key(request: ClientRequest, event: api.Request) -> CacheKey | None:
         """Under what an answer is kept; None for a request whose answer is not."""
         if event.request_class not in keep or request.dialect is not None or request.upload is not None:
             return None
--- a/tests/closing/test_parts.py
+++ b/tests/closing/test_parts.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from cypresspulley.closing.bypass import GAP, Doubt, Sleep, WallClock
-from cypresspulley.closing.cache import LATEST, Keep, Kept, Key
+from cypresspulley.closing.cache import LATEST, CacheKey, Keep, Kept
 from cypresspulley.closing.calendar import Calendar, Place
 from cypresspulley.closing.calendar_store import Book, Taken, decode, encode
 from cypresspulley.closing.closing_tracker import Noticed
@@ -29,7 +29,7 @@
 A, B = "00000000b4d65521", "000000001c0ffee1"
 
 
-def key(number: int) -> Key:
+def key(number: int) -> CacheKey:
     return "lookup", "basic", b"/%d" % number
 
 
--- a/tests/closing/world.py
+++ b/tests/closing/world.py
@@ -16,7 +16,7 @@
 from statistics import median
 from typing import Any, Protocol
 
-from cypresspulley.closing.cache import Kept, Key, Sent
+from cypresspulley.closing.cache import CacheKey, Kept, Sent
 from cypresspulley.closing.limiter import TICK, ClosingCache
 from cypresspulley.closing.options import Options
 from cypresspulley.fleet.records import Member, Row, State
@@ -160,9 +160,9 @@
 
     def begin(self) -> None: ...
     def look(self) -> None: ...
-    def served(self, id: str, account: str, key: Key) -> tuple[Kept, float] | None: ...
+    def served(self, id: str, account: str, key: CacheKey) -> tuple[Kept, float] | None: ...
     def sending(self, account: str) -> Sent | None: ...
-    def answered(self, account: str, key: Key, sent: Sent, headers: bytes, body: bytes) -> None: ...
+    def answered(self, account: str, key: CacheKey, sent: Sent, headers: bytes, body: bytes) -> None: ...
     def changing(self, account: str) -> None: ...
     def changed(self, account: str, tried: bool, sure: bool) -> None: ...
 
@@ -349,7 +349,7 @@
 
     def _lookup(self, limiter: Limiter, account: str, target: str, took: float | None) -> None:
         self.asked += 1
-        key: Key = ("lookup", "basic", f"{target}?account={account}".encode())
+        key: CacheKey = ("lookup", "basic", f"{target}?account={account}".encode())
         keeper, now = limiter.keeper, self.world.now
         found = keeper.served(str(self.asked), account, key)
         if found is not None:
