--- a/benchmarks/together_plays.py
+++ b/benchmarks/together_plays.py
@@ -22,7 +22,7 @@
 from benchmarks.fleet_bed import EPOCH, Bed, Host
 from cypresspulley.closing.cache import CacheKey
 from cypresspulley.closing.limiter import ClosingCache
-from cypresspulley.closing.options import DRIFT, Options, calendar_from
+from cypresspulley.closing.options import LEASE_WAIT_FACTOR, Options, calendar_from
 from cypresspulley.fleet import timing
 from cypresspulley.fleet.actions import Action, Changed, Rose, RowTaken, Settled
 from cypresspulley.histories.events import Kind
@@ -189,7 +189,7 @@
         history: object, named: int,
     ) -> ClosingCache:  # fmt: skip
         told = MemoryHistory(lambda: self.world.now, wall)
-        bounds = {"clock": options.clock_bound, "purge": DRIFT * options.lease + 0.5}
+        bounds = {"clock": options.clock_bound, "purge": LEASE_WAIT_FACTOR * options.lease + 0.5}
         self._lives.append(begin(told, view.me, view.life, bounds))
         return ClosingCache(options, view, clock, wall, told, named)
 
--- a/cypresspulley/closing/lease.py
+++ b/cypresspulley/closing/lease.py
@@ -22,7 +22,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from cypresspulley.closing.options import DRIFT
+from cypresspulley.closing.options import LEASE_WAIT_FACTOR
 from cypresspulley.closing.row import Said
 
 ROUNDS = 64  # of which the times are kept: a lease that goes back further has run out long since
@@ -109,7 +109,7 @@
     def out(self, life: Life) -> float:
         """The moment by which another's lease has run out unless it is heard of again: rule (3)."""
         seen = self._seen.get(life)
-        return -math.inf if seen is None else seen[1] + DRIFT * self._length
+        return -math.inf if seen is None else seen[1] + LEASE_WAIT_FACTOR * self._length
 
     def counted(self, now: float, seconds: float) -> bool:
         """Whether all others had heard of this limiter within so many seconds."""
--- a/cypresspulley/closing/options.py
+++ b/cypresspulley/closing/options.py
@@ -52,7 +52,9 @@
 ACCOUNTS = 2**33  # of the protocol's account numbers
 TIME = re.compile(r"([01][0-9]|2[0-3]):([0-5][0-9])(?::([0-5][0-9]))?")
 DAYS = ("mon", "tue", "wed", "thu", "fri", "sat", "sun")
-DRIFT = 1.1  # of a lease, for who waits for its end: clocks that never step may yet run at other rates
+LEASE_WAIT_FACTOR = (
+    1.1  # of a lease, for who waits for its end: clocks that never step may yet run at other rates
+)
 YEARS = (2000, 2200)  # of what an instant and a date may be
 
 
@@ -80,7 +82,7 @@
     @property
     def notice(self) -> float:
         """Seconds ahead of its instant at which a version is told at least, so that all have it or keep nothing."""
-        return DRIFT * self.lease + 2 * self.clock_bound + 0.5
+        return LEASE_WAIT_FACTOR * self.lease + 2 * self.clock_bound + 0.5
 
 
 # Keys of milliseconds, seconds and plain numbers: least, most, and what stands for one that is not there.
--- a/cypresspulley/closing/purge_coordinator.py
+++ b/cypresspulley/closing/purge_coordinator.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from cypresspulley.closing.lease import Lease, Life
-from cypresspulley.closing.options import DRIFT
+from cypresspulley.closing.options import LEASE_WAIT_FACTOR
 from cypresspulley.closing.peers import Peers
 from cypresspulley.closing.purge_counters import echo
 from cypresspulley.closing.row import ACCOUNT
@@ -36,7 +36,7 @@
 
     def __init__(self, peers: Peers, lease: Lease, history: AnyHistory, lost: float) -> None:
         self._peers, self._lease, self._history = peers, lease, history
-        self._lost = lost / DRIFT
+        self._lost = lost / LEASE_WAIT_FACTOR
         self._waiting = list[Waiting]()
         self._again = dict[
             str, float
--- a/tests/closing/test_parts.py
+++ b/tests/closing/test_parts.py
@@ -17,7 +17,7 @@
 from cypresspulley.closing.closing_tracker import Noticed
 from cypresspulley.closing.lease import Lease, Life
 from cypresspulley.closing.membership import FORGET, Roster
-from cypresspulley.closing.options import DRIFT, MOST_ACCOUNTS
+from cypresspulley.closing.options import LEASE_WAIT_FACTOR, MOST_ACCOUNTS
 from cypresspulley.closing.purge_counters import Applied, Issued
 from cypresspulley.closing.row import MOST_RECENT, Said
 from cypresspulley.closing.row import decode as read_row
@@ -430,4 +430,4 @@
     assert sleep.woke < 0
     sleep.check(0.95 + GAP)
     assert sleep.woke == 0.95 + GAP
-    assert DRIFT > 1
+    assert LEASE_WAIT_FACTOR > 1
