--- a/cypresspulley/closing/bypass.py
+++ b/cypresspulley/closing/bypass.py
@@ -17,7 +17,7 @@
 FRESH = 0.25  # seconds for which what the view says of the clock holds
 
 
-class Doubt(StrEnum):
+class BypassReason(StrEnum):
     """Why nothing is kept, and nothing served from what is kept. The first that holds is told.
 
     | doubt    | holds while                                                     | ends when                        |
@@ -55,22 +55,22 @@
         self._bound, self._settle = bound, settle
         self._offset: float | None = None  # wall minus mono, when it was last confirmed
         self._confirmed = self._stepped = self._looked = -math.inf
-        self._cause = self.doubt = Doubt.UNKNOWN
+        self._cause = self.doubt = BypassReason.UNKNOWN
         self.highest = -math.inf  # the latest instant that was acted on: nothing goes back before it
 
     def __repr__(self) -> str:
         return f"<WallClock {self.doubt or 'trusted'}, highest {self.highest:.3f}>"
 
-    def look(self, mono: float, wall: float, error: Error | None) -> Doubt:
+    def look(self, mono: float, wall: float, error: Error | None) -> BypassReason:
         """Whether this reading may be acted on; it then is the highest. ``error``: None where nobody is there to
         compare with."""
         if error is None:
-            self._cause = Doubt.NONE
+            self._cause = BypassReason.NONE
         else:
             self._step(mono, wall)
             if not 0 <= mono - self._looked < FRESH:
                 self._looked, self._cause = mono, self._compare(mono, wall, error(mono))
-        self.doubt = self._cause or (Doubt.BEHIND if wall < self.highest else Doubt.NONE)
+        self.doubt = self._cause or (BypassReason.BEHIND if wall < self.highest else BypassReason.NONE)
         if not self.doubt:
             self.highest = wall
         return self.doubt
@@ -80,18 +80,18 @@
             # What the view knows of the clock is of before: it has to be measured anew.
             self._offset, self._stepped, self._looked = None, mono, -math.inf
 
-    def _compare(self, mono: float, wall: float, error: tuple[float, float] | None) -> Doubt:
+    def _compare(self, mono: float, wall: float, error: tuple[float, float] | None) -> BypassReason:
         if mono < self._stepped + self._settle:
-            return Doubt.STEPPED
+            return BypassReason.STEPPED
         if error is None:
-            return Doubt.UNKNOWN
+            return BypassReason.UNKNOWN
         # One that was in doubt has to be closer to be trusted again: at the edge it would be in and out of it.
         near = self._bound * (REGAIN if self._cause else NEAR)
         if error[0] < -near or error[1] > near:
-            return Doubt.CLOCK
+            return BypassReason.CLOCK
         if self._offset is None or mono >= self._confirmed + self._settle:
             self._offset, self._confirmed = wall - mono, mono
-        return Doubt.NONE
+        return BypassReason.NONE
 
 
 class Sleep:
--- a/cypresspulley/closing/eligibility.py
+++ b/cypresspulley/closing/eligibility.py
@@ -5,7 +5,7 @@
 import math
 from collections.abc import Callable
 
-from cypresspulley.closing.bypass import Doubt, Sleep, WallClock
+from cypresspulley.closing.bypass import BypassReason, Sleep, WallClock
 from cypresspulley.closing.calendar_store import Book
 from cypresspulley.closing.lease import Lease
 from cypresspulley.closing.options import Options
@@ -27,20 +27,20 @@
     def __repr__(self) -> str:
         return f"<Certainty {self.book!r}, {self.lease!r}, {self.trust!r}>"
 
-    def doubt(self, now: float, wall: float) -> Doubt:
+    def doubt(self, now: float, wall: float) -> BypassReason:
         """The table of ``Doubt``, from its top."""
         self.sleep.check(now)
         if not self._alone():
             if not self.lease.held(now):
-                return Doubt.STARTING if self.lease.base == -math.inf else Doubt.CUT
+                return BypassReason.STARTING if self.lease.base == -math.inf else BypassReason.CUT
             if self.lease.base <= self.sleep.woke:
-                return Doubt.WOKEN
+                return BypassReason.WOKEN
         if clock := self.clock(now, wall):
             return clock
         calendar = self.book.at(wall)
-        return Doubt.CALENDAR if calendar is None or not calendar.reaches(wall) else Doubt.NONE
+        return BypassReason.CALENDAR if calendar is None or not calendar.reaches(wall) else BypassReason.NONE
 
-    def clock(self, now: float, wall: float) -> Doubt:
+    def clock(self, now: float, wall: float) -> BypassReason:
         """Whether the wall clock may be acted on."""
         return self.trust.look(now, wall, None if self._alone() else self._view.clock_error)
 
--- a/cypresspulley/closing/limiter.py
+++ b/cypresspulley/closing/limiter.py
@@ -12,7 +12,7 @@
 from hashlib import blake2s
 from typing import TypeVar
 
-from cypresspulley.closing.bypass import Doubt
+from cypresspulley.closing.bypass import BypassReason
 from cypresspulley.closing.cache import CacheKey, Keep, Kept, Sent
 from cypresspulley.closing.calendar import Calendar
 from cypresspulley.closing.calendar_store import Taken, encode
@@ -53,7 +53,7 @@
         self.sure = Certainty(options, view, self.peers.alone)
         self.purging = Purging(self.peers, self.sure.lease, history, options.lost)
         self.calendars = Calendars(options, view, self.sure.book, history, self.peers.alone, self._drop_all)
-        self.doubt = Doubt.STARTING
+        self.doubt = BypassReason.STARTING
         self._noticed = Noticed()
         self._timer: asyncio.TimerHandle | None = None
 
@@ -213,12 +213,12 @@
     def _drop_all(self) -> None:
         self.keep.purge_all(self._clock())
 
-    def _look_for_doubt(self, now: float, wall: float) -> Doubt:
+    def _look_for_doubt(self, now: float, wall: float) -> BypassReason:
         """Whether there is doubt at this moment; its begin and end are told."""
         doubt = self.sure.doubt(now, wall)
         if doubt is not self.doubt:
             self._history.put(Kind.DOUBT, doubt=bool(doubt), cause=(doubt or self.doubt).value)
-            if doubt in (Doubt.CUT, Doubt.STARTING):  # others' purges may not have come here
+            if doubt in (BypassReason.CUT, BypassReason.STARTING):  # others' purges may not have come here
                 self._drop_all()
             self.doubt = doubt
         return doubt
--- a/tests/closing/mutants.py
+++ b/tests/closing/mutants.py
@@ -7,7 +7,7 @@
 from typing import Any
 from unittest import mock
 
-from cypresspulley.closing.bypass import Doubt, WallClock
+from cypresspulley.closing.bypass import BypassReason, WallClock
 from cypresspulley.closing.cache import Keep
 from cypresspulley.closing.calendar import Timeline
 from cypresspulley.closing.calendar_store import Book
@@ -35,9 +35,9 @@
     return None if self.generation(account) is None else _Now(self, account)
 
 
-def _trusting(self: WallClock, mono: float, wall: float, error: object) -> Doubt:
-    self.doubt, self.highest = Doubt.NONE, wall
-    return Doubt.NONE
+def _trusting(self: WallClock, mono: float, wall: float, error: object) -> BypassReason:
+    self.doubt, self.highest = BypassReason.NONE, wall
+    return BypassReason.NONE
 
 
 def _since_now(self: Noticed, before: Any, after: Any, wall: float) -> Any:
--- a/tests/closing/test_parts.py
+++ b/tests/closing/test_parts.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cypresspulley.closing.bypass import GAP, Doubt, Sleep, WallClock
+from cypresspulley.closing.bypass import GAP, BypassReason, Sleep, WallClock
 from cypresspulley.closing.cache import LATEST, CacheKey, Keep, Kept
 from cypresspulley.closing.calendar import Calendar, Place
 from cypresspulley.closing.calendar_store import Book, Taken, decode, encode
@@ -381,8 +381,8 @@
 
 
 def test_a_clock_that_nobody_can_compare_is_not_trusted_unless_there_is_nobody() -> None:
-    assert WallClock(BOUND, SETTLE).look(0.0, BEGIN, never) is Doubt.UNKNOWN
-    assert WallClock(BOUND, SETTLE).look(0.0, BEGIN, None) is Doubt.NONE
+    assert WallClock(BOUND, SETTLE).look(0.0, BEGIN, never) is BypassReason.UNKNOWN
+    assert WallClock(BOUND, SETTLE).look(0.0, BEGIN, None) is BypassReason.NONE
 
 
 @pytest.mark.parametrize(
@@ -403,23 +403,26 @@
     def fine(_now: float) -> tuple[float, float]:
         return -0.01, 0.01
 
-    assert clock.look(0.0, BEGIN, fine) is Doubt.NONE
-    assert clock.look(0.01, BEGIN + 0.01 + 0.035, fine) is Doubt.STEPPED
-    assert clock.look(7.9, BEGIN + 7.9 + 0.035, fine) is Doubt.STEPPED
-    assert clock.look(8.2, BEGIN + 8.2 + 0.035, fine) is Doubt.NONE
+    assert clock.look(0.0, BEGIN, fine) is BypassReason.NONE
+    assert clock.look(0.01, BEGIN + 0.01 + 0.035, fine) is BypassReason.STEPPED
+    assert clock.look(7.9, BEGIN + 7.9 + 0.035, fine) is BypassReason.STEPPED
+    assert clock.look(8.2, BEGIN + 8.2 + 0.035, fine) is BypassReason.NONE
 
 
 def test_a_clock_that_steps_back_is_behind_until_it_has_caught_up() -> None:
     clock = WallClock(BOUND, SETTLE)
-    assert clock.look(0.0, BEGIN + 100, None) is Doubt.NONE
-    assert clock.look(1.0, BEGIN, None) is Doubt.BEHIND and clock.highest == BEGIN + 100
-    assert clock.look(101.0, BEGIN + 100.5, None) is Doubt.NONE
+    assert clock.look(0.0, BEGIN + 100, None) is BypassReason.NONE
+    assert clock.look(1.0, BEGIN, None) is BypassReason.BEHIND and clock.highest == BEGIN + 100
+    assert clock.look(101.0, BEGIN + 100.5, None) is BypassReason.NONE
 
 
 def test_a_reading_that_is_not_trusted_is_never_the_highest() -> None:
     clock = WallClock(BOUND, SETTLE)
     clock.look(0.0, BEGIN, lambda _now: (0.0, 0.0))
-    assert clock.look(1.0, BEGIN + 3600, lambda _now: (0.0, 0.0)) is Doubt.STEPPED and clock.highest == BEGIN
+    assert (
+        clock.look(1.0, BEGIN + 3600, lambda _now: (0.0, 0.0)) is BypassReason.STEPPED
+        and clock.highest == BEGIN
+    )
 
 
 def test_a_gap_between_looks_is_a_sleep_also_while_the_next_is_due() -> None:
