--- a/benchmarks/together_mutants.py
+++ b/benchmarks/together_mutants.py
@@ -23,7 +23,7 @@
 from benchmarks.together_plays import PLAYS
 from cypresspulley.closing.bypass import BypassReason, WallClock
 from cypresspulley.closing.calendar import Calendar, Timeline
-from cypresspulley.closing.closing_tracker import Noticed
+from cypresspulley.closing.closing_tracker import ClosingTracker
 from cypresspulley.closing.lease import Lease
 from cypresspulley.closing.purge_coordinator import Purging
 from cypresspulley.fleet import detector
@@ -107,14 +107,14 @@
 
 
 def _refire() -> None:
-    notice = Noticed.notice
+    notice = ClosingTracker.notice
 
-    def again(self: Noticed, before: Any, after: Any, wall: float) -> Any:
+    def again(self: ClosingTracker, before: Any, after: Any, wall: float) -> Any:
         if self._since is not None and wall < self._since:
             self._since = wall
         return notice(self, before, after, wall)
 
-    Noticed.notice = again  # type: ignore[method-assign]
+    ClosingTracker.notice = again  # type: ignore[method-assign]
     WallClock.look = lambda self, mono, wall, error: BypassReason.NONE  # type: ignore[method-assign]
 
 
--- a/cypresspulley/closing/closing_tracker.py
+++ b/cypresspulley/closing/closing_tracker.py
@@ -18,7 +18,7 @@
     at: int
 
 
-class Noticed:
+class ClosingTracker:
     """Instants that are passed in come from a clock that is trusted and does not go back."""
 
     def __init__(self) -> None:
--- a/cypresspulley/closing/limiter.py
+++ b/cypresspulley/closing/limiter.py
@@ -17,7 +17,7 @@
 from cypresspulley.closing.calendar import Calendar
 from cypresspulley.closing.calendar_store import Taken, encode
 from cypresspulley.closing.calendar_sync import Calendars
-from cypresspulley.closing.closing_tracker import Closed, Noticed
+from cypresspulley.closing.closing_tracker import Closed, ClosingTracker
 from cypresspulley.closing.eligibility import Certainty
 from cypresspulley.closing.node import keeping
 from cypresspulley.closing.options import Options
@@ -54,7 +54,7 @@
         self.purging = Purging(self.peers, self.sure.lease, history, options.lost)
         self.calendars = Calendars(options, view, self.sure.book, history, self.peers.alone, self._drop_all)
         self.doubt = BypassReason.STARTING
-        self._noticed = Noticed()
+        self._noticed = ClosingTracker()
         self._timer: asyncio.TimerHandle | None = None
 
     def __repr__(self) -> str:
--- a/tests/closing/mutants.py
+++ b/tests/closing/mutants.py
@@ -11,7 +11,7 @@
 from cypresspulley.closing.cache import Keep
 from cypresspulley.closing.calendar import Timeline
 from cypresspulley.closing.calendar_store import Book
-from cypresspulley.closing.closing_tracker import Closed, Noticed
+from cypresspulley.closing.closing_tracker import Closed, ClosingTracker
 from cypresspulley.closing.eligibility import Certainty
 from cypresspulley.closing.lease import Lease
 from cypresspulley.closing.limiter import ClosingCache
@@ -40,7 +40,7 @@
     return BypassReason.NONE
 
 
-def _since_now(self: Noticed, before: Any, after: Any, wall: float) -> Any:
+def _since_now(self: ClosingTracker, before: Any, after: Any, wall: float) -> Any:
     self._since, since = wall, self._since
     found = (
         []
@@ -59,7 +59,10 @@
     ),
     "the lease never ends": ((Lease, "held", lambda self, _now: self.base > 0),),
     "any clock is trusted": ((WallClock, "look", _trusting),),
-    "closings are told again after a step": ((WallClock, "look", _trusting), (Noticed, "notice", _since_now)),
+    "closings are told again after a step": (
+        (WallClock, "look", _trusting),
+        (ClosingTracker, "notice", _since_now),
+    ),
     "yes before all have it": ((Purging, "_missing", lambda *_: []),),
     "purges of others are not heard": ((ClosingCache, "_hear_purges", lambda *_: None),),
     "a purge forgets what is on its way": ((Keep, "_old", lambda *_: False),),
--- a/tests/closing/test_parts.py
+++ b/tests/closing/test_parts.py
@@ -14,7 +14,7 @@
 from cypresspulley.closing.cache import LATEST, CacheKey, Keep, Kept
 from cypresspulley.closing.calendar import Calendar, Place
 from cypresspulley.closing.calendar_store import Book, Taken, decode, encode
-from cypresspulley.closing.closing_tracker import Noticed
+from cypresspulley.closing.closing_tracker import ClosingTracker
 from cypresspulley.closing.lease import Lease, Life
 from cypresspulley.closing.membership import FORGET, Roster
 from cypresspulley.closing.options import LEASE_WAIT_FACTOR, MOST_ACCOUNTS
@@ -360,7 +360,7 @@
 
 
 def test_a_closing_is_noticed_once_and_each_version_has_its_own() -> None:
-    noticed, first = Noticed(), calendar(1, BEGIN)
+    noticed, first = ClosingTracker(), calendar(1, BEGIN)
     second = calendar(2, BEGIN + 86_400, time(17))
     close = BEGIN + 12.5 * 3600
     assert noticed.notice(None, first, close - 5) == []
