--- a/benchmarks/together_mutants.py
+++ b/benchmarks/together_mutants.py
@@ -21,7 +21,7 @@
 from typing import Any
 
 from benchmarks.together_plays import PLAYS
-from cypresspulley.closing.bypass import BypassReason, WallClock
+from cypresspulley.closing.bypass import BypassReason, WallClockMonitor
 from cypresspulley.closing.calendar import Calendar, Timeline
 from cypresspulley.closing.closing_tracker import ClosingTracker
 from cypresspulley.closing.lease import Lease
@@ -115,7 +115,7 @@
         return notice(self, before, after, wall)
 
     ClosingTracker.notice = again  # type: ignore[method-assign]
-    WallClock.look = lambda self, mono, wall, error: BypassReason.NONE  # type: ignore[method-assign]
+    WallClockMonitor.look = lambda self, mono, wall, error: BypassReason.NONE  # type: ignore[method-assign]
 
 
 def _hasty_yes() -> None:
--- a/cypresspulley/closing/bypass.py
+++ b/cypresspulley/closing/bypass.py
@@ -46,7 +46,7 @@
 Error = Callable[[float], tuple[float, float] | None]
 
 
-class WallClock:
+class WallClockMonitor:
     """Trust in the wall clock. ``bound`` is by how much one that is trusted may be off the true time: ``NEAR`` of that
     off the middle of the others', ``STEP`` more between two confirmations, which lie ``settle`` seconds apart; the rest
     is for the middle of the others', which most clocks keep that near."""
--- a/cypresspulley/closing/eligibility.py
+++ b/cypresspulley/closing/eligibility.py
@@ -5,7 +5,7 @@
 import math
 from collections.abc import Callable
 
-from cypresspulley.closing.bypass import BypassReason, Sleep, WallClock
+from cypresspulley.closing.bypass import BypassReason, Sleep, WallClockMonitor
 from cypresspulley.closing.calendar_store import Book
 from cypresspulley.closing.lease import Lease
 from cypresspulley.closing.options import Options
@@ -22,7 +22,7 @@
         self._bound, self._view, self._alone = options.clock_bound, view, alone
         self.book = Book()
         self.lease = Lease(options.lease, min(MOST_STEP, options.lease / STEPS))
-        self.trust, self.sleep = WallClock(options.clock_bound, options.lease), Sleep()
+        self.trust, self.sleep = WallClockMonitor(options.clock_bound, options.lease), Sleep()
 
     def __repr__(self) -> str:
         return f"<Certainty {self.book!r}, {self.lease!r}, {self.trust!r}>"
--- a/tests/closing/mutants.py
+++ b/tests/closing/mutants.py
@@ -7,7 +7,7 @@
 from typing import Any
 from unittest import mock
 
-from cypresspulley.closing.bypass import BypassReason, WallClock
+from cypresspulley.closing.bypass import BypassReason, WallClockMonitor
 from cypresspulley.closing.cache import Keep
 from cypresspulley.closing.calendar import Timeline
 from cypresspulley.closing.calendar_store import Book
@@ -35,7 +35,7 @@
     return None if self.generation(account) is None else _Now(self, account)
 
 
-def _trusting(self: WallClock, mono: float, wall: float, error: object) -> BypassReason:
+def _trusting(self: WallClockMonitor, mono: float, wall: float, error: object) -> BypassReason:
     self.doubt, self.highest = BypassReason.NONE, wall
     return BypassReason.NONE
 
@@ -58,9 +58,9 @@
         (Book, "turning", lambda *_: False),
     ),
     "the lease never ends": ((Lease, "held", lambda self, _now: self.base > 0),),
-    "any clock is trusted": ((WallClock, "look", _trusting),),
+    "any clock is trusted": ((WallClockMonitor, "look", _trusting),),
     "closings are told again after a step": (
-        (WallClock, "look", _trusting),
+        (WallClockMonitor, "look", _trusting),
         (ClosingTracker, "notice", _since_now),
     ),
     "yes before all have it": ((Purging, "_missing", lambda *_: []),),
--- a/tests/closing/test_parts.py
+++ b/tests/closing/test_parts.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cypresspulley.closing.bypass import GAP, BypassReason, Sleep, WallClock
+from cypresspulley.closing.bypass import GAP, BypassReason, Sleep, WallClockMonitor
 from cypresspulley.closing.cache import LATEST, CacheKey, Keep, Kept
 from cypresspulley.closing.calendar import Calendar, Place
 from cypresspulley.closing.calendar_store import Book, Taken, decode, encode
@@ -381,8 +381,8 @@
 
 
 def test_a_clock_that_nobody_can_compare_is_not_trusted_unless_there_is_nobody() -> None:
-    assert WallClock(BOUND, SETTLE).look(0.0, BEGIN, never) is BypassReason.UNKNOWN
-    assert WallClock(BOUND, SETTLE).look(0.0, BEGIN, None) is BypassReason.NONE
+    assert WallClockMonitor(BOUND, SETTLE).look(0.0, BEGIN, never) is BypassReason.UNKNOWN
+    assert WallClockMonitor(BOUND, SETTLE).look(0.0, BEGIN, None) is BypassReason.NONE
 
 
 @pytest.mark.parametrize(
@@ -392,13 +392,13 @@
 def test_a_clock_is_trusted_where_it_is_surely_within_the_bound(
     error: tuple[float, float], doubt: str
 ) -> None:
-    clock = WallClock(BOUND, SETTLE)
+    clock = WallClockMonitor(BOUND, SETTLE)
     clock.look(0.0, BEGIN, lambda _now: (0.0, 0.0))
     assert clock.look(1.0, BEGIN + 1, lambda _now: error) == doubt
 
 
 def test_a_step_is_seen_before_the_view_knows_of_it_and_trust_comes_back_later() -> None:
-    clock = WallClock(BOUND, SETTLE)
+    clock = WallClockMonitor(BOUND, SETTLE)
 
     def fine(_now: float) -> tuple[float, float]:
         return -0.01, 0.01
@@ -410,14 +410,14 @@
 
 
 def test_a_clock_that_steps_back_is_behind_until_it_has_caught_up() -> None:
-    clock = WallClock(BOUND, SETTLE)
+    clock = WallClockMonitor(BOUND, SETTLE)
     assert clock.look(0.0, BEGIN + 100, None) is BypassReason.NONE
     assert clock.look(1.0, BEGIN, None) is BypassReason.BEHIND and clock.highest == BEGIN + 100
     assert clock.look(101.0, BEGIN + 100.5, None) is BypassReason.NONE
 
 
 def test_a_reading_that_is_not_trusted_is_never_the_highest() -> None:
-    clock = WallClock(BOUND, SETTLE)
+    clock = WallClockMonitor(BOUND, SETTLE)
     clock.look(0.0, BEGIN, lambda _now: (0.0, 0.0))
     assert (
         clock.look(1.0, BEGIN + 3600, lambda _now: (0.0, 0.0)) is BypassReason.STEPPED
