--- a/benchmarks/together_mutants.py
+++ b/benchmarks/together_mutants.py
@@ -25,7 +25,7 @@
 from cypresspulley.closing.calendar import Calendar, Timeline
 from cypresspulley.closing.closing_tracker import ClosingTracker
 from cypresspulley.closing.lease import Lease
-from cypresspulley.closing.purge_coordinator import Purging
+from cypresspulley.closing.purge_coordinator import PurgeCoordinator
 from cypresspulley.fleet import detector
 from cypresspulley.fleet.detector import Detector
 from cypresspulley.fleet.records import State
@@ -119,7 +119,7 @@
 
 
 def _hasty_yes() -> None:
-    Purging._missing = lambda *_: []  # type: ignore[method-assign]
+    PurgeCoordinator._missing = lambda *_: []  # type: ignore[method-assign]
 
 
 MUTANTS = (
--- a/cypresspulley/closing/limiter.py
+++ b/cypresspulley/closing/limiter.py
@@ -22,7 +22,7 @@
 from cypresspulley.closing.node import keeping
 from cypresspulley.closing.options import Options
 from cypresspulley.closing.peers import Peers
-from cypresspulley.closing.purge_coordinator import Purging, check_account
+from cypresspulley.closing.purge_coordinator import PurgeCoordinator, check_account
 from cypresspulley.fleet.records import FleetView
 from cypresspulley.histories.events import Kind
 from cypresspulley.histories.writer import AnyHistory
@@ -51,7 +51,7 @@
         self._clock, self._wall, self._history = clock, wall, history
         self.peers = Peers(view, options, named)
         self.sure = Certainty(options, view, self.peers.alone)
-        self.purging = Purging(self.peers, self.sure.lease, history, options.lost)
+        self.purging = PurgeCoordinator(self.peers, self.sure.lease, history, options.lost)
         self.calendars = Calendars(options, view, self.sure.book, history, self.peers.alone, self._drop_all)
         self.doubt = BypassReason.STARTING
         self._noticed = ClosingTracker()
--- a/cypresspulley/closing/purge_coordinator.py
+++ b/cypresspulley/closing/purge_coordinator.py
@@ -31,7 +31,7 @@
     done: asyncio.Future[tuple[str, ...]]
 
 
-class Purging:
+class PurgeCoordinator:
     """``lost``: seconds for which a lost limiter holds up all others."""
 
     def __init__(self, peers: Peers, lease: Lease, history: AnyHistory, lost: float) -> None:
--- a/tests/closing/mutants.py
+++ b/tests/closing/mutants.py
@@ -15,7 +15,7 @@
 from cypresspulley.closing.eligibility import Certainty
 from cypresspulley.closing.lease import Lease
 from cypresspulley.closing.limiter import ClosingCache
-from cypresspulley.closing.purge_coordinator import Purging
+from cypresspulley.closing.purge_coordinator import PurgeCoordinator
 
 Patch = tuple[Any, str, Callable[..., Any]]
 
@@ -63,7 +63,7 @@
         (WallClockMonitor, "look", _trusting),
         (ClosingTracker, "notice", _since_now),
     ),
-    "yes before all have it": ((Purging, "_missing", lambda *_: []),),
+    "yes before all have it": ((PurgeCoordinator, "_missing", lambda *_: []),),
     "purges of others are not heard": ((ClosingCache, "_hear_purges", lambda *_: None),),
     "a purge forgets what is on its way": ((Keep, "_old", lambda *_: False),),
     "a change under way holds up nothing": ((Keep, "begin", lambda *_: None),),
