--- a/cypresspulley/closing/calendar.py
+++ b/cypresspulley/closing/calendar.py
@@ -122,7 +122,7 @@
             f"{len(self.places)} places, {len(self.accounts)} accounts>"
         )
 
-    def line(self, place: str) -> Timeline:
+    def timeline(self, place: str) -> Timeline:
         return self._lines[place]
 
     def reaches(self, t: float) -> bool:
