--- a/benchmarks/closing_stale.py
+++ b/benchmarks/closing_stale.py
@@ -72,7 +72,7 @@
         )
         now, wall = self._clock(), self._wall()
         for place in calendar.places:
-            found = calendar.timeline(place).between(wall, wall + 2 * 86_400)
+            found = calendar.timeline(place).closings_between(wall, wall + 2 * 86_400)
             self._next[place] = now + found[0][1] - wall if found else math.inf
 
     def look(self) -> None:
@@ -97,7 +97,9 @@
                         self._keep.begin(account)
                         self._keep.end(account, -math.inf, now)
                 wall = self._wall()
-                later = self._calendar.timeline(place).between(max(wall, wall + at - now), wall + 2 * 86_400)
+                later = self._calendar.timeline(place).closings_between(
+                    max(wall, wall + at - now), wall + 2 * 86_400
+                )
                 self._next[place] = now + later[0][1] - wall if later else math.inf
 
     def served(self, id: str, account: str, key: CacheKey) -> tuple[Kept, float] | None:
--- a/benchmarks/together_plays.py
+++ b/benchmarks/together_plays.py
@@ -178,7 +178,7 @@
         self._rng, self._asked = Random(seed), 0
         clock = lambda: self.world.now  # noqa: E731  # the true time is both of the harness's clocks
         self.harness = begin(MemoryHistory(clock, clock), HARNESS, 1)
-        closings = calendar.timeline("pune").between(closing_world.BEGIN, closing_world.BEGIN + 200)
+        closings = calendar.timeline("pune").closings_between(closing_world.BEGIN, closing_world.BEGIN + 200)
         pairs = [[account, float(at)] for account in ACCOUNTS for _, at in closings]
         self.harness.put(
             Kind.TRUTH, closings=pairs, lanes=[], clock_bound=self.options.clock_bound, seconds=200.0
--- a/cypresspulley/closing/calendar.py
+++ b/cypresspulley/closing/calendar.py
@@ -94,7 +94,7 @@
         self._until(t)
         return bisect_right(self._closings, t)
 
-    def between(self, t0: float, t1: float) -> list[tuple[int, int]]:
+    def closings_between(self, t0: float, t1: float) -> list[tuple[int, int]]:
         """Ordinal and instant of each closing in (t0, t1]."""
         self._until(t1)
         first, last = bisect_right(self._closings, t0), bisect_right(self._closings, t1)
--- a/cypresspulley/closing/closing_tracker.py
+++ b/cypresspulley/closing/closing_tracker.py
@@ -47,6 +47,6 @@
     found = [
         Closed(place, calendar.version, ordinal, at)
         for place in sorted(calendar.places)
-        for ordinal, at in calendar.timeline(place).between(t0, t1)
+        for ordinal, at in calendar.timeline(place).closings_between(t0, t1)
     ]
     return sorted(found, key=lambda closed: closed.at)
--- a/tests/closing/mutants.py
+++ b/tests/closing/mutants.py
@@ -45,7 +45,7 @@
     found = (
         []
         if since is None or after is None
-        else [(p, after.timeline(p).between(since, wall)) for p in after.places]
+        else [(p, after.timeline(p).closings_between(since, wall)) for p in after.places]
     )
     return [Closed(place, after.version, ordinal, at) for place, each in found for ordinal, at in each]
 
--- a/tests/closing/test_calendar.py
+++ b/tests/closing/test_calendar.py
@@ -24,7 +24,7 @@
 
 def closings(place: Place, begin: str, end: str) -> list[str]:
     line = Timeline(place, at(begin) - 86_400)
-    found = line.between(at(begin), at(end))
+    found = line.closings_between(at(begin), at(end))
     return [f"{datetime.fromtimestamp(instant, UTC):%m-%d %H:%M}" for _, instant in found]
 
 
@@ -46,7 +46,9 @@
 def test_a_zone_that_left_out_a_day_keeps_its_closings_in_order() -> None:
     place = Place("apia", "Pacific/Apia", daily(time(18), time(23)))
     line = Timeline(place, at("2011-12-20T00:00Z"))
-    found = [instant for _, instant in line.between(at("2011-12-29T00:00Z"), at("2012-01-02T00:00Z"))]
+    found = [
+        instant for _, instant in line.closings_between(at("2011-12-29T00:00Z"), at("2012-01-02T00:00Z"))
+    ]
     assert found == sorted(set(found)) and len(found) == 8
 
 
@@ -154,7 +156,7 @@
     begin, end = int(at("2026-03-27T00:00Z")), int(at("2026-04-08T00:00Z"))
     line = Timeline(place, begin)
     wanted = brute(place, begin, end)
-    assert [instant for _, instant in line.between(begin, end)] == wanted
+    assert [instant for _, instant in line.closings_between(begin, end)] == wanted
     first, last = line.ordinal(begin), -1
     for count, instant in enumerate(wanted, 1):
         assert line.ordinal(instant) == first + count > last
