--- a/benchmarks/together_mutants.py
+++ b/benchmarks/together_mutants.py
@@ -99,7 +99,7 @@
 
 
 def _no_bypass() -> None:
-    Timeline.near = lambda self, t, bound: False  # type: ignore[method-assign]
+    Timeline.is_near_closing = lambda self, t, bound: False  # type: ignore[method-assign]
 
 
 def _time_only() -> None:
--- a/cypresspulley/closing/calendar.py
+++ b/cypresspulley/closing/calendar.py
@@ -100,7 +100,7 @@
         first, last = bisect_right(self._closings, t0), bisect_right(self._closings, t1)
         return [(at + 1, self._closings[at]) for at in range(first, last)]
 
-    def near(self, t: float, bound: float) -> bool:
+    def is_near_closing(self, t: float, bound: float) -> bool:
         """Whether a closing lies within ``bound`` seconds of an instant, either way."""
         self._until(t + bound)
         at = bisect_right(self._closings, t + bound)
--- a/cypresspulley/closing/eligibility.py
+++ b/cypresspulley/closing/eligibility.py
@@ -51,6 +51,6 @@
         place = calendar.accounts.get(account) if calendar is not None else None
         if calendar is None or place is None or self.book.turning(wall, self._bound):
             return None
-        if calendar.timeline(place).near(wall, self._bound):
+        if calendar.timeline(place).is_near_closing(wall, self._bound):
             return None
         return calendar.generation(place, wall)
--- a/tests/closing/mutants.py
+++ b/tests/closing/mutants.py
@@ -54,7 +54,7 @@
     "the generation is compared by nobody": ((Certainty, "generation", lambda *_: 1),),
     "answers are of the moment at which they come": ((ClosingCache, "sending", _later),),
     "round a close all goes on": (
-        (Timeline, "near", lambda *_: False),
+        (Timeline, "is_near_closing", lambda *_: False),
         (Book, "turning", lambda *_: False),
     ),
     "the lease never ends": ((Lease, "held", lambda self, _now: self.base > 0),),
--- a/tests/closing/test_calendar.py
+++ b/tests/closing/test_calendar.py
@@ -73,7 +73,7 @@
 def test_near_is_within_the_bound_on_both_sides() -> None:
     line = Timeline(Place("v", "Etc/UTC", daily(time(18))), at("2026-12-01T00:00Z"))
     close = at("2026-12-01T18:00Z")
-    told = [line.near(close + by, 0.25) for by in (-0.26, -0.25, 0.0, 0.25, 0.26)]
+    told = [line.is_near_closing(close + by, 0.25) for by in (-0.26, -0.25, 0.0, 0.25, 0.26)]
     assert told == [False, True, True, True, False]
 
 
