--- a/benchmarks/together_mutants.py
+++ b/benchmarks/together_mutants.py
@@ -107,14 +107,14 @@
 
 
 def _refire() -> None:
-    notice = ClosingTracker.notice
+    notice = ClosingTracker.collect_closings
 
     def again(self: ClosingTracker, before: Any, after: Any, wall: float) -> Any:
-        if self._since is not None and wall < self._since:
-            self._since = wall
+        if self._collected_until is not None and wall < self._collected_until:
+            self._collected_until = wall
         return notice(self, before, after, wall)
 
-    ClosingTracker.notice = again  # type: ignore[method-assign]
+    ClosingTracker.collect_closings = again  # type: ignore[method-assign]
     WallClockMonitor.look = lambda self, mono, wall, error: BypassReason.NONE  # type: ignore[method-assign]
 
 
--- a/cypresspulley/closing/closing_tracker.py
+++ b/cypresspulley/closing/closing_tracker.py
@@ -22,15 +22,15 @@
     """Instants that are passed in come from a clock that is trusted and does not go back."""
 
     def __init__(self) -> None:
-        self._since: float | None = None  # all closings up to here are noticed
+        self._collected_until: float | None = None  # all closings up to here are noticed
 
-    def notice(self, before: Calendar | None, after: Calendar | None, wall: float) -> list[Closed]:
+    def collect_closings(self, before: Calendar | None, after: Calendar | None, wall: float) -> list[Closed]:
         """The closings since the last look. A version has its own up to its successor's instant."""
-        since = self._since
+        since = self._collected_until
         if since is None or wall <= since:
-            self._since = wall if since is None else since
+            self._collected_until = wall if since is None else since
             return []
-        self._since = wall
+        self._collected_until = wall
         if after is None or after is before:
             return _between(after, since, wall)[-MOST:]
         turn = max(since, after.in_force)
--- a/cypresspulley/closing/limiter.py
+++ b/cypresspulley/closing/limiter.py
@@ -227,7 +227,7 @@
         """The clock is trusted: closings and versions whose instants have come are noticed, each once."""
         book = self.sure.book
         before, turned = book.current, book.advance(wall)
-        gone = self._noticed.notice(before, book.current, wall)
+        gone = self._noticed.collect_closings(before, book.current, wall)
         if turned and book.current is not None:
             self.calendars.told(book.current, Taken.FORCE)
         if (turned or gone) and book.current is not None and book.current.reaches(wall):
--- a/tests/closing/mutants.py
+++ b/tests/closing/mutants.py
@@ -41,7 +41,7 @@
 
 
 def _since_now(self: ClosingTracker, before: Any, after: Any, wall: float) -> Any:
-    self._since, since = wall, self._since
+    self._collected_until, since = wall, self._collected_until
     found = (
         []
         if since is None or after is None
@@ -61,7 +61,7 @@
     "any clock is trusted": ((WallClockMonitor, "look", _trusting),),
     "closings are told again after a step": (
         (WallClockMonitor, "look", _trusting),
-        (ClosingTracker, "notice", _since_now),
+        (ClosingTracker, "collect_closings", _since_now),
     ),
     "yes before all have it": ((PurgeCoordinator, "_missing", lambda *_: []),),
     "purges of others are not heard": ((ClosingCache, "_hear_purges", lambda *_: None),),
--- a/tests/closing/test_parts.py
+++ b/tests/closing/test_parts.py
@@ -363,11 +363,15 @@
     noticed, first = ClosingTracker(), calendar(1, BEGIN)
     second = calendar(2, BEGIN + 86_400, time(17))
     close = BEGIN + 12.5 * 3600
-    assert noticed.notice(None, first, close - 5) == []
-    assert [each.at for each in noticed.notice(first, first, close)] == [close]
-    assert noticed.notice(first, first, close) == [] == noticed.notice(first, first, close - 3600)
-    assert noticed.notice(first, first, close + 1) == []
-    found = noticed.notice(first, second, BEGIN + 2 * 86_400)
+    assert noticed.collect_closings(None, first, close - 5) == []
+    assert [each.at for each in noticed.collect_closings(first, first, close)] == [close]
+    assert (
+        noticed.collect_closings(first, first, close)
+        == []
+        == noticed.collect_closings(first, first, close - 3600)
+    )
+    assert noticed.collect_closings(first, first, close + 1) == []
+    found = noticed.collect_closings(first, second, BEGIN + 2 * 86_400)
     assert [(each.version, each.at) for each in found] == [(2, BEGIN + 86_400 + 11.5 * 3600)]
 
 
