--- a/cypresspulley/closing/bypass.py
+++ b/cypresspulley/closing/bypass.py
@@ -61,7 +61,7 @@
     def __repr__(self) -> str:
         return f"<WallClock {self.doubt or 'trusted'}, highest {self.highest:.3f}>"
 
-    def look(self, mono: float, wall: float, error: Error | None) -> BypassReason:
+    def check(self, mono: float, wall: float, error: Error | None) -> BypassReason:
         """Whether this reading may be acted on; it then is the highest. ``error``: None where nobody is there to
         compare with."""
         if error is None:
--- a/cypresspulley/closing/eligibility.py
+++ b/cypresspulley/closing/eligibility.py
@@ -42,7 +42,7 @@
 
     def clock(self, now: float, wall: float) -> BypassReason:
         """Whether the wall clock may be acted on."""
-        return self.trust.look(now, wall, None if self._alone() else self._view.clock_error)
+        return self.trust.check(now, wall, None if self._alone() else self._view.clock_error)
 
     def generation(self, account: str, wall: float) -> int | None:
         """Where there is no doubt: the account's generation at an instant; None for one that does not ask for keeping,
--- a/tests/closing/mutants.py
+++ b/tests/closing/mutants.py
@@ -58,9 +58,9 @@
         (Book, "turning", lambda *_: False),
     ),
     "the lease never ends": ((Lease, "held", lambda self, _now: self.base > 0),),
-    "any clock is trusted": ((WallClockMonitor, "look", _trusting),),
+    "any clock is trusted": ((WallClockMonitor, "check", _trusting),),
     "closings are told again after a step": (
-        (WallClockMonitor, "look", _trusting),
+        (WallClockMonitor, "check", _trusting),
         (ClosingTracker, "collect_closings", _since_now),
     ),
     "yes before all have it": ((PurgeCoordinator, "_missing", lambda *_: []),),
--- a/tests/closing/test_parts.py
+++ b/tests/closing/test_parts.py
@@ -385,8 +385,8 @@
 
 
 def test_a_clock_that_nobody_can_compare_is_not_trusted_unless_there_is_nobody() -> None:
-    assert WallClockMonitor(BOUND, SETTLE).look(0.0, BEGIN, never) is BypassReason.UNKNOWN
-    assert WallClockMonitor(BOUND, SETTLE).look(0.0, BEGIN, None) is BypassReason.NONE
+    assert WallClockMonitor(BOUND, SETTLE).check(0.0, BEGIN, never) is BypassReason.UNKNOWN
+    assert WallClockMonitor(BOUND, SETTLE).check(0.0, BEGIN, None) is BypassReason.NONE
 
 
 @pytest.mark.parametrize(
@@ -397,8 +397,8 @@
     error: tuple[float, float], doubt: str
 ) -> None:
     clock = WallClockMonitor(BOUND, SETTLE)
-    clock.look(0.0, BEGIN, lambda _now: (0.0, 0.0))
-    assert clock.look(1.0, BEGIN + 1, lambda _now: error) == doubt
+    clock.check(0.0, BEGIN, lambda _now: (0.0, 0.0))
+    assert clock.check(1.0, BEGIN + 1, lambda _now: error) == doubt
 
 
 def test_a_step_is_seen_before_the_view_knows_of_it_and_trust_comes_back_later() -> None:
@@ -407,24 +407,24 @@
     def fine(_now: float) -> tuple[float, float]:
         return -0.01, 0.01
 
-    assert clock.look(0.0, BEGIN, fine) is BypassReason.NONE
-    assert clock.look(0.01, BEGIN + 0.01 + 0.035, fine) is BypassReason.STEPPED
-    assert clock.look(7.9, BEGIN + 7.9 + 0.035, fine) is BypassReason.STEPPED
-    assert clock.look(8.2, BEGIN + 8.2 + 0.035, fine) is BypassReason.NONE
+    assert clock.check(0.0, BEGIN, fine) is BypassReason.NONE
+    assert clock.check(0.01, BEGIN + 0.01 + 0.035, fine) is BypassReason.STEPPED
+    assert clock.check(7.9, BEGIN + 7.9 + 0.035, fine) is BypassReason.STEPPED
+    assert clock.check(8.2, BEGIN + 8.2 + 0.035, fine) is BypassReason.NONE
 
 
 def test_a_clock_that_steps_back_is_behind_until_it_has_caught_up() -> None:
     clock = WallClockMonitor(BOUND, SETTLE)
-    assert clock.look(0.0, BEGIN + 100, None) is BypassReason.NONE
-    assert clock.look(1.0, BEGIN, None) is BypassReason.BEHIND and clock.highest == BEGIN + 100
-    assert clock.look(101.0, BEGIN + 100.5, None) is BypassReason.NONE
+    assert clock.check(0.0, BEGIN + 100, None) is BypassReason.NONE
+    assert clock.check(1.0, BEGIN, None) is BypassReason.BEHIND and clock.highest == BEGIN + 100
+    assert clock.check(101.0, BEGIN + 100.5, None) is BypassReason.NONE
 
 
 def test_a_reading_that_is_not_trusted_is_never_the_highest() -> None:
     clock = WallClockMonitor(BOUND, SETTLE)
-    clock.look(0.0, BEGIN, lambda _now: (0.0, 0.0))
+    clock.check(0.0, BEGIN, lambda _now: (0.0, 0.0))
     assert (
-        clock.look(1.0, BEGIN + 3600, lambda _now: (0.0, 0.0)) is BypassReason.STEPPED
+        clock.check(1.0, BEGIN + 3600, lambda _now: (0.0, 0.0)) is BypassReason.STEPPED
         and clock.highest == BEGIN
     )
 
