--- a/cypresspulley/closing/eligibility.py
+++ b/cypresspulley/closing/eligibility.py
@@ -31,7 +31,7 @@
         """The table of ``Doubt``, from its top."""
         self.sleep.check(now)
         if not self._alone():
-            if not self.lease.held(now):
+            if not self.lease.is_held(now):
                 return BypassReason.STARTING if self.lease.base == -math.inf else BypassReason.CUT
             if self.lease.base <= self.sleep.woke:
                 return BypassReason.WOKEN
--- a/cypresspulley/closing/lease.py
+++ b/cypresspulley/closing/lease.py
@@ -53,7 +53,7 @@
     def __repr__(self) -> str:
         return f"<Lease at round {self.round} since {self.since}, until {self.until:.3f}, {self.cause or 'grows'}>"
 
-    def held(self, now: float) -> bool:
+    def is_held(self, now: float) -> bool:
         return now < self.until
 
     def agree(self, now: float, agreed: bytes) -> None:
--- a/tests/closing/test_parts.py
+++ b/tests/closing/test_parts.py
@@ -236,7 +236,7 @@
             if other is not one and rng.random() < 0.8 and deaf_until.get((other.life, one.life), 0.0) <= now:
                 other.seen[one.life] = (one.says(), now)
         for holder in talkers:
-            if not holder.lease.held(now):
+            if not holder.lease.is_held(now):
                 continue
             held += 1
             for other in talkers:
@@ -259,7 +259,7 @@
             for other in talkers:
                 other.seen[one.life] = (one.says(), now)
     assert talkers[0].lease.cause == "disagreed" and talkers[0].lease.until < 3.1 + 4.0
-    assert not talkers[0].lease.held(7.1)
+    assert not talkers[0].lease.is_held(7.1)
 
 
 def test_a_huge_round_from_a_foreign_peer_lengthens_no_lease() -> None:
@@ -267,7 +267,7 @@
     for step in range(40):
         lease.agree(step * 0.1, b"agreed!!")
         lease.hear(step * 0.1, {one: said(2**50), two: said(0)})
-    assert not lease.held(4.0) and lease.round <= 2**50 and lease.cause == "starting"
+    assert not lease.is_held(4.0) and lease.round <= 2**50 and lease.cause == "starting"
 
 
 # Who is needed.
