--- a/benchmarks/together_mutants.py
+++ b/benchmarks/together_mutants.py
@@ -95,7 +95,7 @@
 
 
 def _lease_without_end() -> None:
-    Lease.is_held = lambda self, now: self.until > float("-inf")  # type: ignore[method-assign]
+    Lease.is_held = lambda self, now: self.expires_at > float("-inf")  # type: ignore[method-assign]
 
 
 def _no_bypass() -> None:
--- a/cypresspulley/closing/eligibility.py
+++ b/cypresspulley/closing/eligibility.py
@@ -32,8 +32,8 @@
         self.sleep.check(now)
         if not self._alone():
             if not self.lease.is_held(now):
-                return BypassReason.STARTING if self.lease.base == -math.inf else BypassReason.CUT
-            if self.lease.base <= self.sleep.woke:
+                return BypassReason.STARTING if self.lease.acknowledged_at == -math.inf else BypassReason.CUT
+            if self.lease.acknowledged_at <= self.sleep.woke:
                 return BypassReason.WOKEN
         if clock := self.clock(now, wall):
             return clock
--- a/cypresspulley/closing/lease.py
+++ b/cypresspulley/closing/lease.py
@@ -44,17 +44,19 @@
         self._length, self._step = length, step
         self.round = self.since = 0
         self.agreed = b""
-        self.until = self.base = -math.inf  # it may keep before ``until``; all had heard it at ``base``
+        self.expires_at = (
+            self.acknowledged_at
+        ) = -math.inf  # it may keep before ``until``; all had heard it at ``base``
         self.cause = "starting"  # why it does not grow, in a word
         self._stepped = -math.inf
         self._said = deque[tuple[int, float]](maxlen=ROUNDS)  # a round, and when it was first said
         self._seen = dict[Life, tuple[int, float]]()  # of others: a round, and when it was first seen
 
     def __repr__(self) -> str:
-        return f"<Lease at round {self.round} since {self.since}, until {self.until:.3f}, {self.cause or 'grows'}>"
+        return f"<Lease at round {self.round} since {self.since}, until {self.expires_at:.3f}, {self.cause or 'grows'}>"
 
     def is_held(self, now: float) -> bool:
-        return now < self.until
+        return now < self.expires_at
 
     def agree(self, now: float, agreed: bytes) -> None:
         """What this limiter agrees to from now on."""
@@ -103,8 +105,8 @@
         said = next((at for number, at in self._said if number >= heard), None)
         if said is None or self._said[0][0] > heard:
             return  # so long ago that it is forgotten
-        self.base = max(self.base, said)
-        self.until = max(self.until, said + self._length)
+        self.acknowledged_at = max(self.acknowledged_at, said)
+        self.expires_at = max(self.expires_at, said + self._length)
 
     def out(self, life: Life) -> float:
         """The moment by which another's lease has run out unless it is heard of again: rule (3)."""
@@ -113,7 +115,7 @@
 
     def counted(self, now: float, seconds: float) -> bool:
         """Whether all others had heard of this limiter within so many seconds."""
-        return now < self.base + seconds
+        return now < self.acknowledged_at + seconds
 
     def known(self) -> tuple[Life, ...]:
         """All whose row was ever seen, as far as that is remembered."""
--- a/tests/closing/mutants.py
+++ b/tests/closing/mutants.py
@@ -57,7 +57,7 @@
         (Timeline, "is_near_closing", lambda *_: False),
         (Book, "turning", lambda *_: False),
     ),
-    "the lease never ends": ((Lease, "is_held", lambda self, _now: self.base > 0),),
+    "the lease never ends": ((Lease, "is_held", lambda self, _now: self.acknowledged_at > 0),),
     "any clock is trusted": ((WallClockMonitor, "check", _trusting),),
     "closings are told again after a step": (
         (WallClockMonitor, "check", _trusting),
--- a/tests/closing/test_parts.py
+++ b/tests/closing/test_parts.py
@@ -258,7 +258,7 @@
             one.look(now, talkers)
             for other in talkers:
                 other.seen[one.life] = (one.says(), now)
-    assert talkers[0].lease.cause == "disagreed" and talkers[0].lease.until < 3.1 + 4.0
+    assert talkers[0].lease.cause == "disagreed" and talkers[0].lease.expires_at < 3.1 + 4.0
     assert not talkers[0].lease.is_held(7.1)
 
 
