--- a/benchmarks/together_mutants.py
+++ b/benchmarks/together_mutants.py
@@ -119,7 +119,7 @@
 
 
 def _hasty_yes() -> None:
-    PurgeCoordinator._missing = lambda *_: []  # type: ignore[method-assign]
+    PurgeCoordinator._find_missing = lambda *_: []  # type: ignore[method-assign]
 
 
 MUTANTS = (
--- a/cypresspulley/closing/purge_coordinator.py
+++ b/cypresspulley/closing/purge_coordinator.py
@@ -84,7 +84,7 @@
     def answer(self, now: float) -> None:
         """Tell those whose answer is known by now."""
         for waiting in list(self._waiting):
-            missing = [] if waiting.done.done() else self._missing(now, waiting)
+            missing = [] if waiting.done.done() else self._find_missing(now, waiting)
             # Who is not there to say so holds its lease beyond the time that the caller is given.
             hopeless = any(
                 self._lease.out(life) > waiting.until for life in missing if life not in self._peers.rows
@@ -95,7 +95,7 @@
             if not waiting.done.done():
                 waiting.done.set_result(tuple(sorted({life.name for life in missing})))
 
-    def _missing(self, now: float, waiting: Waiting) -> list[Life]:
+    def _find_missing(self, now: float, waiting: Waiting) -> list[Life]:
         """Who may have something kept from before a purge."""
         if self._peers.alone():
             return []
--- a/tests/closing/mutants.py
+++ b/tests/closing/mutants.py
@@ -63,7 +63,7 @@
         (WallClockMonitor, "check", _trusting),
         (ClosingTracker, "collect_closings", _since_now),
     ),
-    "yes before all have it": ((PurgeCoordinator, "_missing", lambda *_: []),),
+    "yes before all have it": ((PurgeCoordinator, "_find_missing", lambda *_: []),),
     "purges of others are not heard": ((ClosingCache, "_hear_purges", lambda *_: None),),
     "a purge forgets what is on its way": ((Keep, "_old", lambda *_: False),),
     "a change under way holds up nothing": ((Keep, "begin", lambda *_: None),),
