--- a/benchmarks/together_plays.py
+++ b/benchmarks/together_plays.py
@@ -172,7 +172,9 @@
 
     def __init__(self, seed: int) -> None:
         calendar = calendar_from(CALENDAR, "the play")
-        self.options = Options(calendar, frozenset(("lookup",)), lease=LEASE, purge=4.0, lost=6.0)
+        self.options = Options(
+            calendar, frozenset(("lookup",)), lease_seconds=LEASE, purge_seconds=4.0, lost_seconds=6.0
+        )
         self._lives = list[MemoryHistory]()
         self.world = closing_world.World(seed, make=self._make, named=4)
         self._rng, self._asked = Random(seed), 0
@@ -189,7 +191,7 @@
         history: object, named: int,
     ) -> ClosingCache:  # fmt: skip
         told = MemoryHistory(lambda: self.world.now, wall)
-        bounds = {"clock": options.clock_bound, "purge": LEASE_WAIT_FACTOR * options.lease + 0.5}
+        bounds = {"clock": options.clock_bound, "purge": LEASE_WAIT_FACTOR * options.lease_seconds + 0.5}
         self._lives.append(begin(told, view.me, view.life, bounds))
         return ClosingCache(options, view, clock, wall, told, named)
 
--- a/cypresspulley/closing/calendar_sync.py
+++ b/cypresspulley/closing/calendar_sync.py
@@ -79,7 +79,7 @@
         if newest is None or newest <= self._book.rank or newest[1] in self._refused:
             return
         # Which version is in force until the new one is, only a clock that is trusted can tell: it is soon, or never.
-        if highest == -math.inf and now < self._since + 2 * self._options.lease:
+        if highest == -math.inf and now < self._since + 2 * self._options.lease_seconds:
             return
         version, digest = newest
         body = self._view.document(digest)
--- a/cypresspulley/closing/eligibility.py
+++ b/cypresspulley/closing/eligibility.py
@@ -21,8 +21,8 @@
     def __init__(self, options: Options, view: FleetView, alone: Callable[[], bool]) -> None:
         self._bound, self._view, self._alone = options.clock_bound, view, alone
         self.book = Book()
-        self.lease = Lease(options.lease, min(MOST_STEP, options.lease / STEPS))
-        self.trust, self.sleep = WallClockMonitor(options.clock_bound, options.lease), Sleep()
+        self.lease = Lease(options.lease_seconds, min(MOST_STEP, options.lease_seconds / STEPS))
+        self.trust, self.sleep = WallClockMonitor(options.clock_bound, options.lease_seconds), Sleep()
 
     def __repr__(self) -> str:
         return f"<Certainty {self.book!r}, {self.lease!r}, {self.trust!r}>"
--- a/cypresspulley/closing/limiter.py
+++ b/cypresspulley/closing/limiter.py
@@ -51,7 +51,7 @@
         self._clock, self._wall, self._history = clock, wall, history
         self.peers = Peers(view, options, named)
         self.sure = Certainty(options, view, self.peers.alone)
-        self.purging = PurgeCoordinator(self.peers, self.sure.lease, history, options.lost)
+        self.purging = PurgeCoordinator(self.peers, self.sure.lease, history, options.lost_seconds)
         self.calendars = Calendars(options, view, self.sure.book, history, self.peers.alone, self._drop_all)
         self.doubt = BypassReason.STARTING
         self._noticed = ClosingTracker()
@@ -163,7 +163,7 @@
         now = self._clock()
         self.keep.purge(account, now, now)
         number = self.purging.issue(account)
-        answer = self.purging.wait(number, now + self.options.purge)
+        answer = self.purging.wait(number, now + self.options.purge_seconds)
         self.look()
         missing = await answer
         self.purging.told(account, self.peers.me, number, "no" if missing else "yes", missing)
--- a/cypresspulley/closing/options.py
+++ b/cypresspulley/closing/options.py
@@ -66,9 +66,9 @@
     keep: frozenset[str]
     path: str = ""  # of the calendar file; "": it is never read again
     clock_bound: float = 0.25
-    lease: float = 8.0
-    lost: float = 600.0
-    purge: float = 5.0
+    lease_seconds: float = 8.0
+    lost_seconds: float = 600.0
+    purge_seconds: float = 5.0
     keep_seconds: float = 3600.0
     most_answers: int = 20_000
     most_bytes: int = 32 * 1024 * 1024
@@ -77,12 +77,12 @@
     def bounds(self) -> dict[str, float]:
         """The promises' bounds in seconds, as histories name them. What changed at one limiter is gone at all others
         when they have heard of it, or by the end of the lease that they had from it, half a second for late looks."""
-        return {"clock": self.clock_bound, "purge": self.lease + 0.5}
+        return {"clock": self.clock_bound, "purge": self.lease_seconds + 0.5}
 
     @property
     def notice(self) -> float:
         """Seconds ahead of its instant at which a version is told at least, so that all have it or keep nothing."""
-        return LEASE_WAIT_FACTOR * self.lease + 2 * self.clock_bound + 0.5
+        return LEASE_WAIT_FACTOR * self.lease_seconds + 2 * self.clock_bound + 0.5
 
 
 # Keys of milliseconds, seconds and plain numbers: least, most, and what stands for one that is not there.
--- a/cypresspulley/closing/peers.py
+++ b/cypresspulley/closing/peers.py
@@ -23,7 +23,7 @@
 
     def __init__(self, view: FleetView, options: Options, named: int) -> None:
         self._view, self._named = view, named
-        self.roster = Roster(options.lost, named)
+        self.roster = Roster(options.lost_seconds, named)
         self.issued, self.applied = Issued(), Applied()
         self.rows = dict[Life, Said | None]()
         self._read = dict[str, tuple[int, int, Said | None]]()  # by owner: life, version, its row
@@ -31,7 +31,7 @@
         self._agreed: tuple[tuple[object, ...], bytes] = ((), b"")  # of what, and its digest
         self._members: tuple[Member, ...] = ()
         # Limiters that reckon with other bounds or other time zones must not rely on each other.
-        self._ground = f"{ZONES_VERSION} {options.lease} {options.clock_bound} {options.lost}"
+        self._ground = f"{ZONES_VERSION} {options.lease_seconds} {options.clock_bound} {options.lost_seconds}"
 
     def __repr__(self) -> str:
         return f"<Peers {len(self.rows)} present, {self.roster!r}>"
--- a/tests/closing/test_together.py
+++ b/tests/closing/test_together.py
@@ -273,7 +273,7 @@
     day.world.cut({"n0", "n1"}, {"n2"})
     missing, seconds = day.purge(day[0], A)
     assert missing == () and LEASE - 1 < seconds < 1.1 * LEASE + 0.2
-    object.__setattr__(day[1].options, "purge", 1.0)
+    object.__setattr__(day[1].options, "purge_seconds", 1.0)
     day.world.cuts.clear()
     day.run(10)
     day.world.cut({"n0", "n1"}, {"n2"})
@@ -287,7 +287,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     day = Day(3)
-    object.__setattr__(day[0].options, "purge", 0.5)
+    object.__setattr__(day[0].options, "purge_seconds", 0.5)
     day.until(BEGIN + 8)
     day[2].kill()
     day.run(3.2)  # it is held dead, and its lease may run for another second
