--- a/benchmarks/closing_stale.py
+++ b/benchmarks/closing_stale.py
@@ -102,7 +102,7 @@
                 )
                 self._next[place] = now + later[0][1] - wall if later else math.inf
 
-    def served(self, id: str, account: str, key: CacheKey) -> tuple[Kept, float] | None:
+    def find_answer(self, id: str, account: str, key: CacheKey) -> tuple[Kept, float] | None:
         if self._clock() - self._looked < 0.15:
             self._fire()  # timers fire on time; only who has just woken reads its buffers before them
         found = self._keep.get(key, 0, self._clock())
--- a/benchmarks/together_plays.py
+++ b/benchmarks/together_plays.py
@@ -204,7 +204,7 @@
 
     def _look(self, limiter: closing_world.Limiter, id: str, account: str, key: CacheKey) -> None:
         keeper, now = limiter.keeper, self.world.now
-        found = keeper.served(id, account, key)
+        found = keeper.find_answer(id, account, key)
         if found is not None:
             self.harness.put(Kind.ANSWER, id=id, status=200, made=float(found[0].body), kept=True)
             return
--- a/cypresspulley/closing/limiter.py
+++ b/cypresspulley/closing/limiter.py
@@ -110,7 +110,7 @@
         now, wall = self._now()
         return None if self._look_for_doubt(now, wall) else self.sure.generation(account, wall)
 
-    def served(self, id: str, account: str, key: CacheKey) -> tuple[Kept, float] | None:
+    def find_answer(self, id: str, account: str, key: CacheKey) -> tuple[Kept, float] | None:
         """A kept answer and its age in seconds, where one may be served for a request."""
         generation = self.generation(account)
         if generation is None:
--- a/cypresspulley/closing/node.py
+++ b/cypresspulley/closing/node.py
@@ -30,7 +30,7 @@
 
     def asks(self, account: str) -> bool: ...
 
-    def served(self, id: str, account: str, key: CacheKey) -> tuple[Kept, float] | None: ...
+    def find_answer(self, id: str, account: str, key: CacheKey) -> tuple[Kept, float] | None: ...
 
     def sending(self, account: str) -> Sent | None: ...
 
@@ -81,7 +81,7 @@
             super().arrived(request)
 
         def _served(self, request: ClientRequest, event: api.Request, key: CacheKey) -> bool:
-            found = closing.served(request.id.decode("latin-1"), event.account, key)
+            found = closing.find_answer(request.id.decode("latin-1"), event.account, key)
             if found is None:
                 return False
             kept, age = found
