--- a/benchmarks/closing_stale.py
+++ b/benchmarks/closing_stale.py
@@ -108,7 +108,7 @@
         found = self._keep.get(key, 0, self._clock())
         return None if found is None else (found, 0.0)
 
-    def sending(self, account: str) -> Sent | None:
+    def stamp_lookup(self, account: str) -> Sent | None:
         return Sent(self._clock(), self._wall(), 0)
 
     def answered(self, account: str, key: CacheKey, sent: Sent, headers: bytes, body: bytes) -> None:
--- a/benchmarks/together_plays.py
+++ b/benchmarks/together_plays.py
@@ -208,7 +208,7 @@
         if found is not None:
             self.harness.put(Kind.ANSWER, id=id, status=200, made=float(found[0].body), kept=True)
             return
-        sent, took = keeper.sending(account), self._rng.uniform(0.005, 0.05)
+        sent, took = keeper.stamp_lookup(account), self._rng.uniform(0.005, 0.05)
         made = now + took / 2
 
         def answered() -> None:
--- a/cypresspulley/closing/limiter.py
+++ b/cypresspulley/closing/limiter.py
@@ -124,7 +124,7 @@
         )
         return kept, now - kept.sent
 
-    def sending(self, account: str) -> Sent | None:
+    def stamp_lookup(self, account: str) -> Sent | None:
         """A lookup goes to a server now; None where its answer may not be kept, whenever it comes."""
         now, wall = self._now()
         generation = self.generation(account)
--- a/cypresspulley/closing/node.py
+++ b/cypresspulley/closing/node.py
@@ -32,7 +32,7 @@
 
     def find_answer(self, id: str, account: str, key: CacheKey) -> tuple[Kept, float] | None: ...
 
-    def sending(self, account: str) -> Sent | None: ...
+    def stamp_lookup(self, account: str) -> Sent | None: ...
 
     def answered(self, account: str, key: CacheKey, sent: Sent, headers: bytes, body: bytes) -> None: ...
 
@@ -93,7 +93,7 @@
         def _send(self, action: api.Send) -> None:
             lookup, opened = self._lookups.get(action.id), self._open.get(action.id)
             if lookup is not None and opened is not None:
-                lookup.sent[len(opened.attempts)] = closing.sending(lookup.account)
+                lookup.sent[len(opened.attempts)] = closing.stamp_lookup(lookup.account)
             super()._send(action)
 
         def _attempted(self, id: int, number: int, attempt: Exchange) -> None:
--- a/tests/closing/mutants.py
+++ b/tests/closing/mutants.py
@@ -52,7 +52,7 @@
 
 MUTANTS: dict[str, tuple[Patch, ...]] = {
     "the generation is compared by nobody": ((Certainty, "generation", lambda *_: 1),),
-    "answers are of the moment at which they come": ((ClosingCache, "sending", _later),),
+    "answers are of the moment at which they come": ((ClosingCache, "stamp_lookup", _later),),
     "round a close all goes on": (
         (Timeline, "is_near_closing", lambda *_: False),
         (Book, "turning", lambda *_: False),
