--- a/benchmarks/closing_stale.py
+++ b/benchmarks/closing_stale.py
@@ -111,7 +111,7 @@
     def stamp_lookup(self, account: str) -> Sent | None:
         return Sent(self._clock(), self._wall(), 0)
 
-    def answered(self, account: str, key: CacheKey, sent: Sent, headers: bytes, body: bytes) -> None:
+    def store_answer(self, account: str, key: CacheKey, sent: Sent, headers: bytes, body: bytes) -> None:
         self._keep.put(key, Kept(account, 0, sent.mono, sent.wall, headers, body), self._clock())
 
     def changing(self, account: str) -> None:
--- a/benchmarks/together_plays.py
+++ b/benchmarks/together_plays.py
@@ -213,7 +213,7 @@
 
         def answered() -> None:
             if sent is not None and limiter.keeper is keeper:
-                keeper.answered(account, key, sent, b"", repr(made).encode())
+                keeper.store_answer(account, key, sent, b"", repr(made).encode())
             self.harness.put(Kind.ANSWER, id=id, status=200, made=made, kept=False)
 
         self.world.at(now + took, lambda: limiter.does(answered))
--- a/cypresspulley/closing/limiter.py
+++ b/cypresspulley/closing/limiter.py
@@ -130,7 +130,7 @@
         generation = self.generation(account)
         return None if generation is None else Sent(now, wall, generation)
 
-    def answered(self, account: str, key: CacheKey, sent: Sent, headers: bytes, body: bytes) -> None:
+    def store_answer(self, account: str, key: CacheKey, sent: Sent, headers: bytes, body: bytes) -> None:
         """Its answer has come: it is kept if it is of this generation still, and nothing has changed meanwhile."""
         if self.generation(account) != sent.generation:
             return
--- a/cypresspulley/closing/node.py
+++ b/cypresspulley/closing/node.py
@@ -34,7 +34,7 @@
 
     def stamp_lookup(self, account: str) -> Sent | None: ...
 
-    def answered(self, account: str, key: CacheKey, sent: Sent, headers: bytes, body: bytes) -> None: ...
+    def store_answer(self, account: str, key: CacheKey, sent: Sent, headers: bytes, body: bytes) -> None: ...
 
     def changing(self, account: str) -> None: ...
 
@@ -103,7 +103,7 @@
                 if lookup is not None and sent is not None and attempt.download is None:
                     headers = attempt.answer_headers
                     if not PRIVATE_ANSWER.search(headers):
-                        closing.answered(lookup.account, lookup.key, sent, headers, attempt.answer)
+                        closing.store_answer(lookup.account, lookup.key, sent, headers, attempt.answer)
                 self._sure = id in self._changing
             try:
                 super()._attempted(id, number, attempt)
