--- a/benchmarks/closing_stale.py
+++ b/benchmarks/closing_stale.py
@@ -114,7 +114,7 @@
     def store_answer(self, account: str, key: CacheKey, sent: Sent, headers: bytes, body: bytes) -> None:
         self._keep.put(key, Kept(account, 0, sent.mono, sent.wall, headers, body), self._clock())
 
-    def changing(self, account: str) -> None:
+    def begin_write(self, account: str) -> None:
         self._keep.begin(account)
 
     def changed(self, account: str, tried: bool, sure: bool) -> None:
--- a/benchmarks/together_plays.py
+++ b/benchmarks/together_plays.py
@@ -223,7 +223,7 @@
         keeper = limiter.keeper
 
         def begins() -> None:
-            keeper.changing(account)
+            keeper.begin_write(account)
             self.world.at(
                 self.world.now + 0.05, lambda: limiter.does(lambda: keeper.changed(account, True, True))
             )
--- a/cypresspulley/closing/limiter.py
+++ b/cypresspulley/closing/limiter.py
@@ -140,7 +140,7 @@
                 Kind.KEPT, account=account, key=_name(key), generation=sent.generation, sent=sent.wall
             )
 
-    def changing(self, account: str) -> None:
+    def begin_write(self, account: str) -> None:
         """A request that is not safe to repeat has come: nothing of its account is served or kept until its end."""
         self.keep.begin(account)
 
--- a/cypresspulley/closing/node.py
+++ b/cypresspulley/closing/node.py
@@ -36,7 +36,7 @@
 
     def store_answer(self, account: str, key: CacheKey, sent: Sent, headers: bytes, body: bytes) -> None: ...
 
-    def changing(self, account: str) -> None: ...
+    def begin_write(self, account: str) -> None: ...
 
     def changed(self, account: str, tried: bool, sure: bool) -> None: ...
 
@@ -73,7 +73,7 @@
                 effect = event.effect or self._effects.get(event.request_class)
                 if effect is not api.Effect.SAFE:
                     self._changing[event.id] = event.account
-                    closing.changing(event.account)
+                    closing.begin_write(event.account)
                 elif (key := _key(request, event)) is not None:
                     if self._served(request, event, key):
                         return
