--- a/benchmarks/together_plays.py
+++ b/benchmarks/together_plays.py
@@ -225,7 +225,7 @@
         def begins() -> None:
             keeper.begin_write(account)
             self.world.at(
-                self.world.now + 0.05, lambda: limiter.does(lambda: keeper.changed(account, True, True))
+                self.world.now + 0.05, lambda: limiter.does(lambda: keeper.end_write(account, True, True))
             )
 
         limiter.does(begins)
--- a/cypresspulley/closing/limiter.py
+++ b/cypresspulley/closing/limiter.py
@@ -144,7 +144,7 @@
         """A request that is not safe to repeat has come: nothing of its account is served or kept until its end."""
         self.keep.begin(account)
 
-    def changed(self, account: str, tried: bool, sure: bool) -> None:
+    def end_write(self, account: str, tried: bool, sure: bool) -> None:
         """It has its final answer. ``tried``: it went to a server; ``sure``: nothing of it still runs there."""
         now = self._clock()
         if not tried:
--- a/cypresspulley/closing/node.py
+++ b/cypresspulley/closing/node.py
@@ -38,7 +38,7 @@
 
     def begin_write(self, account: str) -> None: ...
 
-    def changed(self, account: str, tried: bool, sure: bool) -> None: ...
+    def end_write(self, account: str, tried: bool, sure: bool) -> None: ...
 
 
 class _Lookup:
@@ -117,7 +117,7 @@
                 if (account := self._changing.pop(id, None)) is not None:
                     # Attempts that nobody waits for any longer may run on at their servers.
                     tried = len(opened.attempts)
-                    closing.changed(account, tried > 0, self._sure and tried == 1)
+                    closing.end_write(account, tried > 0, self._sure and tried == 1)
             return opened
 
     def _key(request: ClientRequest, event: api.Request) -> CacheKey | None:
--- a/tests/closing/world.py
+++ b/tests/closing/world.py
@@ -164,7 +164,7 @@
     def stamp_lookup(self, account: str) -> Sent | None: ...
     def store_answer(self, account: str, key: CacheKey, sent: Sent, headers: bytes, body: bytes) -> None: ...
     def begin_write(self, account: str) -> None: ...
-    def changed(self, account: str, tried: bool, sure: bool) -> None: ...
+    def end_write(self, account: str, tried: bool, sure: bool) -> None: ...
 
 
 Make = Callable[[Options, View, Callable[[], float], Callable[[], float], Record, int], Keeper]
@@ -386,7 +386,7 @@
         def changed() -> None:
             self.under_way.remove((keeper, account))
             if limiter.keeper is keeper:
-                keeper.changed(account, True, True)
+                keeper.end_write(account, True, True)
                 self.truth.changes.setdefault(account, []).append((self.world.now, done, limiter.name))
 
         self.world.at(self.world.now + took, lambda: limiter.does(changed))
