--- a/benchmarks/closing_stale.py
+++ b/benchmarks/closing_stale.py
@@ -117,7 +117,7 @@
     def begin_write(self, account: str) -> None:
         self._keep.begin(account)
 
-    def end_write(self, account: str, tried: bool, sure: bool) -> None:
+    def end_write(self, account: str, reached_server: bool, is_finished: bool) -> None:
         self._keep.end(account, self._clock(), self._clock())
 
 
--- a/cypresspulley/closing/limiter.py
+++ b/cypresspulley/closing/limiter.py
@@ -144,14 +144,14 @@
         """A request that is not safe to repeat has come: nothing of its account is served or kept until its end."""
         self.keep.begin(account)
 
-    def end_write(self, account: str, tried: bool, sure: bool) -> None:
-        """It has its final answer. ``tried``: it went to a server; ``sure``: nothing of it still runs there."""
+    def end_write(self, account: str, reached_server: bool, is_finished: bool) -> None:
+        """It has its final answer. ``reached_server``: it went to a server; ``is_finished``: nothing of it still runs there."""
         now = self._clock()
-        if not tried:
+        if not reached_server:
             return self.keep.end(account, -float("inf"), now)
-        self.keep.end(account, now if sure else now + LINGER, now)
+        self.keep.end(account, now if is_finished else now + LINGER, now)
         self.purging.issue(account)
-        if not sure:
+        if not is_finished:
             self.purging.again(account, now + LINGER)
 
     async def purge(self, account: str) -> tuple[str, ...]:
--- a/tests/closing/test_together.py
+++ b/tests/closing/test_together.py
@@ -354,7 +354,7 @@
     day.until(BEGIN + 8)
     for _ in range(40):
         day.clients.change(day[0], A, took=0.01)
-        day[0].closing.end_write(B, tried=True, sure=True)
+        day[0].closing.end_write(B, reached_server=True, is_finished=True)
     day.run(3)
     assert any(each["account"] == "*" for each in day[1].history.of(Kind.PURGE))
     assert day.run(5) > 0
