--- a/benchmarks/closing_stale.py
+++ b/benchmarks/closing_stale.py
@@ -228,12 +228,12 @@
             limiter.up
             and now >= limiter.paused
             and now < closing + BOUND
-            and isinstance(limiter.keeper, ClosingCache)
+            and isinstance(limiter.cache, ClosingCache)
         ):
-            generation = limiter.keeper.generation(account)
+            generation = limiter.cache.generation(account)
             if generation is not None and now < closing:
                 self.until.setdefault((closing, place), {})[limiter.name] = now
-            if limiter.keeper.doubt:
+            if limiter.cache.doubt:
                 self.until.get((closing, place), {}).pop(limiter.name, None)
                 return  # it gave up for another reason
             self.world.at(now + PROBE, partial(self._probe, limiter, closing))
@@ -267,8 +267,8 @@
             self.rng.choice(list(self.world.limiters.values())),
             self.rng.choice(list(ACCOUNTS)),
         )
-        if limiter.up and self.world.now >= limiter.paused and isinstance(limiter.keeper, ClosingCache):
-            task = asyncio.get_running_loop().create_task(limiter.keeper.purge(account))
+        if limiter.up and self.world.now >= limiter.paused and isinstance(limiter.cache, ClosingCache):
+            task = asyncio.get_running_loop().create_task(limiter.cache.purge(account))
             self.waiting.append((self.world.now, account, task))
 
     # What goes wrong.
@@ -344,8 +344,8 @@
         closes = {"v": [early, *(at for at in self.closes["v"] if at > early)], "w": self.closes["w"]}
         newer = calendar(2, now + 6.5 + self.rng.uniform(0, early - now - 6.5 - 2 * BOUND), closes)
         try:
-            assert isinstance(limiter.keeper, ClosingCache | OwnTimer)
-            limiter.keeper.tell(newer)
+            assert isinstance(limiter.cache, ClosingCache | OwnTimer)
+            limiter.cache.tell(newer)
         except OperatorsError:
             return  # its clock is far ahead
         self.changed = True
@@ -437,8 +437,8 @@
         if (
             alive
             and not self.changed
-            and isinstance(limiter.keeper, ClosingCache)
-            and not limiter.keeper.sure.trust.doubt
+            and isinstance(limiter.cache, ClosingCache)
+            and not limiter.cache.sure.trust.doubt
         ):
             wanted = {
                 (place, at) for place, ats in self.closes.items() for at in ats if sure + BOUND < at < end - 1
--- a/benchmarks/together_plays.py
+++ b/benchmarks/together_plays.py
@@ -203,29 +203,29 @@
         limiter.does(lambda: self._look(limiter, id, account, ("lookup", "basic", target + account.encode())))
 
     def _look(self, limiter: closing_world.Limiter, id: str, account: str, key: CacheKey) -> None:
-        keeper, now = limiter.keeper, self.world.now
-        found = keeper.find_answer(id, account, key)
+        cache, now = limiter.cache, self.world.now
+        found = cache.find_answer(id, account, key)
         if found is not None:
             self.harness.put(Kind.ANSWER, id=id, status=200, made=float(found[0].body), kept=True)
             return
-        sent, took = keeper.stamp_lookup(account), self._rng.uniform(0.005, 0.05)
+        sent, took = cache.stamp_lookup(account), self._rng.uniform(0.005, 0.05)
         made = now + took / 2
 
         def answered() -> None:
-            if sent is not None and limiter.keeper is keeper:
-                keeper.store_answer(account, key, sent, b"", repr(made).encode())
+            if sent is not None and limiter.cache is cache:
+                cache.store_answer(account, key, sent, b"", repr(made).encode())
             self.harness.put(Kind.ANSWER, id=id, status=200, made=made, kept=False)
 
         self.world.at(now + took, lambda: limiter.does(answered))
 
     def handover(self, limiter: closing_world.Limiter, account: str) -> None:
         """A request that is not safe to repeat."""
-        keeper = limiter.keeper
+        cache = limiter.cache
 
         def begins() -> None:
-            keeper.begin_write(account)
+            cache.begin_write(account)
             self.world.at(
-                self.world.now + 0.05, lambda: limiter.does(lambda: keeper.end_write(account, True, True))
+                self.world.now + 0.05, lambda: limiter.does(lambda: cache.end_write(account, True, True))
             )
 
         limiter.does(begins)
--- a/tests/closing/world.py
+++ b/tests/closing/world.py
@@ -183,7 +183,7 @@
         self.start()
 
     def __repr__(self) -> str:
-        return f"<{self.name} life {self.life}, {self.off:+.3f} s, {self.keeper!r}>"
+        return f"<{self.name} life {self.life}, {self.off:+.3f} s, {self.cache!r}>"
 
     def mono(self) -> float:
         return self.world.now + self._base
@@ -196,18 +196,18 @@
         self.life = max(self.life + 1, int(self.wall() * 1000))
         self.up, self.paused, self.waits = True, 0.0, []
         self.view, self.history = View(self, self.life), Record(lambda: self.world.now)
-        self.keeper = self.world.make(
+        self.cache = self.world.make(
             self.options, self.view, self.mono, self.wall, self.history, self.world.named
         )
-        self.keeper.begin()
+        self.cache.begin()
         life = self.life
         self.world.at(self.world.now + self.world.rng.uniform(0, TICK), lambda: self._tick(life))
         self.world.at(self.world.now + self.world.rng.uniform(0, PERIOD), lambda: self._gossip(life))
 
     @property
     def closing(self) -> ClosingCache:
-        assert isinstance(self.keeper, ClosingCache)
-        return self.keeper
+        assert isinstance(self.cache, ClosingCache)
+        return self.cache
 
     def kill(self) -> None:
         self.up = False
@@ -239,7 +239,7 @@
         late = self.world.rng.uniform(0, self.world.late)
         if self.world.now >= self.paused:
             self.view.look()
-            self.keeper.look()
+            self.cache.look()
         self.world.at(max(self.world.now, self.paused) + TICK + late, lambda: self._tick(life))
 
     def _gossip(self, life: int) -> None:
@@ -350,27 +350,27 @@
     def _lookup(self, limiter: Limiter, account: str, target: str, took: float | None) -> None:
         self.asked += 1
         key: CacheKey = ("lookup", "basic", f"{target}?account={account}".encode())
-        keeper, now = limiter.keeper, self.world.now
-        found = keeper.find_answer(str(self.asked), account, key)
+        cache, now = limiter.cache, self.world.now
+        found = cache.find_answer(str(self.asked), account, key)
         if found is not None:
             self.hits += 1
             made = float(found[0].body)
             why = self.truth.stale(account, made, now, limiter.name, self.bound)
-            if not why and (keeper, account) in self.under_way:
+            if not why and (cache, account) in self.under_way:
                 why = "change under way"
             if why:
                 self.stale.append((why, now, limiter.name, account, made))
             if self.watch is not None:
                 self.watch(limiter, account, made)
             return
-        sent = keeper.stamp_lookup(account)
+        sent = cache.stamp_lookup(account)
         if sent is None:
             return
         took = self.world.rng.uniform(0.005, self.took) if took is None else took
 
         def answered() -> None:
-            if limiter.keeper is keeper:
-                keeper.store_answer(account, key, sent, b"", repr(now).encode())
+            if limiter.cache is cache:
+                cache.store_answer(account, key, sent, b"", repr(now).encode())
 
         self.world.at(now + took, lambda: limiter.does(answered))
 
@@ -379,14 +379,14 @@
         limiter.does(lambda: self._change(limiter, account, took))
 
     def _change(self, limiter: Limiter, account: str, took: float) -> None:
-        keeper, done = limiter.keeper, self.world.now + took / 2
-        keeper.begin_write(account)
-        self.under_way.append((keeper, account))
+        cache, done = limiter.cache, self.world.now + took / 2
+        cache.begin_write(account)
+        self.under_way.append((cache, account))
 
         def changed() -> None:
-            self.under_way.remove((keeper, account))
-            if limiter.keeper is keeper:
-                keeper.end_write(account, True, True)
+            self.under_way.remove((cache, account))
+            if limiter.cache is cache:
+                cache.end_write(account, True, True)
                 self.truth.changes.setdefault(account, []).append((self.world.now, done, limiter.name))
 
         self.world.at(self.world.now + took, lambda: limiter.does(changed))
