--- a/benchmarks/together_plays.py
+++ b/benchmarks/together_plays.py
@@ -200,7 +200,9 @@
         self._asked += 1
         id, target = str(self._asked), self._rng.choice((b"/a", b"/b"))
         self.harness.put(Kind.CALL, id=id, account=account, plan="basic", cls="lookup", limiter=limiter.name)
-        limiter.does(lambda: self._look(limiter, id, account, ("lookup", "basic", target + account.encode())))
+        limiter.deliver(
+            lambda: self._look(limiter, id, account, ("lookup", "basic", target + account.encode()))
+        )
 
     def _look(self, limiter: closing_world.Limiter, id: str, account: str, key: CacheKey) -> None:
         cache, now = limiter.cache, self.world.now
@@ -216,7 +218,7 @@
                 cache.store_answer(account, key, sent, b"", repr(made).encode())
             self.harness.put(Kind.ANSWER, id=id, status=200, made=made, kept=False)
 
-        self.world.at(now + took, lambda: limiter.does(answered))
+        self.world.at(now + took, lambda: limiter.deliver(answered))
 
     def handover(self, limiter: closing_world.Limiter, account: str) -> None:
         """A request that is not safe to repeat."""
@@ -225,10 +227,10 @@
         def begins() -> None:
             cache.begin_write(account)
             self.world.at(
-                self.world.now + 0.05, lambda: limiter.does(lambda: cache.end_write(account, True, True))
+                self.world.now + 0.05, lambda: limiter.deliver(lambda: cache.end_write(account, True, True))
             )
 
-        limiter.does(begins)
+        limiter.deliver(begins)
 
     async def purge(self, limiter: closing_world.Limiter, account: str) -> None:
         """By hand, at an operator's call."""
--- a/tests/closing/world.py
+++ b/tests/closing/world.py
@@ -224,7 +224,7 @@
         for what in waits:
             what()
 
-    def does(self, what: Callable[[], None]) -> None:
+    def deliver(self, what: Callable[[], None]) -> None:
         """Now, or when it wakes; never where its life has ended."""
         if not self.up:
             return
@@ -301,7 +301,7 @@
             if to is other.view:
                 to.hears(sender.name, *said)
 
-        self.at(self.now + late, lambda: other.does(comes))
+        self.at(self.now + late, lambda: other.deliver(comes))
 
 
 @dataclass(slots=True)
@@ -345,7 +345,7 @@
     def lookup(
         self, limiter: Limiter, account: str, target: str = "/lookup", took: float | None = None
     ) -> None:
-        limiter.does(lambda: self._lookup(limiter, account, target, took))
+        limiter.deliver(lambda: self._lookup(limiter, account, target, took))
 
     def _lookup(self, limiter: Limiter, account: str, target: str, took: float | None) -> None:
         self.asked += 1
@@ -372,11 +372,11 @@
             if limiter.cache is cache:
                 cache.store_answer(account, key, sent, b"", repr(now).encode())
 
-        self.world.at(now + took, lambda: limiter.does(answered))
+        self.world.at(now + took, lambda: limiter.deliver(answered))
 
     def change(self, limiter: Limiter, account: str, took: float = 0.05) -> None:
         """A request that is not safe to repeat; a server carries it out in the middle of its time."""
-        limiter.does(lambda: self._change(limiter, account, took))
+        limiter.deliver(lambda: self._change(limiter, account, took))
 
     def _change(self, limiter: Limiter, account: str, took: float) -> None:
         cache, done = limiter.cache, self.world.now + took / 2
@@ -389,7 +389,7 @@
                 cache.end_write(account, True, True)
                 self.truth.changes.setdefault(account, []).append((self.world.now, done, limiter.name))
 
-        self.world.at(self.world.now + took, lambda: limiter.does(changed))
+        self.world.at(self.world.now + took, lambda: limiter.deliver(changed))
 
     def rate(self) -> float:
         return self.hits / max(1, self.asked)
