--- a/benchmarks/closing_stale.py
+++ b/benchmarks/closing_stale.py
@@ -317,21 +317,21 @@
     def _step(self) -> None:
         limiter = self._any()
         by = self.rng.choice((-3600.0, -20.0, -2.0, -0.5, -0.1, 0.1, 0.5, 3600.0))
-        limiter.off += by
+        limiter.clock_offset += by
         self.world.at(self.world.now + self.rng.uniform(1, 10), lambda: self._step_back(limiter, by))
 
     def _step_back(self, limiter: Limiter, by: float) -> None:
-        limiter.off -= by
+        limiter.clock_offset -= by
 
     def _run(self) -> None:
         limiter, rate, end = self._any(), self.rng.choice((-0.01, 0.003, 0.01, 0.03)), self.world.now + 15
 
         def run() -> None:
-            limiter.off += rate * 0.05
+            limiter.clock_offset += rate * 0.05
             if self.world.now < end:
                 self.world.at(self.world.now + 0.05, run)
             else:
-                limiter.off = self.rng.uniform(-0.4, 0.4) * BOUND
+                limiter.clock_offset = self.rng.uniform(-0.4, 0.4) * BOUND
 
         run()
 
--- a/benchmarks/together_plays.py
+++ b/benchmarks/together_plays.py
@@ -272,8 +272,8 @@
     at(100, lambda: world.cut({"d"}, {"a", "b", "c"}))
     at(120, world.cuts.clear)
     at(145, lambda: d.pause(5.2))
-    at(150.6, lambda: setattr(c, "off", -3.0))
-    at(156, lambda: setattr(c, "off", 0.0))
+    at(150.6, lambda: setattr(c, "clock_offset", -3.0))
+    at(156, lambda: setattr(c, "clock_offset", 0.0))
 
     def by_hand(limiter: closing_world.Limiter) -> None:
         purges.append(asyncio.ensure_future(desk.purge(limiter, ACCOUNTS[1])))
--- a/tests/closing/test_together.py
+++ b/tests/closing/test_together.py
@@ -160,11 +160,11 @@
         day = Day()
         day.until(CLOSE + 4)
         assert len(day[0].history.of(Kind.CLOSED)) == 2
-        day[0].off -= step
+        day[0].clock_offset -= step
         day.run(10)
         assert len(day[0].history.of(Kind.CLOSED)) == 2
         assert day[0].closing.doubt.value in ("clock", "stepped", "")
-        day[0].off += step
+        day[0].clock_offset += step
         assert hits_of(day, day[0], 15) > 0
 
 
@@ -173,7 +173,7 @@
         day = Day(4)
 
         def drift(day: Day = day, rate: float = rate) -> None:
-            day[2].off += rate * 0.1
+            day[2].clock_offset += rate * 0.1
             day.world.at(day.world.now + 0.1, drift)
 
         day.until(CLOSE - 14)
--- a/tests/closing/world.py
+++ b/tests/closing/world.py
@@ -174,7 +174,7 @@
     """One limiter through its lives."""
 
     def __init__(self, world: World, name: str, options: Options, off: float = 0.0) -> None:
-        self.world, self.name, self.options, self.off = world, name, options, off
+        self.world, self.name, self.options, self.clock_offset = world, name, options, off
         self._base = world.rng.uniform(0, 1e6)
         self.paused = 0.0  # until then
         self.up = False
@@ -183,13 +183,13 @@
         self.start()
 
     def __repr__(self) -> str:
-        return f"<{self.name} life {self.life}, {self.off:+.3f} s, {self.cache!r}>"
+        return f"<{self.name} life {self.life}, {self.clock_offset:+.3f} s, {self.cache!r}>"
 
     def mono(self) -> float:
         return self.world.now + self._base
 
     def wall(self) -> float:
-        return self.world.now + self.off
+        return self.world.now + self.clock_offset
 
     def start(self) -> None:
         """A new life: nothing of the one before is left but its name."""
