--- a/cypresspulley/closing/calendar.py
+++ b/cypresspulley/closing/calendar.py
@@ -1,12 +1,15 @@
-"""Calendars of places of business, and the closings that they come to. No I/O and no clock but the pinned time zones.
+"""Calendars of places of business and the closing instants that they define. No I/O; the only clock data is tzdata.
 
-A *closing* is an instant; the *ordinal* of an instant is how many closings of its place lie at or before it. It only
-grows with time, whatever summer time does: a local time that a change of the clocks repeats closes once, at its first
-occurrence, and one that it skips closes as long after the change as it would have stood after its begin (both as RFC
-5545, 3.3.5 has it). Closings of one place that fall on one instant are one closing.
+A *closing* is an instant. The *ordinal* of an instant is the number of closings of its place at or before it, so it
+only grows with time, whatever daylight saving time does. As in RFC 5545, 3.3.5, a local time that occurs twice closes
+once, at its first occurrence, and a local time that is skipped is read with the UTC offset from before the gap.
+Closings of one place that fall on one instant count as one closing.
 
-Which times a day has, from strong to weak: a change at short notice, a special day, a holiday (none), its weekday's.
-Zones are those of the pinned package ``tzdata``, never the machine's: its version is part of what limiters agree on.
+The times of a day come from the first of these that has it: a change at short notice, a special day, a holiday (no
+closing), the weekday.
+
+Time zones come from the pinned package ``tzdata``, never from the machine, because limiters have to agree on its
+version.
 """
 
 from __future__ import annotations
@@ -19,16 +22,18 @@
 from importlib import import_module, resources
 from zoneinfo import ZoneInfo
 
-ZONES_VERSION = str(import_module("tzdata").IANA_VERSION)
-MOST_DAYS = 20_000  # of one version's closings: beyond these no instant has an ordinal
-STEP_DAYS = 400  # worked out at a time
-EDGE_DAYS = 3  # a zone that leaves out a day puts closings of one date behind those of the next
-GENERATIONS = 1_000_000  # of one version: ordinals stay below
+TZDATA_VERSION = str(import_module("tzdata").IANA_VERSION)
+MAX_TIMELINE_DAYS = 20_000  # days of closings per version; an instant beyond them has no ordinal
+TIMELINE_STEP_DAYS = 400  # days computed at a time
+# Days computed on either side. In a zone that skips a calendar day, closings of one date can come after those of the
+# next date.
+ZONE_MARGIN_DAYS = 3
+GENERATIONS_PER_VERSION = 1_000_000  # exclusive upper bound of the ordinals within one version
 
 
 @lru_cache(maxsize=128)
-def zone_of(key: str) -> ZoneInfo:
-    """A zone of the pinned package. ``ValueError`` for one that it does not have."""
+def load_zone(key: str) -> ZoneInfo:
+    """Returns a zone of the pinned package. Raises ``ValueError`` if the package does not have it."""
     parts = key.split("/")
     if len(key) > 64 or any(not part or part.startswith(".") for part in parts):
         raise ValueError(f"no time zone: {key!r:.80}")
@@ -41,7 +46,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Local times of closings. ``weekdays`` has seven entries, Monday's first; a day of no times has no closing."""
+    """Local closing times of one place.
+
+    ``weekdays`` has seven entries, starting with Monday. A day without times has no closing.
+    """
 
     name: str
     zone: str
@@ -50,71 +58,75 @@
     special: Mapping[date, tuple[time, ...]] = field(default_factory=dict)
     changes: Mapping[date, tuple[time, ...]] = field(default_factory=dict)
 
-    def times(self, day: date) -> tuple[time, ...]:
-        """The local times at which a day has a closing."""
+    def closing_times(self, day: date) -> tuple[time, ...]:
+        """Returns the local times of a day's closings."""
         for days in (self.changes, self.special):
             if day in days:
                 return days[day]
         return () if day in self.holidays else self.weekdays[day.weekday()]
 
-    def instants(self, day: date) -> list[int]:
-        """The closings of a day, Unix seconds."""
-        zone = zone_of(self.zone)
-        return [int(datetime.combine(day, at, zone).timestamp()) for at in self.times(day)]
+    def closing_instants(self, day: date) -> list[int]:
+        """Returns the closings of a day in Unix seconds."""
+        zone = load_zone(self.zone)
+        return [int(datetime.combine(day, at, zone).timestamp()) for at in self.closing_times(day)]
 
 
 class Timeline:
-    """The closings of one place from a day on, worked out as far as they are asked for."""
+    """The closings of one place, starting ``ZONE_MARGIN_DAYS`` before ``since`` and computed on demand."""
 
     def __init__(self, place: Place, since: float) -> None:
         self.place = place
-        self._first = datetime.fromtimestamp(since, UTC).date() - timedelta(days=EDGE_DAYS)
-        self._days = 0
-        self._found = set[int]()
+        self._first_day = datetime.fromtimestamp(since, UTC).date() - timedelta(days=ZONE_MARGIN_DAYS)
+        self._computed_days = 0
+        self._instants = set[int]()
         self._closings = list[int]()
-        self._sure = float("-inf")  # instants up to which ``_closings`` is whole
+        self._complete_until = float("-inf")  # ``_closings`` has every closing before this instant
 
     def __repr__(self) -> str:
-        return f"<Timeline {self.place.name}, {len(self._closings)} closings over {self._days} days>"
-
-    def _until(self, t: float) -> None:
-        """``ValueError`` for an instant beyond ``MOST_DAYS``."""
-        while t >= self._sure:
-            if self._days >= MOST_DAYS:
-                raise ValueError(f"beyond {MOST_DAYS} days of a calendar")
-            for _ in range(STEP_DAYS):
-                self._found.update(self.place.instants(self._first + timedelta(days=self._days)))
-                self._days += 1
-            self._closings = sorted(self._found)
-            end = datetime.combine(self._first + timedelta(days=self._days - EDGE_DAYS), time(), UTC)
-            self._sure = end.timestamp()
+        return f"<Timeline {self.place.name}, {len(self._closings)} closings over {self._computed_days} days>"
+
+    def _extend_to(self, t: float) -> None:
+        """Computes all closings up to ``t``. Raises ``ValueError`` beyond ``MAX_TIMELINE_DAYS``."""
+        while t >= self._complete_until:
+            if self._computed_days >= MAX_TIMELINE_DAYS:
+                raise ValueError(f"beyond {MAX_TIMELINE_DAYS} days of a calendar")
+            for _ in range(TIMELINE_STEP_DAYS):
+                self._instants.update(
+                    self.place.closing_instants(self._first_day + timedelta(days=self._computed_days))
+                )
+                self._computed_days += 1
+            self._closings = sorted(self._instants)
+            end = datetime.combine(
+                self._first_day + timedelta(days=self._computed_days - ZONE_MARGIN_DAYS), time(), UTC
+            )
+            self._complete_until = end.timestamp()
 
     def ordinal(self, t: float) -> int:
-        """How many closings lie at or before an instant (Unix seconds)."""
-        self._until(t)
+        """Returns the number of closings at or before an instant (Unix seconds)."""
+        self._extend_to(t)
         return bisect_right(self._closings, t)
 
     def closings_between(self, t0: float, t1: float) -> list[tuple[int, int]]:
-        """Ordinal and instant of each closing in (t0, t1]."""
-        self._until(t1)
+        """Returns ordinal and instant of each closing in (t0, t1]."""
+        self._extend_to(t1)
         first, last = bisect_right(self._closings, t0), bisect_right(self._closings, t1)
         return [(at + 1, self._closings[at]) for at in range(first, last)]
 
     def is_near_closing(self, t: float, bound: float) -> bool:
-        """Whether a closing lies within ``bound`` seconds of an instant, either way."""
-        self._until(t + bound)
+        """Returns whether a closing lies at most ``bound`` seconds before or after an instant."""
+        self._extend_to(t + bound)
         at = bisect_right(self._closings, t + bound)
         return at > 0 and self._closings[at - 1] >= t - bound
 
 
 class Calendar:
-    """One version: places, which account is at which, and the instant from which it is in force."""
+    """One version: its places, the place of each account, and the instant from which it is in force."""
 
     def __init__(
         self, version: int, in_force: float, places: Mapping[str, Place], accounts: Mapping[str, str]
     ) -> None:  # fmt: skip
         self.version, self.in_force, self.places, self.accounts = version, in_force, places, accounts
-        self._lines = {name: Timeline(place, in_force) for name, place in places.items()}
+        self._timelines = {name: Timeline(place, in_force) for name, place in places.items()}
 
     def __repr__(self) -> str:
         return (
@@ -123,12 +135,14 @@
         )
 
     def timeline(self, place: str) -> Timeline:
-        return self._lines[place]
+        return self._timelines[place]
 
-    def reaches(self, t: float) -> bool:
-        """Whether it can tell the closings round an instant: not centuries after it came into force."""
-        return t < self.in_force + (MOST_DAYS - 2 * STEP_DAYS) * 86_400
+    def covers(self, t: float) -> bool:
+        """Returns whether the closings around an instant are known, which ends decades after it came into force."""
+        return t < self.in_force + (MAX_TIMELINE_DAYS - 2 * TIMELINE_STEP_DAYS) * 86_400
 
     def generation(self, place: str, t: float) -> int:
-        """Of what is kept there: it grows with each closing and each version, and says which one."""
-        return self.version * GENERATIONS + min(self._lines[place].ordinal(t), GENERATIONS - 1)
+        """Returns the generation of answers cached at ``t``, which grows with each closing and each version."""
+        return self.version * GENERATIONS_PER_VERSION + min(
+            self._timelines[place].ordinal(t), GENERATIONS_PER_VERSION - 1
+        )
--- a/cypresspulley/closing/closing_tracker.py
+++ b/cypresspulley/closing/closing_tracker.py
@@ -42,7 +42,7 @@
 
 
 def _between(calendar: Calendar | None, t0: float, t1: float) -> list[Closed]:
-    if calendar is None or not calendar.reaches(t1):
+    if calendar is None or not calendar.covers(t1):
         return []
     found = [
         Closed(place, calendar.version, ordinal, at)
--- a/cypresspulley/closing/eligibility.py
+++ b/cypresspulley/closing/eligibility.py
@@ -38,7 +38,7 @@
         if clock := self.clock(now, wall):
             return clock
         calendar = self.book.at(wall)
-        return BypassReason.CALENDAR if calendar is None or not calendar.reaches(wall) else BypassReason.NONE
+        return BypassReason.CALENDAR if calendar is None or not calendar.covers(wall) else BypassReason.NONE
 
     def clock(self, now: float, wall: float) -> BypassReason:
         """Whether the wall clock may be acted on."""
--- a/cypresspulley/closing/limiter.py
+++ b/cypresspulley/closing/limiter.py
@@ -230,7 +230,7 @@
         gone = self._noticed.collect_closings(before, book.current, wall)
         if turned and book.current is not None:
             self.calendars.told(book.current, Taken.FORCE)
-        if (turned or gone) and book.current is not None and book.current.reaches(wall):
+        if (turned or gone) and book.current is not None and book.current.covers(wall):
             self._give_back(gone, book.current, wall)
 
     def _give_back(self, closings: list[Closed], calendar: Calendar, wall: float) -> None:
--- a/cypresspulley/closing/options.py
+++ b/cypresspulley/closing/options.py
@@ -38,7 +38,7 @@
 from typing import Any
 
 from cypresspulley import interface as api
-from cypresspulley.closing.calendar import Calendar, Place, zone_of
+from cypresspulley.closing.calendar import Calendar, Place, load_zone
 from cypresspulley.fleet.records import NAME_FORM
 from cypresspulley.operators import OperatorsError
 
@@ -174,7 +174,7 @@
     check.keys(key + ".", table, ("zone", "weekdays", "holidays", "special", "changes"))
     zone = table.get("zone")
     try:
-        zone_of(zone if isinstance(zone, str) else "")
+        load_zone(zone if isinstance(zone, str) else "")
     except ValueError:
         raise check.fail(f"{key}.zone", "a time zone such as Asia/Kolkata", zone) from None
     weekdays = check.table(f"{key}.weekdays", table.get("weekdays", {}), len(DAYS))
--- a/cypresspulley/closing/peers.py
+++ b/cypresspulley/closing/peers.py
@@ -4,7 +4,7 @@
 
 from hashlib import blake2s
 
-from cypresspulley.closing.calendar import ZONES_VERSION
+from cypresspulley.closing.calendar import TZDATA_VERSION
 from cypresspulley.closing.calendar_store import Book
 from cypresspulley.closing.lease import Lease, Life
 from cypresspulley.closing.membership import Roster
@@ -31,7 +31,9 @@
         self._agreed: tuple[tuple[object, ...], bytes] = ((), b"")  # of what, and its digest
         self._members: tuple[Member, ...] = ()
         # Limiters that reckon with other bounds or other time zones must not rely on each other.
-        self._ground = f"{ZONES_VERSION} {options.lease_seconds} {options.clock_bound} {options.lost_seconds}"
+        self._ground = (
+            f"{TZDATA_VERSION} {options.lease_seconds} {options.clock_bound} {options.lost_seconds}"
+        )
 
     def __repr__(self) -> str:
         return f"<Peers {len(self.rows)} present, {self.roster!r}>"
--- a/tests/closing/test_calendar.py
+++ b/tests/closing/test_calendar.py
@@ -9,7 +9,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cypresspulley.closing.calendar import GENERATIONS, MOST_DAYS, Calendar, Place, Timeline, zone_of
+from cypresspulley.closing.calendar import (
+    GENERATIONS_PER_VERSION,
+    MAX_TIMELINE_DAYS,
+    Calendar,
+    Place,
+    Timeline,
+    load_zone,
+)
 
 NEVER: tuple[tuple[time, ...], ...] = ((),) * 7
 
@@ -58,9 +65,9 @@
         "v", "Asia/Kolkata", daily(time(18)), frozenset({christmas, next_day, eve}),
         {eve: (time(14),), next_day: (time(15),)}, {next_day: (time(12),)},
     )  # fmt: skip
-    assert place.times(date(2026, 12, 23)) == (time(18),)
-    assert place.times(christmas) == () and place.times(eve) == (time(14),)
-    assert place.times(next_day) == (time(12),)
+    assert place.closing_times(date(2026, 12, 23)) == (time(18),)
+    assert place.closing_times(christmas) == () and place.closing_times(eve) == (time(14),)
+    assert place.closing_times(next_day) == (time(12),)
 
 
 def test_two_zones_may_close_at_one_instant() -> None:
@@ -82,13 +89,16 @@
     old, new = (Calendar(n, begin + n * 86_400, {"v": place}, {}) for n in (1, 2))
     t = begin + 5 * 86_400
     assert old.generation("v", t + 86_400) == old.generation("v", t) + 1
-    assert new.generation("v", t) > old.generation("v", t + 300 * 86_400) and GENERATIONS > MOST_DAYS * 8
+    assert (
+        new.generation("v", t) > old.generation("v", t + 300 * 86_400)
+        and GENERATIONS_PER_VERSION > MAX_TIMELINE_DAYS * 8
+    )
 
 
 def test_an_instant_beyond_all_days_has_no_ordinal() -> None:
     line = Timeline(Place("v", "Etc/UTC", NEVER), 0.0)
     with pytest.raises(ValueError, match="beyond"):
-        line.ordinal((MOST_DAYS + 10) * 86_400.0)
+        line.ordinal((MAX_TIMELINE_DAYS + 10) * 86_400.0)
 
 
 def test_zones_are_the_packages_own() -> None:
@@ -104,8 +114,8 @@
         "zone.tab",
     ):
         with pytest.raises(ValueError, match="no time zone"):
-            zone_of(bad)
-    assert zone_of("Asia/Kolkata").key == "Asia/Kolkata"
+            load_zone(bad)
+    assert load_zone("Asia/Kolkata").key == "Asia/Kolkata"
 
 
 ZONES = ("Asia/Kolkata", "America/New_York", "Australia/Lord_Howe", "Europe/Lisbon", "Africa/Casablanca")
@@ -130,7 +140,7 @@
     found = set[int]()
     day = datetime.fromtimestamp(begin, UTC).date() - timedelta(days=3)
     while day <= datetime.fromtimestamp(end, UTC).date() + timedelta(days=3):
-        for wanted in place.times(day):
+        for wanted in place.closing_times(day):
             local = datetime.combine(day, wanted)
             guess = int(local.replace(tzinfo=UTC).timestamp())
             hits = [
