--- a/benchmarks/closing_stale.py
+++ b/benchmarks/closing_stale.py
@@ -31,9 +31,7 @@
 from cypresspulley.closing.calendar_store import decode, encode
 from cypresspulley.closing.limiter import ClosingCache
 from cypresspulley.closing.options import Options
-from cypresspulley.closing.row import Said
-from cypresspulley.closing.row import decode as read_row
-from cypresspulley.closing.row import encode as write_row
+from cypresspulley.closing.row import LimiterRow, decode_row, encode_row
 from cypresspulley.histories.events import Kind
 from cypresspulley.operators import OperatorsError
 from tests.closing.mutants import MUTANTS, applied
@@ -68,7 +66,7 @@
         self._calendar = calendar
         digest = bytes.fromhex(self._view.offer(encode(calendar)))
         self._view.publish(
-            "closing", write_row(Said(0, 0, b"12345678", calendar.version, digest, 0, 0, b"", b""))
+            "closing", encode_row(LimiterRow(0, 0, b"12345678", calendar.version, digest, 0, 0, b"", b""))
         )
         now, wall = self._clock(), self._wall()
         for place in calendar.places:
@@ -77,11 +75,11 @@
 
     def look(self) -> None:
         for row in self._view.rows(self._clock(), "closing"):
-            said = read_row(row.body)
-            if said is not None and said.version > self._calendar.version:
-                body = self._view.document(said.digest.hex())
+            said = decode_row(row.body)
+            if said is not None and said.calendar_version > self._calendar.version:
+                body = self._view.document(said.calendar_digest.hex())
                 if body is None:
-                    self._view.want(said.digest.hex())
+                    self._view.want(said.calendar_digest.hex())
                 else:
                     self.tell(decode(body))
         self._fire()
--- a/cypresspulley/closing/calendar_store.py
+++ b/cypresspulley/closing/calendar_store.py
@@ -14,7 +14,7 @@
 
 from cypresspulley.closing.calendar import Calendar, Place
 from cypresspulley.closing.options import DAYS, calendar_from
-from cypresspulley.closing.row import ACCOUNT_BYTES, pack
+from cypresspulley.closing.row import ACCOUNT_BYTES, pack_account
 from cypresspulley.fleet.records import MOST_DOCUMENT
 from cypresspulley.operators import OperatorsError
 
@@ -33,7 +33,7 @@
     places = {name: _place(place) for name, place in sorted(calendar.places.items())}
     accounts = {name: b"" for name in places}
     for account, place in sorted(calendar.accounts.items()):
-        accounts[place] += pack(account)
+        accounts[place] += pack_account(account)
     body = msgspec.msgpack.encode([calendar.version, calendar.in_force, places, accounts])
     if len(body) > MOST_DOCUMENT:
         raise OperatorsError(
--- a/cypresspulley/closing/lease.py
+++ b/cypresspulley/closing/lease.py
@@ -23,7 +23,7 @@
 from typing import NamedTuple
 
 from cypresspulley.closing.options import LEASE_WAIT_FACTOR
-from cypresspulley.closing.row import Said
+from cypresspulley.closing.row import LimiterRow
 
 ROUNDS = 64  # of which the times are kept: a lease that goes back further has run out long since
 MOST_SEEN = 4096  # lives of others
@@ -64,7 +64,7 @@
             self.agreed, self.since = agreed, self.round
             self._said.append((self.round, now))
 
-    def see(self, now: float, rows: Mapping[Life, Said | None]) -> None:
+    def see(self, now: float, rows: Mapping[Life, LimiterRow | None]) -> None:
         """The rows of all others that are there, needed or not."""
         for life, said in rows.items():
             if said is not None and (life not in self._seen or said.round > self._seen[life][0]):
@@ -72,15 +72,15 @@
         if len(self._seen) > MOST_SEEN:
             self._seen = {life: seen for life, seen in self._seen.items() if now < self.out(life)}
 
-    def hear(self, now: float, others: Mapping[Life, Said | None]) -> None:
+    def hear(self, now: float, others: Mapping[Life, LimiterRow | None]) -> None:
         """The rows of all others that are needed, as they are now; None for one that says nothing."""
-        rows = [said for said in others.values() if said is not None and said.agreed == self.agreed]
+        rows = [said for said in others.values() if said is not None and said.view_digest == self.agreed]
         if len(rows) < len(others):
             self.cause = "cut" if None in others.values() else "disagreed"
             return
         self._catch_up(now, max((said.round for said in rows), default=0))
         self._take_step(now, [said.round for said in rows])
-        if not rows or not all(said.round > said.since for said in rows):
+        if not rows or not all(said.round > said.since_round for said in rows):
             self.cause = "starting"
             return
         self.cause = ""
--- a/cypresspulley/closing/peers.py
+++ b/cypresspulley/closing/peers.py
@@ -10,9 +10,7 @@
 from cypresspulley.closing.membership import Roster
 from cypresspulley.closing.options import Options
 from cypresspulley.closing.purge_counters import Applied, Issued
-from cypresspulley.closing.row import AGREED, Said
-from cypresspulley.closing.row import decode as read_row
-from cypresspulley.closing.row import encode as write_row
+from cypresspulley.closing.row import VIEW_DIGEST_BYTES, LimiterRow, decode_row, encode_row
 from cypresspulley.fleet.records import FleetView, Member, Row
 
 SUBSYSTEM = "closing"
@@ -25,8 +23,8 @@
         self._view, self._named = view, named
         self.roster = Roster(options.lost_seconds, named)
         self.issued, self.applied = Issued(), Applied()
-        self.rows = dict[Life, Said | None]()
-        self._read = dict[str, tuple[int, int, Said | None]]()  # by owner: life, version, its row
+        self.rows = dict[Life, LimiterRow | None]()
+        self._read = dict[str, tuple[int, int, LimiterRow | None]]()  # by owner: life, version, its row
         self._said: tuple[object, ...] = ()  # of which the row was made that was said last
         self._agreed: tuple[tuple[object, ...], bytes] = ((), b"")  # of what, and its digest
         self._members: tuple[Member, ...] = ()
@@ -59,17 +57,17 @@
             for member in members
             if member.name != self._view.me
         }
-        self.roster.told(said.roster for said in self.rows.values() if said is not None)
+        self.roster.told(said.known_limiters for said in self.rows.values() if said is not None)
         self.applied.forget(set(self.rows))
         return any(life.name != self._view.me for life in gone)
 
-    def _reading(self, row: Row) -> tuple[int, int, Said | None]:
+    def _reading(self, row: Row) -> tuple[int, int, LimiterRow | None]:
         known = self._read.get(row.owner)
         if known is not None and known[:2] == (row.life, row.version):
             return known
-        return row.life, row.version, read_row(row.body)
+        return row.life, row.version, decode_row(row.body)
 
-    def _of(self, name: str, life: int) -> Said | None:
+    def _of(self, name: str, life: int) -> LimiterRow | None:
         read = self._read.get(name)
         return read[2] if read is not None and read[0] == life else None
 
@@ -84,9 +82,12 @@
 
     def newest(self) -> tuple[int, str] | None:
         """Version and digest of the newest calendar that another holds."""
-        return max(((s.version, s.digest.hex()) for s in self.rows.values() if s is not None), default=None)
+        return max(
+            ((s.calendar_version, s.calendar_digest.hex()) for s in self.rows.values() if s is not None),
+            default=None,
+        )
 
-    def needed(self) -> dict[Life, Said | None] | None:
+    def needed(self) -> dict[Life, LimiterRow | None] | None:
         """The rows of all that have to agree; None where they are no majority, or nobody else was ever seen."""
         others = [life for life in self.roster.needed if life.name != self._view.me]
         if not others or not self.roster.enough(len(others) + 1):
@@ -99,7 +100,7 @@
         if self._agreed[0] != of:
             lives = {life for life in self.roster.needed if life.name != self._view.me} | {self.me}
             text = repr((sorted(map(tuple, lives)), book.rank, self._ground))
-            self._agreed = of, blake2s(text.encode(), digest_size=AGREED).digest()
+            self._agreed = of, blake2s(text.encode(), digest_size=VIEW_DIGEST_BYTES).digest()
         return self._agreed[1]
 
     def say(self, book: Book, lease: Lease) -> None:
@@ -111,8 +112,8 @@
         )  # fmt: skip
         if of != self._said:
             self._said = of
-            said = Said(
+            said = LimiterRow(
                 lease.round, lease.since, lease.agreed, version, bytes.fromhex(digest), self.roster.size,
                 self.issued.count, self.issued.recent, self.applied.echoes,
             )  # fmt: skip
-            self._view.publish(SUBSYSTEM, write_row(said))
+            self._view.publish(SUBSYSTEM, encode_row(said))
--- a/cypresspulley/closing/purge_coordinator.py
+++ b/cypresspulley/closing/purge_coordinator.py
@@ -9,7 +9,7 @@
 from cypresspulley.closing.options import LEASE_WAIT_FACTOR
 from cypresspulley.closing.peers import Peers
 from cypresspulley.closing.purge_counters import echo
-from cypresspulley.closing.row import ACCOUNT
+from cypresspulley.closing.row import ACCOUNT_PATTERN
 from cypresspulley.histories.events import Kind
 from cypresspulley.histories.writer import AnyHistory
 
@@ -18,7 +18,7 @@
 
 def check_account(account: str) -> None:
     """``ValueError`` for what is no account."""
-    if not ACCOUNT.fullmatch(account) or int(account, 16) >= ACCOUNTS:
+    if not ACCOUNT_PATTERN.fullmatch(account) or int(account, 16) >= ACCOUNTS:
         raise ValueError("expected an account of 16 hex digits in lower case, below 2**33")
 
 
@@ -113,8 +113,10 @@
         said = self._peers.rows[life]
         if said is None:
             return False
-        if said.echoed(echo(self._peers.me, waiting.number)):
+        if said.acknowledges(echo(self._peers.me, waiting.number)):
             return True
         return (
-            said.agreed == self._lease.agreed and said.round > said.since and said.round >= waiting.round + 2
+            said.view_digest == self._lease.agreed
+            and said.round > said.since_round
+            and said.round >= waiting.round + 2
         )
--- a/cypresspulley/closing/purge_counters.py
+++ b/cypresspulley/closing/purge_counters.py
@@ -10,14 +10,23 @@
 from hashlib import blake2s
 
 from cypresspulley.closing.lease import Life
-from cypresspulley.closing.row import ECHO, ISSUER, MOST_ECHOES, MOST_RECENT, Said, pack
+from cypresspulley.closing.row import (
+    ACK_BYTES,
+    ACK_ISSUER_BYTES,
+    MAX_ACKS,
+    MAX_RECENT_PURGES,
+    LimiterRow,
+    pack_account,
+)
 
 MOST_ISSUERS = 4096
 
 
 def echo(issuer: Life, count: int) -> bytes:
     """That the first so many purges of an issuer are applied."""
-    return blake2s(repr(tuple(issuer)).encode(), digest_size=ISSUER).digest() + count.to_bytes(ECHO - ISSUER)
+    return blake2s(repr(tuple(issuer)).encode(), digest_size=ACK_ISSUER_BYTES).digest() + count.to_bytes(
+        ACK_BYTES - ACK_ISSUER_BYTES
+    )
 
 
 class Issued:
@@ -25,12 +34,12 @@
 
     def __init__(self) -> None:
         self.count = 0
-        self._recent = deque[bytes](maxlen=MOST_RECENT)
+        self._recent = deque[bytes](maxlen=MAX_RECENT_PURGES)
 
     def issue(self, account: str) -> int:
         """Number one more."""
         self.count += 1
-        self._recent.append(pack(account))
+        self._recent.append(pack_account(account))
         return self.count
 
     @property
@@ -45,17 +54,17 @@
         self._counts = dict[Life, int]()  # whose news came last stands last
         self.echoes = b""  # for this limiter's row: what it was the last to apply
 
-    def hear(self, issuer: Life, said: Said) -> tuple[list[tuple[int, str]], bool]:
+    def hear(self, issuer: Life, said: LimiterRow) -> tuple[list[tuple[int, str]], bool]:
         """Numbers and accounts that are new in a row, and whether there were more of which it names no account."""
         done = self._counts.get(issuer, 0)
-        if said.purges <= done:
+        if said.purge_count <= done:
             return [], False
         self._counts.pop(issuer, None)
-        self._counts[issuer] = said.purges
-        last = list(self._counts)[-MOST_ECHOES:]
+        self._counts[issuer] = said.purge_count
+        last = list(self._counts)[-MAX_ACKS:]
         self.echoes = b"".join(echo(life, self._counts[life]) for life in last)
-        accounts = said.accounts
-        first = said.purges - len(accounts) + 1
+        accounts = said.recent_accounts
+        first = said.purge_count - len(accounts) + 1
         new = [(first + at, account) for at, account in enumerate(accounts) if first + at > done]
         return new, done + 1 < first
 
--- a/tests/closing/test_parts.py
+++ b/tests/closing/test_parts.py
@@ -19,9 +19,7 @@
 from cypresspulley.closing.membership import FORGET, Roster
 from cypresspulley.closing.options import LEASE_WAIT_FACTOR, MOST_ACCOUNTS
 from cypresspulley.closing.purge_counters import Applied, Issued
-from cypresspulley.closing.row import MOST_RECENT, Said
-from cypresspulley.closing.row import decode as read_row
-from cypresspulley.closing.row import encode as write_row
+from cypresspulley.closing.row import MAX_RECENT_PURGES, LimiterRow, decode_row, encode_row
 from cypresspulley.fleet.records import MOST_DOCUMENT, MOST_ROW, Member, State
 from cypresspulley.operators import OperatorsError
 from tests.closing.world import BEGIN
@@ -120,12 +118,12 @@
 
 def said(
     round: int = 5, since: int = 0, agreed: bytes = b"agreed!!", purges: int = 0, recent: bytes = b""
-) -> Said:
-    return Said(round, since, agreed, 1, b"d" * 16, 3, purges, recent, b"")
+) -> LimiterRow:
+    return LimiterRow(round, since, agreed, 1, b"d" * 16, 3, purges, recent, b"")
 
 
 def test_the_largest_row_fits() -> None:
-    most = Said(
+    most = LimiterRow(
         2**53 - 1,
         2**53 - 1,
         b"a" * 8,
@@ -133,17 +131,17 @@
         b"d" * 16,
         4096,
         2**53 - 1,
-        b"\xff" * 5 * MOST_RECENT,
+        b"\xff" * 5 * MAX_RECENT_PURGES,
         b"e" * 33,
     )
-    assert len(write_row(most)) <= MOST_ROW and read_row(write_row(most)) == most
+    assert len(encode_row(most)) <= MOST_ROW and decode_row(encode_row(most)) == most
 
 
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(st.binary(max_size=300))
 def test_foreign_bytes_are_no_row(body: bytes) -> None:
-    found = read_row(body)
-    assert found is None or read_row(write_row(found)) == found
+    found = decode_row(body)
+    assert found is None or decode_row(encode_row(found)) == found
 
 
 @pytest.mark.parametrize(
@@ -158,11 +156,11 @@
         [5, 0, b"a" * 8, 1, b"d" * 16, 3, 1, b"x" * 10, b""],  # more accounts than purges
         [5, 0, b"a" * 8, 1, b"d" * 16, 3, 9, b"", b"e" * 12],
         [5, 0, b"a" * 8, 1, b"d" * 16, 3, 9, b"", b"e" * 44],
-        [5, 0, b"a" * 8, 1, b"d" * 16, 3, 99, b"x" * 5 * (MOST_RECENT + 1), b""],
+        [5, 0, b"a" * 8, 1, b"d" * 16, 3, 99, b"x" * 5 * (MAX_RECENT_PURGES + 1), b""],
     ],
 )
 def test_a_row_that_says_what_cannot_be_is_none(row: list[object]) -> None:
-    assert read_row(msgspec.msgpack.encode(row)) is None
+    assert decode_row(msgspec.msgpack.encode(row)) is None
 
 
 # Purges.
@@ -177,11 +175,11 @@
     issued.issue(A)
     issued.issue(B)
     assert heard() == ([(1, A), (2, B)], False) and heard() == ([], False)
-    for _ in range(MOST_RECENT):
+    for _ in range(MAX_RECENT_PURGES):
         issued.issue(A)
     numbers, more = heard()
-    assert len(numbers) == MOST_RECENT and not more
-    for _ in range(MOST_RECENT + 1):
+    assert len(numbers) == MAX_RECENT_PURGES and not more
+    for _ in range(MAX_RECENT_PURGES + 1):
         issued.issue(A)
     assert heard()[1]
     assert applied.hear(Life("n1", 8), said(purges=1, recent=issued.recent[:5])) == ([(1, A)], False)
@@ -196,7 +194,7 @@
     def __init__(self, name: str) -> None:
         self.life, self.lease = Life(name, 1), Lease(4.0, 0.25)
         self.seen = dict[
-            Life, tuple[Said, float]
+            Life, tuple[LimiterRow, float]
         ]()  # of others: the newest saying here, and when it was said
         self.agreed = b"one  one"
 
@@ -208,7 +206,7 @@
         self.lease.see(now, rows)
         self.lease.hear(now, rows)
 
-    def says(self) -> Said:
+    def says(self) -> LimiterRow:
         return said(self.lease.round, self.lease.since, self.lease.agreed)
 
 
