--- a/benchmarks/closing_stale.py
+++ b/benchmarks/closing_stale.py
@@ -28,7 +28,7 @@
 
 from cypresspulley.closing.cache import CacheKey, Keep, Kept, Sent
 from cypresspulley.closing.calendar import Calendar, Place
-from cypresspulley.closing.calendar_store import decode, encode
+from cypresspulley.closing.calendar_store import decode_calendar, encode_calendar
 from cypresspulley.closing.limiter import ClosingCache
 from cypresspulley.closing.options import Options
 from cypresspulley.closing.row import LimiterRow, decode_row, encode_row
@@ -64,7 +64,7 @@
     def tell(self, calendar: Calendar) -> None:
         """Take a calendar, and say so."""
         self._calendar = calendar
-        digest = bytes.fromhex(self._view.offer(encode(calendar)))
+        digest = bytes.fromhex(self._view.offer(encode_calendar(calendar)))
         self._view.publish(
             "closing", encode_row(LimiterRow(0, 0, b"12345678", calendar.version, digest, 0, 0, b"", b""))
         )
@@ -81,7 +81,7 @@
                 if body is None:
                     self._view.want(said.calendar_digest.hex())
                 else:
-                    self.tell(decode(body))
+                    self.tell(decode_calendar(body))
         self._fire()
         self._looked = self._clock()
 
--- a/cypresspulley/closing/calendar_store.py
+++ b/cypresspulley/closing/calendar_store.py
@@ -1,7 +1,8 @@
-"""The calendar in force, the one that is to follow, and their form as a document for other limiters. No I/O, no clock.
+"""The calendar in force, the one scheduled to follow it, and their encoding as documents for other limiters.
 
-The newest version is the one of the highest number, then of the highest digest: all limiters come to the same. It is in
-force from its instant on, and replaces all before it, also what has not come into force yet. It never goes back.
+No I/O, no clock. The newest calendar is the one with the highest version, then the highest digest, so that all
+limiters choose the same one. It is in force from its instant on and replaces every earlier version, including one that
+has not come into force yet. The store never goes back to an older version.
 """
 
 from __future__ import annotations
@@ -13,24 +14,27 @@
 import msgspec
 
 from cypresspulley.closing.calendar import Calendar, Place
-from cypresspulley.closing.options import DAYS, calendar_from
+from cypresspulley.closing.options import WEEKDAY_KEYS, calendar_from
 from cypresspulley.closing.row import ACCOUNT_BYTES, pack_account
 from cypresspulley.fleet.records import MOST_DOCUMENT
 from cypresspulley.operators import OperatorsError
 
 
-class Taken(Enum):
-    """What became of a calendar that was offered to a book."""
+class AddResult(Enum):
+    """The result of adding a calendar to a store. The values are written to the history."""
 
-    HELD = "held"
-    FORCE = "force"
-    KNOWN = "known"
-    OLDER = "older"
+    SCHEDULED = "held"
+    IN_FORCE = "force"
+    DUPLICATE = "known"
+    OUTDATED = "older"
 
 
-def encode(calendar: Calendar) -> bytes:
-    """A calendar as a document; ``OperatorsError`` where it is too large for one. Equal calendars give equal bytes."""
-    places = {name: _place(place) for name, place in sorted(calendar.places.items())}
+def encode_calendar(calendar: Calendar) -> bytes:
+    """Encodes a calendar as a document. Equal calendars give equal bytes.
+
+    Raises ``OperatorsError`` if the document would exceed ``MOST_DOCUMENT`` bytes.
+    """
+    places = {name: _place_table(place) for name, place in sorted(calendar.places.items())}
     accounts = {name: b"" for name in places}
     for account, place in sorted(calendar.accounts.items()):
         accounts[place] += pack_account(account)
@@ -43,23 +47,23 @@
     return body
 
 
-def _place(place: Place) -> dict[str, Any]:
+def _place_table(place: Place) -> dict[str, Any]:
     def days(table: Any) -> dict[str, list[str]]:
-        return {day.isoformat(): _times(times) for day, times in sorted(table.items())}
+        return {day.isoformat(): _format_times(times) for day, times in sorted(table.items())}
 
     return {
-        "zone": place.zone, "weekdays": {day: _times(t) for day, t in zip(DAYS, place.weekdays, strict=True)},
+        "zone": place.zone, "weekdays": {day: _format_times(t) for day, t in zip(WEEKDAY_KEYS, place.weekdays, strict=True)},
         "holidays": sorted(day.isoformat() for day in place.holidays), "special": days(place.special),
         "changes": [{"date": day, "closes": times} for day, times in days(place.changes).items()],
     }  # fmt: skip
 
 
-def _times(times: tuple[time, ...]) -> list[str]:
+def _format_times(times: tuple[time, ...]) -> list[str]:
     return [each.isoformat() for each in times]
 
 
-def decode(body: bytes) -> Calendar:
-    """A document as a calendar, checked as a file is; ``OperatorsError`` where it is none."""
+def decode_calendar(body: bytes) -> Calendar:
+    """Decodes a document and validates it like a calendar file. Raises ``OperatorsError`` if it is invalid."""
     source = "a calendar from another limiter"
     try:
         version, instant, places, packed = msgspec.msgpack.decode(
@@ -76,8 +80,8 @@
     return calendar_from(raw, source)
 
 
-class Book:
-    """``newest`` is the one that limiters agree on; ``current`` what was last found in force."""
+class CalendarStore:
+    """Holds ``newest``, the calendar that limiters agree on, and ``current``, the one last found in force."""
 
     def __init__(self) -> None:
         self.current: Calendar | None = None
@@ -85,36 +89,36 @@
         self.digest = ""
 
     def __repr__(self) -> str:
-        return f"<Book {self.current!r}, newest {self.newest!r}>"
+        return f"<CalendarStore {self.current!r}, newest {self.newest!r}>"
 
     @property
     def rank(self) -> tuple[int, str]:
-        """What decides which of two versions is the newer one."""
+        """The version and digest of the newest calendar. The calendar of the higher rank is the newer one."""
         return (self.newest.version if self.newest is not None else 0), self.digest
 
-    def take(self, calendar: Calendar, digest: str, wall: float) -> Taken:
-        """A calendar that was read or heard of. ``wall`` is the latest instant that is surely over."""
+    def add(self, calendar: Calendar, digest: str, wall: float) -> AddResult:
+        """Adds a calendar that was loaded or received. ``wall`` is the latest instant that has certainly passed."""
         rank = calendar.version, digest
         if rank <= self.rank:
-            return Taken.KNOWN if rank == self.rank else Taken.OLDER
-        self.advance(wall)  # what was to follow stays only where its instant lies behind
+            return AddResult.DUPLICATE if rank == self.rank else AddResult.OUTDATED
+        self.advance(wall)  # a scheduled calendar survives only if its instant has passed
         self.newest, self.digest = calendar, digest
-        return Taken.FORCE if self.advance(wall) else Taken.HELD
+        return AddResult.IN_FORCE if self.advance(wall) else AddResult.SCHEDULED
 
-    def at(self, wall: float) -> Calendar | None:
-        """The one in force at an instant that is not before any that was asked for."""
+    def in_force_at(self, wall: float) -> Calendar | None:
+        """Returns the calendar in force at an instant, which must not be earlier than in previous calls."""
         newest = self.newest
         return newest if newest is not None and wall >= newest.in_force else self.current
 
     def advance(self, wall: float) -> bool:
-        """The clock is known to be there: whether another version is in force now than before."""
-        found = self.at(wall)
+        """Moves to the calendar in force at ``wall``, a trusted instant. Returns whether that is another one."""
+        found = self.in_force_at(wall)
         changed, self.current = found is not self.current, found
         return changed
 
-    def turning(self, wall: float, bound: float) -> bool:
-        """Whether the change from one version to the next lies within ``bound`` seconds, either way."""
+    def is_near_switch(self, wall: float, bound: float) -> bool:
+        """Returns whether the newest version comes into force at most ``bound`` seconds before or after ``wall``."""
         return self.newest is not None and abs(wall - self.newest.in_force) <= bound
 
 
-__all__ = ["Book", "Taken", "decode", "encode"]
+__all__ = ["AddResult", "CalendarStore", "decode_calendar", "encode_calendar"]
--- a/cypresspulley/closing/calendar_sync.py
+++ b/cypresspulley/closing/calendar_sync.py
@@ -1,4 +1,4 @@
-"""Calendars on their way: from this limiter's operators, and from other limiters."""
+"""Distribution of calendars: loads them from this limiter's operators and fetches newer ones from other limiters."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from cypresspulley.closing.calendar import Calendar
-from cypresspulley.closing.calendar_store import Book, Taken, decode, encode
+from cypresspulley.closing.calendar_store import AddResult, CalendarStore, decode_calendar, encode_calendar
 from cypresspulley.closing.options import Options, load_calendar
 from cypresspulley.fleet.records import FleetView
 from cypresspulley.histories.events import Kind
@@ -16,87 +16,96 @@
 
 log = logging.getLogger(__name__)
 
-MOST_REFUSED = 64  # digests of documents that are no calendars
+MAX_REJECTED_DIGESTS = 64  # remembered digests of documents that are not valid calendars
 
 
-class Calendars:
-    """``late`` is called when a version is in force as soon as it is here: it was told too late for one instant."""
+class CalendarSync:
+    """Adds calendars to the store and records each change in the history.
+
+    ``on_late_calendar`` is called when a version is in force as soon as it arrives: it was announced too late to come
+    into force everywhere at one instant.
+    """
 
     def __init__(
-        self, options: Options, view: FleetView, book: Book, history: AnyHistory, alone: Callable[[], bool],
-        late: Callable[[], None],
+        self, options: Options, view: FleetView, store: CalendarStore, history: AnyHistory,
+        is_alone: Callable[[], bool], on_late_calendar: Callable[[], None],
     ) -> None:  # fmt: skip
-        self._options, self._view, self._book, self._history = options, view, book, history
-        self._alone, self._late = alone, late
-        self._refused = set[str]()
-        self._since: float | None = None  # when the first one was taken
+        self._options, self._view, self._store, self._history = options, view, store, history
+        self._is_alone, self._on_late_calendar = is_alone, on_late_calendar
+        self._rejected_digests = set[str]()
+        self._first_fetch: float | None = None  # time of the first call of ``fetch_newest``
 
-    def reload(self, wall: float, highest: float) -> None:
-        """Read the calendar file again; one that cannot be taken changes nothing but the log and the history."""
-        if not self._options.path:
+    def reload(self, wall: float, latest_trusted: float) -> None:
+        """Reads the calendar file again. An invalid file is logged and recorded; the current calendar stays."""
+        if not self._options.calendar_path:
             return
         try:
-            self.tell(load_calendar(self._options.path), wall, highest)
+            self.announce(load_calendar(self._options.calendar_path), wall, latest_trusted)
         except OperatorsError as error:
-            log.error("closing: the calendar was not reloaded, the last good one holds: %s", error)
-            self._refuse(self._book.rank[0], str(error))
+            log.error("closing: the calendar was not reloaded, the previous one stays in use: %s", error)
+            self._record_rejection(self._store.rank[0], str(error))
 
-    def tell(self, calendar: Calendar, wall: float, highest: float) -> None:
-        """A calendar of this limiter's operators; ``OperatorsError`` says why it cannot be taken."""
-        body, source = encode(calendar), self._options.path or f"calendar {calendar.version}"
-        known, ahead = self._book.rank[0], calendar.in_force - wall
+    def announce(self, calendar: Calendar, wall: float, latest_trusted: float) -> None:
+        """Takes over a calendar from this limiter's operators. Raises ``OperatorsError`` if it cannot be used."""
+        body, source = (
+            encode_calendar(calendar),
+            self._options.calendar_path or f"calendar {calendar.version}",
+        )
+        known, ahead = self._store.rank[0], calendar.in_force - wall
         digest = self._view.offer(body)
-        if (calendar.version, digest) == self._book.rank:
+        if (calendar.version, digest) == self._store.rank:
             return
         if calendar.version <= known:
             raise OperatorsError(f"{source}: version: expected one above {known}, got {calendar.version}")
-        if not self._alone() and ahead < self._options.notice:
-            # Others could not have it by then, and would go on by the old one until their leases end.
+        if not self._is_alone() and ahead < self._options.min_notice_seconds:
+            # Other limiters could miss the deadline and would go on with the old calendar until their leases expire.
             raise OperatorsError(
-                f"{source}: in_force: expected an instant at least {self._options.notice:g} s ahead, "
+                f"{source}: in_force: expected an instant at least {self._options.min_notice_seconds:g} s ahead, "
                 f"got one {ahead:.1f} s ahead"
             )
-        self.take(calendar, body, highest)
+        self.adopt(calendar, body, latest_trusted)
 
-    def take(self, calendar: Calendar, body: bytes, highest: float) -> None:
-        """Hold a calendar, if it is newer. ``highest``: the latest instant that is surely over."""
-        taken = self._book.take(calendar, self._view.offer(body), highest)
-        if taken in (Taken.HELD, Taken.FORCE):
-            self.told(calendar, taken)
-            if taken is Taken.FORCE:
-                self._late()
+    def adopt(self, calendar: Calendar, body: bytes, latest_trusted: float) -> None:
+        """Stores a calendar if it is newer. ``latest_trusted`` is the latest instant that has certainly passed."""
+        result = self._store.add(calendar, self._view.offer(body), latest_trusted)
+        if result in (AddResult.SCHEDULED, AddResult.IN_FORCE):
+            self.record(calendar, result)
+            if result is AddResult.IN_FORCE:
+                self._on_late_calendar()
 
-    def told(self, calendar: Calendar, state: Taken) -> None:
-        log.info("closing: %s: %r", state.value, calendar)
+    def record(self, calendar: Calendar, state: AddResult) -> None:
+        """Logs a calendar's new state and writes it to the history."""
+        log.info("closing: calendar state is now %s: %r", state.value, calendar)
         self._history.put(
             Kind.CALENDAR, version=calendar.version, state=state.value, in_force=calendar.in_force, why=""
         )
 
-    def fetch(self, now: float, newest: tuple[int, str] | None, highest: float) -> None:
-        """Another limiter may hold a newer version."""
-        if self._since is None:
-            self._since = now
-        if newest is None or newest <= self._book.rank or newest[1] in self._refused:
+    def fetch_newest(self, now: float, newest: tuple[int, str] | None, latest_trusted: float) -> None:
+        """Fetches the newest calendar of the other limiters, given by version and digest, if it is newer than ours."""
+        if self._first_fetch is None:
+            self._first_fetch = now
+        if newest is None or newest <= self._store.rank or newest[1] in self._rejected_digests:
             return
-        # Which version is in force until the new one is, only a clock that is trusted can tell: it is soon, or never.
-        if highest == -math.inf and now < self._since + 2 * self._options.lease_seconds:
+        # Only a trusted clock can tell which version is in force until the new one is. Wait two leases for one: by
+        # then the clock is trusted, or it will not be.
+        if latest_trusted == -math.inf and now < self._first_fetch + 2 * self._options.lease_seconds:
             return
         version, digest = newest
         body = self._view.document(digest)
         if body is None:
             return self._view.want(digest)
         try:
-            calendar = decode(body)
+            calendar = decode_calendar(body)
             if calendar.version != version:
                 raise OperatorsError(f"a calendar from another limiter: version: expected {version}")
         except OperatorsError as error:
-            if len(self._refused) >= MOST_REFUSED:
-                self._refused.clear()
-            self._refused.add(digest)
-            log.error("closing: a calendar was refused: %s", error)
-            self._refuse(version, str(error))
+            if len(self._rejected_digests) >= MAX_REJECTED_DIGESTS:
+                self._rejected_digests.clear()
+            self._rejected_digests.add(digest)
+            log.error("closing: rejected a calendar from another limiter: %s", error)
+            self._record_rejection(version, str(error))
         else:
-            self.take(calendar, body, highest)
+            self.adopt(calendar, body, latest_trusted)
 
-    def _refuse(self, version: int, why: str) -> None:
+    def _record_rejection(self, version: int, why: str) -> None:
         self._history.put(Kind.CALENDAR, version=version, state="refused", in_force=0.0, why=why)
--- a/cypresspulley/closing/eligibility.py
+++ b/cypresspulley/closing/eligibility.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from cypresspulley.closing.bypass import BypassReason, Sleep, WallClockMonitor
-from cypresspulley.closing.calendar_store import Book
+from cypresspulley.closing.calendar_store import CalendarStore
 from cypresspulley.closing.lease import Lease
 from cypresspulley.closing.options import Options
 from cypresspulley.fleet.records import FleetView
@@ -20,7 +20,7 @@
 
     def __init__(self, options: Options, view: FleetView, alone: Callable[[], bool]) -> None:
         self._bound, self._view, self._alone = options.clock_bound, view, alone
-        self.book = Book()
+        self.book = CalendarStore()
         self.lease = Lease(options.lease_seconds, min(MOST_STEP, options.lease_seconds / STEPS))
         self.trust, self.sleep = WallClockMonitor(options.clock_bound, options.lease_seconds), Sleep()
 
@@ -37,7 +37,7 @@
                 return BypassReason.WOKEN
         if clock := self.clock(now, wall):
             return clock
-        calendar = self.book.at(wall)
+        calendar = self.book.in_force_at(wall)
         return BypassReason.CALENDAR if calendar is None or not calendar.covers(wall) else BypassReason.NONE
 
     def clock(self, now: float, wall: float) -> BypassReason:
@@ -47,9 +47,9 @@
     def generation(self, account: str, wall: float) -> int | None:
         """Where there is no doubt: the account's generation at an instant; None for one that does not ask for keeping,
         and within the clocks' bound of a closing or of another version."""
-        calendar = self.book.at(wall)
+        calendar = self.book.in_force_at(wall)
         place = calendar.accounts.get(account) if calendar is not None else None
-        if calendar is None or place is None or self.book.turning(wall, self._bound):
+        if calendar is None or place is None or self.book.is_near_switch(wall, self._bound):
             return None
         if calendar.timeline(place).is_near_closing(wall, self._bound):
             return None
--- a/cypresspulley/closing/limiter.py
+++ b/cypresspulley/closing/limiter.py
@@ -15,8 +15,8 @@
 from cypresspulley.closing.bypass import BypassReason
 from cypresspulley.closing.cache import CacheKey, Keep, Kept, Sent
 from cypresspulley.closing.calendar import Calendar
-from cypresspulley.closing.calendar_store import Taken, encode
-from cypresspulley.closing.calendar_sync import Calendars
+from cypresspulley.closing.calendar_store import AddResult, encode_calendar
+from cypresspulley.closing.calendar_sync import CalendarSync
 from cypresspulley.closing.closing_tracker import Closed, ClosingTracker
 from cypresspulley.closing.eligibility import Certainty
 from cypresspulley.closing.node import keeping
@@ -52,7 +52,9 @@
         self.peers = Peers(view, options, named)
         self.sure = Certainty(options, view, self.peers.alone)
         self.purging = PurgeCoordinator(self.peers, self.sure.lease, history, options.lost_seconds)
-        self.calendars = Calendars(options, view, self.sure.book, history, self.peers.alone, self._drop_all)
+        self.calendars = CalendarSync(
+            options, view, self.sure.book, history, self.peers.alone, self._drop_all
+        )
         self.doubt = BypassReason.STARTING
         self._noticed = ClosingTracker()
         self._timer: asyncio.TimerHandle | None = None
@@ -62,13 +64,13 @@
 
     def node(self, kind: type[N]) -> type[N]:
         """A node that serves from what is kept, and otherwise as ``kind`` does."""
-        return keeping(kind, self, self.options.keep)
+        return keeping(kind, self, self.options.cached_classes)
 
     def begin(self) -> None:
         """The view is there from now on; ``look`` is to be called every ``TICK``."""
         self._history.put(Kind.DOUBT, doubt=True, cause=self.doubt.value)
         calendar = self.options.calendar
-        self.calendars.take(calendar, encode(calendar), self.sure.trust.highest)
+        self.calendars.adopt(calendar, encode_calendar(calendar), self.sure.trust.highest)
         self.look()
 
     def start(self) -> None:
@@ -87,7 +89,7 @@
 
     def tell(self, calendar: Calendar) -> None:
         """A calendar of this limiter's operators, as from its file; ``OperatorsError`` says why it cannot be taken."""
-        self.calendars.tell(calendar, self._wall(), self.sure.trust.highest)
+        self.calendars.announce(calendar, self._wall(), self.sure.trust.highest)
 
     def _now(self) -> tuple[float, float]:
         """Both clocks at one moment: a process that is held up between two readings would take that for a step."""
@@ -186,7 +188,7 @@
         if self.peers.look(now):
             self._drop_all()  # the last purges of who has gone may not have come here
         self._hear_purges(now)
-        self.calendars.fetch(now, self.peers.newest(), sure.trust.highest)
+        self.calendars.fetch_newest(now, self.peers.newest(), sure.trust.highest)
         for account in self.purging.due(now):
             self.keep.purge(account, now, now)
             self.purging.issue(account)
@@ -229,7 +231,7 @@
         before, turned = book.current, book.advance(wall)
         gone = self._noticed.collect_closings(before, book.current, wall)
         if turned and book.current is not None:
-            self.calendars.told(book.current, Taken.FORCE)
+            self.calendars.record(book.current, AddResult.IN_FORCE)
         if (turned or gone) and book.current is not None and book.current.covers(wall):
             self._give_back(gone, book.current, wall)
 
--- a/cypresspulley/closing/options.py
+++ b/cypresspulley/closing/options.py
@@ -1,29 +1,31 @@
-"""The operators' table ``[closing]`` and the calendar file that it names: both checked key by key, refused whole.
+"""The operators' table ``[closing]`` and the calendar file that it names, validated key by key.
+
+A table or file with an error is rejected as a whole.
 
     [closing]
-    calendars = "calendars.toml"    # as seen from the operators' file; SIGHUP reads it again
-    keep = ["lookup"]               # classes of the settings whose answers may be kept: those that are safe to repeat
-    clock_bound_ms = 250            # by which a wall clock may be off; within it of a close nothing is kept
-    lease_ms = 8000                 # after which a limiter that is cut off keeps nothing
-    lost_seconds = 600              # for which a limiter that was lost without leaving holds up keeping at all others
-    purge_ms = 5000                 # for the answer to a purge by hand
-    keep_seconds = 3600             # for which an answer is kept, at most
-    most_answers = 20000            # that are kept at one limiter
+    calendars = "calendars.toml"    # path relative to the operators' file; SIGHUP reads the file again
+    keep = ["lookup"]               # request classes whose answers may be cached; only classes that are safe to repeat
+    clock_bound_ms = 250            # maximum error of a wall clock; nothing is cached this close to a closing
+    lease_ms = 8000                 # time after which a limiter that is cut off stops serving from its cache
+    lost_seconds = 600              # time for which a limiter lost without leaving keeps all others from caching
+    purge_ms = 5000                 # time limit for the answer to an operator's purge
+    keep_seconds = 3600             # maximum age of a cached answer
+    most_answers = 20000            # maximum number of answers cached at one limiter
     most_bytes = 33554432
 
 The calendar file:
 
     version = 7                             # a whole number; a higher one replaces a lower one at all limiters
-    in_force = 2026-12-01T00:00:00Z         # from when on; with its offset
+    in_force = 2026-12-01T00:00:00Z         # instant from which the version applies, with its UTC offset
     [places.vadodara]
     zone = "Asia/Kolkata"
     holidays = [2026-12-25]                 # days without a closing
     weekdays = { mon = "18:00", tue = ["13:00", "18:00"], sat = "14:00" }   # the other days have no closing
     special = { 2026-12-24 = "14:00" }      # days with times of their own, [] for none
-    [[places.vadodara.changes]]             # at short notice: they hold over everything else
+    [[places.vadodara.changes]]             # changes at short notice; they override everything else
     date = 2026-12-02
     closes = "16:30:00"
-    [accounts]                              # which accounts ask for keeping, and where each is at home
+    [accounts]                              # the accounts whose answers are cached, and the place of each
     00000000b4d65521 = "vadodara"
 """
 
@@ -42,29 +44,29 @@
 from cypresspulley.fleet.records import NAME_FORM
 from cypresspulley.operators import OperatorsError
 
-MOST_FILE = 1 << 20  # bytes of a calendar file
-MOST_PLACES = 64
-MOST_ACCOUNTS = 8192
-MOST_DATES = 400  # of one place: holidays, special days and changes each
-MOST_TIMES = 8  # closings of one day
-MOST_VERSION = 1_000_000_000
-ACCOUNT = re.compile(r"[0-9a-f]{16}")
-ACCOUNTS = 2**33  # of the protocol's account numbers
-TIME = re.compile(r"([01][0-9]|2[0-3]):([0-5][0-9])(?::([0-5][0-9]))?")
-DAYS = ("mon", "tue", "wed", "thu", "fri", "sat", "sun")
-LEASE_WAIT_FACTOR = (
-    1.1  # of a lease, for who waits for its end: clocks that never step may yet run at other rates
-)
-YEARS = (2000, 2200)  # of what an instant and a date may be
+MAX_FILE_BYTES = 1 << 20  # of a calendar file
+MAX_PLACES = 64
+MAX_ACCOUNTS = 8192
+MAX_DATES = 400  # per place, for each of holidays, special days and changes
+MAX_TIMES_PER_DAY = 8
+MAX_VERSION = 1_000_000_000
+ACCOUNT_PATTERN = re.compile(r"[0-9a-f]{16}")
+ACCOUNT_LIMIT = 2**33  # exclusive upper bound of the protocol's account numbers
+LOCAL_TIME_PATTERN = re.compile(r"([01][0-9]|2[0-3]):([0-5][0-9])(?::([0-5][0-9]))?")
+WEEKDAY_KEYS = ("mon", "tue", "wed", "thu", "fri", "sat", "sun")
+# Whoever waits for the end of another limiter's lease waits this many times its length, because monotonic clocks can run
+# at different rates.
+LEASE_WAIT_FACTOR = 1.1
+YEAR_RANGE = (2000, 2200)  # allowed years of instants and dates; the end is exclusive
 
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """What is on; times in seconds."""
+    """The settings of the table; times are in seconds."""
 
     calendar: Calendar
-    keep: frozenset[str]
-    path: str = ""  # of the calendar file; "": it is never read again
+    cached_classes: frozenset[str]
+    calendar_path: str = ""  # "" if there is no calendar file to read again
     clock_bound: float = 0.25
     lease_seconds: float = 8.0
     lost_seconds: float = 600.0
@@ -75,18 +77,24 @@
 
     @property
     def bounds(self) -> dict[str, float]:
-        """The promises' bounds in seconds, as histories name them. What changed at one limiter is gone at all others
-        when they have heard of it, or by the end of the lease that they had from it, half a second for late looks."""
+        """The time bounds that histories are checked against, in seconds, by their names there.
+
+        After a purge at one limiter, every other limiter stops serving the purged answers when it receives the purge,
+        or at the latest when the lease granted by that limiter expires. Half a second allows for late polls.
+        """
         return {"clock": self.clock_bound, "purge": self.lease_seconds + 0.5}
 
     @property
-    def notice(self) -> float:
-        """Seconds ahead of its instant at which a version is told at least, so that all have it or keep nothing."""
+    def min_notice_seconds(self) -> float:
+        """The minimum time from announcing a calendar until it is in force.
+
+        By then every limiter has either received it or lost its lease and stopped caching.
+        """
         return LEASE_WAIT_FACTOR * self.lease_seconds + 2 * self.clock_bound + 0.5
 
 
-# Keys of milliseconds, seconds and plain numbers: least, most, and what stands for one that is not there.
-NUMBERS: dict[str, tuple[int, int, int]] = {
+# Minimum, maximum and default of each numeric key.
+NUMERIC_KEYS: dict[str, tuple[int, int, int]] = {
     "clock_bound_ms": (50, 60_000, 250),
     "lease_ms": (500, 60_000, 8000),
     "lost_seconds": (0, 86_400, 600),
@@ -98,19 +106,22 @@
 
 
 def options_from(table: dict[str, Any], path: str, settings: api.Settings) -> Options:
-    """The table as options, with the calendar read; ``OperatorsError`` names file, key and what was expected."""
+    """Validates the table and loads the calendar.
+
+    Raises ``OperatorsError`` with the file, the key and the expected value.
+    """
 
     def fail(name: str, expected: str) -> OperatorsError:
         return OperatorsError(f"{path}: closing.{name}: expected {expected}, got {table.get(name)!r:.60}")
 
-    known = ("calendars", "keep", *NUMBERS)
+    known = ("calendars", "keep", *NUMERIC_KEYS)
     if extra := set(table) - set(known):
         raise OperatorsError(f"{path}: closing.{min(extra)}: unknown; expected {', '.join(known)}")
     values = {}
-    for key, (least, most, missing) in NUMBERS.items():
-        value = table.get(key, missing)
-        if not isinstance(value, int) or isinstance(value, bool) or not least <= value <= most:
-            raise fail(key, f"a whole number from {least} to {most}")
+    for key, (minimum, maximum, default) in NUMERIC_KEYS.items():
+        value = table.get(key, default)
+        if not isinstance(value, int) or isinstance(value, bool) or not minimum <= value <= maximum:
+            raise fail(key, f"a whole number from {minimum} to {maximum}")
         values[key] = value
     safe = [c.name for c in settings.classes if c.effect is api.Effect.SAFE]
     keep = table.get("keep")
@@ -129,12 +140,15 @@
 
 
 def load_calendar(path: str) -> Calendar:
-    """The calendar of a file; ``OperatorsError`` names file, key and what was expected: nothing of it is taken then."""
+    """Loads the calendar of a file.
+
+    Raises ``OperatorsError`` with the file, the key and the expected value; the file is then rejected as a whole.
+    """
     try:
         with open(path, "rb") as file:
-            data = file.read(MOST_FILE + 1)
-        if len(data) > MOST_FILE:
-            raise OperatorsError(f"{path}: expected at most {MOST_FILE} bytes")
+            data = file.read(MAX_FILE_BYTES + 1)
+        if len(data) > MAX_FILE_BYTES:
+            raise OperatorsError(f"{path}: expected at most {MAX_FILE_BYTES} bytes")
         raw = tomllib.loads(data.decode("utf-8"))
     except OSError as error:
         raise OperatorsError(f"{path}: not readable: {error.strerror}") from None
@@ -144,121 +158,130 @@
 
 
 def calendar_from(raw: Mapping[str, Any], source: str) -> Calendar:
-    """A calendar file's tables as a calendar; ``OperatorsError`` names ``source``, key and what was expected."""
-    check = _Check(source)
-    check.keys("", raw, ("version", "in_force", "places", "accounts"))
+    """Builds a calendar from the tables of a calendar file.
+
+    Raises ``OperatorsError`` with ``source``, the key and the expected value.
+    """
+    reader = _CalendarReader(source)
+    reader.check_keys("", raw, ("version", "in_force", "places", "accounts"))
     version = raw.get("version")
-    if not isinstance(version, int) or isinstance(version, bool) or not 1 <= version <= MOST_VERSION:
-        raise check.fail("version", f"a whole number from 1 to {MOST_VERSION}", version)
-    in_force = check.instant("in_force", raw.get("in_force"))
-    places = check.table("places", raw.get("places"), MOST_PLACES)
+    if not isinstance(version, int) or isinstance(version, bool) or not 1 <= version <= MAX_VERSION:
+        raise reader.error("version", f"a whole number from 1 to {MAX_VERSION}", version)
+    in_force = reader.read_instant("in_force", raw.get("in_force"))
+    places = reader.read_table("places", raw.get("places"), MAX_PLACES)
     if not places:
-        raise check.fail("places", "at least one place", places)
-    read = {name: _place(check, name, table) for name, table in places.items()}
-    accounts = check.table("accounts", raw.get("accounts", {}), MOST_ACCOUNTS)
+        raise reader.error("places", "at least one place", places)
+    parsed = {name: _read_place(reader, name, table) for name, table in places.items()}
+    accounts = reader.read_table("accounts", raw.get("accounts", {}), MAX_ACCOUNTS)
     for account, place in accounts.items():
-        if not ACCOUNT.fullmatch(account) or int(account, 16) >= ACCOUNTS:
-            raise check.fail(f"accounts.{account:.40}", "16 hex digits in lower case, below 2**33", account)
-        if not isinstance(place, str) or place not in read:
-            raise check.fail(
-                f"accounts.{account}", f"one of the places {', '.join(sorted(read))[:80]}", place
+        if not ACCOUNT_PATTERN.fullmatch(account) or int(account, 16) >= ACCOUNT_LIMIT:
+            raise reader.error(f"accounts.{account:.40}", "16 hex digits in lower case, below 2**33", account)
+        if not isinstance(place, str) or place not in parsed:
+            raise reader.error(
+                f"accounts.{account}", f"one of the places {', '.join(sorted(parsed))[:80]}", place
             )
-    return Calendar(version, in_force, read, dict(accounts))
+    return Calendar(version, in_force, parsed, dict(accounts))
 
 
-def _place(check: _Check, name: str, raw: Any) -> Place:
+def _read_place(reader: _CalendarReader, name: str, raw: Any) -> Place:
     key = f"places.{name:.40}"
     if not re.fullmatch(NAME_FORM, name):
-        raise check.fail(key, "a name of at most 40 letters, digits, dots and dashes", name)
-    table = check.table(key, raw, 8)
-    check.keys(key + ".", table, ("zone", "weekdays", "holidays", "special", "changes"))
+        raise reader.error(key, "a name of at most 40 letters, digits, dots and dashes", name)
+    table = reader.read_table(key, raw, 8)
+    reader.check_keys(key + ".", table, ("zone", "weekdays", "holidays", "special", "changes"))
     zone = table.get("zone")
     try:
         load_zone(zone if isinstance(zone, str) else "")
     except ValueError:
-        raise check.fail(f"{key}.zone", "a time zone such as Asia/Kolkata", zone) from None
-    weekdays = check.table(f"{key}.weekdays", table.get("weekdays", {}), len(DAYS))
-    check.keys(f"{key}.weekdays.", weekdays, DAYS)
-    week = tuple(check.times(f"{key}.weekdays.{day}", weekdays.get(day, [])) for day in DAYS)
-    holidays = check.rows(f"{key}.holidays", table.get("holidays", []))
-    free = frozenset(check.day(f"{key}.holidays[{at}]", day) for at, day in enumerate(holidays))
-    special = check.table(f"{key}.special", table.get("special", {}), MOST_DATES)
+        raise reader.error(f"{key}.zone", "a time zone such as Asia/Kolkata", zone) from None
+    weekdays = reader.read_table(f"{key}.weekdays", table.get("weekdays", {}), len(WEEKDAY_KEYS))
+    reader.check_keys(f"{key}.weekdays.", weekdays, WEEKDAY_KEYS)
+    week = tuple(reader.read_times(f"{key}.weekdays.{day}", weekdays.get(day, [])) for day in WEEKDAY_KEYS)
+    holidays = reader.read_list(f"{key}.holidays", table.get("holidays", []))
+    free = frozenset(reader.read_date(f"{key}.holidays[{at}]", day) for at, day in enumerate(holidays))
+    special = reader.read_table(f"{key}.special", table.get("special", {}), MAX_DATES)
     days = {
-        check.day(f"{key}.special.{day:.20}", day): check.times(f"{key}.special.{day:.20}", times)
+        reader.read_date(f"{key}.special.{day:.20}", day): reader.read_times(
+            f"{key}.special.{day:.20}", times
+        )
         for day, times in special.items()
     }
     changes = dict[date, tuple[time, ...]]()
-    for at, change in enumerate(check.rows(f"{key}.changes", table.get("changes", []))):
+    for at, change in enumerate(reader.read_list(f"{key}.changes", table.get("changes", []))):
         here = f"{key}.changes[{at}]"
-        check.keys(here + ".", check.table(here, change, 3), ("date", "closes", "note"))
-        day = check.day(f"{here}.date", change.get("date"))
+        reader.check_keys(here + ".", reader.read_table(here, change, 3), ("date", "closes", "note"))
+        day = reader.read_date(f"{here}.date", change.get("date"))
         if day in changes:
-            raise check.fail(f"{here}.date", "one change for a day", str(day))
-        changes[day] = check.times(f"{here}.closes", change.get("closes"))
+            raise reader.error(f"{here}.date", "one change for a day", str(day))
+        changes[day] = reader.read_times(f"{here}.closes", change.get("closes"))
     return Place(name, str(zone), week, free, days, changes)
 
 
-class _Check:
-    """Reads values of a calendar; each error names file, key and what was expected."""
+class _CalendarReader:
+    """Reads and validates values of a calendar; each error names the source, the key and the expected value."""
 
     def __init__(self, source: str) -> None:
         self._source = source
 
-    def fail(self, key: str, expected: str, got: object) -> OperatorsError:
+    def error(self, key: str, expected: str, got: object) -> OperatorsError:
         return OperatorsError(f"{self._source}: {key}: expected {expected}, got {got!r:.60}")
 
-    def keys(self, prefix: str, table: Mapping[str, Any], known: tuple[str, ...]) -> None:
+    def check_keys(self, prefix: str, table: Mapping[str, Any], known: tuple[str, ...]) -> None:
         if extra := set(table) - set(known):
             raise OperatorsError(
                 f"{self._source}: {prefix}{min(extra):.40}: unknown; expected {', '.join(known)}"
             )
 
-    def table(self, key: str, value: Any, most: int) -> dict[str, Any]:
+    def read_table(self, key: str, value: Any, max_entries: int) -> dict[str, Any]:
         if (
             not isinstance(value, dict)
-            or len(value) > most
+            or len(value) > max_entries
             or not all(isinstance(each, str) for each in value)
         ):
-            raise self.fail(key, f"a table of at most {most} entries", value)
+            raise self.error(key, f"a table of at most {max_entries} entries", value)
         return value
 
-    def rows(self, key: str, value: Any) -> list[Any]:
-        if not isinstance(value, list) or len(value) > MOST_DATES:
-            raise self.fail(key, f"a list of at most {MOST_DATES}", value)
+    def read_list(self, key: str, value: Any) -> list[Any]:
+        if not isinstance(value, list) or len(value) > MAX_DATES:
+            raise self.error(key, f"a list of at most {MAX_DATES}", value)
         return value
 
-    def instant(self, key: str, value: Any) -> float:
-        found = self._read(datetime.fromisoformat, value) if isinstance(value, str) else value
-        if not isinstance(found, datetime) or found.tzinfo is None or not YEARS[0] <= found.year < YEARS[1]:
-            raise self.fail(key, "a date and time with its offset, as 2026-12-01T00:00:00Z", value)
+    def read_instant(self, key: str, value: Any) -> float:
+        found = self._parse(datetime.fromisoformat, value) if isinstance(value, str) else value
+        if (
+            not isinstance(found, datetime)
+            or found.tzinfo is None
+            or not YEAR_RANGE[0] <= found.year < YEAR_RANGE[1]
+        ):
+            raise self.error(key, "a date and time with its offset, as 2026-12-01T00:00:00Z", value)
         return found.timestamp()
 
-    def day(self, key: str, value: Any) -> date:
-        found = self._read(date.fromisoformat, value) if isinstance(value, str) else value
+    def read_date(self, key: str, value: Any) -> date:
+        found = self._parse(date.fromisoformat, value) if isinstance(value, str) else value
         if (
             not isinstance(found, date)
             or isinstance(found, datetime)
-            or not YEARS[0] <= found.year < YEARS[1]
+            or not YEAR_RANGE[0] <= found.year < YEAR_RANGE[1]
         ):
-            raise self.fail(key, "a date, as 2026-12-25", value)
+            raise self.error(key, "a date, as 2026-12-25", value)
         return found
 
-    def times(self, key: str, value: Any) -> tuple[time, ...]:
-        """One local time or a list of them, sorted."""
+    def read_times(self, key: str, value: Any) -> tuple[time, ...]:
+        """Reads one local time or a list of them; returns them sorted, without duplicates."""
         found = value if isinstance(value, list) else [value]
-        if len(found) > MOST_TIMES:
-            raise self.fail(key, f"at most {MOST_TIMES} times", value)
-        return tuple(sorted({self._time(key, each) for each in found}))
+        if len(found) > MAX_TIMES_PER_DAY:
+            raise self.error(key, f"at most {MAX_TIMES_PER_DAY} times", value)
+        return tuple(sorted({self._read_time(key, each) for each in found}))
 
-    def _time(self, key: str, value: Any) -> time:
-        if isinstance(value, str) and (form := TIME.fullmatch(value)):
+    def _read_time(self, key: str, value: Any) -> time:
+        if isinstance(value, str) and (form := LOCAL_TIME_PATTERN.fullmatch(value)):
             return time(int(form[1]), int(form[2]), int(form[3] or 0))
         if isinstance(value, time) and not value.microsecond:
             return value
-        raise self.fail(key, "local times such as 18:00 or 18:00:30", value)
+        raise self.error(key, "local times such as 18:00 or 18:00:30", value)
 
-    def _read(self, read: Callable[[str], Any], value: str) -> Any:
+    def _parse(self, parse: Callable[[str], Any], value: str) -> Any:
         try:
-            return read(value)
+            return parse(value)
         except ValueError:
             return None
--- a/cypresspulley/closing/peers.py
+++ b/cypresspulley/closing/peers.py
@@ -5,7 +5,7 @@
 from hashlib import blake2s
 
 from cypresspulley.closing.calendar import TZDATA_VERSION
-from cypresspulley.closing.calendar_store import Book
+from cypresspulley.closing.calendar_store import CalendarStore
 from cypresspulley.closing.lease import Lease, Life
 from cypresspulley.closing.membership import Roster
 from cypresspulley.closing.options import Options
@@ -94,7 +94,7 @@
             return None
         return {life: self.rows.get(life) for life in others}
 
-    def agreed(self, book: Book) -> bytes:
+    def agreed(self, book: CalendarStore) -> bytes:
         """What this limiter agrees to: who is needed, which calendar is the newest, and by which bounds it reckons."""
         of = (self.roster.needed, self.me, book.rank)
         if self._agreed[0] != of:
@@ -103,7 +103,7 @@
             self._agreed = of, blake2s(text.encode(), digest_size=VIEW_DIGEST_BYTES).digest()
         return self._agreed[1]
 
-    def say(self, book: Book, lease: Lease) -> None:
+    def say(self, book: CalendarStore, lease: Lease) -> None:
         """This limiter's row, where it has changed."""
         version, digest = book.rank
         of = (
--- a/tests/closing/mutants.py
+++ b/tests/closing/mutants.py
@@ -10,7 +10,7 @@
 from cypresspulley.closing.bypass import BypassReason, WallClockMonitor
 from cypresspulley.closing.cache import Keep
 from cypresspulley.closing.calendar import Timeline
-from cypresspulley.closing.calendar_store import Book
+from cypresspulley.closing.calendar_store import CalendarStore
 from cypresspulley.closing.closing_tracker import Closed, ClosingTracker
 from cypresspulley.closing.eligibility import Certainty
 from cypresspulley.closing.lease import Lease
@@ -55,7 +55,7 @@
     "answers are of the moment at which they come": ((ClosingCache, "stamp_lookup", _later),),
     "round a close all goes on": (
         (Timeline, "is_near_closing", lambda *_: False),
-        (Book, "turning", lambda *_: False),
+        (CalendarStore, "is_near_switch", lambda *_: False),
     ),
     "the lease never ends": ((Lease, "is_held", lambda self, _now: self.acknowledged_at > 0),),
     "any clock is trusted": ((WallClockMonitor, "check", _trusting),),
--- a/tests/closing/test_options.py
+++ b/tests/closing/test_options.py
@@ -21,7 +21,11 @@
 def test_the_example_is_read_with_the_numbers_that_stand_for_missing_ones() -> None:
     options = options_from(TABLE, str(EXAMPLE.parent / "operators.toml"), SETTINGS)
     assert options.calendar.version == 7 and set(options.calendar.places) == {"vadodara", "halifax"}
-    assert (options.clock_bound, options.lease_seconds, options.keep) == (0.25, 8.0, frozenset({"lookup"}))
+    assert (options.clock_bound, options.lease_seconds, options.cached_classes) == (
+        0.25,
+        8.0,
+        frozenset({"lookup"}),
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/closing/test_parts.py
+++ b/tests/closing/test_parts.py
@@ -13,11 +13,11 @@
 from cypresspulley.closing.bypass import GAP, BypassReason, Sleep, WallClockMonitor
 from cypresspulley.closing.cache import LATEST, CacheKey, Keep, Kept
 from cypresspulley.closing.calendar import Calendar, Place
-from cypresspulley.closing.calendar_store import Book, Taken, decode, encode
+from cypresspulley.closing.calendar_store import AddResult, CalendarStore, decode_calendar, encode_calendar
 from cypresspulley.closing.closing_tracker import ClosingTracker
 from cypresspulley.closing.lease import Lease, Life
 from cypresspulley.closing.membership import FORGET, Roster
-from cypresspulley.closing.options import LEASE_WAIT_FACTOR, MOST_ACCOUNTS
+from cypresspulley.closing.options import LEASE_WAIT_FACTOR, MAX_ACCOUNTS
 from cypresspulley.closing.purge_counters import Applied, Issued
 from cypresspulley.closing.row import MAX_RECENT_PURGES, LimiterRow, decode_row, encode_row
 from cypresspulley.fleet.records import MOST_DOCUMENT, MOST_ROW, Member, State
@@ -318,14 +318,16 @@
 
 def test_a_calendar_goes_round_as_a_document() -> None:
     there = calendar(7, BEGIN + 0.25)
-    back = decode(encode(there))
+    back = decode_calendar(encode_calendar(there))
     assert back.places == there.places and back.accounts == there.accounts
-    assert (back.version, back.in_force) == (7, BEGIN + 0.25) and encode(back) == encode(there)
+    assert (back.version, back.in_force) == (7, BEGIN + 0.25) and encode_calendar(back) == encode_calendar(
+        there
+    )
 
 
 def test_as_many_accounts_as_a_file_may_have_fit_into_a_document() -> None:
     assert (
-        len(encode(calendar(7, BEGIN, accounts={f"{n:016x}": "v" for n in range(MOST_ACCOUNTS)})))
+        len(encode_calendar(calendar(7, BEGIN, accounts={f"{n:016x}": "v" for n in range(MAX_ACCOUNTS)})))
         <= MOST_DOCUMENT
     )
 
@@ -334,26 +336,29 @@
 @given(st.binary(max_size=200))
 def test_foreign_bytes_are_no_calendar(body: bytes) -> None:
     with pytest.raises(OperatorsError):
-        decode(body)
+        decode_calendar(body)
 
 
 def test_a_newer_version_replaces_what_has_not_come_into_force() -> None:
-    book = Book()
+    book = CalendarStore()
     first, second, third = calendar(1, BEGIN), calendar(2, BEGIN + 100), calendar(3, BEGIN + 200)
-    assert book.take(first, "a", BEGIN + 1) is Taken.FORCE
-    assert book.take(second, "b", BEGIN + 2) is Taken.HELD
-    assert book.take(third, "c", BEGIN + 3) is Taken.HELD and book.take(second, "b", BEGIN + 3) is Taken.OLDER
-    assert book.at(BEGIN + 150) is first and book.at(BEGIN + 200) is third
+    assert book.add(first, "a", BEGIN + 1) is AddResult.IN_FORCE
+    assert book.add(second, "b", BEGIN + 2) is AddResult.SCHEDULED
+    assert (
+        book.add(third, "c", BEGIN + 3) is AddResult.SCHEDULED
+        and book.add(second, "b", BEGIN + 3) is AddResult.OUTDATED
+    )
+    assert book.in_force_at(BEGIN + 150) is first and book.in_force_at(BEGIN + 200) is third
     assert not book.advance(BEGIN + 199) and book.advance(BEGIN + 200) and book.current is third
-    assert book.turning(BEGIN + 199.8, 0.25) and not book.turning(BEGIN + 199.7, 0.25)
+    assert book.is_near_switch(BEGIN + 199.8, 0.25) and not book.is_near_switch(BEGIN + 199.7, 0.25)
 
 
 def test_of_two_calendars_with_one_number_all_take_the_same() -> None:
-    books = Book(), Book()
+    books = CalendarStore(), CalendarStore()
     one, other = calendar(1, BEGIN), calendar(1, BEGIN, time(17))
     for book, order in zip(books, ((one, other), (other, one)), strict=True):
         for each in order:
-            book.take(each, "1" if each is one else "2", BEGIN)
+            book.add(each, "1" if each is one else "2", BEGIN)
     assert books[0].newest is books[1].newest is other
 
 
--- a/tests/closing/test_together.py
+++ b/tests/closing/test_together.py
@@ -421,7 +421,7 @@
     path = tmp_path / "calendar.toml"
     day = Day(2)
     for number in range(2):
-        object.__setattr__(day[number].options, "path", str(path))
+        object.__setattr__(day[number].options, "calendar_path", str(path))
     day.until(BEGIN + 8)
     text = (
         'version = {}\nin_force = {}\n[places.v]\nzone = "Etc/UTC"\nweekdays = {{ {} = "00:00:40" }}\n[accounts]\n'
