--- a/benchmarks/closing_stale.py
+++ b/benchmarks/closing_stale.py
@@ -436,7 +436,7 @@
             alive
             and not self.changed
             and isinstance(limiter.cache, ClosingCache)
-            and not limiter.cache.sure.trust.doubt
+            and not limiter.cache.eligibility.wall_clock.reason
         ):
             wanted = {
                 (place, at) for place, ats in self.closes.items() for at in ats if sure + BOUND < at < end - 1
--- a/cypresspulley/closing/bypass.py
+++ b/cypresspulley/closing/bypass.py
@@ -1,7 +1,8 @@
-"""When this limiter may keep: a table of doubts, and how far its wall clock can be trusted. No I/O and no clock.
+"""Reasons to bypass the cache, the monitor that decides whether the wall clock can be trusted, and sleep detection.
 
-Every doubt is found by comparing at the moment of serving, whatever timers did: a process that was stopped is right
-when it wakes. ``mono`` is a clock that never steps, ``wall`` the machine's; both in seconds.
+No I/O and no clock. Every reason is found by comparing times when a request is served, independently of timers, so a
+process that was suspended gets it right when it resumes. ``mono`` is a monotonic clock and ``wall`` the machine's wall
+clock, both in seconds.
 """
 
 from __future__ import annotations
@@ -10,103 +11,114 @@
 from collections.abc import Callable
 from enum import StrEnum
 
-GAP = 1.0  # seconds between two looks at the fleet after which this process was asleep
-NEAR = 0.7  # of the bound
-REGAIN = 0.6  # of the bound
-STEP = 0.125  # of the bound
-FRESH = 0.25  # seconds for which what the view says of the clock holds
+MAX_POLL_GAP_SECONDS = (
+    1.0  # a longer time between two polls of the fleet view means that the process was suspended
+)
+TRUST_SHARE = 0.7  # of the clock bound: a wall clock that may be off by more is not trusted
+REGAIN_SHARE = 0.6  # of the clock bound: an untrusted wall clock has to be within this to be trusted again
+STEP_SHARE = 0.125  # of the clock bound: a larger change against the monotonic clock counts as a step
+CLOCK_ERROR_MAX_AGE_SECONDS = 0.25  # time for which the view's estimate of the clock error is reused
 
 
 class BypassReason(StrEnum):
-    """Why nothing is kept, and nothing served from what is kept. The first that holds is told.
-
-    | doubt    | holds while                                                     | ends when                        |
-    | -------- | --------------------------------------------------------------- | -------------------------------- |
-    | starting | no lease was had in this life                                   | all others have heard of it      |
-    | cut      | the lease has run out: not all that are needed agree and answer | all others have heard again      |
-    | woken    | this process did not look at the fleet for longer than ``GAP``  | all have heard it since it woke  |
-    | unknown  | the view does not know the others' clocks                       | it does                          |
-    | clock    | the wall clock may be off by more than ``NEAR`` of the bound    | it is surely within ``REGAIN``   |
-    | stepped  | the wall clock moved against the other by ``STEP`` of the bound | a lease later, and within        |
-    | behind   | the wall clock is before the latest instant that was acted on   | it has passed that               |
-    | calendar | no version is in force, or its days are over                    | one is                           |
+    """Why nothing is cached and nothing is served from the cache. The first one that applies is reported.
+
+    | reason   | applies while                                                     | ends when                         |
+    | -------- | ----------------------------------------------------------------- | --------------------------------- |
+    | starting | this process has not had a lease yet                              | all others have heard from it     |
+    | cut      | the lease has expired: not all required limiters agree and answer | all others have heard from it     |
+    | woken    | this process did not poll the view for ``MAX_POLL_GAP_SECONDS``   | all have heard from it since then |
+    | unknown  | the view has no estimate of the others' clocks                    | it has one                        |
+    | clock    | the wall clock may be off by more than ``TRUST_SHARE``            | certainly within ``REGAIN_SHARE`` |
+    | stepped  | the wall clock moved against ``mono`` by more than ``STEP_SHARE`` | one lease later, if close enough  |
+    | behind   | the wall clock is before the latest instant acted on              | it has passed that instant        |
+    | calendar | no version is in force, or its computed days have ended           | one is in force                   |
+
+    The values are written to the history.
     """
 
     NONE = ""
     STARTING = "starting"
-    CUT = "cut"
-    WOKEN = "woken"
-    UNKNOWN = "unknown"
-    CLOCK = "clock"
-    STEPPED = "stepped"
-    BEHIND = "behind"
-    CALENDAR = "calendar"
+    LEASE_EXPIRED = "cut"
+    RESUMED = "woken"
+    CLOCK_UNKNOWN = "unknown"
+    CLOCK_OFF = "clock"
+    CLOCK_STEPPED = "stepped"
+    CLOCK_BEHIND = "behind"
+    NO_CALENDAR = "calendar"
 
 
-Error = Callable[[float], tuple[float, float] | None]
+ClockErrorSource = Callable[[float], tuple[float, float] | None]
 
 
 class WallClockMonitor:
-    """Trust in the wall clock. ``bound`` is by how much one that is trusted may be off the true time: ``NEAR`` of that
-    off the middle of the others', ``STEP`` more between two confirmations, which lie ``settle`` seconds apart; the rest
-    is for the middle of the others', which most clocks keep that near."""
+    """Decides whether the wall clock can be trusted.
 
-    def __init__(self, bound: float, settle: float) -> None:
-        self._bound, self._settle = bound, settle
-        self._offset: float | None = None  # wall minus mono, when it was last confirmed
-        self._confirmed = self._stepped = self._looked = -math.inf
-        self._cause = self.doubt = BypassReason.UNKNOWN
-        self.highest = -math.inf  # the latest instant that was acted on: nothing goes back before it
+    ``bound`` is the maximum error of a trusted clock against the true time. Of this, ``TRUST_SHARE`` covers the
+    difference to the median of the others' clocks and ``STEP_SHARE`` the drift between two confirmations, which are
+    ``settle_seconds`` apart. The rest covers the error of that median, which most clocks keep that small.
+    """
+
+    def __init__(self, bound: float, settle_seconds: float) -> None:
+        self._bound, self._settle_seconds = bound, settle_seconds
+        self._offset: float | None = None  # wall minus mono at the last confirmation
+        self._confirmed_at = self._stepped_at = self._compared_at = -math.inf
+        self._comparison = self.reason = BypassReason.CLOCK_UNKNOWN
+        self.latest_trusted = -math.inf  # the latest instant acted on; no earlier instant is acted on
 
     def __repr__(self) -> str:
-        return f"<WallClock {self.doubt or 'trusted'}, highest {self.highest:.3f}>"
+        return f"<WallClockMonitor {self.reason or 'trusted'}, latest {self.latest_trusted:.3f}>"
 
-    def check(self, mono: float, wall: float, error: Error | None) -> BypassReason:
-        """Whether this reading may be acted on; it then is the highest. ``error``: None where nobody is there to
-        compare with."""
-        if error is None:
-            self._cause = BypassReason.NONE
+    def check(self, mono: float, wall: float, clock_error: ClockErrorSource | None) -> BypassReason:
+        """Returns why this reading cannot be trusted, or ``NONE``; a trusted reading becomes ``latest_trusted``.
+
+        ``clock_error`` is None if there is no other limiter to compare with.
+        """
+        if clock_error is None:
+            self._comparison = BypassReason.NONE
         else:
-            self._step(mono, wall)
-            if not 0 <= mono - self._looked < FRESH:
-                self._looked, self._cause = mono, self._compare(mono, wall, error(mono))
-        self.doubt = self._cause or (BypassReason.BEHIND if wall < self.highest else BypassReason.NONE)
-        if not self.doubt:
-            self.highest = wall
-        return self.doubt
-
-    def _step(self, mono: float, wall: float) -> None:
-        if self._offset is not None and abs(wall - mono - self._offset) > self._bound * STEP:
-            # What the view knows of the clock is of before: it has to be measured anew.
-            self._offset, self._stepped, self._looked = None, mono, -math.inf
+            self._detect_step(mono, wall)
+            if not 0 <= mono - self._compared_at < CLOCK_ERROR_MAX_AGE_SECONDS:
+                self._compared_at, self._comparison = mono, self._compare(mono, wall, clock_error(mono))
+        self.reason = self._comparison or (
+            BypassReason.CLOCK_BEHIND if wall < self.latest_trusted else BypassReason.NONE
+        )
+        if not self.reason:
+            self.latest_trusted = wall
+        return self.reason
+
+    def _detect_step(self, mono: float, wall: float) -> None:
+        if self._offset is not None and abs(wall - mono - self._offset) > self._bound * STEP_SHARE:
+            # The view's estimate is from before the step, so the clock has to be compared again.
+            self._offset, self._stepped_at, self._compared_at = None, mono, -math.inf
 
     def _compare(self, mono: float, wall: float, error: tuple[float, float] | None) -> BypassReason:
-        if mono < self._stepped + self._settle:
-            return BypassReason.STEPPED
+        if mono < self._stepped_at + self._settle_seconds:
+            return BypassReason.CLOCK_STEPPED
         if error is None:
-            return BypassReason.UNKNOWN
-        # One that was in doubt has to be closer to be trusted again: at the edge it would be in and out of it.
-        near = self._bound * (REGAIN if self._cause else NEAR)
-        if error[0] < -near or error[1] > near:
-            return BypassReason.CLOCK
-        if self._offset is None or mono >= self._confirmed + self._settle:
-            self._offset, self._confirmed = wall - mono, mono
+            return BypassReason.CLOCK_UNKNOWN
+        # The stricter limit for regaining trust keeps a clock at the limit from alternating between the two states.
+        limit = self._bound * (REGAIN_SHARE if self._comparison else TRUST_SHARE)
+        if error[0] < -limit or error[1] > limit:
+            return BypassReason.CLOCK_OFF
+        if self._offset is None or mono >= self._confirmed_at + self._settle_seconds:
+            self._offset, self._confirmed_at = wall - mono, mono
         return BypassReason.NONE
 
 
-class Sleep:
-    """Whether this process was asleep: a gap between its looks at the fleet, also while one is overdue."""
+class SuspendDetector:
+    """Detects that this process was suspended by a gap between its polls of the view, even while one is overdue."""
 
     def __init__(self) -> None:
-        self._looked = math.inf
-        self.woke = -math.inf
+        self._polled_at = math.inf
+        self.resumed_at = -math.inf
 
-    def look(self, mono: float) -> None:
-        """A look at the fleet."""
+    def record_poll(self, mono: float) -> None:
+        """Records a poll of the fleet view."""
         self.check(mono)
-        self._looked = mono
+        self._polled_at = mono
 
     def check(self, mono: float) -> None:
-        """Something is to be served."""
-        if mono - self._looked > GAP:
-            self.woke = self._looked = mono
+        """Checks for a gap; called before anything is served."""
+        if mono - self._polled_at > MAX_POLL_GAP_SECONDS:
+            self.resumed_at = self._polled_at = mono
--- a/cypresspulley/closing/calendar_store.py
+++ b/cypresspulley/closing/calendar_store.py
@@ -52,7 +52,8 @@
         return {day.isoformat(): _format_times(times) for day, times in sorted(table.items())}
 
     return {
-        "zone": place.zone, "weekdays": {day: _format_times(t) for day, t in zip(WEEKDAY_KEYS, place.weekdays, strict=True)},
+        "zone": place.zone,
+        "weekdays": {day: _format_times(t) for day, t in zip(WEEKDAY_KEYS, place.weekdays, strict=True)},
         "holidays": sorted(day.isoformat() for day in place.holidays), "special": days(place.special),
         "changes": [{"date": day, "closes": times} for day, times in days(place.changes).items()],
     }  # fmt: skip
--- a/cypresspulley/closing/limiter.py
+++ b/cypresspulley/closing/limiter.py
@@ -18,7 +18,7 @@
 from cypresspulley.closing.calendar_store import AddResult, encode_calendar
 from cypresspulley.closing.calendar_sync import CalendarSync
 from cypresspulley.closing.closing_tracker import Closed, ClosingTracker
-from cypresspulley.closing.eligibility import Certainty
+from cypresspulley.closing.eligibility import Eligibility
 from cypresspulley.closing.node import keeping
 from cypresspulley.closing.options import Options
 from cypresspulley.closing.peers import Peers
@@ -50,17 +50,17 @@
         self.keep = Keep(options.most_answers, options.most_bytes, options.keep_seconds)
         self._clock, self._wall, self._history = clock, wall, history
         self.peers = Peers(view, options, named)
-        self.sure = Certainty(options, view, self.peers.alone)
-        self.purging = PurgeCoordinator(self.peers, self.sure.lease, history, options.lost_seconds)
+        self.eligibility = Eligibility(options, view, self.peers.alone)
+        self.purging = PurgeCoordinator(self.peers, self.eligibility.lease, history, options.lost_seconds)
         self.calendars = CalendarSync(
-            options, view, self.sure.book, history, self.peers.alone, self._drop_all
+            options, view, self.eligibility.store, history, self.peers.alone, self._drop_all
         )
         self.doubt = BypassReason.STARTING
         self._noticed = ClosingTracker()
         self._timer: asyncio.TimerHandle | None = None
 
     def __repr__(self) -> str:
-        return f"<Closing {self.doubt or 'keeps'}, {self.keep!r}, {self.sure!r}, {self.peers!r}>"
+        return f"<Closing {self.doubt or 'keeps'}, {self.keep!r}, {self.eligibility!r}, {self.peers!r}>"
 
     def node(self, kind: type[N]) -> type[N]:
         """A node that serves from what is kept, and otherwise as ``kind`` does."""
@@ -70,7 +70,7 @@
         """The view is there from now on; ``look`` is to be called every ``TICK``."""
         self._history.put(Kind.DOUBT, doubt=True, cause=self.doubt.value)
         calendar = self.options.calendar
-        self.calendars.adopt(calendar, encode_calendar(calendar), self.sure.trust.highest)
+        self.calendars.adopt(calendar, encode_calendar(calendar), self.eligibility.wall_clock.latest_trusted)
         self.look()
 
     def start(self) -> None:
@@ -85,11 +85,11 @@
 
     def reload(self) -> None:
         """Read the calendar file again; one that cannot be taken changes nothing but the log and the history."""
-        self.calendars.reload(self._wall(), self.sure.trust.highest)
+        self.calendars.reload(self._wall(), self.eligibility.wall_clock.latest_trusted)
 
     def tell(self, calendar: Calendar) -> None:
         """A calendar of this limiter's operators, as from its file; ``OperatorsError`` says why it cannot be taken."""
-        self.calendars.announce(calendar, self._wall(), self.sure.trust.highest)
+        self.calendars.announce(calendar, self._wall(), self.eligibility.wall_clock.latest_trusted)
 
     def _now(self) -> tuple[float, float]:
         """Both clocks at one moment: a process that is held up between two readings would take that for a step."""
@@ -103,14 +103,14 @@
 
     def asks(self, account: str) -> bool:
         """Whether an account asks for keeping, by the calendar in force or the one that follows."""
-        book = self.sure.book
+        book = self.eligibility.store
         newest = book.newest or self.options.calendar  # requests may come a moment before the view is there
         return account in newest.accounts or (book.current is not None and account in book.current.accounts)
 
     def generation(self, account: str) -> int | None:
         """The account's generation now; None where nothing may be kept or served from what is kept."""
         now, wall = self._now()
-        return None if self._look_for_doubt(now, wall) else self.sure.generation(account, wall)
+        return None if self._look_for_doubt(now, wall) else self.eligibility.generation(account, wall)
 
     def find_answer(self, id: str, account: str, key: CacheKey) -> tuple[Kept, float] | None:
         """A kept answer and its age in seconds, where one may be served for a request."""
@@ -183,22 +183,22 @@
     def look(self) -> None:
         """Take in what the view knows, say what is new here, and notice what the clock has brought."""
         now, wall = self._now()
-        sure = self.sure
-        sure.sleep.look(now)
+        eligibility = self.eligibility
+        eligibility.suspend_detector.record_poll(now)
         if self.peers.look(now):
             self._drop_all()  # the last purges of who has gone may not have come here
         self._hear_purges(now)
-        self.calendars.fetch_newest(now, self.peers.newest(), sure.trust.highest)
+        self.calendars.fetch_newest(now, self.peers.newest(), eligibility.wall_clock.latest_trusted)
         for account in self.purging.due(now):
             self.keep.purge(account, now, now)
             self.purging.issue(account)
-        sure.lease.agree(now, self.peers.agreed(sure.book))
-        sure.lease.see(now, self.peers.rows)
+        eligibility.lease.agree(now, self.peers.agreed(eligibility.store))
+        eligibility.lease.see(now, self.peers.rows)
         needed = self.peers.needed()
         if needed is not None:
-            sure.lease.hear(now, needed)
-        self.peers.say(sure.book, sure.lease)
-        if not sure.clock(now, wall):
+            eligibility.lease.hear(now, needed)
+        self.peers.say(eligibility.store, eligibility.lease)
+        if not eligibility.check_clock(now, wall):
             self._turn(wall)
         self._look_for_doubt(now, wall)
         self.purging.answer(now)
@@ -217,17 +217,20 @@
 
     def _look_for_doubt(self, now: float, wall: float) -> BypassReason:
         """Whether there is doubt at this moment; its begin and end are told."""
-        doubt = self.sure.doubt(now, wall)
+        doubt = self.eligibility.find_bypass_reason(now, wall)
         if doubt is not self.doubt:
             self._history.put(Kind.DOUBT, doubt=bool(doubt), cause=(doubt or self.doubt).value)
-            if doubt in (BypassReason.CUT, BypassReason.STARTING):  # others' purges may not have come here
+            if doubt in (
+                BypassReason.LEASE_EXPIRED,
+                BypassReason.STARTING,
+            ):  # others' purges may not have come here
                 self._drop_all()
             self.doubt = doubt
         return doubt
 
     def _turn(self, wall: float) -> None:
         """The clock is trusted: closings and versions whose instants have come are noticed, each once."""
-        book = self.sure.book
+        book = self.eligibility.store
         before, turned = book.current, book.advance(wall)
         gone = self._noticed.collect_closings(before, book.current, wall)
         if turned and book.current is not None:
--- a/cypresspulley/closing/options.py
+++ b/cypresspulley/closing/options.py
@@ -54,8 +54,8 @@
 ACCOUNT_LIMIT = 2**33  # exclusive upper bound of the protocol's account numbers
 LOCAL_TIME_PATTERN = re.compile(r"([01][0-9]|2[0-3]):([0-5][0-9])(?::([0-5][0-9]))?")
 WEEKDAY_KEYS = ("mon", "tue", "wed", "thu", "fri", "sat", "sun")
-# Whoever waits for the end of another limiter's lease waits this many times its length, because monotonic clocks can run
-# at different rates.
+# A limiter that waits for the end of another one's lease waits this many times its length, because their monotonic
+# clocks can run at different rates.
 LEASE_WAIT_FACTOR = 1.1
 YEAR_RANGE = (2000, 2200)  # allowed years of instants and dates; the end is exclusive
 
--- a/tests/closing/mutants.py
+++ b/tests/closing/mutants.py
@@ -12,7 +12,7 @@
 from cypresspulley.closing.calendar import Timeline
 from cypresspulley.closing.calendar_store import CalendarStore
 from cypresspulley.closing.closing_tracker import Closed, ClosingTracker
-from cypresspulley.closing.eligibility import Certainty
+from cypresspulley.closing.eligibility import Eligibility
 from cypresspulley.closing.lease import Lease
 from cypresspulley.closing.limiter import ClosingCache
 from cypresspulley.closing.purge_coordinator import PurgeCoordinator
@@ -36,7 +36,7 @@
 
 
 def _trusting(self: WallClockMonitor, mono: float, wall: float, error: object) -> BypassReason:
-    self.doubt, self.highest = BypassReason.NONE, wall
+    self.reason, self.latest_trusted = BypassReason.NONE, wall
     return BypassReason.NONE
 
 
@@ -51,7 +51,7 @@
 
 
 MUTANTS: dict[str, tuple[Patch, ...]] = {
-    "the generation is compared by nobody": ((Certainty, "generation", lambda *_: 1),),
+    "the generation is compared by nobody": ((Eligibility, "generation", lambda *_: 1),),
     "answers are of the moment at which they come": ((ClosingCache, "stamp_lookup", _later),),
     "round a close all goes on": (
         (Timeline, "is_near_closing", lambda *_: False),
--- a/tests/closing/test_parts.py
+++ b/tests/closing/test_parts.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cypresspulley.closing.bypass import GAP, BypassReason, Sleep, WallClockMonitor
+from cypresspulley.closing.bypass import MAX_POLL_GAP_SECONDS, BypassReason, SuspendDetector, WallClockMonitor
 from cypresspulley.closing.cache import LATEST, CacheKey, Keep, Kept
 from cypresspulley.closing.calendar import Calendar, Place
 from cypresspulley.closing.calendar_store import AddResult, CalendarStore, decode_calendar, encode_calendar
@@ -388,7 +388,7 @@
 
 
 def test_a_clock_that_nobody_can_compare_is_not_trusted_unless_there_is_nobody() -> None:
-    assert WallClockMonitor(BOUND, SETTLE).check(0.0, BEGIN, never) is BypassReason.UNKNOWN
+    assert WallClockMonitor(BOUND, SETTLE).check(0.0, BEGIN, never) is BypassReason.CLOCK_UNKNOWN
     assert WallClockMonitor(BOUND, SETTLE).check(0.0, BEGIN, None) is BypassReason.NONE
 
 
@@ -411,15 +411,15 @@
         return -0.01, 0.01
 
     assert clock.check(0.0, BEGIN, fine) is BypassReason.NONE
-    assert clock.check(0.01, BEGIN + 0.01 + 0.035, fine) is BypassReason.STEPPED
-    assert clock.check(7.9, BEGIN + 7.9 + 0.035, fine) is BypassReason.STEPPED
+    assert clock.check(0.01, BEGIN + 0.01 + 0.035, fine) is BypassReason.CLOCK_STEPPED
+    assert clock.check(7.9, BEGIN + 7.9 + 0.035, fine) is BypassReason.CLOCK_STEPPED
     assert clock.check(8.2, BEGIN + 8.2 + 0.035, fine) is BypassReason.NONE
 
 
 def test_a_clock_that_steps_back_is_behind_until_it_has_caught_up() -> None:
     clock = WallClockMonitor(BOUND, SETTLE)
     assert clock.check(0.0, BEGIN + 100, None) is BypassReason.NONE
-    assert clock.check(1.0, BEGIN, None) is BypassReason.BEHIND and clock.highest == BEGIN + 100
+    assert clock.check(1.0, BEGIN, None) is BypassReason.CLOCK_BEHIND and clock.latest_trusted == BEGIN + 100
     assert clock.check(101.0, BEGIN + 100.5, None) is BypassReason.NONE
 
 
@@ -427,17 +427,17 @@
     clock = WallClockMonitor(BOUND, SETTLE)
     clock.check(0.0, BEGIN, lambda _now: (0.0, 0.0))
     assert (
-        clock.check(1.0, BEGIN + 3600, lambda _now: (0.0, 0.0)) is BypassReason.STEPPED
-        and clock.highest == BEGIN
+        clock.check(1.0, BEGIN + 3600, lambda _now: (0.0, 0.0)) is BypassReason.CLOCK_STEPPED
+        and clock.latest_trusted == BEGIN
     )
 
 
 def test_a_gap_between_looks_is_a_sleep_also_while_the_next_is_due() -> None:
-    sleep = Sleep()
+    sleep = SuspendDetector()
     for step in range(10):
-        sleep.look(step * 0.1)
-    sleep.check(0.9 + GAP)
-    assert sleep.woke < 0
-    sleep.check(0.95 + GAP)
-    assert sleep.woke == 0.95 + GAP
+        sleep.record_poll(step * 0.1)
+    sleep.check(0.9 + MAX_POLL_GAP_SECONDS)
+    assert sleep.resumed_at < 0
+    sleep.check(0.95 + MAX_POLL_GAP_SECONDS)
+    assert sleep.resumed_at == 0.95 + MAX_POLL_GAP_SECONDS
     assert LEASE_WAIT_FACTOR > 1
--- a/tests/closing/test_together.py
+++ b/tests/closing/test_together.py
@@ -208,7 +208,7 @@
     assert day.run(30) == 0  # nobody is sure, and nothing is kept
     day.world.cuts.clear()
     assert day.run(10) > 0
-    assert {day[n].closing.sure.book.rank[0] for n in range(4)} == {2}
+    assert {day[n].closing.eligibility.store.rank[0] for n in range(4)} == {2}
 
 
 def test_a_change_of_calendar_on_a_calm_day_is_in_force_at_all_at_one_instant_without_doubt() -> None:
@@ -236,7 +236,9 @@
     newer = calendar(2, BEGIN - 3600, CLOSE, kolkata=(CLOSE,))
     day.world.add("n4", options(newer))
     day.run(12)
-    assert {day[n].closing.sure.book.rank for n in range(5)} == {day[4].closing.sure.book.rank}
+    assert {day[n].closing.eligibility.store.rank for n in range(5)} == {
+        day[4].closing.eligibility.store.rank
+    }
     assert day.until(CLOSE + 5) > 0
 
 
@@ -245,8 +247,8 @@
     day.until(BEGIN + 8)
     view = day[1].view
     digest = view.offer(b"no calendar")
-    day[1].closing.sure.book.newest = calendar(9, BEGIN)
-    day[1].closing.sure.book.digest = digest
+    day[1].closing.eligibility.store.newest = calendar(9, BEGIN)
+    day[1].closing.eligibility.store.digest = digest
     day.run(10)
     refused = [each for each in day[0].history.of(Kind.CALENDAR) if each["state"] == "refused"]
     assert len(refused) == 1 and "not readable" in refused[0]["why"]
@@ -436,12 +438,15 @@
         day[0].closing.reload()
         refused = day[0].history.of(Kind.CALENDAR)[-1]
         assert refused["state"] == "refused" and refused["why"].startswith(f"{path}: {expected}")
-        assert day[0].closing.sure.book.rank[0] == 1 and day.run(1) > 0
+        assert day[0].closing.eligibility.store.rank[0] == 1 and day.run(1) > 0
     path.write_text(text.format(2, "2026-12-01T00:00:30Z", "tue"))
     day[0].closing.reload()
     day[0].closing.reload()
-    assert day.until(BEGIN + 32) > 0 and day[1].closing.sure.book.current is day[1].closing.sure.book.newest
-    assert day[1].closing.sure.book.rank[0] == 2
+    assert (
+        day.until(BEGIN + 32) > 0
+        and day[1].closing.eligibility.store.current is day[1].closing.eligibility.store.newest
+    )
+    assert day[1].closing.eligibility.store.rank[0] == 2
 
 
 def test_a_calendar_that_is_told_too_late_says_so() -> None:
