--- a/benchmarks/closing_stale.py
+++ b/benchmarks/closing_stale.py
@@ -26,7 +26,7 @@
 from datetime import UTC, datetime, time
 from functools import partial
 
-from cypresspulley.closing.cache import CacheKey, Keep, Kept, Sent
+from cypresspulley.closing.cache import AnswerCache, CachedAnswer, CacheKey, SendStamp
 from cypresspulley.closing.calendar import Calendar, Place
 from cypresspulley.closing.calendar_store import decode_calendar, encode_calendar
 from cypresspulley.closing.limiter import ClosingCache
@@ -53,7 +53,7 @@
         named: int,
     ) -> None:  # fmt: skip
         self._view, self._clock, self._wall, self._calendar = view, clock, wall, options.calendar
-        self._keep = Keep(options.most_answers, options.most_bytes, options.keep_seconds)
+        self._keep = AnswerCache(options.most_answers, options.most_bytes, options.keep_seconds)
         self._next = dict[str, float]()  # by place: when its timer fires, by the clock that never steps
         self._looked = -math.inf
 
@@ -92,31 +92,31 @@
                 for account, home in self._calendar.accounts.items():
                     if home == place:
                         self._keep.purge(account, -math.inf, now)
-                        self._keep.begin(account)
-                        self._keep.end(account, -math.inf, now)
+                        self._keep.begin_write(account)
+                        self._keep.end_write(account, -math.inf, now)
                 wall = self._wall()
                 later = self._calendar.timeline(place).closings_between(
                     max(wall, wall + at - now), wall + 2 * 86_400
                 )
                 self._next[place] = now + later[0][1] - wall if later else math.inf
 
-    def find_answer(self, id: str, account: str, key: CacheKey) -> tuple[Kept, float] | None:
+    def find_answer(self, id: str, account: str, key: CacheKey) -> tuple[CachedAnswer, float] | None:
         if self._clock() - self._looked < 0.15:
             self._fire()  # timers fire on time; only who has just woken reads its buffers before them
         found = self._keep.get(key, 0, self._clock())
         return None if found is None else (found, 0.0)
 
-    def stamp_lookup(self, account: str) -> Sent | None:
-        return Sent(self._clock(), self._wall(), 0)
+    def stamp_lookup(self, account: str) -> SendStamp | None:
+        return SendStamp(self._clock(), self._wall(), 0)
 
-    def store_answer(self, account: str, key: CacheKey, sent: Sent, headers: bytes, body: bytes) -> None:
-        self._keep.put(key, Kept(account, 0, sent.mono, sent.wall, headers, body), self._clock())
+    def store_answer(self, account: str, key: CacheKey, sent: SendStamp, headers: bytes, body: bytes) -> None:
+        self._keep.put(key, CachedAnswer(account, 0, sent.mono, sent.wall, headers, body), self._clock())
 
     def begin_write(self, account: str) -> None:
-        self._keep.begin(account)
+        self._keep.begin_write(account)
 
     def end_write(self, account: str, reached_server: bool, is_finished: bool) -> None:
-        self._keep.end(account, self._clock(), self._clock())
+        self._keep.end_write(account, self._clock(), self._clock())
 
 
 def calendar(version: int, in_force: float, closes: dict[str, list[float]]) -> Calendar:
--- a/cypresspulley/closing/cache.py
+++ b/cypresspulley/closing/cache.py
@@ -1,8 +1,9 @@
-"""What one limiter keeps of servers' answers: bounded, by account, with what may no longer be kept. No I/O, no clock.
+"""One limiter's cache of server answers, bounded in size, indexed by account. No I/O, no clock.
 
-Times that are passed in are seconds of a clock that never steps. An answer belongs to the moment at which its request
-was sent: nothing here looks at when it came. A purge sets its account's *floor*: what was sent at or before it is
-neither served nor kept. While a request that changes something is under way for an account, nothing is either.
+Times passed in are seconds of a monotonic clock. An answer is dated by the moment at which its request was sent; the
+moment at which the answer arrived is never used. A purge sets a watermark for its account: answers to requests that
+were sent at or before it are neither served nor cached. The same holds for all answers of an account while a request
+that may change its data (a write) is in progress.
 """
 
 from __future__ import annotations
@@ -13,18 +14,23 @@
 
 from cachetools import LRUCache
 
-OVERHEAD = 600  # bytes that an answer costs beside its text, about
-# Seconds from a request's sending to the last moment at which its answer is kept: clients wait for 60 at most. A floor
-# that is older is forgotten.
-LATEST = 120.0
-MOST_FLOORS = 16_384  # accounts; beyond, one floor for all
+ENTRY_OVERHEAD_BYTES = 600  # approximate memory per answer in addition to headers and body
+# Maximum time from sending a request until its answer can be cached; clients wait for 60 s at most. Purge watermarks
+# that are older than this are no longer needed and are dropped.
+MAX_ANSWER_DELAY_SECONDS = 120.0
+MAX_PURGE_WATERMARKS = (
+    16_384  # accounts with a watermark of their own; beyond this, one watermark holds for all
+)
 
-CacheKey = tuple[str, str, bytes]  # class, plan, target: path and query
+CacheKey = tuple[str, str, bytes]  # request class, plan, target (path and query)
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
-    """An answer. ``sent`` and ``wall`` are the moment at which its request was sent, ``wall`` in Unix seconds."""
+class CachedAnswer:
+    """A cached answer.
+
+    ``sent`` (monotonic) and ``wall`` (Unix seconds) are the moment at which its request was sent.
+    """
 
     account: str
     generation: int
@@ -35,26 +41,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
-    """The moment at which a lookup was sent to a server, by both clocks, and the generation that its answer is of."""
+class SendStamp:
+    """The moment at which a lookup was sent to a server, by both clocks, and the generation of its answer."""
 
     mono: float
     wall: float
     generation: int
 
 
-class _Answers(LRUCache[CacheKey, Kept]):
-    """The least lately used give way; which keys an account has is known at all times."""
+class _AnswersByKey(LRUCache[CacheKey, CachedAnswer]):
+    """A cache that evicts the least recently used answers and indexes its keys by account."""
 
     def __init__(self, most_bytes: int) -> None:
-        super().__init__(most_bytes, getsizeof=lambda kept: len(kept.body) + len(kept.headers) + OVERHEAD)
+        super().__init__(
+            most_bytes, getsizeof=lambda answer: len(answer.body) + len(answer.headers) + ENTRY_OVERHEAD_BYTES
+        )
         self.by_account = dict[str, set[CacheKey]]()
 
-    def __setitem__(self, key: CacheKey, kept: Kept) -> None:
+    def __setitem__(self, key: CacheKey, answer: CachedAnswer) -> None:
         self.pop(key, None)
-        super().__setitem__(key, kept)
+        super().__setitem__(key, answer)
         if key in self:
-            self.by_account.setdefault(kept.account, set()).add(key)
+            self.by_account.setdefault(answer.account, set()).add(key)
 
     def __delitem__(self, key: CacheKey) -> None:
         account = self.peek(key).account
@@ -64,97 +72,121 @@
         if not keys:
             del self.by_account[account]
 
-    def peek(self, key: CacheKey) -> Kept:
-        """Without counting it as a use."""
-        kept: Kept = self._Cache__data[key]  # type: ignore[attr-defined]
-        return kept
+    def peek(self, key: CacheKey) -> CachedAnswer:
+        """Returns an answer without counting as a use of it."""
+        answer: CachedAnswer = self._Cache__data[key]  # type: ignore[attr-defined]
+        return answer
 
 
-class Keep:
-    """Kept answers. ``longest``: seconds for which one is kept at most."""
+class AnswerCache:
+    """Cached answers; each is served for at most ``max_age`` seconds after its request was sent."""
 
-    def __init__(self, most_answers: int, most_bytes: int, longest: float) -> None:
-        self._most, self._longest = most_answers, longest
-        self._answers = _Answers(most_bytes)
-        self._floors = dict[str, float]()
-        self._floor = -math.inf  # of all accounts
-        self._busy = dict[str, int]()  # requests that change something, open, by account
+    def __init__(self, most_answers: int, most_bytes: int, max_age: float) -> None:
+        self._max_answers, self._max_age = most_answers, max_age
+        self._answers = _AnswersByKey(most_bytes)
+        self._purge_watermarks = dict[str, float]()
+        self._global_watermark = -math.inf  # for all accounts
+        self._writes_in_progress = dict[str, int]()  # by account
 
     def __repr__(self) -> str:
         return (
-            f"<Keep {len(self._answers)} answers, {self._answers.currsize:.0f} bytes, {len(self._busy)} busy>"
+            f"<AnswerCache {len(self._answers)} answers, {self._answers.currsize:.0f} bytes, "
+            f"{len(self._writes_in_progress)} accounts with writes>"
         )
 
     def __len__(self) -> int:
         return len(self._answers)
 
-    def get(self, key: CacheKey, generation: int, now: float) -> Kept | None:
-        """What may be served at this generation; what may not goes."""
-        kept = self._answers.get(key)
-        if kept is None or kept.account in self._busy:
+    def get(self, key: CacheKey, generation: int, now: float) -> CachedAnswer | None:
+        """Returns the answer if it may be served at this generation; removes one that is no longer valid."""
+        answer = self._answers.get(key)
+        if answer is None or answer.account in self._writes_in_progress:
             return None
-        if kept.generation == generation and now - kept.sent < self._longest and not self._old(kept):
-            return kept
+        if (
+            answer.generation == generation
+            and now - answer.sent < self._max_age
+            and not self._is_purged(answer)
+        ):
+            return answer
         self._answers.pop(key, None)
         return None
 
-    def _old(self, kept: Kept) -> bool:
-        return kept.sent <= max(self._floor, self._floors.get(kept.account, -math.inf))
+    def _is_purged(self, answer: CachedAnswer) -> bool:
+        return answer.sent <= max(
+            self._global_watermark, self._purge_watermarks.get(answer.account, -math.inf)
+        )
+
+    def put(self, key: CacheKey, answer: CachedAnswer, now: float) -> bool:
+        """Caches an answer unless it is too old or purged, and returns whether it was cached.
 
-    def put(self, key: CacheKey, kept: Kept, now: float) -> bool:
-        """Keep an answer; whether it may be. One of an earlier request never takes the place of a later one's."""
-        if kept.account in self._busy or self._old(kept) or now - kept.sent > LATEST:
+        An answer never replaces one whose request was sent later.
+        """
+        if (
+            answer.account in self._writes_in_progress
+            or self._is_purged(answer)
+            or now - answer.sent > MAX_ANSWER_DELAY_SECONDS
+        ):
             return False
-        there = self._answers.get(key)
-        if there is not None and there.sent >= kept.sent:
+        existing = self._answers.get(key)
+        if existing is not None and existing.sent >= answer.sent:
             return False
         try:
-            self._answers[key] = kept
-        except ValueError:  # larger than all that may be kept
+            self._answers[key] = answer
+        except ValueError:  # larger than the whole cache
             return False
-        while len(self._answers) > self._most:
+        while len(self._answers) > self._max_answers:
             self._answers.popitem()
         return True
 
-    def purge(self, account: str, floor: float, now: float) -> int:
-        """Drop what is kept for an account and was sent by ``floor``, and keep none of it later; how many went."""
-        self._floors[account] = max(floor, self._floors.get(account, -math.inf))
-        if len(self._floors) > MOST_FLOORS:
-            self._floors = {a: at for a, at in self._floors.items() if at > now - LATEST}
-        if len(self._floors) > MOST_FLOORS:
-            self._floor = max(self._floor, *self._floors.values())
-            self._floors.clear()
-        return self._drop([key for key in self._answers.by_account.get(account, ()) if self._gone(key)])
+    def purge(self, account: str, sent_until: float, now: float) -> int:
+        """Removes an account's answers to requests sent at or before ``sent_until`` and caches none of them later.
+
+        Returns the number of removed answers.
+        """
+        self._purge_watermarks[account] = max(sent_until, self._purge_watermarks.get(account, -math.inf))
+        if len(self._purge_watermarks) > MAX_PURGE_WATERMARKS:
+            self._purge_watermarks = {
+                a: at for a, at in self._purge_watermarks.items() if at > now - MAX_ANSWER_DELAY_SECONDS
+            }
+        if len(self._purge_watermarks) > MAX_PURGE_WATERMARKS:
+            self._global_watermark = max(self._global_watermark, *self._purge_watermarks.values())
+            self._purge_watermarks.clear()
+        return self._remove(
+            [key for key in self._answers.by_account.get(account, ()) if self._is_key_purged(key)]
+        )
 
-    def _gone(self, key: CacheKey) -> bool:
-        return self._old(self._answers.peek(key))
+    def _is_key_purged(self, key: CacheKey) -> bool:
+        return self._is_purged(self._answers.peek(key))
 
     def purge_all(self, now: float) -> int:
-        """Drop everything, and keep nothing that was sent by now; how many went."""
-        self._floor = max(self._floor, now)
-        return self._drop(list(self._answers))
-
-    def begin(self, account: str) -> None:
-        """A request that changes something has come: until its end nothing of its account is served or kept."""
-        self._busy[account] = self._busy.get(account, 0) + 1
-        self._drop(list(self._answers.by_account.get(account, ())))
-
-    def end(self, account: str, floor: float, now: float) -> None:
-        """It has ended; what was sent by ``floor`` may be from before it, and is not kept."""
-        left = self._busy.get(account, 0) - 1
+        """Removes all answers and caches no answer to a request sent at or before ``now``.
+
+        Returns the number of removed answers.
+        """
+        self._global_watermark = max(self._global_watermark, now)
+        return self._remove(list(self._answers))
+
+    def begin_write(self, account: str) -> None:
+        """Registers a write; until it ends, no answer of its account is served or cached."""
+        self._writes_in_progress[account] = self._writes_in_progress.get(account, 0) + 1
+        self._remove(list(self._answers.by_account.get(account, ())))
+
+    def end_write(self, account: str, sent_until: float, now: float) -> None:
+        """Ends a write. Answers to requests sent at or before ``sent_until`` may predate it and are not cached."""
+        left = self._writes_in_progress.get(account, 0) - 1
         if left > 0:
-            self._busy[account] = left
+            self._writes_in_progress[account] = left
         else:
-            self._busy.pop(account, None)
-        self.purge(account, floor, now)
+            self._writes_in_progress.pop(account, None)
+        self.purge(account, sent_until, now)
 
-    def sweep(self, stays: Callable[[Kept], bool]) -> list[Kept]:
-        """Give the memory of what does not stay back; what went."""
-        gone = [(key, kept) for key in self._answers if not stays(kept := self._answers.peek(key))]
-        self._drop([key for key, _ in gone])
-        return [kept for _, kept in gone]
+    def remove_invalid(self, is_valid: Callable[[CachedAnswer], bool]) -> list[CachedAnswer]:
+        """Frees the memory of the answers that are not valid any more and returns them."""
+        invalid = [(key, answer) for key in self._answers if not is_valid(answer := self._answers.peek(key))]
+        self._remove([key for key, _ in invalid])
+        return [answer for _, answer in invalid]
 
-    def _drop(self, keys: list[CacheKey]) -> int:
+    def _remove(self, keys: list[CacheKey]) -> int:
         for key in keys:
             del self._answers[key]
         return len(keys)
--- a/cypresspulley/closing/limiter.py
+++ b/cypresspulley/closing/limiter.py
@@ -13,7 +13,7 @@
 from typing import TypeVar
 
 from cypresspulley.closing.bypass import BypassReason
-from cypresspulley.closing.cache import CacheKey, Keep, Kept, Sent
+from cypresspulley.closing.cache import AnswerCache, CachedAnswer, CacheKey, SendStamp
 from cypresspulley.closing.calendar import Calendar
 from cypresspulley.closing.calendar_store import AddResult, encode_calendar
 from cypresspulley.closing.calendar_sync import CalendarSync
@@ -47,7 +47,7 @@
         history: AnyHistory, named: int = 2,
     ) -> None:  # fmt: skip
         self.options = options
-        self.keep = Keep(options.most_answers, options.most_bytes, options.keep_seconds)
+        self.keep = AnswerCache(options.most_answers, options.most_bytes, options.keep_seconds)
         self._clock, self._wall, self._history = clock, wall, history
         self.peers = Peers(view, options, named)
         self.eligibility = Eligibility(options, view, self.peers.alone)
@@ -112,7 +112,7 @@
         now, wall = self._now()
         return None if self._look_for_doubt(now, wall) else self.eligibility.generation(account, wall)
 
-    def find_answer(self, id: str, account: str, key: CacheKey) -> tuple[Kept, float] | None:
+    def find_answer(self, id: str, account: str, key: CacheKey) -> tuple[CachedAnswer, float] | None:
         """A kept answer and its age in seconds, where one may be served for a request."""
         generation = self.generation(account)
         if generation is None:
@@ -126,17 +126,17 @@
         )
         return kept, now - kept.sent
 
-    def stamp_lookup(self, account: str) -> Sent | None:
+    def stamp_lookup(self, account: str) -> SendStamp | None:
         """A lookup goes to a server now; None where its answer may not be kept, whenever it comes."""
         now, wall = self._now()
         generation = self.generation(account)
-        return None if generation is None else Sent(now, wall, generation)
+        return None if generation is None else SendStamp(now, wall, generation)
 
-    def store_answer(self, account: str, key: CacheKey, sent: Sent, headers: bytes, body: bytes) -> None:
+    def store_answer(self, account: str, key: CacheKey, sent: SendStamp, headers: bytes, body: bytes) -> None:
         """Its answer has come: it is kept if it is of this generation still, and nothing has changed meanwhile."""
         if self.generation(account) != sent.generation:
             return
-        kept = Kept(account, sent.generation, sent.mono, sent.wall, headers, body)
+        kept = CachedAnswer(account, sent.generation, sent.mono, sent.wall, headers, body)
         if self.keep.put(key, kept, self._clock()):
             self._history.put(
                 Kind.KEPT, account=account, key=_name(key), generation=sent.generation, sent=sent.wall
@@ -144,14 +144,14 @@
 
     def begin_write(self, account: str) -> None:
         """A request that is not safe to repeat has come: nothing of its account is served or kept until its end."""
-        self.keep.begin(account)
+        self.keep.begin_write(account)
 
     def end_write(self, account: str, reached_server: bool, is_finished: bool) -> None:
         """It has its final answer. ``reached_server``: it went to a server; ``is_finished``: nothing of it still runs there."""
         now = self._clock()
         if not reached_server:
-            return self.keep.end(account, -float("inf"), now)
-        self.keep.end(account, now if is_finished else now + LINGER, now)
+            return self.keep.end_write(account, -float("inf"), now)
+        self.keep.end_write(account, now if is_finished else now + LINGER, now)
         self.purging.issue(account)
         if not is_finished:
             self.purging.again(account, now + LINGER)
@@ -241,12 +241,12 @@
     def _give_back(self, closings: list[Closed], calendar: Calendar, wall: float) -> None:
         """The memory of what may not be served any more; the closings are told."""
 
-        def stays(kept: Kept) -> bool:
+        def stays(kept: CachedAnswer) -> bool:
             place = calendar.accounts.get(kept.account)
             return place is not None and calendar.generation(place, wall) == kept.generation
 
         dropped = dict[str, int]()
-        for kept in self.keep.sweep(stays):
+        for kept in self.keep.remove_invalid(stays):
             place = calendar.accounts.get(kept.account, "")
             dropped[place] = dropped.get(place, 0) + 1
         for closed in closings:
--- a/cypresspulley/closing/node.py
+++ b/cypresspulley/closing/node.py
@@ -10,7 +10,7 @@
 from typing import Any, Protocol, TypeVar
 
 from cypresspulley import interface as api
-from cypresspulley.closing.cache import CacheKey, Kept, Sent
+from cypresspulley.closing.cache import CachedAnswer, CacheKey, SendStamp
 from cypresspulley.net.frontend import ClientRequest
 from cypresspulley.net.node import Node
 from cypresspulley.net.upstream import Exchange
@@ -30,11 +30,13 @@
 
     def asks(self, account: str) -> bool: ...
 
-    def find_answer(self, id: str, account: str, key: CacheKey) -> tuple[Kept, float] | None: ...
+    def find_answer(self, id: str, account: str, key: CacheKey) -> tuple[CachedAnswer, float] | None: ...
 
-    def stamp_lookup(self, account: str) -> Sent | None: ...
+    def stamp_lookup(self, account: str) -> SendStamp | None: ...
 
-    def store_answer(self, account: str, key: CacheKey, sent: Sent, headers: bytes, body: bytes) -> None: ...
+    def store_answer(
+        self, account: str, key: CacheKey, sent: SendStamp, headers: bytes, body: bytes
+    ) -> None: ...
 
     def begin_write(self, account: str) -> None: ...
 
@@ -48,7 +50,7 @@
 
     def __init__(self, account: str, key: CacheKey) -> None:
         self.account, self.key = account, key
-        self.sent = dict[int, Sent | None]()  # by attempt
+        self.sent = dict[int, SendStamp | None]()  # by attempt
 
 
 def keeping(kind: type[N], closing: Keeping, keep: frozenset[str]) -> type[N]:
--- a/tests/closing/mutants.py
+++ b/tests/closing/mutants.py
@@ -8,7 +8,7 @@
 from unittest import mock
 
 from cypresspulley.closing.bypass import BypassReason, WallClockMonitor
-from cypresspulley.closing.cache import Keep
+from cypresspulley.closing.cache import AnswerCache
 from cypresspulley.closing.calendar import Timeline
 from cypresspulley.closing.calendar_store import CalendarStore
 from cypresspulley.closing.closing_tracker import Closed, ClosingTracker
@@ -65,8 +65,8 @@
     ),
     "yes before all have it": ((PurgeCoordinator, "_find_missing", lambda *_: []),),
     "purges of others are not heard": ((ClosingCache, "_hear_purges", lambda *_: None),),
-    "a purge forgets what is on its way": ((Keep, "_old", lambda *_: False),),
-    "a change under way holds up nothing": ((Keep, "begin", lambda *_: None),),
+    "a purge forgets what is on its way": ((AnswerCache, "_is_purged", lambda *_: False),),
+    "a change under way holds up nothing": ((AnswerCache, "begin_write", lambda *_: None),),
 }
 
 
--- a/tests/closing/test_node.py
+++ b/tests/closing/test_node.py
@@ -216,7 +216,7 @@
             origin.reply = lambda _n: OK
             for _ in range(2):
                 assert "age" not in (await limiter.fetch())[1]  # the change may run on for a while
-            assert limiter.closing.keep._floors["00000000b4d65521"] > limiter.closing._clock() + 4
+            assert limiter.closing.keep._purge_watermarks["00000000b4d65521"] > limiter.closing._clock() + 4
 
     run(main())
 
--- a/tests/closing/test_parts.py
+++ b/tests/closing/test_parts.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from cypresspulley.closing.bypass import MAX_POLL_GAP_SECONDS, BypassReason, SuspendDetector, WallClockMonitor
-from cypresspulley.closing.cache import LATEST, CacheKey, Keep, Kept
+from cypresspulley.closing.cache import MAX_ANSWER_DELAY_SECONDS, AnswerCache, CachedAnswer, CacheKey
 from cypresspulley.closing.calendar import Calendar, Place
 from cypresspulley.closing.calendar_store import AddResult, CalendarStore, decode_calendar, encode_calendar
 from cypresspulley.closing.closing_tracker import ClosingTracker
@@ -31,15 +31,15 @@
     return "lookup", "basic", b"/%d" % number
 
 
-def kept(account: str = A, generation: int = 1, sent: float = 10.0, size: int = 10) -> Kept:
-    return Kept(account, generation, sent, BEGIN + sent, b"", b"x" * size)
+def kept(account: str = A, generation: int = 1, sent: float = 10.0, size: int = 10) -> CachedAnswer:
+    return CachedAnswer(account, generation, sent, BEGIN + sent, b"", b"x" * size)
 
 
 # What is kept.
 
 
 def test_an_answer_is_served_at_its_generation_only_and_for_so_long() -> None:
-    keep = Keep(10, 100_000, 60.0)
+    keep = AnswerCache(10, 100_000, 60.0)
     keep.put(key(1), kept(), 11.0)
     assert keep.get(key(1), 1, 20.0) is not None and keep.get(key(1), 2, 20.0) is None
     assert keep.get(key(1), 1, 20.0) is None  # it went
@@ -48,13 +48,13 @@
 
 
 def test_answers_and_bytes_are_bounded_and_the_least_lately_used_goes() -> None:
-    keep = Keep(3, 100_000, 60.0)
+    keep = AnswerCache(3, 100_000, 60.0)
     for number in range(3):
         assert keep.put(key(number), kept(), 11.0)
     assert keep.get(key(0), 1, 12.0) is not None
     keep.put(key(3), kept(), 11.0)
     assert len(keep) == 3 and keep.get(key(1), 1, 12.0) is None and keep.get(key(0), 1, 12.0) is not None
-    small = Keep(100, 2000, 60.0)
+    small = AnswerCache(100, 2000, 60.0)
     assert not small.put(key(0), kept(size=5000), 11.0)
     for number in range(100):
         small.put(key(number), kept(size=400), 11.0)
@@ -62,7 +62,7 @@
 
 
 def test_a_purge_drops_its_account_and_what_was_sent_before_it_comes_to_nothing() -> None:
-    keep = Keep(10, 100_000, 60.0)
+    keep = AnswerCache(10, 100_000, 60.0)
     keep.put(key(1), kept(), 11.0)
     keep.put(key(2), kept(B), 11.0)
     assert keep.purge(A, 20.0, 20.0) == 1
@@ -72,37 +72,37 @@
 
 
 def test_floors_are_bounded_and_never_lowered(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("cypresspulley.closing.cache.MOST_FLOORS", 3)
-    keep = Keep(10, 100_000, 60.0)
+    monkeypatch.setattr("cypresspulley.closing.cache.MAX_PURGE_WATERMARKS", 3)
+    keep = AnswerCache(10, 100_000, 60.0)
     for number in range(5):
         keep.purge(f"{number:016x}", 20.0 + number, 20.0 + number)
     for number in range(5):
         assert not keep.put(key(number), kept(f"{number:016x}", sent=20.0 + number), 25.0)
     assert keep.put(key(9), kept(sent=25.0), 25.0)
     assert not keep.put(
-        key(8), kept(sent=26.0), 26.5 + LATEST
+        key(8), kept(sent=26.0), 26.5 + MAX_ANSWER_DELAY_SECONDS
     )  # a floor that is forgotten may have been above it
 
 
 def test_while_a_change_is_under_way_nothing_of_its_account_is_kept_or_served() -> None:
-    keep = Keep(10, 100_000, 60.0)
+    keep = AnswerCache(10, 100_000, 60.0)
     keep.put(key(1), kept(), 11.0)
-    keep.begin(A)
-    keep.begin(A)
+    keep.begin_write(A)
+    keep.begin_write(A)
     assert len(keep) == 0 and not keep.put(key(1), kept(sent=12.0), 13.0) and keep.put(key(2), kept(B), 13.0)
-    keep.end(A, 14.0, 14.0)
+    keep.end_write(A, 14.0, 14.0)
     assert not keep.put(key(1), kept(sent=14.5), 15.0)  # the other one is still open
-    keep.end(A, 16.0, 16.0)
+    keep.end_write(A, 16.0, 16.0)
     assert not keep.put(key(1), kept(sent=16.0), 17.0) and keep.put(key(1), kept(sent=16.1), 17.0)
 
 
 def test_an_earlier_requests_answer_takes_no_later_ones_place() -> None:
-    keep = Keep(10, 100_000, 60.0)
+    keep = AnswerCache(10, 100_000, 60.0)
     assert keep.put(key(1), kept(sent=12.0), 13.0) and not keep.put(key(1), kept(sent=11.0), 13.0)
 
 
 def test_the_index_by_account_goes_with_what_it_names() -> None:
-    keep, rng = Keep(5, 4000, 60.0), Random(1)
+    keep, rng = AnswerCache(5, 4000, 60.0), Random(1)
     for step in range(500):
         keep.put(
             key(rng.randrange(20)), kept(rng.choice((A, B)), sent=float(step), size=rng.randrange(900)), step
