--- a/cypresspulley/closing/limiter.py
+++ b/cypresspulley/closing/limiter.py
@@ -192,11 +192,11 @@
         for account in self.purging.due(now):
             self.keep.purge(account, now, now)
             self.purging.issue(account)
-        eligibility.lease.agree(now, self.peers.agreed(eligibility.store))
-        eligibility.lease.see(now, self.peers.rows)
+        eligibility.lease.set_view_digest(now, self.peers.agreed(eligibility.store))
+        eligibility.lease.record_rows(now, self.peers.rows)
         needed = self.peers.needed()
         if needed is not None:
-            eligibility.lease.hear(now, needed)
+            eligibility.lease.update(now, needed)
         self.peers.say(eligibility.store, eligibility.lease)
         if not eligibility.check_clock(now, wall):
             self._turn(wall)
--- a/cypresspulley/closing/membership.py
+++ b/cypresspulley/closing/membership.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Callable, Iterable
 
-from cypresspulley.closing.lease import Life
+from cypresspulley.closing.lease import Instance
 from cypresspulley.fleet.records import Member, State
 
 FORGET = 3600.0  # seconds after which a lost limiter no longer counts for the half
@@ -24,7 +24,7 @@
         self._lost, self._named = lost, named
         self._lives = dict[str, int]()
         self._since = dict[str, float]()  # of those that are lost: since when
-        self.needed = frozenset[Life]()
+        self.needed = frozenset[Instance]()
         self._told = 0  # the largest number that another told
 
     def __repr__(self) -> str:
@@ -42,10 +42,10 @@
 
     def look(
         self, now: float, present: Iterable[Member], known: Callable[[str], Member | None]
-    ) -> frozenset[Life]:  # fmt: skip
+    ) -> frozenset[Instance]:  # fmt: skip
         """Take the view in; the lives that were there at the last look and are no more."""
         here = {member.name: member.life for member in present}
-        before = {Life(name, life) for name, life in self._lives.items() if name not in self._since}
+        before = {Instance(name, life) for name, life in self._lives.items() if name not in self._since}
         self._lives |= here
         for name in [name for name in self._lives if name not in here]:
             member = known(name)
@@ -58,7 +58,7 @@
             for name in sorted(self._since, key=self._since.__getitem__)[: len(self._lives) - MOST]:
                 del self._lives[name], self._since[name]
         self.needed = frozenset(
-            Life(name, life)
+            Instance(name, life)
             for name, life in self._lives.items()
             if name in here or now - self._since[name] <= self._lost
         )
--- a/cypresspulley/closing/peers.py
+++ b/cypresspulley/closing/peers.py
@@ -6,7 +6,7 @@
 
 from cypresspulley.closing.calendar import TZDATA_VERSION
 from cypresspulley.closing.calendar_store import CalendarStore
-from cypresspulley.closing.lease import Lease, Life
+from cypresspulley.closing.lease import Instance, Lease
 from cypresspulley.closing.membership import Roster
 from cypresspulley.closing.options import Options
 from cypresspulley.closing.purge_counters import Applied, Issued
@@ -23,7 +23,7 @@
         self._view, self._named = view, named
         self.roster = Roster(options.lost_seconds, named)
         self.issued, self.applied = Issued(), Applied()
-        self.rows = dict[Life, LimiterRow | None]()
+        self.rows = dict[Instance, LimiterRow | None]()
         self._read = dict[str, tuple[int, int, LimiterRow | None]]()  # by owner: life, version, its row
         self._said: tuple[object, ...] = ()  # of which the row was made that was said last
         self._agreed: tuple[tuple[object, ...], bytes] = ((), b"")  # of what, and its digest
@@ -37,8 +37,8 @@
         return f"<Peers {len(self.rows)} present, {self.roster!r}>"
 
     @property
-    def me(self) -> Life:
-        return Life(self._view.me, self._view.life)
+    def me(self) -> Instance:
+        return Instance(self._view.me, self._view.life)
 
     def alone(self) -> bool:
         """Whether no other limiter belongs to the installation: none is named, and none was ever seen."""
@@ -47,13 +47,13 @@
     def look(self, now: float) -> bool:
         """Take the view in; whether a life that was there has gone."""
         members = self._view.members()
-        gone = frozenset[Life]()
+        gone = frozenset[Instance]()
         if members != self._members or self.roster.lost:
             gone, self._members = self.roster.look(now, members, self._view.member), members
         rows = self._view.rows(now, SUBSYSTEM)
         self._read = {row.owner: self._reading(row) for row in rows if row.owner != self._view.me}
         self.rows = {
-            Life(member.name, member.life): self._of(member.name, member.life)
+            Instance(member.name, member.life): self._of(member.name, member.life)
             for member in members
             if member.name != self._view.me
         }
@@ -71,9 +71,9 @@
         read = self._read.get(name)
         return read[2] if read is not None and read[0] == life else None
 
-    def news(self) -> list[tuple[Life, list[tuple[int, str]], bool]]:
+    def news(self) -> list[tuple[Instance, list[tuple[int, str]], bool]]:
         """Purges of others that are new here: issuer, numbers and accounts, whether there were more than are named."""
-        found = list[tuple[Life, list[tuple[int, str]], bool]]()
+        found = list[tuple[Instance, list[tuple[int, str]], bool]]()
         for life, said in self.rows.items():
             numbers, more = self.applied.hear(life, said) if said is not None else ([], False)
             if numbers or more:
@@ -87,7 +87,7 @@
             default=None,
         )
 
-    def needed(self) -> dict[Life, LimiterRow | None] | None:
+    def needed(self) -> dict[Instance, LimiterRow | None] | None:
         """The rows of all that have to agree; None where they are no majority, or nobody else was ever seen."""
         others = [life for life in self.roster.needed if life.name != self._view.me]
         if not others or not self.roster.enough(len(others) + 1):
@@ -107,13 +107,13 @@
         """This limiter's row, where it has changed."""
         version, digest = book.rank
         of = (
-            lease.round, lease.since, lease.agreed, version, digest, self.roster.size, self.issued.count,
+            lease.round, lease.since_round, lease.view_digest, version, digest, self.roster.size, self.issued.count,
             self.applied.echoes,
         )  # fmt: skip
         if of != self._said:
             self._said = of
             said = LimiterRow(
-                lease.round, lease.since, lease.agreed, version, bytes.fromhex(digest), self.roster.size,
+                lease.round, lease.since_round, lease.view_digest, version, bytes.fromhex(digest), self.roster.size,
                 self.issued.count, self.issued.recent, self.applied.echoes,
             )  # fmt: skip
             self._view.publish(SUBSYSTEM, encode_row(said))
--- a/cypresspulley/closing/purge_coordinator.py
+++ b/cypresspulley/closing/purge_coordinator.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import NamedTuple
 
-from cypresspulley.closing.lease import Lease, Life
+from cypresspulley.closing.lease import Instance, Lease
 from cypresspulley.closing.options import LEASE_WAIT_FACTOR
 from cypresspulley.closing.peers import Peers
 from cypresspulley.closing.purge_counters import echo
@@ -52,7 +52,9 @@
             self.told(account, self._peers.me, number, what)
         return number
 
-    def told(self, account: str, issuer: Life, number: int, what: str, missing: tuple[str, ...] = ()) -> None:
+    def told(
+        self, account: str, issuer: Instance, number: int, what: str, missing: tuple[str, ...] = ()
+    ) -> None:
         self._history.put(
             Kind.PURGE, account=account, issuer=issuer.name, life=issuer.life, number=number, what=what,
             missing=list(missing),
@@ -87,7 +89,9 @@
             missing = [] if waiting.done.done() else self._find_missing(now, waiting)
             # Who is not there to say so holds its lease beyond the time that the caller is given.
             hopeless = any(
-                self._lease.out(life) > waiting.until for life in missing if life not in self._peers.rows
+                self._lease.peer_expiry(life) > waiting.until
+                for life in missing
+                if life not in self._peers.rows
             )
             if missing and not hopeless and now < waiting.until:
                 continue
@@ -95,19 +99,25 @@
             if not waiting.done.done():
                 waiting.done.set_result(tuple(sorted({life.name for life in missing})))
 
-    def _find_missing(self, now: float, waiting: Waiting) -> list[Life]:
+    def _find_missing(self, now: float, waiting: Waiting) -> list[Instance]:
         """Who may have something kept from before a purge."""
         if self._peers.alone():
             return []
         rows = self._peers.rows
         has = {life for life in rows if self._has(life, waiting)}
-        missing = [life for life in {*self._lease.known(), *rows} - has if now < self._lease.out(life)]
+        missing = [
+            life
+            for life in {*self._lease.seen_instances(), *rows} - has
+            if now < self._lease.peer_expiry(life)
+        ]
         # Nobody goes on without this limiter before ``lost`` seconds, or while most others have just heard it. Cut off
         # for longer, or just started, it does not know who keeps.
-        counted = self._lease.counted(now, self._lost) or self._peers.roster.enough(len(has) + 1)
+        counted = self._lease.is_acknowledged_within(now, self._lost) or self._peers.roster.enough(
+            len(has) + 1
+        )
         return missing if missing or counted else [self._peers.me]
 
-    def _has(self, life: Life, waiting: Waiting) -> bool:
+    def _has(self, life: Instance, waiting: Waiting) -> bool:
         """It says so itself, or by rule (1) of the lease: at two rounds later it has seen this limiter's row of the one
         after the purge, and acted on it."""
         said = self._peers.rows[life]
@@ -116,7 +126,7 @@
         if said.acknowledges(echo(self._peers.me, waiting.number)):
             return True
         return (
-            said.view_digest == self._lease.agreed
+            said.view_digest == self._lease.view_digest
             and said.round > said.since_round
             and said.round >= waiting.round + 2
         )
--- a/cypresspulley/closing/purge_counters.py
+++ b/cypresspulley/closing/purge_counters.py
@@ -9,7 +9,7 @@
 from collections import deque
 from hashlib import blake2s
 
-from cypresspulley.closing.lease import Life
+from cypresspulley.closing.lease import Instance
 from cypresspulley.closing.row import (
     ACK_BYTES,
     ACK_ISSUER_BYTES,
@@ -22,7 +22,7 @@
 MOST_ISSUERS = 4096
 
 
-def echo(issuer: Life, count: int) -> bytes:
+def echo(issuer: Instance, count: int) -> bytes:
     """That the first so many purges of an issuer are applied."""
     return blake2s(repr(tuple(issuer)).encode(), digest_size=ACK_ISSUER_BYTES).digest() + count.to_bytes(
         ACK_BYTES - ACK_ISSUER_BYTES
@@ -51,10 +51,10 @@
     """What was applied here of others'."""
 
     def __init__(self) -> None:
-        self._counts = dict[Life, int]()  # whose news came last stands last
+        self._counts = dict[Instance, int]()  # whose news came last stands last
         self.echoes = b""  # for this limiter's row: what it was the last to apply
 
-    def hear(self, issuer: Life, said: LimiterRow) -> tuple[list[tuple[int, str]], bool]:
+    def hear(self, issuer: Instance, said: LimiterRow) -> tuple[list[tuple[int, str]], bool]:
         """Numbers and accounts that are new in a row, and whether there were more of which it names no account."""
         done = self._counts.get(issuer, 0)
         if said.purge_count <= done:
@@ -68,11 +68,11 @@
         new = [(first + at, account) for at, account in enumerate(accounts) if first + at > done]
         return new, done + 1 < first
 
-    def count(self, issuer: Life) -> int:
+    def count(self, issuer: Instance) -> int:
         """How many of an issuer's purges were applied."""
         return self._counts.get(issuer, 0)
 
-    def forget(self, present: set[Life]) -> None:
+    def forget(self, present: set[Instance]) -> None:
         """Bound the table: an issuer that is gone says nothing more."""
         if len(self._counts) > MOST_ISSUERS:
             self._counts = {life: count for life, count in self._counts.items() if life in present}
--- a/tests/closing/test_parts.py
+++ b/tests/closing/test_parts.py
@@ -15,7 +15,7 @@
 from cypresspulley.closing.calendar import Calendar, Place
 from cypresspulley.closing.calendar_store import AddResult, CalendarStore, decode_calendar, encode_calendar
 from cypresspulley.closing.closing_tracker import ClosingTracker
-from cypresspulley.closing.lease import Lease, Life
+from cypresspulley.closing.lease import Instance, Lease
 from cypresspulley.closing.membership import FORGET, Roster
 from cypresspulley.closing.options import LEASE_WAIT_FACTOR, MAX_ACCOUNTS
 from cypresspulley.closing.purge_counters import Applied, Issued
@@ -167,7 +167,7 @@
 
 
 def test_purges_are_applied_once_each_and_a_gap_drops_everything() -> None:
-    issued, applied, life = Issued(), Applied(), Life("n1", 7)
+    issued, applied, life = Issued(), Applied(), Instance("n1", 7)
 
     def heard() -> tuple[list[tuple[int, str]], bool]:
         return applied.hear(life, said(purges=issued.count, recent=issued.recent))
@@ -182,7 +182,7 @@
     for _ in range(MAX_RECENT_PURGES + 1):
         issued.issue(A)
     assert heard()[1]
-    assert applied.hear(Life("n1", 8), said(purges=1, recent=issued.recent[:5])) == ([(1, A)], False)
+    assert applied.hear(Instance("n1", 8), said(purges=1, recent=issued.recent[:5])) == ([(1, A)], False)
 
 
 # Rounds and leases, held against what each really had seen of the others.
@@ -192,9 +192,9 @@
     """A limiter that notes, at each of its steps, which of the others' sayings it had seen."""
 
     def __init__(self, name: str) -> None:
-        self.life, self.lease = Life(name, 1), Lease(4.0, 0.25)
+        self.life, self.lease = Instance(name, 1), Lease(4.0, 0.25)
         self.seen = dict[
-            Life, tuple[LimiterRow, float]
+            Instance, tuple[LimiterRow, float]
         ]()  # of others: the newest saying here, and when it was said
         self.agreed = b"one  one"
 
@@ -202,12 +202,12 @@
         rows = {
             o.life: self.seen[o.life][0] if o.life in self.seen else None for o in others if o is not self
         }
-        self.lease.agree(now, self.agreed)
-        self.lease.see(now, rows)
-        self.lease.hear(now, rows)
+        self.lease.set_view_digest(now, self.agreed)
+        self.lease.record_rows(now, rows)
+        self.lease.update(now, rows)
 
     def says(self) -> LimiterRow:
-        return said(self.lease.round, self.lease.since, self.lease.agreed)
+        return said(self.lease.round, self.lease.since_round, self.lease.view_digest)
 
 
 @settings(derandomize=True, deadline=None, max_examples=20)
@@ -218,7 +218,7 @@
     """Sayings are late, lost and come out of order only forwards; now and then one agrees to something else."""
     rng = Random(seed)
     talkers, now, held = [Talker(f"n{n}") for n in range(count)], 0.0, 0
-    deaf_until = dict[tuple[Life, Life], float]()
+    deaf_until = dict[tuple[Instance, Instance], float]()
     for _ in range(500):
         now += 0.05
         one = rng.choice(talkers)
@@ -242,7 +242,7 @@
                     continue
                 assert now - other.seen[holder.life][1] < 4.0  # heard within the lease
                 other.look(now, talkers)
-                assert other.lease.out(holder.life) > now  # who waits for its end waits long enough
+                assert other.lease.peer_expiry(holder.life) > now  # who waits for its end waits long enough
     assert held or count > 3
 
 
@@ -256,16 +256,16 @@
             one.look(now, talkers)
             for other in talkers:
                 other.seen[one.life] = (one.says(), now)
-    assert talkers[0].lease.cause == "disagreed" and talkers[0].lease.expires_at < 3.1 + 4.0
+    assert talkers[0].lease.stalled_by == "disagreed" and talkers[0].lease.expires_at < 3.1 + 4.0
     assert not talkers[0].lease.is_held(7.1)
 
 
 def test_a_huge_round_from_a_foreign_peer_lengthens_no_lease() -> None:
-    lease, one, two = Lease(4.0, 0.25), Life("a", 1), Life("b", 1)
+    lease, one, two = Lease(4.0, 0.25), Instance("a", 1), Instance("b", 1)
     for step in range(40):
-        lease.agree(step * 0.1, b"agreed!!")
-        lease.hear(step * 0.1, {one: said(2**50), two: said(0)})
-    assert not lease.is_held(4.0) and lease.round <= 2**50 and lease.cause == "starting"
+        lease.set_view_digest(step * 0.1, b"agreed!!")
+        lease.update(step * 0.1, {one: said(2**50), two: said(0)})
+    assert not lease.is_held(4.0) and lease.round <= 2**50 and lease.stalled_by == "starting"
 
 
 # Who is needed.
@@ -278,10 +278,10 @@
 def test_a_lost_limiter_is_needed_for_a_while_and_counts_for_the_half_for_longer() -> None:
     roster, gone = Roster(30.0, 1), {"c": member("c", 1, State.DEAD)}
     assert not roster.look(0.0, [member("a"), member("b"), member("c")], gone.get)
-    assert roster.look(1.0, [member("a"), member("b")], gone.get) == {Life("c", 1)}
-    assert Life("c", 1) in roster.needed
+    assert roster.look(1.0, [member("a"), member("b")], gone.get) == {Instance("c", 1)}
+    assert Instance("c", 1) in roster.needed
     roster.look(32.0, [member("a"), member("b")], gone.get)
-    assert roster.needed == {Life("a", 1), Life("b", 1)} and roster.size == 3
+    assert roster.needed == {Instance("a", 1), Instance("b", 1)} and roster.size == 3
     assert roster.enough(2) and not roster.enough(1)
     roster.look(2.0 + FORGET, [member("a"), member("b")], gone.get)
     assert roster.size == 2
@@ -291,9 +291,9 @@
     roster, gone = Roster(30.0, 1), {"c": member("c", 1, State.LEFT)}
     roster.look(0.0, [member("a"), member("c")], gone.get)
     roster.look(1.0, [member("a")], gone.get)
-    assert roster.needed == {Life("a", 1)} and roster.size == 1
-    assert roster.look(2.0, [member("a", 2)], gone.get) == {Life("a", 1)}
-    assert roster.needed == {Life("a", 2)}
+    assert roster.needed == {Instance("a", 1)} and roster.size == 1
+    assert roster.look(2.0, [member("a", 2)], gone.get) == {Instance("a", 1)}
+    assert roster.needed == {Instance("a", 2)}
 
 
 def test_who_has_just_started_reckons_with_those_that_others_know_and_the_operators_name() -> None:
