--- a/benchmarks/closing_stale.py
+++ b/benchmarks/closing_stale.py
@@ -57,11 +57,11 @@
         self._next = dict[str, float]()  # by place: when its timer fires, by the clock that never steps
         self._looked = -math.inf
 
-    def begin(self) -> None:
-        self.tell(self._calendar)
-        self.look()
+    def initialize(self) -> None:
+        self.announce(self._calendar)
+        self.poll()
 
-    def tell(self, calendar: Calendar) -> None:
+    def announce(self, calendar: Calendar) -> None:
         """Take a calendar, and say so."""
         self._calendar = calendar
         digest = bytes.fromhex(self._view.offer(encode_calendar(calendar)))
@@ -73,7 +73,7 @@
             found = calendar.timeline(place).closings_between(wall, wall + 2 * 86_400)
             self._next[place] = now + found[0][1] - wall if found else math.inf
 
-    def look(self) -> None:
+    def poll(self) -> None:
         for row in self._view.rows(self._clock(), "closing"):
             said = decode_row(row.body)
             if said is not None and said.calendar_version > self._calendar.version:
@@ -81,7 +81,7 @@
                 if body is None:
                     self._view.want(said.calendar_digest.hex())
                 else:
-                    self.tell(decode_calendar(body))
+                    self.announce(decode_calendar(body))
         self._fire()
         self._looked = self._clock()
 
@@ -109,8 +109,10 @@
     def stamp_lookup(self, account: str) -> SendStamp | None:
         return SendStamp(self._clock(), self._wall(), 0)
 
-    def store_answer(self, account: str, key: CacheKey, sent: SendStamp, headers: bytes, body: bytes) -> None:
-        self._keep.put(key, CachedAnswer(account, 0, sent.mono, sent.wall, headers, body), self._clock())
+    def store_answer(
+        self, account: str, key: CacheKey, stamp: SendStamp, headers: bytes, body: bytes
+    ) -> None:
+        self._keep.put(key, CachedAnswer(account, 0, stamp.mono, stamp.wall, headers, body), self._clock())
 
     def begin_write(self, account: str) -> None:
         self._keep.begin_write(account)
@@ -231,7 +233,7 @@
             generation = limiter.cache.generation(account)
             if generation is not None and now < closing:
                 self.until.setdefault((closing, place), {})[limiter.name] = now
-            if limiter.cache.doubt:
+            if limiter.cache.bypass_reason:
                 self.until.get((closing, place), {}).pop(limiter.name, None)
                 return  # it gave up for another reason
             self.world.at(now + PROBE, partial(self._probe, limiter, closing))
@@ -343,7 +345,7 @@
         newer = calendar(2, now + 6.5 + self.rng.uniform(0, early - now - 6.5 - 2 * BOUND), closes)
         try:
             assert isinstance(limiter.cache, ClosingCache | OwnTimer)
-            limiter.cache.tell(newer)
+            limiter.cache.announce(newer)
         except OperatorsError:
             return  # its clock is far ahead
         self.changed = True
--- a/cypresspulley/closing/__init__.py
+++ b/cypresspulley/closing/__init__.py
@@ -1,1 +1,1 @@
-"""Kept answers that are gone at business close, at every limiter at one instant as far as any client can tell."""
+"""Caches answers to lookups and invalidates them at business close, for clients at the same instant everywhere."""
--- a/cypresspulley/closing/closing_tracker.py
+++ b/cypresspulley/closing/closing_tracker.py
@@ -1,4 +1,7 @@
-"""Which closings have been noticed in this life: each once, whatever the clock does. No I/O and no clock."""
+"""Tracks which closings have been reported in this life, so that each is reported once whatever the clock does.
+
+No I/O and no clock.
+"""
 
 from __future__ import annotations
 
@@ -6,11 +9,13 @@
 
 from cypresspulley.closing.calendar import Calendar
 
-MOST = 256  # closings of one look: a limiter that slept for months tells the last of them
+MAX_CLOSINGS = (
+    256  # closings reported per call: a limiter that was suspended for months reports only the last ones
+)
 
 
-class Closed(NamedTuple):
-    """One closing, with its identity: place, version, ordinal. ``at`` is its instant, Unix seconds."""
+class ClosingEvent(NamedTuple):
+    """One closing, identified by place, version and ordinal. ``at`` is its instant in Unix seconds."""
 
     place: str
     version: int
@@ -19,34 +24,38 @@
 
 
 class ClosingTracker:
-    """Instants that are passed in come from a clock that is trusted and does not go back."""
+    """Instants passed in come from a trusted clock that does not go back."""
 
     def __init__(self) -> None:
-        self._collected_until: float | None = None  # all closings up to here are noticed
+        self._collected_until: float | None = None  # all closings up to this instant have been reported
 
-    def collect_closings(self, before: Calendar | None, after: Calendar | None, wall: float) -> list[Closed]:
-        """The closings since the last look. A version has its own up to its successor's instant."""
+    def collect_closings(
+        self, before: Calendar | None, after: Calendar | None, wall: float
+    ) -> list[ClosingEvent]:
+        """Returns the closings since the last call. Each version's closings count until its successor's instant."""
         since = self._collected_until
         if since is None or wall <= since:
             self._collected_until = wall if since is None else since
             return []
         self._collected_until = wall
         if after is None or after is before:
-            return _between(after, since, wall)[-MOST:]
-        turn = max(since, after.in_force)
-        old = [closed for closed in _between(before, since, min(turn, wall)) if closed.at < turn]
+            return _closings_between(after, since, wall)[-MAX_CLOSINGS:]
+        switch = max(since, after.in_force)
+        old = [event for event in _closings_between(before, since, min(switch, wall)) if event.at < switch]
         new = [
-            closed for closed in _between(after, turn - 1, wall) if closed.at >= turn and closed.at > since
+            event
+            for event in _closings_between(after, switch - 1, wall)
+            if event.at >= switch and event.at > since
         ]
-        return (old + new)[-MOST:]
+        return (old + new)[-MAX_CLOSINGS:]
 
 
-def _between(calendar: Calendar | None, t0: float, t1: float) -> list[Closed]:
+def _closings_between(calendar: Calendar | None, t0: float, t1: float) -> list[ClosingEvent]:
     if calendar is None or not calendar.covers(t1):
         return []
     found = [
-        Closed(place, calendar.version, ordinal, at)
+        ClosingEvent(place, calendar.version, ordinal, at)
         for place in sorted(calendar.places)
         for ordinal, at in calendar.timeline(place).closings_between(t0, t1)
     ]
-    return sorted(found, key=lambda closed: closed.at)
+    return sorted(found, key=lambda event: event.at)
--- a/cypresspulley/closing/limiter.py
+++ b/cypresspulley/closing/limiter.py
@@ -1,7 +1,7 @@
-"""Closing at one limiter: joins what is kept, whether it may be served at this moment, purges and calendars.
+"""The answer cache of one limiter, invalidated at business close: joins cache, eligibility, purges and calendars.
 
-Decisions are in the modules beside this one; here they meet the fleet's view, a timer that looks at it, and the
-history. The timer spreads and learns; no promise hangs on it.
+The decisions are made in the other modules of this package. Here they are connected with the fleet view, a timer that
+polls it, and the history. The timer publishes and receives state; correctness does not depend on it.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from cypresspulley.closing.calendar import Calendar
 from cypresspulley.closing.calendar_store import AddResult, encode_calendar
 from cypresspulley.closing.calendar_sync import CalendarSync
-from cypresspulley.closing.closing_tracker import Closed, ClosingTracker
+from cypresspulley.closing.closing_tracker import ClosingEvent, ClosingTracker
 from cypresspulley.closing.eligibility import Eligibility
-from cypresspulley.closing.node import keeping
+from cypresspulley.closing.node import make_caching_node
 from cypresspulley.closing.options import Options
 from cypresspulley.closing.peers import Peers
-from cypresspulley.closing.purge_coordinator import PurgeCoordinator, check_account
+from cypresspulley.closing.purge_coordinator import PurgeCoordinator, validate_account
 from cypresspulley.fleet.records import FleetView
 from cypresspulley.histories.events import Kind
 from cypresspulley.histories.writer import AnyHistory
@@ -32,230 +32,249 @@
 
 N = TypeVar("N", bound=Node)
 
-TICK = 0.1  # seconds between two looks at the view
-AT_ONCE = 0.001  # seconds that reading both clocks takes at most, where nothing holds it up
-LINGER = 5.0  # seconds for which a change whose outcome nobody knows may still be running at a server
-ALL = "*"  # in the history, for all accounts
+POLL_INTERVAL_SECONDS = 0.1  # time between two polls of the fleet view
+MAX_CLOCK_READ_SECONDS = (
+    0.001  # time for reading both clocks; a longer one means that the process was held up
+)
+UNFINISHED_WRITE_SECONDS = (
+    5.0  # time for which a write with an unknown outcome may still be running at a server
+)
+ALL_ACCOUNTS = "*"  # stands for all accounts in the history
 
 
 class ClosingCache:
-    """``clock`` never steps, ``wall`` may. ``named`` is how many limiters the operators' file names, this one among
-    them: where it is the only one there is nobody to agree with until another is seen."""
+    """The cache as the node and the operators' interface use it.
+
+    ``clock`` is monotonic; ``wall`` may step. ``configured_limiters`` is the number of limiters that the operators'
+    file names, this one included. If it is 1, there is no other limiter to agree with until one is seen.
+    """
 
     def __init__(
         self, options: Options, view: FleetView, clock: Callable[[], float], wall: Callable[[], float],
-        history: AnyHistory, named: int = 2,
+        history: AnyHistory, configured_limiters: int = 2,
     ) -> None:  # fmt: skip
         self.options = options
-        self.keep = AnswerCache(options.most_answers, options.most_bytes, options.keep_seconds)
+        self.cache = AnswerCache(options.most_answers, options.most_bytes, options.keep_seconds)
         self._clock, self._wall, self._history = clock, wall, history
-        self.peers = Peers(view, options, named)
-        self.eligibility = Eligibility(options, view, self.peers.alone)
-        self.purging = PurgeCoordinator(self.peers, self.eligibility.lease, history, options.lost_seconds)
-        self.calendars = CalendarSync(
-            options, view, self.eligibility.store, history, self.peers.alone, self._drop_all
+        self.peers = Peers(view, options, configured_limiters)
+        self.eligibility = Eligibility(options, view, self.peers.is_alone)
+        self.purges = PurgeCoordinator(self.peers, self.eligibility.lease, history, options.lost_seconds)
+        self.calendar_sync = CalendarSync(
+            options, view, self.eligibility.store, history, self.peers.is_alone, self._purge_all
         )
-        self.doubt = BypassReason.STARTING
-        self._noticed = ClosingTracker()
+        self.bypass_reason = BypassReason.STARTING
+        self._closing_tracker = ClosingTracker()
         self._timer: asyncio.TimerHandle | None = None
 
     def __repr__(self) -> str:
-        return f"<Closing {self.doubt or 'keeps'}, {self.keep!r}, {self.eligibility!r}, {self.peers!r}>"
+        return f"<ClosingCache {self.bypass_reason or 'active'}, {self.cache!r}, {self.eligibility!r}, {self.peers!r}>"
 
     def node(self, kind: type[N]) -> type[N]:
-        """A node that serves from what is kept, and otherwise as ``kind`` does."""
-        return keeping(kind, self, self.options.cached_classes)
+        """Returns a node class that serves from the cache and otherwise behaves like ``kind``."""
+        return make_caching_node(kind, self, self.options.cached_classes)
+
+    def initialize(self) -> None:
+        """Takes over the configured calendar; the view has to be ready.
 
-    def begin(self) -> None:
-        """The view is there from now on; ``look`` is to be called every ``TICK``."""
-        self._history.put(Kind.DOUBT, doubt=True, cause=self.doubt.value)
+        From then on ``poll`` has to be called every ``POLL_INTERVAL_SECONDS``.
+        """
+        self._history.put(Kind.DOUBT, doubt=True, cause=self.bypass_reason.value)
         calendar = self.options.calendar
-        self.calendars.adopt(calendar, encode_calendar(calendar), self.eligibility.wall_clock.latest_trusted)
-        self.look()
+        self.calendar_sync.adopt(
+            calendar, encode_calendar(calendar), self.eligibility.wall_clock.latest_trusted
+        )
+        self.poll()
 
     def start(self) -> None:
-        """Begin, and look at the fleet from now on."""
-        self.begin()
-        self._timer = asyncio.get_running_loop().call_later(TICK, self._tick)
+        """Initializes the cache and polls the fleet view from now on."""
+        self.initialize()
+        self._timer = asyncio.get_running_loop().call_later(POLL_INTERVAL_SECONDS, self._on_timer)
 
     def close(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self.purging.close()
+        self.purges.close()
 
     def reload(self) -> None:
-        """Read the calendar file again; one that cannot be taken changes nothing but the log and the history."""
-        self.calendars.reload(self._wall(), self.eligibility.wall_clock.latest_trusted)
+        """Reads the calendar file again. An invalid file is logged and recorded; the current calendar stays."""
+        self.calendar_sync.reload(self._wall(), self.eligibility.wall_clock.latest_trusted)
 
-    def tell(self, calendar: Calendar) -> None:
-        """A calendar of this limiter's operators, as from its file; ``OperatorsError`` says why it cannot be taken."""
-        self.calendars.announce(calendar, self._wall(), self.eligibility.wall_clock.latest_trusted)
+    def announce(self, calendar: Calendar) -> None:
+        """Takes over a calendar as if from the calendar file. Raises ``OperatorsError`` if it cannot be used."""
+        self.calendar_sync.announce(calendar, self._wall(), self.eligibility.wall_clock.latest_trusted)
 
-    def _now(self) -> tuple[float, float]:
-        """Both clocks at one moment: a process that is held up between two readings would take that for a step."""
+    def _read_clocks(self) -> tuple[float, float]:
+        """Reads both clocks at one moment, since a delay between the readings would look like a step of the clock."""
         for _ in range(3):
             before, wall, now = self._clock(), self._wall(), self._clock()
-            if now - before < AT_ONCE:
+            if now - before < MAX_CLOCK_READ_SECONDS:
                 break
         return now, wall
 
-    # What the node asks. Each answer is by the moment, not by what a timer left.
+    # The node's interface. Each answer is computed at the moment of the call, not from state that a timer left.
 
-    def asks(self, account: str) -> bool:
-        """Whether an account asks for keeping, by the calendar in force or the one that follows."""
-        book = self.eligibility.store
-        newest = book.newest or self.options.calendar  # requests may come a moment before the view is there
-        return account in newest.accounts or (book.current is not None and account in book.current.accounts)
+    def is_cached_account(self, account: str) -> bool:
+        """Returns whether the calendar in force or the one that follows it lists an account for caching."""
+        store = self.eligibility.store
+        newest = store.newest or self.options.calendar  # requests may arrive shortly before ``initialize``
+        return account in newest.accounts or (store.current is not None and account in store.current.accounts)
 
     def generation(self, account: str) -> int | None:
-        """The account's generation now; None where nothing may be kept or served from what is kept."""
-        now, wall = self._now()
-        return None if self._look_for_doubt(now, wall) else self.eligibility.generation(account, wall)
+        """Returns the account's generation now, or None if nothing may be cached or served from the cache."""
+        now, wall = self._read_clocks()
+        return None if self._check_bypass(now, wall) else self.eligibility.generation(account, wall)
 
     def find_answer(self, id: str, account: str, key: CacheKey) -> tuple[CachedAnswer, float] | None:
-        """A kept answer and its age in seconds, where one may be served for a request."""
+        """Returns the cached answer to a request and its age in seconds, or None if none may be served."""
         generation = self.generation(account)
         if generation is None:
             return None
         now = self._clock()
-        kept = self.keep.get(key, generation, now)
-        if kept is None:
+        answer = self.cache.get(key, generation, now)
+        if answer is None:
             return None
         self._history.put(
-            Kind.SERVED, id=id, account=account, key=_name(key), generation=kept.generation, made=kept.wall
-        )
-        return kept, now - kept.sent
+            Kind.SERVED, id=id, account=account, key=_digest_key(key), generation=answer.generation,
+            made=answer.wall,
+        )  # fmt: skip
+        return answer, now - answer.sent
 
     def stamp_lookup(self, account: str) -> SendStamp | None:
-        """A lookup goes to a server now; None where its answer may not be kept, whenever it comes."""
-        now, wall = self._now()
+        """Returns the stamp of a lookup that is being sent to a server, or None if its answer may not be cached."""
+        now, wall = self._read_clocks()
         generation = self.generation(account)
         return None if generation is None else SendStamp(now, wall, generation)
 
-    def store_answer(self, account: str, key: CacheKey, sent: SendStamp, headers: bytes, body: bytes) -> None:
-        """Its answer has come: it is kept if it is of this generation still, and nothing has changed meanwhile."""
-        if self.generation(account) != sent.generation:
+    def store_answer(
+        self, account: str, key: CacheKey, stamp: SendStamp, headers: bytes, body: bytes
+    ) -> None:
+        """Caches a lookup's answer if its generation is still current and nothing was purged in the meantime."""
+        if self.generation(account) != stamp.generation:
             return
-        kept = CachedAnswer(account, sent.generation, sent.mono, sent.wall, headers, body)
-        if self.keep.put(key, kept, self._clock()):
+        answer = CachedAnswer(account, stamp.generation, stamp.mono, stamp.wall, headers, body)
+        if self.cache.put(key, answer, self._clock()):
             self._history.put(
-                Kind.KEPT, account=account, key=_name(key), generation=sent.generation, sent=sent.wall
+                Kind.KEPT, account=account, key=_digest_key(key), generation=stamp.generation, sent=stamp.wall
             )
 
     def begin_write(self, account: str) -> None:
-        """A request that is not safe to repeat has come: nothing of its account is served or kept until its end."""
-        self.keep.begin_write(account)
+        """Registers a request that is not safe to repeat; until it ends, the account's answers are not used."""
+        self.cache.begin_write(account)
 
     def end_write(self, account: str, reached_server: bool, is_finished: bool) -> None:
-        """It has its final answer. ``reached_server``: it went to a server; ``is_finished``: nothing of it still runs there."""
+        """Ends a write that has its final answer.
+
+        ``reached_server`` states whether it was sent to a server, ``is_finished`` whether it no longer runs at any.
+        """
         now = self._clock()
         if not reached_server:
-            return self.keep.end_write(account, -float("inf"), now)
-        self.keep.end_write(account, now if is_finished else now + LINGER, now)
-        self.purging.issue(account)
+            return self.cache.end_write(account, -float("inf"), now)
+        self.cache.end_write(account, now if is_finished else now + UNFINISHED_WRITE_SECONDS, now)
+        self.purges.issue(account)
         if not is_finished:
-            self.purging.again(account, now + LINGER)
+            self.purges.schedule(account, now + UNFINISHED_WRITE_SECONDS)
 
     async def purge(self, account: str) -> tuple[str, ...]:
-        """Purge by hand: the names of who may still have something kept, none where it is gone everywhere.
+        """Purges an account at all limiters on an operator's request.
 
-        ``ValueError`` for what is no account. Returns within the options' ``purge`` seconds and a tick.
+        Returns the names of the limiters that may still have an answer of it cached, within the options'
+        ``purge_seconds`` and one poll interval. Raises ``ValueError`` if ``account`` is not an account.
         """
-        check_account(account)
+        validate_account(account)
         now = self._clock()
-        self.keep.purge(account, now, now)
-        number = self.purging.issue(account)
-        answer = self.purging.wait(number, now + self.options.purge_seconds)
-        self.look()
-        missing = await answer
-        self.purging.told(account, self.peers.me, number, "no" if missing else "yes", missing)
+        self.cache.purge(account, now, now)
+        number = self.purges.issue(account)
+        result = self.purges.wait_for(number, now + self.options.purge_seconds)
+        self.poll()
+        missing = await result
+        self.purges.record(account, self.peers.own_instance, number, "no" if missing else "yes", missing)
         return missing
 
-    # Looking at the fleet, and at the clock.
+    # Polling of the fleet view and the clocks.
 
-    def _tick(self) -> None:
-        self._timer = asyncio.get_running_loop().call_later(TICK, self._tick)
+    def _on_timer(self) -> None:
+        self._timer = asyncio.get_running_loop().call_later(POLL_INTERVAL_SECONDS, self._on_timer)
         try:
-            self.look()
-        except Exception:  # a fault must not end the looks: without them the lease runs out, and that is all
-            log.exception("closing: a look at the fleet failed")
+            self.poll()
+        except Exception:  # an error must not stop the polling; at worst the lease expires
+            log.exception("closing: polling the fleet view failed")
 
-    def look(self) -> None:
-        """Take in what the view knows, say what is new here, and notice what the clock has brought."""
-        now, wall = self._now()
+    def poll(self) -> None:
+        """Reads the fleet view, publishes this limiter's state and reports the closings that have passed."""
+        now, wall = self._read_clocks()
         eligibility = self.eligibility
         eligibility.suspend_detector.record_poll(now)
-        if self.peers.look(now):
-            self._drop_all()  # the last purges of who has gone may not have come here
-        self._hear_purges(now)
-        self.calendars.fetch_newest(now, self.peers.newest(), eligibility.wall_clock.latest_trusted)
-        for account in self.purging.due(now):
-            self.keep.purge(account, now, now)
-            self.purging.issue(account)
-        eligibility.lease.set_view_digest(now, self.peers.agreed(eligibility.store))
+        if self.peers.refresh(now):
+            self._purge_all()  # the last purges of an instance that has gone may not have arrived
+        self._apply_peer_purges(now)
+        self.calendar_sync.fetch_newest(
+            now, self.peers.newest_calendar(), eligibility.wall_clock.latest_trusted
+        )
+        for account in self.purges.take_due(now):
+            self.cache.purge(account, now, now)
+            self.purges.issue(account)
+        eligibility.lease.set_view_digest(now, self.peers.view_digest(eligibility.store))
         eligibility.lease.record_rows(now, self.peers.rows)
-        needed = self.peers.needed()
-        if needed is not None:
-            eligibility.lease.update(now, needed)
-        self.peers.say(eligibility.store, eligibility.lease)
+        required = self.peers.required_rows()
+        if required is not None:
+            eligibility.lease.update(now, required)
+        self.peers.publish_row(eligibility.store, eligibility.lease)
         if not eligibility.check_clock(now, wall):
-            self._turn(wall)
-        self._look_for_doubt(now, wall)
-        self.purging.answer(now)
+            self._advance_calendar(wall)
+        self._check_bypass(now, wall)
+        self.purges.resolve_pending(now)
 
-    def _hear_purges(self, now: float) -> None:
-        for issuer, numbers, more in self.peers.news():
+    def _apply_peer_purges(self, now: float) -> None:
+        for issuer, purges, more in self.peers.collect_new_purges():
             if more:
-                self._drop_all()
-                self.purging.told(ALL, issuer, self.peers.applied.count(issuer), "applied")
-            for number, account in numbers:
-                self.keep.purge(account, now, now)
-                self.purging.told(account, issuer, number, "applied")
-
-    def _drop_all(self) -> None:
-        self.keep.purge_all(self._clock())
-
-    def _look_for_doubt(self, now: float, wall: float) -> BypassReason:
-        """Whether there is doubt at this moment; its begin and end are told."""
-        doubt = self.eligibility.find_bypass_reason(now, wall)
-        if doubt is not self.doubt:
-            self._history.put(Kind.DOUBT, doubt=bool(doubt), cause=(doubt or self.doubt).value)
-            if doubt in (
-                BypassReason.LEASE_EXPIRED,
-                BypassReason.STARTING,
-            ):  # others' purges may not have come here
-                self._drop_all()
-            self.doubt = doubt
-        return doubt
-
-    def _turn(self, wall: float) -> None:
-        """The clock is trusted: closings and versions whose instants have come are noticed, each once."""
-        book = self.eligibility.store
-        before, turned = book.current, book.advance(wall)
-        gone = self._noticed.collect_closings(before, book.current, wall)
-        if turned and book.current is not None:
-            self.calendars.record(book.current, AddResult.IN_FORCE)
-        if (turned or gone) and book.current is not None and book.current.covers(wall):
-            self._give_back(gone, book.current, wall)
-
-    def _give_back(self, closings: list[Closed], calendar: Calendar, wall: float) -> None:
-        """The memory of what may not be served any more; the closings are told."""
-
-        def stays(kept: CachedAnswer) -> bool:
-            place = calendar.accounts.get(kept.account)
-            return place is not None and calendar.generation(place, wall) == kept.generation
+                self._purge_all()
+                self.purges.record(ALL_ACCOUNTS, issuer, self.peers.applied.count(issuer), "applied")
+            for number, account in purges:
+                self.cache.purge(account, now, now)
+                self.purges.record(account, issuer, number, "applied")
+
+    def _purge_all(self) -> None:
+        self.cache.purge_all(self._clock())
+
+    def _check_bypass(self, now: float, wall: float) -> BypassReason:
+        """Returns the reason to bypass the cache at this moment and writes each change of it to the history."""
+        reason = self.eligibility.find_bypass_reason(now, wall)
+        if reason is not self.bypass_reason:
+            self._history.put(Kind.DOUBT, doubt=bool(reason), cause=(reason or self.bypass_reason).value)
+            # Without a lease, purges of other limiters may not have arrived.
+            if reason in (BypassReason.LEASE_EXPIRED, BypassReason.STARTING):
+                self._purge_all()
+            self.bypass_reason = reason
+        return reason
+
+    def _advance_calendar(self, wall: float) -> None:
+        """Reports closings and calendar versions whose instants have passed, each once; the clock has to be trusted."""
+        store = self.eligibility.store
+        before, changed = store.current, store.advance(wall)
+        closings = self._closing_tracker.collect_closings(before, store.current, wall)
+        if changed and store.current is not None:
+            self.calendar_sync.record(store.current, AddResult.IN_FORCE)
+        if (changed or closings) and store.current is not None and store.current.covers(wall):
+            self._remove_invalid(closings, store.current, wall)
+
+    def _remove_invalid(self, closings: list[ClosingEvent], calendar: Calendar, wall: float) -> None:
+        """Frees the memory of answers that may no longer be served, and writes the closings to the history."""
+
+        def is_valid(answer: CachedAnswer) -> bool:
+            place = calendar.accounts.get(answer.account)
+            return place is not None and calendar.generation(place, wall) == answer.generation
 
         dropped = dict[str, int]()
-        for kept in self.keep.remove_invalid(stays):
-            place = calendar.accounts.get(kept.account, "")
+        for answer in self.cache.remove_invalid(is_valid):
+            place = calendar.accounts.get(answer.account, "")
             dropped[place] = dropped.get(place, 0) + 1
-        for closed in closings:
+        for closing in closings:
             self._history.put(
-                Kind.CLOSED, place=closed.place, version=closed.version, ordinal=closed.ordinal,
-                at=float(closed.at), dropped=dropped.pop(closed.place, 0),
+                Kind.CLOSED, place=closing.place, version=closing.version, ordinal=closing.ordinal,
+                at=float(closing.at), dropped=dropped.pop(closing.place, 0),
             )  # fmt: skip
 
 
-def _name(key: CacheKey) -> str:
-    """A kept answer's name in the history."""
+def _digest_key(key: CacheKey) -> str:
+    """Returns the name of a cached answer in the history."""
     return blake2s(repr(key).encode(), digest_size=8).hexdigest()
--- a/cypresspulley/closing/membership.py
+++ b/cypresspulley/closing/membership.py
@@ -1,9 +1,9 @@
-"""Who belongs to the fleet, as one limiter must reckon with it before it keeps anything. No I/O and no clock.
+"""The limiters that have to agree before this one uses its cache, and the quorum among them. No I/O and no clock.
 
-A limiter that was lost without leaving may have been told of a new calendar, or may serve on, cut off from the others
-and not from its clients, whose changes nobody else hears of: for ``lost`` seconds nobody keeps anything without it.
-After that those go on who are more than half of all that are known; what only the lost ones were told is not known to
-the others then, and not in force. One that left in order is not waited for.
+A limiter that was lost without leaving may have received a new calendar. Or it may go on serving its clients, cut off
+from the other limiters, which do not hear of the writes that it forwards. So for ``lost_seconds`` no limiter uses its
+cache without it. After that, the cache is used again by those that are more than half of all known limiters. What only
+the lost limiters know is then unknown to the others and not in force. A limiter that left in order is not waited for.
 """
 
 from __future__ import annotations
@@ -13,61 +13,68 @@
 from cypresspulley.closing.lease import Instance
 from cypresspulley.fleet.records import Member, State
 
-FORGET = 3600.0  # seconds after which a lost limiter no longer counts for the half
-MOST = 4096  # names
+FORGET_LOST_SECONDS = 3600.0  # time after which a lost limiter no longer counts for the quorum
+MAX_NAMES = 4096
 
 
-class Roster:
-    """``needed`` is who has to agree; ``lost`` is in seconds, ``named`` how many limiters the operators' file names."""
+class Membership:
+    """``required`` are the instances that have to agree.
 
-    def __init__(self, lost: float, named: int) -> None:
-        self._lost, self._named = lost, named
-        self._lives = dict[str, int]()
-        self._since = dict[str, float]()  # of those that are lost: since when
-        self.needed = frozenset[Instance]()
-        self._told = 0  # the largest number that another told
+    ``lost_seconds`` is a time, and ``configured`` the number of limiters that the operators' file names.
+    """
+
+    def __init__(self, lost_seconds: float, configured: int) -> None:
+        self._lost_seconds, self._configured = lost_seconds, configured
+        self._lives = dict[str, int]()  # by name
+        self._lost_since = dict[str, float]()  # by name of a lost limiter
+        self.required = frozenset[Instance]()
+        self._max_peer_size = 0  # the highest number of limiters that another one knows
 
     def __repr__(self) -> str:
-        return f"<Roster of {self.size}, {len(self.needed)} needed, {len(self._since)} lost>"
+        return f"<Membership of {self.size}, {len(self.required)} required, {len(self._lost_since)} lost>"
 
     @property
     def size(self) -> int:
-        """Names that this limiter itself knows of."""
+        """The number of limiter names known here, lost ones included."""
         return len(self._lives)
 
     @property
-    def lost(self) -> int:
-        """How many are lost, and still reckoned with."""
-        return len(self._since)
+    def lost_count(self) -> int:
+        """The number of lost limiters that still count."""
+        return len(self._lost_since)
 
-    def look(
-        self, now: float, present: Iterable[Member], known: Callable[[str], Member | None]
+    def update(
+        self, now: float, present: Iterable[Member], find_member: Callable[[str], Member | None]
     ) -> frozenset[Instance]:  # fmt: skip
-        """Take the view in; the lives that were there at the last look and are no more."""
+        """Applies the members of the fleet view; returns the instances that have gone since the last update."""
         here = {member.name: member.life for member in present}
-        before = {Instance(name, life) for name, life in self._lives.items() if name not in self._since}
+        before = {Instance(name, life) for name, life in self._lives.items() if name not in self._lost_since}
         self._lives |= here
         for name in [name for name in self._lives if name not in here]:
-            member = known(name)
-            since = self._since.setdefault(name, now)
-            if (member is not None and member.state is State.LEFT) or now - since > max(FORGET, self._lost):
-                del self._lives[name], self._since[name]
+            member = find_member(name)
+            since = self._lost_since.setdefault(name, now)
+            if (member is not None and member.state is State.LEFT) or now - since > max(
+                FORGET_LOST_SECONDS, self._lost_seconds
+            ):
+                del self._lives[name], self._lost_since[name]
         for name in here:
-            self._since.pop(name, None)
-        if len(self._lives) > MOST:
-            for name in sorted(self._since, key=self._since.__getitem__)[: len(self._lives) - MOST]:
-                del self._lives[name], self._since[name]
-        self.needed = frozenset(
+            self._lost_since.pop(name, None)
+        if len(self._lives) > MAX_NAMES:
+            for name in sorted(self._lost_since, key=self._lost_since.__getitem__)[
+                : len(self._lives) - MAX_NAMES
+            ]:
+                del self._lives[name], self._lost_since[name]
+        self.required = frozenset(
             Instance(name, life)
             for name, life in self._lives.items()
-            if name in here or now - self._since[name] <= self._lost
+            if name in here or now - self._lost_since[name] <= self._lost_seconds
         )
-        return frozenset(life for life in before if here.get(life.name) != life.life)
+        return frozenset(instance for instance in before if here.get(instance.name) != instance.life)
 
-    def told(self, sizes: Iterable[int]) -> None:
-        """How many the others know of; a limiter that has just started cannot know."""
-        self._told = max(sizes, default=0)
+    def record_peer_sizes(self, sizes: Iterable[int]) -> None:
+        """Records how many limiters the others know, which a limiter that has just started cannot know itself."""
+        self._max_peer_size = max(sizes, default=0)
 
-    def enough(self, count: int) -> bool:
-        """Whether so many are more than half of all that are known."""
-        return 2 * count > max(self.size, self._told, self._named)
+    def is_majority(self, count: int) -> bool:
+        """Returns whether ``count`` limiters are more than half of all known or configured ones."""
+        return 2 * count > max(self.size, self._max_peer_size, self._configured)
--- a/cypresspulley/closing/purge_coordinator.py
+++ b/cypresspulley/closing/purge_coordinator.py
@@ -1,4 +1,4 @@
-"""Purges: this limiter's own, numbered and told, and the answer to one by hand: gone everywhere, or who may have it."""
+"""Issues this limiter's purges and finds out when a purge requested by an operator is complete at all limiters."""
 
 from __future__ import annotations
 
@@ -8,125 +8,134 @@
 from cypresspulley.closing.lease import Instance, Lease
 from cypresspulley.closing.options import LEASE_WAIT_FACTOR
 from cypresspulley.closing.peers import Peers
-from cypresspulley.closing.purge_counters import echo
+from cypresspulley.closing.purge_counters import encode_ack
 from cypresspulley.closing.row import ACCOUNT_PATTERN
 from cypresspulley.histories.events import Kind
 from cypresspulley.histories.writer import AnyHistory
 
-ACCOUNTS = 2**33  # of the protocol's account numbers
+ACCOUNT_LIMIT = 2**33  # exclusive upper bound of the protocol's account numbers
 
 
-def check_account(account: str) -> None:
-    """``ValueError`` for what is no account."""
-    if not ACCOUNT_PATTERN.fullmatch(account) or int(account, 16) >= ACCOUNTS:
+def validate_account(account: str) -> None:
+    """Raises ``ValueError`` if ``account`` is not an account."""
+    if not ACCOUNT_PATTERN.fullmatch(account) or int(account, 16) >= ACCOUNT_LIMIT:
         raise ValueError("expected an account of 16 hex digits in lower case, below 2**33")
 
 
-class Waiting(NamedTuple):
-    """A purge by hand that has no answer yet: its number, the lease's round at which it was said, its latest end."""
+class PendingPurge(NamedTuple):
+    """An operator's purge without an answer yet.
+
+    ``round`` is the lease's round at which it was issued, and ``deadline`` the time by which it is answered.
+    """
 
     number: int
     round: int
-    until: float
+    deadline: float
     done: asyncio.Future[tuple[str, ...]]
 
 
 class PurgeCoordinator:
-    """``lost``: seconds for which a lost limiter holds up all others."""
+    """``lost_seconds`` is the time for which a lost limiter keeps all others from using their caches."""
 
-    def __init__(self, peers: Peers, lease: Lease, history: AnyHistory, lost: float) -> None:
+    def __init__(self, peers: Peers, lease: Lease, history: AnyHistory, lost_seconds: float) -> None:
         self._peers, self._lease, self._history = peers, lease, history
-        self._lost = lost / LEASE_WAIT_FACTOR
-        self._waiting = list[Waiting]()
-        self._again = dict[
-            str, float
-        ]()  # accounts whose change may still be running: when they are purged again
+        self._lost_seconds = lost_seconds / LEASE_WAIT_FACTOR
+        self._pending = list[PendingPurge]()
+        # Accounts with a write that may still be running at a server, and the time at which they are purged again.
+        self._scheduled = dict[str, float]()
 
     def __repr__(self) -> str:
-        return f"<Purging {self._peers.issued.count} issued, {len(self._waiting)} waiting, {len(self._again)} to come>"
+        return (
+            f"<PurgeCoordinator {self._peers.issued.count} issued, {len(self._pending)} pending, "
+            f"{len(self._scheduled)} scheduled>"
+        )
 
     def issue(self, account: str) -> int:
-        """Number one more of this limiter's own, which has applied it."""
+        """Issues a purge, which this limiter has applied already, and returns its number."""
         number = self._peers.issued.issue(account)
         for what in ("asked", "applied"):
-            self.told(account, self._peers.me, number, what)
+            self.record(account, self._peers.own_instance, number, what)
         return number
 
-    def told(
+    def record(
         self, account: str, issuer: Instance, number: int, what: str, missing: tuple[str, ...] = ()
     ) -> None:
+        """Writes a purge to the history; ``what`` is one of asked, applied, yes and no."""
         self._history.put(
             Kind.PURGE, account=account, issuer=issuer.name, life=issuer.life, number=number, what=what,
             missing=list(missing),
         )  # fmt: skip
 
-    def again(self, account: str, at: float) -> None:
-        """Its change may still be running until then."""
-        self._again[account] = at
+    def schedule(self, account: str, at: float) -> None:
+        """Schedules a purge for the time by which a write of the account has certainly ended."""
+        self._scheduled[account] = at
 
-    def due(self, now: float) -> list[str]:
-        """Accounts whose change has surely ended by now."""
-        found = [account for account, at in self._again.items() if at <= now]
-        for account in found:
-            del self._again[account]
-        return found
+    def take_due(self, now: float) -> list[str]:
+        """Removes and returns the accounts whose scheduled purge is due."""
+        due = [account for account, at in self._scheduled.items() if at <= now]
+        for account in due:
+            del self._scheduled[account]
+        return due
 
-    def wait(self, number: int, until: float) -> asyncio.Future[tuple[str, ...]]:
-        """For the answer to a purge that was issued now."""
+    def wait_for(self, number: int, deadline: float) -> asyncio.Future[tuple[str, ...]]:
+        """Returns a future with the answer to a purge that has just been issued."""
         done: asyncio.Future[tuple[str, ...]] = asyncio.get_running_loop().create_future()
-        self._waiting.append(Waiting(number, self._lease.round, until, done))
+        self._pending.append(PendingPurge(number, self._lease.round, deadline, done))
         return done
 
     def close(self) -> None:
-        """What has no answer gets none: its caller's connection ends with the process."""
-        for waiting in self._waiting:
-            waiting.done.cancel()
-        self._waiting.clear()
-
-    def answer(self, now: float) -> None:
-        """Tell those whose answer is known by now."""
-        for waiting in list(self._waiting):
-            missing = [] if waiting.done.done() else self._find_missing(now, waiting)
-            # Who is not there to say so holds its lease beyond the time that the caller is given.
-            hopeless = any(
-                self._lease.peer_expiry(life) > waiting.until
-                for life in missing
-                if life not in self._peers.rows
+        """Cancels pending purges; their callers' connections end with the process."""
+        for pending in self._pending:
+            pending.done.cancel()
+        self._pending.clear()
+
+    def resolve_pending(self, now: float) -> None:
+        """Answers the pending purges whose result is known by now."""
+        for pending in list(self._pending):
+            missing = [] if pending.done.done() else self._find_missing(now, pending)
+            # A limiter that is not present to confirm the purge may hold its lease beyond the caller's deadline.
+            unreachable = any(
+                self._lease.peer_expiry(instance) > pending.deadline
+                for instance in missing
+                if instance not in self._peers.rows
             )
-            if missing and not hopeless and now < waiting.until:
+            if missing and not unreachable and now < pending.deadline:
                 continue
-            self._waiting.remove(waiting)
-            if not waiting.done.done():
-                waiting.done.set_result(tuple(sorted({life.name for life in missing})))
+            self._pending.remove(pending)
+            if not pending.done.done():
+                pending.done.set_result(tuple(sorted({instance.name for instance in missing})))
 
-    def _find_missing(self, now: float, waiting: Waiting) -> list[Instance]:
-        """Who may have something kept from before a purge."""
-        if self._peers.alone():
+    def _find_missing(self, now: float, pending: PendingPurge) -> list[Instance]:
+        """Returns the limiters that may still have an answer cached from before the purge."""
+        if self._peers.is_alone():
             return []
         rows = self._peers.rows
-        has = {life for life in rows if self._has(life, waiting)}
+        confirmed = {instance for instance in rows if self._has_applied(instance, pending)}
         missing = [
-            life
-            for life in {*self._lease.seen_instances(), *rows} - has
-            if now < self._lease.peer_expiry(life)
+            instance
+            for instance in {*self._lease.seen_instances(), *rows} - confirmed
+            if now < self._lease.peer_expiry(instance)
         ]
-        # Nobody goes on without this limiter before ``lost`` seconds, or while most others have just heard it. Cut off
-        # for longer, or just started, it does not know who keeps.
-        counted = self._lease.is_acknowledged_within(now, self._lost) or self._peers.roster.enough(
-            len(has) + 1
-        )
-        return missing if missing or counted else [self._peers.me]
-
-    def _has(self, life: Instance, waiting: Waiting) -> bool:
-        """It says so itself, or by rule (1) of the lease: at two rounds later it has seen this limiter's row of the one
-        after the purge, and acted on it."""
-        said = self._peers.rows[life]
-        if said is None:
+        # No other limiter uses its cache without this one for ``lost_seconds``, or while a majority has just heard from
+        # it. If this limiter has been cut off for longer, or has just started, it does not know who uses a cache.
+        is_counted = self._lease.is_acknowledged_within(
+            now, self._lost_seconds
+        ) or self._peers.membership.is_majority(len(confirmed) + 1)
+        return missing if missing or is_counted else [self._peers.own_instance]
+
+    def _has_applied(self, instance: Instance, pending: PendingPurge) -> bool:
+        """Returns whether a limiter has applied a purge.
+
+        Either its row acknowledges it, or it follows from rule (1) of the lease: two rounds later it has seen this
+        limiter's row of the round after the purge, and applied it.
+        """
+        row = self._peers.rows[instance]
+        if row is None:
             return False
-        if said.acknowledges(echo(self._peers.me, waiting.number)):
+        if row.acknowledges(encode_ack(self._peers.own_instance, pending.number)):
             return True
         return (
-            said.view_digest == self._lease.view_digest
-            and said.round > said.since_round
-            and said.round >= waiting.round + 2
+            row.view_digest == self._lease.view_digest
+            and row.round > row.since_round
+            and row.round >= pending.round + 2
         )
--- a/tests/closing/mutants.py
+++ b/tests/closing/mutants.py
@@ -11,7 +11,7 @@
 from cypresspulley.closing.cache import AnswerCache
 from cypresspulley.closing.calendar import Timeline
 from cypresspulley.closing.calendar_store import CalendarStore
-from cypresspulley.closing.closing_tracker import Closed, ClosingTracker
+from cypresspulley.closing.closing_tracker import ClosingEvent, ClosingTracker
 from cypresspulley.closing.eligibility import Eligibility
 from cypresspulley.closing.lease import Lease
 from cypresspulley.closing.limiter import ClosingCache
@@ -47,7 +47,7 @@
         if since is None or after is None
         else [(p, after.timeline(p).closings_between(since, wall)) for p in after.places]
     )
-    return [Closed(place, after.version, ordinal, at) for place, each in found for ordinal, at in each]
+    return [ClosingEvent(place, after.version, ordinal, at) for place, each in found for ordinal, at in each]
 
 
 MUTANTS: dict[str, tuple[Patch, ...]] = {
@@ -64,7 +64,7 @@
         (ClosingTracker, "collect_closings", _since_now),
     ),
     "yes before all have it": ((PurgeCoordinator, "_find_missing", lambda *_: []),),
-    "purges of others are not heard": ((ClosingCache, "_hear_purges", lambda *_: None),),
+    "purges of others are not heard": ((ClosingCache, "_apply_peer_purges", lambda *_: None),),
     "a purge forgets what is on its way": ((AnswerCache, "_is_purged", lambda *_: False),),
     "a change under way holds up nothing": ((AnswerCache, "begin_write", lambda *_: None),),
 }
--- a/tests/closing/test_node.py
+++ b/tests/closing/test_node.py
@@ -49,7 +49,7 @@
         world = World(1, named=1)
         stand_in = world.add("n0", options(calendar(1, BEGIN - 86_400, CLOSE)))
         self.closing = ClosingCache(
-            stand_in.options, View(stand_in, 1), clock, lambda: self.now, self.history, named=1
+            stand_in.options, View(stand_in, 1), clock, lambda: self.now, self.history, configured_limiters=1
         )
         self.closing.start()
         self.script = Script(forward)
@@ -216,7 +216,7 @@
             origin.reply = lambda _n: OK
             for _ in range(2):
                 assert "age" not in (await limiter.fetch())[1]  # the change may run on for a while
-            assert limiter.closing.keep._purge_watermarks["00000000b4d65521"] > limiter.closing._clock() + 4
+            assert limiter.closing.cache._purge_watermarks["00000000b4d65521"] > limiter.closing._clock() + 4
 
     run(main())
 
--- a/tests/closing/test_parts.py
+++ b/tests/closing/test_parts.py
@@ -16,9 +16,9 @@
 from cypresspulley.closing.calendar_store import AddResult, CalendarStore, decode_calendar, encode_calendar
 from cypresspulley.closing.closing_tracker import ClosingTracker
 from cypresspulley.closing.lease import Instance, Lease
-from cypresspulley.closing.membership import FORGET, Roster
+from cypresspulley.closing.membership import FORGET_LOST_SECONDS, Membership
 from cypresspulley.closing.options import LEASE_WAIT_FACTOR, MAX_ACCOUNTS
-from cypresspulley.closing.purge_counters import Applied, Issued
+from cypresspulley.closing.purge_counters import AppliedPurges, IssuedPurges
 from cypresspulley.closing.row import MAX_RECENT_PURGES, LimiterRow, decode_row, encode_row
 from cypresspulley.fleet.records import MOST_DOCUMENT, MOST_ROW, Member, State
 from cypresspulley.operators import OperatorsError
@@ -167,10 +167,10 @@
 
 
 def test_purges_are_applied_once_each_and_a_gap_drops_everything() -> None:
-    issued, applied, life = Issued(), Applied(), Instance("n1", 7)
+    issued, applied, life = IssuedPurges(), AppliedPurges(), Instance("n1", 7)
 
     def heard() -> tuple[list[tuple[int, str]], bool]:
-        return applied.hear(life, said(purges=issued.count, recent=issued.recent))
+        return applied.collect_new(life, said(purges=issued.count, recent=issued.recent))
 
     issued.issue(A)
     issued.issue(B)
@@ -182,7 +182,10 @@
     for _ in range(MAX_RECENT_PURGES + 1):
         issued.issue(A)
     assert heard()[1]
-    assert applied.hear(Instance("n1", 8), said(purges=1, recent=issued.recent[:5])) == ([(1, A)], False)
+    assert applied.collect_new(Instance("n1", 8), said(purges=1, recent=issued.recent[:5])) == (
+        [(1, A)],
+        False,
+    )
 
 
 # Rounds and leases, held against what each really had seen of the others.
@@ -276,32 +279,32 @@
 
 
 def test_a_lost_limiter_is_needed_for_a_while_and_counts_for_the_half_for_longer() -> None:
-    roster, gone = Roster(30.0, 1), {"c": member("c", 1, State.DEAD)}
-    assert not roster.look(0.0, [member("a"), member("b"), member("c")], gone.get)
-    assert roster.look(1.0, [member("a"), member("b")], gone.get) == {Instance("c", 1)}
-    assert Instance("c", 1) in roster.needed
-    roster.look(32.0, [member("a"), member("b")], gone.get)
-    assert roster.needed == {Instance("a", 1), Instance("b", 1)} and roster.size == 3
-    assert roster.enough(2) and not roster.enough(1)
-    roster.look(2.0 + FORGET, [member("a"), member("b")], gone.get)
-    assert roster.size == 2
+    membership, gone = Membership(30.0, 1), {"c": member("c", 1, State.DEAD)}
+    assert not membership.update(0.0, [member("a"), member("b"), member("c")], gone.get)
+    assert membership.update(1.0, [member("a"), member("b")], gone.get) == {Instance("c", 1)}
+    assert Instance("c", 1) in membership.required
+    membership.update(32.0, [member("a"), member("b")], gone.get)
+    assert membership.required == {Instance("a", 1), Instance("b", 1)} and membership.size == 3
+    assert membership.is_majority(2) and not membership.is_majority(1)
+    membership.update(2.0 + FORGET_LOST_SECONDS, [member("a"), member("b")], gone.get)
+    assert membership.size == 2
 
 
 def test_one_that_left_is_not_waited_for_and_a_new_life_is_another() -> None:
-    roster, gone = Roster(30.0, 1), {"c": member("c", 1, State.LEFT)}
-    roster.look(0.0, [member("a"), member("c")], gone.get)
-    roster.look(1.0, [member("a")], gone.get)
-    assert roster.needed == {Instance("a", 1)} and roster.size == 1
-    assert roster.look(2.0, [member("a", 2)], gone.get) == {Instance("a", 1)}
-    assert roster.needed == {Instance("a", 2)}
+    membership, gone = Membership(30.0, 1), {"c": member("c", 1, State.LEFT)}
+    membership.update(0.0, [member("a"), member("c")], gone.get)
+    membership.update(1.0, [member("a")], gone.get)
+    assert membership.required == {Instance("a", 1)} and membership.size == 1
+    assert membership.update(2.0, [member("a", 2)], gone.get) == {Instance("a", 1)}
+    assert membership.required == {Instance("a", 2)}
 
 
 def test_who_has_just_started_reckons_with_those_that_others_know_and_the_operators_name() -> None:
-    roster = Roster(30.0, 3)
-    roster.look(0.0, [member("a")], lambda _name: None)
-    assert not roster.enough(1) and roster.enough(2)
-    roster.told([8, 5])
-    assert not roster.enough(4) and roster.enough(5)
+    membership = Membership(30.0, 3)
+    membership.update(0.0, [member("a")], lambda _name: None)
+    assert not membership.is_majority(1) and membership.is_majority(2)
+    membership.record_peer_sizes([8, 5])
+    assert not membership.is_majority(4) and membership.is_majority(5)
 
 
 # Calendars.
--- a/tests/closing/test_together.py
+++ b/tests/closing/test_together.py
@@ -163,7 +163,7 @@
         day[0].clock_offset -= step
         day.run(10)
         assert len(day[0].history.of(Kind.CLOSED)) == 2
-        assert day[0].closing.doubt.value in ("clock", "stepped", "")
+        assert day[0].closing.bypass_reason.value in ("clock", "stepped", "")
         day[0].clock_offset += step
         assert hits_of(day, day[0], 15) > 0
 
@@ -179,7 +179,10 @@
         day.until(CLOSE - 14)
         drift()
         day.until(CLOSE + 2)
-        assert day[2].closing.doubt.value in ("clock", "stepped") and day[0].closing.doubt.value == ""
+        assert (
+            day[2].closing.bypass_reason.value in ("clock", "stepped")
+            and day[0].closing.bypass_reason.value == ""
+        )
 
 
 def test_a_limiter_that_joins_a_second_after_the_close_and_one_that_comes_back() -> None:
@@ -191,7 +194,7 @@
     day[3].start()
     assert day.run(20) > 0
     for number in (3, 4):
-        assert day[number].closing.doubt.value == "" and not day[number].history.of(Kind.CLOSED)
+        assert day[number].closing.bypass_reason.value == "" and not day[number].history.of(Kind.CLOSED)
 
 
 def test_a_holiday_told_20_s_before_the_close_and_heard_by_half_then_a_cut() -> None:
@@ -201,7 +204,7 @@
     day.truth.closings[A] = [int(early), int(CLOSE)]
     day.until(early - 20)
     day.world.cut({"n0", "n1"}, {"n2", "n3"})
-    day[0].closing.tell(calendar(2, early - 8, early, CLOSE, kolkata=(CLOSE,)))
+    day[0].closing.announce(calendar(2, early - 8, early, CLOSE, kolkata=(CLOSE,)))
     day.run(1.5)
     assert [len(day[n].history.of(Kind.CALENDAR)) for n in range(4)] == [3, 3, 2, 2]
     day.run(LEASE)
@@ -217,7 +220,7 @@
     day.truth.closings[A] = [int(early), int(CLOSE)]
     day.until(early - 20)
     doubts = [len(day[n].history.of(Kind.DOUBT)) for n in range(5)]
-    day[3].closing.tell(calendar(2, early - 10, early, CLOSE, kolkata=(CLOSE,)))
+    day[3].closing.announce(calendar(2, early - 10, early, CLOSE, kolkata=(CLOSE,)))
     day.until(CLOSE + 5)
     for n in range(5):
         force = [each for each in day[n].history.of(Kind.CALENDAR) if each["state"] == "force"]
@@ -252,7 +255,7 @@
     day.run(10)
     refused = [each for each in day[0].history.of(Kind.CALENDAR) if each["state"] == "refused"]
     assert len(refused) == 1 and "not readable" in refused[0]["why"]
-    assert day[0].closing.doubt.value == "cut"
+    assert day[0].closing.bypass_reason.value == "cut"
 
 
 # Purges and changes.
@@ -453,7 +456,7 @@
     day = Day(2)
     day.until(BEGIN + 8)
     with pytest.raises(OperatorsError, match="in_force: expected an instant at least"):
-        day[0].closing.tell(calendar(2, BEGIN + 13, CLOSE))
+        day[0].closing.announce(calendar(2, BEGIN + 13, CLOSE))
 
 
 @pytest.mark.parametrize(
@@ -473,7 +476,7 @@
         day.truth.closings[A] = [int(early)] if cut else [int(CLOSE)]
         day.world.run(BEGIN + 8)
         if cut:
-            day[0].closing.tell(calendar(2, early - 8, early, kolkata=(CLOSE,)))
+            day[0].closing.announce(calendar(2, early - 8, early, kolkata=(CLOSE,)))
             day.world.cut({"n0", "n1"}, {"n2", "n3"})
             day.world.run(early + 1)
         else:
--- a/tests/closing/world.py
+++ b/tests/closing/world.py
@@ -17,7 +17,7 @@
 from typing import Any, Protocol
 
 from cypresspulley.closing.cache import CachedAnswer, CacheKey, SendStamp
-from cypresspulley.closing.limiter import TICK, ClosingCache
+from cypresspulley.closing.limiter import POLL_INTERVAL_SECONDS, ClosingCache
 from cypresspulley.closing.options import Options
 from cypresspulley.fleet.records import Member, Row, State
 from cypresspulley.histories.events import FACTS, Kind
@@ -158,12 +158,12 @@
 class Keeper(Protocol):
     """What the world asks of a limiter: ``Closing``, or a baseline."""
 
-    def begin(self) -> None: ...
-    def look(self) -> None: ...
+    def initialize(self) -> None: ...
+    def poll(self) -> None: ...
     def find_answer(self, id: str, account: str, key: CacheKey) -> tuple[CachedAnswer, float] | None: ...
     def stamp_lookup(self, account: str) -> SendStamp | None: ...
     def store_answer(
-        self, account: str, key: CacheKey, sent: SendStamp, headers: bytes, body: bytes
+        self, account: str, key: CacheKey, stamp: SendStamp, headers: bytes, body: bytes
     ) -> None: ...
     def begin_write(self, account: str) -> None: ...
     def end_write(self, account: str, reached_server: bool, is_finished: bool) -> None: ...
@@ -201,9 +201,11 @@
         self.cache = self.world.make(
             self.options, self.view, self.mono, self.wall, self.history, self.world.named
         )
-        self.cache.begin()
+        self.cache.initialize()
         life = self.life
-        self.world.at(self.world.now + self.world.rng.uniform(0, TICK), lambda: self._tick(life))
+        self.world.at(
+            self.world.now + self.world.rng.uniform(0, POLL_INTERVAL_SECONDS), lambda: self._tick(life)
+        )
         self.world.at(self.world.now + self.world.rng.uniform(0, PERIOD), lambda: self._gossip(life))
 
     @property
@@ -241,8 +243,10 @@
         late = self.world.rng.uniform(0, self.world.late)
         if self.world.now >= self.paused:
             self.view.look()
-            self.cache.look()
-        self.world.at(max(self.world.now, self.paused) + TICK + late, lambda: self._tick(life))
+            self.cache.poll()
+        self.world.at(
+            max(self.world.now, self.paused) + POLL_INTERVAL_SECONDS + late, lambda: self._tick(life)
+        )
 
     def _gossip(self, life: int) -> None:
         if not self.up or life != self.life:
