--- a/tests/rehearsal/test_together.py
+++ b/tests/rehearsal/test_together.py
@@ -488,7 +488,7 @@
     path.write_text(tomli_w.dumps(calendars.tell("lisbon", start + 5, float(start))))
     read = load_calendar(str(path))
     for place, expected in (("vadodara", [1, 3, 4]), ("lisbon", [3, 5])):
-        ordinals = [read.line(place).ordinal(start + s + 0.5) for s in range(-1, 7)]
+        ordinals = [read.timeline(place).ordinal(start + s + 0.5) for s in range(-1, 7)]
         assert [s - 1 for s in range(1, 8) if ordinals[s] > ordinals[s - 1]] == expected
 
 
