--- a/tests/test_together_off.py
+++ b/tests/test_together_off.py
@@ -54,4 +54,4 @@
     assert fleet_options(operators.fleet[1], str(shipped), "k" * 16).installation == "vadodara"
     lanes = lanes_options(operators.lanes[1], str(shipped), settings).lanes
     assert [lane.name for lane in lanes] == ["premium", "standard", "guest"]
-    assert closing_options(operators.closing[1], str(shipped), settings).keep == {"bag-lookup"}
+    assert closing_options(operators.closing[1], str(shipped), settings).cached_classes == {"bag-lookup"}
