--- a/benchmarks/closing_stale.py
+++ b/benchmarks/closing_stale.py
@@ -215,7 +215,7 @@
             self._lookups(limiter)
             if not own_timer:
                 for closing in {*self.closes["v"], *self.closes["w"]}:
-                    self.world.at(closing - 2 * BOUND, partial(self._probe, limiter, closing))
+                    self.world.call_at(closing - 2 * BOUND, partial(self._probe, limiter, closing))
         self._changes()
         if not calm:
             self._faults()
@@ -236,7 +236,7 @@
             if limiter.cache.bypass_reason:
                 self.until.get((closing, place), {}).pop(limiter.name, None)
                 return  # it gave up for another reason
-            self.world.at(now + PROBE, partial(self._probe, limiter, closing))
+            self.world.call_at(now + PROBE, partial(self._probe, limiter, closing))
 
     # What clients do.
 
@@ -254,13 +254,13 @@
         slow = rng.uniform(0.3, 2.0) if rng.random() < 0.05 else None
         self.clients.lookup(limiter, account, f"/lookup/{rng.randint(1, 2)}", slow)
         near = any(abs(now - at) < ROUND for at in self.truth.closings[account])
-        self.world.at(now + (DENSE if near else SPARSE), lambda: self._lookups(limiter))
+        self.world.call_at(now + (DENSE if near else SPARSE), lambda: self._lookups(limiter))
 
     def _changes(self) -> None:
         if self.world.now > BEGIN + 1 and not self.own_timer:
             limiter = self.rng.choice(list(self.world.limiters.values()))
             self.clients.change(limiter, self.rng.choice(list(ACCOUNTS)), self.rng.uniform(0.02, 0.5))
-        self.world.at(self.world.now + self.rng.uniform(0.5, 2.0), self._changes)
+        self.world.call_at(self.world.now + self.rng.uniform(0.5, 2.0), self._changes)
 
     def _purge(self) -> None:
         limiter, account = (
@@ -279,12 +279,12 @@
             at = BEGIN + rng.uniform(4, SECONDS - QUIET - 1)
             if rng.random() < 0.5:  # faults and closings like each other's company
                 at = rng.choice(self.closes["v"]) + rng.uniform(-4, 1)
-            world.at(
+            world.call_at(
                 at, rng.choice((self._pause, self._cut, self._one_way, self._kill, self._step, self._run))
             )
         if rng.random() < 0.5:
-            world.at(BEGIN + rng.uniform(5, 12), self._tell)
-        world.at(BEGIN + SECONDS - QUIET, self._heal)
+            world.call_at(BEGIN + rng.uniform(5, 12), self._tell)
+        world.call_at(BEGIN + SECONDS - QUIET, self._heal)
 
     def _any(self) -> Limiter:
         return self.rng.choice(list(self.world.limiters.values()))
@@ -296,12 +296,12 @@
         names = list(self.world.limiters)
         left = set(self.rng.sample(names, self.rng.randint(1, len(names) - 1)))
         self.world.cut(left, set(names) - left)
-        self.world.at(self.world.now + self.rng.uniform(1, 20), self.world.cuts.clear)
+        self.world.call_at(self.world.now + self.rng.uniform(1, 20), self.world.cuts.clear)
 
     def _one_way(self) -> None:
         one = self._any().name
         self.world.cuts |= {(one, other) for other in self.world.limiters if other != one}
-        self.world.at(self.world.now + self.rng.uniform(1, 20), self.world.cuts.clear)
+        self.world.call_at(self.world.now + self.rng.uniform(1, 20), self.world.cuts.clear)
 
     def _kill(self) -> None:
         limiter = self._any()
@@ -312,13 +312,13 @@
                 limiter.start()
                 self.records.append((limiter, limiter.history))
 
-        self.world.at(self.world.now + self.rng.uniform(0.2, 10), again)
+        self.world.call_at(self.world.now + self.rng.uniform(0.2, 10), again)
 
     def _step(self) -> None:
         limiter = self._any()
         by = self.rng.choice((-3600.0, -20.0, -2.0, -0.5, -0.1, 0.1, 0.5, 3600.0))
         limiter.clock_offset += by
-        self.world.at(self.world.now + self.rng.uniform(1, 10), lambda: self._step_back(limiter, by))
+        self.world.call_at(self.world.now + self.rng.uniform(1, 10), lambda: self._step_back(limiter, by))
 
     def _step_back(self, limiter: Limiter, by: float) -> None:
         limiter.clock_offset -= by
@@ -329,7 +329,7 @@
         def run() -> None:
             limiter.clock_offset += rate * 0.05
             if self.world.now < end:
-                self.world.at(self.world.now + 0.05, run)
+                self.world.call_at(self.world.now + 0.05, run)
             else:
                 limiter.clock_offset = self.rng.uniform(-0.4, 0.4) * BOUND
 
--- a/benchmarks/together_plays.py
+++ b/benchmarks/together_plays.py
@@ -218,7 +218,7 @@
                 cache.store_answer(account, key, sent, b"", repr(made).encode())
             self.harness.put(Kind.ANSWER, id=id, status=200, made=made, kept=False)
 
-        self.world.at(now + took, lambda: limiter.deliver(answered))
+        self.world.call_at(now + took, lambda: limiter.deliver(answered))
 
     def handover(self, limiter: closing_world.Limiter, account: str) -> None:
         """A request that is not safe to repeat."""
@@ -226,7 +226,7 @@
 
         def begins() -> None:
             cache.begin_write(account)
-            self.world.at(
+            self.world.call_at(
                 self.world.now + 0.05, lambda: limiter.deliver(lambda: cache.end_write(account, True, True))
             )
 
@@ -253,7 +253,7 @@
     )
 
     def at(second: float, what: Callable[[], None]) -> None:
-        world.at(closing_world.BEGIN + second, what)
+        world.call_at(closing_world.BEGIN + second, what)
 
     rng, everyone = Random(seed + 1), (a, b, c, d)
     for second in range(6, 200):
--- a/tests/closing/test_together.py
+++ b/tests/closing/test_together.py
@@ -59,7 +59,7 @@
         for limiter in list(self.world.limiters.values()):
             self.clients.lookup(limiter, (A, B)[number % 2])
         if self.lookups:
-            self.world.at(self.world.now + 0.08, lambda: self._again(number + 1))
+            self.world.call_at(self.world.now + 0.08, lambda: self._again(number + 1))
 
     def __getitem__(self, number: int) -> Limiter:
         return self.world.limiters[f"n{number}"]
@@ -174,7 +174,7 @@
 
         def drift(day: Day = day, rate: float = rate) -> None:
             day[2].clock_offset += rate * 0.1
-            day.world.at(day.world.now + 0.1, drift)
+            day.world.call_at(day.world.now + 0.1, drift)
 
         day.until(CLOSE - 14)
         drift()
--- a/tests/closing/world.py
+++ b/tests/closing/world.py
@@ -203,10 +203,10 @@
         )
         self.cache.initialize()
         life = self.life
-        self.world.at(
+        self.world.call_at(
             self.world.now + self.world.rng.uniform(0, POLL_INTERVAL_SECONDS), lambda: self._tick(life)
         )
-        self.world.at(self.world.now + self.world.rng.uniform(0, PERIOD), lambda: self._gossip(life))
+        self.world.call_at(self.world.now + self.world.rng.uniform(0, PERIOD), lambda: self._gossip(life))
 
     @property
     def closing(self) -> ClosingCache:
@@ -219,7 +219,7 @@
     def pause(self, seconds: float) -> None:
         """Stopped: what comes waits in buffers, and is what it sees first when it wakes."""
         self.paused = self.world.now + seconds
-        self.world.at(self.paused, self._wake)
+        self.world.call_at(self.paused, self._wake)
 
     def _wake(self) -> None:
         if not self.up or self.world.now < self.paused:
@@ -244,7 +244,7 @@
         if self.world.now >= self.paused:
             self.view.look()
             self.cache.poll()
-        self.world.at(
+        self.world.call_at(
             max(self.world.now, self.paused) + POLL_INTERVAL_SECONDS + late, lambda: self._tick(life)
         )
 
@@ -253,7 +253,7 @@
             return
         if self.world.now >= self.paused:
             self.world.spread(self)
-        self.world.at(max(self.world.now, self.paused) + PERIOD, lambda: self._gossip(life))
+        self.world.call_at(max(self.world.now, self.paused) + PERIOD, lambda: self._gossip(life))
 
 
 @dataclass
@@ -274,7 +274,7 @@
     def __post_init__(self) -> None:
         self.rng = Random(self.seed)
 
-    def at(self, when: float, what: Callable[[], None]) -> None:
+    def call_at(self, when: float, what: Callable[[], None]) -> None:
         self._count += 1
         heapq.heappush(self._coming, (when, self._count, what))
 
@@ -307,7 +307,7 @@
             if to is other.view:
                 to.hears(sender.name, *said)
 
-        self.at(self.now + late, lambda: other.deliver(comes))
+        self.call_at(self.now + late, lambda: other.deliver(comes))
 
 
 @dataclass(slots=True)
@@ -378,7 +378,7 @@
             if limiter.cache is cache:
                 cache.store_answer(account, key, sent, b"", repr(now).encode())
 
-        self.world.at(now + took, lambda: limiter.deliver(answered))
+        self.world.call_at(now + took, lambda: limiter.deliver(answered))
 
     def change(self, limiter: Limiter, account: str, took: float = 0.05) -> None:
         """A request that is not safe to repeat; a server carries it out in the middle of its time."""
@@ -395,7 +395,7 @@
                 cache.end_write(account, True, True)
                 self.truth.changes.setdefault(account, []).append((self.world.now, done, limiter.name))
 
-        self.world.at(self.world.now + took, lambda: limiter.deliver(changed))
+        self.world.call_at(self.world.now + took, lambda: limiter.deliver(changed))
 
     def rate(self) -> float:
         return self.hits / max(1, self.asked)
