--- a/tests/closing/test_node.py
+++ b/tests/closing/test_node.py
@@ -46,7 +46,7 @@
     def __init__(self, dial: str, file: LogFile | None = None) -> None:
         clock = UnixClock()
         self.now, self.history = CLOSE - 20, Record()
-        world = World(1, named=1)
+        world = World(1, configured_limiters=1)
         stand_in = world.add("n0", options(calendar(1, BEGIN - 86_400, CLOSE)))
         self.closing = ClosingCache(
             stand_in.options, View(stand_in, 1), clock, lambda: self.now, self.history, configured_limiters=1
--- a/tests/closing/test_together.py
+++ b/tests/closing/test_together.py
@@ -46,7 +46,7 @@
     """A fleet of limiters whose clocks are off by up to 80 ms, and lookups of A and B every 80 ms at each in turn."""
 
     def __init__(self, count: int = 3, seed: int = 1, lost: float = 600.0, **truth: list[int]) -> None:
-        self.world = World(seed, named=count)
+        self.world = World(seed, configured_limiters=count)
         usual = calendar(1, BEGIN - 86_400, CLOSE, kolkata=(CLOSE,))
         for number in range(count):
             self.world.add(f"n{number}", options(usual, lost), self.world.rng.uniform(-0.08, 0.08))
@@ -308,7 +308,7 @@
     day.run(30)
     assert day.purge(day[0], A)[0] == ("n0",)
     day.world.cuts.clear()
-    lone = World(1, named=3)
+    lone = World(1, configured_limiters=3)
     lone.add("n0", options(calendar(1, BEGIN - 86_400, CLOSE)))
     day.world = lone
     assert day.purge(lone.limiters["n0"], A)[0] == ("n0",)
@@ -390,7 +390,7 @@
 def test_alone_by_name_it_keeps_and_alone_by_a_cut_it_does_not() -> None:
     for named, keeps in ((1, True), (3, False)):
         day = Day(1)
-        day.world.named = named
+        day.world.configured_limiters = named
         day[0].kill()
         day[0].start()
         assert (day.until(CLOSE + 5) > 0) is keeps
@@ -399,11 +399,11 @@
 def test_one_that_is_named_alone_is_not_once_it_has_seen_another() -> None:
     """A first limiter whose file names only itself, and others that name it."""
     day = Day(1)
-    day.world.named = 1
+    day.world.configured_limiters = 1
     day[0].kill()
     day[0].start()
     assert day.run(5) > 0
-    day.world.named = 2
+    day.world.configured_limiters = 2
     day.world.add("n1", options(calendar(1, BEGIN - 86_400, CLOSE, kolkata=(CLOSE,))))
     assert day.run(5) > 0 and hits_of(day, day[1], 1) > 0
     day.world.cut({"n0"}, {"n1"})
--- a/tests/closing/world.py
+++ b/tests/closing/world.py
@@ -199,7 +199,7 @@
         self.up, self.paused, self.waits = True, 0.0, []
         self.view, self.history = View(self, self.life), Record(lambda: self.world.now)
         self.cache = self.world.make(
-            self.options, self.view, self.mono, self.wall, self.history, self.world.named
+            self.options, self.view, self.mono, self.wall, self.history, self.world.configured_limiters
         )
         self.cache.initialize()
         life = self.life
@@ -262,7 +262,7 @@
 
     seed: int
     make: Make = ClosingCache
-    named: int = 3
+    configured_limiters: int = 3
     late: float = 0.02  # seconds that a tick is late at most
     loss: float = 0.0
     now: float = BEGIN
