--- a/benchmarks/closing_stale.py
+++ b/benchmarks/closing_stale.py
@@ -178,7 +178,7 @@
 
     def __init__(self, seed: int, own_timer: bool, calm: bool) -> None:
         self.own_timer, self.calm = own_timer, calm
-        self.world = World(seed, configured_limiters=1, make=OwnTimer if own_timer else ClosingCache)
+        self.world = World(seed, configured_limiters=1, make_cache=OwnTimer if own_timer else ClosingCache)
         rng = self.rng = self.world.rng
         self.count = self.world.configured_limiters = rng.randint(3, 8)
         self.world.loss = 0.0 if calm else rng.choice((0.0, 0.02, 0.1))
--- a/benchmarks/together_plays.py
+++ b/benchmarks/together_plays.py
@@ -176,7 +176,7 @@
             calendar, frozenset(("lookup",)), lease_seconds=LEASE, purge_seconds=4.0, lost_seconds=6.0
         )
         self._lives = list[MemoryHistory]()
-        self.world = closing_world.World(seed, make=self._make, configured_limiters=4)
+        self.world = closing_world.World(seed, make_cache=self._make, configured_limiters=4)
         self._rng, self._asked = Random(seed), 0
         clock = lambda: self.world.now  # noqa: E731  # the true time is both of the harness's clocks
         self.harness = begin(MemoryHistory(clock, clock), HARNESS, 1)
--- a/tests/closing/world.py
+++ b/tests/closing/world.py
@@ -198,7 +198,7 @@
         self.life = max(self.life + 1, int(self.wall() * 1000))
         self.up, self.paused, self.waits = True, 0.0, []
         self.view, self.history = View(self, self.life), Record(lambda: self.world.now)
-        self.cache = self.world.make(
+        self.cache = self.world.make_cache(
             self.options, self.view, self.mono, self.wall, self.history, self.world.configured_limiters
         )
         self.cache.initialize()
@@ -261,7 +261,7 @@
     """``truth`` gives each account's closings as they are true. ``named``: limiters that the operators' file names."""
 
     seed: int
-    make: Make = ClosingCache
+    make_cache: Make = ClosingCache
     configured_limiters: int = 3
     late: float = 0.02  # seconds that a tick is late at most
     loss: float = 0.0
