--- a/benchmarks/closing_stale.py
+++ b/benchmarks/closing_stale.py
@@ -35,7 +35,7 @@
 from cypresspulley.histories.events import Kind
 from cypresspulley.operators import OperatorsError
 from tests.closing.mutants import MUTANTS, applied
-from tests.closing.world import BEGIN, Clients, Limiter, Record, Truth, View, World
+from tests.closing.world import BEGIN, Clients, Limiter, RecordedHistory, Truth, View, World
 
 BOUND, LEASE = 0.25, 4.0
 SECONDS, QUIET = 40.0, 12.0  # of a day; of its end, without faults
@@ -49,7 +49,7 @@
     """The baseline: what is kept goes when this process's own timer says so; calendars are taken as they come."""
 
     def __init__(
-        self, options: Options, view: View, clock: Callable[[], float], wall: Callable[[], float], history: Record,
+        self, options: Options, view: View, clock: Callable[[], float], wall: Callable[[], float], history: RecordedHistory,
         named: int,
     ) -> None:  # fmt: skip
         self._view, self._clock, self._wall, self._calendar = view, clock, wall, options.calendar
@@ -181,7 +181,7 @@
         self.world = World(seed, configured_limiters=1, make_cache=OwnTimer if own_timer else ClosingCache)
         rng = self.rng = self.world.rng
         self.count = self.world.configured_limiters = rng.randint(3, 8)
-        self.world.loss = 0.0 if calm else rng.choice((0.0, 0.02, 0.1))
+        self.world.loss_share = 0.0 if calm else rng.choice((0.0, 0.02, 0.1))
         first = BEGIN + rng.uniform(10, 14)
         self.closes = {
             "v": [float(int(first)), float(int(first) + rng.randint(9, 14))],
@@ -203,9 +203,9 @@
             tuple[float, str], dict[str, float]
         ]()  # by closing, place, limiter: when it would still serve
         self.new = dict[tuple[float, str], float]()  # by closing and account: first answer of after it
-        self.records = list[tuple[Limiter, Record]]()
+        self.records = list[tuple[Limiter, RecordedHistory]]()
         self.faulted = dict[str, list[tuple[float, float]]]()
-        self.clients.watch = self._watch
+        self.clients.on_hit = self._watch
         self.waiting = list[tuple[float, str, asyncio.Task[tuple[str, ...]]]]()
         for number in range(self.count):
             limiter = self.world.add(
@@ -225,8 +225,8 @@
         now, place = self.world.now, "v" if closing in self.closes["v"] else "w"
         account = next(account for account, home in ACCOUNTS.items() if home == place)
         if (
-            limiter.up
-            and now >= limiter.paused
+            limiter.is_running
+            and now >= limiter.paused_until
             and now < closing + BOUND
             and isinstance(limiter.cache, ClosingCache)
         ):
@@ -259,7 +259,7 @@
     def _changes(self) -> None:
         if self.world.now > BEGIN + 1 and not self.own_timer:
             limiter = self.rng.choice(list(self.world.limiters.values()))
-            self.clients.change(limiter, self.rng.choice(list(ACCOUNTS)), self.rng.uniform(0.02, 0.5))
+            self.clients.write(limiter, self.rng.choice(list(ACCOUNTS)), self.rng.uniform(0.02, 0.5))
         self.world.call_at(self.world.now + self.rng.uniform(0.5, 2.0), self._changes)
 
     def _purge(self) -> None:
@@ -267,7 +267,11 @@
             self.rng.choice(list(self.world.limiters.values())),
             self.rng.choice(list(ACCOUNTS)),
         )
-        if limiter.up and self.world.now >= limiter.paused and isinstance(limiter.cache, ClosingCache):
+        if (
+            limiter.is_running
+            and self.world.now >= limiter.paused_until
+            and isinstance(limiter.cache, ClosingCache)
+        ):
             task = asyncio.get_running_loop().create_task(limiter.cache.purge(account))
             self.waiting.append((self.world.now, account, task))
 
@@ -308,7 +312,7 @@
         limiter.kill()
 
         def again() -> None:
-            if not limiter.up:
+            if not limiter.is_running:
                 limiter.start()
                 self.records.append((limiter, limiter.history))
 
@@ -338,7 +342,7 @@
     def _tell(self) -> None:
         """A limiter's operators tell it that a closing comes forward; their file stays as it is from then on."""
         limiter, now = self._any(), self.world.now
-        if not limiter.up or now < limiter.paused:
+        if not limiter.is_running or now < limiter.paused_until:
             return
         early = float(int(now + self.rng.uniform(9, 15)))
         closes = {"v": [early, *(at for at in self.closes["v"] if at > early)], "w": self.closes["w"]}
@@ -376,7 +380,7 @@
             self.world.run(self.world.now + (0.05 if self.waiting else 0.5))
             await self._answered()
         told = self.told
-        told.asked, told.hits = self.clients.asked, self.clients.hits
+        told.asked, told.hits = self.clients.lookups, self.clients.hits
         for why, now, name, account, made in self.clients.stale:
             told.stale[why] = told.stale.get(why, 0) + 1
             told.examples.append(
@@ -410,8 +414,8 @@
             if len(last) > 1:
                 self.told.spread = max(self.told.spread, max(last.values()) - min(last.values()))
 
-    def _count(self, limiter: Limiter, record: Record) -> None:
-        alive = limiter.up and record is limiter.history
+    def _count(self, limiter: Limiter, record: RecordedHistory) -> None:
+        alive = limiter.is_running and record is limiter.history
         end = BEGIN + SECONDS if alive else record.times[-1]
         seen, since, doubt, cause, sure = (
             set[tuple[str, float]](),
--- a/tests/closing/mutants.py
+++ b/tests/closing/mutants.py
@@ -1,4 +1,4 @@
-"""The limiter with one of its guards taken out: each must be found out (``benchmarks/closing_stale.py --mutants``)."""
+"""Mutants of the limiter, each without one safeguard, which must be detected by ``closing_stale.py --mutants``."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 Patch = tuple[Any, str, Callable[..., Any]]
 
 
-class _Now:
-    """As if a lookup had been sent at whatever moment one asks."""
+class _CurrentStamp:
+    """A send stamp that always has the current time, as if the lookup had just been sent."""
 
     def __init__(self, closing: ClosingCache, account: str) -> None:
         self._closing, self._account = closing, account
@@ -31,16 +31,16 @@
     generation = property(lambda self: self._closing.generation(self._account))
 
 
-def _later(self: ClosingCache, account: str) -> object:
-    return None if self.generation(account) is None else _Now(self, account)
+def _stamp_on_arrival(self: ClosingCache, account: str) -> object:
+    return None if self.generation(account) is None else _CurrentStamp(self, account)
 
 
-def _trusting(self: WallClockMonitor, mono: float, wall: float, error: object) -> BypassReason:
+def _trust_always(self: WallClockMonitor, mono: float, wall: float, error: object) -> BypassReason:
     self.reason, self.latest_trusted = BypassReason.NONE, wall
     return BypassReason.NONE
 
 
-def _since_now(self: ClosingTracker, before: Any, after: Any, wall: float) -> Any:
+def _collect_again(self: ClosingTracker, before: Any, after: Any, wall: float) -> Any:
     self._collected_until, since = wall, self._collected_until
     found = (
         []
@@ -52,16 +52,16 @@
 
 MUTANTS: dict[str, tuple[Patch, ...]] = {
     "the generation is compared by nobody": ((Eligibility, "generation", lambda *_: 1),),
-    "answers are of the moment at which they come": ((ClosingCache, "stamp_lookup", _later),),
+    "answers are of the moment at which they come": ((ClosingCache, "stamp_lookup", _stamp_on_arrival),),
     "round a close all goes on": (
         (Timeline, "is_near_closing", lambda *_: False),
         (CalendarStore, "is_near_switch", lambda *_: False),
     ),
     "the lease never ends": ((Lease, "is_held", lambda self, _now: self.acknowledged_at > 0),),
-    "any clock is trusted": ((WallClockMonitor, "check", _trusting),),
+    "any clock is trusted": ((WallClockMonitor, "check", _trust_always),),
     "closings are told again after a step": (
-        (WallClockMonitor, "check", _trusting),
-        (ClosingTracker, "collect_closings", _since_now),
+        (WallClockMonitor, "check", _trust_always),
+        (ClosingTracker, "collect_closings", _collect_again),
     ),
     "yes before all have it": ((PurgeCoordinator, "_find_missing", lambda *_: []),),
     "purges of others are not heard": ((ClosingCache, "_apply_peer_purges", lambda *_: None),),
@@ -72,7 +72,7 @@
 
 @contextmanager
 def applied(name: str) -> Iterator[None]:
-    """The program as the mutant has it."""
+    """Applies a mutant for the duration of the context."""
     patches = [mock.patch.object(owner, attribute, with_) for owner, attribute, with_ in MUTANTS[name]]
     for patch in patches:
         patch.start()
--- a/tests/closing/test_calendar.py
+++ b/tests/closing/test_calendar.py
@@ -1,4 +1,4 @@
-"""Closings and their ordinals: summer time, holidays, changes; held against counting second by second."""
+"""Closings and their ordinals: daylight saving time, holidays, changes; compared with a search by UTC offset."""
 
 from __future__ import annotations
 
@@ -135,7 +135,7 @@
 
 
 def brute(place: Place, begin: int, end: int) -> list[int]:
-    """The instants at which local time reaches a closing's the first time, or would have, looked for one by one."""
+    """Finds the closings by trying every UTC offset in use around each local closing time; the first match counts."""
     zone = ZoneInfo(place.zone)
     found = set[int]()
     day = datetime.fromtimestamp(begin, UTC).date() - timedelta(days=3)
@@ -148,7 +148,7 @@
                 for offset in sorted({_offset(zone, guess + h * 3600) for h in range(-30, 31)}, reverse=True)
                 if datetime.fromtimestamp(instant := guess - offset, zone).replace(tzinfo=None) == local
             ]
-            # Skipped: by the offset that held before.
+            # A skipped local time: read with the offset from before the change.
             found.add(min(hits) if hits else guess - _offset(zone, guess - 30 * 3600))
         day += timedelta(days=1)
     return sorted(each for each in found if begin < each <= end)
--- a/tests/closing/test_node.py
+++ b/tests/closing/test_node.py
@@ -1,4 +1,6 @@
-"""A node that keeps, over loopback sockets: kept answers, what passes it by, the access log, the door, off."""
+"""A caching node over loopback sockets: cached answers, requests that bypass the cache, the access log, the
+operators' interface, and a process with closing off.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +25,7 @@
 from cypresspulley.net.upstream import Upstream
 from cypresspulley.service import Service
 from tests.closing.test_together import CLOSE, calendar, options
-from tests.closing.world import BEGIN, Record, View, World
+from tests.closing.world import BEGIN, RecordedHistory, View, World
 from tests.loopback import (
     OK,
     SETTINGS,
@@ -40,16 +42,21 @@
 from tests.test_door import call, opened
 
 
-class Kept:
-    """A limiter alone in its installation, with a wall clock that stands where the test puts it."""
+class CachingLimiter:
+    """A limiter that is alone in its installation; the test sets its wall clock."""
 
     def __init__(self, dial: str, file: LogFile | None = None) -> None:
         clock = UnixClock()
-        self.now, self.history = CLOSE - 20, Record()
+        self.now, self.history = CLOSE - 20, RecordedHistory()
         world = World(1, configured_limiters=1)
-        stand_in = world.add("n0", options(calendar(1, BEGIN - 86_400, CLOSE)))
+        simulated = world.add("n0", options(calendar(1, BEGIN - 86_400, CLOSE)))
         self.closing = ClosingCache(
-            stand_in.options, View(stand_in, 1), clock, lambda: self.now, self.history, configured_limiters=1
+            simulated.options,
+            View(simulated, 1),
+            clock,
+            lambda: self.now,
+            self.history,
+            configured_limiters=1,
         )
         self.closing.start()
         self.script = Script(forward)
@@ -70,9 +77,9 @@
 
 
 @asynccontextmanager
-async def keeping(talk: ConnectionHandler, file: LogFile | None = None) -> AsyncIterator[Kept]:
+async def run_limiter(talk: ConnectionHandler, file: LogFile | None = None) -> AsyncIterator[CachingLimiter]:
     async with listening(talk) as dial:
-        limiter = Kept(dial, file)
+        limiter = CachingLimiter(dial, file)
         limiter.address = await limiter.frontend.listen("127.0.0.1", 0)
         try:
             yield limiter
@@ -85,14 +92,14 @@
 def test_a_kept_answer_has_its_age_and_causes_no_event() -> None:
     async def main() -> None:
         origin = Origin(lambda n: b"HTTP/1.1 200 OK\r\nX-Number: %d\r\nContent-Length: 2\r\n\r\nhi" % n)
-        async with keeping(origin.talk) as limiter:
+        async with run_limiter(origin.talk) as limiter:
             _, headers, body = await limiter.fetch()
             assert body == b"hi" and headers["x-number"] == "1" and "age" not in headers
             events = len(limiter.script.events)
             first, headers, body = await limiter.fetch()
             assert " 200 " in first and body == b"hi" and (headers["x-number"], headers["age"]) == ("1", "0")
             assert len(limiter.script.events) == events and limiter.node.open_requests == 0
-            assert [each["account"] for each in limiter.history.of(Kind.SERVED)] == ["00000000b4d65521"]
+            assert [each["account"] for each in limiter.history.facts_of(Kind.SERVED)] == ["00000000b4d65521"]
             _, headers, _ = await limiter.fetch(ask("/lookup?account=00000000b4d65521&q=2"))
             assert headers["x-number"] == "2"
 
@@ -102,37 +109,37 @@
 def test_at_the_close_it_is_gone_and_round_it_nothing_is_kept() -> None:
     async def main() -> None:
         origin = Origin()
-        async with keeping(origin.talk) as limiter:
-            asked = 0
-            for at, sent in (
+        async with run_limiter(origin.talk) as limiter:
+            expected_requests = 0
+            for at, requests in (
                 (CLOSE - 20, 1), (CLOSE - 0.3, 0), (CLOSE - 0.2, 1), (CLOSE, 1), (CLOSE + 0.2, 1), (CLOSE + 0.3, 1),
                 (CLOSE + 9, 0), (CLOSE - 5, 1), (CLOSE + 8, 1), (CLOSE + 9.5, 0),
             ):  # fmt: skip
                 limiter.now = at
                 await limiter.fetch()
-                asked += sent
-                assert len(origin.seen) == asked, at
+                expected_requests += requests
+                assert len(origin.seen) == expected_requests, at
 
     run(main())
 
 
 def test_an_answer_asked_for_before_the_close_is_passed_on_after_it_and_not_kept() -> None:
     async def main() -> None:
-        origin, asked, answers = Origin(), asyncio.Event(), asyncio.Event()
+        origin, received, may_answer = Origin(), asyncio.Event(), asyncio.Event()
 
         async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_message(reader)
-            asked.set()
-            await answers.wait()
+            received.set()
+            await may_answer.wait()
             writer.write(OK)
             await origin.talk(reader, writer)
 
-        async with keeping(slow) as limiter:
+        async with run_limiter(slow) as limiter:
             first = asyncio.create_task(limiter.fetch())
-            await asked.wait()
+            await received.wait()
             limiter.now = CLOSE + 5
-            answers.set()
-            assert (await first)[2] == b"hi" and not limiter.history.of(Kind.KEPT)
+            may_answer.set()
+            assert (await first)[2] == b"hi" and not limiter.history.facts_of(Kind.KEPT)
             limiter.now = CLOSE + 6
             assert "age" not in (await limiter.fetch())[1] and "age" in (await limiter.fetch())[1]
 
@@ -154,10 +161,10 @@
 def test_an_answer_that_is_not_for_all_is_large_or_no_answer_is_not_kept(reply: bytes) -> None:
     async def main() -> None:
         origin = Origin(lambda _n: reply)
-        async with keeping(origin.talk) as limiter:
+        async with run_limiter(origin.talk) as limiter:
             for _ in range(2):
                 await limiter.fetch()
-            assert len(origin.seen) >= 2 and not limiter.history.of(Kind.KEPT)
+            assert len(origin.seen) >= 2 and not limiter.history.facts_of(Kind.KEPT)
 
     run(main())
 
@@ -169,7 +176,7 @@
 def test_a_request_that_asks_for_more_is_passed_on(name: str, value: str) -> None:
     async def main() -> None:
         origin = Origin()
-        async with keeping(origin.talk) as limiter:
+        async with run_limiter(origin.talk) as limiter:
             await limiter.fetch()
             line = f"\r\n{name}: {value}\r\n\r\n".encode()
             assert "age" not in (await limiter.fetch(ask().replace(b"\r\n\r\n", line)))[1]
@@ -180,10 +187,10 @@
 def test_another_account_is_never_kept_and_costs_no_look() -> None:
     async def main() -> None:
         origin = Origin()
-        async with keeping(origin.talk) as limiter:
+        async with run_limiter(origin.talk) as limiter:
             for _ in range(2):
                 await limiter.fetch(ask("/lookup?account=0000000000000001"))
-            assert len(origin.seen) == 2 and not limiter.history.of(Kind.KEPT)
+            assert len(origin.seen) == 2 and not limiter.history.facts_of(Kind.KEPT)
 
     run(main())
 
@@ -191,11 +198,11 @@
 def test_a_change_drops_what_is_kept_of_its_account_from_its_begin_on() -> None:
     async def main() -> None:
         origin = Origin()
-        async with keeping(origin.talk) as limiter:
+        async with run_limiter(origin.talk) as limiter:
             await limiter.fetch()
             await limiter.fetch(ask("/post?account=00000000b4d65521", b"abc"))
             assert "age" not in (await limiter.fetch())[1] and "age" in (await limiter.fetch())[1]
-            told = [each["what"] for each in limiter.history.of(Kind.PURGE)]
+            told = [each["what"] for each in limiter.history.facts_of(Kind.PURGE)]
             assert told == ["asked", "applied"]
 
     run(main())
@@ -204,18 +211,18 @@
 def test_a_change_that_was_refused_untried_purges_nothing_and_one_that_failed_purges_for_longer() -> None:
     async def main() -> None:
         origin = Origin(lambda _n: b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n")
-        async with keeping(origin.talk) as limiter:
-            refuse = limiter.script.answer
+        async with run_limiter(origin.talk) as limiter:
+            forward_answer = limiter.script.answer
             limiter.script.answer = lambda event: (
                 [api.Refuse(event.id, 1.0)] if isinstance(event, api.Request) else []
             )
             assert " 429 " in (await limiter.fetch(ask("/post?account=00000000b4d65521", b"abc")))[0]
-            assert not limiter.history.of(Kind.PURGE)
-            limiter.script.answer = refuse
+            assert not limiter.history.facts_of(Kind.PURGE)
+            limiter.script.answer = forward_answer
             await limiter.fetch(ask("/post?account=00000000b4d65521", b"abc"))
             origin.reply = lambda _n: OK
             for _ in range(2):
-                assert "age" not in (await limiter.fetch())[1]  # the change may run on for a while
+                assert "age" not in (await limiter.fetch())[1]  # the write may still be running
             assert limiter.closing.cache._purge_watermarks["00000000b4d65521"] > limiter.closing._clock() + 4
 
     run(main())
@@ -224,7 +231,7 @@
 def test_it_combines_with_the_access_log(tmp_path: Path) -> None:
     async def main() -> None:
         file, origin = LogFile(str(tmp_path / "log")), Origin()
-        async with keeping(origin.talk, file) as limiter:
+        async with run_limiter(origin.talk, file) as limiter:
             await limiter.fetch()
             await limiter.fetch()
         file.close()
@@ -241,8 +248,8 @@
     async def main() -> None:
         service, origin = Service(Lifecycle()), Origin()
         path = "/v1/accounts/00000000b4d65521/purge"
-        async with opened(service) as door, keeping(origin.talk) as limiter:
-            assert (await call(door, "PUT", path))[0] == 503  # it starts
+        async with opened(service) as door, run_limiter(origin.talk) as limiter:
+            assert (await call(door, "PUT", path))[0] == 503  # the limiter is starting
             service.serve(limiter.node, limiter.frontend)
             assert (await call(door, "PUT", path))[0] == 404  # closing is off
             service.purge = limiter.closing.purge
--- a/tests/closing/test_options.py
+++ b/tests/closing/test_options.py
@@ -1,4 +1,4 @@
-"""The table and the calendar file: whole or refused, the error naming file, key and what was expected."""
+"""The table and the calendar file: valid as a whole or rejected, with file, key and expectation in the error."""
 
 from __future__ import annotations
 
@@ -118,7 +118,7 @@
 @settings(derandomize=True, deadline=None, max_examples=60)
 @given(st.data())
 def test_whatever_stands_in_a_calendar_it_is_taken_or_named(data: st.DataObject) -> None:
-    """One value anywhere in a good calendar is put in place of what belongs there."""
+    """Replaces one value anywhere in a valid calendar."""
     raw = tomllib.loads(GOOD)
     owner: Any = raw
     while True:
--- a/tests/closing/test_parts.py
+++ b/tests/closing/test_parts.py
@@ -1,4 +1,4 @@
-"""The modules without I/O one by one: what is kept, rows, leases, who is needed, purges, the clock's trust."""
+"""The modules without I/O: cache, rows, purges, leases, membership, calendars, wall clock monitor."""
 
 from __future__ import annotations
 
@@ -27,99 +27,115 @@
 A, B = "00000000b4d65521", "000000001c0ffee1"
 
 
-def key(number: int) -> CacheKey:
+def cache_key(number: int) -> CacheKey:
     return "lookup", "basic", b"/%d" % number
 
 
-def kept(account: str = A, generation: int = 1, sent: float = 10.0, size: int = 10) -> CachedAnswer:
+def make_answer(account: str = A, generation: int = 1, sent: float = 10.0, size: int = 10) -> CachedAnswer:
     return CachedAnswer(account, generation, sent, BEGIN + sent, b"", b"x" * size)
 
 
-# What is kept.
+# Cache.
 
 
 def test_an_answer_is_served_at_its_generation_only_and_for_so_long() -> None:
-    keep = AnswerCache(10, 100_000, 60.0)
-    keep.put(key(1), kept(), 11.0)
-    assert keep.get(key(1), 1, 20.0) is not None and keep.get(key(1), 2, 20.0) is None
-    assert keep.get(key(1), 1, 20.0) is None  # it went
-    keep.put(key(1), kept(), 11.0)
-    assert keep.get(key(1), 1, 69.9) is not None and keep.get(key(1), 1, 70.0) is None
+    cache = AnswerCache(10, 100_000, 60.0)
+    cache.put(cache_key(1), make_answer(), 11.0)
+    assert cache.get(cache_key(1), 1, 20.0) is not None and cache.get(cache_key(1), 2, 20.0) is None
+    assert cache.get(cache_key(1), 1, 20.0) is None  # it was removed
+    cache.put(cache_key(1), make_answer(), 11.0)
+    assert cache.get(cache_key(1), 1, 69.9) is not None and cache.get(cache_key(1), 1, 70.0) is None
 
 
 def test_answers_and_bytes_are_bounded_and_the_least_lately_used_goes() -> None:
-    keep = AnswerCache(3, 100_000, 60.0)
+    cache = AnswerCache(3, 100_000, 60.0)
     for number in range(3):
-        assert keep.put(key(number), kept(), 11.0)
-    assert keep.get(key(0), 1, 12.0) is not None
-    keep.put(key(3), kept(), 11.0)
-    assert len(keep) == 3 and keep.get(key(1), 1, 12.0) is None and keep.get(key(0), 1, 12.0) is not None
+        assert cache.put(cache_key(number), make_answer(), 11.0)
+    assert cache.get(cache_key(0), 1, 12.0) is not None
+    cache.put(cache_key(3), make_answer(), 11.0)
+    assert (
+        len(cache) == 3
+        and cache.get(cache_key(1), 1, 12.0) is None
+        and cache.get(cache_key(0), 1, 12.0) is not None
+    )
     small = AnswerCache(100, 2000, 60.0)
-    assert not small.put(key(0), kept(size=5000), 11.0)
+    assert not small.put(cache_key(0), make_answer(size=5000), 11.0)
     for number in range(100):
-        small.put(key(number), kept(size=400), 11.0)
+        small.put(cache_key(number), make_answer(size=400), 11.0)
     assert len(small) == 2
 
 
 def test_a_purge_drops_its_account_and_what_was_sent_before_it_comes_to_nothing() -> None:
-    keep = AnswerCache(10, 100_000, 60.0)
-    keep.put(key(1), kept(), 11.0)
-    keep.put(key(2), kept(B), 11.0)
-    assert keep.purge(A, 20.0, 20.0) == 1
-    assert keep.get(key(1), 1, 21.0) is None and keep.get(key(2), 1, 21.0) is not None
-    assert not keep.put(key(1), kept(sent=20.0), 21.0) and keep.put(key(1), kept(sent=20.1), 21.0)
-    assert keep.purge_all(30.0) == 2 and not keep.put(key(3), kept(B, sent=29.0), 31.0)
+    cache = AnswerCache(10, 100_000, 60.0)
+    cache.put(cache_key(1), make_answer(), 11.0)
+    cache.put(cache_key(2), make_answer(B), 11.0)
+    assert cache.purge(A, 20.0, 20.0) == 1
+    assert cache.get(cache_key(1), 1, 21.0) is None and cache.get(cache_key(2), 1, 21.0) is not None
+    assert not cache.put(cache_key(1), make_answer(sent=20.0), 21.0) and cache.put(
+        cache_key(1), make_answer(sent=20.1), 21.0
+    )
+    assert cache.purge_all(30.0) == 2 and not cache.put(cache_key(3), make_answer(B, sent=29.0), 31.0)
 
 
 def test_floors_are_bounded_and_never_lowered(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("cypresspulley.closing.cache.MAX_PURGE_WATERMARKS", 3)
-    keep = AnswerCache(10, 100_000, 60.0)
+    cache = AnswerCache(10, 100_000, 60.0)
     for number in range(5):
-        keep.purge(f"{number:016x}", 20.0 + number, 20.0 + number)
+        cache.purge(f"{number:016x}", 20.0 + number, 20.0 + number)
     for number in range(5):
-        assert not keep.put(key(number), kept(f"{number:016x}", sent=20.0 + number), 25.0)
-    assert keep.put(key(9), kept(sent=25.0), 25.0)
-    assert not keep.put(
-        key(8), kept(sent=26.0), 26.5 + MAX_ANSWER_DELAY_SECONDS
-    )  # a floor that is forgotten may have been above it
+        assert not cache.put(cache_key(number), make_answer(f"{number:016x}", sent=20.0 + number), 25.0)
+    assert cache.put(cache_key(9), make_answer(sent=25.0), 25.0)
+    assert not cache.put(
+        cache_key(8), make_answer(sent=26.0), 26.5 + MAX_ANSWER_DELAY_SECONDS
+    )  # a dropped watermark may have been later than this answer
 
 
 def test_while_a_change_is_under_way_nothing_of_its_account_is_kept_or_served() -> None:
-    keep = AnswerCache(10, 100_000, 60.0)
-    keep.put(key(1), kept(), 11.0)
-    keep.begin_write(A)
-    keep.begin_write(A)
-    assert len(keep) == 0 and not keep.put(key(1), kept(sent=12.0), 13.0) and keep.put(key(2), kept(B), 13.0)
-    keep.end_write(A, 14.0, 14.0)
-    assert not keep.put(key(1), kept(sent=14.5), 15.0)  # the other one is still open
-    keep.end_write(A, 16.0, 16.0)
-    assert not keep.put(key(1), kept(sent=16.0), 17.0) and keep.put(key(1), kept(sent=16.1), 17.0)
+    cache = AnswerCache(10, 100_000, 60.0)
+    cache.put(cache_key(1), make_answer(), 11.0)
+    cache.begin_write(A)
+    cache.begin_write(A)
+    assert (
+        len(cache) == 0
+        and not cache.put(cache_key(1), make_answer(sent=12.0), 13.0)
+        and cache.put(cache_key(2), make_answer(B), 13.0)
+    )
+    cache.end_write(A, 14.0, 14.0)
+    assert not cache.put(cache_key(1), make_answer(sent=14.5), 15.0)  # the other write is still in progress
+    cache.end_write(A, 16.0, 16.0)
+    assert not cache.put(cache_key(1), make_answer(sent=16.0), 17.0) and cache.put(
+        cache_key(1), make_answer(sent=16.1), 17.0
+    )
 
 
 def test_an_earlier_requests_answer_takes_no_later_ones_place() -> None:
-    keep = AnswerCache(10, 100_000, 60.0)
-    assert keep.put(key(1), kept(sent=12.0), 13.0) and not keep.put(key(1), kept(sent=11.0), 13.0)
+    cache = AnswerCache(10, 100_000, 60.0)
+    assert cache.put(cache_key(1), make_answer(sent=12.0), 13.0) and not cache.put(
+        cache_key(1), make_answer(sent=11.0), 13.0
+    )
 
 
 def test_the_index_by_account_goes_with_what_it_names() -> None:
-    keep, rng = AnswerCache(5, 4000, 60.0), Random(1)
+    cache, rng = AnswerCache(5, 4000, 60.0), Random(1)
     for step in range(500):
-        keep.put(
-            key(rng.randrange(20)), kept(rng.choice((A, B)), sent=float(step), size=rng.randrange(900)), step
+        cache.put(
+            cache_key(rng.randrange(20)),
+            make_answer(rng.choice((A, B)), sent=float(step), size=rng.randrange(900)),
+            step,
         )
         if rng.random() < 0.1:
-            keep.purge(rng.choice((A, B)), float(step), float(step))
-    answers = keep._answers
+            cache.purge(rng.choice((A, B)), float(step), float(step))
+    answers = cache._answers
     assert {each for keys in answers.by_account.values() for each in keys} == set(answers)
 
 
 # Rows.
 
 
-def said(
-    round: int = 5, since: int = 0, agreed: bytes = b"agreed!!", purges: int = 0, recent: bytes = b""
+def make_row(
+    round: int = 5, since: int = 0, view_digest: bytes = b"agreed!!", purges: int = 0, recent: bytes = b""
 ) -> LimiterRow:
-    return LimiterRow(round, since, agreed, 1, b"d" * 16, 3, purges, recent, b"")
+    return LimiterRow(round, since, view_digest, 1, b"d" * 16, 3, purges, recent, b"")
 
 
 def test_the_largest_row_fits() -> None:
@@ -147,7 +163,7 @@
 @pytest.mark.parametrize(
     "row",
     [
-        [5, 6, b"a" * 8, 1, b"d" * 16, 3, 0, b"", b""],  # since the future
+        [5, 6, b"a" * 8, 1, b"d" * 16, 3, 0, b"", b""],  # ``since_round`` above ``round``
         [-1, 0, b"a" * 8, 1, b"d" * 16, 3, 0, b"", b""],
         [2**60, 0, b"a" * 8, 1, b"d" * 16, 3, 0, b"", b""],
         [5, 0, b"a" * 7, 1, b"d" * 16, 3, 0, b"", b""],
@@ -167,50 +183,52 @@
 
 
 def test_purges_are_applied_once_each_and_a_gap_drops_everything() -> None:
-    issued, applied, life = IssuedPurges(), AppliedPurges(), Instance("n1", 7)
+    issued, applied, instance = IssuedPurges(), AppliedPurges(), Instance("n1", 7)
 
-    def heard() -> tuple[list[tuple[int, str]], bool]:
-        return applied.collect_new(life, said(purges=issued.count, recent=issued.recent))
+    def collect() -> tuple[list[tuple[int, str]], bool]:
+        return applied.collect_new(instance, make_row(purges=issued.count, recent=issued.recent))
 
     issued.issue(A)
     issued.issue(B)
-    assert heard() == ([(1, A), (2, B)], False) and heard() == ([], False)
+    assert collect() == ([(1, A), (2, B)], False) and collect() == ([], False)
     for _ in range(MAX_RECENT_PURGES):
         issued.issue(A)
-    numbers, more = heard()
+    numbers, more = collect()
     assert len(numbers) == MAX_RECENT_PURGES and not more
     for _ in range(MAX_RECENT_PURGES + 1):
         issued.issue(A)
-    assert heard()[1]
-    assert applied.collect_new(Instance("n1", 8), said(purges=1, recent=issued.recent[:5])) == (
+    assert collect()[1]
+    assert applied.collect_new(Instance("n1", 8), make_row(purges=1, recent=issued.recent[:5])) == (
         [(1, A)],
         False,
     )
 
 
-# Rounds and leases, held against what each really had seen of the others.
+# Rounds and leases, compared with what each limiter has actually seen of the others.
 
 
-class Talker:
-    """A limiter that notes, at each of its steps, which of the others' sayings it had seen."""
+class LeaseParticipant:
+    """A limiter that keeps the newest row of each other limiter it has seen, and when that row was sent."""
 
     def __init__(self, name: str) -> None:
-        self.life, self.lease = Instance(name, 1), Lease(4.0, 0.25)
+        self.instance, self.lease = Instance(name, 1), Lease(4.0, 0.25)
         self.seen = dict[
             Instance, tuple[LimiterRow, float]
-        ]()  # of others: the newest saying here, and when it was said
-        self.agreed = b"one  one"
+        ]()  # of others: the newest row received, and when it was sent
+        self.view_digest = b"one  one"
 
-    def look(self, now: float, others: list[Talker]) -> None:
+    def poll(self, now: float, others: list[LeaseParticipant]) -> None:
         rows = {
-            o.life: self.seen[o.life][0] if o.life in self.seen else None for o in others if o is not self
+            o.instance: self.seen[o.instance][0] if o.instance in self.seen else None
+            for o in others
+            if o is not self
         }
-        self.lease.set_view_digest(now, self.agreed)
+        self.lease.set_view_digest(now, self.view_digest)
         self.lease.record_rows(now, rows)
         self.lease.update(now, rows)
 
-    def says(self) -> LimiterRow:
-        return said(self.lease.round, self.lease.since_round, self.lease.view_digest)
+    def current_row(self) -> LimiterRow:
+        return make_row(self.lease.round, self.lease.since_round, self.lease.view_digest)
 
 
 @settings(derandomize=True, deadline=None, max_examples=20)
@@ -218,60 +236,64 @@
 def test_whoever_holds_a_lease_was_heard_by_all_within_it_and_waiting_for_its_end_is_enough(
     seed: int, count: int
 ) -> None:
-    """Sayings are late, lost and come out of order only forwards; now and then one agrees to something else."""
+    """Rows are delayed or lost but never replaced by older ones; now and then a limiter changes its view digest."""
     rng = Random(seed)
-    talkers, now, held = [Talker(f"n{n}") for n in range(count)], 0.0, 0
-    deaf_until = dict[tuple[Instance, Instance], float]()
+    participants, now, held = [LeaseParticipant(f"n{n}") for n in range(count)], 0.0, 0
+    unreachable_until = dict[tuple[Instance, Instance], float]()
     for _ in range(500):
         now += 0.05
-        one = rng.choice(talkers)
+        one = rng.choice(participants)
         if rng.random() < 0.003:
-            one.agreed = rng.choice((b"one  one", b"two  two"))
+            one.view_digest = rng.choice((b"one  one", b"two  two"))
         if rng.random() < 0.2:
-            for other in talkers:
-                other.agreed = one.agreed
+            for other in participants:
+                other.view_digest = one.view_digest
         if rng.random() < 0.005:
-            deaf_until[rng.choice(talkers).life, one.life] = now + rng.uniform(1, 12)
-        one.look(now, talkers)
-        for other in talkers:
-            if other is not one and rng.random() < 0.8 and deaf_until.get((other.life, one.life), 0.0) <= now:
-                other.seen[one.life] = (one.says(), now)
-        for holder in talkers:
+            unreachable_until[rng.choice(participants).instance, one.instance] = now + rng.uniform(1, 12)
+        one.poll(now, participants)
+        for other in participants:
+            if (
+                other is not one
+                and rng.random() < 0.8
+                and unreachable_until.get((other.instance, one.instance), 0.0) <= now
+            ):
+                other.seen[one.instance] = (one.current_row(), now)
+        for holder in participants:
             if not holder.lease.is_held(now):
                 continue
             held += 1
-            for other in talkers:
+            for other in participants:
                 if other is holder:
                     continue
-                assert now - other.seen[holder.life][1] < 4.0  # heard within the lease
-                other.look(now, talkers)
-                assert other.lease.peer_expiry(holder.life) > now  # who waits for its end waits long enough
+                assert now - other.seen[holder.instance][1] < 4.0  # the holder was heard within its lease
+                other.poll(now, participants)
+                assert other.lease.peer_expiry(holder.instance) > now  # waiting for its end takes long enough
     assert held or count > 3
 
 
 def test_one_that_agrees_to_something_else_holds_up_all_and_is_named() -> None:
-    talkers = [Talker(f"n{n}") for n in range(3)]
+    participants = [LeaseParticipant(f"n{n}") for n in range(3)]
     for step in range(60):
         now = step * 0.1
         if step == 30:
-            talkers[2].agreed = b"two  two"
-        for one in talkers:
-            one.look(now, talkers)
-            for other in talkers:
-                other.seen[one.life] = (one.says(), now)
-    assert talkers[0].lease.stalled_by == "disagreed" and talkers[0].lease.expires_at < 3.1 + 4.0
-    assert not talkers[0].lease.is_held(7.1)
+            participants[2].view_digest = b"two  two"
+        for one in participants:
+            one.poll(now, participants)
+            for other in participants:
+                other.seen[one.instance] = (one.current_row(), now)
+    assert participants[0].lease.stalled_by == "disagreed" and participants[0].lease.expires_at < 3.1 + 4.0
+    assert not participants[0].lease.is_held(7.1)
 
 
 def test_a_huge_round_from_a_foreign_peer_lengthens_no_lease() -> None:
     lease, one, two = Lease(4.0, 0.25), Instance("a", 1), Instance("b", 1)
     for step in range(40):
         lease.set_view_digest(step * 0.1, b"agreed!!")
-        lease.update(step * 0.1, {one: said(2**50), two: said(0)})
+        lease.update(step * 0.1, {one: make_row(2**50), two: make_row(0)})
     assert not lease.is_held(4.0) and lease.round <= 2**50 and lease.stalled_by == "starting"
 
 
-# Who is needed.
+# Membership.
 
 
 def member(name: str, life: int = 1, state: State = State.ALIVE) -> Member:
@@ -343,55 +365,55 @@
 
 
 def test_a_newer_version_replaces_what_has_not_come_into_force() -> None:
-    book = CalendarStore()
+    store = CalendarStore()
     first, second, third = calendar(1, BEGIN), calendar(2, BEGIN + 100), calendar(3, BEGIN + 200)
-    assert book.add(first, "a", BEGIN + 1) is AddResult.IN_FORCE
-    assert book.add(second, "b", BEGIN + 2) is AddResult.SCHEDULED
+    assert store.add(first, "a", BEGIN + 1) is AddResult.IN_FORCE
+    assert store.add(second, "b", BEGIN + 2) is AddResult.SCHEDULED
     assert (
-        book.add(third, "c", BEGIN + 3) is AddResult.SCHEDULED
-        and book.add(second, "b", BEGIN + 3) is AddResult.OUTDATED
+        store.add(third, "c", BEGIN + 3) is AddResult.SCHEDULED
+        and store.add(second, "b", BEGIN + 3) is AddResult.OUTDATED
     )
-    assert book.in_force_at(BEGIN + 150) is first and book.in_force_at(BEGIN + 200) is third
-    assert not book.advance(BEGIN + 199) and book.advance(BEGIN + 200) and book.current is third
-    assert book.is_near_switch(BEGIN + 199.8, 0.25) and not book.is_near_switch(BEGIN + 199.7, 0.25)
+    assert store.in_force_at(BEGIN + 150) is first and store.in_force_at(BEGIN + 200) is third
+    assert not store.advance(BEGIN + 199) and store.advance(BEGIN + 200) and store.current is third
+    assert store.is_near_switch(BEGIN + 199.8, 0.25) and not store.is_near_switch(BEGIN + 199.7, 0.25)
 
 
 def test_of_two_calendars_with_one_number_all_take_the_same() -> None:
-    books = CalendarStore(), CalendarStore()
+    stores = CalendarStore(), CalendarStore()
     one, other = calendar(1, BEGIN), calendar(1, BEGIN, time(17))
-    for book, order in zip(books, ((one, other), (other, one)), strict=True):
+    for store, order in zip(stores, ((one, other), (other, one)), strict=True):
         for each in order:
-            book.add(each, "1" if each is one else "2", BEGIN)
-    assert books[0].newest is books[1].newest is other
+            store.add(each, "1" if each is one else "2", BEGIN)
+    assert stores[0].newest is stores[1].newest is other
 
 
 def test_a_closing_is_noticed_once_and_each_version_has_its_own() -> None:
-    noticed, first = ClosingTracker(), calendar(1, BEGIN)
+    tracker, first = ClosingTracker(), calendar(1, BEGIN)
     second = calendar(2, BEGIN + 86_400, time(17))
     close = BEGIN + 12.5 * 3600
-    assert noticed.collect_closings(None, first, close - 5) == []
-    assert [each.at for each in noticed.collect_closings(first, first, close)] == [close]
+    assert tracker.collect_closings(None, first, close - 5) == []
+    assert [each.at for each in tracker.collect_closings(first, first, close)] == [close]
     assert (
-        noticed.collect_closings(first, first, close)
+        tracker.collect_closings(first, first, close)
         == []
-        == noticed.collect_closings(first, first, close - 3600)
+        == tracker.collect_closings(first, first, close - 3600)
     )
-    assert noticed.collect_closings(first, first, close + 1) == []
-    found = noticed.collect_closings(first, second, BEGIN + 2 * 86_400)
+    assert tracker.collect_closings(first, first, close + 1) == []
+    found = tracker.collect_closings(first, second, BEGIN + 2 * 86_400)
     assert [(each.version, each.at) for each in found] == [(2, BEGIN + 86_400 + 11.5 * 3600)]
 
 
-# The clock's trust.
+# Wall clock monitor.
 
 BOUND, SETTLE = 0.25, 8.0
 
 
-def never(_now: float) -> None:
+def unknown_error(_now: float) -> None:
     return None
 
 
 def test_a_clock_that_nobody_can_compare_is_not_trusted_unless_there_is_nobody() -> None:
-    assert WallClockMonitor(BOUND, SETTLE).check(0.0, BEGIN, never) is BypassReason.CLOCK_UNKNOWN
+    assert WallClockMonitor(BOUND, SETTLE).check(0.0, BEGIN, unknown_error) is BypassReason.CLOCK_UNKNOWN
     assert WallClockMonitor(BOUND, SETTLE).check(0.0, BEGIN, None) is BypassReason.NONE
 
 
@@ -410,13 +432,13 @@
 def test_a_step_is_seen_before_the_view_knows_of_it_and_trust_comes_back_later() -> None:
     clock = WallClockMonitor(BOUND, SETTLE)
 
-    def fine(_now: float) -> tuple[float, float]:
+    def small_error(_now: float) -> tuple[float, float]:
         return -0.01, 0.01
 
-    assert clock.check(0.0, BEGIN, fine) is BypassReason.NONE
-    assert clock.check(0.01, BEGIN + 0.01 + 0.035, fine) is BypassReason.CLOCK_STEPPED
-    assert clock.check(7.9, BEGIN + 7.9 + 0.035, fine) is BypassReason.CLOCK_STEPPED
-    assert clock.check(8.2, BEGIN + 8.2 + 0.035, fine) is BypassReason.NONE
+    assert clock.check(0.0, BEGIN, small_error) is BypassReason.NONE
+    assert clock.check(0.01, BEGIN + 0.01 + 0.035, small_error) is BypassReason.CLOCK_STEPPED
+    assert clock.check(7.9, BEGIN + 7.9 + 0.035, small_error) is BypassReason.CLOCK_STEPPED
+    assert clock.check(8.2, BEGIN + 8.2 + 0.035, small_error) is BypassReason.NONE
 
 
 def test_a_clock_that_steps_back_is_behind_until_it_has_caught_up() -> None:
--- a/tests/closing/world.py
+++ b/tests/closing/world.py
@@ -1,8 +1,10 @@
-"""A fleet in virtual time, for tests and ``benchmarks/closing_stale.py``: limiters with clocks of their own, a view
-that gossips late, loses and is cut, pauses, restarts; lookups, changes and purges, each held against what is true.
+"""A simulated fleet in virtual time, for tests and ``benchmarks/closing_stale.py``.
 
-Time is the world's true time; a limiter's ``mono`` is a base of its own further on, its ``wall`` the true time plus
-what it is off. Nothing here sleeps: events run in the order of their instants.
+Its limiters have clocks of their own and a gossiping view whose datagrams are delayed, lost and blocked by partitions;
+they are paused and restarted. Lookups, writes and purges go to them, and each answer is compared with what is true.
+
+Time is the world's true time. A limiter's ``mono`` is offset by a base of its own, and its ``wall`` is the true time
+plus its clock offset. Nothing sleeps: events run in the order of their instants.
 """
 
 from __future__ import annotations
@@ -24,14 +26,14 @@
 from cypresspulley.histories.writer import NoHistory
 
 BEGIN = 1_796_083_200.0  # 2026-12-01T00:00:00Z
-PERIOD = 0.2  # seconds between two datagrams of a limiter's view
-LATE = 0.02  # seconds that a datagram takes at most
-SUSPECT, DEAD = 1.2, 3.0  # seconds without news of a member
-MEASURED = 5.0  # seconds for which a comparison of two clocks counts
+GOSSIP_INTERVAL = 0.2  # seconds between two datagrams of a limiter's view
+MAX_DATAGRAM_DELAY = 0.02  # seconds
+SUSPECT_TIMEOUT, DEAD_TIMEOUT = 1.2, 3.0  # seconds without news of a member
+CLOCK_MEASUREMENT_MAX_AGE = 5.0  # seconds for which a comparison of two clocks is used
 
 
-class Record(NoHistory):
-    """A history in memory; checks that each event has its facts."""
+class RecordedHistory(NoHistory):
+    """A history in memory that checks that each event has its facts."""
 
     def __init__(self, now: Callable[[], float] = float) -> None:
         self.events, self.times, self._now = list[tuple[Kind, dict[str, Any]]](), list[float](), now
@@ -45,27 +47,27 @@
 
     def close(self) -> None: ...
 
-    def of(self, kind: Kind) -> list[dict[str, Any]]:
+    def facts_of(self, kind: Kind) -> list[dict[str, Any]]:
         return [facts for each, facts in self.events if each is kind]
 
 
 @dataclass(slots=True)
-class Known:
-    """What a view knows of one member: its last heartbeat, when that came, its rows, and how the clocks compare."""
+class KnownMember:
+    """What a view knows about one member: its last heartbeat, its row and the difference of the clocks."""
 
     member: Member
-    beat: int
-    at: float
+    heartbeat: int
+    heard_at: float
     row: tuple[int, bytes] | None = None
-    clock: tuple[float, float, float] | None = None  # low, high, measured at
+    clock: tuple[float, float, float] | None = None  # lowest and highest offset, time of the measurement
 
 
 class View:
-    """A stand-in for the fleet's view: it gossips, and finds out by silence who is gone."""
+    """A simulated fleet view: gossips, and detects failed members by their silence."""
 
     def __init__(self, limiter: Limiter, life: int) -> None:
         self._limiter, self.me, self.life = limiter, limiter.name, life
-        self.known = {self.me: Known(Member(self.me, life, 0, State.ALIVE), 0, limiter.mono())}
+        self.known = {self.me: KnownMember(Member(self.me, life, 0, State.ALIVE), 0, limiter.mono())}
         self.documents, self.wanted = dict[str, bytes](), set[str]()
         self._version = 0
 
@@ -79,7 +81,7 @@
 
     def rows(self, now: float, subsystem: str) -> tuple[Row, ...]:
         return tuple(
-            Row(name, k.member.life, k.row[0], k.member.state, now - k.at, k.row[1])
+            Row(name, k.member.life, k.row[0], k.member.state, now - k.heard_at, k.row[1])
             for name, k in sorted(self.known.items())
             if k.row is not None and k.member.state.present
         )
@@ -93,10 +95,14 @@
         return True
 
     def heard(self, now: float, within: float) -> int:
-        return sum(now - k.at <= within for name, k in self.known.items() if name != self.me)
+        return sum(now - k.heard_at <= within for name, k in self.known.items() if name != self.me)
 
     def clock_error(self, now: float) -> tuple[float, float] | None:
-        found = [k.clock for k in self.known.values() if k.clock is not None and now - k.clock[2] <= MEASURED]
+        found = [
+            k.clock
+            for k in self.known.values()
+            if k.clock is not None and now - k.clock[2] <= CLOCK_MEASUREMENT_MAX_AGE
+        ]
         if 2 * len(found) < len(self.members()) - 1 or not found:
             return None
         return median(each[0] for each in found), median(each[1] for each in found)
@@ -112,51 +118,59 @@
     def document(self, digest: str) -> bytes | None:
         return self.documents.get(digest)
 
-    # Between views.
+    # Gossip.
 
-    def says(self) -> tuple[float, list[Known], dict[str, bytes]]:
-        """A datagram: this wall clock, all that is known, and the documents."""
+    def make_datagram(self) -> tuple[float, list[KnownMember], dict[str, bytes]]:
+        """Returns a datagram: this wall clock, all known members, and the documents."""
         me = self.known[self.me]
-        me.beat, me.at = me.beat + 1, self._limiter.mono()
-        rows = [Known(k.member, k.beat, k.at, k.row) for k in self.known.values()]
+        me.heartbeat, me.heard_at = me.heartbeat + 1, self._limiter.mono()
+        rows = [KnownMember(k.member, k.heartbeat, k.heard_at, k.row) for k in self.known.values()]
         return self._limiter.wall(), rows, dict(self.documents)
 
-    def hears(self, sender: str, wall: float, rows: list[Known], documents: dict[str, bytes]) -> None:
+    def receive_datagram(
+        self, sender: str, wall: float, rows: list[KnownMember], documents: dict[str, bytes]
+    ) -> None:
         now = self._limiter.mono()
-        for told in rows:
-            self._hear(now, told)
+        for received in rows:
+            self._merge(now, received)
         if sender in self.known:
-            off = self._limiter.wall() - wall
-            self.known[sender].clock = (off - LATE, off, now)
+            offset = self._limiter.wall() - wall
+            self.known[sender].clock = (offset - MAX_DATAGRAM_DELAY, offset, now)
         for digest in self.wanted & set(documents):
             self.documents[digest] = documents[digest]
         self.wanted -= set(self.documents)
 
-    def _hear(self, now: float, told: Known) -> None:
-        name = told.member.name
+    def _merge(self, now: float, received: KnownMember) -> None:
+        name = received.member.name
         if name == self.me:
             return
         known = self.known.get(name)
-        if known is None or (told.member.life, told.beat) > (known.member.life, known.beat):
-            clock = known.clock if known is not None and known.member.life == told.member.life else None
-            state = State.LEFT if told.member.state is State.LEFT else State.ALIVE
-            member = Member(name, told.member.life, 0, state)
-            self.known[name] = Known(member, told.beat, now, told.row, clock)
-
-    def look(self) -> None:
-        """Who has been silent for too long is suspected, then dead."""
+        if known is None or (received.member.life, received.heartbeat) > (known.member.life, known.heartbeat):
+            clock = known.clock if known is not None and known.member.life == received.member.life else None
+            state = State.LEFT if received.member.state is State.LEFT else State.ALIVE
+            member = Member(name, received.member.life, 0, state)
+            self.known[name] = KnownMember(member, received.heartbeat, now, received.row, clock)
+
+    def detect_failures(self) -> None:
+        """Suspects members that have been silent for too long, and later declares them dead."""
         now = self._limiter.mono()
         for name, k in self.known.items():
             if name == self.me or not k.member.state.present:
                 continue
-            silent = now - k.at
-            state = State.DEAD if silent > DEAD else State.SUSPECTED if silent > SUSPECT else State.ALIVE
+            silent = now - k.heard_at
+            state = (
+                State.DEAD
+                if silent > DEAD_TIMEOUT
+                else State.SUSPECTED
+                if silent > SUSPECT_TIMEOUT
+                else State.ALIVE
+            )
             if state is not k.member.state:
                 k.member = Member(name, k.member.life, 0, state)
 
 
-class Keeper(Protocol):
-    """What the world asks of a limiter: ``Closing``, or a baseline."""
+class CacheUnderTest(Protocol):
+    """The interface that the world uses; implemented by ``ClosingCache`` and by a baseline."""
 
     def initialize(self) -> None: ...
     def poll(self) -> None: ...
@@ -169,19 +183,21 @@
     def end_write(self, account: str, reached_server: bool, is_finished: bool) -> None: ...
 
 
-Make = Callable[[Options, View, Callable[[], float], Callable[[], float], Record, int], Keeper]
+CacheFactory = Callable[
+    [Options, View, Callable[[], float], Callable[[], float], RecordedHistory, int], CacheUnderTest
+]
 
 
 class Limiter:
-    """One limiter through its lives."""
+    """One limiter across its restarts."""
 
-    def __init__(self, world: World, name: str, options: Options, off: float = 0.0) -> None:
-        self.world, self.name, self.options, self.clock_offset = world, name, options, off
+    def __init__(self, world: World, name: str, options: Options, clock_offset: float = 0.0) -> None:
+        self.world, self.name, self.options, self.clock_offset = world, name, options, clock_offset
         self._base = world.rng.uniform(0, 1e6)
-        self.paused = 0.0  # until then
-        self.up = False
+        self.paused_until = 0.0
+        self.is_running = False
         self.life = 0
-        self.waits = list[Callable[[], None]]()  # what came while it was paused
+        self.delayed_calls = list[Callable[[], None]]()  # calls that arrived while it was paused
         self.start()
 
     def __repr__(self) -> str:
@@ -194,10 +210,10 @@
         return self.world.now + self.clock_offset
 
     def start(self) -> None:
-        """A new life: nothing of the one before is left but its name."""
+        """Starts a new process, which shares only the name with the previous one."""
         self.life = max(self.life + 1, int(self.wall() * 1000))
-        self.up, self.paused, self.waits = True, 0.0, []
-        self.view, self.history = View(self, self.life), Record(lambda: self.world.now)
+        self.is_running, self.paused_until, self.delayed_calls = True, 0.0, []
+        self.view, self.history = View(self, self.life), RecordedHistory(lambda: self.world.now)
         self.cache = self.world.make_cache(
             self.options, self.view, self.mono, self.wall, self.history, self.world.configured_limiters
         )
@@ -206,7 +222,9 @@
         self.world.call_at(
             self.world.now + self.world.rng.uniform(0, POLL_INTERVAL_SECONDS), lambda: self._tick(life)
         )
-        self.world.call_at(self.world.now + self.world.rng.uniform(0, PERIOD), lambda: self._gossip(life))
+        self.world.call_at(
+            self.world.now + self.world.rng.uniform(0, GOSSIP_INTERVAL), lambda: self._gossip(life)
+        )
 
     @property
     def closing(self) -> ClosingCache:
@@ -214,188 +232,196 @@
         return self.cache
 
     def kill(self) -> None:
-        self.up = False
+        self.is_running = False
 
     def pause(self, seconds: float) -> None:
-        """Stopped: what comes waits in buffers, and is what it sees first when it wakes."""
-        self.paused = self.world.now + seconds
-        self.world.call_at(self.paused, self._wake)
+        """Suspends the process. Calls are buffered and run first when it resumes, before its timers."""
+        self.paused_until = self.world.now + seconds
+        self.world.call_at(self.paused_until, self._resume)
 
-    def _wake(self) -> None:
-        if not self.up or self.world.now < self.paused:
+    def _resume(self) -> None:
+        if not self.is_running or self.world.now < self.paused_until:
             return
-        waits, self.waits = self.waits, []
-        for what in waits:
-            what()
+        calls, self.delayed_calls = self.delayed_calls, []
+        for call in calls:
+            call()
 
-    def deliver(self, what: Callable[[], None]) -> None:
-        """Now, or when it wakes; never where its life has ended."""
-        if not self.up:
+    def deliver(self, call: Callable[[], None]) -> None:
+        """Runs a call now, or when the process resumes; drops it if the process is not running."""
+        if not self.is_running:
             return
-        if self.world.now < self.paused:
-            self.waits.append(what)
+        if self.world.now < self.paused_until:
+            self.delayed_calls.append(call)
         else:
-            what()
+            call()
 
     def _tick(self, life: int) -> None:
-        if not self.up or life != self.life:
+        if not self.is_running or life != self.life:
             return
-        late = self.world.rng.uniform(0, self.world.late)
-        if self.world.now >= self.paused:
-            self.view.look()
+        delay = self.world.rng.uniform(0, self.world.max_tick_delay)
+        if self.world.now >= self.paused_until:
+            self.view.detect_failures()
             self.cache.poll()
         self.world.call_at(
-            max(self.world.now, self.paused) + POLL_INTERVAL_SECONDS + late, lambda: self._tick(life)
+            max(self.world.now, self.paused_until) + POLL_INTERVAL_SECONDS + delay, lambda: self._tick(life)
         )
 
     def _gossip(self, life: int) -> None:
-        if not self.up or life != self.life:
+        if not self.is_running or life != self.life:
             return
-        if self.world.now >= self.paused:
-            self.world.spread(self)
-        self.world.call_at(max(self.world.now, self.paused) + PERIOD, lambda: self._gossip(life))
+        if self.world.now >= self.paused_until:
+            self.world.send_datagrams(self)
+        self.world.call_at(
+            max(self.world.now, self.paused_until) + GOSSIP_INTERVAL, lambda: self._gossip(life)
+        )
 
 
 @dataclass
 class World:
-    """``truth`` gives each account's closings as they are true. ``named``: limiters that the operators' file names."""
+    """The true time, the network and the limiters; ``configured_limiters`` is how many the operators' file names."""
 
     seed: int
-    make_cache: Make = ClosingCache
+    make_cache: CacheFactory = ClosingCache
     configured_limiters: int = 3
-    late: float = 0.02  # seconds that a tick is late at most
-    loss: float = 0.0
+    max_tick_delay: float = 0.02  # seconds
+    loss_share: float = 0.0  # of datagrams
     now: float = BEGIN
     limiters: dict[str, Limiter] = field(default_factory=dict)
-    cuts: set[tuple[str, str]] = field(default_factory=set)  # from, to
-    _coming: list[tuple[float, int, Callable[[], None]]] = field(default_factory=list)
-    _count: int = 0
+    cuts: set[tuple[str, str]] = field(default_factory=set)  # (sender, receiver)
+    _events: list[tuple[float, int, Callable[[], None]]] = field(default_factory=list)
+    _event_count: int = 0
 
     def __post_init__(self) -> None:
         self.rng = Random(self.seed)
 
-    def call_at(self, when: float, what: Callable[[], None]) -> None:
-        self._count += 1
-        heapq.heappush(self._coming, (when, self._count, what))
+    def call_at(self, when: float, call: Callable[[], None]) -> None:
+        self._event_count += 1
+        heapq.heappush(self._events, (when, self._event_count, call))
 
     def run(self, until: float) -> None:
-        while self._coming and self._coming[0][0] <= until:
-            self.now, _, what = heapq.heappop(self._coming)
-            what()
+        while self._events and self._events[0][0] <= until:
+            self.now, _, call = heapq.heappop(self._events)
+            call()
         self.now = until
 
-    def add(self, name: str, options: Options, off: float = 0.0) -> Limiter:
-        self.limiters[name] = Limiter(self, name, options, off)
+    def add(self, name: str, options: Options, clock_offset: float = 0.0) -> Limiter:
+        self.limiters[name] = Limiter(self, name, options, clock_offset)
         return self.limiters[name]
 
     def cut(self, left: set[str], right: set[str]) -> None:
-        """Nothing passes between the two, either way."""
+        """Blocks all datagrams between two groups, in both directions."""
         self.cuts |= {(a, b) for a in left for b in right} | {(b, a) for a in left for b in right}
 
-    def spread(self, sender: Limiter) -> None:
-        """A datagram to two others."""
+    def send_datagrams(self, sender: Limiter) -> None:
+        """Sends a datagram to two other limiters."""
         others = [each for name, each in self.limiters.items() if name != sender.name]
         for other in self.rng.sample(others, min(2, len(others))):
-            if (sender.name, other.name) in self.cuts or self.rng.random() < self.loss:
+            if (sender.name, other.name) in self.cuts or self.rng.random() < self.loss_share:
                 continue
-            self._pass(sender, other, self.rng.uniform(0, LATE))
+            self._transmit(sender, other, self.rng.uniform(0, MAX_DATAGRAM_DELAY))
 
-    def _pass(self, sender: Limiter, other: Limiter, late: float) -> None:
-        to, said = other.view, sender.view.says()
+    def _transmit(self, sender: Limiter, receiver: Limiter, delay: float) -> None:
+        view, datagram = receiver.view, sender.view.make_datagram()
 
-        def comes() -> None:
-            if to is other.view:
-                to.hears(sender.name, *said)
+        def arrive() -> None:
+            if view is receiver.view:
+                view.receive_datagram(sender.name, *datagram)
 
-        self.call_at(self.now + late, lambda: other.deliver(comes))
+        self.call_at(self.now + delay, lambda: receiver.deliver(arrive))
 
 
 @dataclass(slots=True)
 class Truth:
-    """What may no longer be served. All instants are true ones."""
+    """The true closings, writes and purges, which decide what may no longer be served. All instants are true time."""
 
     closings: dict[str, list[int]] = field(default_factory=dict)  # by account, sorted
-    changes: dict[str, list[tuple[float, float, str]]] = field(
+    writes: dict[str, list[tuple[float, float, str]]] = field(
         default_factory=dict
-    )  # ended, made by, at which limiter
-    purges: dict[str, list[tuple[float, float]]] = field(default_factory=dict)  # the yes, issued
+    )  # (end, time at the server, name of the limiter)
+    purges: dict[str, list[tuple[float, float]]] = field(default_factory=dict)  # (confirmation, issue)
 
-    def stale(self, account: str, made: float, now: float, limiter: str, bound: float) -> str:
-        """Why an answer of ``made`` may not be served at ``now``; "" where it may."""
+    def find_stale_cause(self, account: str, made: float, now: float, limiter: str, bound: float) -> str:
+        """Returns why an answer made at ``made`` may not be served at ``now``, or "" if it may."""
         closings = self.closings.get(account, [])
         at = bisect_right(closings, now)
         if at and made < closings[at - 1]:
             return "close"
-        for ended, done, where in self.changes.get(account, ()):
-            if made < done and now > ended + (0 if where == limiter else bound):
+        for ended, done, name in self.writes.get(account, ()):
+            if made < done and now > ended + (0 if name == limiter else bound):
                 return "change"
-        if any(made < issued and now > yes for yes, issued in self.purges.get(account, ())):
+        if any(made < issued and now > confirmed for confirmed, issued in self.purges.get(account, ())):
             return "purge"
         return ""
 
 
 @dataclass
 class Clients:
-    """Lookups and changes at the limiters' own methods, each judged. ``worst`` is by how much an answer was too old."""
+    """Sends lookups and writes through the limiters' own methods and judges each answer from a cache."""
 
     world: World
     truth: Truth
-    bound: float  # seconds for others to drop what a change at one limiter made old
-    took: float = 0.05  # seconds of a server's answer, at most
-    asked: int = 0
+    bound: float  # seconds for other limiters to drop the answers that a write at one limiter has made stale
+    max_server_seconds: float = 0.05
+    lookups: int = 0
     hits: int = 0
     stale: list[tuple[str, float, str, str, float]] = field(default_factory=list)
-    under_way: list[tuple[Keeper, str]] = field(default_factory=list)  # changes, and where
-    watch: Callable[[Limiter, str, float], None] | None = None  # each hit: at whom, whose, when it was made
+    open_writes: list[tuple[CacheUnderTest, str]] = field(default_factory=list)  # cache and account
+    on_hit: Callable[[Limiter, str, float], None] | None = (
+        None  # called with limiter, account, time of the answer
+    )
 
     def lookup(
-        self, limiter: Limiter, account: str, target: str = "/lookup", took: float | None = None
+        self, limiter: Limiter, account: str, target: str = "/lookup", server_seconds: float | None = None
     ) -> None:
-        limiter.deliver(lambda: self._lookup(limiter, account, target, took))
+        limiter.deliver(lambda: self._lookup(limiter, account, target, server_seconds))
 
-    def _lookup(self, limiter: Limiter, account: str, target: str, took: float | None) -> None:
-        self.asked += 1
+    def _lookup(self, limiter: Limiter, account: str, target: str, server_seconds: float | None) -> None:
+        self.lookups += 1
         key: CacheKey = ("lookup", "basic", f"{target}?account={account}".encode())
         cache, now = limiter.cache, self.world.now
-        found = cache.find_answer(str(self.asked), account, key)
+        found = cache.find_answer(str(self.lookups), account, key)
         if found is not None:
             self.hits += 1
             made = float(found[0].body)
-            why = self.truth.stale(account, made, now, limiter.name, self.bound)
-            if not why and (cache, account) in self.under_way:
+            why = self.truth.find_stale_cause(account, made, now, limiter.name, self.bound)
+            if not why and (cache, account) in self.open_writes:
                 why = "change under way"
             if why:
                 self.stale.append((why, now, limiter.name, account, made))
-            if self.watch is not None:
-                self.watch(limiter, account, made)
+            if self.on_hit is not None:
+                self.on_hit(limiter, account, made)
             return
-        sent = cache.stamp_lookup(account)
-        if sent is None:
+        stamp = cache.stamp_lookup(account)
+        if stamp is None:
             return
-        took = self.world.rng.uniform(0.005, self.took) if took is None else took
+        server_seconds = (
+            self.world.rng.uniform(0.005, self.max_server_seconds)
+            if server_seconds is None
+            else server_seconds
+        )
 
-        def answered() -> None:
+        def receive_answer() -> None:
             if limiter.cache is cache:
-                cache.store_answer(account, key, sent, b"", repr(now).encode())
+                cache.store_answer(account, key, stamp, b"", repr(now).encode())
 
-        self.world.call_at(now + took, lambda: limiter.deliver(answered))
+        self.world.call_at(now + server_seconds, lambda: limiter.deliver(receive_answer))
 
-    def change(self, limiter: Limiter, account: str, took: float = 0.05) -> None:
-        """A request that is not safe to repeat; a server carries it out in the middle of its time."""
-        limiter.deliver(lambda: self._change(limiter, account, took))
+    def write(self, limiter: Limiter, account: str, server_seconds: float = 0.05) -> None:
+        """Sends a request that is not safe to repeat; the server applies it after half of its time."""
+        limiter.deliver(lambda: self._write(limiter, account, server_seconds))
 
-    def _change(self, limiter: Limiter, account: str, took: float) -> None:
-        cache, done = limiter.cache, self.world.now + took / 2
+    def _write(self, limiter: Limiter, account: str, server_seconds: float) -> None:
+        cache, done = limiter.cache, self.world.now + server_seconds / 2
         cache.begin_write(account)
-        self.under_way.append((cache, account))
+        self.open_writes.append((cache, account))
 
-        def changed() -> None:
-            self.under_way.remove((cache, account))
+        def finish() -> None:
+            self.open_writes.remove((cache, account))
             if limiter.cache is cache:
                 cache.end_write(account, True, True)
-                self.truth.changes.setdefault(account, []).append((self.world.now, done, limiter.name))
+                self.truth.writes.setdefault(account, []).append((self.world.now, done, limiter.name))
 
-        self.world.call_at(self.world.now + took, lambda: limiter.deliver(changed))
+        self.world.call_at(self.world.now + server_seconds, lambda: limiter.deliver(finish))
 
-    def rate(self) -> float:
-        return self.hits / max(1, self.asked)
+    def hit_rate(self) -> float:
+        return self.hits / max(1, self.lookups)
