--- a/benchmarks/closing_stale.py
+++ b/benchmarks/closing_stale.py
@@ -38,9 +38,11 @@
 from tests.closing.world import BEGIN, Clients, Limiter, RecordedHistory, Truth, View, World
 
 BOUND, LEASE = 0.25, 4.0
-SECONDS, QUIET = 40.0, 12.0  # of a day; of its end, without faults
+SECONDS = 40.0  # of a day
+QUIET = 12.0  # seconds of its end, without faults
 ACCOUNTS = {f"{0x1000 + n:016x}": ("v", "w")[n % 2] for n in range(4)}
-DENSE, SPARSE = 0.02, 0.1  # seconds between two lookups of one limiter, round a closing and otherwise
+DENSE = 0.02  # seconds between two lookups of one limiter, round a closing
+SPARSE = 0.1  # otherwise
 PROBE = 0.01  # seconds between two looks at whether a limiter would serve what is old
 ROUND = 0.6  # seconds on either side of a closing
 
