--- a/benchmarks/together_mutants.py
+++ b/benchmarks/together_mutants.py
@@ -21,11 +21,11 @@
 from typing import Any
 
 from benchmarks.together_plays import SCENARIOS
-from cypresspulley.closing.bypass import Doubt, WallClock
+from cypresspulley.closing.bypass import BypassReason, WallClockMonitor
 from cypresspulley.closing.calendar import Calendar, Timeline
-from cypresspulley.closing.closing_tracker import Noticed
+from cypresspulley.closing.closing_tracker import ClosingTracker
 from cypresspulley.closing.lease import Lease
-from cypresspulley.closing.purge_coordinator import Purging
+from cypresspulley.closing.purge_coordinator import PurgeCoordinator
 from cypresspulley.fleet import detector
 from cypresspulley.fleet.detector import Detector
 from cypresspulley.fleet.records import MemberState
@@ -102,11 +102,11 @@
 
 
 def _lease_without_end() -> None:
-    Lease.held = lambda self, now: self.until > float("-inf")  # type: ignore[method-assign]
+    Lease.is_held = lambda self, now: self.expires_at > float("-inf")  # type: ignore[method-assign]
 
 
 def _no_bypass() -> None:
-    Timeline.near = lambda self, t, bound: False  # type: ignore[method-assign]
+    Timeline.is_near_closing = lambda self, t, bound: False  # type: ignore[method-assign]
 
 
 def _time_only() -> None:
@@ -114,19 +114,19 @@
 
 
 def _refire() -> None:
-    notice = Noticed.notice
+    notice = ClosingTracker.collect_closings
 
-    def again(self: Noticed, before: Any, after: Any, wall: float) -> Any:
-        if self._since is not None and wall < self._since:
-            self._since = wall
+    def again(self: ClosingTracker, before: Any, after: Any, wall: float) -> Any:
+        if self._collected_until is not None and wall < self._collected_until:
+            self._collected_until = wall
         return notice(self, before, after, wall)
 
-    Noticed.notice = again  # type: ignore[method-assign]
-    WallClock.look = lambda self, mono, wall, error: Doubt.NONE  # type: ignore[method-assign]
+    ClosingTracker.collect_closings = again  # type: ignore[method-assign]
+    WallClockMonitor.check = lambda self, mono, wall, clock_error: BypassReason.NONE  # type: ignore[method-assign]
 
 
 def _hasty_yes() -> None:
-    Purging._missing = lambda *_: []  # type: ignore[method-assign]
+    PurgeCoordinator._find_missing = lambda *_: []  # type: ignore[method-assign]
 
 
 MUTANTS = (
--- a/benchmarks/together_plays.py
+++ b/benchmarks/together_plays.py
@@ -21,9 +21,9 @@
 from typing import Any
 
 from benchmarks.fleet_bed import EPOCH, Host, SimulatedFleet
-from cypresspulley.closing.cache import Key
-from cypresspulley.closing.limiter import Closing
-from cypresspulley.closing.options import DRIFT, Options, calendar_from
+from cypresspulley.closing.cache import CacheKey
+from cypresspulley.closing.limiter import ClosingCache
+from cypresspulley.closing.options import LEASE_WAIT_FACTOR, Options, calendar_from
 from cypresspulley.fleet import timing
 from cypresspulley.fleet.actions import Action, LifeRaised, MemberChanged, RowAccepted, Settled
 from cypresspulley.histories.events import Kind
@@ -177,13 +177,15 @@
 
     def __init__(self, seed: int) -> None:
         calendar = calendar_from(CALENDAR, "the play")
-        self.options = Options(calendar, frozenset(("lookup",)), lease=LEASE, purge=4.0, lost=6.0)
+        self.options = Options(
+            calendar, frozenset(("lookup",)), lease_seconds=LEASE, purge_seconds=4.0, lost_seconds=6.0
+        )
         self._lives = list[MemoryHistory]()
-        self.world = closing_world.World(seed, make=self._make, named=4)
+        self.world = closing_world.World(seed, make_cache=self._make, configured_limiters=4)
         self._rng, self._asked = Random(seed), 0
         clock = lambda: self.world.now  # noqa: E731  # both clocks of the harness show the true time
         self.harness = start_history(MemoryHistory(clock, clock), HARNESS, 1)
-        closings = calendar.line("pune").between(closing_world.BEGIN, closing_world.BEGIN + 200)
+        closings = calendar.timeline("pune").closings_between(closing_world.BEGIN, closing_world.BEGIN + 200)
         pairs = [[account, float(at)] for account in ACCOUNTS for _, at in closings]
         self.harness.put(
             Kind.TRUTH, closings=pairs, lanes=[], clock_bound=self.options.clock_bound, seconds=200.0
@@ -192,46 +194,48 @@
     def _make(
         self, options: Options, view: closing_world.View, clock: Callable[[], float], wall: Callable[[], float],
         history: object, named: int,
-    ) -> Closing:  # fmt: skip
+    ) -> ClosingCache:  # fmt: skip
         recorded = MemoryHistory(lambda: self.world.now, wall)
-        bounds = {"clock": options.clock_bound, "purge": DRIFT * options.lease + 0.5}
+        bounds = {"clock": options.clock_bound, "purge": LEASE_WAIT_FACTOR * options.lease_seconds + 0.5}
         self._lives.append(start_history(recorded, view.local_name, view.life, bounds))
-        return Closing(options, view, clock, wall, recorded, named)
+        return ClosingCache(options, view, clock, wall, recorded, named)
 
     def lookup(self, limiter: closing_world.Limiter, account: str) -> None:
         """Make a client's call now; a paused limiter reads it from its buffer later."""
         self._asked += 1
         id, target = str(self._asked), self._rng.choice((b"/a", b"/b"))
         self.harness.put(Kind.CALL, id=id, account=account, plan="basic", cls="lookup", limiter=limiter.name)
-        limiter.does(lambda: self._look(limiter, id, account, ("lookup", "basic", target + account.encode())))
+        limiter.deliver(
+            lambda: self._look(limiter, id, account, ("lookup", "basic", target + account.encode()))
+        )
 
-    def _look(self, limiter: closing_world.Limiter, id: str, account: str, key: Key) -> None:
-        keeper, now = limiter.keeper, self.world.now
-        found = keeper.served(id, account, key)
+    def _look(self, limiter: closing_world.Limiter, id: str, account: str, key: CacheKey) -> None:
+        cache, now = limiter.cache, self.world.now
+        found = cache.find_answer(id, account, key)
         if found is not None:
             self.harness.put(Kind.ANSWER, id=id, status=200, made=float(found[0].body), kept=True)
             return
-        sent, took = keeper.sending(account), self._rng.uniform(0.005, 0.05)
+        sent, took = cache.stamp_lookup(account), self._rng.uniform(0.005, 0.05)
         made = now + took / 2
 
         def answered() -> None:
-            if sent is not None and limiter.keeper is keeper:
-                keeper.answered(account, key, sent, b"", repr(made).encode())
+            if sent is not None and limiter.cache is cache:
+                cache.store_answer(account, key, sent, b"", repr(made).encode())
             self.harness.put(Kind.ANSWER, id=id, status=200, made=made, kept=False)
 
-        self.world.at(now + took, lambda: limiter.does(answered))
+        self.world.call_at(now + took, lambda: limiter.deliver(answered))
 
     def handover(self, limiter: closing_world.Limiter, account: str) -> None:
         """Make a request that is not safe to repeat."""
-        keeper = limiter.keeper
+        cache = limiter.cache
 
         def begins() -> None:
-            keeper.changing(account)
-            self.world.at(
-                self.world.now + 0.05, lambda: limiter.does(lambda: keeper.changed(account, True, True))
+            cache.begin_write(account)
+            self.world.call_at(
+                self.world.now + 0.05, lambda: limiter.deliver(lambda: cache.end_write(account, True, True))
             )
 
-        limiter.does(begins)
+        limiter.deliver(begins)
 
     async def purge(self, limiter: closing_world.Limiter, account: str) -> None:
         """Purge an account at an operator's call."""
@@ -257,7 +261,7 @@
     )
 
     def at(second: float, what: Callable[[], None]) -> None:
-        world.at(closing_world.BEGIN + second, what)
+        world.call_at(closing_world.BEGIN + second, what)
 
     rng, everyone = Random(seed + 1), (a, b, c, d)
     for second in range(6, 200):
@@ -276,8 +280,8 @@
     at(100, lambda: world.cut({"d"}, {"a", "b", "c"}))
     at(120, world.cuts.clear)
     at(145, lambda: d.pause(5.2))
-    at(150.6, lambda: setattr(c, "off", -3.0))
-    at(156, lambda: setattr(c, "off", 0.0))
+    at(150.6, lambda: setattr(c, "clock_offset", -3.0))
+    at(156, lambda: setattr(c, "clock_offset", 0.0))
 
     def purge_later(limiter: closing_world.Limiter) -> None:
         purges.append(asyncio.ensure_future(closing_day.purge(limiter, ACCOUNTS[1])))
--- a/cypresspulley/together.py
+++ b/cypresspulley/together.py
@@ -21,7 +21,7 @@
 from cypresspulley.policy.gateway import Gateway
 
 if TYPE_CHECKING:
-    from cypresspulley.closing.limiter import Closing
+    from cypresspulley.closing.limiter import ClosingCache
     from cypresspulley.lanes.limiter import LoadShedder
 
 N = TypeVar("N", bound=Node)
@@ -64,12 +64,12 @@
         self.fleet = FleetMember(options, name, settings.zone, seed, clock, wall, self.history, bounds)
         self._clock, self._wall, self._settings, self._operators = clock, wall, settings, operators
         self.load_shedder: LoadShedder | None = None
-        self.closing: Closing | None = None
+        self.closing: ClosingCache | None = None
         if closing_config is not None:
-            from cypresspulley.closing.limiter import Closing
+            from cypresspulley.closing.limiter import ClosingCache
 
             named = len({options.advertise, *options.seeds})
-            self.closing = Closing(closing_config, self.fleet.view, clock, wall, self.history, named)
+            self.closing = ClosingCache(closing_config, self.fleet.view, clock, wall, self.history, named)
 
     def wrap(self, decide: DecisionModule, gateway: Gateway) -> DecisionModule:
         """Return the decision module, with load shedding before it where the operators configured lanes."""
--- a/tests/closing/test_options.py
+++ b/tests/closing/test_options.py
@@ -1,4 +1,4 @@
-"""The table and the calendar file: whole or refused, the error naming file, key and what was expected."""
+"""The table and the calendar file: valid as a whole or rejected, with file, key and expectation in the error."""
 
 from __future__ import annotations
 
@@ -21,7 +21,11 @@
 def test_the_example_is_read_with_the_numbers_that_stand_for_missing_ones() -> None:
     options = options_from(TABLE, str(EXAMPLE.parent / "operators.toml"), SETTINGS)
     assert options.calendar.version == 7 and set(options.calendar.places) == {"vadodara", "halifax"}
-    assert (options.clock_bound, options.lease, options.keep) == (0.25, 8.0, frozenset({"lookup"}))
+    assert (options.clock_bound, options.lease_seconds, options.cached_classes) == (
+        0.25,
+        8.0,
+        frozenset({"lookup"}),
+    )
 
 
 @pytest.mark.parametrize(
@@ -114,7 +118,7 @@
 @settings(derandomize=True, deadline=None, max_examples=60)
 @given(st.data())
 def test_whatever_stands_in_a_calendar_it_is_taken_or_named(data: st.DataObject) -> None:
-    """One value anywhere in a good calendar is put in place of what belongs there."""
+    """Replaces one value anywhere in a valid calendar."""
     raw = tomllib.loads(GOOD)
     owner: Any = raw
     while True:
