--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -22,7 +22,7 @@
 from cypresspulley.lifecycle import Lifecycle
 from cypresspulley.net.admin import AdminServer
 from cypresspulley.net.counter import Counter, CounterClient
-from cypresspulley.net.discovery import Follower
+from cypresspulley.net.discovery import DiscoveryClient
 from cypresspulley.net.frontend import Frontend, PathHandler
 from cypresspulley.net.http import split_address
 from cypresspulley.net.node import DecisionModule, Node, UnixClock
--- a/cypresspulley/closing/membership.py
+++ b/cypresspulley/closing/membership.py
@@ -54,7 +54,7 @@
             member = find_member(name)
             since = self._lost_since.setdefault(name, now)
             if (member is not None and member.state is MemberState.LEFT) or now - since > max(
-                FORGET, self._lost
+                FORGET_LOST_SECONDS, self._lost_seconds
             ):
                 del self._lives[name], self._lost_since[name]
         for name in here:
--- a/cypresspulley/closing/peers.py
+++ b/cypresspulley/closing/peers.py
@@ -111,7 +111,7 @@
         values = (self.membership.required, self.own_instance, store.rank)
         if self._view_digest[0] != values:
             instances = {
-                instance for instance in self.membership.required if instance.name != self._view.me
+                instance for instance in self.membership.required if instance.name != self._view.local_name
             } | {self.own_instance}
             text = repr((sorted(map(tuple, instances)), store.rank, self._environment))
             self._view_digest = values, blake2s(text.encode(), digest_size=VIEW_DIGEST_BYTES).digest()
--- a/cypresspulley/net/upstream.py
+++ b/cypresspulley/net/upstream.py
@@ -272,7 +272,9 @@
         if exchange.download is not None:
             self._fail_response(TimeoutError("it began and stalled"))
         else:  # the last byte of the request was never sent
-            log.warning("server %s accepted no data of an upload for %g s", exchange.server, SERVER_STALL_SECONDS)
+            log.warning(
+                "server %s accepted no data of an upload for %g s", exchange.server, SERVER_STALL_SECONDS
+            )
             self._upstream.abort_exchange(exchange, Status.DROPPED)
 
     def detach_exchange(self) -> None:
@@ -429,7 +431,7 @@
             if (
                 self._content_length is not None
                 or not CONTENT_LENGTH_PATTERN.fullmatch(value)
-                or int(value) > LARGEST
+                or int(value) > MAX_STREAMED_BODY_BYTES
             ):
                 raise ValueError("Content-Length is malformed, repeated or too large")
             self._content_length = int(value)
--- a/tests/closing/world.py
+++ b/tests/closing/world.py
@@ -68,7 +68,9 @@
     def __init__(self, limiter: Limiter, life: int) -> None:
         self._limiter, self.local_name, self.life = limiter, limiter.name, life
         self.known = {
-            self.local_name: KnownMember(Member(self.local_name, life, 0, MemberState.ALIVE), 0, limiter.mono())
+            self.local_name: KnownMember(
+                Member(self.local_name, life, 0, MemberState.ALIVE), 0, limiter.mono()
+            )
         }
         self.documents, self.wanted = dict[str, bytes](), set[str]()
         self._version = 0
@@ -161,7 +163,7 @@
                 continue
             silent = now - k.heard_at
             state = (
-                State.DEAD
+                MemberState.DEAD
                 if silent > DEAD_TIMEOUT
                 else MemberState.SUSPECTED
                 if silent > SUSPECT_TIMEOUT
--- a/tests/lanes/fabric.py
+++ b/tests/lanes/fabric.py
@@ -130,7 +130,9 @@
 
     def count_heard(self, now: float, within: float) -> int:
         self._receive_due(now)
-        return sum(now - h.confirmed_at <= within for owner, h in self._stored.items() if owner != self.local_name)
+        return sum(
+            now - h.confirmed_at <= within for owner, h in self._stored.items() if owner != self.local_name
+        )
 
     def clock_error(self, now: float) -> tuple[float, float] | None:
         return None
--- a/tests/lanes/test_limiter.py
+++ b/tests/lanes/test_limiter.py
@@ -403,5 +403,7 @@
         return encode(LanesRow(0, 0.0, 0.0, (LaneRates(sent=sent),), initial_policy(1), 0.0))
 
     for life, sent in ((2, 7.0), (1, 99.0)):
-        peer_rows.update(0.0, "a", [Row("b", life, 1, MemberState.ALIVE, 0.1, body(sent))], lambda _name: member)
+        peer_rows.update(
+            0.0, "a", [Row("b", life, 1, MemberState.ALIVE, 0.1, body(sent))], lambda _name: member
+        )
     assert [row.rates[0].sent for row in peer_rows.reports()] == [7.0]
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -663,7 +663,9 @@
     world.feed(replace(w.request(1, "post"), body_pending=True))
     server = world.gateway.load_balancer.servers["s0"]
     assert world.open_attempts and server.outstanding_work == 0.0 and server.silent_since is None
-    assert world.gateway._requests[1].account.open_attempts == 0, "an attempt counts as open from its last byte on"
+    assert world.gateway._requests[1].account.open_attempts == 0, (
+        "an attempt counts as open from its last byte on"
+    )
     world.gateway.handle(world.now + 60.0, api.BodyProgress(1, complete=True, replayable=False))
     assert server.outstanding_work > 0.0 and server.silent_since == world.now + 60.0
     request = world.gateway._requests[1]
