--- a/benchmarks/plan_churn.py
+++ b/benchmarks/plan_churn.py
@@ -29,20 +29,22 @@
 from cypresspulley.plans.use import Gatherer
 from cypresspulley.policy.gateway import Gateway
 
-LIMITERS, ACCOUNT, LOWEST = 3, "hotel", "s"
+LIMITERS = 3
+ACCOUNT = "hotel"
+LOWEST = "s"  # the plan with the lowest ceiling
 # Quotas as wide as the ceilings, so that the ceilings are what holds the account.
 TERMS = {
     "s": Terms(4.0, 12.0, 4.0, 12.0),
     "m": Terms(8.0, 30.0, 8.0, 30.0),
     "l": Terms(16.0, 60.0, 16.0, 60.0),
 }
-LATE, LOST, CLOCK = (
-    0.2,
-    0.1,
-    0.1,
-)  # seconds of a message, at most; share that is lost; seconds that a clock is off
-ASKED, RESTING = 120.0, 1.0  # tries a second in a surge, and between two
-SURGE, REST = (0.5, 3.0), (1.0, 6.0)  # seconds
+LATE = 0.2  # longest delay of a message, seconds
+LOST = 0.1  # share of messages that are lost
+CLOCK = 0.1  # largest offset of a limiter's clock, seconds
+ASKED = 120.0  # requests per second during a surge
+RESTING = 1.0  # requests per second between surges
+SURGE = (0.5, 3.0)  # shortest and longest surge, seconds
+REST = (1.0, 6.0)  # shortest and longest pause between surges, seconds
 BEGIN = 10.0  # seconds: where the day begins
 
 
--- a/cypresspulley/plans/command.py
+++ b/cypresspulley/plans/command.py
@@ -22,7 +22,10 @@
 from cypresspulley.plans.store import Store, check
 from cypresspulley.plans.wishes import carry_out, difference, history, reservation_json
 
-DONE, REFUSED, BAD_INPUT, BROKEN = 0, 1, 2, 3
+DONE = 0
+REFUSED = 1
+BAD_INPUT = 2
+BROKEN = 3
 TOKEN = "FAWNSEAM_PLANS_TOKEN"
 CALL_WAIT = 10.0  # seconds
 
