--- a/benchmarks/plan_churn.py
+++ b/benchmarks/plan_churn.py
@@ -22,7 +22,7 @@
 
 from cypresspulley import interface as api
 from cypresspulley.plans.book import Assignment, Book, Change, Stamp, Terms, Version
-from cypresspulley.plans.carry import Level
+from cypresspulley.plans.bucket_level import BucketLevel
 from cypresspulley.plans.follow import SKEW, Do, Follower
 from cypresspulley.plans.lease import LEASE
 from cypresspulley.plans.limiter import Planned
@@ -101,7 +101,7 @@
             self.book = self.book.taking(Version(plan, 0, Stamp(1, number), terms))
         self.book = self.book.taking(Assignment(ACCOUNT, 0, Stamp(1, 4), self.rng.choice("sml")))
         terms = TERMS[self.plan_at(0)]
-        self.store = Level(terms.ceiling_burst, 0.0, terms.ceiling_rate, terms.ceiling_burst)
+        self.store = BucketLevel(terms.ceiling_burst, 0.0, terms.ceiling_rate, terms.ceiling_burst)
         off = 0.0 if self.calm else CLOCK
         self.limiters = [Limiter(n, self.rng.uniform(-off, off)) for n in range(LIMITERS)]
         self.gatherers, self.surge = list[Gatherer](), False
--- a/benchmarks/quota_audit.py
+++ b/benchmarks/quota_audit.py
@@ -15,7 +15,7 @@
 
 from cypresspulley import interface as api
 from cypresspulley.net.node import DecisionModule
-from cypresspulley.plans.carry import Level
+from cypresspulley.plans.bucket_level import BucketLevel
 from cypresspulley.policy.gateway import Gateway
 from cypresspulley.rehearsal.scenario import PlanRow, load_scenario
 from cypresspulley.rehearsal.virtual.play import Observer, play_virtual
@@ -28,7 +28,7 @@
 
     def __init__(self, plans: tuple[PlanRow, ...]) -> None:
         self._plans = {plan.name: plan for plan in plans}
-        self._levels = dict[tuple[str, str], Level]()
+        self._levels = dict[tuple[str, str], BucketLevel]()
         self.decisions = Counter[tuple[str, str, bool]]()  # plan, decision, whether it was within quota
 
     def watched(self, name: str, gateway: Gateway) -> DecisionModule:
@@ -38,7 +38,7 @@
         """Record that a request was sent for the first time (``sent``, which charges its units if they are there), or
         refused without having been sent."""
         plan, key = self._plans[request.plan], (request.plan, request.account)
-        level = self._levels.get(key) or Level(plan.burst, now, plan.rate, plan.burst)
+        level = self._levels.get(key) or BucketLevel(plan.burst, now, plan.rate, plan.burst)
         level = level.moved(now)
         inside = level.units >= request.units - 1e-9
         self._levels[key] = level.drawn(request.units) if inside and decision == "sent" else level
--- a/benchmarks/quota_calm.py
+++ b/benchmarks/quota_calm.py
@@ -29,7 +29,7 @@
 
 from cypresspulley import interface as api
 from cypresspulley.interface import Status
-from cypresspulley.plans.carry import Level
+from cypresspulley.plans.bucket_level import BucketLevel
 from cypresspulley.policy.gateway import Gateway
 
 VIEW_DELAY_SECONDS = 0.1  # age of the levels that the reference policy sees
@@ -50,12 +50,12 @@
     request_rate: float
     spike: tuple[float, float, float] | None  # interval and duration in seconds, and the factor on its rate
     phase: float
-    level: Level
+    level: BucketLevel
     weights: list[float]  # of its limiters, as sums from the first on
     other_history: deque[tuple[float, float]] = field(
         default_factory=deque
     )  # the reference policy's level: time, units
-    other_level: Level | None = None
+    other_level: BucketLevel | None = None
     open_attempts: int = 0  # over all limiters
     hot: tuple[float, float, float] = (
         0.0,
@@ -274,7 +274,7 @@
             created.append(
                 Account(
                     name, plan, rng.randrange(self.limiters), spread, request_rate, spike, 30 * rng.random(),
-                    Level(plan.burst, self.base, plan.rate, plan.burst), self.draw_weights(spread),
+                    BucketLevel(plan.burst, self.base, plan.rate, plan.burst), self.draw_weights(spread),
                 )
             )  # fmt: skip
             asked += request_rate
@@ -413,7 +413,7 @@
         """Record what a policy that sees everything, and one that sees it late, decide on a first request."""
         worth, plan = self.worth(account, request), account.plan
         true = account.other_level = (
-            account.other_level or Level(plan.burst, self.base, plan.rate, plan.burst)
+            account.other_level or BucketLevel(plan.burst, self.base, plan.rate, plan.burst)
         ).moved(now)
         while len(account.other_history) > 1 and account.other_history[1][0] <= now - VIEW_DELAY_SECONDS:
             account.other_history.popleft()
--- a/cypresspulley/plans/carry.py
+++ b/cypresspulley/plans/bucket_level.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Level:
+class BucketLevel:
     """A store at an instant (seconds): ``units`` of ``burst`` at most, filling at ``rate`` a second."""
 
     units: float
@@ -21,19 +21,21 @@
     rate: float
     burst: float
 
-    def moved(self, to: float) -> Level:
+    def moved(self, to: float) -> BucketLevel:
         """The same store later; a clock that goes back moves nothing."""
         if to <= self.at:
             return self
-        return Level(min(self.burst, self.units + self.rate * (to - self.at)), to, self.rate, self.burst)
+        return BucketLevel(
+            min(self.burst, self.units + self.rate * (to - self.at)), to, self.rate, self.burst
+        )
 
-    def drawn(self, units: float) -> Level:
-        return Level(self.units - units, self.at, self.rate, self.burst)
+    def drawn(self, units: float) -> BucketLevel:
+        return BucketLevel(self.units - units, self.at, self.rate, self.burst)
 
-    def carried(self, at: float, rate: float, burst: float) -> Level:
+    def carried(self, at: float, rate: float, burst: float) -> BucketLevel:
         """Over a change at an instant: filled by the old terms until then, bounded by the new ones from then on."""
         old = self.moved(at)
-        return Level(min(old.units, burst), max(at, self.at), rate, burst)
+        return BucketLevel(min(old.units, burst), max(at, self.at), rate, burst)
 
 
 def slack(old: tuple[float, float], new: tuple[float, float], late: float) -> float:
--- a/cypresspulley/plans/limiter.py
+++ b/cypresspulley/plans/limiter.py
@@ -2,7 +2,7 @@
 
 A request's plan becomes the one that its account is assigned to, the plans' terms those of the versions in force, from
 their instants on and before the request that comes at one. An account whose plan changes takes its levels along by the
-rule of ``carry.py``. Use is counted under the version that a request was admitted under, once for each try that may
+rule of ``bucket_level.py``. Use is counted under the version that a request was admitted under, once for each try that may
 have run. Where there is no book yet the settings hold as they are. ``Planned`` does no I/O, its clock comes with each
 event; ``Plans`` is what a limiter starts and ends.
 """
@@ -18,7 +18,7 @@
 from cypresspulley import interface as api
 from cypresspulley.interface import Status
 from cypresspulley.plans.book import Stamp, Version
-from cypresspulley.plans.carry import Level
+from cypresspulley.plans.bucket_level import BucketLevel
 from cypresspulley.plans.channel import Channel, EndedError, Where
 from cypresspulley.plans.export import Export
 from cypresspulley.plans.follow import At, Follower
@@ -49,7 +49,7 @@
     return (rate / max(1, share), burst / max(1, share)) if burst > 0 else (math.inf, math.inf)
 
 
-def _share_of(a: Account) -> Level:
+def _share_of(a: Account) -> BucketLevel:
     """An account's even share of its ceiling, as if all of it were kept in shares."""
     limits = _limits(a.plan.ceiling_rate, a.plan.ceiling_burst, a.gateways)
     units = (
@@ -57,7 +57,7 @@
         if a.plan.ceiling_burst > 0 and a.local_ceiling_part > 0
         else limits[1]
     )
-    return Level(units, a.refilled_at, *limits)
+    return BucketLevel(units, a.refilled_at, *limits)
 
 
 class Planned:
@@ -151,7 +151,7 @@
         instants = self.follower.book.instants(ev.account, int(since * 1000), int(now * 1000))
         if not instants and (key is None or key[0] == ev.plan):
             return
-        ceiling = Level(math.inf, since, math.inf, math.inf)
+        ceiling = BucketLevel(math.inf, since, math.inf, math.inf)
         if key is not None and old is not None:
             del quotas.accounts[key]
             ceiling = _share_of(old)
--- a/cypresspulley/plans/office.py
+++ b/cypresspulley/plans/office.py
@@ -23,7 +23,7 @@
     Withdrawal,
     check_new,
 )  # fmt: skip
-from cypresspulley.plans.carry import slack
+from cypresspulley.plans.bucket_level import slack
 from cypresspulley.plans.events import MARK, drawn, event_plan, event_terms
 from cypresspulley.plans.lease import LEASE
 from cypresspulley.plans.reservations import MICRO, OVER, Reservation, Reservations, Room, Wish
--- a/cypresspulley/rehearsal/rules.py
+++ b/cypresspulley/rehearsal/rules.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from cypresspulley.plans.carry import Level
-from cypresspulley.plans.carry import slack as slack_of_change
+from cypresspulley.plans.bucket_level import BucketLevel
+from cypresspulley.plans.bucket_level import slack as slack_of_change
 from cypresspulley.plans.lease import LEASE
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.standins.processor import fall_bound, warmth
@@ -282,14 +282,16 @@
 
     Where plans change in service the store is that of the ceiling in force, carried over each change as the design of
     plans says, and the slack is wider by what the last to hear of a change may let in."""
-    stores = dict[tuple[str, str], Level]()
+    stores = dict[tuple[str, str], BucketLevel]()
     wider = _wider(line)
     for t, one in first_sendings(line):
         sent, plan = one.sent[0], line.plans[one.sent[0].plan]
         if plan.ceiling_rate <= 0:
             continue
         key = (sent.plan, sent.account)
-        store = stores.get(key) or Level(plan.ceiling_burst, -1e9, plan.ceiling_rate, plan.ceiling_burst)
+        store = stores.get(key) or BucketLevel(
+            plan.ceiling_burst, -1e9, plan.ceiling_rate, plan.ceiling_burst
+        )
         for move in line.moves.get(sent.account, ()):
             if store.at < move.t <= t:
                 store = store.carried(move.t, move.ceiling_rate, move.ceiling_burst)
--- a/tests/plans/test_reservations.py
+++ b/tests/plans/test_reservations.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cypresspulley.plans.carry import Level, slack
+from cypresspulley.plans.bucket_level import BucketLevel, slack
 from cypresspulley.plans.reservations import (
     OVER,
     TABLE,
@@ -147,9 +147,9 @@
 ) -> None:
     """Up, down and up again: n shares that carry over hold at most what one store that does would."""
     n, at = 5, 0.0
-    whole = Level(20.0, 0.0, 2.0, 20.0)
-    shares = [Level(20.0 / n * k / 2, 0.0, 2.0 / n, 20.0 / n) for k in range(n) if k <= 2] + [
-        Level(0, 0, 0.4, 4.0)
+    whole = BucketLevel(20.0, 0.0, 2.0, 20.0)
+    shares = [BucketLevel(20.0 / n * k / 2, 0.0, 2.0 / n, 20.0 / n) for k in range(n) if k <= 2] + [
+        BucketLevel(0, 0, 0.4, 4.0)
     ] * 2
     for (rate, burst), gap in zip(terms, gaps, strict=False):
         at += gap
@@ -160,9 +160,9 @@
 
 
 def test_a_change_back_and_forth_gives_nothing_and_forgives_nothing() -> None:
-    level = Level(3.0, 0.0, 1.0, 20.0)
+    level = BucketLevel(3.0, 0.0, 1.0, 20.0)
     assert level.carried(1.0, 2.0, 8.0).carried(1.0, 1.0, 20.0).units == 4.0
-    assert Level(15.0, 0.0, 1.0, 20.0).carried(0.0, 2.0, 8.0).carried(0.0, 1.0, 20.0).units == 8.0
+    assert BucketLevel(15.0, 0.0, 1.0, 20.0).carried(0.0, 2.0, 8.0).carried(0.0, 1.0, 20.0).units == 8.0
     assert level.moved(-5.0) is level and level.drawn(4.0).units == -1.0
 
 
