--- a/benchmarks/plan_churn.py
+++ b/benchmarks/plan_churn.py
@@ -122,8 +122,8 @@
             when = one.effective / 1000
             if self.store.at < when <= self.now:
                 terms = TERMS[one.plan]
-                self.store = self.store.carried(when, terms.ceiling_rate, terms.ceiling_burst)
-        self.store = self.store.moved(self.now).drawn(units)
+                self.store = self.store.with_limits(when, terms.ceiling_rate, terms.ceiling_burst)
+        self.store = self.store.refilled_until(self.now).with_units_drawn(units)
         self.worst = min(self.worst, self.store.units)
 
     # Limiters.
--- a/benchmarks/quota_audit.py
+++ b/benchmarks/quota_audit.py
@@ -39,9 +39,9 @@
         refused without having been sent."""
         plan, key = self._plans[request.plan], (request.plan, request.account)
         level = self._levels.get(key) or BucketLevel(plan.burst, now, plan.rate, plan.burst)
-        level = level.moved(now)
+        level = level.refilled_until(now)
         inside = level.units >= request.units - 1e-9
-        self._levels[key] = level.drawn(request.units) if inside and decision == "sent" else level
+        self._levels[key] = level.with_units_drawn(request.units) if inside and decision == "sent" else level
         self.decisions[request.plan, decision, inside] += 1
 
 
--- a/benchmarks/quota_calm.py
+++ b/benchmarks/quota_calm.py
@@ -414,7 +414,7 @@
         worth, plan = self.worth(account, request), account.plan
         true = account.other_level = (
             account.other_level or BucketLevel(plan.burst, self.base, plan.rate, plan.burst)
-        ).moved(now)
+        ).refilled_until(now)
         while len(account.other_history) > 1 and account.other_history[1][0] <= now - VIEW_DELAY_SECONDS:
             account.other_history.popleft()
         old = (
@@ -429,14 +429,14 @@
             self.figures.other_inside += worth * inside
             self.figures.other_price += plan.over_cost * worth * (not inside)
             if inside:
-                account.other_level = true.drawn(request.units)
+                account.other_level = true.with_units_drawn(request.units)
         account.other_history.append((now, account.other_level.units))
 
     def record_decision(
         self, now: float, account: Account, request: api.Request, what: str, basis: str = ""
     ) -> None:
         """Record that a request was sent for the first time, or refused without having been sent."""
-        account.level = level = account.level.moved(now)
+        account.level = level = account.level.refilled_until(now)
         plan, worth = account.plan, self.worth(account, request)
         within_rate = plan.rate <= 0 or level.units >= request.units - 1e-9
         inside = within_rate and (plan.open_limit <= 0 or account.open_attempts < plan.open_limit)
@@ -447,7 +447,7 @@
         self.figures.requests_by_basis[key] += 1
         self.figures.price_by_basis[key] += 0.0 if inside else plan.over_cost * worth
         if inside:
-            account.level = level.drawn(request.units)
+            account.level = level.with_units_drawn(request.units)
             self.figures.inside += worth
         else:
             self.figures.price += account.plan.over_cost * worth
--- a/cypresspulley/plans/bucket_level.py
+++ b/cypresspulley/plans/bucket_level.py
@@ -21,7 +21,7 @@
     rate: float
     burst: float
 
-    def moved(self, to: float) -> BucketLevel:
+    def refilled_until(self, to: float) -> BucketLevel:
         """The same store later; a clock that goes back moves nothing."""
         if to <= self.at:
             return self
@@ -29,16 +29,16 @@
             min(self.burst, self.units + self.rate * (to - self.at)), to, self.rate, self.burst
         )
 
-    def drawn(self, units: float) -> BucketLevel:
+    def with_units_drawn(self, units: float) -> BucketLevel:
         return BucketLevel(self.units - units, self.at, self.rate, self.burst)
 
-    def carried(self, at: float, rate: float, burst: float) -> BucketLevel:
+    def with_limits(self, at: float, rate: float, burst: float) -> BucketLevel:
         """Over a change at an instant: filled by the old terms until then, bounded by the new ones from then on."""
-        old = self.moved(at)
+        old = self.refilled_until(at)
         return BucketLevel(min(old.units, burst), max(at, self.at), rate, burst)
 
 
-def slack(old: tuple[float, float], new: tuple[float, float], late: float) -> float:
+def max_ceiling_overshoot(old: tuple[float, float], new: tuple[float, float], late: float) -> float:
     """The most units by which a ceiling in force may be passed where the last limiter acts ``late`` seconds after the
     instant: it fills by the old rate so long, and its store may stand above the new one's."""
     return max(0.0, old[0] - new[0]) * late + max(0.0, old[1] - new[1]) * (late > 0)
--- a/cypresspulley/plans/limiter.py
+++ b/cypresspulley/plans/limiter.py
@@ -2,7 +2,8 @@
 
 A request's plan becomes the one that its account is assigned to, the plans' terms those of the versions in force, from
 their instants on and before the request that comes at one. An account whose plan changes takes its levels along by the
-rule of ``bucket_level.py``. Use is counted under the version that a request was admitted under, once for each try that may
+rule of ``bucket_level.py``.
+Use is counted under the version that a request was admitted under, once for each try that may
 have run. Where there is no book yet the settings hold as they are. ``Planned`` does no I/O, its clock comes with each
 event; ``Plans`` is what a limiter starts and ends.
 """
@@ -158,7 +159,7 @@
         for at in instants:
             if (version := self.follower.book.terms(ev.account, at, ev.plan)) is not None:
                 terms = self.follower.lowered(version, at).terms
-                ceiling = ceiling.carried(
+                ceiling = ceiling.with_limits(
                     at / 1000, *_limits(terms.ceiling_rate, terms.ceiling_burst, ev.gateways)
                 )
         new = quotas.get_or_create_account(now, ev)
@@ -166,7 +167,9 @@
             old.refill(now)
             new.level, new.share_level = min(new.level, old.level), min(new.share_level, old.share_level)
         if new.plan.ceiling_rate > 0:
-            new.ceiling_level = min(new.ceiling_level, new.local_ceiling_part * ceiling.moved(now).units)
+            new.ceiling_level = min(
+                new.ceiling_level, new.local_ceiling_part * ceiling.refilled_until(now).units
+            )
             # A start that is vouched for gives nothing of that back.
             new.ceiling_drawn = max(
                 new.ceiling_drawn,
--- a/cypresspulley/plans/office.py
+++ b/cypresspulley/plans/office.py
@@ -23,7 +23,7 @@
     Withdrawal,
     check_new,
 )  # fmt: skip
-from cypresspulley.plans.bucket_level import slack
+from cypresspulley.plans.bucket_level import max_ceiling_overshoot
 from cypresspulley.plans.events import MARK, drawn, event_plan, event_terms
 from cypresspulley.plans.lease import LEASE
 from cypresspulley.plans.reservations import MICRO, OVER, Reservation, Reservations, Room, Wish
@@ -174,7 +174,7 @@
             old = self.book.terms(account, change.effective - 1)
             if old is None or new is None or old.terms.ceiling_rate <= 0 or new.terms.ceiling_rate <= 0:
                 continue
-            by = slack(
+            by = max_ceiling_overshoot(
                 (old.terms.ceiling_rate, old.terms.ceiling_burst),
                 (new.terms.ceiling_rate, new.terms.ceiling_burst),
                 late,
--- a/cypresspulley/rehearsal/rules.py
+++ b/cypresspulley/rehearsal/rules.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from cypresspulley.plans.bucket_level import BucketLevel
-from cypresspulley.plans.bucket_level import slack as slack_of_change
+from cypresspulley.plans.bucket_level import max_ceiling_overshoot as slack_of_change
 from cypresspulley.plans.lease import LEASE
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.standins.processor import fall_bound, warmth
@@ -294,8 +294,8 @@
         )
         for move in line.moves.get(sent.account, ()):
             if store.at < move.t <= t:
-                store = store.carried(move.t, move.ceiling_rate, move.ceiling_burst)
-        store = stores[key] = store.moved(t).drawn(sent.units)
+                store = store.with_limits(move.t, move.ceiling_rate, move.ceiling_burst)
+        store = stores[key] = store.refilled_until(t).with_units_drawn(sent.units)
         slack = max(CEILING_SLACK * plan.ceiling_burst, line.day.max_units)
         slack += CEILING_LATE * plan.ceiling_rate + wider.get(sent.account, 0.0)
         yield t, one, store.units, slack
--- a/tests/plans/test_reservations.py
+++ b/tests/plans/test_reservations.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cypresspulley.plans.bucket_level import BucketLevel, slack
+from cypresspulley.plans.bucket_level import BucketLevel, max_ceiling_overshoot
 from cypresspulley.plans.reservations import (
     OVER,
     TABLE,
@@ -153,19 +153,24 @@
     ] * 2
     for (rate, burst), gap in zip(terms, gaps, strict=False):
         at += gap
-        whole = whole.carried(at, rate, burst)
-        shares = [s.carried(at, rate / n, burst / n) for s in shares]
+        whole = whole.with_limits(at, rate, burst)
+        shares = [s.with_limits(at, rate / n, burst / n) for s in shares]
         assert sum(s.units for s in shares) <= whole.units + 1e-9
         assert whole.units <= burst + 1e-9
 
 
 def test_a_change_back_and_forth_gives_nothing_and_forgives_nothing() -> None:
     level = BucketLevel(3.0, 0.0, 1.0, 20.0)
-    assert level.carried(1.0, 2.0, 8.0).carried(1.0, 1.0, 20.0).units == 4.0
-    assert BucketLevel(15.0, 0.0, 1.0, 20.0).carried(0.0, 2.0, 8.0).carried(0.0, 1.0, 20.0).units == 8.0
-    assert level.moved(-5.0) is level and level.drawn(4.0).units == -1.0
+    assert level.with_limits(1.0, 2.0, 8.0).with_limits(1.0, 1.0, 20.0).units == 4.0
+    assert (
+        BucketLevel(15.0, 0.0, 1.0, 20.0).with_limits(0.0, 2.0, 8.0).with_limits(0.0, 1.0, 20.0).units == 8.0
+    )
+    assert level.refilled_until(-5.0) is level and level.with_units_drawn(4.0).units == -1.0
 
 
 def test_the_slack_is_what_the_last_to_hear_may_let_in() -> None:
-    assert slack((5.0, 24.0), (3.0, 12.0), 0.5) == pytest.approx(2 * 0.5 + 12)
-    assert slack((5.0, 24.0), (3.0, 12.0), 0.0) == 0 and slack((3.0, 12.0), (5.0, 24.0), 9.0) == 0
+    assert max_ceiling_overshoot((5.0, 24.0), (3.0, 12.0), 0.5) == pytest.approx(2 * 0.5 + 12)
+    assert (
+        max_ceiling_overshoot((5.0, 24.0), (3.0, 12.0), 0.0) == 0
+        and max_ceiling_overshoot((3.0, 12.0), (5.0, 24.0), 9.0) == 0
+    )
