--- a/benchmarks/plan_book.py
+++ b/benchmarks/plan_book.py
@@ -18,7 +18,7 @@
 from cypresspulley.plans.channel import Channel, Where
 from cypresspulley.plans.files import DiskFolder
 from cypresspulley.plans.follow import Follower
-from cypresspulley.plans.office import Office
+from cypresspulley.plans.plan_writer import PlanWriter
 from cypresspulley.plans.serve import Publisher, unix_ms
 from cypresspulley.plans.store import Store
 
@@ -65,22 +65,22 @@
 async def heard(count: int, times: int) -> None:
     """From a change to the last follower's having it."""
     with tempfile.TemporaryDirectory() as path:
-        office = Office(Store(DiskFolder(path)), "bench")
-        publisher = Publisher(office, "t")
+        plan_writer = PlanWriter(Store(DiskFolder(path)), "bench")
+        publisher = Publisher(plan_writer, "t")
         address = await publisher.listen("127.0.0.1", 0)
         news = asyncio.Event()
         channels = [Channel(Where(*address, "t"), Follower("bench"), news.set, seed=n) for n in range(count)]
         for channel in channels:
             channel.start()
         took = list[float]()
-        office.version("p", TERMS, unix_ms(), unix_ms(), "m")
+        plan_writer.version("p", TERMS, unix_ms(), unix_ms(), "m")
         for n in range(times + 1):
             began = time.perf_counter()
             now = unix_ms()
-            office.assign(f"account-{n}", "p", now + 5000, now, "m")
+            plan_writer.assign(f"account-{n}", "p", now + 5000, now, "m")
             publisher.changed()
             async with asyncio.timeout(20):
-                while any(channel.follower.book.last != office.book.last for channel in channels):
+                while any(channel.follower.book.last != plan_writer.book.last for channel in channels):
                     news.clear()
                     await news.wait()
             if n:  # the first waits for the connections
--- a/cypresspulley/plans/command.py
+++ b/cypresspulley/plans/command.py
@@ -17,7 +17,7 @@
 from cypresspulley.plans import book as books
 from cypresspulley.plans.book import Book, Change, Version, Withdrawal
 from cypresspulley.plans.files import DiskFolder
-from cypresspulley.plans.office import Office
+from cypresspulley.plans.plan_writer import PlanWriter
 from cypresspulley.plans.serve import PATH, Publisher, unix_ms
 from cypresspulley.plans.store import Store, check
 from cypresspulley.plans.wishes import carry_out, difference, history, reservation_json
@@ -51,11 +51,11 @@
     return f"{change.stamp!s:>8}  from {_when(change.effective)}  {what}{by}"
 
 
-def _reading(folder: Path) -> Office:
+def _reading(folder: Path) -> PlanWriter:
     """The office as it is stored, to look at: no lock, no new epoch, nothing written."""
     if not folder.is_dir() or not check(DiskFolder(str(folder), write=False)):
         raise ValueError(f"{folder}: holds no plan book; expected the folder of one")
-    return Office(Store(DiskFolder(str(folder), write=False), read_only=True), new_epoch=False)
+    return PlanWriter(Store(DiskFolder(str(folder), write=False), read_only=True), new_epoch=False)
 
 
 def serve(folder: Path, installation: str, host: str, port: int) -> int:
@@ -65,7 +65,7 @@
         return fail(f"{TOKEN}: expected the token that followers and operators will show", BAD_INPUT)
     try:
         with closing(DiskFolder(str(folder))) as held:
-            asyncio.run(_serving(Office(Store(held), installation), token, host, port))
+            asyncio.run(_serving(PlanWriter(Store(held), installation), token, host, port))
     except OSError as error:
         return fail(error, BROKEN)
     except ValueError as error:
@@ -73,10 +73,10 @@
     return DONE
 
 
-async def _serving(office: Office, token: str, host: str, port: int) -> None:
-    publisher = Publisher(office, token)
+async def _serving(plan_writer: PlanWriter, token: str, host: str, port: int) -> None:
+    publisher = Publisher(plan_writer, token)
     address = await publisher.listen(host, port)
-    print(f"fawnseam plans: {office!r} at {address[0]}:{address[1]}", file=sys.stderr, flush=True)
+    print(f"fawnseam plans: {plan_writer!r} at {address[0]}:{address[1]}", file=sys.stderr, flush=True)
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, stop.set)
@@ -84,7 +84,7 @@
         try:
             await asyncio.wait_for(stop.wait(), 1.0)
         except TimeoutError:
-            office.tick(unix_ms())
+            plan_writer.tick(unix_ms())
     await publisher.close()
 
 
@@ -97,7 +97,7 @@
                 return fail(done.get("error", f"answered {status}"), REFUSED if status == 409 else BAD_INPUT)
         elif store is not None:
             with closing(DiskFolder(str(store))) as folder:
-                done = carry_out(Office(Store(folder), installation), raw, unix_ms())
+                done = carry_out(PlanWriter(Store(folder), installation), raw, unix_ms())
         else:
             return fail("expected --store DIR, or --to HOST:PORT of a writer that serves", BAD_INPUT)
     except OSError as error:
@@ -137,21 +137,25 @@
 def show(store: Path, at: int | None, as_json: bool) -> int:
     """What is in force."""
     try:
-        office = _reading(store)
+        plan_writer = _reading(store)
     except (OSError, ValueError) as error:
         return fail(error, BAD_INPUT)
     at = unix_ms() if at is None else at
-    plans = [v for plan in sorted(office.book.plans) if (v := office.book.version(plan, at)) is not None]
+    plans = [
+        v for plan in sorted(plan_writer.book.plans) if (v := plan_writer.book.version(plan, at)) is not None
+    ]
     found = [
-        a for name in sorted(office.book.accounts) if (a := office.book.assignment(name, at)) is not None
+        a
+        for name in sorted(plan_writer.book.accounts)
+        if (a := plan_writer.book.assignment(name, at)) is not None
     ]
-    reservations = [reservation_json(one) for one in office.reservations.all.values()]
+    reservations = [reservation_json(one) for one in plan_writer.reservations.all.values()]
     told = {
-        "installation": office.book.installation, "epoch": office.epoch, "digest": office.book.digest(),
+        "installation": plan_writer.book.installation, "epoch": plan_writer.epoch, "digest": plan_writer.book.digest(),
         "plans": list(map(books.as_json, plans)), "accounts": list(map(books.as_json, found)),
         "reservations": reservations,
     }  # fmt: skip
-    lines = [repr(office), *map(_line, plans), *map(_line, found)]
+    lines = [repr(plan_writer), *map(_line, plans), *map(_line, found)]
     lines += [f"{r['key']}: {r['account']}, {r['units']:g} units, {r['at']}" for r in reservations]
     _say(told, as_json, "\n".join(lines))
     return DONE
--- a/cypresspulley/plans/office.py
+++ b/cypresspulley/plans/plan_writer.py
@@ -36,7 +36,7 @@
 SETTLE = 15_000  # milliseconds in which limiters end what they have in hand under the event's plan, and tell their use
 
 
-class Office:
+class PlanWriter:
     """One installation's plans. ``now`` is Unix time in milliseconds, from whoever calls."""
 
     def __init__(self, store: Store, installation: str = "", new_epoch: bool = True) -> None:
@@ -54,7 +54,7 @@
             self._store.commit()
 
     def __repr__(self) -> str:
-        return f"<Office epoch {self.epoch}, {self.book!r}, {len(self.reservations.all)} reservations>"
+        return f"<PlanWriter epoch {self.epoch}, {self.book!r}, {len(self.reservations.all)} reservations>"
 
     # Reading what is there.
 
--- a/cypresspulley/plans/serve.py
+++ b/cypresspulley/plans/serve.py
@@ -25,7 +25,7 @@
 from cypresspulley.plans import book as books
 from cypresspulley.plans.book import Change
 from cypresspulley.plans.lease import LEASE
-from cypresspulley.plans.office import Office
+from cypresspulley.plans.plan_writer import PlanWriter
 from cypresspulley.plans.wishes import carry_out
 
 log = logging.getLogger(__name__)
@@ -105,11 +105,11 @@
     """Serves an office's book to followers. The office changes elsewhere; ``changed`` tells of it."""
 
     def __init__(
-        self, office: Office, token: str, clock: Callable[[], int] = unix_ms, beat: float = BEAT
+        self, plan_writer: PlanWriter, token: str, clock: Callable[[], int] = unix_ms, beat: float = BEAT
     ) -> None:
         if not token:
             raise ValueError("token: expected one that is not empty")
-        self._office, self._token, self._clock, self._beat = office, token, clock, beat
+        self._plan_writer, self._token, self._clock, self._beat = plan_writer, token, clock, beat
         self._server: asyncio.Server | None = None
         self._news = asyncio.Event()
         self._writers = set[asyncio.StreamWriter]()
@@ -176,7 +176,7 @@
         try:
             async with asyncio.timeout(HEAD_WAIT):
                 body = await reader.readexactly(size)
-            done = carry_out(self._office, json.loads(body), self._clock())
+            done = carry_out(self._plan_writer, json.loads(body), self._clock())
         except TimeoutError:
             raise RefusedError(400, f"expected the whole body within {HEAD_WAIT:g} s") from None
         except RecursionError:
@@ -200,35 +200,35 @@
         writer.close()
 
     async def _tell(self, writer: asyncio.StreamWriter, epoch: int, since: int) -> None:
-        office = self._office
-        known = since if epoch == office.epoch else 0
-        if not known or known > office.book.last.seq:
+        plan_writer = self._plan_writer
+        known = since if epoch == plan_writer.epoch else 0
+        if not known or known > plan_writer.book.last.seq:
             known = await self._whole(writer)
         while True:
             news = self._news
             for change in self._behind(known):
                 await self._write(
-                    writer, {"kind": "change", "epoch": office.epoch, "change": books.as_json(change)}
+                    writer, {"kind": "change", "epoch": plan_writer.epoch, "change": books.as_json(change)}
                 )
-            known = office.book.last.seq
-            await self._write(writer, {**self._head("beat"), "last": [office.book.last.epoch, known]})
+            known = plan_writer.book.last.seq
+            await self._write(writer, {**self._head("beat"), "last": [plan_writer.book.last.epoch, known]})
             with suppress(TimeoutError):
                 await asyncio.wait_for(news.wait(), self._beat)
 
     def _behind(self, known: int) -> list[Change]:
-        if known == self._office.book.last.seq:
+        if known == self._plan_writer.book.last.seq:
             return []
-        return self._office.log[known:]
+        return self._plan_writer.log[known:]
 
     def _head(self, kind: str) -> dict[str, Any]:
-        return {"kind": kind, "epoch": self._office.epoch, "sent": self._clock(), "lease": LEASE}
+        return {"kind": kind, "epoch": self._plan_writer.epoch, "sent": self._clock(), "lease": LEASE}
 
     async def _whole(self, writer: asyncio.StreamWriter) -> int:
-        count = len(self._office.log)  # what comes meanwhile is told after it
-        told = {"installation": self._office.book.installation, "changes": count}
+        count = len(self._plan_writer.log)  # what comes meanwhile is told after it
+        told = {"installation": self._plan_writer.book.installation, "changes": count}
         await self._write(writer, {**self._head("whole"), **told})
         for number in range(count):
-            await self._write(writer, books.as_json(self._office.log[number]))
+            await self._write(writer, books.as_json(self._plan_writer.log[number]))
         return count
 
     @staticmethod
--- a/cypresspulley/plans/wishes.py
+++ b/cypresspulley/plans/wishes.py
@@ -12,7 +12,7 @@
 from cypresspulley.plans import book as books
 from cypresspulley.plans.book import Book, BookError, Change, Version, Withdrawal
 from cypresspulley.plans.lease import LEASE
-from cypresspulley.plans.office import Office
+from cypresspulley.plans.plan_writer import PlanWriter
 from cypresspulley.plans.reservations import MICRO, Reservation, ReservationError, Wish
 from cypresspulley.plans.use import record_from
 
@@ -70,7 +70,7 @@
         return float(value)
 
 
-def carry_out(office: Office, raw: Any, now: int) -> dict[str, Any]:
+def carry_out(plan_writer: PlanWriter, raw: Any, now: int) -> dict[str, Any]:
     """Do it; ``BookError``, ``ReservationError`` or ``WishError`` say why not, and nothing has changed then."""
     if not isinstance(raw, dict) or raw.get("wish") not in KEYS:
         raise WishError(f"wish: expected one of {', '.join(KEYS)}")
@@ -80,40 +80,42 @@
     keys = _Raw(raw)
     author, dry = keys.text("author"), raw.get("dry_run", False) is True
     if kind in ("change", "assign"):
-        done = _change(office, kind, keys, author, now, dry)
+        done = _change(plan_writer, kind, keys, author, now, dry)
     elif kind == "reserve":
-        done = _reserve(office, keys, now, dry)
+        done = _reserve(plan_writer, keys, now, dry)
     elif kind == "use":
         record = record_from(raw.get("record"))
-        return {"acknowledged": office.take_use(record), "key": record.idempotency_key}
+        return {"acknowledged": plan_writer.take_use(record), "key": record.idempotency_key}
     else:
-        done = reservation_json(office.release(keys.text("key"), now))
+        done = reservation_json(plan_writer.release(keys.text("key"), now))
     if not dry:
         log.info("plans: %s by %s: %s (%s)", kind, author, done, keys.text("reason", ""))
     return {"wish": kind, "dry_run": dry, **done}
 
 
-def _change(office: Office, kind: str, keys: _Raw, author: str, now: int, dry: bool) -> dict[str, Any]:
+def _change(
+    plan_writer: PlanWriter, kind: str, keys: _Raw, author: str, now: int, dry: bool
+) -> dict[str, Any]:
     effective, reason = keys.instant("effective", now, now + LEASE), keys.text("reason", "")
     change: Change
     if kind == "change":
         terms = books.terms_from(keys.keys.get("terms"), "terms")
-        change = office.version(keys.text("plan"), terms, effective, now, author, reason, dry=True)
+        change = plan_writer.version(keys.text("plan"), terms, effective, now, author, reason, dry=True)
     else:
         told = keys.text("account"), keys.text("plan")
-        change = office.assign(*told, effective, now, author, reason, dry=True)
-    passed = office.passed_by(change, now)
+        change = plan_writer.assign(*told, effective, now, author, reason, dry=True)
+    passed = plan_writer.passed_by(change, now)
     if not dry:
-        office.take(change, now)
+        plan_writer.take(change, now)
     return {"change": books.as_json(change), "passed_by": passed}
 
 
-def _reserve(office: Office, keys: _Raw, now: int, dry: bool) -> dict[str, Any]:
+def _reserve(plan_writer: PlanWriter, keys: _Raw, now: int, dry: bool) -> dict[str, Any]:
     wish = Wish(
         keys.text("key"), keys.text("account"), keys.instant("start", now), keys.instant("end", now),
         round(keys.figure("units") * MICRO), keys.text("purpose", ""),
     )  # fmt: skip
-    return reservation_json(office.reserve(wish, now, keys.figure("fleet_rate"), dry))
+    return reservation_json(plan_writer.reserve(wish, now, keys.figure("fleet_rate"), dry))
 
 
 def reservation_json(one: Reservation) -> dict[str, Any]:
--- a/cypresspulley/rehearsal/play.py
+++ b/cypresspulley/rehearsal/play.py
@@ -798,7 +798,7 @@
             limiter.signal(signal.SIGTERM)
     await asyncio.gather(*(limiter.gone() for limiter in director.limiters.values()))
     if director.books is not None:
-        told = sum(director.books.office.intake.totals.values())
+        told = sum(director.books.plan_writer.intake.totals.values())
         director.stage.record(log.Exported(director.stage.now(), told))
     for limiter in director.limiters.values():
         director.stage.record(
--- a/cypresspulley/rehearsal/standins/bookkeeper.py
+++ b/cypresspulley/rehearsal/standins/bookkeeper.py
@@ -8,7 +8,7 @@
 
 from cypresspulley.plans.book import BookError, Terms
 from cypresspulley.plans.files import MemoryFolder
-from cypresspulley.plans.office import Office
+from cypresspulley.plans.plan_writer import PlanWriter
 from cypresspulley.plans.reservations import MICRO, At, Wish
 from cypresspulley.plans.serve import Publisher
 from cypresspulley.plans.store import Store
@@ -39,22 +39,22 @@
         self.addresses = dict[str, tuple[str, int]]()  # of a limiter's way to the writer
         self._publishers = dict[str, Publisher]()
         os.environ["FAWNSEAM_PLANS_TOKEN"] = TOKEN  # limiters of this process and its children read it there
-        self.office = Office(Store(self._folder), INSTALLATION)
+        self.plan_writer = PlanWriter(Store(self._folder), INSTALLATION)
         now = stage.unix_ms()
         for plan in plans:
-            self.office.version(plan.name, terms_of(plan), now, now, "rehearsal")
+            self.plan_writer.version(plan.name, terms_of(plan), now, now, "rehearsal")
             if plan.ceiling > 0:
-                self.office.version(plan.name + LOWER, terms_of(plan, part), now, now, "rehearsal")
+                self.plan_writer.version(plan.name + LOWER, terms_of(plan, part), now, now, "rehearsal")
 
     def __repr__(self) -> str:
-        return f"<Bookkeeper {self.office!r}, {len(self._publishers)} ways open>"
+        return f"<Bookkeeper {self.plan_writer!r}, {len(self._publishers)} ways open>"
 
     async def open(self, limiter: str) -> None:
         """Let a limiter reach the writer, at the same address as before."""
         if limiter in self._publishers:
             return
         clock = self._stage.unix_ms
-        publisher = self._publishers[limiter] = Publisher(self.office, TOKEN, clock)
+        publisher = self._publishers[limiter] = Publisher(self.plan_writer, TOKEN, clock)
         self.addresses[limiter] = await publisher.listen(*self.addresses[limiter])
 
     async def shut(self, limiter: str) -> None:
@@ -68,7 +68,7 @@
         for limiter in ways:
             await self.shut(limiter)
         await asyncio.sleep(back_after)
-        self.office = Office(Store(self._folder), INSTALLATION)
+        self.plan_writer = PlanWriter(Store(self._folder), INSTALLATION)
         for limiter in ways:
             await self.open(limiter)
 
@@ -85,14 +85,14 @@
         for account, plan in accounts:
             units = round(part * self._plans[plan].rate * lasts * MICRO)
             wish = Wish(f"ev-{account}", account, now + 300, now + round(lasts * 1000), units, "rehearsal")
-            if self.office.book.assignment(account, now) is None:
-                self.office.assign(account, plan, now, now, "rehearsal")
-            keys += [wish.key] if self.office.reserve(wish, now, 1e6).at is At.HELD else []
+            if self.plan_writer.book.assignment(account, now) is None:
+                self.plan_writer.assign(account, plan, now, now, "rehearsal")
+            keys += [wish.key] if self.plan_writer.reserve(wish, now, 1e6).at is At.HELD else []
         self._changed()
         await asyncio.sleep(lasts / 2)
-        self.office.tick(self._stage.unix_ms())
+        self.plan_writer.tick(self._stage.unix_ms())
         for key in keys:
-            self.office.release(key, self._stage.unix_ms())
+            self.plan_writer.release(key, self._stage.unix_ms())
         self._changed()
 
     def _changed(self) -> None:
@@ -104,10 +104,10 @@
         row, part = self._ceilings[plan], self._part if down else 1.0
         now = self._stage.unix_ms()
         effective = now + round(ahead * 1000) + 1
-        if any(one.effective == effective for one in self.office.book.accounts.get(account, ())):
+        if any(one.effective == effective for one in self.plan_writer.book.accounts.get(account, ())):
             return
         try:
-            self.office.assign(account, plan + LOWER * down, effective, now, "rehearsal", "churn")
+            self.plan_writer.assign(account, plan + LOWER * down, effective, now, "rehearsal", "churn")
         except BookError:
             return  # it has a reservation then
         (self._low.add if down else self._low.discard)(account)
--- a/tests/plans/test_events.py
+++ b/tests/plans/test_events.py
@@ -10,7 +10,7 @@
 
 from cypresspulley.plans.book import BookError, Stamp, Terms
 from cypresspulley.plans.events import drawn, event_plan, event_terms
-from cypresspulley.plans.office import SETTLE, Office
+from cypresspulley.plans.plan_writer import SETTLE, PlanWriter
 from cypresspulley.plans.reservations import MICRO, At, Wish
 from cypresspulley.plans.store import Store
 from cypresspulley.plans.use import Key, Record
@@ -23,17 +23,17 @@
 PLAN = event_plan("p", "wedding")
 
 
-def office_with(wish: Wish = WISH, disk: Disk | None = None) -> Office:
-    office = Office(Store(disk or Disk()), "vadodara")
-    office.version("p", BASE, 90_000, 90_000, "m")
-    office.assign("hotel", "p", 90_000, 90_000, "m")
-    assert office.reserve(wish, 100_000, 1000.0).at is At.HELD
-    return office
+def plan_writer_with(wish: Wish = WISH, disk: Disk | None = None) -> PlanWriter:
+    plan_writer = PlanWriter(Store(disk or Disk()), "vadodara")
+    plan_writer.version("p", BASE, 90_000, 90_000, "m")
+    plan_writer.assign("hotel", "p", 90_000, 90_000, "m")
+    assert plan_writer.reserve(wish, 100_000, 1000.0).at is At.HELD
+    return plan_writer
 
 
-def used(office: Office, units: float, seq: int, plan: str = PLAN) -> None:
+def used(plan_writer: PlanWriter, units: float, seq: int, plan: str = PLAN) -> None:
     key = Key("hotel", plan, Stamp(1, 3), 0)
-    assert office.take_use(Record("n1", 1, seq, ((key, round(units * MICRO)),)))
+    assert plan_writer.take_use(Record("n1", 1, seq, ((key, round(units * MICRO)),)))
 
 
 @given(st.floats(1, 1e4), st.integers(1, 3600))
@@ -48,101 +48,101 @@
 
 def test_what_would_stand_above_the_ceiling_is_refused_whole() -> None:
     disk = Disk()
-    office = office_with(disk=disk)
-    before, changes = disk.read(disk.names()[0]), len(office.log)
+    plan_writer = plan_writer_with(disk=disk)
+    before, changes = disk.read(disk.names()[0]), len(plan_writer.log)
     with pytest.raises(BookError, match="ceiling: expected at least the quota"):
-        office.reserve(Wish("more", "hotel", 200_000, 201_000, 30 * MICRO), 100_000, 1000.0)
-    assert "more" not in office.reservations.all and len(office.log) == changes
+        plan_writer.reserve(Wish("more", "hotel", 200_000, 201_000, 30 * MICRO), 100_000, 1000.0)
+    assert "more" not in plan_writer.reservations.all and len(plan_writer.log) == changes
     assert disk.read(disk.names()[0]) == before
 
 
 def test_the_account_is_on_the_event_s_plan_for_its_window() -> None:
-    book = office_with().book
+    book = plan_writer_with().book
     bound = [v.plan for at in (START - 1, START, END - 1, END) if (v := book.terms("hotel", at)) is not None]
     assert bound == ["p", PLAN, PLAN, "p"]
 
 
 def test_a_limiter_lets_more_in_inside_the_window_and_not_after() -> None:
-    office = office_with()
+    plan_writer = plan_writer_with()
     counts = list[int]()
     for instant in (START - 5000, START + 30_000, END + 30_000):
         day = Day(now=100.0)
-        day.follower.whole(1, replace(office.book, installation="vadodara"), 100_000, 10_000_000)
+        day.follower.whole(1, replace(plan_writer.book, installation="vadodara"), 100_000, 10_000_000)
         day.world.advance(instant / 1000)
         counts.append(day.burst(0, 40))
     assert counts[1] > counts[0] and counts[1] > counts[2] and counts[0] == counts[2]
 
 
 def test_a_release_while_drawn_on_settles_by_what_limiters_tell() -> None:
-    office = office_with()
-    assert [one.at for one in office.tick(START)] == [At.ACTIVE]
-    used(office, 40, 1)
-    one = office.release("wedding", START + 10_000)
+    plan_writer = plan_writer_with()
+    assert [one.at for one in plan_writer.tick(START)] == [At.ACTIVE]
+    used(plan_writer, 40, 1)
+    one = plan_writer.release("wedding", START + 10_000)
     assert one.at is At.DRAINING and one.given_back == 0
-    found = office.book.terms("hotel", START + 10_001)
+    found = plan_writer.book.terms("hotel", START + 10_001)
     assert found is not None and found.plan == "p"
-    used(office, 25, 2)  # in flight at the release
-    assert office.release("wedding", START + 11_000) is one and office.tick(START + 11_000) == []
-    assert len(office.log) == 7  # one way back, and the later one withdrawn, whoever releases again
-    office.tick(START + 10_000 + SETTLE)
-    assert office.reservations.all["wedding"].at is At.RELEASED
+    used(plan_writer, 25, 2)  # in flight at the release
+    assert plan_writer.release("wedding", START + 11_000) is one and plan_writer.tick(START + 11_000) == []
+    assert len(plan_writer.log) == 7  # one way back, and the later one withdrawn, whoever releases again
+    plan_writer.tick(START + 10_000 + SETTLE)
+    assert plan_writer.reservations.all["wedding"].at is At.RELEASED
     assert one.drawn == 65 * MICRO and one.given_back == 235 * MICRO
-    used(office, 3, 3)  # a day late
+    used(plan_writer, 3, 3)  # a day late
     assert one.corrections == 3 * MICRO and one.given_back == 235 * MICRO
 
 
 def test_a_window_that_ends_settles_and_what_is_beyond_it_is_plain_use() -> None:
-    office = office_with()
-    office.tick(START)
-    used(office, 400, 1)
-    used(office, 50, 2, "p")
-    office.tick(END)
-    office.tick(END + SETTLE)
-    one = office.reservations.all["wedding"]
+    plan_writer = plan_writer_with()
+    plan_writer.tick(START)
+    used(plan_writer, 400, 1)
+    used(plan_writer, 50, 2, "p")
+    plan_writer.tick(END)
+    plan_writer.tick(END + SETTLE)
+    one = plan_writer.reservations.all["wedding"]
     assert one.at is At.EXPIRED and one.drawn == WISH.units and one.given_back == 0
 
 
 def test_a_release_before_the_window_takes_the_account_off_it() -> None:
-    office = office_with()
-    assert office.release("wedding", 110_000).at is At.RELEASED
-    assert [a.plan for a in office.book.accounts["hotel"]] == ["p"]
+    plan_writer = plan_writer_with()
+    assert plan_writer.release("wedding", 110_000).at is At.RELEASED
+    assert [a.plan for a in plan_writer.book.accounts["hotel"]] == ["p"]
 
 
 def test_where_an_account_is_put_after_a_release_it_stays() -> None:
-    office = office_with()
-    office.version("low", Terms(1.0, 4.0, 2.0, 8.0), 100_000, 100_000, "m")
-    office.tick(START)
-    office.release("wedding", START + 1000)
-    office.assign("hotel", "low", START + 2000, START + 2000, "m")
+    plan_writer = plan_writer_with()
+    plan_writer.version("low", Terms(1.0, 4.0, 2.0, 8.0), 100_000, 100_000, "m")
+    plan_writer.tick(START)
+    plan_writer.release("wedding", START + 1000)
+    plan_writer.assign("hotel", "low", START + 2000, START + 2000, "m")
     bound = [
         v.plan
         for at in (START + 1500, START + 2000, END)
-        if (v := office.book.terms("hotel", at)) is not None
+        if (v := plan_writer.book.terms("hotel", at)) is not None
     ]
     assert bound == ["p", "low", "low"]
 
 
 def test_an_office_that_starts_anew_goes_on_with_what_is_drawn_on() -> None:
     disk = Disk()
-    office = office_with(disk=disk)
-    office.tick(START)
-    used(office, 10, 1)
-    office.release("wedding", START + 1000)
-    again = Office(Store(disk), "vadodara")
+    plan_writer = plan_writer_with(disk=disk)
+    plan_writer.tick(START)
+    used(plan_writer, 10, 1)
+    plan_writer.release("wedding", START + 1000)
+    again = PlanWriter(Store(disk), "vadodara")
     used(again, 5, 2)
     again.tick(START + 1000 + SETTLE)
     one = again.reservations.all["wedding"]
     assert one.at is At.RELEASED and one.drawn == 15 * MICRO
     used(again, 2, 3)
     again.compact()
-    last = Office(Store(disk), "vadodara").reservations.all["wedding"]
+    last = PlanWriter(Store(disk), "vadodara").reservations.all["wedding"]
     assert (last.drawn, last.corrections, last.plan) == (15 * MICRO, 2 * MICRO, PLAN)
 
 
 def test_an_account_with_a_reservation_stays_where_it_is() -> None:
-    office = office_with()
+    plan_writer = plan_writer_with()
     with pytest.raises(BookError, match="has reservation wedding then; release it first"):
-        office.assign("hotel", "p", START + 5, 100_000, "m")
-    office.assign("hotel", "p", END + 5, 100_000, "m")
+        plan_writer.assign("hotel", "p", START + 5, 100_000, "m")
+    plan_writer.assign("hotel", "p", END + 5, 100_000, "m")
     with pytest.raises(BookError, match="another reservation then"):
-        office.reserve(Wish("b", "hotel", END - 5, END + 5, 1), 100_000, 1000.0)
+        plan_writer.reserve(Wish("b", "hotel", END - 5, END + 5, 1), 100_000, 1000.0)
--- a/tests/plans/test_limiter.py
+++ b/tests/plans/test_limiter.py
@@ -14,7 +14,7 @@
 from cypresspulley.plans.export import Export
 from cypresspulley.plans.follow import Follower
 from cypresspulley.plans.limiter import Planned, Plans
-from cypresspulley.plans.office import Office
+from cypresspulley.plans.plan_writer import PlanWriter
 from cypresspulley.plans.reservations import MICRO
 from cypresspulley.plans.serve import Publisher
 from cypresspulley.plans.store import Store
@@ -199,8 +199,8 @@
     disk = Disk()
 
     async def run() -> None:
-        office = Office(Store(disk), "vadodara")
-        publisher = Publisher(office, "t")
+        plan_writer = PlanWriter(Store(disk), "vadodara")
+        publisher = Publisher(plan_writer, "t")
         address = await publisher.listen("127.0.0.1", 0)
         gatherer = Gatherer("n1", 7)
         export = Export(Where(*address, "t"), gatherer)
@@ -212,11 +212,11 @@
         await export.flush()
         monkeypatch.undo()
         await export.flush()
-        assert not gatherer.waiting and sum(office.intake.totals.values()) == 5
-        office.compact()
+        assert not gatherer.waiting and sum(plan_writer.intake.totals.values()) == 5
+        plan_writer.compact()
         await publisher.close()
-        again = Office(Store(disk), "vadodara")
-        assert again.intake.totals == office.intake.totals
+        again = PlanWriter(Store(disk), "vadodara")
+        assert again.intake.totals == plan_writer.intake.totals
         gatherer.used(Key("hotel", "p", Stamp(1, 1), 0), 6)
         record = gatherer.cut()
         assert record is not None
@@ -228,8 +228,8 @@
 
 def test_a_limiter_s_part_follows_and_exports_to_its_end() -> None:
     async def run() -> None:
-        office = Office(Store(Disk()), "vadodara")
-        publisher = Publisher(office, "t", beat=0.05)
+        plan_writer = PlanWriter(Store(Disk()), "vadodara")
+        publisher = Publisher(plan_writer, "t", beat=0.05)
         address = await publisher.listen("127.0.0.1", 0)
         plans = Plans(address, "t", "vadodara", "n1", lambda: serve.unix_ms() / 1000)
         config = w.settings(plans=BASE)
@@ -237,14 +237,14 @@
         planned = plans.deciding(gateway, gateway, config)
         plans.start()
         now = serve.unix_ms()
-        office.version("p", LARGE, now, now, "m")
+        plan_writer.version("p", LARGE, now, now, "m")
         publisher.changed()
         async with asyncio.timeout(10):
-            while planned.follower.book != office.book:
+            while planned.follower.book != plan_writer.book:
                 await asyncio.sleep(0.005)
         plans.gatherer.used(Key("hotel", "p", Stamp(1, 1), 0), 9)
         await plans.close()
-        assert sum(office.intake.totals.values()) == 9 and not plans.gatherer.waiting
+        assert sum(plan_writer.intake.totals.values()) == 9 and not plans.gatherer.waiting
         await publisher.close()
         plans.gatherer.used(Key("hotel", "p", Stamp(1, 1), 0), 9)
         await plans.close()  # nobody is there: it is said, and ends all the same
--- a/tests/plans/test_serve.py
+++ b/tests/plans/test_serve.py
@@ -13,7 +13,7 @@
 from cypresspulley.plans.book import Terms
 from cypresspulley.plans.channel import Channel, Where
 from cypresspulley.plans.follow import At, Follower
-from cypresspulley.plans.office import Office
+from cypresspulley.plans.plan_writer import PlanWriter
 from cypresspulley.plans.serve import Publisher, RefusedError, parse_head
 from cypresspulley.plans.store import Store
 from tests.plans.disk import Disk
@@ -40,16 +40,16 @@
                         await asyncio.wait_for(self._news.wait(), 0.05)
 
 
-Play = Callable[[Publisher, Office, tuple[str, int]], Awaitable[None]]
+Play = Callable[[Publisher, PlanWriter, tuple[str, int]], Awaitable[None]]
 
 
 def with_writer(play: Play, disk: Disk | None = None) -> None:
     async def run() -> None:
-        office = Office(Store(disk or Disk()), "vadodara")
-        publisher = Publisher(office, TOKEN, beat=0.05)
+        plan_writer = PlanWriter(Store(disk or Disk()), "vadodara")
+        publisher = Publisher(plan_writer, TOKEN, beat=0.05)
         address = await publisher.listen("127.0.0.1", 0)
         try:
-            await play(publisher, office, address)
+            await play(publisher, plan_writer, address)
         finally:
             await publisher.close()
 
@@ -71,17 +71,17 @@
 
 
 def test_followers_get_the_book_and_each_change() -> None:
-    async def play(publisher: Publisher, office: Office, address: tuple[str, int]) -> None:
+    async def play(publisher: Publisher, plan_writer: PlanWriter, address: tuple[str, int]) -> None:
         now = serve.unix_ms()
-        office.version("p", TERMS, now, now, "m")
+        plan_writer.version("p", TERMS, now, now, "m")
         followed = [Followed(address) for _ in range(3)]
         for one in followed:
-            await one.until(lambda one=one: one.follower.book == office.book)  # type: ignore[misc]
+            await one.until(lambda one=one: one.follower.book == plan_writer.book)  # type: ignore[misc]
         wish = {"wish": "assign", "account": "hotel", "plan": "p", "effective": "+1", "author": "m"}
         status, told = await asked(address, posted(json.dumps(wish).encode()))
         assert status == 200 and json.loads(told)["change"]["account"] == "hotel"
         for one in followed:
-            await one.until(lambda one=one: one.follower.book == office.book)  # type: ignore[misc]
+            await one.until(lambda one=one: one.follower.book == plan_writer.book)  # type: ignore[misc]
             assert one.follower.at is At.CURRENT and "hotel" in one.follower.book.accounts
             one.channel.close()
 
@@ -92,14 +92,14 @@
     disk = Disk()
 
     async def run() -> None:
-        office = Office(Store(disk), "vadodara")
-        first = Publisher(office, TOKEN, beat=0.05)
+        plan_writer = PlanWriter(Store(disk), "vadodara")
+        first = Publisher(plan_writer, TOKEN, beat=0.05)
         address = await first.listen("127.0.0.1", 0)
-        office.version("p", TERMS, serve.unix_ms() + 10_000, serve.unix_ms(), "m")
+        plan_writer.version("p", TERMS, serve.unix_ms() + 10_000, serve.unix_ms(), "m")
         one = Followed(address)
-        await one.until(lambda: one.follower.epoch == 1 and one.follower.book == office.book)
+        await one.until(lambda: one.follower.epoch == 1 and one.follower.book == plan_writer.book)
         await first.close()
-        again = Office(Store(disk), "vadodara")
+        again = PlanWriter(Store(disk), "vadodara")
         again.version("q", TERMS, serve.unix_ms() + 10_000, serve.unix_ms(), "m")
         second = Publisher(again, TOKEN, beat=0.05)
         await second.listen(*address)
@@ -112,7 +112,7 @@
 
 
 def test_a_follower_without_the_token_gets_nothing() -> None:
-    async def play(publisher: Publisher, office: Office, address: tuple[str, int]) -> None:
+    async def play(publisher: Publisher, plan_writer: PlanWriter, address: tuple[str, int]) -> None:
         one = Followed(address, "wrong")
         await one.until(lambda: "401" in one.channel.why)
         assert one.follower.at is At.EMPTY and publisher.followers == 0
@@ -151,10 +151,10 @@
     ],
 )
 def test_what_is_no_call_is_told_and_changes_nothing(raw: bytes, status: int) -> None:
-    async def play(publisher: Publisher, office: Office, address: tuple[str, int]) -> None:
-        before = office.book
+    async def play(publisher: Publisher, plan_writer: PlanWriter, address: tuple[str, int]) -> None:
+        before = plan_writer.book
         found, body = await asked(address, raw)
-        assert found == status and "error" in json.loads(body) and office.book is before
+        assert found == status and "error" in json.loads(body) and plan_writer.book is before
 
     with_writer(play)
 
@@ -162,7 +162,7 @@
 def test_half_a_call_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(serve, "HEAD_WAIT", 0.05)
 
-    async def play(publisher: Publisher, office: Office, address: tuple[str, int]) -> None:
+    async def play(publisher: Publisher, plan_writer: PlanWriter, address: tuple[str, int]) -> None:
         assert (await asked(address, b"GET /v1/pl"))[0] == 400
         assert (await asked(address, posted(b"{}" * 10)[:-3]))[0] == 400
 
@@ -172,7 +172,7 @@
 def test_followers_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(serve, "MOST_FOLLOWERS", 1)
 
-    async def play(publisher: Publisher, office: Office, address: tuple[str, int]) -> None:
+    async def play(publisher: Publisher, plan_writer: PlanWriter, address: tuple[str, int]) -> None:
         one = Followed(address)
         await one.until(lambda: one.follower.at is At.CURRENT)
         head = f"GET /v1/plans HTTP/1.1\r\nAuthorization: Bearer {TOKEN}\r\n\r\n"
@@ -185,12 +185,12 @@
 def test_a_full_disk_is_a_503_and_no_follower_hears_of_the_change() -> None:
     disk = Disk()
 
-    async def play(publisher: Publisher, office: Office, address: tuple[str, int]) -> None:
+    async def play(publisher: Publisher, plan_writer: PlanWriter, address: tuple[str, int]) -> None:
         disk.room = 3
         terms = {"rate": 1, "burst": 2}
         wish = {"wish": "change", "plan": "p", "terms": terms, "author": "m"}
         status, body = await asked(address, posted(json.dumps(wish).encode()))
-        assert status == 503 and b"no space" in body and not office.book.plans
+        assert status == 503 and b"no space" in body and not plan_writer.book.plans
 
     with_writer(play, disk)
 
@@ -232,4 +232,4 @@
 
 def test_an_empty_token_is_refused() -> None:
     with pytest.raises(ValueError, match="token"):
-        Publisher(Office(Store(Disk()), "vadodara"), "")
+        Publisher(PlanWriter(Store(Disk()), "vadodara"), "")
--- a/tests/plans/test_store.py
+++ b/tests/plans/test_store.py
@@ -12,7 +12,7 @@
 
 from cypresspulley.plans.book import BookError, Terms
 from cypresspulley.plans.files import DiskFolder
-from cypresspulley.plans.office import Office
+from cypresspulley.plans.plan_writer import PlanWriter
 from cypresspulley.plans.reservations import At, Wish
 from cypresspulley.plans.store import HEAD, Record, Store, StoreError, check, framed, read
 from tests.plans.disk import CrashError, Disk
@@ -134,40 +134,40 @@
     """What a start may show: what was acknowledged, or that and the one thing that was under way."""
 
     def __init__(self) -> None:
-        self.books, self.epoch = {Office(Store(Disk()), "vadodara").book.digest()}, 0
+        self.books, self.epoch = {PlanWriter(Store(Disk()), "vadodara").book.digest()}, 0
         self.reserved = dict[str, set[At | None]]()
 
-    def check(self, office: Office) -> None:
-        assert office.epoch > self.epoch and office.book.digest() in self.books
+    def check(self, plan_writer: PlanWriter) -> None:
+        assert plan_writer.epoch > self.epoch and plan_writer.book.digest() in self.books
         for key, states in self.reserved.items():
-            found = office.reservations.all.get(key)
+            found = plan_writer.reservations.all.get(key)
             assert (found.at if found is not None else None) in states
-        self.acknowledge(office)
+        self.acknowledge(plan_writer)
 
-    def acknowledge(self, office: Office) -> None:
-        self.epoch, self.books = office.epoch, {office.book.digest()}
-        self.reserved = {key: {one.at} for key, one in office.reservations.all.items()}
+    def acknowledge(self, plan_writer: PlanWriter) -> None:
+        self.epoch, self.books = plan_writer.epoch, {plan_writer.book.digest()}
+        self.reserved = {key: {one.at} for key, one in plan_writer.reservations.all.items()}
 
 
-def outcome_of(office: Office, disk: Disk, do: Callable[[Office], object]) -> str:
+def outcome_of(plan_writer: PlanWriter, disk: Disk, do: Callable[[PlanWriter], object]) -> str:
     """The book's digest after something that an office does, tried on a twin."""
     twin_disk = Disk()
     for name in disk.names():
         twin_disk.append(name).write(disk.read(name))
-    twin = Office(Store(twin_disk), new_epoch=False)
-    twin.epoch = office.epoch
+    twin = PlanWriter(Store(twin_disk), new_epoch=False)
+    twin.epoch = plan_writer.epoch
     do(twin)
     return twin.book.digest()
 
 
-def act(office: Office, disk: Disk, model: Model, step: int, number: int, now: int) -> None:
+def act(plan_writer: PlanWriter, disk: Disk, model: Model, step: int, number: int, now: int) -> None:
     """One thing that an operator wants; the model hears first what may come of it."""
-    do: Callable[[Office], object] | None = None
-    if step == 0 or "p" not in office.book.plans:
+    do: Callable[[PlanWriter], object] | None = None
+    if step == 0 or "p" not in plan_writer.book.plans:
         do = lambda o: o.version("p", TERMS[number % 2], now, now, "m")  # noqa: E731
     elif step == 1:
         do = lambda o: o.assign("hotel", "p", now, now, "m")  # noqa: E731
-    elif step == 2 and office.book.assignment("hotel", now) is not None:
+    elif step == 2 and plan_writer.book.assignment("hotel", now) is not None:
         wish = Wish(f"ev{now}", "hotel", now + 50, now + 60, 1)
         model.reserved[wish.key] = {None, At.HELD, At.REFUSED}
         do = lambda o: o.reserve(wish, now, 1e6 if number % 2 else 1e-9)  # noqa: E731
@@ -176,15 +176,15 @@
         model.reserved[key].add(At.RELEASED)
         do = lambda o: o.release(key, now)  # noqa: E731
     elif step == 4:
-        office.compact()
+        plan_writer.compact()
     if do is not None:
         try:
-            model.books.add(outcome_of(office, disk, do))
+            model.books.add(outcome_of(plan_writer, disk, do))
         except BookError:
-            model.acknowledge(office)
+            model.acknowledge(plan_writer)
             return  # the twin refused it, and so would the office
-        do(office)
-    model.acknowledge(office)
+        do(plan_writer)
+    model.acknowledge(plan_writer)
 
 
 @settings(deadline=None, max_examples=300)
@@ -197,11 +197,11 @@
     for life in range(4):
         disk.left = None if life == 3 else left + life
         try:
-            office = Office(Store(disk), "vadodara")
-            model.check(office)
+            plan_writer = PlanWriter(Store(disk), "vadodara")
+            model.check(plan_writer)
             for number, step in enumerate(steps):
                 now += 10
-                act(office, disk, model, step, number, now)
+                act(plan_writer, disk, model, step, number, now)
         except CrashError:
             pass
         disk = disk.after_crash(rng)
@@ -209,38 +209,38 @@
 
 def test_a_store_of_another_installation_is_refused() -> None:
     disk = Disk()
-    Office(Store(disk), "vadodara")
+    PlanWriter(Store(disk), "vadodara")
     with pytest.raises(StoreError, match="of 'vadodara'; expected 'semien'"):
-        Office(Store(disk), "semien")
+        PlanWriter(Store(disk), "semien")
     with pytest.raises(StoreError, match="installation"):
-        Office(Store(Disk()))
+        PlanWriter(Store(Disk()))
 
 
 def test_what_is_refused_changes_nothing() -> None:
     disk = Disk()
-    office = Office(Store(disk), "vadodara")
-    office.version("p", TERMS[0], 1000, 1000, "m")
-    before, digest = disk.read(disk.names()[0]), office.book.digest()
+    plan_writer = PlanWriter(Store(disk), "vadodara")
+    plan_writer.version("p", TERMS[0], 1000, 1000, "m")
+    before, digest = disk.read(disk.names()[0]), plan_writer.book.digest()
     for bad in (Terms(float("inf"), 1), Terms(1, 1, 0.5, 1)):
         with pytest.raises(BookError):
-            office.version("p", bad, 2000, 1000, "m")
+            plan_writer.version("p", bad, 2000, 1000, "m")
     with pytest.raises(BookError, match="has no plan"):
-        office.reserve(Wish("k", "inn", 2000, 3000, 1), 1000, 1e6)
-    assert disk.read(disk.names()[0]) == before and office.book.digest() == digest
+        plan_writer.reserve(Wish("k", "inn", 2000, 3000, 1), 1000, 1e6)
+    assert disk.read(disk.names()[0]) == before and plan_writer.book.digest() == digest
 
 
 def test_a_full_disk_refuses_a_reservation_and_a_release_whole() -> None:
     disk = Disk()
-    office = Office(Store(disk), "vadodara")
-    office.version("p", TERMS[0], 1000, 1000, "m")
-    office.assign("hotel", "p", 1000, 1000, "m")
-    office.reserve(Wish("a", "hotel", 2000, 3000, 1), 1000, 1e6)
+    plan_writer = PlanWriter(Store(disk), "vadodara")
+    plan_writer.version("p", TERMS[0], 1000, 1000, "m")
+    plan_writer.assign("hotel", "p", 1000, 1000, "m")
+    plan_writer.reserve(Wish("a", "hotel", 2000, 3000, 1), 1000, 1e6)
     disk.room = 3
     with pytest.raises(OSError):
-        office.release("a", 1000)
-    assert office.reservations.all["a"].at is At.HELD
+        plan_writer.release("a", 1000)
+    assert plan_writer.reservations.all["a"].at is At.HELD
     with pytest.raises(OSError):
-        office.reserve(Wish("b", "hotel", 4000, 5000, 1), 1000, 1e6)
-    assert "b" not in office.reservations.all
-    found = Office(Store(disk.after_crash(Random(1))), "vadodara")
+        plan_writer.reserve(Wish("b", "hotel", 4000, 5000, 1), 1000, 1e6)
+    assert "b" not in plan_writer.reservations.all
+    found = PlanWriter(Store(disk.after_crash(Random(1))), "vadodara")
     assert found.reservations.all["a"].at is At.HELD and "b" not in found.reservations.all
--- a/tests/plans/test_wiring.py
+++ b/tests/plans/test_wiring.py
@@ -12,7 +12,7 @@
 from cypresspulley.operators import Operators, OperatorsError, load_operators
 from cypresspulley.plans.book import Stamp, Terms
 from cypresspulley.plans.limiter import Planned
-from cypresspulley.plans.office import Office
+from cypresspulley.plans.plan_writer import PlanWriter
 from cypresspulley.plans.reservations import MICRO
 from cypresspulley.plans.serve import Publisher, unix_ms
 from cypresspulley.plans.store import Store
@@ -70,12 +70,12 @@
     monkeypatch.setenv("FAWNSEAM_PLANS_TOKEN", "t")
 
     async def main() -> None:
-        office = Office(Store(Disk()), "vadodara")
-        publisher = Publisher(office, "t", beat=0.05)
+        plan_writer = PlanWriter(Store(Disk()), "vadodara")
+        publisher = Publisher(plan_writer, "t", beat=0.05)
         host, port = await publisher.listen("127.0.0.1", 0)
         now = unix_ms()
-        office.version("season", Terms(100.0, 100.0), now, now, "m")
-        office.assign("00000000b4d65521", "season", now, now, "m")
+        plan_writer.version("season", Terms(100.0, 100.0), now, now, "m")
+        plan_writer.assign("00000000b4d65521", "season", now, now, "m")
         operators = tmp_path / "operators.toml"
         operators.write_text(f'[plans]\nwriter = "{host}:{port}"\ninstallation = "vadodara"\n')
         async with (
@@ -88,7 +88,7 @@
             reader, writer = await program.connect()
             served = 0
             async with asyncio.timeout(20):
-                while not any(key.plan == "season" for key in office.intake.totals):
+                while not any(key.plan == "season" for key in plan_writer.intake.totals):
                     writer.write(ask())
                     first, _, _ = await read_message(reader)
                     served += " 200 " in first
@@ -96,7 +96,7 @@
             writer.close()
             program.process.terminate()
             assert await asyncio.wait_for(program.process.wait(), 20) == 0
-        totals = office.intake.totals
+        totals = plan_writer.intake.totals
         assert sum(totals.values()) == served * MICRO
         assert {key.version for key in totals if key.plan == "season"} == {Stamp(1, 1)}
         await publisher.close()
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -18,7 +18,7 @@
 from cypresspulley.operators import OperatorsError
 from cypresspulley.plans import serve
 from cypresspulley.plans.follow import At
-from cypresspulley.plans.office import Office
+from cypresspulley.plans.plan_writer import PlanWriter
 from cypresspulley.plans.serve import Publisher
 from cypresspulley.plans.store import Store
 from cypresspulley.service import RECORD
@@ -100,7 +100,7 @@
         transport = asyncio.Transport()
 
     async def main() -> None:
-        publisher = Publisher(Office(Store(Disk()), "vadodara"), TOKEN, beat=0.05)
+        publisher = Publisher(PlanWriter(Store(Disk()), "vadodara"), TOKEN, beat=0.05)
         address = await publisher.listen("127.0.0.1", 0)
         others: list[Any] = [FollowerStub() for _ in range(LARGE_FLEET_SIZE - 1)]
         publisher._writers.update(others)
