--- a/cypresspulley/plans/office.py
+++ b/cypresspulley/plans/plan_writer.py
@@ -23,7 +23,7 @@
     Withdrawal,
     check_new,
 )  # fmt: skip
-from cypresspulley.plans.bucket_level import slack
+from cypresspulley.plans.bucket_level import max_ceiling_overshoot
 from cypresspulley.plans.events import MARK, drawn, event_plan, event_terms
 from cypresspulley.plans.lease import LEASE
 from cypresspulley.plans.reservations import MICRO, OVER, Reservation, Reservations, Room, Wish
@@ -36,7 +36,7 @@
 SETTLE = 15_000  # milliseconds in which limiters end what they have in hand under the event's plan, and tell their use
 
 
-class Office:
+class PlanWriter:
     """One installation's plans. ``now`` is Unix time in milliseconds, from whoever calls."""
 
     def __init__(self, store: Store, installation: str = "", new_epoch: bool = True) -> None:
@@ -54,7 +54,7 @@
             self._store.commit()
 
     def __repr__(self) -> str:
-        return f"<Office epoch {self.epoch}, {self.book!r}, {len(self.reservations.all)} reservations>"
+        return f"<PlanWriter epoch {self.epoch}, {self.book!r}, {len(self.reservations.all)} reservations>"
 
     # Reading what is there.
 
@@ -174,7 +174,7 @@
             old = self.book.terms(account, change.effective - 1)
             if old is None or new is None or old.terms.ceiling_rate <= 0 or new.terms.ceiling_rate <= 0:
                 continue
-            by = slack(
+            by = max_ceiling_overshoot(
                 (old.terms.ceiling_rate, old.terms.ceiling_burst),
                 (new.terms.ceiling_rate, new.terms.ceiling_burst),
                 late,
