--- a/benchmarks/plan_use.py
+++ b/benchmarks/plan_use.py
@@ -11,7 +11,7 @@
 import sys
 from concurrent.futures import ProcessPoolExecutor
 
-from cypresspulley.plans.reservations import MICRO
+from cypresspulley.plans.reservations import MICRO_PER_UNIT
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.scenario import load_scenario
 from cypresspulley.rehearsal.virtual.play import play_virtual
@@ -40,7 +40,7 @@
         ran, told, left = (sum(row[n] for row in found) for n in range(3))
         print(
             f"{'a limiter killed' if kills else 'no kills'}, {options.seeds} seeds: servers ran {ran} tries, "
-            f"{told / MICRO:g} units were told; {ran - told / MICRO:+g} not told, "
+            f"{told / MICRO_PER_UNIT:g} units were told; {ran - told / MICRO_PER_UNIT:+g} not told, "
             f"{left} of all were left by their clients"
         )
     return 0
--- a/cypresspulley/plans/events.py
+++ b/cypresspulley/plans/events.py
@@ -10,7 +10,7 @@
 from dataclasses import replace
 
 from cypresspulley.plans.book import BookError, Terms
-from cypresspulley.plans.reservations import MICRO, Wish
+from cypresspulley.plans.reservations import MICRO_PER_UNIT, ReservationRequest
 
 AT_ONCE = 0.1  # of a reservation, that may be drawn in a moment
 MARK = "+"  # between a plan's name and the reservation's key
@@ -20,9 +20,9 @@
     return f"{plan}{MARK}{key}"
 
 
-def event_terms(base: Terms, wish: Wish) -> Terms:
+def event_terms(base: Terms, wish: ReservationRequest) -> Terms:
     """The account's terms with the reservation on top; ``BookError`` where they would stand above the ceiling."""
-    units, seconds = wish.units / MICRO, (wish.end - wish.start) / 1000
+    units, seconds = wish.units / MICRO_PER_UNIT, (wish.end - wish.start) / 1000
     terms = replace(
         base, rate=base.rate + (1 - AT_ONCE) * units / seconds, burst=base.burst + AT_ONCE * units
     )
@@ -31,6 +31,6 @@
     return terms
 
 
-def drawn(wish: Wish, used: int) -> int:
+def drawn(wish: ReservationRequest, used: int) -> int:
     """Micro-units of the reservation that so much use under the event's plan has drawn."""
     return max(0, min(wish.units, used))
--- a/cypresspulley/plans/limiter.py
+++ b/cypresspulley/plans/limiter.py
@@ -23,7 +23,7 @@
 from cypresspulley.plans.channel import Channel, EndedError, Where
 from cypresspulley.plans.export import Export
 from cypresspulley.plans.follow import At, Follower
-from cypresspulley.plans.reservations import MICRO
+from cypresspulley.plans.reservations import MICRO_PER_UNIT
 from cypresspulley.plans.use import Gatherer, Key
 from cypresspulley.policy.account import Account
 from cypresspulley.policy.gateway import NEVER_RAN, Gateway
@@ -138,7 +138,7 @@
         version = self._in_force.get(plan)
         stamp = version.stamp if version is not None else UNVERSIONED
         bound = ev if plan == ev.plan else replace(ev, plan=plan)
-        self._open[ev.id] = Key(ev.account, plan, stamp, int(now) // PERIOD), round(ev.units * MICRO)
+        self._open[ev.id] = Key(ev.account, plan, stamp, int(now) // PERIOD), round(ev.units * MICRO_PER_UNIT)
         self._carry(now, bound)
         return bound
 
@@ -198,7 +198,7 @@
         del self._open[ev.id]
         self._out.pop(ev.id, None)
         key, units = counts
-        true = round(ev.units * MICRO) if ev.status is Status.OK and ev.units is not None else units
+        true = round(ev.units * MICRO_PER_UNIT) if ev.status is Status.OK and ev.units is not None else units
         self.gatherer.used(key, true)
 
 
--- a/cypresspulley/plans/plan_writer.py
+++ b/cypresspulley/plans/plan_writer.py
@@ -26,8 +26,15 @@
 from cypresspulley.plans.bucket_level import max_ceiling_overshoot
 from cypresspulley.plans.events import MARK, drawn, event_plan, event_terms
 from cypresspulley.plans.lease import LEASE
-from cypresspulley.plans.reservations import MICRO, OVER, Reservation, Reservations, Room, Wish
-from cypresspulley.plans.reservations import At as Stands
+from cypresspulley.plans.reservations import (
+    MICRO_PER_UNIT,
+    TERMINAL_STATES,
+    Capacity,
+    Reservation,
+    ReservationRequest,
+    Reservations,
+    ReservationState,
+)
 from cypresspulley.plans.store import Record, Store, StoreError
 from cypresspulley.plans.use import Intake, record_from
 from cypresspulley.plans.use import Record as Use
@@ -88,11 +95,11 @@
         self.log.append(change)
 
     def _replay_reservation(self, record: Record) -> None:
-        wish = Wish(**record["wish"])
-        one = Reservation(wish, Stands(record["at"]), record["drawn"], {}, record["given_back"])
+        wish = ReservationRequest(**record["wish"])
+        one = Reservation(wish, ReservationState(record["at"]), record["drawn"], {}, record["given_back"])
         one.corrections, one.past = record["corrections"], record["past"]
         one.plan, one.since = record["plan"], record["since"]
-        if one.at in (Stands.ACTIVE, Stands.DRAINING):
+        if one.at in (ReservationState.ACTIVE, ReservationState.DRAINING):
             one.flying[LIMITERS] = 0
         self.reservations.all[wish.key] = one
 
@@ -143,7 +150,10 @@
         check_new(self.book, change, now)
         if isinstance(change, Assignment):
             for one in self.reservations.all.values():
-                held = one.at in (Stands.HELD, Stands.ACTIVE) and one.wish.account == change.account
+                held = (
+                    one.at in (ReservationState.HELD, ReservationState.ACTIVE)
+                    and one.wish.account == change.account
+                )
                 if held and one.wish.start <= change.effective < one.wish.end:
                     raise BookError(
                         f"account: {change.account} has reservation {one.wish.key} then; release it first"
@@ -195,17 +205,21 @@
 
     # Reservations.
 
-    def room(self, account: str, at: int, fleet_rate: float) -> Room:
+    def room(self, account: str, at: int, fleet_rate: float) -> Capacity:
         """What the fleet (units a second that may be set aside) and the account's plan can hold."""
         found = self.book.terms(account, at)
         if found is None:
             raise BookError(f"account: {account!r} has no plan at {at}; expected one that is assigned")
         terms = found.terms
-        return Room(
-            int(fleet_rate * MICRO), int(terms.ceiling_rate * MICRO), int(terms.ceiling_burst * MICRO)
+        return Capacity(
+            int(fleet_rate * MICRO_PER_UNIT),
+            int(terms.ceiling_rate * MICRO_PER_UNIT),
+            int(terms.ceiling_burst * MICRO_PER_UNIT),
         )
 
-    def reserve(self, wish: Wish, now: int, fleet_rate: float, dry: bool = False) -> Reservation:
+    def reserve(
+        self, wish: ReservationRequest, now: int, fleet_rate: float, dry: bool = False
+    ) -> Reservation:
         """Set aside, or refuse; stored before it is said, with the event's plan that limiters go by."""
         if wish.end <= now:
             raise BookError(f"end: expected an instant after {now}, got {wish.end}, which is past")
@@ -214,7 +228,7 @@
             return self.reservations.ask(wish, room)
         try:
             one = self.reservations.ask(wish, room)
-            changes = self._event(one, now) if one.at is Stands.HELD else []
+            changes = self._event(one, now) if one.at is ReservationState.HELD else []
             self._store_event(one, changes, dry)
         except (OSError, BookError):
             self.reservations.all.pop(wish.key, None)
@@ -243,11 +257,11 @@
         ]
 
     @staticmethod
-    def _meets(wish: Wish, other: Reservation) -> bool:
+    def _meets(wish: ReservationRequest, other: Reservation) -> bool:
         """Whether both are of one account, and open at one time."""
         there = other.wish
         together = there.start < wish.end and wish.start < there.end
-        return other.at not in OVER and there.account == wish.account and together
+        return other.at not in TERMINAL_STATES and there.account == wish.account and together
 
     def _free(self, account: str, instant: int) -> int:
         """The instant, or the next one that no other assignment of the account has."""
@@ -272,7 +286,7 @@
         """No new draws from now on; what is not drawn is given back once limiters have told all they used."""
         known = self.reservations.all.get(key)
         before = replace(known, flying=dict(known.flying)) if known is not None else None
-        if known is not None and known.at in (Stands.HELD, Stands.ACTIVE):
+        if known is not None and known.at in (ReservationState.HELD, ReservationState.ACTIVE):
             known.since = now
         one = self.reservations.release(key)
         if before is not None and one.at is not before.at:
@@ -305,9 +319,9 @@
         """Windows of reservations begin and end; what drains settles once all use has had time to come."""
         changed = self.reservations.tick(now)
         for one in self.reservations.all.values():
-            if one.at is Stands.ACTIVE:
+            if one.at is ReservationState.ACTIVE:
                 one.flying.setdefault(LIMITERS, 0)
-            elif one.at is Stands.DRAINING:
+            elif one.at is ReservationState.DRAINING:
                 one.since = one.since or now
                 if now >= one.since + SETTLE:
                     self.reservations.settle(one.wish.key, LIMITERS, drawn(one.wish, self._used(one)))
@@ -322,14 +336,16 @@
 
     def _late(self, record: Use) -> None:
         """Use that comes after its reservation has settled is a correction of it, and changes nothing given back."""
-        over = {one.plan: one for one in self.reservations.all.values() if one.plan and one.at in OVER}
+        over = {
+            one.plan: one for one in self.reservations.all.values() if one.plan and one.at in TERMINAL_STATES
+        }
         for key, units in record.rows:
             if (one := over.get(key.plan)) is not None:
                 self.reservations.correct(one.wish.key, units)
 
 
 def _reservation_record(one: Reservation) -> Record:
-    wish = {name: getattr(one.wish, name) for name in Wish.__slots__}
+    wish = {name: getattr(one.wish, name) for name in ReservationRequest.__slots__}
     return {
         "kind": "reservation", "wish": wish, "at": one.at.value, "drawn": one.drawn,
         "given_back": one.given_back, "corrections": one.corrections, "past": one.past,
--- a/cypresspulley/plans/reservations.py
+++ b/cypresspulley/plans/reservations.py
@@ -10,16 +10,16 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-MICRO = 1_000_000  # micro-units of a unit
-MOST_HELD = 10_000  # reservations that are not over, of one installation
-MOST_IN_FLIGHT = 100_000  # requests that draw on one
+MICRO_PER_UNIT = 1_000_000  # micro-units of a unit
+MAX_OPEN_RESERVATIONS = 10_000  # reservations that are not over, of one installation
+MAX_IN_FLIGHT_DRAWS = 100_000  # requests that draw on one
 
 
 class ReservationError(ValueError):
     """A reservation that cannot be made or used so; the text says what was expected."""
 
 
-class At(Enum):
+class ReservationState(Enum):
     REQUESTED = "requested"
     HELD = "held"  # admitted, its window has not begun
     ACTIVE = "active"
@@ -29,7 +29,7 @@
     REFUSED = "refused"
 
 
-class Heard(Enum):
+class ReservationEvent(Enum):
     ADMITTED = "admitted"
     REFUSED = "refused"
     BEGUN = "begun"  # its window has
@@ -39,24 +39,24 @@
     SPENT = "spent"  # it has, and the window is over
 
 
-OVER = (At.RELEASED, At.EXPIRED, At.REFUSED)
+TERMINAL_STATES = (ReservationState.RELEASED, ReservationState.EXPIRED, ReservationState.REFUSED)
 # What is not here changes nothing: a release of what is over, a window's begin after a release.
-TABLE: dict[tuple[At, Heard], At] = {
-    (At.REQUESTED, Heard.ADMITTED): At.HELD,
-    (At.REQUESTED, Heard.REFUSED): At.REFUSED,
-    (At.REQUESTED, Heard.RELEASE): At.RELEASED,
-    (At.HELD, Heard.BEGUN): At.ACTIVE,
-    (At.HELD, Heard.RELEASE): At.RELEASED,
-    (At.HELD, Heard.OVER): At.EXPIRED,
-    (At.ACTIVE, Heard.RELEASE): At.DRAINING,
-    (At.ACTIVE, Heard.OVER): At.DRAINING,
-    (At.DRAINING, Heard.EMPTY): At.RELEASED,
-    (At.DRAINING, Heard.SPENT): At.EXPIRED,
+TRANSITIONS: dict[tuple[ReservationState, ReservationEvent], ReservationState] = {
+    (ReservationState.REQUESTED, ReservationEvent.ADMITTED): ReservationState.HELD,
+    (ReservationState.REQUESTED, ReservationEvent.REFUSED): ReservationState.REFUSED,
+    (ReservationState.REQUESTED, ReservationEvent.RELEASE): ReservationState.RELEASED,
+    (ReservationState.HELD, ReservationEvent.BEGUN): ReservationState.ACTIVE,
+    (ReservationState.HELD, ReservationEvent.RELEASE): ReservationState.RELEASED,
+    (ReservationState.HELD, ReservationEvent.OVER): ReservationState.EXPIRED,
+    (ReservationState.ACTIVE, ReservationEvent.RELEASE): ReservationState.DRAINING,
+    (ReservationState.ACTIVE, ReservationEvent.OVER): ReservationState.DRAINING,
+    (ReservationState.DRAINING, ReservationEvent.EMPTY): ReservationState.RELEASED,
+    (ReservationState.DRAINING, ReservationEvent.SPENT): ReservationState.EXPIRED,
 }
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
+class ReservationRequest:
     """What was asked for. ``start`` and ``end`` are Unix time in milliseconds, ``units`` micro-units."""
 
     key: str
@@ -72,15 +72,15 @@
         if self.end <= self.start:
             raise ReservationError(f"end: expected an instant after {self.start}, got {self.end}")
         if self.units <= 0:
-            raise ReservationError(f"units: expected a number above 0, got {self.units / MICRO:g}")
+            raise ReservationError(f"units: expected a number above 0, got {self.units / MICRO_PER_UNIT:g}")
 
 
 @dataclass(slots=True)
 class Reservation:
     """One wish and what became of it."""
 
-    wish: Wish
-    at: At = At.REQUESTED
+    wish: ReservationRequest
+    at: ReservationState = ReservationState.REQUESTED
     drawn: int = 0  # settled micro-units
     flying: dict[str, int] = field(default_factory=dict)  # guesses of the requests in flight
     given_back: int = 0
@@ -91,35 +91,35 @@
 
     def __repr__(self) -> str:
         w = self.wish
-        return f"<Reservation {w.key} of {w.account}: {self.at.value}, {self.drawn / MICRO:g} of {w.units / MICRO:g}>"
+        return f"<Reservation {w.key} of {w.account}: {self.at.value}, {self.drawn / MICRO_PER_UNIT:g} of {w.units / MICRO_PER_UNIT:g}>"
 
     @property
     def left(self) -> int:
         """Micro-units that a new draw may have; 0 unless it is active."""
-        if self.at is not At.ACTIVE:
+        if self.at is not ReservationState.ACTIVE:
             return 0
         return max(0, self.wish.units - self.drawn - sum(self.flying.values()))
 
-    def hear(self, what: Heard) -> bool:
+    def hear(self, what: ReservationEvent) -> bool:
         """Whether that changed anything."""
-        now = TABLE.get((self.at, what))
+        now = TRANSITIONS.get((self.at, what))
         if now is None:
             return False
-        self.at, self.past = now, self.past or what is Heard.OVER
-        if now is At.DRAINING:
+        self.at, self.past = now, self.past or what is ReservationEvent.OVER
+        if now is ReservationState.DRAINING:
             self.ended()
-        elif now in (At.RELEASED, At.EXPIRED):
+        elif now in (ReservationState.RELEASED, ReservationState.EXPIRED):
             self.given_back = max(0, self.wish.units - self.drawn)
         return True
 
     def ended(self) -> None:
         """A draw has ended: with the last one a reservation that drains is over."""
         if not self.flying:
-            self.hear(Heard.SPENT if self.past else Heard.EMPTY)
+            self.hear(ReservationEvent.SPENT if self.past else ReservationEvent.EMPTY)
 
 
 @dataclass(frozen=True, slots=True)
-class Room:
+class Capacity:
     """What plan and fleet can hold: micro-units a second of the fleet that may be set aside, and an account's ceiling
     (rate a second and burst in micro-units; 0: none)."""
 
@@ -128,7 +128,7 @@
     ceiling_burst: int = 0
 
 
-def most_at_once(wishes: Iterable[Wish]) -> float:
+def peak_rate(wishes: Iterable[ReservationRequest]) -> float:
     """The most micro-units a second that wishes ask for at any one time, each spread evenly over its window."""
     edges = list[tuple[int, int, float]]()
     for wish in wishes:
@@ -150,30 +150,30 @@
     def __init__(self) -> None:
         self.all = dict[str, Reservation]()
 
-    def ask(self, wish: Wish, room: Room) -> Reservation:
+    def ask(self, wish: ReservationRequest, room: Capacity) -> Reservation:
         """Set aside, or refuse; the same key and wish again change nothing. ``ReservationError`` for bad input."""
         wish.check()
         if (known := self.all.get(wish.key)) is not None:
             if known.wish != wish:
                 raise ReservationError(f"key: {wish.key!r} names another reservation; expected a new key")
             return known
-        open_ = [r for r in self.all.values() if r.at not in OVER]
-        if len(open_) >= MOST_HELD:
-            raise ReservationError(f"expected at most {MOST_HELD} reservations that are not over")
+        open_ = [r for r in self.all.values() if r.at not in TERMINAL_STATES]
+        if len(open_) >= MAX_OPEN_RESERVATIONS:
+            raise ReservationError(f"expected at most {MAX_OPEN_RESERVATIONS} reservations that are not over")
         one = self.all[wish.key] = Reservation(wish)
-        one.hear(Heard.ADMITTED if self._fits(wish, open_, room) else Heard.REFUSED)
+        one.hear(ReservationEvent.ADMITTED if self._fits(wish, open_, room) else ReservationEvent.REFUSED)
         return one
 
     @staticmethod
-    def _fits(wish: Wish, open_: list[Reservation], room: Room) -> bool:
+    def _fits(wish: ReservationRequest, open_: list[Reservation], room: Capacity) -> bool:
         beside = [r.wish for r in open_ if r.wish.start < wish.end and wish.start < r.wish.end]
-        if most_at_once([*beside, wish]) > room.fleet_rate:
+        if peak_rate([*beside, wish]) > room.fleet_rate:
             return False
         if room.ceiling_rate <= 0:
             return True
         own = [w for w in beside if w.account == wish.account]
         # Any span of the window must hold it: what is reserved beyond the rate comes out of the burst.
-        over = most_at_once([*own, wish]) - room.ceiling_rate
+        over = peak_rate([*own, wish]) - room.ceiling_rate
         return over <= 0 or wish.units + sum(w.units for w in own) <= (
             room.ceiling_burst + room.ceiling_rate * (wish.end - wish.start) // 1000
         )
@@ -182,8 +182,8 @@
         """Windows begin and end; what changed."""
         changed = []
         for one in self.all.values():
-            begun = one.wish.start <= now and one.hear(Heard.BEGUN)
-            ended = one.wish.end <= now and one.hear(Heard.OVER)
+            begun = one.wish.start <= now and one.hear(ReservationEvent.BEGUN)
+            ended = one.wish.end <= now and one.hear(ReservationEvent.OVER)
             if begun or ended:
                 changed.append(one)
         return changed
@@ -192,7 +192,7 @@
         """Give back what is not drawn; a second time changes nothing."""
         if (one := self.all.get(key)) is None:
             raise ReservationError(f"key: no reservation is named {key!r}")
-        one.hear(Heard.RELEASE)
+        one.hear(ReservationEvent.RELEASE)
         return one
 
     def draw(self, key: str, request: str, units: int) -> bool:
@@ -202,7 +202,11 @@
             return False
         if request in one.flying:
             return True
-        if one.at is not At.ACTIVE or one.left < units or len(one.flying) >= MOST_IN_FLIGHT:
+        if (
+            one.at is not ReservationState.ACTIVE
+            or one.left < units
+            or len(one.flying) >= MAX_IN_FLIGHT_DRAWS
+        ):
             return False
         one.flying[request] = units
         return True
--- a/cypresspulley/plans/wishes.py
+++ b/cypresspulley/plans/wishes.py
@@ -13,7 +13,7 @@
 from cypresspulley.plans.book import Book, BookError, Change, Version, Withdrawal
 from cypresspulley.plans.lease import LEASE
 from cypresspulley.plans.plan_writer import PlanWriter
-from cypresspulley.plans.reservations import MICRO, Reservation, ReservationError, Wish
+from cypresspulley.plans.reservations import MICRO_PER_UNIT, Reservation, ReservationError, ReservationRequest
 from cypresspulley.plans.use import record_from
 
 log = logging.getLogger(__name__)
@@ -111,9 +111,9 @@
 
 
 def _reserve(plan_writer: PlanWriter, keys: _Raw, now: int, dry: bool) -> dict[str, Any]:
-    wish = Wish(
+    wish = ReservationRequest(
         keys.text("key"), keys.text("account"), keys.instant("start", now), keys.instant("end", now),
-        round(keys.figure("units") * MICRO), keys.text("purpose", ""),
+        round(keys.figure("units") * MICRO_PER_UNIT), keys.text("purpose", ""),
     )  # fmt: skip
     return reservation_json(plan_writer.reserve(wish, now, keys.figure("fleet_rate"), dry))
 
@@ -123,7 +123,7 @@
     w = one.wish
     return {
         "key": w.key, "account": w.account, "start": w.start, "end": w.end, "purpose": w.purpose, "at": one.at.value,
-        "units": w.units / MICRO, "drawn": one.drawn / MICRO, "given_back": one.given_back / MICRO,
+        "units": w.units / MICRO_PER_UNIT, "drawn": one.drawn / MICRO_PER_UNIT, "given_back": one.given_back / MICRO_PER_UNIT,
     }  # fmt: skip
 
 
--- a/cypresspulley/rehearsal/standins/bookkeeper.py
+++ b/cypresspulley/rehearsal/standins/bookkeeper.py
@@ -9,7 +9,7 @@
 from cypresspulley.plans.book import BookError, Terms
 from cypresspulley.plans.files import MemoryFolder
 from cypresspulley.plans.plan_writer import PlanWriter
-from cypresspulley.plans.reservations import MICRO, At, Wish
+from cypresspulley.plans.reservations import MICRO_PER_UNIT, ReservationRequest, ReservationState
 from cypresspulley.plans.serve import Publisher
 from cypresspulley.plans.store import Store
 from cypresspulley.rehearsal.records import PlanMoved
@@ -83,11 +83,13 @@
         """Set allowance aside for accounts, a part of what their plans give meanwhile, and release it half way."""
         now, keys = self._stage.unix_ms(), list[str]()
         for account, plan in accounts:
-            units = round(part * self._plans[plan].rate * lasts * MICRO)
-            wish = Wish(f"ev-{account}", account, now + 300, now + round(lasts * 1000), units, "rehearsal")
+            units = round(part * self._plans[plan].rate * lasts * MICRO_PER_UNIT)
+            wish = ReservationRequest(
+                f"ev-{account}", account, now + 300, now + round(lasts * 1000), units, "rehearsal"
+            )
             if self.plan_writer.book.assignment(account, now) is None:
                 self.plan_writer.assign(account, plan, now, now, "rehearsal")
-            keys += [wish.key] if self.plan_writer.reserve(wish, now, 1e6).at is At.HELD else []
+            keys += [wish.key] if self.plan_writer.reserve(wish, now, 1e6).at is ReservationState.HELD else []
         self._changed()
         await asyncio.sleep(lasts / 2)
         self.plan_writer.tick(self._stage.unix_ms())
--- a/tests/plans/test_churn.py
+++ b/tests/plans/test_churn.py
@@ -13,7 +13,7 @@
 from cypresspulley.plans.book import Book, Stamp, Version
 from cypresspulley.plans.follow import Follower, Heard
 from cypresspulley.plans.limiter import Planned
-from cypresspulley.plans.reservations import At
+from cypresspulley.plans.reservations import ReservationState
 from tests.plans import test_follow, test_reservations, test_use
 
 SEEDS = range(6)
@@ -109,7 +109,11 @@
 def test_a_reservation_released_early_is_convicted(monkeypatch: pytest.MonkeyPatch) -> None:
     check = test_reservations.test_a_release_while_drawn_on_settles_by_what_is_in_flight
     assert not fails(check)
-    monkeypatch.setitem(reservations.TABLE, (At.ACTIVE, reservations.Heard.RELEASE), At.RELEASED)
+    monkeypatch.setitem(
+        reservations.TRANSITIONS,
+        (ReservationState.ACTIVE, reservations.ReservationEvent.RELEASE),
+        ReservationState.RELEASED,
+    )
     assert fails(check)
 
 
--- a/tests/plans/test_events.py
+++ b/tests/plans/test_events.py
@@ -11,7 +11,7 @@
 from cypresspulley.plans.book import BookError, Stamp, Terms
 from cypresspulley.plans.events import drawn, event_plan, event_terms
 from cypresspulley.plans.plan_writer import SETTLE, PlanWriter
-from cypresspulley.plans.reservations import MICRO, At, Wish
+from cypresspulley.plans.reservations import MICRO_PER_UNIT, ReservationRequest, ReservationState
 from cypresspulley.plans.store import Store
 from cypresspulley.plans.use import Key, Record
 from tests.plans.disk import Disk
@@ -19,30 +19,30 @@
 
 BASE = Terms(2.0, 8.0, 20.0, 200.0)
 START, END = 120_000, 180_000
-WISH = Wish("wedding", "hotel", START, END, 300 * MICRO, "a wedding")
+WISH = ReservationRequest("wedding", "hotel", START, END, 300 * MICRO_PER_UNIT, "a wedding")
 PLAN = event_plan("p", "wedding")
 
 
-def plan_writer_with(wish: Wish = WISH, disk: Disk | None = None) -> PlanWriter:
+def plan_writer_with(wish: ReservationRequest = WISH, disk: Disk | None = None) -> PlanWriter:
     plan_writer = PlanWriter(Store(disk or Disk()), "vadodara")
     plan_writer.version("p", BASE, 90_000, 90_000, "m")
     plan_writer.assign("hotel", "p", 90_000, 90_000, "m")
-    assert plan_writer.reserve(wish, 100_000, 1000.0).at is At.HELD
+    assert plan_writer.reserve(wish, 100_000, 1000.0).at is ReservationState.HELD
     return plan_writer
 
 
 def used(plan_writer: PlanWriter, units: float, seq: int, plan: str = PLAN) -> None:
     key = Key("hotel", plan, Stamp(1, 3), 0)
-    assert plan_writer.take_use(Record("n1", 1, seq, ((key, round(units * MICRO)),)))
+    assert plan_writer.take_use(Record("n1", 1, seq, ((key, round(units * MICRO_PER_UNIT)),)))
 
 
 @given(st.floats(1, 1e4), st.integers(1, 3600))
 def test_no_more_than_the_reservation_can_be_drawn_beyond_the_plan(units: float, seconds: int) -> None:
-    wish = Wish("k", "hotel", 0, seconds * 1000, round(units * MICRO))
+    wish = ReservationRequest("k", "hotel", 0, seconds * 1000, round(units * MICRO_PER_UNIT))
     base = Terms(2.0, 8.0)
     terms = event_terms(base, wish)
     most = (terms.burst - base.burst) + (terms.rate - base.rate) * seconds
-    assert most == pytest.approx(wish.units / MICRO)
+    assert most == pytest.approx(wish.units / MICRO_PER_UNIT)
     assert drawn(wish, wish.units * 2) == wish.units and drawn(wish, -5) == 0
 
 
@@ -51,7 +51,9 @@
     plan_writer = plan_writer_with(disk=disk)
     before, changes = disk.read(disk.names()[0]), len(plan_writer.log)
     with pytest.raises(BookError, match="ceiling: expected at least the quota"):
-        plan_writer.reserve(Wish("more", "hotel", 200_000, 201_000, 30 * MICRO), 100_000, 1000.0)
+        plan_writer.reserve(
+            ReservationRequest("more", "hotel", 200_000, 201_000, 30 * MICRO_PER_UNIT), 100_000, 1000.0
+        )
     assert "more" not in plan_writer.reservations.all and len(plan_writer.log) == changes
     assert disk.read(disk.names()[0]) == before
 
@@ -75,20 +77,20 @@
 
 def test_a_release_while_drawn_on_settles_by_what_limiters_tell() -> None:
     plan_writer = plan_writer_with()
-    assert [one.at for one in plan_writer.tick(START)] == [At.ACTIVE]
+    assert [one.at for one in plan_writer.tick(START)] == [ReservationState.ACTIVE]
     used(plan_writer, 40, 1)
     one = plan_writer.release("wedding", START + 10_000)
-    assert one.at is At.DRAINING and one.given_back == 0
+    assert one.at is ReservationState.DRAINING and one.given_back == 0
     found = plan_writer.book.terms("hotel", START + 10_001)
     assert found is not None and found.plan == "p"
     used(plan_writer, 25, 2)  # in flight at the release
     assert plan_writer.release("wedding", START + 11_000) is one and plan_writer.tick(START + 11_000) == []
     assert len(plan_writer.log) == 7  # one way back, and the later one withdrawn, whoever releases again
     plan_writer.tick(START + 10_000 + SETTLE)
-    assert plan_writer.reservations.all["wedding"].at is At.RELEASED
-    assert one.drawn == 65 * MICRO and one.given_back == 235 * MICRO
+    assert plan_writer.reservations.all["wedding"].at is ReservationState.RELEASED
+    assert one.drawn == 65 * MICRO_PER_UNIT and one.given_back == 235 * MICRO_PER_UNIT
     used(plan_writer, 3, 3)  # a day late
-    assert one.corrections == 3 * MICRO and one.given_back == 235 * MICRO
+    assert one.corrections == 3 * MICRO_PER_UNIT and one.given_back == 235 * MICRO_PER_UNIT
 
 
 def test_a_window_that_ends_settles_and_what_is_beyond_it_is_plain_use() -> None:
@@ -99,12 +101,12 @@
     plan_writer.tick(END)
     plan_writer.tick(END + SETTLE)
     one = plan_writer.reservations.all["wedding"]
-    assert one.at is At.EXPIRED and one.drawn == WISH.units and one.given_back == 0
+    assert one.at is ReservationState.EXPIRED and one.drawn == WISH.units and one.given_back == 0
 
 
 def test_a_release_before_the_window_takes_the_account_off_it() -> None:
     plan_writer = plan_writer_with()
-    assert plan_writer.release("wedding", 110_000).at is At.RELEASED
+    assert plan_writer.release("wedding", 110_000).at is ReservationState.RELEASED
     assert [a.plan for a in plan_writer.book.accounts["hotel"]] == ["p"]
 
 
@@ -132,11 +134,11 @@
     used(again, 5, 2)
     again.tick(START + 1000 + SETTLE)
     one = again.reservations.all["wedding"]
-    assert one.at is At.RELEASED and one.drawn == 15 * MICRO
+    assert one.at is ReservationState.RELEASED and one.drawn == 15 * MICRO_PER_UNIT
     used(again, 2, 3)
     again.compact()
     last = PlanWriter(Store(disk), "vadodara").reservations.all["wedding"]
-    assert (last.drawn, last.corrections, last.plan) == (15 * MICRO, 2 * MICRO, PLAN)
+    assert (last.drawn, last.corrections, last.plan) == (15 * MICRO_PER_UNIT, 2 * MICRO_PER_UNIT, PLAN)
 
 
 def test_an_account_with_a_reservation_stays_where_it_is() -> None:
@@ -145,4 +147,4 @@
         plan_writer.assign("hotel", "p", START + 5, 100_000, "m")
     plan_writer.assign("hotel", "p", END + 5, 100_000, "m")
     with pytest.raises(BookError, match="another reservation then"):
-        plan_writer.reserve(Wish("b", "hotel", END - 5, END + 5, 1), 100_000, 1000.0)
+        plan_writer.reserve(ReservationRequest("b", "hotel", END - 5, END + 5, 1), 100_000, 1000.0)
--- a/tests/plans/test_limiter.py
+++ b/tests/plans/test_limiter.py
@@ -15,7 +15,7 @@
 from cypresspulley.plans.follow import Follower
 from cypresspulley.plans.limiter import Planned, Plans
 from cypresspulley.plans.plan_writer import PlanWriter
-from cypresspulley.plans.reservations import MICRO
+from cypresspulley.plans.reservations import MICRO_PER_UNIT
 from cypresspulley.plans.serve import Publisher
 from cypresspulley.plans.store import Store
 from cypresspulley.plans.use import Gatherer, Key
@@ -152,7 +152,7 @@
     day.world.serve()
     old, new = Key("hotel", "p", Stamp(1, 1), period), Key("hotel", "p", Stamp(1, 3), period)
     record = day.gatherer.cut()
-    assert record is not None and dict(record.rows) == {old: 2 * MICRO, new: MICRO}
+    assert record is not None and dict(record.rows) == {old: 2 * MICRO_PER_UNIT, new: MICRO_PER_UNIT}
     assert not day.planned._open and not day.planned._out  # nothing stays of a try that ran twice
 
 
@@ -173,7 +173,7 @@
     day.world.feed(w.request(3, "read", "small", "hotel"))
     assert day.world.open_attempts
     day.world.feed(api.ClientDisconnected(3))
-    assert day.gatherer.gathered == MICRO and not day.planned._open and not day.planned._out
+    assert day.gatherer.gathered == MICRO_PER_UNIT and not day.planned._open and not day.planned._out
 
 
 def test_true_units_take_the_place_of_the_guess() -> None:
@@ -182,7 +182,7 @@
     day.world.feed(w.request(1, "read", "small", "hotel", units=2.0))
     ((key, (server, _)),) = day.world.open_attempts.items()
     day.world.feed(api.Outcome(*key, server, api.Status.OK, 0.1, True, {}, None, 3))
-    assert day.gatherer.gathered == 3 * MICRO
+    assert day.gatherer.gathered == 3 * MICRO_PER_UNIT
 
 
 def test_the_open_table_does_not_grow() -> None:
--- a/tests/plans/test_reservations.py
+++ b/tests/plans/test_reservations.py
@@ -10,34 +10,34 @@
 
 from cypresspulley.plans.bucket_level import BucketLevel, max_ceiling_overshoot
 from cypresspulley.plans.reservations import (
-    OVER,
-    TABLE,
-    At,
-    Heard,
+    TERMINAL_STATES,
+    TRANSITIONS,
+    Capacity,
     Reservation,
     ReservationError,
+    ReservationEvent,
+    ReservationRequest,
     Reservations,
-    Room,
-    Wish,
-    most_at_once,
+    ReservationState,
+    peak_rate,
 )  # fmt: skip
 
-WISH = Wish("ev", "hotel", 1000, 2000, 100)
-ROOMY = Room(10**9)
+WISH = ReservationRequest("ev", "hotel", 1000, 2000, 100)
+ROOMY = Capacity(10**9)
 
 
-def made(wish: Wish = WISH, room: Room = ROOMY) -> Reservations:
+def made(wish: ReservationRequest = WISH, room: Capacity = ROOMY) -> Reservations:
     all_ = Reservations()
     all_.ask(wish, room)
     return all_
 
 
-@pytest.mark.parametrize(("at", "heard"), list(product(At, Heard)))
-def test_each_cell_of_the_table(at: At, heard: Heard) -> None:
+@pytest.mark.parametrize(("at", "heard"), list(product(ReservationState, ReservationEvent)))
+def test_each_cell_of_the_table(at: ReservationState, heard: ReservationEvent) -> None:
     one = Reservation(WISH, at, flying={"r": 5})
-    assert one.hear(heard) == ((at, heard) in TABLE)
-    assert one.at is TABLE.get((at, heard), at)
-    assert at not in OVER or one.at is at
+    assert one.hear(heard) == ((at, heard) in TRANSITIONS)
+    assert one.at is TRANSITIONS.get((at, heard), at)
+    assert at not in TERMINAL_STATES or one.at is at
 
 
 def test_a_release_while_drawn_on_settles_by_what_is_in_flight() -> None:
@@ -45,11 +45,11 @@
     all_.tick(1000)
     assert all_.draw("ev", "r1", 30) and all_.draw("ev", "r2", 20) and all_.draw("ev", "r1", 30)
     one = all_.release("ev")
-    assert one.at is At.DRAINING and one.given_back == 0 and not all_.draw("ev", "r3", 1)
+    assert one.at is ReservationState.DRAINING and one.given_back == 0 and not all_.draw("ev", "r3", 1)
     all_.settle("ev", "r1", 35)
-    assert all_.release("ev").at is At.DRAINING  # a second time changes nothing
+    assert all_.release("ev").at is ReservationState.DRAINING  # a second time changes nothing
     all_.settle("ev", "r2", 0)  # it never ran
-    assert all_.all["ev"].at is At.RELEASED and one.drawn == 35 and one.given_back == 65
+    assert all_.all["ev"].at is ReservationState.RELEASED and one.drawn == 35 and one.given_back == 65
     assert all_.settle("ev", "r2", 50) == 0 and one.given_back == 65
 
 
@@ -57,18 +57,18 @@
     all_ = made()
     all_.tick(1500)
     assert all_.draw("ev", "r", 100) and not all_.draw("ev", "s", 1)
-    assert [r.at for r in all_.tick(2000)] == [At.DRAINING]
+    assert [r.at for r in all_.tick(2000)] == [ReservationState.DRAINING]
     all_.settle("ev", "r", 90)
-    assert all_.all["ev"].at is At.EXPIRED and all_.all["ev"].given_back == 10
+    assert all_.all["ev"].at is ReservationState.EXPIRED and all_.all["ev"].given_back == 10
     all_.correct("ev", 4)
     assert all_.all["ev"].given_back == 10 and all_.all["ev"].corrections == 4
 
 
 def test_a_key_names_one_reservation() -> None:
     all_ = made()
-    assert all_.ask(WISH, Room(0)) is all_.all["ev"]
+    assert all_.ask(WISH, Capacity(0)) is all_.all["ev"]
     with pytest.raises(ReservationError, match="names another"):
-        all_.ask(Wish("ev", "hotel", 1000, 2000, 101), ROOMY)
+        all_.ask(ReservationRequest("ev", "hotel", 1000, 2000, 101), ROOMY)
     with pytest.raises(ReservationError, match="no reservation"):
         all_.release("other")
 
@@ -76,27 +76,40 @@
 @pytest.mark.parametrize(
     ("wish", "room", "at"),
     [
-        (WISH, Room(100), At.HELD),
-        (WISH, Room(99), At.REFUSED),  # the fleet has less
-        (WISH, Room(100, 50, 50), At.HELD),  # out of the ceiling's rate and its burst
-        (WISH, Room(100, 50, 49), At.REFUSED),
+        (WISH, Capacity(100), ReservationState.HELD),
+        (WISH, Capacity(99), ReservationState.REFUSED),  # the fleet has less
+        (WISH, Capacity(100, 50, 50), ReservationState.HELD),  # out of the ceiling's rate and its burst
+        (WISH, Capacity(100, 50, 49), ReservationState.REFUSED),
     ],
 )
-def test_only_what_plan_and_fleet_can_hold_is_admitted(wish: Wish, room: Room, at: At) -> None:
+def test_only_what_plan_and_fleet_can_hold_is_admitted(
+    wish: ReservationRequest, room: Capacity, at: ReservationState
+) -> None:
     assert made(wish, room).all["ev"].at is at
 
 
 def test_what_others_hold_at_the_time_counts() -> None:
     all_ = made()
-    assert all_.ask(Wish("b", "inn", 1999, 2999, 50), Room(149)).at is At.REFUSED
-    assert all_.ask(Wish("c", "inn", 2000, 3000, 50), Room(149)).at is At.HELD
+    assert (
+        all_.ask(ReservationRequest("b", "inn", 1999, 2999, 50), Capacity(149)).at is ReservationState.REFUSED
+    )
+    assert all_.ask(ReservationRequest("c", "inn", 2000, 3000, 50), Capacity(149)).at is ReservationState.HELD
     all_.release("ev")
-    assert all_.ask(Wish("d", "inn", 1000, 2000, 100), Room(149)).at is At.HELD
-    assert most_at_once([]) == 0
+    assert (
+        all_.ask(ReservationRequest("d", "inn", 1000, 2000, 100), Capacity(149)).at is ReservationState.HELD
+    )
+    assert peak_rate([]) == 0
 
 
-@pytest.mark.parametrize("bad", [Wish("", "h", 0, 1, 1), Wish("k", "h", 5, 5, 1), Wish("k", "h", 0, 1, 0)])
-def test_bad_wishes_are_refused(bad: Wish) -> None:
+@pytest.mark.parametrize(
+    "bad",
+    [
+        ReservationRequest("", "h", 0, 1, 1),
+        ReservationRequest("k", "h", 5, 5, 1),
+        ReservationRequest("k", "h", 0, 1, 0),
+    ],
+)
+def test_bad_wishes_are_refused(bad: ReservationRequest) -> None:
     with pytest.raises(ReservationError, match="expected"):
         made(bad)
 
@@ -115,9 +128,9 @@
 @given(STEPS)
 def test_units_are_drawn_or_given_back_once_in_any_order(steps: list[tuple[str, int, int]]) -> None:
     all_ = made()
-    one, settled, states = all_.all["ev"], 0, [At.HELD]
+    one, settled, states = all_.all["ev"], 0, [ReservationState.HELD]
     for kind, number, units in steps:
-        was_over, back = one.at in OVER, one.given_back
+        was_over, back = one.at in TERMINAL_STATES, one.given_back
         if kind == "draw":
             all_.draw("ev", f"r{number}", units)
         elif kind == "settle":
@@ -128,9 +141,9 @@
         else:
             all_.tick(number)
         assert one.drawn == settled
-        assert not was_over or (one.at in OVER and one.given_back == back and not one.flying)
-        assert one.at not in OVER or one.given_back == max(0, WISH.units - one.drawn)
-        assert one.at is At.ACTIVE or one.left == 0
+        assert not was_over or (one.at in TERMINAL_STATES and one.given_back == back and not one.flying)
+        assert one.at not in TERMINAL_STATES or one.given_back == max(0, WISH.units - one.drawn)
+        assert one.at is ReservationState.ACTIVE or one.left == 0
         if one.at is not states[-1]:
             states.append(one.at)
     assert len(states) == len(set(states))  # no state twice
--- a/tests/plans/test_store.py
+++ b/tests/plans/test_store.py
@@ -13,7 +13,7 @@
 from cypresspulley.plans.book import BookError, Terms
 from cypresspulley.plans.files import DiskFolder
 from cypresspulley.plans.plan_writer import PlanWriter
-from cypresspulley.plans.reservations import At, Wish
+from cypresspulley.plans.reservations import ReservationRequest, ReservationState
 from cypresspulley.plans.store import HEAD, Record, Store, StoreError, check, framed, read
 from tests.plans.disk import CrashError, Disk
 
@@ -135,7 +135,7 @@
 
     def __init__(self) -> None:
         self.books, self.epoch = {PlanWriter(Store(Disk()), "vadodara").book.digest()}, 0
-        self.reserved = dict[str, set[At | None]]()
+        self.reserved = dict[str, set[ReservationState | None]]()
 
     def check(self, plan_writer: PlanWriter) -> None:
         assert plan_writer.epoch > self.epoch and plan_writer.book.digest() in self.books
@@ -168,12 +168,12 @@
     elif step == 1:
         do = lambda o: o.assign("hotel", "p", now, now, "m")  # noqa: E731
     elif step == 2 and plan_writer.book.assignment("hotel", now) is not None:
-        wish = Wish(f"ev{now}", "hotel", now + 50, now + 60, 1)
-        model.reserved[wish.key] = {None, At.HELD, At.REFUSED}
+        wish = ReservationRequest(f"ev{now}", "hotel", now + 50, now + 60, 1)
+        model.reserved[wish.key] = {None, ReservationState.HELD, ReservationState.REFUSED}
         do = lambda o: o.reserve(wish, now, 1e6 if number % 2 else 1e-9)  # noqa: E731
     elif model.reserved and step == 3:
         key = max(model.reserved)
-        model.reserved[key].add(At.RELEASED)
+        model.reserved[key].add(ReservationState.RELEASED)
         do = lambda o: o.release(key, now)  # noqa: E731
     elif step == 4:
         plan_writer.compact()
@@ -225,7 +225,7 @@
         with pytest.raises(BookError):
             plan_writer.version("p", bad, 2000, 1000, "m")
     with pytest.raises(BookError, match="has no plan"):
-        plan_writer.reserve(Wish("k", "inn", 2000, 3000, 1), 1000, 1e6)
+        plan_writer.reserve(ReservationRequest("k", "inn", 2000, 3000, 1), 1000, 1e6)
     assert disk.read(disk.names()[0]) == before and plan_writer.book.digest() == digest
 
 
@@ -234,13 +234,13 @@
     plan_writer = PlanWriter(Store(disk), "vadodara")
     plan_writer.version("p", TERMS[0], 1000, 1000, "m")
     plan_writer.assign("hotel", "p", 1000, 1000, "m")
-    plan_writer.reserve(Wish("a", "hotel", 2000, 3000, 1), 1000, 1e6)
+    plan_writer.reserve(ReservationRequest("a", "hotel", 2000, 3000, 1), 1000, 1e6)
     disk.room = 3
     with pytest.raises(OSError):
         plan_writer.release("a", 1000)
-    assert plan_writer.reservations.all["a"].at is At.HELD
+    assert plan_writer.reservations.all["a"].at is ReservationState.HELD
     with pytest.raises(OSError):
-        plan_writer.reserve(Wish("b", "hotel", 4000, 5000, 1), 1000, 1e6)
+        plan_writer.reserve(ReservationRequest("b", "hotel", 4000, 5000, 1), 1000, 1e6)
     assert "b" not in plan_writer.reservations.all
     found = PlanWriter(Store(disk.after_crash(Random(1))), "vadodara")
-    assert found.reservations.all["a"].at is At.HELD and "b" not in found.reservations.all
+    assert found.reservations.all["a"].at is ReservationState.HELD and "b" not in found.reservations.all
--- a/tests/plans/test_wiring.py
+++ b/tests/plans/test_wiring.py
@@ -13,7 +13,7 @@
 from cypresspulley.plans.book import Stamp, Terms
 from cypresspulley.plans.limiter import Planned
 from cypresspulley.plans.plan_writer import PlanWriter
-from cypresspulley.plans.reservations import MICRO
+from cypresspulley.plans.reservations import MICRO_PER_UNIT
 from cypresspulley.plans.serve import Publisher, unix_ms
 from cypresspulley.plans.store import Store
 from cypresspulley.policy.gateway import Gateway
@@ -97,7 +97,7 @@
             program.process.terminate()
             assert await asyncio.wait_for(program.process.wait(), 20) == 0
         totals = plan_writer.intake.totals
-        assert sum(totals.values()) == served * MICRO
+        assert sum(totals.values()) == served * MICRO_PER_UNIT
         assert {key.version for key in totals if key.plan == "season"} == {Stamp(1, 1)}
         await publisher.close()
 
