--- a/benchmarks/plan_churn.py
+++ b/benchmarks/plan_churn.py
@@ -23,7 +23,7 @@
 from cypresspulley import interface as api
 from cypresspulley.plans.book import Assignment, Book, Change, Stamp, Terms, Version
 from cypresspulley.plans.bucket_level import BucketLevel
-from cypresspulley.plans.follow import SKEW, Do, Follower
+from cypresspulley.plans.follow import MAX_CLOCK_SKEW_MS, Follower, FollowerAction
 from cypresspulley.plans.lease import LEASE
 from cypresspulley.plans.limiter import Planned
 from cypresspulley.plans.use import Gatherer
@@ -52,7 +52,7 @@
     """The slack: whoever is late by a lease, less the skew that it takes off and clocks give back, goes on by the
     highest terms where the lowest are in force; and one request that is let in at the same moment at each."""
     high, low = TERMS["l"], TERMS["s"]
-    late = (LEASE - SKEW) / 1000 + 2 * CLOCK
+    late = (LEASE - MAX_CLOCK_SKEW_MS) / 1000 + 2 * CLOCK
     return (high.ceiling_rate - low.ceiling_rate) * late + high.ceiling_burst - low.ceiling_burst + LIMITERS
 
 
@@ -192,20 +192,20 @@
             for _ in range(1 + (self.rng.random() < 0.05)):  # some come twice
                 self.say(one, one.life, partial(self.told, made))
 
-    def say(self, one: Limiter, life: int, what: Callable[[Follower], tuple[Do, ...]]) -> None:
+    def say(self, one: Limiter, life: int, what: Callable[[Follower], tuple[FollowerAction, ...]]) -> None:
         if not self.calm and (self.rng.random() < LOST or self.now < one.cut_until):
             return
         self.at(self.now + self.rng.uniform(0, LATE), partial(self.hear, one, life, what))
 
-    def hear(self, one: Limiter, life: int, what: Callable[[Follower], tuple[Do, ...]]) -> None:
+    def hear(self, one: Limiter, life: int, what: Callable[[Follower], tuple[FollowerAction, ...]]) -> None:
         if one.planned is None or one.life != life or self.now < one.cut_until:
             return
-        does = what(one.planned.follower)
-        if Do.ASK_FROM in does or Do.ASK_ALL in does:
-            self.ask(one, life, Do.ASK_ALL in does)
+        actions = what(one.planned.follower)
+        if FollowerAction.ASK_FROM in actions or FollowerAction.ASK_ALL in actions:
+            self.ask(one, life, FollowerAction.ASK_ALL in actions)
 
     @staticmethod
-    def told(made: Change, follower: Follower) -> tuple[Do, ...]:
+    def told(made: Change, follower: Follower) -> tuple[FollowerAction, ...]:
         return follower.change(1, made)
 
     def ask(self, one: Limiter, life: int, whole: bool) -> None:
--- a/cypresspulley/plans/channel.py
+++ b/cypresspulley/plans/channel.py
@@ -13,7 +13,7 @@
 
 from cypresspulley.plans import book as books
 from cypresspulley.plans.book import Book, Stamp
-from cypresspulley.plans.follow import Do, Follower
+from cypresspulley.plans.follow import Follower, FollowerAction
 
 log = logging.getLogger(__name__)
 
@@ -99,7 +99,7 @@
         finally:
             writer.transport.abort()
 
-    async def _line(self, reader: asyncio.StreamReader) -> tuple[Do, ...]:
+    async def _line(self, reader: asyncio.StreamReader) -> tuple[FollowerAction, ...]:
         """What the next message leads to."""
         line = await self._json(reader)
         kind, epoch = line.get("kind"), line.get("epoch")
@@ -139,15 +139,15 @@
             raise EndedError(f"a line that is no object: {text!r:.60}")
         return line
 
-    def _carry_out(self, does: tuple[Do, ...]) -> None:
+    def _carry_out(self, actions: tuple[FollowerAction, ...]) -> None:
         """What the follower wants; the connection ends where it needs another answer."""
-        if Do.DROP in does:
+        if FollowerAction.DROP in actions:
             raise EndedError(f"a writer of an epoch before {self.follower.epoch}, or of another installation")
-        if {Do.REPLACE, Do.APPLY, Do.RECOVER} & set(does):
+        if {FollowerAction.REPLACE, FollowerAction.APPLY, FollowerAction.RECOVER} & set(actions):
             self._ask_all = False
             self._changed()
-        if Do.ASK_ALL in does:
+        if FollowerAction.ASK_ALL in actions:
             self._ask_all = True
             raise EndedError("another writer: its whole book is asked for")
-        if Do.ASK_FROM in does:
+        if FollowerAction.ASK_FROM in actions:
             raise EndedError("changes are missing: asked for behind the last one here")
--- a/cypresspulley/plans/follow.py
+++ b/cypresspulley/plans/follow.py
@@ -14,17 +14,17 @@
 
 from cypresspulley.plans.book import Book, Change, Stamp, Terms, Version
 
-SKEW = 200  # milliseconds by which clocks may differ: taken off each lease
+MAX_CLOCK_SKEW_MS = 200  # milliseconds by which clocks may differ: taken off each lease
 
 
-class At(Enum):
+class FollowerState(Enum):
     EMPTY = "empty"  # no book yet: the limiter's own settings hold
     CURRENT = "current"
     BEHIND = "behind"  # something is missing, and was asked for
     LAPSED = "lapsed"  # the lease is over
 
 
-class Heard(Enum):
+class FollowerEvent(Enum):
     STALE = "stale"  # anything of a lower epoch
     ANOTHER = "another"  # anything of a higher epoch, but its whole book
     BOOK = "book"  # a whole book, of this epoch or a higher one
@@ -36,7 +36,7 @@
     OVER = "over"  # the lease is
 
 
-class Do(Enum):
+class FollowerAction(Enum):
     DROP = "drop"  # end the connection, say why
     REPLACE = "replace"
     APPLY = "apply"
@@ -47,95 +47,113 @@
     RECOVER = "recover"  # from the fall-back
 
 
-TABLE: dict[tuple[At, Heard], tuple[At, tuple[Do, ...]]] = {
-    (At.EMPTY, Heard.ANOTHER): (At.EMPTY, (Do.ASK_ALL,)),
-    (At.EMPTY, Heard.BOOK): (At.CURRENT, (Do.REPLACE, Do.RENEW)),
-    (At.EMPTY, Heard.NEXT): (At.EMPTY, (Do.ASK_ALL,)),
-    (At.EMPTY, Heard.GAP): (At.EMPTY, (Do.ASK_ALL,)),
-    (At.EMPTY, Heard.AHEAD): (At.EMPTY, (Do.ASK_ALL,)),
-    (At.EMPTY, Heard.BEAT): (At.EMPTY, (Do.ASK_ALL,)),
-    (At.CURRENT, Heard.BOOK): (At.CURRENT, (Do.REPLACE, Do.RENEW)),
-    (At.CURRENT, Heard.NEXT): (At.CURRENT, (Do.APPLY,)),
-    (At.CURRENT, Heard.GAP): (At.BEHIND, (Do.ASK_FROM,)),
-    (At.CURRENT, Heard.AHEAD): (At.BEHIND, (Do.ASK_FROM,)),
-    (At.CURRENT, Heard.BEAT): (At.CURRENT, (Do.RENEW,)),
-    (At.CURRENT, Heard.ANOTHER): (At.BEHIND, (Do.ASK_ALL,)),
-    (At.CURRENT, Heard.OVER): (At.LAPSED, (Do.FALL_BACK,)),
-    (At.BEHIND, Heard.BOOK): (At.CURRENT, (Do.REPLACE, Do.RENEW)),
-    (At.BEHIND, Heard.NEXT): (At.BEHIND, (Do.APPLY,)),  # a beat tells when the last one is here
-    (At.BEHIND, Heard.BEAT): (At.CURRENT, (Do.RENEW,)),
-    (At.BEHIND, Heard.ANOTHER): (At.BEHIND, (Do.ASK_ALL,)),
-    (At.BEHIND, Heard.OVER): (At.LAPSED, (Do.FALL_BACK,)),
-    (At.LAPSED, Heard.BOOK): (At.CURRENT, (Do.REPLACE, Do.RENEW, Do.RECOVER)),
-    (At.LAPSED, Heard.NEXT): (At.LAPSED, (Do.APPLY,)),
-    (At.LAPSED, Heard.GAP): (At.LAPSED, (Do.ASK_FROM,)),
-    (At.LAPSED, Heard.AHEAD): (At.LAPSED, (Do.ASK_FROM,)),
-    (At.LAPSED, Heard.BEAT): (At.CURRENT, (Do.RENEW, Do.RECOVER)),
-    (At.LAPSED, Heard.ANOTHER): (At.LAPSED, (Do.ASK_ALL,)),
-} | {(at, Heard.STALE): (at, (Do.DROP,)) for at in At}
+TRANSITIONS: dict[tuple[FollowerState, FollowerEvent], tuple[FollowerState, tuple[FollowerAction, ...]]] = {
+    (FollowerState.EMPTY, FollowerEvent.ANOTHER): (FollowerState.EMPTY, (FollowerAction.ASK_ALL,)),
+    (FollowerState.EMPTY, FollowerEvent.BOOK): (
+        FollowerState.CURRENT,
+        (FollowerAction.REPLACE, FollowerAction.RENEW),
+    ),
+    (FollowerState.EMPTY, FollowerEvent.NEXT): (FollowerState.EMPTY, (FollowerAction.ASK_ALL,)),
+    (FollowerState.EMPTY, FollowerEvent.GAP): (FollowerState.EMPTY, (FollowerAction.ASK_ALL,)),
+    (FollowerState.EMPTY, FollowerEvent.AHEAD): (FollowerState.EMPTY, (FollowerAction.ASK_ALL,)),
+    (FollowerState.EMPTY, FollowerEvent.BEAT): (FollowerState.EMPTY, (FollowerAction.ASK_ALL,)),
+    (FollowerState.CURRENT, FollowerEvent.BOOK): (
+        FollowerState.CURRENT,
+        (FollowerAction.REPLACE, FollowerAction.RENEW),
+    ),
+    (FollowerState.CURRENT, FollowerEvent.NEXT): (FollowerState.CURRENT, (FollowerAction.APPLY,)),
+    (FollowerState.CURRENT, FollowerEvent.GAP): (FollowerState.BEHIND, (FollowerAction.ASK_FROM,)),
+    (FollowerState.CURRENT, FollowerEvent.AHEAD): (FollowerState.BEHIND, (FollowerAction.ASK_FROM,)),
+    (FollowerState.CURRENT, FollowerEvent.BEAT): (FollowerState.CURRENT, (FollowerAction.RENEW,)),
+    (FollowerState.CURRENT, FollowerEvent.ANOTHER): (FollowerState.BEHIND, (FollowerAction.ASK_ALL,)),
+    (FollowerState.CURRENT, FollowerEvent.OVER): (FollowerState.LAPSED, (FollowerAction.FALL_BACK,)),
+    (FollowerState.BEHIND, FollowerEvent.BOOK): (
+        FollowerState.CURRENT,
+        (FollowerAction.REPLACE, FollowerAction.RENEW),
+    ),
+    (FollowerState.BEHIND, FollowerEvent.NEXT): (
+        FollowerState.BEHIND,
+        (FollowerAction.APPLY,),
+    ),  # a beat tells when the last one is here
+    (FollowerState.BEHIND, FollowerEvent.BEAT): (FollowerState.CURRENT, (FollowerAction.RENEW,)),
+    (FollowerState.BEHIND, FollowerEvent.ANOTHER): (FollowerState.BEHIND, (FollowerAction.ASK_ALL,)),
+    (FollowerState.BEHIND, FollowerEvent.OVER): (FollowerState.LAPSED, (FollowerAction.FALL_BACK,)),
+    (FollowerState.LAPSED, FollowerEvent.BOOK): (
+        FollowerState.CURRENT,
+        (FollowerAction.REPLACE, FollowerAction.RENEW, FollowerAction.RECOVER),
+    ),
+    (FollowerState.LAPSED, FollowerEvent.NEXT): (FollowerState.LAPSED, (FollowerAction.APPLY,)),
+    (FollowerState.LAPSED, FollowerEvent.GAP): (FollowerState.LAPSED, (FollowerAction.ASK_FROM,)),
+    (FollowerState.LAPSED, FollowerEvent.AHEAD): (FollowerState.LAPSED, (FollowerAction.ASK_FROM,)),
+    (FollowerState.LAPSED, FollowerEvent.BEAT): (
+        FollowerState.CURRENT,
+        (FollowerAction.RENEW, FollowerAction.RECOVER),
+    ),
+    (FollowerState.LAPSED, FollowerEvent.ANOTHER): (FollowerState.LAPSED, (FollowerAction.ASK_ALL,)),
+} | {(at, FollowerEvent.STALE): (at, (FollowerAction.DROP,)) for at in FollowerState}
 
 
 class Follower:
     """A book as one limiter has it. What comes in is what the writer said, with its epoch and its clock."""
 
     def __init__(self, installation: str) -> None:
-        self.at, self.epoch = At.EMPTY, 0
+        self.at, self.epoch = FollowerState.EMPTY, 0
         self.book = Book(installation)
         self.lease_until = 0  # Unix milliseconds
 
     def __repr__(self) -> str:
         return f"<Follower {self.at.value}, epoch {self.epoch}, {self.book.last}, lease until {self.lease_until}>"
 
-    def _hear(self, what: Heard) -> tuple[Do, ...]:
-        self.at, does = TABLE.get((self.at, what), (self.at, ()))
-        return does
+    def _hear(self, what: FollowerEvent) -> tuple[FollowerAction, ...]:
+        self.at, actions = TRANSITIONS.get((self.at, what), (self.at, ()))
+        return actions
 
-    def _old_or_new(self, epoch: int) -> Heard | None:
+    def _old_or_new(self, epoch: int) -> FollowerEvent | None:
         if epoch == self.epoch:
             return None
-        return Heard.STALE if epoch < self.epoch else Heard.ANOTHER
+        return FollowerEvent.STALE if epoch < self.epoch else FollowerEvent.ANOTHER
 
-    def whole(self, epoch: int, book: Book, sent: int, lease: int) -> tuple[Do, ...]:
+    def whole(self, epoch: int, book: Book, sent: int, lease: int) -> tuple[FollowerAction, ...]:
         """A whole book. One of another installation is dropped, whatever its epoch."""
         if epoch < self.epoch or book.installation != self.book.installation:
-            return self._hear(Heard.STALE)
+            return self._hear(FollowerEvent.STALE)
         if epoch == self.epoch and book.last < self.book.last:
             return ()  # sent before what is here
-        does = self._hear(Heard.BOOK)
+        actions = self._hear(FollowerEvent.BOOK)
         self.epoch, self.book = epoch, book
         self._renew(sent, lease)
-        return does
+        return actions
 
-    def change(self, epoch: int, change: Change) -> tuple[Do, ...]:
+    def change(self, epoch: int, change: Change) -> tuple[FollowerAction, ...]:
         """One change; what is missing before it is asked for first."""
         if (other := self._old_or_new(epoch)) is not None:
             return self._hear(other)
         last = self.book.last.seq
         if change.stamp.seq <= last:
-            return self._hear(Heard.KNOWN)
+            return self._hear(FollowerEvent.KNOWN)
         if change.stamp.seq > last + 1:
-            return self._hear(Heard.GAP)
-        does = self._hear(Heard.NEXT)
-        if Do.APPLY in does:
+            return self._hear(FollowerEvent.GAP)
+        actions = self._hear(FollowerEvent.NEXT)
+        if FollowerAction.APPLY in actions:
             self.book = self.book.taking(change)
-        return does
+        return actions
 
-    def beat(self, epoch: int, last: Stamp, sent: int, lease: int) -> tuple[Do, ...]:
+    def beat(self, epoch: int, last: Stamp, sent: int, lease: int) -> tuple[FollowerAction, ...]:
         """The writer lives, and its newest change is ``last``."""
         if (other := self._old_or_new(epoch)) is not None:
             return self._hear(other)
-        does = self._hear(Heard.BEAT if last <= self.book.last else Heard.AHEAD)
-        if Do.RENEW in does:
+        actions = self._hear(FollowerEvent.BEAT if last <= self.book.last else FollowerEvent.AHEAD)
+        if FollowerAction.RENEW in actions:
             self._renew(sent, lease)
-        return does
+        return actions
 
     def _renew(self, sent: int, lease: int) -> None:
-        self.lease_until = max(self.lease_until, sent + lease - SKEW)
+        self.lease_until = max(self.lease_until, sent + lease - MAX_CLOCK_SKEW_MS)
 
-    def tick(self, now: int) -> tuple[Do, ...]:
+    def tick(self, now: int) -> tuple[FollowerAction, ...]:
         """Time passes: the lease may be over."""
-        over = self.at in (At.CURRENT, At.BEHIND) and now >= self.lease_until
-        return self._hear(Heard.OVER) if over else ()
+        over = self.at in (FollowerState.CURRENT, FollowerState.BEHIND) and now >= self.lease_until
+        return self._hear(FollowerEvent.OVER) if over else ()
 
     def binding(self, account: str, now: int, fallback: str = "") -> Version | None:
         """What binds a request of an account now; a lapsed lease lowers its ceiling."""
@@ -144,7 +162,7 @@
 
     def lowered(self, version: Version, now: int) -> Version:
         """A version as it binds here: with the lower ceiling once the lease is over."""
-        if self.at is not At.LAPSED:
+        if self.at is not FollowerState.LAPSED:
             return version
         return replace(version, terms=self._lowered(version.terms, now))
 
--- a/cypresspulley/plans/limiter.py
+++ b/cypresspulley/plans/limiter.py
@@ -22,7 +22,7 @@
 from cypresspulley.plans.bucket_level import BucketLevel
 from cypresspulley.plans.channel import Channel, EndedError, Where
 from cypresspulley.plans.export import Export
-from cypresspulley.plans.follow import At, Follower
+from cypresspulley.plans.follow import Follower, FollowerState
 from cypresspulley.plans.reservations import MICRO_PER_UNIT
 from cypresspulley.plans.use import Gatherer, Key
 from cypresspulley.policy.account import Account
@@ -108,7 +108,7 @@
     def _instants(self, now: int) -> list[int]:
         """When other terms may have come into force since the last look, in order; now at last, if anything has."""
         self.follower.tick(now)
-        state = (self.follower.book, self.follower.at is At.LAPSED)
+        state = (self.follower.book, self.follower.at is FollowerState.LAPSED)
         if self._seen == state and now < self._due:
             return []
         due = {v.effective for v in self._versions() if self._due <= v.effective < now}
--- a/tests/plans/test_churn.py
+++ b/tests/plans/test_churn.py
@@ -11,7 +11,7 @@
 from cypresspulley import interface as api
 from cypresspulley.plans import reservations, use
 from cypresspulley.plans.book import Book, Stamp, Version
-from cypresspulley.plans.follow import Follower, Heard
+from cypresspulley.plans.follow import Follower, FollowerEvent
 from cypresspulley.plans.limiter import Planned
 from cypresspulley.plans.reservations import ReservationState
 from tests.plans import test_follow, test_reservations, test_use
@@ -131,7 +131,6 @@
 
 
 def test_the_table_fences_everywhere() -> None:
-    from cypresspulley.plans.follow import TABLE, Do
-    from cypresspulley.plans.follow import At as Stands
+    from cypresspulley.plans.follow import TRANSITIONS, FollowerAction, FollowerState
 
-    assert all(TABLE[at, Heard.STALE] == (at, (Do.DROP,)) for at in Stands)
+    assert all(TRANSITIONS[at, FollowerEvent.STALE] == (at, (FollowerAction.DROP,)) for at in FollowerState)
--- a/tests/plans/test_follow.py
+++ b/tests/plans/test_follow.py
@@ -9,7 +9,14 @@
 from hypothesis import strategies as st
 
 from cypresspulley.plans.book import Assignment, Book, Change, Stamp, Terms, Version
-from cypresspulley.plans.follow import SKEW, TABLE, At, Do, Follower, Heard
+from cypresspulley.plans.follow import (
+    MAX_CLOCK_SKEW_MS,
+    TRANSITIONS,
+    Follower,
+    FollowerAction,
+    FollowerEvent,
+    FollowerState,
+)
 
 LARGE, SMALL = Terms(3.0, 12.0, 5.0, 24.0), Terms(1.0, 4.0, 2.0, 8.0)
 LEASE = 3000
@@ -30,51 +37,53 @@
 
 def following(last: int = 4, epoch: int = 1, sent: int = 0) -> Follower:
     follower = Follower("vadodara")
-    assert Do.REPLACE in follower.whole(epoch, book(last, epoch), sent, LEASE)
+    assert FollowerAction.REPLACE in follower.whole(epoch, book(last, epoch), sent, LEASE)
     return follower
 
 
 def test_the_table_has_a_row_for_all_that_may_come() -> None:
-    wanted = {(at, heard) for at in At for heard in Heard} - {
-        *((at, Heard.KNOWN) for at in At),  # changes nothing anywhere
-        (At.EMPTY, Heard.OVER), (At.LAPSED, Heard.OVER),  # no lease
-        (At.BEHIND, Heard.GAP), (At.BEHIND, Heard.AHEAD),  # asked for already
+    wanted = {(at, heard) for at in FollowerState for heard in FollowerEvent} - {
+        *((at, FollowerEvent.KNOWN) for at in FollowerState),  # changes nothing anywhere
+        (FollowerState.EMPTY, FollowerEvent.OVER), (FollowerState.LAPSED, FollowerEvent.OVER),  # no lease
+        (FollowerState.BEHIND, FollowerEvent.GAP), (FollowerState.BEHIND, FollowerEvent.AHEAD),  # asked for already
     }  # fmt: skip
-    assert set(TABLE) == wanted
+    assert set(TRANSITIONS) == wanted
 
 
 def test_a_gap_is_asked_for_and_nothing_behind_it_is_taken() -> None:
     follower = following()
-    assert follower.change(1, change(6)) == (Do.ASK_FROM,)
-    assert [follower.at] == [At.BEHIND]
+    assert follower.change(1, change(6)) == (FollowerAction.ASK_FROM,)
+    assert [follower.at] == [FollowerState.BEHIND]
     assert follower.book == book(4) and follower.change(1, change(7)) == ()
-    assert Do.APPLY in follower.change(1, change(5)) and Do.APPLY in follower.change(1, change(6))
-    assert follower.beat(1, Stamp(1, 6), 10, LEASE) == (Do.RENEW,)
-    assert [follower.at] == [At.CURRENT]
+    assert FollowerAction.APPLY in follower.change(1, change(5)) and FollowerAction.APPLY in follower.change(
+        1, change(6)
+    )
+    assert follower.beat(1, Stamp(1, 6), 10, LEASE) == (FollowerAction.RENEW,)
+    assert [follower.at] == [FollowerState.CURRENT]
     assert follower.change(1, change(6)) == () and follower.book == book(6)
 
 
 def test_a_writer_that_was_replaced_is_fenced() -> None:
     follower = following(4, epoch=2)
-    for does in (
+    for actions in (
         follower.change(1, change(5)),
         follower.beat(1, Stamp(1, 9), 10, LEASE),
         follower.whole(1, book(9), 10, LEASE),
     ):
-        assert does == (Do.DROP,)
-    assert follower.book == book(4, 2) and follower.lease_until == LEASE - SKEW
+        assert actions == (FollowerAction.DROP,)
+    assert follower.book == book(4, 2) and follower.lease_until == LEASE - MAX_CLOCK_SKEW_MS
 
 
 def test_a_new_writer_s_book_replaces_the_one_here() -> None:
     follower = following(6)
-    assert follower.change(2, change(5, 2)) == (Do.ASK_ALL,) and follower.book == book(6)
-    assert Do.REPLACE in follower.whole(2, book(4, 2), 10, LEASE)
+    assert follower.change(2, change(5, 2)) == (FollowerAction.ASK_ALL,) and follower.book == book(6)
+    assert FollowerAction.REPLACE in follower.whole(2, book(4, 2), 10, LEASE)
     assert follower.epoch == 2 and follower.book == book(4, 2)
 
 
 def test_a_book_of_another_installation_is_dropped() -> None:
     follower = following()
-    assert follower.whole(9, Book("semien"), 0, LEASE) == (Do.DROP,) and follower.book == book(4)
+    assert follower.whole(9, Book("semien"), 0, LEASE) == (FollowerAction.DROP,) and follower.book == book(4)
 
 
 def test_a_book_that_is_older_than_what_is_here_changes_nothing() -> None:
@@ -85,14 +94,16 @@
 def test_when_the_lease_is_over_the_lower_ceiling_holds() -> None:
     follower = following(2)  # the hotel is on LARGE
     follower.change(1, Version("low", 10, Stamp(1, 3), SMALL))
-    assert follower.tick(LEASE - SKEW - 1) == ()
+    assert follower.tick(LEASE - MAX_CLOCK_SKEW_MS - 1) == ()
     bound = follower.binding("hotel", 100)
     assert bound is not None and bound.terms == LARGE
-    assert follower.tick(LEASE - SKEW) == (Do.FALL_BACK,) and follower.tick(LEASE) == ()
+    assert (
+        follower.tick(LEASE - MAX_CLOCK_SKEW_MS) == (FollowerAction.FALL_BACK,) and follower.tick(LEASE) == ()
+    )
     bound = follower.binding("hotel", LEASE)
     assert bound is not None and (bound.terms.ceiling_rate, bound.terms.ceiling_burst) == (2.0, 8.0)
     assert bound.terms.rate <= 2.0 and bound.terms.burst <= 8.0
-    assert follower.beat(1, Stamp(1, 3), 9000, LEASE) == (Do.RENEW, Do.RECOVER)
+    assert follower.beat(1, Stamp(1, 3), 9000, LEASE) == (FollowerAction.RENEW, FollowerAction.RECOVER)
     bound = follower.binding("hotel", 9001)
     assert bound is not None and bound.terms == LARGE
 
@@ -100,9 +111,9 @@
 def test_a_beat_that_was_long_under_way_carries_little_lease() -> None:
     follower = following()
     follower.beat(1, Stamp(1, 4), 1000, LEASE)
-    assert follower.lease_until == 1000 + LEASE - SKEW
+    assert follower.lease_until == 1000 + LEASE - MAX_CLOCK_SKEW_MS
     follower.beat(1, Stamp(1, 4), 500, LEASE)  # overtaken: it takes nothing away
-    assert follower.lease_until == 1000 + LEASE - SKEW
+    assert follower.lease_until == 1000 + LEASE - MAX_CLOCK_SKEW_MS
 
 
 @settings(max_examples=200)
@@ -129,7 +140,7 @@
         known = follower.book.last.seq
         assert follower.book == (book(known, follower.epoch) if known else Book("vadodara"))
     follower.whole(2, books[2], 9000, LEASE)
-    assert follower.book == books[2] and follower.at is At.CURRENT
+    assert follower.book == books[2] and follower.at is FollowerState.CURRENT
 
 
 @pytest.mark.parametrize("account", ["hotel", "unknown"])
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -17,7 +17,7 @@
 from cypresspulley.net.peers import Peers
 from cypresspulley.operators import OperatorsError
 from cypresspulley.plans import serve
-from cypresspulley.plans.follow import At
+from cypresspulley.plans.follow import FollowerState
 from cypresspulley.plans.plan_writer import PlanWriter
 from cypresspulley.plans.serve import Publisher
 from cypresspulley.plans.store import Store
@@ -105,7 +105,7 @@
         others: list[Any] = [FollowerStub() for _ in range(LARGE_FLEET_SIZE - 1)]
         publisher._writers.update(others)
         one = Followed(address)
-        await one.until(lambda: one.follower.at is At.CURRENT)
+        await one.until(lambda: one.follower.at is FollowerState.CURRENT)
         assert publisher.followers == LARGE_FLEET_SIZE <= serve.MOST_FOLLOWERS
         one.channel.close()
         publisher._writers.difference_update(others)
