--- a/benchmarks/plan_book.py
+++ b/benchmarks/plan_book.py
@@ -27,10 +27,12 @@
 
 def large(accounts: int) -> Book:
     book = (
-        Book("bench").taking(Version("p", 0, Stamp(1, 1), TERMS)).taking(Version("q", 0, Stamp(1, 2), TERMS))
+        Book("bench")
+        .with_change(Version("p", 0, Stamp(1, 1), TERMS))
+        .with_change(Version("q", 0, Stamp(1, 2), TERMS))
     )
     for n in range(accounts):
-        book = book.taking(Assignment(f"account-{n}", 0, Stamp(1, n + 3), "p"))
+        book = book.with_change(Assignment(f"account-{n}", 0, Stamp(1, n + 3), "p"))
     return book
 
 
@@ -46,13 +48,13 @@
     for n in range(times):
         account = f"account-{n * 37 % accounts}"
         began = time.perf_counter()
-        book = book.taking(Assignment(account, 1 + n, Stamp(1, accounts + 3 + n), "pq"[n % 2]))
+        book = book.with_change(Assignment(account, 1 + n, Stamp(1, accounts + 3 + n), "pq"[n % 2]))
         took.append(time.perf_counter() - began)
         began = time.perf_counter()
         copied = {**copied, account: ("q", n)}
         beside.append(time.perf_counter() - began)
         began = time.perf_counter()
-        book.terms(account, 1 + n)
+        book.binding_version(account, 1 + n)
         looked.append(time.perf_counter() - began)
     ratio = statistics.median(beside) / statistics.median(took)
     print(
@@ -80,7 +82,9 @@
             plan_writer.assign(f"account-{n}", "p", now + 5000, now, "m")
             publisher.changed()
             async with asyncio.timeout(20):
-                while any(channel.follower.book.last != plan_writer.book.last for channel in channels):
+                while any(
+                    channel.follower.book.last_stamp != plan_writer.book.last_stamp for channel in channels
+                ):
                     news.clear()
                     await news.wait()
             if n:  # the first waits for the connections
--- a/benchmarks/plan_churn.py
+++ b/benchmarks/plan_churn.py
@@ -98,8 +98,8 @@
         self.rng, self.now, self._number = Random(self.seed), BEGIN, 0
         self.book = Book("churn")
         for number, (plan, terms) in enumerate(sorted(TERMS.items()), 1):
-            self.book = self.book.taking(Version(plan, 0, Stamp(1, number), terms))
-        self.book = self.book.taking(Assignment(ACCOUNT, 0, Stamp(1, 4), self.rng.choice("sml")))
+            self.book = self.book.with_change(Version(plan, 0, Stamp(1, number), terms))
+        self.book = self.book.with_change(Assignment(ACCOUNT, 0, Stamp(1, 4), self.rng.choice("sml")))
         terms = TERMS[self.plan_at(0)]
         self.store = BucketLevel(terms.ceiling_burst, 0.0, terms.ceiling_rate, terms.ceiling_burst)
         off = 0.0 if self.calm else CLOCK
@@ -107,7 +107,7 @@
         self.gatherers, self.surge = list[Gatherer](), False
 
     def plan_at(self, at: int) -> str:
-        assigned = self.book.assignment(ACCOUNT, at)
+        assigned = self.book.assignment_at(ACCOUNT, at)
         return assigned.plan if assigned is not None else LOWEST
 
     def at(self, when: float, what: Callable[[], None]) -> None:
@@ -186,8 +186,8 @@
         taken = {one.effective for one in self.book.accounts[ACCOUNT]}
         if effective in taken:
             return
-        made = Assignment(ACCOUNT, effective, Stamp(1, self.book.last.seq + 1), plan)
-        self.book = self.book.taking(made)
+        made = Assignment(ACCOUNT, effective, Stamp(1, self.book.last_stamp.seq + 1), plan)
+        self.book = self.book.with_change(made)
         for one in self.limiters:
             for _ in range(1 + (self.rng.random() < 0.05)):  # some come twice
                 self.say(one, one.life, partial(self.told, made))
@@ -214,13 +214,13 @@
         if whole:
             self.say(one, life, lambda follower: follower.whole(1, book, sent, LEASE))
             return
-        last = one.planned.follower.book.last.seq if one.planned is not None else 0
+        last = one.planned.follower.book.last_stamp.seq if one.planned is not None else 0
         for made in book.changes()[last:]:
             self.say(one, life, partial(self.told, made))
 
     def beat(self) -> None:
         self.at(self.now + 1.0, self.beat)
-        sent, last = int(self.now * 1000), self.book.last
+        sent, last = int(self.now * 1000), self.book.last_stamp
         for one in self.limiters:
             self.say(one, one.life, lambda follower: follower.beat(1, last, sent, LEASE))
 
--- a/cypresspulley/plans/book.py
+++ b/cypresspulley/plans/book.py
@@ -1,6 +1,6 @@
 """The plan book: immutable versions of plans and histories of assignments, each with an instant. No I/O, no clock.
 
-A book is a value. ``Book.taking`` gives a new one that shares all but what changed with the old (hash array mapped
+A book is a value. ``Book.with_change`` gives a new one that shares all but what changed with the old (hash array mapped
 tries, ``immutables``), so that a request keeps the version that it was admitted under by keeping a reference. The same
 changes in any order give the same book: a history is sorted by effective instant, then by the writer's stamp.
 
@@ -18,9 +18,9 @@
 
 from immutables import Map
 
-MOST_NAME = 80  # characters of a plan's, account's or author's name
-MOST_TEXT = 400  # of a reason
-MOST_FIGURE = 1e12
+MAX_NAME_LENGTH = 80  # characters of a plan's, account's or author's name
+MAX_REASON_LENGTH = 400  # of a reason
+MAX_TERM_VALUE = 1e12
 
 
 class BookError(ValueError):
@@ -54,12 +54,12 @@
         """What is wrong with it: key and expectation."""
         for name in ("rate", "burst"):
             value = getattr(self, name)
-            if not (math.isfinite(value) and 0 < value <= MOST_FIGURE):
-                yield f"{name}: expected a number above 0 and at most {MOST_FIGURE:g}, got {value!r}"
+            if not (math.isfinite(value) and 0 < value <= MAX_TERM_VALUE):
+                yield f"{name}: expected a number above 0 and at most {MAX_TERM_VALUE:g}, got {value!r}"
         for name in ("ceiling_rate", "ceiling_burst", "worth"):
             value = getattr(self, name)
-            if not (math.isfinite(value) and 0 <= value <= MOST_FIGURE):
-                yield f"{name}: expected a number from 0 to {MOST_FIGURE:g}, got {value!r}"
+            if not (math.isfinite(value) and 0 <= value <= MAX_TERM_VALUE):
+                yield f"{name}: expected a number from 0 to {MAX_TERM_VALUE:g}, got {value!r}"
         if (self.ceiling_rate > 0) != (self.ceiling_burst > 0):
             yield "ceiling_rate, ceiling_burst: expected both above 0, or both 0 for no ceiling"
         elif self.ceiling_rate and not (self.ceiling_rate >= self.rate and self.ceiling_burst >= self.burst):
@@ -128,7 +128,7 @@
 
 
 Change = Version | Assignment | Withdrawal
-One = TypeVar("One", Version, Assignment)
+PlanChange = TypeVar("One", Version, Assignment)
 
 
 def as_json(change: Change) -> dict[str, Any]:
@@ -156,7 +156,7 @@
     return Stamp(_whole(raw[0], where), _whole(raw[1], where))
 
 
-def _text(raw: Any, where: str, most: int = MOST_NAME, least: int = 1) -> str:
+def _text(raw: Any, where: str, most: int = MAX_NAME_LENGTH, least: int = 1) -> str:
     if not isinstance(raw, str) or not least <= len(raw) <= most or not raw.isprintable():
         raise BookError(f"{where}: expected {least} to {most} printable characters, got {raw!r:.60}")
     return raw
@@ -168,7 +168,7 @@
     return float(raw)
 
 
-def terms_from(raw: Any, where: str) -> Terms:
+def parse_terms(raw: Any, where: str) -> Terms:
     """Terms from JSON or TOML; ``BookError`` names the key and what was expected."""
     if not isinstance(raw, dict):
         raise BookError(f"{where}: expected a table of terms, got {raw!r:.60}")
@@ -183,7 +183,7 @@
     return terms
 
 
-def change_from(raw: Any, where: str) -> Change:
+def parse_change(raw: Any, where: str) -> Change:
     """A change from JSON, checked whole."""
     if not isinstance(raw, dict) or raw.get("kind") not in ("version", "assignment", "withdrawal"):
         raise BookError(f"{where}.kind: expected version, assignment or withdrawal")
@@ -191,21 +191,21 @@
     told = _whole(raw.get("effective"), f"{where}.effective"), stamp
     plan = "" if raw["kind"] == "withdrawal" else _text(raw.get("plan"), f"{where}.plan")
     author = _text(raw.get("author", ""), f"{where}.author", least=0)
-    reason = _text(raw.get("reason", ""), f"{where}.reason", MOST_TEXT, 0)
+    reason = _text(raw.get("reason", ""), f"{where}.reason", MAX_REASON_LENGTH, 0)
     if raw["kind"] == "withdrawal":
         return Withdrawal(_stamp(raw.get("target"), f"{where}.target"), *told, author, reason)
     if raw["kind"] == "version":
-        return Version(plan, *told, terms_from(raw.get("terms"), f"{where}.terms"), author, reason)
+        return Version(plan, *told, parse_terms(raw.get("terms"), f"{where}.terms"), author, reason)
     return Assignment(_text(raw.get("account"), f"{where}.account"), *told, plan, author, reason)
 
 
-def _in_force(history: tuple[One, ...], at: int) -> One | None:
+def _in_force(history: tuple[PlanChange, ...], at: int) -> PlanChange | None:
     """The last one whose instant has come."""
     number = bisect_right(history, at, key=lambda one: one.effective)
     return history[number - 1] if number else None
 
 
-def _with(history: tuple[One, ...], one: One) -> tuple[One, ...]:
+def _with(history: tuple[PlanChange, ...], one: PlanChange) -> tuple[PlanChange, ...]:
     whole = list(history)
     insort(whole, one, key=lambda each: each.key)
     return tuple(whole)
@@ -218,51 +218,51 @@
     installation: str
     plans: Map[str, tuple[Version, ...]] = field(default_factory=Map)
     accounts: Map[str, tuple[Assignment, ...]] = field(default_factory=Map)
-    stamps: Map[Stamp, Change] = field(default_factory=Map)
-    last: Stamp = Stamp(0, 0)  # the newest; 0.0 in a book without changes
-    withdrawn: Map[Stamp, Stamp] = field(
+    changes_by_stamp: Map[Stamp, Change] = field(default_factory=Map)
+    last_stamp: Stamp = Stamp(0, 0)  # the newest; 0.0 in a book without changes
+    withdrawals: Map[Stamp, Stamp] = field(
         default_factory=Map
     )  # assignments that do not hold, by what withdrew them
 
     def __repr__(self) -> str:
-        return f"<Book of {self.installation}: {len(self.plans)} plans, {len(self.accounts)} accounts, {self.last}>"
+        return f"<Book of {self.installation}: {len(self.plans)} plans, {len(self.accounts)} accounts, {self.last_stamp}>"
 
-    def taking(self, change: Change) -> Book:
+    def with_change(self, change: Change) -> Book:
         """A book that holds the change as well; itself where it does. ``BookError`` for another one of that stamp."""
-        known = self.stamps.get(change.stamp)
+        known = self.changes_by_stamp.get(change.stamp)
         if known == change:
             return self
         if known is not None:
             raise BookError(f"stamp {change.stamp}: {change}; the book has {known} under it")
-        plans, accounts, withdrawn = self.plans, self.accounts, self.withdrawn
+        plans, accounts, withdrawn = self.plans, self.accounts, self.withdrawals
         if isinstance(change, Version):
             plans = plans.set(change.plan, _with(plans.get(change.plan, ()), change))
         elif isinstance(change, Withdrawal):
             first = min(change.stamp, withdrawn.get(change.target, change.stamp))
             withdrawn = withdrawn.set(change.target, first)
-            if isinstance(target := self.stamps.get(change.target), Assignment):
+            if isinstance(target := self.changes_by_stamp.get(change.target), Assignment):
                 left = tuple(one for one in accounts.get(target.account, ()) if one.stamp != target.stamp)
                 accounts = accounts.set(target.account, left)
         elif change.stamp not in withdrawn:
             accounts = accounts.set(change.account, _with(accounts.get(change.account, ()), change))
         elif change.account not in accounts:
             accounts = accounts.set(change.account, ())
-        stamps = self.stamps.set(change.stamp, change)
-        return Book(self.installation, plans, accounts, stamps, max(self.last, change.stamp), withdrawn)
+        stamps = self.changes_by_stamp.set(change.stamp, change)
+        return Book(self.installation, plans, accounts, stamps, max(self.last_stamp, change.stamp), withdrawn)
 
-    def version(self, plan: str, at: int) -> Version | None:
+    def version_at(self, plan: str, at: int) -> Version | None:
         """The version of a plan in force at an instant."""
         return _in_force(self.plans.get(plan, ()), at)
 
-    def assignment(self, account: str, at: int) -> Assignment | None:
+    def assignment_at(self, account: str, at: int) -> Assignment | None:
         return _in_force(self.accounts.get(account, ()), at)
 
-    def terms(self, account: str, at: int, fallback: str = "") -> Version | None:
+    def binding_version(self, account: str, at: int, fallback: str = "") -> Version | None:
         """What binds a request of an account: by its assignment, or by ``fallback``, the plan that it came under."""
-        assigned = self.assignment(account, at)
-        return self.version(assigned.plan if assigned else fallback, at)
+        assigned = self.assignment_at(account, at)
+        return self.version_at(assigned.plan if assigned else fallback, at)
 
-    def instants(self, account: str, after: int, until: int) -> list[int]:
+    def change_instants(self, account: str, after: int, until: int) -> list[int]:
         """When other terms came to bind an account, later than one instant and up to another, in order; empty where
         its plan has not changed."""
         history = self.accounts.get(account, ())
@@ -278,13 +278,13 @@
     def lowest_ceiling(self, at: int) -> tuple[float, float]:
         """The lowest ceiling's rate and burst of all plans, by versions now and to come; (0, 0) where none has one."""
         found = [v.terms for history in self.plans.values() for v in history if v.effective >= at]
-        found += [v.terms for plan in self.plans if (v := self.version(plan, at)) is not None]
+        found += [v.terms for plan in self.plans if (v := self.version_at(plan, at)) is not None]
         limits = [(t.ceiling_rate, t.ceiling_burst) for t in found if t.ceiling_rate > 0]
         return (min(r for r, _ in limits), min(b for _, b in limits)) if limits else (0.0, 0.0)
 
     def changes(self) -> list[Change]:
         """All changes, by stamp."""
-        return [self.stamps[stamp] for stamp in sorted(self.stamps)]
+        return [self.changes_by_stamp[stamp] for stamp in sorted(self.changes_by_stamp)]
 
     def digest(self) -> str:
         """16 hex digits: alike for books of one installation that took the same changes, in whatever order."""
@@ -292,17 +292,17 @@
         return blake2b("\n".join((self.installation, *parts)).encode(), digest_size=8).hexdigest()
 
 
-def check_new(book: Book, change: Change, now: int) -> None:
+def check_new_change(book: Book, change: Change, now: int) -> None:
     """What only the writer can tell: whether a new change may be taken. ``BookError`` says why not."""
     if change.effective < now:
         raise BookError(
             f"effective: expected an instant from {now} on, got {change.effective}, which is past"
         )
-    if change.stamp <= book.last:
-        raise BookError(f"stamp: expected one above {book.last}, got {change.stamp}")
+    if change.stamp <= book.last_stamp:
+        raise BookError(f"stamp: expected one above {book.last_stamp}, got {change.stamp}")
     if isinstance(change, Withdrawal):
-        target = book.stamps.get(change.target)
-        if not isinstance(target, Assignment) or change.target in book.withdrawn or target.effective <= now:
+        target = book.changes_by_stamp.get(change.target)
+        if not isinstance(target, Assignment) or change.target in book.withdrawals or target.effective <= now:
             raise BookError(f"target: expected an assignment to come after {now}, got {target}")
         return
     if isinstance(change, Version):
@@ -310,7 +310,7 @@
             raise BookError(f"terms.{problem}")
         history: tuple[Change, ...] = book.plans.get(change.plan, ())
     else:
-        if book.version(change.plan, change.effective) is None:
+        if book.version_at(change.plan, change.effective) is None:
             known = ", ".join(sorted(book.plans)) or "none yet"
             raise BookError(
                 f"plan: {change.plan!r} is in force at no time before then; expected one of {known}"
--- a/cypresspulley/plans/channel.py
+++ b/cypresspulley/plans/channel.py
@@ -84,7 +84,7 @@
                 self._where.host, self._where.port, limit=MOST_LINE
             )
         try:
-            since = 0 if self._ask_all else self.follower.book.last.seq
+            since = 0 if self._ask_all else self.follower.book.last_stamp.seq
             writer.write(
                 f"GET /v1/plans?epoch={self.follower.epoch}&since={since} HTTP/1.1\r\nHost: plans\r\n"
                 f"Authorization: Bearer {self._where.token}\r\n\r\n".encode()
@@ -106,7 +106,7 @@
         if isinstance(epoch, bool) or not isinstance(epoch, int):
             raise EndedError(f"epoch: expected a whole number, got {epoch!r:.60}")
         if kind == "change":
-            return self.follower.change(epoch, books.change_from(line.get("change"), "change"))
+            return self.follower.change(epoch, books.parse_change(line.get("change"), "change"))
         sent, lease = line.get("sent"), line.get("lease")
         if not isinstance(sent, int) or not isinstance(lease, int):
             raise EndedError("sent, lease: expected whole milliseconds")
@@ -125,7 +125,7 @@
             raise EndedError(f"changes: expected a number up to {MOST_CHANGES}, got {count!r:.60}")
         book = Book(str(installation))
         for number in range(count):
-            book = book.taking(books.change_from(await self._json(reader), f"change {number}"))
+            book = book.with_change(books.parse_change(await self._json(reader), f"change {number}"))
         return book
 
     async def _json(self, reader: asyncio.StreamReader) -> dict[str, Any]:
--- a/cypresspulley/plans/command.py
+++ b/cypresspulley/plans/command.py
@@ -126,7 +126,7 @@
     dry = "would be: " if done["dry_run"] else ""
     if "change" not in done:
         return f"{dry}{done['key']} of {done['account']}: {done['at']}, {done['units']:g} units"
-    lines = [dry + _line(books.change_from(done["change"], "change")).strip()]
+    lines = [dry + _line(books.parse_change(done["change"], "change")).strip()]
     for account, by in done["passed_by"].items():
         lines.append(
             f"  {account} may pass its new ceiling by {by:g} units: announced less than a lease ahead"
@@ -142,12 +142,14 @@
         return fail(error, BAD_INPUT)
     at = unix_ms() if at is None else at
     plans = [
-        v for plan in sorted(plan_writer.book.plans) if (v := plan_writer.book.version(plan, at)) is not None
+        v
+        for plan in sorted(plan_writer.book.plans)
+        if (v := plan_writer.book.version_at(plan, at)) is not None
     ]
     found = [
         a
         for name in sorted(plan_writer.book.accounts)
-        if (a := plan_writer.book.assignment(name, at)) is not None
+        if (a := plan_writer.book.assignment_at(name, at)) is not None
     ]
     reservations = [reservation_json(one) for one in plan_writer.reservations.all.values()]
     told = {
@@ -185,7 +187,7 @@
 
 
 def _same(book: Book) -> str:
-    return f"{len(book.stamps)}, digest {book.digest()}"
+    return f"{len(book.changes_by_stamp)}, digest {book.digest()}"
 
 
 def examine(store: Path, as_json: bool) -> int:
--- a/cypresspulley/plans/follow.py
+++ b/cypresspulley/plans/follow.py
@@ -102,7 +102,7 @@
         self.lease_until = 0  # Unix milliseconds
 
     def __repr__(self) -> str:
-        return f"<Follower {self.at.value}, epoch {self.epoch}, {self.book.last}, lease until {self.lease_until}>"
+        return f"<Follower {self.at.value}, epoch {self.epoch}, {self.book.last_stamp}, lease until {self.lease_until}>"
 
     def _hear(self, what: FollowerEvent) -> tuple[FollowerAction, ...]:
         self.at, actions = TRANSITIONS.get((self.at, what), (self.at, ()))
@@ -117,7 +117,7 @@
         """A whole book. One of another installation is dropped, whatever its epoch."""
         if epoch < self.epoch or book.installation != self.book.installation:
             return self._hear(FollowerEvent.STALE)
-        if epoch == self.epoch and book.last < self.book.last:
+        if epoch == self.epoch and book.last_stamp < self.book.last_stamp:
             return ()  # sent before what is here
         actions = self._hear(FollowerEvent.BOOK)
         self.epoch, self.book = epoch, book
@@ -128,21 +128,21 @@
         """One change; what is missing before it is asked for first."""
         if (other := self._old_or_new(epoch)) is not None:
             return self._hear(other)
-        last = self.book.last.seq
+        last = self.book.last_stamp.seq
         if change.stamp.seq <= last:
             return self._hear(FollowerEvent.KNOWN)
         if change.stamp.seq > last + 1:
             return self._hear(FollowerEvent.GAP)
         actions = self._hear(FollowerEvent.NEXT)
         if FollowerAction.APPLY in actions:
-            self.book = self.book.taking(change)
+            self.book = self.book.with_change(change)
         return actions
 
     def beat(self, epoch: int, last: Stamp, sent: int, lease: int) -> tuple[FollowerAction, ...]:
         """The writer lives, and its newest change is ``last``."""
         if (other := self._old_or_new(epoch)) is not None:
             return self._hear(other)
-        actions = self._hear(FollowerEvent.BEAT if last <= self.book.last else FollowerEvent.AHEAD)
+        actions = self._hear(FollowerEvent.BEAT if last <= self.book.last_stamp else FollowerEvent.AHEAD)
         if FollowerAction.RENEW in actions:
             self._renew(sent, lease)
         return actions
@@ -157,7 +157,7 @@
 
     def binding(self, account: str, now: int, fallback: str = "") -> Version | None:
         """What binds a request of an account now; a lapsed lease lowers its ceiling."""
-        found = self.book.terms(account, now, fallback)
+        found = self.book.binding_version(account, now, fallback)
         return None if found is None else self.lowered(found, now)
 
     def lowered(self, version: Version, now: int) -> Version:
--- a/cypresspulley/plans/limiter.py
+++ b/cypresspulley/plans/limiter.py
@@ -122,7 +122,9 @@
     def _look(self, at: int) -> bool:
         """Whether other terms are in force at an instant than at the last one that was looked at."""
         before, book = self._in_force, self.follower.book
-        found = (self.follower.lowered(v, at) for plan in sorted(book.plans) if (v := book.version(plan, at)))
+        found = (
+            self.follower.lowered(v, at) for plan in sorted(book.plans) if (v := book.version_at(plan, at))
+        )
         self._in_force = {version.plan: version for version in found}
         return before != self._in_force
 
@@ -133,7 +135,7 @@
 
     def _bound(self, now: float, ev: api.Request) -> api.Request:
         """The request under the plan that its account is on now; its levels come along where that is another."""
-        assigned = self.follower.book.assignment(ev.account, int(now * 1000))
+        assigned = self.follower.book.assignment_at(ev.account, int(now * 1000))
         plan = ev.plan if assigned is None or assigned.plan not in self._in_force else assigned.plan
         version = self._in_force.get(plan)
         stamp = version.stamp if version is not None else UNVERSIONED
@@ -149,7 +151,7 @@
         key = next((k for k in self._keys(ev) if k in quotas.accounts), None)
         old = quotas.accounts[key] if key is not None else None
         since = old.refilled_at if old is not None else 0.0
-        instants = self.follower.book.instants(ev.account, int(since * 1000), int(now * 1000))
+        instants = self.follower.book.change_instants(ev.account, int(since * 1000), int(now * 1000))
         if not instants and (key is None or key[0] == ev.plan):
             return
         ceiling = BucketLevel(math.inf, since, math.inf, math.inf)
@@ -157,7 +159,7 @@
             del quotas.accounts[key]
             ceiling = _share_of(old)
         for at in instants:
-            if (version := self.follower.book.terms(ev.account, at, ev.plan)) is not None:
+            if (version := self.follower.book.binding_version(ev.account, at, ev.plan)) is not None:
                 terms = self.follower.lowered(version, at).terms
                 ceiling = ceiling.with_limits(
                     at / 1000, *_limits(terms.ceiling_rate, terms.ceiling_burst, ev.gateways)
--- a/cypresspulley/plans/plan_writer.py
+++ b/cypresspulley/plans/plan_writer.py
@@ -16,12 +16,12 @@
     Book,
     BookError,
     Change,
-    One,
+    PlanChange,
     Stamp,
     Terms,
     Version,
     Withdrawal,
-    check_new,
+    check_new_change,
 )  # fmt: skip
 from cypresspulley.plans.bucket_level import max_ceiling_overshoot
 from cypresspulley.plans.events import MARK, drawn, event_plan, event_terms
@@ -75,10 +75,10 @@
             self.epoch = max(self.epoch, record["epoch"])
             self.book = replace(self.book, installation=record["installation"])
         elif kind in ("version", "assignment", "withdrawal"):
-            change = books.change_from(record, where)
+            change = books.parse_change(record, where)
             if change.stamp.seq != len(self.log) + 1:
                 raise StoreError(f"{where}: number {change.stamp.seq}; expected {len(self.log) + 1}")
-            self._known(self.book.taking(change), change)
+            self._known(self.book.with_change(change), change)
         elif kind == "use":
             use = record_from(record, where)
             self._late(use)
@@ -124,7 +124,7 @@
 
     @property
     def _next(self) -> Stamp:
-        return Stamp(self.epoch, self.book.last.seq + 1)
+        return Stamp(self.epoch, self.book.last_stamp.seq + 1)
 
     def version(
         self, plan: str, terms: Terms, effective: int, now: int, author: str, reason: str = "", dry: bool = False
@@ -138,7 +138,7 @@
         """An account's plan from an instant on."""
         return self._write(Assignment(account, effective, self._next, plan, author, reason), now, dry)
 
-    def _write(self, change: One, now: int, dry: bool) -> One:
+    def _write(self, change: PlanChange, now: int, dry: bool) -> PlanChange:
         if dry:
             self._checked(change, now)
         else:
@@ -146,8 +146,8 @@
         return change
 
     def _checked(self, change: Change, now: int) -> Book:
-        books.change_from(books.as_json(change), "change")  # what a start could not read must not be stored
-        check_new(self.book, change, now)
+        books.parse_change(books.as_json(change), "change")  # what a start could not read must not be stored
+        check_new_change(self.book, change, now)
         if isinstance(change, Assignment):
             for one in self.reservations.all.values():
                 held = (
@@ -158,7 +158,7 @@
                     raise BookError(
                         f"account: {change.account} has reservation {one.wish.key} then; release it first"
                     )
-        return self.book.taking(change)
+        return self.book.with_change(change)
 
     def take(self, change: Change, now: int) -> None:
         """A new change: checked, stored, then in the book."""
@@ -174,14 +174,14 @@
         new: Version | None = None
         if isinstance(change, Assignment):
             accounts = [change.account]
-            new = self.book.version(change.plan, change.effective)
+            new = self.book.version_at(change.plan, change.effective)
         elif isinstance(change, Version):
-            held = ((a, self.book.assignment(a, change.effective)) for a in self.book.accounts)
+            held = ((a, self.book.assignment_at(a, change.effective)) for a in self.book.accounts)
             accounts = [a for a, on in held if on is not None and on.plan == change.plan]
             new = change
         found = dict[str, float]()
         for account in accounts:
-            old = self.book.terms(account, change.effective - 1)
+            old = self.book.binding_version(account, change.effective - 1)
             if old is None or new is None or old.terms.ceiling_rate <= 0 or new.terms.ceiling_rate <= 0:
                 continue
             by = max_ceiling_overshoot(
@@ -207,7 +207,7 @@
 
     def room(self, account: str, at: int, fleet_rate: float) -> Capacity:
         """What the fleet (units a second that may be set aside) and the account's plan can hold."""
-        found = self.book.terms(account, at)
+        found = self.book.binding_version(account, at)
         if found is None:
             raise BookError(f"account: {account!r} has no plan at {at}; expected one that is assigned")
         terms = found.terms
@@ -241,7 +241,7 @@
         """The event's plan, the account's way to it at the window's begin, and back at its end."""
         wish = one.wish
         start = max(wish.start, now)
-        base = self.book.terms(wish.account, start)
+        base = self.book.binding_version(wish.account, start)
         assert base is not None  # there is room by its terms
         if any(self._meets(wish, other) for other in self.reservations.all.values() if other is not one):
             raise BookError(
@@ -274,13 +274,13 @@
         """One commit for the reservation and what limiters hear of it; then it is in force."""
         book = self.book
         for change in changes:
-            books.change_from(books.as_json(change), "change")
-            book = book.taking(change)
+            books.parse_change(books.as_json(change), "change")
+            book = book.with_change(change)
         if dry:
             return
         self._commit(_reservation_record(one), *map(books.as_json, changes))
         for change in changes:
-            self._known(self.book.taking(change), change)
+            self._known(self.book.with_change(change), change)
 
     def release(self, key: str, now: int) -> Reservation:
         """No new draws from now on; what is not drawn is given back once limiters have told all they used."""
@@ -309,7 +309,7 @@
             Withdrawal(a.stamp, now, Stamp(self.epoch, seq + n), *reason)
             for n, a in enumerate(a for a in mine if a.effective > now)
         ]
-        assigned = self.book.assignment(account, now)
+        assigned = self.book.assignment_at(account, now)
         if assigned is not None and assigned.plan == one.plan:
             back = Stamp(self.epoch, seq + len(changes))
             changes.append(Assignment(account, self._free(account, now + 1), back, plan, *reason))
--- a/cypresspulley/plans/serve.py
+++ b/cypresspulley/plans/serve.py
@@ -202,7 +202,7 @@
     async def _tell(self, writer: asyncio.StreamWriter, epoch: int, since: int) -> None:
         plan_writer = self._plan_writer
         known = since if epoch == plan_writer.epoch else 0
-        if not known or known > plan_writer.book.last.seq:
+        if not known or known > plan_writer.book.last_stamp.seq:
             known = await self._whole(writer)
         while True:
             news = self._news
@@ -210,13 +210,15 @@
                 await self._write(
                     writer, {"kind": "change", "epoch": plan_writer.epoch, "change": books.as_json(change)}
                 )
-            known = plan_writer.book.last.seq
-            await self._write(writer, {**self._head("beat"), "last": [plan_writer.book.last.epoch, known]})
+            known = plan_writer.book.last_stamp.seq
+            await self._write(
+                writer, {**self._head("beat"), "last": [plan_writer.book.last_stamp.epoch, known]}
+            )
             with suppress(TimeoutError):
                 await asyncio.wait_for(news.wait(), self._beat)
 
     def _behind(self, known: int) -> list[Change]:
-        if known == self._plan_writer.book.last.seq:
+        if known == self._plan_writer.book.last_stamp.seq:
             return []
         return self._plan_writer.log[known:]
 
--- a/cypresspulley/plans/wishes.py
+++ b/cypresspulley/plans/wishes.py
@@ -64,7 +64,7 @@
         if (
             isinstance(value, bool)
             or not isinstance(value, int | float)
-            or not 0 < value <= books.MOST_FIGURE
+            or not 0 < value <= books.MAX_TERM_VALUE
         ):
             raise WishError(f"{name}: expected a number above 0, got {value!r:.60}")
         return float(value)
@@ -99,7 +99,7 @@
     effective, reason = keys.instant("effective", now, now + LEASE), keys.text("reason", "")
     change: Change
     if kind == "change":
-        terms = books.terms_from(keys.keys.get("terms"), "terms")
+        terms = books.parse_terms(keys.keys.get("terms"), "terms")
         change = plan_writer.version(keys.text("plan"), terms, effective, now, author, reason, dry=True)
     else:
         told = keys.text("account"), keys.text("plan")
@@ -129,13 +129,13 @@
 
 def difference(old: Book, new: Book) -> list[Change]:
     """Changes that only the second one has, by stamp."""
-    return [change for change in new.changes() if change.stamp not in old.stamps]
+    return [change for change in new.changes() if change.stamp not in old.changes_by_stamp]
 
 
 def _of(book: Book, change: Change) -> str:
     """The account or plan that a change is of."""
     if isinstance(change, Withdrawal):
-        target = book.stamps.get(change.target)
+        target = book.changes_by_stamp.get(change.target)
         return "" if target is None else _of(book, target)
     return change.plan if isinstance(change, Version) else change.account
 
--- a/cypresspulley/rehearsal/standins/bookkeeper.py
+++ b/cypresspulley/rehearsal/standins/bookkeeper.py
@@ -87,7 +87,7 @@
             wish = ReservationRequest(
                 f"ev-{account}", account, now + 300, now + round(lasts * 1000), units, "rehearsal"
             )
-            if self.plan_writer.book.assignment(account, now) is None:
+            if self.plan_writer.book.assignment_at(account, now) is None:
                 self.plan_writer.assign(account, plan, now, now, "rehearsal")
             keys += [wish.key] if self.plan_writer.reserve(wish, now, 1e6).at is ReservationState.HELD else []
         self._changed()
--- a/tests/plans/test_book.py
+++ b/tests/plans/test_book.py
@@ -19,8 +19,8 @@
     Version,
     Withdrawal,
     as_json,
-    change_from,
-    check_new,
+    check_new_change,
+    parse_change,
 )  # fmt: skip
 
 SMALL = Terms(1.0, 4.0, 2.0, 8.0)
@@ -30,7 +30,7 @@
 def book_of(*changes: Change) -> Book:
     book = Book("vadodara")
     for change in changes:
-        book = book.taking(change)
+        book = book.with_change(change)
     return book
 
 
@@ -62,10 +62,10 @@
     shuffled = made + [change for change in made if rng.random() < 0.3]
     rng.shuffle(shuffled)
     one, other = book_of(*made), book_of(*shuffled)
-    assert one == other and one.digest() == other.digest() and one.last == other.last
+    assert one == other and one.digest() == other.digest() and one.last_stamp == other.last_stamp
     for at in range(0, 52, 3):
         for name in "abc":
-            assert one.terms(name, at, "a") == other.terms(name, at, "a")
+            assert one.binding_version(name, at, "a") == other.binding_version(name, at, "a")
 
 
 @given(changes(1), st.integers(0, 51))
@@ -75,23 +75,23 @@
         gone = {c.target for c in made if isinstance(c, Withdrawal)}
         all_ = [c for c in made if isinstance(c, Assignment) and c.account == name and c.stamp not in gone]
         due = [c for c in all_ if c.effective <= at]
-        found = book.assignment(name, at)
+        found = book.assignment_at(name, at)
         assert found == max(due, key=lambda c: (c.effective, c.stamp), default=None)
 
 
 @given(changes())
 def test_a_change_survives_json(made: list[Change]) -> None:
     for change in made:
-        assert change_from(json.loads(json.dumps(as_json(change))), "x") == change
+        assert parse_change(json.loads(json.dumps(as_json(change))), "x") == change
 
 
 def test_a_version_that_was_kept_is_untouched_by_what_comes_after() -> None:
     book = book_of(Version("p", 0, Stamp(1, 1), LARGE), Assignment("hotel", 0, Stamp(1, 2), "p"))
-    admitted = book.terms("hotel", 5)
-    after = book.taking(Version("p", 6, Stamp(1, 3), SMALL))
+    admitted = book.binding_version("hotel", 5)
+    after = book.with_change(Version("p", 6, Stamp(1, 3), SMALL))
     assert admitted is not None and admitted.terms is LARGE
-    found = after.terms("hotel", 6)
-    assert found is not None and found.terms is SMALL and book.terms("hotel", 6) is admitted
+    found = after.binding_version("hotel", 6)
+    assert found is not None and found.terms is SMALL and book.binding_version("hotel", 6) is admitted
 
 
 def test_up_down_up_within_a_second_heard_in_other_orders_ends_alike() -> None:
@@ -99,14 +99,14 @@
     moves = [Assignment("hotel", 1000 + 300 * n, Stamp(1, 3 + n), "lsl"[n]) for n in range(3)]
     one, other = book_of(*base, *moves), book_of(*moves[::-1], *base[::-1])
     assert one == other
-    bound = [v.plan for at in (1000, 1300, 1600) if (v := one.terms("hotel", at, "s")) is not None]
+    bound = [v.plan for at in (1000, 1300, 1600) if (v := one.binding_version("hotel", at, "s")) is not None]
     assert bound == ["l", "s", "l"]
 
 
 def test_one_stamp_with_two_contents_is_refused() -> None:
     book = book_of(Version("p", 0, Stamp(1, 1), LARGE))
     with pytest.raises(BookError, match=r"stamp 1\.1"):
-        book.taking(Version("p", 0, Stamp(1, 1), SMALL))
+        book.with_change(Version("p", 0, Stamp(1, 1), SMALL))
 
 
 BASE = book_of(Version("p", 0, Stamp(1, 1), LARGE), Assignment("hotel", 100, Stamp(1, 2), "p"))
@@ -129,7 +129,7 @@
 )
 def test_what_a_writer_must_not_take(change: Change, said: str) -> None:
     with pytest.raises(BookError, match=said):
-        check_new(BASE, change, 50)
+        check_new_change(BASE, change, 50)
 
 
 @pytest.mark.parametrize(
@@ -160,7 +160,7 @@
 )
 def test_bad_changes_are_named_by_key_and_expectation(change: Any, said: str) -> None:
     with pytest.raises(BookError, match=said.replace(".", r"\.")):
-        change_from(change, "x")
+        parse_change(change, "x")
 
 
 KEYS = st.sampled_from(("kind", "stamp", "plan", "terms", "effective", "account"))
@@ -171,6 +171,6 @@
 @given(ANYTHING)
 def test_whatever_comes_is_a_change_or_a_named_error(raw: Any) -> None:
     try:
-        change_from(raw, "line 3")
+        parse_change(raw, "line 3")
     except BookError as error:
         assert str(error).startswith("line 3")
--- a/tests/plans/test_events.py
+++ b/tests/plans/test_events.py
@@ -60,7 +60,11 @@
 
 def test_the_account_is_on_the_event_s_plan_for_its_window() -> None:
     book = plan_writer_with().book
-    bound = [v.plan for at in (START - 1, START, END - 1, END) if (v := book.terms("hotel", at)) is not None]
+    bound = [
+        v.plan
+        for at in (START - 1, START, END - 1, END)
+        if (v := book.binding_version("hotel", at)) is not None
+    ]
     assert bound == ["p", PLAN, PLAN, "p"]
 
 
@@ -81,7 +85,7 @@
     used(plan_writer, 40, 1)
     one = plan_writer.release("wedding", START + 10_000)
     assert one.at is ReservationState.DRAINING and one.given_back == 0
-    found = plan_writer.book.terms("hotel", START + 10_001)
+    found = plan_writer.book.binding_version("hotel", START + 10_001)
     assert found is not None and found.plan == "p"
     used(plan_writer, 25, 2)  # in flight at the release
     assert plan_writer.release("wedding", START + 11_000) is one and plan_writer.tick(START + 11_000) == []
@@ -119,7 +123,7 @@
     bound = [
         v.plan
         for at in (START + 1500, START + 2000, END)
-        if (v := plan_writer.book.terms("hotel", at)) is not None
+        if (v := plan_writer.book.binding_version("hotel", at)) is not None
     ]
     assert bound == ["p", "low", "low"]
 
--- a/tests/plans/test_follow.py
+++ b/tests/plans/test_follow.py
@@ -31,7 +31,7 @@
 def book(last: int, epoch: int = 1) -> Book:
     found = Book("vadodara")
     for seq in range(1, last + 1):
-        found = found.taking(change(seq, epoch))
+        found = found.with_change(change(seq, epoch))
     return found
 
 
@@ -137,7 +137,7 @@
             follower.whole(epoch, book(seq, epoch), 0, LEASE)
         follower.tick(rng.randint(0, 9000))
         assert follower.epoch >= before
-        known = follower.book.last.seq
+        known = follower.book.last_stamp.seq
         assert follower.book == (book(known, follower.epoch) if known else Book("vadodara"))
     follower.whole(2, books[2], 9000, LEASE)
     assert follower.book == books[2] and follower.at is FollowerState.CURRENT
--- a/tests/plans/test_limiter.py
+++ b/tests/plans/test_limiter.py
@@ -36,7 +36,7 @@
         self.world = w.World(self.config, now=now)
         self.book = Book("vadodara")
         for change in changes:
-            self.book = self.book.taking(change)
+            self.book = self.book.with_change(change)
         self.follower, self.gatherer = Follower("vadodara"), Gatherer("n1", 1)
         self.follower.whole(1, self.book, T0, lease)
         gateway = self.world.gateway
--- a/tests/plans/test_serve.py
+++ b/tests/plans/test_serve.py
@@ -216,7 +216,7 @@
         server = await asyncio.start_server(rude, "127.0.0.1", 0)
         one = Followed(server.sockets[0].getsockname()[:2])
         await one.until(lambda: bool(one.channel.why))
-        assert one.follower.at is FollowerState.EMPTY and one.follower.book.last.seq == 0
+        assert one.follower.at is FollowerState.EMPTY and one.follower.book.last_stamp.seq == 0
         one.channel.close()
         server.close()
 
--- a/tests/plans/test_store.py
+++ b/tests/plans/test_store.py
@@ -167,7 +167,7 @@
         do = lambda o: o.version("p", TERMS[number % 2], now, now, "m")  # noqa: E731
     elif step == 1:
         do = lambda o: o.assign("hotel", "p", now, now, "m")  # noqa: E731
-    elif step == 2 and plan_writer.book.assignment("hotel", now) is not None:
+    elif step == 2 and plan_writer.book.assignment_at("hotel", now) is not None:
         wish = ReservationRequest(f"ev{now}", "hotel", now + 50, now + 60, 1)
         model.reserved[wish.key] = {None, ReservationState.HELD, ReservationState.REFUSED}
         do = lambda o: o.reserve(wish, now, 1e6 if number % 2 else 1e-9)  # noqa: E731
