--- a/benchmarks/plan_churn.py
+++ b/benchmarks/plan_churn.py
@@ -26,7 +26,7 @@
 from cypresspulley.plans.follow import MAX_CLOCK_SKEW_MS, Follower, FollowerAction
 from cypresspulley.plans.lease import LEASE
 from cypresspulley.plans.limiter import Planned
-from cypresspulley.plans.use import Gatherer
+from cypresspulley.plans.usage import UsageRecorder
 from cypresspulley.policy.gateway import Gateway
 
 LIMITERS = 3
@@ -104,7 +104,7 @@
         self.store = BucketLevel(terms.ceiling_burst, 0.0, terms.ceiling_rate, terms.ceiling_burst)
         off = 0.0 if self.calm else CLOCK
         self.limiters = [Limiter(n, self.rng.uniform(-off, off)) for n in range(LIMITERS)]
-        self.gatherers, self.surge = list[Gatherer](), False
+        self.usage_recorders, self.surge = list[UsageRecorder](), False
 
     def plan_at(self, at: int) -> str:
         assigned = self.book.assignment_at(ACCOUNT, at)
@@ -130,11 +130,11 @@
 
     def start(self, one: Limiter) -> None:
         gateway = Gateway(settings(one.index), self.seed * 31 + one.life, self.now + one.offset)
-        gatherer = Gatherer(f"n{one.index}", one.life + 1)
-        self.gatherers.append(gatherer)
+        usage_recorder = UsageRecorder(f"n{one.index}", one.life + 1)
+        self.usage_recorders.append(usage_recorder)
         follower = self.make_follower("churn")
         one.planned, one.life = (
-            self.make(gateway, gateway, settings(one.index), follower, gatherer),
+            self.make(gateway, gateway, settings(one.index), follower, usage_recorder),
             one.life + 1,
         )
         entries = tuple(api.ServerEntry(f"s{n}", api.Health.UP, "a") for n in range(6))
@@ -245,7 +245,7 @@
         while self._coming and self.now < BEGIN + self.seconds:
             self.now, _, what = heapq.heappop(self._coming)
             what()
-        self.counted = sum(gatherer.gathered for gatherer in self.gatherers)
+        self.counted = sum(usage_recorder.pending_units for usage_recorder in self.usage_recorders)
         return self
 
 
--- a/cypresspulley/plans/export.py
+++ b/cypresspulley/plans/export.py
@@ -7,7 +7,7 @@
 import logging
 
 from cypresspulley.plans.channel import EndedError, Where
-from cypresspulley.plans.use import Gatherer, Record
+from cypresspulley.plans.usage import UsageRecord, UsageRecorder
 
 log = logging.getLogger(__name__)
 
@@ -19,8 +19,8 @@
 class Export:
     """Tells one gatherer's records, the oldest first, one at a time."""
 
-    def __init__(self, where: Where, gatherer: Gatherer, every: float = EVERY) -> None:
-        self._where, self._gatherer, self._every = where, gatherer, every
+    def __init__(self, where: Where, usage_recorder: UsageRecorder, every: float = EVERY) -> None:
+        self._where, self._usage_recorder, self._every = where, usage_recorder, every
         self._task: asyncio.Task[None] | None = None
         self.why = ""  # the last call failed
 
@@ -34,7 +34,7 @@
     async def _keep(self) -> None:
         while True:
             await asyncio.sleep(self._every)
-            self._gatherer.cut()
+            self._usage_recorder.cut_record()
             try:
                 await self.flush()
             except (OSError, EOFError, EndedError, asyncio.LimitOverrunError, ValueError) as error:
@@ -44,11 +44,13 @@
 
     async def flush(self) -> None:
         """Tell all that waits; ``OSError``, ``EndedError`` and the like where the writer does not take it."""
-        for record in sorted(self._gatherer.waiting.values(), key=lambda one: (one.epoch, one.seq)):
+        for record in sorted(
+            self._usage_recorder.unacknowledged.values(), key=lambda one: (one.epoch, one.seq)
+        ):
             if await self._told(record):
-                self._gatherer.acknowledged(record.epoch, record.seq)
+                self._usage_recorder.acknowledge(record.epoch, record.seq)
 
-    async def _told(self, record: Record) -> bool:
+    async def _told(self, record: UsageRecord) -> bool:
         body = json.dumps(
             {"wish": "use", "author": record.writer, "record": record.as_json()}, separators=(",", ":")
         ).encode()
--- a/cypresspulley/plans/limiter.py
+++ b/cypresspulley/plans/limiter.py
@@ -24,7 +24,7 @@
 from cypresspulley.plans.export import Export
 from cypresspulley.plans.follow import Follower, FollowerState
 from cypresspulley.plans.reservations import MICRO_PER_UNIT
-from cypresspulley.plans.use import Gatherer, Key
+from cypresspulley.plans.usage import UsageKey, UsageRecorder
 from cypresspulley.policy.account import Account
 from cypresspulley.policy.gateway import NEVER_RAN, Gateway
 
@@ -65,19 +65,21 @@
     """``decide`` is what decides, ``gateway`` the levels behind it (the same, unless something watches)."""
 
     def __init__(
-        self, decide: Any, gateway: Gateway, settings: api.Settings, follower: Follower, gatherer: Gatherer
+        self, decide: Any, gateway: Gateway, settings: api.Settings, follower: Follower, usage_recorder: UsageRecorder
     ) -> None:  # fmt: skip
         self._decide, self._gateway, self._base, self.follower = decide, gateway, settings, follower
-        self.gatherer = gatherer
+        self.usage_recorder = usage_recorder
         self._seen: object = None  # the book and state that the terms in force were read from
         self._due = 0  # Unix milliseconds at which the next version is in force
         self._now = -math.inf  # of the last event
         self._in_force = dict[str, Version]()
-        self._open = dict[int, tuple[Key, int]]()  # tries that have not been counted: what they would count
+        self._open = dict[
+            int, tuple[UsageKey, int]
+        ]()  # tries that have not been counted: what they would count
         self._out = dict[int, int]()  # attempts of these that are out
 
     def __repr__(self) -> str:
-        return f"<Planned {len(self._in_force)} plans, {self.follower!r}, {self.gatherer!r}>"
+        return f"<Planned {len(self._in_force)} plans, {self.follower!r}, {self.usage_recorder!r}>"
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         actions = list[api.Action]()
@@ -140,7 +142,10 @@
         version = self._in_force.get(plan)
         stamp = version.stamp if version is not None else UNVERSIONED
         bound = ev if plan == ev.plan else replace(ev, plan=plan)
-        self._open[ev.id] = Key(ev.account, plan, stamp, int(now) // PERIOD), round(ev.units * MICRO_PER_UNIT)
+        self._open[ev.id] = (
+            UsageKey(ev.account, plan, stamp, int(now) // PERIOD),
+            round(ev.units * MICRO_PER_UNIT),
+        )
         self._carry(now, bound)
         return bound
 
@@ -188,7 +193,7 @@
         """A try is over with no answer of a server: it may have run where an attempt is still out."""
         counts, out = self._open.pop(id, None), self._out.pop(id, 0)
         if counts is not None and out > 0:
-            self.gatherer.used(*counts)
+            self.usage_recorder.add_usage(*counts)
 
     def _ended(self, ev: api.Outcome) -> None:
         """An attempt that may have run counts its try's units, once; true units settle them."""
@@ -201,7 +206,7 @@
         self._out.pop(ev.id, None)
         key, units = counts
         true = round(ev.units * MICRO_PER_UNIT) if ev.status is Status.OK and ev.units is not None else units
-        self.gatherer.used(key, true)
+        self.usage_recorder.add_usage(key, true)
 
 
 class Plans:
@@ -215,12 +220,14 @@
         self._clock = clock
         where, follower = Where(*address, token), Follower(installation)
         # Without a disk the time of a start is what grows with each life.
-        self.gatherer = Gatherer(name, int(clock() * 1000))
-        self._export = Export(where, self.gatherer)
-        self._channel = Channel(where, follower, self._told, lambda: int(clock() * 1000), self.gatherer.epoch)
+        self.usage_recorder = UsageRecorder(name, int(clock() * 1000))
+        self._export = Export(where, self.usage_recorder)
+        self._channel = Channel(
+            where, follower, self._told, lambda: int(clock() * 1000), self.usage_recorder.epoch
+        )
 
     def deciding(self, decide: Any, gateway: Gateway, settings: api.Settings) -> Planned:
-        return Planned(decide, gateway, settings, self._channel.follower, self.gatherer)
+        return Planned(decide, gateway, settings, self._channel.follower, self.usage_recorder)
 
     def _told(self) -> None:
         log.info("plans: %r", self._channel.follower)
@@ -233,8 +240,12 @@
         """A planned end loses nothing where the writer can be reached."""
         self._channel.close()
         self._export.close()
-        self.gatherer.cut()
+        self.usage_recorder.cut_record()
         try:
             await self._export.flush()
         except (OSError, EOFError, EndedError, ValueError) as error:
-            log.warning("plans: %d records of use were not exported: %s", len(self.gatherer.waiting), error)
+            log.warning(
+                "plans: %d records of use were not exported: %s",
+                len(self.usage_recorder.unacknowledged),
+                error,
+            )
--- a/cypresspulley/plans/plan_writer.py
+++ b/cypresspulley/plans/plan_writer.py
@@ -36,8 +36,7 @@
     ReservationState,
 )
 from cypresspulley.plans.store import Record, Store, StoreError
-from cypresspulley.plans.use import Intake, record_from
-from cypresspulley.plans.use import Record as Use
+from cypresspulley.plans.usage import UsageLedger, UsageRecord, parse_usage_record
 
 LIMITERS = "limiters"  # what stands for all their draws while a reservation is drawn on
 SETTLE = 15_000  # milliseconds in which limiters end what they have in hand under the event's plan, and tell their use
@@ -49,7 +48,7 @@
     def __init__(self, store: Store, installation: str = "", new_epoch: bool = True) -> None:
         self._store = store
         self.book, self.epoch = Book(installation), 0
-        self.reservations, self.intake = Reservations(), Intake()
+        self.reservations, self.usage_ledger = Reservations(), UsageLedger()
         self.log = list[Change]()  # by number: the one of number n stands at n - 1
         for number, record in enumerate(store.records):
             self._replay(record, f"record {number}")
@@ -80,11 +79,11 @@
                 raise StoreError(f"{where}: number {change.stamp.seq}; expected {len(self.log) + 1}")
             self._known(self.book.with_change(change), change)
         elif kind == "use":
-            use = record_from(record, where)
+            use = parse_usage_record(record, where)
             self._late(use)
-            self.intake.take(use)
+            self.usage_ledger.accept(use)
         elif kind in ("taken", "totals"):
-            self.intake.restore(record)
+            self.usage_ledger.restore(record)
         elif kind == "reservation":
             self._replay_reservation(record)
         elif kind != "whole":
@@ -108,7 +107,7 @@
         yield {"kind": "epoch", "epoch": self.epoch, "installation": self.book.installation}
         yield from map(books.as_json, self.log)
         yield from map(_reservation_record, self.reservations.all.values())
-        yield from self.intake.state()
+        yield from self.usage_ledger.snapshot()
 
     def compact(self) -> None:
         self._store.compact(self._records())
@@ -195,13 +194,13 @@
 
     # Use.
 
-    def take_use(self, record: Use) -> bool:
+    def accept_usage(self, record: UsageRecord) -> bool:
         """Whether a limiter's record may be acknowledged: it is stored, now or before."""
-        if self.intake.knows(record):
-            return self.intake.take(record)
+        if self.usage_ledger.contains(record):
+            return self.usage_ledger.accept(record)
         self._commit(record.as_json())
         self._late(record)
-        return self.intake.take(record)
+        return self.usage_ledger.accept(record)
 
     # Reservations.
 
@@ -332,9 +331,9 @@
 
     def _used(self, one: Reservation) -> int:
         """Micro-units that limiters have told of under the event's plan."""
-        return sum(units for key, units in self.intake.totals.items() if key.plan == one.plan)
+        return sum(units for key, units in self.usage_ledger.totals.items() if key.plan == one.plan)
 
-    def _late(self, record: Use) -> None:
+    def _late(self, record: UsageRecord) -> None:
         """Use that comes after its reservation has settled is a correction of it, and changes nothing given back."""
         over = {
             one.plan: one for one in self.reservations.all.values() if one.plan and one.at in TERMINAL_STATES
--- a/cypresspulley/plans/use.py
+++ b/cypresspulley/plans/usage.py
@@ -15,18 +15,18 @@
 
 from cypresspulley.plans.book import Stamp
 
-FORMAT = 1
-MOST_ROWS = 10_000  # rows gathered, or in one record
-MOST_WAITING = 1_000  # records that wait for their acknowledgement
-MOST_RECORDS = 1_000_000  # numbers that an intake keeps apart for one writer's epoch
+RECORD_FORMAT = 1
+MAX_ROWS = 10_000  # rows gathered, or in one record
+MAX_UNACKNOWLEDGED_RECORDS = 1_000  # records that wait for their acknowledgement
+MAX_RECORDS_PER_EPOCH = 1_000_000  # numbers that an intake keeps apart for one writer's epoch
 
 
-class UseError(ValueError):
+class UsageError(ValueError):
     """A record that cannot be taken; the text names the key and what was expected."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Key:
+class UsageKey:
     """What use is attributed to: the version that the request was admitted under, and the period of its end
     (its number: Unix time over the period's length)."""
 
@@ -37,13 +37,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Record:
+class UsageRecord:
     """What one writer tells at once."""
 
     writer: str
     epoch: int
     seq: int
-    rows: tuple[tuple[Key, int], ...]
+    rows: tuple[tuple[UsageKey, int], ...]
 
     @property
     def idempotency_key(self) -> str:
@@ -56,106 +56,114 @@
     def as_json(self) -> dict[str, Any]:
         rows = [_row_json(key, units) for key, units in self.rows]
         return {
-            "kind": "use", "format": FORMAT, "writer": self.writer, "epoch": self.epoch, "seq": self.seq, "rows": rows,
+            "kind": "use", "format": RECORD_FORMAT, "writer": self.writer, "epoch": self.epoch, "seq": self.seq, "rows": rows,
         }  # fmt: skip
 
 
-def record_from(raw: Any, where: str = "record") -> Record:
+def parse_usage_record(raw: Any, where: str = "record") -> UsageRecord:
     """A record from JSON, checked whole."""
     if not isinstance(raw, dict) or raw.get("kind") != "use":
-        raise UseError(f"{where}.kind: expected use")
-    if raw.get("format") != FORMAT:
-        raise UseError(f"{where}.format: expected {FORMAT}, got {raw.get('format')!r:.60}")
+        raise UsageError(f"{where}.kind: expected use")
+    if raw.get("format") != RECORD_FORMAT:
+        raise UsageError(f"{where}.format: expected {RECORD_FORMAT}, got {raw.get('format')!r:.60}")
     writer, rows = raw.get("writer"), raw.get("rows")
     epoch, seq = _whole(raw.get("epoch"), f"{where}.epoch"), _whole(raw.get("seq"), f"{where}.seq")
     if not isinstance(writer, str) or not 0 < len(writer) <= 80:
-        raise UseError(f"{where}.writer: expected 1 to 80 characters, got {writer!r:.60}")
-    if not isinstance(rows, list) or len(rows) > MOST_ROWS:
-        raise UseError(f"{where}.rows: expected a list of at most {MOST_ROWS}")
-    return Record(writer, epoch, seq, tuple(_row(row, f"{where}.rows.{n}") for n, row in enumerate(rows)))
+        raise UsageError(f"{where}.writer: expected 1 to 80 characters, got {writer!r:.60}")
+    if not isinstance(rows, list) or len(rows) > MAX_ROWS:
+        raise UsageError(f"{where}.rows: expected a list of at most {MAX_ROWS}")
+    return UsageRecord(
+        writer, epoch, seq, tuple(_row(row, f"{where}.rows.{n}") for n, row in enumerate(rows))
+    )
 
 
 def _whole(raw: Any, where: str, least: int = 0) -> int:
     if isinstance(raw, bool) or not isinstance(raw, int) or not least <= raw < 2**53:
-        raise UseError(f"{where}: expected a whole number from {least} to 2^53, got {raw!r:.60}")
+        raise UsageError(f"{where}: expected a whole number from {least} to 2^53, got {raw!r:.60}")
     return int(raw)
 
 
 T = TypeVar("T")
-PART = 1_000  # entries of a part of a state
+SNAPSHOT_PART_SIZE = 1_000  # entries of a part of a state
 
 
 def _parts(entries: list[T]) -> Iterator[list[T]]:
-    return (entries[n : n + PART] for n in range(0, len(entries), PART))
+    return (entries[n : n + SNAPSHOT_PART_SIZE] for n in range(0, len(entries), SNAPSHOT_PART_SIZE))
 
 
-def _row_json(key: Key, units: int) -> list[Any]:
+def _row_json(key: UsageKey, units: int) -> list[Any]:
     return [key.account, key.plan, key.version.epoch, key.version.seq, key.period, units]
 
 
-def _row(raw: Any, where: str) -> tuple[Key, int]:
+def _row(raw: Any, where: str) -> tuple[UsageKey, int]:
     if not isinstance(raw, list) or len(raw) != 6 or not all(isinstance(text, str) for text in raw[:2]):
-        raise UseError(f"{where}: expected [account, plan, epoch, seq, period, micro-units], got {raw!r:.60}")
+        raise UsageError(
+            f"{where}: expected [account, plan, epoch, seq, period, micro-units], got {raw!r:.60}"
+        )
     epoch, seq, period = (_whole(number, where) for number in raw[2:5])
-    return Key(raw[0], raw[1], Stamp(epoch, seq), period), _whole(raw[5], where, 1 - 2**53)
+    return UsageKey(raw[0], raw[1], Stamp(epoch, seq), period), _whole(raw[5], where, 1 - 2**53)
 
 
-class Gatherer:
+class UsageRecorder:
     """One life of a writer. What is gathered and not cut dies with it: at most what was used since the last cut."""
 
     def __init__(self, writer: str, epoch: int) -> None:
         self.writer, self.epoch, self._seq = writer, epoch, 0
-        self._rows = dict[Key, int]()
-        self.waiting = dict[tuple[int, int], Record]()  # by epoch and number, not acknowledged yet
-        self.lost = 0  # micro-units that found no room
+        self._rows = dict[UsageKey, int]()
+        self.unacknowledged = dict[
+            tuple[int, int], UsageRecord
+        ]()  # by epoch and number, not acknowledged yet
+        self.dropped_units = 0  # micro-units that found no room
 
     def __repr__(self) -> str:
-        return (
-            f"<Gatherer {self.writer}/{self.epoch}: {len(self._rows)} rows, {len(self.waiting)} records wait>"
-        )
+        return f"<UsageRecorder {self.writer}/{self.epoch}: {len(self._rows)} rows, {len(self.unacknowledged)} records wait>"
 
-    def used(self, key: Key, units: int) -> None:
+    def add_usage(self, key: UsageKey, units: int) -> None:
         """Add use (below 0: a settlement); where no more fits it is counted as lost, and said so."""
-        if key not in self._rows and len(self._rows) >= MOST_ROWS:
-            self.lost += units
+        if key not in self._rows and len(self._rows) >= MAX_ROWS:
+            self.dropped_units += units
         else:
             self._rows[key] = self._rows.get(key, 0) + units
 
     @property
-    def gathered(self) -> int:
+    def pending_units(self) -> int:
         """Micro-units that a crash now would lose where there is no disk: what was not cut."""
         return sum(self._rows.values())
 
-    def cut(self) -> Record | None:
+    def cut_record(self) -> UsageRecord | None:
         """What was gathered as a record, to be stored before it is told; None for nothing, or no room."""
         rows = tuple(sorted((k, u) for k, u in self._rows.items() if u))
-        if not rows or len(self.waiting) >= MOST_WAITING:
+        if not rows or len(self.unacknowledged) >= MAX_UNACKNOWLEDGED_RECORDS:
             return None
         self._rows.clear()
         self._seq += 1
-        record = self.waiting[self.epoch, self._seq] = Record(self.writer, self.epoch, self._seq, rows)
+        record = self.unacknowledged[self.epoch, self._seq] = UsageRecord(
+            self.writer, self.epoch, self._seq, rows
+        )
         return record
 
-    def resume(self, record: Record) -> None:
+    def restore_record(self, record: UsageRecord) -> None:
         """A record of an earlier life that was stored and not acknowledged."""
         if record.writer != self.writer or record.epoch >= self.epoch:
-            raise UseError(f"{record.idempotency_key}: expected {self.writer}, an epoch before {self.epoch}")
-        self.waiting[record.epoch, record.seq] = record
+            raise UsageError(
+                f"{record.idempotency_key}: expected {self.writer}, an epoch before {self.epoch}"
+            )
+        self.unacknowledged[record.epoch, record.seq] = record
 
-    def acknowledged(self, epoch: int, seq: int) -> bool:
+    def acknowledge(self, epoch: int, seq: int) -> bool:
         """Whether that one was waiting; a second acknowledgement changes nothing."""
-        return self.waiting.pop((epoch, seq), None) is not None
+        return self.unacknowledged.pop((epoch, seq), None) is not None
 
 
-class Intake:
+class UsageLedger:
     """The other side: each record once, in any order; one of the same number with other content is put aside."""
 
     def __init__(self) -> None:
-        self.totals = dict[Key, int]()
+        self.totals = dict[UsageKey, int]()
         self._seen = dict[tuple[str, int], dict[int, str]]()  # digests by writer and epoch
-        self.quarantined = list[Record]()
+        self.quarantined = list[UsageRecord]()
 
-    def take(self, record: Record) -> bool:
+    def accept(self, record: UsageRecord) -> bool:
         """Whether it may be acknowledged: it was taken, now or before. False: it conflicts with one that was."""
         seen = self._seen.setdefault((record.writer, record.epoch), {})
         known = seen.get(record.seq)
@@ -163,18 +171,20 @@
             if known != record.digest:
                 self.quarantined.append(record)
             return known == record.digest
-        if len(seen) >= MOST_RECORDS:
-            raise UseError(f"{record.idempotency_key}: expected at most {MOST_RECORDS} records of an epoch")
+        if len(seen) >= MAX_RECORDS_PER_EPOCH:
+            raise UsageError(
+                f"{record.idempotency_key}: expected at most {MAX_RECORDS_PER_EPOCH} records of an epoch"
+            )
         seen[record.seq] = record.digest
         for key, units in record.rows:
             self.totals[key] = self.totals.get(key, 0) + units
         return True
 
-    def knows(self, record: Record) -> bool:
+    def contains(self, record: UsageRecord) -> bool:
         """Whether one of that number was taken."""
         return record.seq in self._seen.get((record.writer, record.epoch), {})
 
-    def state(self) -> Iterator[dict[str, Any]]:
+    def snapshot(self) -> Iterator[dict[str, Any]]:
         """All that was taken, in parts, for a store."""
         for (writer, epoch), seen in self._seen.items():
             for part in _parts(sorted(seen.items())):
@@ -192,7 +202,7 @@
             key, units = _row(raw, "totals")
             self.totals[key] = self.totals.get(key, 0) + units
 
-    def gaps(self, writer: str, epoch: int) -> list[int]:
+    def missing_numbers(self, writer: str, epoch: int) -> list[int]:
         """Numbers below the highest that have not come."""
         seen = self._seen.get((writer, epoch), {})
         return [n for n in range(1, max(seen, default=0)) if n not in seen]
--- a/cypresspulley/plans/wishes.py
+++ b/cypresspulley/plans/wishes.py
@@ -14,7 +14,7 @@
 from cypresspulley.plans.lease import LEASE
 from cypresspulley.plans.plan_writer import PlanWriter
 from cypresspulley.plans.reservations import MICRO_PER_UNIT, Reservation, ReservationError, ReservationRequest
-from cypresspulley.plans.use import record_from
+from cypresspulley.plans.usage import parse_usage_record
 
 log = logging.getLogger(__name__)
 
@@ -84,8 +84,8 @@
     elif kind == "reserve":
         done = _reserve(plan_writer, keys, now, dry)
     elif kind == "use":
-        record = record_from(raw.get("record"))
-        return {"acknowledged": plan_writer.take_use(record), "key": record.idempotency_key}
+        record = parse_usage_record(raw.get("record"))
+        return {"acknowledged": plan_writer.accept_usage(record), "key": record.idempotency_key}
     else:
         done = reservation_json(plan_writer.release(keys.text("key"), now))
     if not dry:
--- a/tests/plans/test_churn.py
+++ b/tests/plans/test_churn.py
@@ -9,7 +9,7 @@
 
 from benchmarks.plan_churn import LIMITERS, Day, bound
 from cypresspulley import interface as api
-from cypresspulley.plans import reservations, use
+from cypresspulley.plans import reservations, usage
 from cypresspulley.plans.book import Book, Stamp, Version
 from cypresspulley.plans.follow import Follower, FollowerEvent
 from cypresspulley.plans.limiter import Planned
@@ -121,12 +121,12 @@
     check = test_use.test_a_record_is_taken_once_and_acknowledged_each_time
     assert not fails(check)
 
-    def take(intake: use.Intake, record: use.Record) -> bool:
+    def accept(usage_ledger: usage.UsageLedger, record: usage.UsageRecord) -> bool:
         for key, units in record.rows:
-            intake.totals[key] = intake.totals.get(key, 0) + units
+            usage_ledger.totals[key] = usage_ledger.totals.get(key, 0) + units
         return True
 
-    monkeypatch.setattr(use.Intake, "take", take)
+    monkeypatch.setattr(usage.UsageLedger, "accept", accept)
     assert fails(check)
 
 
--- a/tests/plans/test_events.py
+++ b/tests/plans/test_events.py
@@ -13,7 +13,7 @@
 from cypresspulley.plans.plan_writer import SETTLE, PlanWriter
 from cypresspulley.plans.reservations import MICRO_PER_UNIT, ReservationRequest, ReservationState
 from cypresspulley.plans.store import Store
-from cypresspulley.plans.use import Key, Record
+from cypresspulley.plans.usage import UsageKey, UsageRecord
 from tests.plans.disk import Disk
 from tests.plans.test_limiter import Day
 
@@ -32,8 +32,8 @@
 
 
 def used(plan_writer: PlanWriter, units: float, seq: int, plan: str = PLAN) -> None:
-    key = Key("hotel", plan, Stamp(1, 3), 0)
-    assert plan_writer.take_use(Record("n1", 1, seq, ((key, round(units * MICRO_PER_UNIT)),)))
+    key = UsageKey("hotel", plan, Stamp(1, 3), 0)
+    assert plan_writer.accept_usage(UsageRecord("n1", 1, seq, ((key, round(units * MICRO_PER_UNIT)),)))
 
 
 @given(st.floats(1, 1e4), st.integers(1, 3600))
--- a/tests/plans/test_limiter.py
+++ b/tests/plans/test_limiter.py
@@ -18,7 +18,7 @@
 from cypresspulley.plans.reservations import MICRO_PER_UNIT
 from cypresspulley.plans.serve import Publisher
 from cypresspulley.plans.store import Store
-from cypresspulley.plans.use import Gatherer, Key
+from cypresspulley.plans.usage import UsageKey, UsageRecorder
 from cypresspulley.policy.gateway import Gateway
 from tests import world as w
 from tests.plans.disk import Disk
@@ -37,10 +37,10 @@
         self.book = Book("vadodara")
         for change in changes:
             self.book = self.book.with_change(change)
-        self.follower, self.gatherer = Follower("vadodara"), Gatherer("n1", 1)
+        self.follower, self.usage_recorder = Follower("vadodara"), UsageRecorder("n1", 1)
         self.follower.whole(1, self.book, T0, lease)
         gateway = self.world.gateway
-        self.planned = Planned(gateway, gateway, self.config, self.follower, self.gatherer)
+        self.planned = Planned(gateway, gateway, self.config, self.follower, self.usage_recorder)
         self.world.gateway = self.planned  # type: ignore[assignment]
         self.gateway = gateway
         self.world.feed(w.servers("s0", "s1", "s2", "s3"))
@@ -150,8 +150,8 @@
     ((first, (server, _)),) = [(key, out) for key, out in day.world.open_attempts.items() if key[0] == 1]
     day.world.feed(w.outcome(*first, server, api.Status.ERROR))  # it may have run: counted, and tried again
     day.world.serve()
-    old, new = Key("hotel", "p", Stamp(1, 1), period), Key("hotel", "p", Stamp(1, 3), period)
-    record = day.gatherer.cut()
+    old, new = UsageKey("hotel", "p", Stamp(1, 1), period), UsageKey("hotel", "p", Stamp(1, 3), period)
+    record = day.usage_recorder.cut_record()
     assert record is not None and dict(record.rows) == {old: 2 * MICRO_PER_UNIT, new: MICRO_PER_UNIT}
     assert not day.planned._open and not day.planned._out  # nothing stays of a try that ran twice
 
@@ -164,7 +164,7 @@
     while day.world.open_attempts:
         day.world.serve(api.Status.UNREACHABLE)
     day.world.feed(w.request(2, "read", "small", "hotel", units=1000.0))
-    assert day.gatherer.cut() is None and not day.planned._open and not day.planned._out
+    assert day.usage_recorder.cut_record() is None and not day.planned._open and not day.planned._out
 
 
 def test_a_try_whose_client_left_while_it_was_out_may_have_run() -> None:
@@ -173,7 +173,9 @@
     day.world.feed(w.request(3, "read", "small", "hotel"))
     assert day.world.open_attempts
     day.world.feed(api.ClientDisconnected(3))
-    assert day.gatherer.gathered == MICRO_PER_UNIT and not day.planned._open and not day.planned._out
+    assert (
+        day.usage_recorder.pending_units == MICRO_PER_UNIT and not day.planned._open and not day.planned._out
+    )
 
 
 def test_true_units_take_the_place_of_the_guess() -> None:
@@ -182,7 +184,7 @@
     day.world.feed(w.request(1, "read", "small", "hotel", units=2.0))
     ((key, (server, _)),) = day.world.open_attempts.items()
     day.world.feed(api.Outcome(*key, server, api.Status.OK, 0.1, True, {}, None, 3))
-    assert day.gatherer.gathered == 3 * MICRO_PER_UNIT
+    assert day.usage_recorder.pending_units == 3 * MICRO_PER_UNIT
 
 
 def test_the_open_table_does_not_grow() -> None:
@@ -202,26 +204,30 @@
         plan_writer = PlanWriter(Store(disk), "vadodara")
         publisher = Publisher(plan_writer, "t")
         address = await publisher.listen("127.0.0.1", 0)
-        gatherer = Gatherer("n1", 7)
-        export = Export(Where(*address, "t"), gatherer)
-        gatherer.used(Key("hotel", "p", Stamp(1, 1), 0), 5)
-        assert gatherer.cut() is not None
+        usage_recorder = UsageRecorder("n1", 7)
+        export = Export(Where(*address, "t"), usage_recorder)
+        usage_recorder.add_usage(UsageKey("hotel", "p", Stamp(1, 1), 0), 5)
+        assert usage_recorder.cut_record() is not None
         monkeypatch.setattr(
-            gatherer, "acknowledged", lambda epoch, seq: False
+            usage_recorder, "acknowledge", lambda epoch, seq: False
         )  # killed before it heard of it
         await export.flush()
         monkeypatch.undo()
         await export.flush()
-        assert not gatherer.waiting and sum(plan_writer.intake.totals.values()) == 5
+        assert not usage_recorder.unacknowledged and sum(plan_writer.usage_ledger.totals.values()) == 5
         plan_writer.compact()
         await publisher.close()
         again = PlanWriter(Store(disk), "vadodara")
-        assert again.intake.totals == plan_writer.intake.totals
-        gatherer.used(Key("hotel", "p", Stamp(1, 1), 0), 6)
-        record = gatherer.cut()
+        assert again.usage_ledger.totals == plan_writer.usage_ledger.totals
+        usage_recorder.add_usage(UsageKey("hotel", "p", Stamp(1, 1), 0), 6)
+        record = usage_recorder.cut_record()
         assert record is not None
-        assert not again.take_use(replace(record, seq=1)) and len(again.intake.quarantined) == 1
-        assert again.take_use(record) and again.take_use(record) and sum(again.intake.totals.values()) == 11
+        assert not again.accept_usage(replace(record, seq=1)) and len(again.usage_ledger.quarantined) == 1
+        assert (
+            again.accept_usage(record)
+            and again.accept_usage(record)
+            and sum(again.usage_ledger.totals.values()) == 11
+        )
 
     asyncio.run(run())
 
@@ -242,13 +248,13 @@
         async with asyncio.timeout(10):
             while planned.follower.book != plan_writer.book:
                 await asyncio.sleep(0.005)
-        plans.gatherer.used(Key("hotel", "p", Stamp(1, 1), 0), 9)
+        plans.usage_recorder.add_usage(UsageKey("hotel", "p", Stamp(1, 1), 0), 9)
         await plans.close()
-        assert sum(plan_writer.intake.totals.values()) == 9 and not plans.gatherer.waiting
+        assert sum(plan_writer.usage_ledger.totals.values()) == 9 and not plans.usage_recorder.unacknowledged
         await publisher.close()
-        plans.gatherer.used(Key("hotel", "p", Stamp(1, 1), 0), 9)
+        plans.usage_recorder.add_usage(UsageKey("hotel", "p", Stamp(1, 1), 0), 9)
         await plans.close()  # nobody is there: it is said, and ends all the same
-        assert len(plans.gatherer.waiting) == 1
+        assert len(plans.usage_recorder.unacknowledged) == 1
 
     asyncio.run(run())
 
--- a/tests/plans/test_wiring.py
+++ b/tests/plans/test_wiring.py
@@ -88,7 +88,7 @@
             reader, writer = await program.connect()
             served = 0
             async with asyncio.timeout(20):
-                while not any(key.plan == "season" for key in plan_writer.intake.totals):
+                while not any(key.plan == "season" for key in plan_writer.usage_ledger.totals):
                     writer.write(ask())
                     first, _, _ = await read_message(reader)
                     served += " 200 " in first
@@ -96,7 +96,7 @@
             writer.close()
             program.process.terminate()
             assert await asyncio.wait_for(program.process.wait(), 20) == 0
-        totals = plan_writer.intake.totals
+        totals = plan_writer.usage_ledger.totals
         assert sum(totals.values()) == served * MICRO_PER_UNIT
         assert {key.version for key in totals if key.plan == "season"} == {Stamp(1, 1)}
         await publisher.close()
