--- a/benchmarks/plan_churn.py
+++ b/benchmarks/plan_churn.py
@@ -23,10 +23,10 @@
 from cypresspulley import interface as api
 from cypresspulley.plans.book import Assignment, Book, Change, Stamp, Terms, Version
 from cypresspulley.plans.bucket_level import BucketLevel
-from cypresspulley.plans.follow import SKEW, Do, Follower
+from cypresspulley.plans.follow import MAX_CLOCK_SKEW_MS, Follower, FollowerAction
 from cypresspulley.plans.lease import LEASE
 from cypresspulley.plans.limiter import Planned
-from cypresspulley.plans.use import Gatherer
+from cypresspulley.plans.usage import UsageRecorder
 from cypresspulley.policy.gateway import Gateway
 
 LIMITERS = 3
@@ -52,7 +52,7 @@
     """The slack: whoever is late by a lease, less the skew that it takes off and clocks give back, goes on by the
     highest terms where the lowest are in force; and one request that is let in at the same moment at each."""
     high, low = TERMS["l"], TERMS["s"]
-    late = (LEASE - SKEW) / 1000 + 2 * CLOCK
+    late = (LEASE - MAX_CLOCK_SKEW_MS) / 1000 + 2 * CLOCK
     return (high.ceiling_rate - low.ceiling_rate) * late + high.ceiling_burst - low.ceiling_burst + LIMITERS
 
 
@@ -98,16 +98,16 @@
         self.rng, self.now, self._number = Random(self.seed), BEGIN, 0
         self.book = Book("churn")
         for number, (plan, terms) in enumerate(sorted(TERMS.items()), 1):
-            self.book = self.book.taking(Version(plan, 0, Stamp(1, number), terms))
-        self.book = self.book.taking(Assignment(ACCOUNT, 0, Stamp(1, 4), self.rng.choice("sml")))
+            self.book = self.book.with_change(Version(plan, 0, Stamp(1, number), terms))
+        self.book = self.book.with_change(Assignment(ACCOUNT, 0, Stamp(1, 4), self.rng.choice("sml")))
         terms = TERMS[self.plan_at(0)]
         self.store = BucketLevel(terms.ceiling_burst, 0.0, terms.ceiling_rate, terms.ceiling_burst)
         off = 0.0 if self.calm else CLOCK
         self.limiters = [Limiter(n, self.rng.uniform(-off, off)) for n in range(LIMITERS)]
-        self.gatherers, self.surge = list[Gatherer](), False
+        self.usage_recorders, self.surge = list[UsageRecorder](), False
 
     def plan_at(self, at: int) -> str:
-        assigned = self.book.assignment(ACCOUNT, at)
+        assigned = self.book.assignment_at(ACCOUNT, at)
         return assigned.plan if assigned is not None else LOWEST
 
     def at(self, when: float, what: Callable[[], None]) -> None:
@@ -130,11 +130,11 @@
 
     def start(self, one: Limiter) -> None:
         gateway = Gateway(settings(one.index), self.seed * 31 + one.life, self.now + one.offset)
-        gatherer = Gatherer(f"n{one.index}", one.life + 1)
-        self.gatherers.append(gatherer)
+        usage_recorder = UsageRecorder(f"n{one.index}", one.life + 1)
+        self.usage_recorders.append(usage_recorder)
         follower = self.make_follower("churn")
         one.planned, one.life = (
-            self.make(gateway, gateway, settings(one.index), follower, gatherer),
+            self.make(gateway, gateway, settings(one.index), follower, usage_recorder),
             one.life + 1,
         )
         entries = tuple(api.ServerEntry(f"s{n}", api.Health.UP, "a") for n in range(6))
@@ -186,26 +186,26 @@
         taken = {one.effective for one in self.book.accounts[ACCOUNT]}
         if effective in taken:
             return
-        made = Assignment(ACCOUNT, effective, Stamp(1, self.book.last.seq + 1), plan)
-        self.book = self.book.taking(made)
+        made = Assignment(ACCOUNT, effective, Stamp(1, self.book.last_stamp.seq + 1), plan)
+        self.book = self.book.with_change(made)
         for one in self.limiters:
             for _ in range(1 + (self.rng.random() < 0.05)):  # some come twice
                 self.say(one, one.life, partial(self.told, made))
 
-    def say(self, one: Limiter, life: int, what: Callable[[Follower], tuple[Do, ...]]) -> None:
+    def say(self, one: Limiter, life: int, what: Callable[[Follower], tuple[FollowerAction, ...]]) -> None:
         if not self.calm and (self.rng.random() < LOST or self.now < one.cut_until):
             return
         self.at(self.now + self.rng.uniform(0, LATE), partial(self.hear, one, life, what))
 
-    def hear(self, one: Limiter, life: int, what: Callable[[Follower], tuple[Do, ...]]) -> None:
+    def hear(self, one: Limiter, life: int, what: Callable[[Follower], tuple[FollowerAction, ...]]) -> None:
         if one.planned is None or one.life != life or self.now < one.cut_until:
             return
-        does = what(one.planned.follower)
-        if Do.ASK_FROM in does or Do.ASK_ALL in does:
-            self.ask(one, life, Do.ASK_ALL in does)
+        actions = what(one.planned.follower)
+        if FollowerAction.ASK_FROM in actions or FollowerAction.ASK_ALL in actions:
+            self.ask(one, life, FollowerAction.ASK_ALL in actions)
 
     @staticmethod
-    def told(made: Change, follower: Follower) -> tuple[Do, ...]:
+    def told(made: Change, follower: Follower) -> tuple[FollowerAction, ...]:
         return follower.change(1, made)
 
     def ask(self, one: Limiter, life: int, whole: bool) -> None:
@@ -214,13 +214,13 @@
         if whole:
             self.say(one, life, lambda follower: follower.whole(1, book, sent, LEASE))
             return
-        last = one.planned.follower.book.last.seq if one.planned is not None else 0
+        last = one.planned.follower.book.last_stamp.seq if one.planned is not None else 0
         for made in book.changes()[last:]:
             self.say(one, life, partial(self.told, made))
 
     def beat(self) -> None:
         self.at(self.now + 1.0, self.beat)
-        sent, last = int(self.now * 1000), self.book.last
+        sent, last = int(self.now * 1000), self.book.last_stamp
         for one in self.limiters:
             self.say(one, one.life, lambda follower: follower.beat(1, last, sent, LEASE))
 
@@ -245,7 +245,7 @@
         while self._coming and self.now < BEGIN + self.seconds:
             self.now, _, what = heapq.heappop(self._coming)
             what()
-        self.counted = sum(gatherer.gathered for gatherer in self.gatherers)
+        self.counted = sum(usage_recorder.pending_units for usage_recorder in self.usage_recorders)
         return self
 
 
--- a/cypresspulley/plans/channel.py
+++ b/cypresspulley/plans/channel.py
@@ -13,7 +13,7 @@
 
 from cypresspulley.plans import book as books
 from cypresspulley.plans.book import Book, Stamp
-from cypresspulley.plans.follow import Do, Follower
+from cypresspulley.plans.follow import Follower, FollowerAction
 
 log = logging.getLogger(__name__)
 
@@ -84,7 +84,7 @@
                 self._where.host, self._where.port, limit=MOST_LINE
             )
         try:
-            since = 0 if self._ask_all else self.follower.book.last.seq
+            since = 0 if self._ask_all else self.follower.book.last_stamp.seq
             writer.write(
                 f"GET /v1/plans?epoch={self.follower.epoch}&since={since} HTTP/1.1\r\nHost: plans\r\n"
                 f"Authorization: Bearer {self._where.token}\r\n\r\n".encode()
@@ -99,14 +99,14 @@
         finally:
             writer.transport.abort()
 
-    async def _line(self, reader: asyncio.StreamReader) -> tuple[Do, ...]:
+    async def _line(self, reader: asyncio.StreamReader) -> tuple[FollowerAction, ...]:
         """What the next message leads to."""
         line = await self._json(reader)
         kind, epoch = line.get("kind"), line.get("epoch")
         if isinstance(epoch, bool) or not isinstance(epoch, int):
             raise EndedError(f"epoch: expected a whole number, got {epoch!r:.60}")
         if kind == "change":
-            return self.follower.change(epoch, books.change_from(line.get("change"), "change"))
+            return self.follower.change(epoch, books.parse_change(line.get("change"), "change"))
         sent, lease = line.get("sent"), line.get("lease")
         if not isinstance(sent, int) or not isinstance(lease, int):
             raise EndedError("sent, lease: expected whole milliseconds")
@@ -125,7 +125,7 @@
             raise EndedError(f"changes: expected a number up to {MOST_CHANGES}, got {count!r:.60}")
         book = Book(str(installation))
         for number in range(count):
-            book = book.taking(books.change_from(await self._json(reader), f"change {number}"))
+            book = book.with_change(books.parse_change(await self._json(reader), f"change {number}"))
         return book
 
     async def _json(self, reader: asyncio.StreamReader) -> dict[str, Any]:
@@ -139,15 +139,15 @@
             raise EndedError(f"a line that is no object: {text!r:.60}")
         return line
 
-    def _carry_out(self, does: tuple[Do, ...]) -> None:
+    def _carry_out(self, actions: tuple[FollowerAction, ...]) -> None:
         """What the follower wants; the connection ends where it needs another answer."""
-        if Do.DROP in does:
+        if FollowerAction.DROP in actions:
             raise EndedError(f"a writer of an epoch before {self.follower.epoch}, or of another installation")
-        if {Do.REPLACE, Do.APPLY, Do.RECOVER} & set(does):
+        if {FollowerAction.REPLACE, FollowerAction.APPLY, FollowerAction.RECOVER} & set(actions):
             self._ask_all = False
             self._changed()
-        if Do.ASK_ALL in does:
+        if FollowerAction.ASK_ALL in actions:
             self._ask_all = True
             raise EndedError("another writer: its whole book is asked for")
-        if Do.ASK_FROM in does:
+        if FollowerAction.ASK_FROM in actions:
             raise EndedError("changes are missing: asked for behind the last one here")
--- a/cypresspulley/plans/plan_writer.py
+++ b/cypresspulley/plans/plan_writer.py
@@ -16,21 +16,27 @@
     Book,
     BookError,
     Change,
-    One,
+    PlanChange,
     Stamp,
     Terms,
     Version,
     Withdrawal,
-    check_new,
+    check_new_change,
 )  # fmt: skip
 from cypresspulley.plans.bucket_level import max_ceiling_overshoot
 from cypresspulley.plans.events import MARK, drawn, event_plan, event_terms
 from cypresspulley.plans.lease import LEASE
-from cypresspulley.plans.reservations import MICRO, OVER, Reservation, Reservations, Room, Wish
-from cypresspulley.plans.reservations import At as Stands
+from cypresspulley.plans.reservations import (
+    MICRO_PER_UNIT,
+    TERMINAL_STATES,
+    Capacity,
+    Reservation,
+    ReservationRequest,
+    Reservations,
+    ReservationState,
+)
 from cypresspulley.plans.store import Record, Store, StoreError
-from cypresspulley.plans.use import Intake, record_from
-from cypresspulley.plans.use import Record as Use
+from cypresspulley.plans.usage import UsageLedger, UsageRecord, parse_usage_record
 
 LIMITERS = "limiters"  # what stands for all their draws while a reservation is drawn on
 SETTLE = 15_000  # milliseconds in which limiters end what they have in hand under the event's plan, and tell their use
@@ -42,7 +48,7 @@
     def __init__(self, store: Store, installation: str = "", new_epoch: bool = True) -> None:
         self._store = store
         self.book, self.epoch = Book(installation), 0
-        self.reservations, self.intake = Reservations(), Intake()
+        self.reservations, self.usage_ledger = Reservations(), UsageLedger()
         self.log = list[Change]()  # by number: the one of number n stands at n - 1
         for number, record in enumerate(store.records):
             self._replay(record, f"record {number}")
@@ -68,16 +74,16 @@
             self.epoch = max(self.epoch, record["epoch"])
             self.book = replace(self.book, installation=record["installation"])
         elif kind in ("version", "assignment", "withdrawal"):
-            change = books.change_from(record, where)
+            change = books.parse_change(record, where)
             if change.stamp.seq != len(self.log) + 1:
                 raise StoreError(f"{where}: number {change.stamp.seq}; expected {len(self.log) + 1}")
-            self._known(self.book.taking(change), change)
+            self._known(self.book.with_change(change), change)
         elif kind == "use":
-            use = record_from(record, where)
+            use = parse_usage_record(record, where)
             self._late(use)
-            self.intake.take(use)
+            self.usage_ledger.accept(use)
         elif kind in ("taken", "totals"):
-            self.intake.restore(record)
+            self.usage_ledger.restore(record)
         elif kind == "reservation":
             self._replay_reservation(record)
         elif kind != "whole":
@@ -88,11 +94,11 @@
         self.log.append(change)
 
     def _replay_reservation(self, record: Record) -> None:
-        wish = Wish(**record["wish"])
-        one = Reservation(wish, Stands(record["at"]), record["drawn"], {}, record["given_back"])
+        wish = ReservationRequest(**record["wish"])
+        one = Reservation(wish, ReservationState(record["at"]), record["drawn"], {}, record["given_back"])
         one.corrections, one.past = record["corrections"], record["past"]
         one.plan, one.since = record["plan"], record["since"]
-        if one.at in (Stands.ACTIVE, Stands.DRAINING):
+        if one.at in (ReservationState.ACTIVE, ReservationState.DRAINING):
             one.flying[LIMITERS] = 0
         self.reservations.all[wish.key] = one
 
@@ -101,7 +107,7 @@
         yield {"kind": "epoch", "epoch": self.epoch, "installation": self.book.installation}
         yield from map(books.as_json, self.log)
         yield from map(_reservation_record, self.reservations.all.values())
-        yield from self.intake.state()
+        yield from self.usage_ledger.snapshot()
 
     def compact(self) -> None:
         self._store.compact(self._records())
@@ -117,7 +123,7 @@
 
     @property
     def _next(self) -> Stamp:
-        return Stamp(self.epoch, self.book.last.seq + 1)
+        return Stamp(self.epoch, self.book.last_stamp.seq + 1)
 
     def version(
         self, plan: str, terms: Terms, effective: int, now: int, author: str, reason: str = "", dry: bool = False
@@ -131,7 +137,7 @@
         """An account's plan from an instant on."""
         return self._write(Assignment(account, effective, self._next, plan, author, reason), now, dry)
 
-    def _write(self, change: One, now: int, dry: bool) -> One:
+    def _write(self, change: PlanChange, now: int, dry: bool) -> PlanChange:
         if dry:
             self._checked(change, now)
         else:
@@ -139,16 +145,19 @@
         return change
 
     def _checked(self, change: Change, now: int) -> Book:
-        books.change_from(books.as_json(change), "change")  # what a start could not read must not be stored
-        check_new(self.book, change, now)
+        books.parse_change(books.as_json(change), "change")  # what a start could not read must not be stored
+        check_new_change(self.book, change, now)
         if isinstance(change, Assignment):
             for one in self.reservations.all.values():
-                held = one.at in (Stands.HELD, Stands.ACTIVE) and one.wish.account == change.account
+                held = (
+                    one.at in (ReservationState.HELD, ReservationState.ACTIVE)
+                    and one.wish.account == change.account
+                )
                 if held and one.wish.start <= change.effective < one.wish.end:
                     raise BookError(
                         f"account: {change.account} has reservation {one.wish.key} then; release it first"
                     )
-        return self.book.taking(change)
+        return self.book.with_change(change)
 
     def take(self, change: Change, now: int) -> None:
         """A new change: checked, stored, then in the book."""
@@ -164,14 +173,14 @@
         new: Version | None = None
         if isinstance(change, Assignment):
             accounts = [change.account]
-            new = self.book.version(change.plan, change.effective)
+            new = self.book.version_at(change.plan, change.effective)
         elif isinstance(change, Version):
-            held = ((a, self.book.assignment(a, change.effective)) for a in self.book.accounts)
+            held = ((a, self.book.assignment_at(a, change.effective)) for a in self.book.accounts)
             accounts = [a for a, on in held if on is not None and on.plan == change.plan]
             new = change
         found = dict[str, float]()
         for account in accounts:
-            old = self.book.terms(account, change.effective - 1)
+            old = self.book.binding_version(account, change.effective - 1)
             if old is None or new is None or old.terms.ceiling_rate <= 0 or new.terms.ceiling_rate <= 0:
                 continue
             by = max_ceiling_overshoot(
@@ -185,27 +194,31 @@
 
     # Use.
 
-    def take_use(self, record: Use) -> bool:
+    def accept_usage(self, record: UsageRecord) -> bool:
         """Whether a limiter's record may be acknowledged: it is stored, now or before."""
-        if self.intake.knows(record):
-            return self.intake.take(record)
+        if self.usage_ledger.contains(record):
+            return self.usage_ledger.accept(record)
         self._commit(record.as_json())
         self._late(record)
-        return self.intake.take(record)
+        return self.usage_ledger.accept(record)
 
     # Reservations.
 
-    def room(self, account: str, at: int, fleet_rate: float) -> Room:
+    def room(self, account: str, at: int, fleet_rate: float) -> Capacity:
         """What the fleet (units a second that may be set aside) and the account's plan can hold."""
-        found = self.book.terms(account, at)
+        found = self.book.binding_version(account, at)
         if found is None:
             raise BookError(f"account: {account!r} has no plan at {at}; expected one that is assigned")
         terms = found.terms
-        return Room(
-            int(fleet_rate * MICRO), int(terms.ceiling_rate * MICRO), int(terms.ceiling_burst * MICRO)
+        return Capacity(
+            int(fleet_rate * MICRO_PER_UNIT),
+            int(terms.ceiling_rate * MICRO_PER_UNIT),
+            int(terms.ceiling_burst * MICRO_PER_UNIT),
         )
 
-    def reserve(self, wish: Wish, now: int, fleet_rate: float, dry: bool = False) -> Reservation:
+    def reserve(
+        self, wish: ReservationRequest, now: int, fleet_rate: float, dry: bool = False
+    ) -> Reservation:
         """Set aside, or refuse; stored before it is said, with the event's plan that limiters go by."""
         if wish.end <= now:
             raise BookError(f"end: expected an instant after {now}, got {wish.end}, which is past")
@@ -214,7 +227,7 @@
             return self.reservations.ask(wish, room)
         try:
             one = self.reservations.ask(wish, room)
-            changes = self._event(one, now) if one.at is Stands.HELD else []
+            changes = self._event(one, now) if one.at is ReservationState.HELD else []
             self._store_event(one, changes, dry)
         except (OSError, BookError):
             self.reservations.all.pop(wish.key, None)
@@ -227,7 +240,7 @@
         """The event's plan, the account's way to it at the window's begin, and back at its end."""
         wish = one.wish
         start = max(wish.start, now)
-        base = self.book.terms(wish.account, start)
+        base = self.book.binding_version(wish.account, start)
         assert base is not None  # there is room by its terms
         if any(self._meets(wish, other) for other in self.reservations.all.values() if other is not one):
             raise BookError(
@@ -243,11 +256,11 @@
         ]
 
     @staticmethod
-    def _meets(wish: Wish, other: Reservation) -> bool:
+    def _meets(wish: ReservationRequest, other: Reservation) -> bool:
         """Whether both are of one account, and open at one time."""
         there = other.wish
         together = there.start < wish.end and wish.start < there.end
-        return other.at not in OVER and there.account == wish.account and together
+        return other.at not in TERMINAL_STATES and there.account == wish.account and together
 
     def _free(self, account: str, instant: int) -> int:
         """The instant, or the next one that no other assignment of the account has."""
@@ -260,19 +273,19 @@
         """One commit for the reservation and what limiters hear of it; then it is in force."""
         book = self.book
         for change in changes:
-            books.change_from(books.as_json(change), "change")
-            book = book.taking(change)
+            books.parse_change(books.as_json(change), "change")
+            book = book.with_change(change)
         if dry:
             return
         self._commit(_reservation_record(one), *map(books.as_json, changes))
         for change in changes:
-            self._known(self.book.taking(change), change)
+            self._known(self.book.with_change(change), change)
 
     def release(self, key: str, now: int) -> Reservation:
         """No new draws from now on; what is not drawn is given back once limiters have told all they used."""
         known = self.reservations.all.get(key)
         before = replace(known, flying=dict(known.flying)) if known is not None else None
-        if known is not None and known.at in (Stands.HELD, Stands.ACTIVE):
+        if known is not None and known.at in (ReservationState.HELD, ReservationState.ACTIVE):
             known.since = now
         one = self.reservations.release(key)
         if before is not None and one.at is not before.at:
@@ -295,7 +308,7 @@
             Withdrawal(a.stamp, now, Stamp(self.epoch, seq + n), *reason)
             for n, a in enumerate(a for a in mine if a.effective > now)
         ]
-        assigned = self.book.assignment(account, now)
+        assigned = self.book.assignment_at(account, now)
         if assigned is not None and assigned.plan == one.plan:
             back = Stamp(self.epoch, seq + len(changes))
             changes.append(Assignment(account, self._free(account, now + 1), back, plan, *reason))
@@ -305,9 +318,9 @@
         """Windows of reservations begin and end; what drains settles once all use has had time to come."""
         changed = self.reservations.tick(now)
         for one in self.reservations.all.values():
-            if one.at is Stands.ACTIVE:
+            if one.at is ReservationState.ACTIVE:
                 one.flying.setdefault(LIMITERS, 0)
-            elif one.at is Stands.DRAINING:
+            elif one.at is ReservationState.DRAINING:
                 one.since = one.since or now
                 if now >= one.since + SETTLE:
                     self.reservations.settle(one.wish.key, LIMITERS, drawn(one.wish, self._used(one)))
@@ -318,18 +331,20 @@
 
     def _used(self, one: Reservation) -> int:
         """Micro-units that limiters have told of under the event's plan."""
-        return sum(units for key, units in self.intake.totals.items() if key.plan == one.plan)
+        return sum(units for key, units in self.usage_ledger.totals.items() if key.plan == one.plan)
 
-    def _late(self, record: Use) -> None:
+    def _late(self, record: UsageRecord) -> None:
         """Use that comes after its reservation has settled is a correction of it, and changes nothing given back."""
-        over = {one.plan: one for one in self.reservations.all.values() if one.plan and one.at in OVER}
+        over = {
+            one.plan: one for one in self.reservations.all.values() if one.plan and one.at in TERMINAL_STATES
+        }
         for key, units in record.rows:
             if (one := over.get(key.plan)) is not None:
                 self.reservations.correct(one.wish.key, units)
 
 
 def _reservation_record(one: Reservation) -> Record:
-    wish = {name: getattr(one.wish, name) for name in Wish.__slots__}
+    wish = {name: getattr(one.wish, name) for name in ReservationRequest.__slots__}
     return {
         "kind": "reservation", "wish": wish, "at": one.at.value, "drawn": one.drawn,
         "given_back": one.given_back, "corrections": one.corrections, "past": one.past,
--- a/cypresspulley/plans/wishes.py
+++ b/cypresspulley/plans/wishes.py
@@ -13,8 +13,8 @@
 from cypresspulley.plans.book import Book, BookError, Change, Version, Withdrawal
 from cypresspulley.plans.lease import LEASE
 from cypresspulley.plans.plan_writer import PlanWriter
-from cypresspulley.plans.reservations import MICRO, Reservation, ReservationError, Wish
-from cypresspulley.plans.use import record_from
+from cypresspulley.plans.reservations import MICRO_PER_UNIT, Reservation, ReservationError, ReservationRequest
+from cypresspulley.plans.usage import parse_usage_record
 
 log = logging.getLogger(__name__)
 
@@ -64,7 +64,7 @@
         if (
             isinstance(value, bool)
             or not isinstance(value, int | float)
-            or not 0 < value <= books.MOST_FIGURE
+            or not 0 < value <= books.MAX_TERM_VALUE
         ):
             raise WishError(f"{name}: expected a number above 0, got {value!r:.60}")
         return float(value)
@@ -84,8 +84,8 @@
     elif kind == "reserve":
         done = _reserve(plan_writer, keys, now, dry)
     elif kind == "use":
-        record = record_from(raw.get("record"))
-        return {"acknowledged": plan_writer.take_use(record), "key": record.idempotency_key}
+        record = parse_usage_record(raw.get("record"))
+        return {"acknowledged": plan_writer.accept_usage(record), "key": record.idempotency_key}
     else:
         done = reservation_json(plan_writer.release(keys.text("key"), now))
     if not dry:
@@ -99,7 +99,7 @@
     effective, reason = keys.instant("effective", now, now + LEASE), keys.text("reason", "")
     change: Change
     if kind == "change":
-        terms = books.terms_from(keys.keys.get("terms"), "terms")
+        terms = books.parse_terms(keys.keys.get("terms"), "terms")
         change = plan_writer.version(keys.text("plan"), terms, effective, now, author, reason, dry=True)
     else:
         told = keys.text("account"), keys.text("plan")
@@ -111,9 +111,9 @@
 
 
 def _reserve(plan_writer: PlanWriter, keys: _Raw, now: int, dry: bool) -> dict[str, Any]:
-    wish = Wish(
+    wish = ReservationRequest(
         keys.text("key"), keys.text("account"), keys.instant("start", now), keys.instant("end", now),
-        round(keys.figure("units") * MICRO), keys.text("purpose", ""),
+        round(keys.figure("units") * MICRO_PER_UNIT), keys.text("purpose", ""),
     )  # fmt: skip
     return reservation_json(plan_writer.reserve(wish, now, keys.figure("fleet_rate"), dry))
 
@@ -123,19 +123,19 @@
     w = one.wish
     return {
         "key": w.key, "account": w.account, "start": w.start, "end": w.end, "purpose": w.purpose, "at": one.at.value,
-        "units": w.units / MICRO, "drawn": one.drawn / MICRO, "given_back": one.given_back / MICRO,
+        "units": w.units / MICRO_PER_UNIT, "drawn": one.drawn / MICRO_PER_UNIT, "given_back": one.given_back / MICRO_PER_UNIT,
     }  # fmt: skip
 
 
 def difference(old: Book, new: Book) -> list[Change]:
     """Changes that only the second one has, by stamp."""
-    return [change for change in new.changes() if change.stamp not in old.stamps]
+    return [change for change in new.changes() if change.stamp not in old.changes_by_stamp]
 
 
 def _of(book: Book, change: Change) -> str:
     """The account or plan that a change is of."""
     if isinstance(change, Withdrawal):
-        target = book.stamps.get(change.target)
+        target = book.changes_by_stamp.get(change.target)
         return "" if target is None else _of(book, target)
     return change.plan if isinstance(change, Version) else change.account
 
--- a/tests/plans/test_churn.py
+++ b/tests/plans/test_churn.py
@@ -9,11 +9,11 @@
 
 from benchmarks.plan_churn import LIMITERS, Day, bound
 from cypresspulley import interface as api
-from cypresspulley.plans import reservations, use
+from cypresspulley.plans import reservations, usage
 from cypresspulley.plans.book import Book, Stamp, Version
-from cypresspulley.plans.follow import Follower, Heard
+from cypresspulley.plans.follow import Follower, FollowerEvent
 from cypresspulley.plans.limiter import Planned
-from cypresspulley.plans.reservations import At
+from cypresspulley.plans.reservations import ReservationState
 from tests.plans import test_follow, test_reservations, test_use
 
 SEEDS = range(6)
@@ -109,7 +109,11 @@
 def test_a_reservation_released_early_is_convicted(monkeypatch: pytest.MonkeyPatch) -> None:
     check = test_reservations.test_a_release_while_drawn_on_settles_by_what_is_in_flight
     assert not fails(check)
-    monkeypatch.setitem(reservations.TABLE, (At.ACTIVE, reservations.Heard.RELEASE), At.RELEASED)
+    monkeypatch.setitem(
+        reservations.TRANSITIONS,
+        (ReservationState.ACTIVE, reservations.ReservationEvent.RELEASE),
+        ReservationState.RELEASED,
+    )
     assert fails(check)
 
 
@@ -117,17 +121,16 @@
     check = test_use.test_a_record_is_taken_once_and_acknowledged_each_time
     assert not fails(check)
 
-    def take(intake: use.Intake, record: use.Record) -> bool:
+    def accept(usage_ledger: usage.UsageLedger, record: usage.UsageRecord) -> bool:
         for key, units in record.rows:
-            intake.totals[key] = intake.totals.get(key, 0) + units
+            usage_ledger.totals[key] = usage_ledger.totals.get(key, 0) + units
         return True
 
-    monkeypatch.setattr(use.Intake, "take", take)
+    monkeypatch.setattr(usage.UsageLedger, "accept", accept)
     assert fails(check)
 
 
 def test_the_table_fences_everywhere() -> None:
-    from cypresspulley.plans.follow import TABLE, Do
-    from cypresspulley.plans.follow import At as Stands
+    from cypresspulley.plans.follow import TRANSITIONS, FollowerAction, FollowerState
 
-    assert all(TABLE[at, Heard.STALE] == (at, (Do.DROP,)) for at in Stands)
+    assert all(TRANSITIONS[at, FollowerEvent.STALE] == (at, (FollowerAction.DROP,)) for at in FollowerState)
