--- a/benchmarks/plan_book.py
+++ b/benchmarks/plan_book.py
@@ -75,11 +75,11 @@
         for channel in channels:
             channel.start()
         took = list[float]()
-        plan_writer.version("p", TERMS, unix_ms(), unix_ms(), "m")
+        plan_writer.set_terms("p", TERMS, unix_ms(), unix_ms(), "m")
         for n in range(times + 1):
             began = time.perf_counter()
             now = unix_ms()
-            plan_writer.assign(f"account-{n}", "p", now + 5000, now, "m")
+            plan_writer.assign_plan(f"account-{n}", "p", now + 5000, now, "m")
             publisher.changed()
             async with asyncio.timeout(20):
                 while any(
--- a/cypresspulley/plans/follow.py
+++ b/cypresspulley/plans/follow.py
@@ -155,7 +155,7 @@
         over = self.at in (FollowerState.CURRENT, FollowerState.BEHIND) and now >= self.lease_until
         return self._hear(FollowerEvent.OVER) if over else ()
 
-    def binding(self, account: str, now: int, fallback: str = "") -> Version | None:
+    def binding_version(self, account: str, now: int, fallback: str = "") -> Version | None:
         """What binds a request of an account now; a lapsed lease lowers its ceiling."""
         found = self.book.binding_version(account, now, fallback)
         return None if found is None else self.lowered(found, now)
--- a/cypresspulley/plans/plan_writer.py
+++ b/cypresspulley/plans/plan_writer.py
@@ -38,8 +38,8 @@
 from cypresspulley.plans.store import Record, Store, StoreError
 from cypresspulley.plans.usage import UsageLedger, UsageRecord, parse_usage_record
 
-LIMITERS = "limiters"  # what stands for all their draws while a reservation is drawn on
-SETTLE = 15_000  # milliseconds in which limiters end what they have in hand under the event's plan, and tell their use
+FLEET_DRAW_KEY = "limiters"  # what stands for all their draws while a reservation is drawn on
+SETTLE_DELAY_MS = 15_000  # milliseconds in which limiters end what they have in hand under the event's plan, and tell their use
 
 
 class PlanWriter:
@@ -49,7 +49,7 @@
         self._store = store
         self.book, self.epoch = Book(installation), 0
         self.reservations, self.usage_ledger = Reservations(), UsageLedger()
-        self.log = list[Change]()  # by number: the one of number n stands at n - 1
+        self.changes = list[Change]()  # by number: the one of number n stands at n - 1
         for number, record in enumerate(store.records):
             self._replay(record, f"record {number}")
         if not self.book.installation:
@@ -75,12 +75,12 @@
             self.book = replace(self.book, installation=record["installation"])
         elif kind in ("version", "assignment", "withdrawal"):
             change = books.parse_change(record, where)
-            if change.stamp.seq != len(self.log) + 1:
-                raise StoreError(f"{where}: number {change.stamp.seq}; expected {len(self.log) + 1}")
-            self._known(self.book.with_change(change), change)
+            if change.stamp.seq != len(self.changes) + 1:
+                raise StoreError(f"{where}: number {change.stamp.seq}; expected {len(self.changes) + 1}")
+            self._apply_change(self.book.with_change(change), change)
         elif kind == "use":
             use = parse_usage_record(record, where)
-            self._late(use)
+            self._record_corrections(use)
             self.usage_ledger.accept(use)
         elif kind in ("taken", "totals"):
             self.usage_ledger.restore(record)
@@ -89,9 +89,9 @@
         elif kind != "whole":
             raise StoreError(f"{where}.kind: unknown: {kind!r:.60}")
 
-    def _known(self, book: Book, change: Change) -> None:
+    def _apply_change(self, book: Book, change: Change) -> None:
         self.book = book
-        self.log.append(change)
+        self.changes.append(change)
 
     def _replay_reservation(self, record: Record) -> None:
         wish = ReservationRequest(**record["wish"])
@@ -99,13 +99,13 @@
         one.corrections, one.past = record["corrections"], record["past"]
         one.plan, one.since = record["plan"], record["since"]
         if one.at in (ReservationState.ACTIVE, ReservationState.DRAINING):
-            one.flying[LIMITERS] = 0
+            one.flying[FLEET_DRAW_KEY] = 0
         self.reservations.all[wish.key] = one
 
     def _records(self) -> Iterator[Record]:
         """All that is known, for a new generation."""
         yield {"kind": "epoch", "epoch": self.epoch, "installation": self.book.installation}
-        yield from map(books.as_json, self.log)
+        yield from map(books.as_json, self.changes)
         yield from map(_reservation_record, self.reservations.all.values())
         yield from self.usage_ledger.snapshot()
 
@@ -116,35 +116,35 @@
         for record in records:
             self._store.put(record)
         self._store.commit()
-        if self._store.wants_compacting:
+        if self._store.needs_compaction:
             self.compact()
 
     # Changes.
 
     @property
-    def _next(self) -> Stamp:
+    def _next_stamp(self) -> Stamp:
         return Stamp(self.epoch, self.book.last_stamp.seq + 1)
 
-    def version(
+    def set_terms(
         self, plan: str, terms: Terms, effective: int, now: int, author: str, reason: str = "", dry: bool = False
     ) -> Version:  # fmt: skip
         """A plan's terms from an instant on."""
-        return self._write(Version(plan, effective, self._next, terms, author, reason), now, dry)
+        return self._write(Version(plan, effective, self._next_stamp, terms, author, reason), now, dry)
 
-    def assign(
+    def assign_plan(
         self, account: str, plan: str, effective: int, now: int, author: str, reason: str = "", dry: bool = False
     ) -> Assignment:  # fmt: skip
         """An account's plan from an instant on."""
-        return self._write(Assignment(account, effective, self._next, plan, author, reason), now, dry)
+        return self._write(Assignment(account, effective, self._next_stamp, plan, author, reason), now, dry)
 
     def _write(self, change: PlanChange, now: int, dry: bool) -> PlanChange:
         if dry:
-            self._checked(change, now)
+            self._check_change(change, now)
         else:
-            self.take(change, now)
+            self.write_change(change, now)
         return change
 
-    def _checked(self, change: Change, now: int) -> Book:
+    def _check_change(self, change: Change, now: int) -> Book:
         books.parse_change(books.as_json(change), "change")  # what a start could not read must not be stored
         check_new_change(self.book, change, now)
         if isinstance(change, Assignment):
@@ -159,13 +159,13 @@
                     )
         return self.book.with_change(change)
 
-    def take(self, change: Change, now: int) -> None:
+    def write_change(self, change: Change, now: int) -> None:
         """A new change: checked, stored, then in the book."""
-        book = self._checked(change, now)
+        book = self._check_change(change, now)
         self._commit(books.as_json(change))
-        self._known(book, change)
+        self._apply_change(book, change)
 
-    def passed_by(self, change: Change, now: int) -> dict[str, float]:
+    def find_ceiling_overshoots(self, change: Change, now: int) -> dict[str, float]:
         """Accounts whose ceiling the change lowers, and by how many units it may be passed: those that the last limiter
         to hear admits. Nothing where the change was announced a lease ahead."""
         late = max(0.0, (LEASE - (change.effective - now)) / 1000)
@@ -199,12 +199,12 @@
         if self.usage_ledger.contains(record):
             return self.usage_ledger.accept(record)
         self._commit(record.as_json())
-        self._late(record)
+        self._record_corrections(record)
         return self.usage_ledger.accept(record)
 
     # Reservations.
 
-    def room(self, account: str, at: int, fleet_rate: float) -> Capacity:
+    def capacity_for(self, account: str, at: int, fleet_rate: float) -> Capacity:
         """What the fleet (units a second that may be set aside) and the account's plan can hold."""
         found = self.book.binding_version(account, at)
         if found is None:
@@ -222,13 +222,13 @@
         """Set aside, or refuse; stored before it is said, with the event's plan that limiters go by."""
         if wish.end <= now:
             raise BookError(f"end: expected an instant after {now}, got {wish.end}, which is past")
-        room = self.room(wish.account, wish.start, fleet_rate)
+        capacity = self.capacity_for(wish.account, wish.start, fleet_rate)
         if wish.key in self.reservations.all:
-            return self.reservations.ask(wish, room)
+            return self.reservations.ask(wish, capacity)
         try:
-            one = self.reservations.ask(wish, room)
-            changes = self._event(one, now) if one.at is ReservationState.HELD else []
-            self._store_event(one, changes, dry)
+            one = self.reservations.ask(wish, capacity)
+            changes = self._changes_for_reservation(one, now) if one.at is ReservationState.HELD else []
+            self._store_reservation(one, changes, dry)
         except (OSError, BookError):
             self.reservations.all.pop(wish.key, None)
             raise
@@ -236,40 +236,46 @@
             del self.reservations.all[wish.key]
         return one
 
-    def _event(self, one: Reservation, now: int) -> list[Change]:
+    def _changes_for_reservation(self, one: Reservation, now: int) -> list[Change]:
         """The event's plan, the account's way to it at the window's begin, and back at its end."""
         wish = one.wish
         start = max(wish.start, now)
         base = self.book.binding_version(wish.account, start)
         assert base is not None  # there is room by its terms
-        if any(self._meets(wish, other) for other in self.reservations.all.values() if other is not one):
+        if any(self._overlaps(wish, other) for other in self.reservations.all.values() if other is not one):
             raise BookError(
                 f"start, end: {wish.account} has another reservation then; expected one at a time"
             )
         one.plan = event_plan(base.plan, wish.key)
-        epoch, seq, end = self.epoch, self._next.seq, self._free(wish.account, wish.end)
+        epoch, seq, end = self.epoch, self._next_stamp.seq, self._next_free_instant(wish.account, wish.end)
         told = ("reservations", f"reservation {wish.key}")
         return [
             Version(one.plan, start, Stamp(epoch, seq), event_terms(base.terms, wish), *told),
-            Assignment(wish.account, self._free(wish.account, start), Stamp(epoch, seq + 1), one.plan, *told),
+            Assignment(
+                wish.account,
+                self._next_free_instant(wish.account, start),
+                Stamp(epoch, seq + 1),
+                one.plan,
+                *told,
+            ),
             Assignment(wish.account, end, Stamp(epoch, seq + 2), base.plan, *told),
         ]
 
     @staticmethod
-    def _meets(wish: ReservationRequest, other: Reservation) -> bool:
+    def _overlaps(wish: ReservationRequest, other: Reservation) -> bool:
         """Whether both are of one account, and open at one time."""
         there = other.wish
         together = there.start < wish.end and wish.start < there.end
         return other.at not in TERMINAL_STATES and there.account == wish.account and together
 
-    def _free(self, account: str, instant: int) -> int:
+    def _next_free_instant(self, account: str, instant: int) -> int:
         """The instant, or the next one that no other assignment of the account has."""
         taken = {one.effective for one in self.book.accounts.get(account, ())}
         while instant in taken:
             instant += 1
         return instant
 
-    def _store_event(self, one: Reservation, changes: list[Change], dry: bool = False) -> None:
+    def _store_reservation(self, one: Reservation, changes: list[Change], dry: bool = False) -> None:
         """One commit for the reservation and what limiters hear of it; then it is in force."""
         book = self.book
         for change in changes:
@@ -279,7 +285,7 @@
             return
         self._commit(_reservation_record(one), *map(books.as_json, changes))
         for change in changes:
-            self._known(self.book.with_change(change), change)
+            self._apply_change(self.book.with_change(change), change)
 
     def release(self, key: str, now: int) -> Reservation:
         """No new draws from now on; what is not drawn is given back once limiters have told all they used."""
@@ -290,18 +296,18 @@
         one = self.reservations.release(key)
         if before is not None and one.at is not before.at:
             try:
-                self._store_event(one, self._back(one, now))
+                self._store_reservation(one, self._changes_for_release(one, now))
             except OSError:
                 self.reservations.all[key] = before
                 raise
         return one
 
-    def _back(self, one: Reservation, now: int) -> list[Change]:
+    def _changes_for_release(self, one: Reservation, now: int) -> list[Change]:
         """The account's way off the event's plan at once; what would have put it there or back later is withdrawn."""
         plan, _, _ = one.plan.rpartition(MARK)
         if not plan:
             return []
-        account, seq = one.wish.account, self._next.seq
+        account, seq = one.wish.account, self._next_stamp.seq
         reason = "reservations", f"release of {one.wish.key}"
         mine = [a for a in self.book.accounts.get(account, ()) if f"reservation {one.wish.key}" == a.reason]
         changes: list[Change] = [
@@ -311,7 +317,9 @@
         assigned = self.book.assignment_at(account, now)
         if assigned is not None and assigned.plan == one.plan:
             back = Stamp(self.epoch, seq + len(changes))
-            changes.append(Assignment(account, self._free(account, now + 1), back, plan, *reason))
+            changes.append(
+                Assignment(account, self._next_free_instant(account, now + 1), back, plan, *reason)
+            )
         return changes
 
     def tick(self, now: int) -> list[Reservation]:
@@ -319,21 +327,23 @@
         changed = self.reservations.tick(now)
         for one in self.reservations.all.values():
             if one.at is ReservationState.ACTIVE:
-                one.flying.setdefault(LIMITERS, 0)
+                one.flying.setdefault(FLEET_DRAW_KEY, 0)
             elif one.at is ReservationState.DRAINING:
                 one.since = one.since or now
-                if now >= one.since + SETTLE:
-                    self.reservations.settle(one.wish.key, LIMITERS, drawn(one.wish, self._used(one)))
+                if now >= one.since + SETTLE_DELAY_MS:
+                    self.reservations.settle(
+                        one.wish.key, FLEET_DRAW_KEY, drawn(one.wish, self._reported_usage(one))
+                    )
                     changed.append(one)
         unique = {id(one): one for one in changed}
         self._commit(*map(_reservation_record, unique.values()))
         return list(unique.values())
 
-    def _used(self, one: Reservation) -> int:
+    def _reported_usage(self, one: Reservation) -> int:
         """Micro-units that limiters have told of under the event's plan."""
         return sum(units for key, units in self.usage_ledger.totals.items() if key.plan == one.plan)
 
-    def _late(self, record: UsageRecord) -> None:
+    def _record_corrections(self, record: UsageRecord) -> None:
         """Use that comes after its reservation has settled is a correction of it, and changes nothing given back."""
         over = {
             one.plan: one for one in self.reservations.all.values() if one.plan and one.at in TERMINAL_STATES
--- a/cypresspulley/plans/serve.py
+++ b/cypresspulley/plans/serve.py
@@ -220,17 +220,17 @@
     def _behind(self, known: int) -> list[Change]:
         if known == self._plan_writer.book.last_stamp.seq:
             return []
-        return self._plan_writer.log[known:]
+        return self._plan_writer.changes[known:]
 
     def _head(self, kind: str) -> dict[str, Any]:
         return {"kind": kind, "epoch": self._plan_writer.epoch, "sent": self._clock(), "lease": LEASE}
 
     async def _whole(self, writer: asyncio.StreamWriter) -> int:
-        count = len(self._plan_writer.log)  # what comes meanwhile is told after it
+        count = len(self._plan_writer.changes)  # what comes meanwhile is told after it
         told = {"installation": self._plan_writer.book.installation, "changes": count}
         await self._write(writer, {**self._head("whole"), **told})
         for number in range(count):
-            await self._write(writer, books.as_json(self._plan_writer.log[number]))
+            await self._write(writer, books.as_json(self._plan_writer.changes[number]))
         return count
 
     @staticmethod
--- a/cypresspulley/plans/store.py
+++ b/cypresspulley/plans/store.py
@@ -216,7 +216,7 @@
             pass  # a start reads what is there: a whole frame more is a record that nobody was told of
 
     @property
-    def wants_compacting(self) -> bool:
+    def needs_compaction(self) -> bool:
         return self._end - self._base > COMPACT_AT
 
     def compact(self, state: Iterable[Record]) -> None:
--- a/cypresspulley/plans/wishes.py
+++ b/cypresspulley/plans/wishes.py
@@ -100,13 +100,13 @@
     change: Change
     if kind == "change":
         terms = books.parse_terms(keys.keys.get("terms"), "terms")
-        change = plan_writer.version(keys.text("plan"), terms, effective, now, author, reason, dry=True)
+        change = plan_writer.set_terms(keys.text("plan"), terms, effective, now, author, reason, dry=True)
     else:
         told = keys.text("account"), keys.text("plan")
-        change = plan_writer.assign(*told, effective, now, author, reason, dry=True)
-    passed = plan_writer.passed_by(change, now)
+        change = plan_writer.assign_plan(*told, effective, now, author, reason, dry=True)
+    passed = plan_writer.find_ceiling_overshoots(change, now)
     if not dry:
-        plan_writer.take(change, now)
+        plan_writer.write_change(change, now)
     return {"change": books.as_json(change), "passed_by": passed}
 
 
--- a/cypresspulley/rehearsal/standins/bookkeeper.py
+++ b/cypresspulley/rehearsal/standins/bookkeeper.py
@@ -42,9 +42,9 @@
         self.plan_writer = PlanWriter(Store(self._folder), INSTALLATION)
         now = stage.unix_ms()
         for plan in plans:
-            self.plan_writer.version(plan.name, terms_of(plan), now, now, "rehearsal")
+            self.plan_writer.set_terms(plan.name, terms_of(plan), now, now, "rehearsal")
             if plan.ceiling > 0:
-                self.plan_writer.version(plan.name + LOWER, terms_of(plan, part), now, now, "rehearsal")
+                self.plan_writer.set_terms(plan.name + LOWER, terms_of(plan, part), now, now, "rehearsal")
 
     def __repr__(self) -> str:
         return f"<Bookkeeper {self.plan_writer!r}, {len(self._publishers)} ways open>"
@@ -88,7 +88,7 @@
                 f"ev-{account}", account, now + 300, now + round(lasts * 1000), units, "rehearsal"
             )
             if self.plan_writer.book.assignment_at(account, now) is None:
-                self.plan_writer.assign(account, plan, now, now, "rehearsal")
+                self.plan_writer.assign_plan(account, plan, now, now, "rehearsal")
             keys += [wish.key] if self.plan_writer.reserve(wish, now, 1e6).at is ReservationState.HELD else []
         self._changed()
         await asyncio.sleep(lasts / 2)
@@ -109,7 +109,7 @@
         if any(one.effective == effective for one in self.plan_writer.book.accounts.get(account, ())):
             return
         try:
-            self.plan_writer.assign(account, plan + LOWER * down, effective, now, "rehearsal", "churn")
+            self.plan_writer.assign_plan(account, plan + LOWER * down, effective, now, "rehearsal", "churn")
         except BookError:
             return  # it has a reservation then
         (self._low.add if down else self._low.discard)(account)
--- a/tests/plans/test_churn.py
+++ b/tests/plans/test_churn.py
@@ -87,7 +87,7 @@
     follower.__class__ = Endless
     follower.change(1, Version("low", 10, Stamp(1, 3), test_follow.SMALL))
     follower.tick(10**9)
-    found = follower.binding("hotel", 10**9)
+    found = follower.binding_version("hotel", 10**9)
     assert found is not None and found.terms == test_follow.LARGE
 
 
--- a/tests/plans/test_events.py
+++ b/tests/plans/test_events.py
@@ -10,7 +10,7 @@
 
 from cypresspulley.plans.book import BookError, Stamp, Terms
 from cypresspulley.plans.events import drawn, event_plan, event_terms
-from cypresspulley.plans.plan_writer import SETTLE, PlanWriter
+from cypresspulley.plans.plan_writer import SETTLE_DELAY_MS, PlanWriter
 from cypresspulley.plans.reservations import MICRO_PER_UNIT, ReservationRequest, ReservationState
 from cypresspulley.plans.store import Store
 from cypresspulley.plans.usage import UsageKey, UsageRecord
@@ -25,8 +25,8 @@
 
 def plan_writer_with(wish: ReservationRequest = WISH, disk: Disk | None = None) -> PlanWriter:
     plan_writer = PlanWriter(Store(disk or Disk()), "vadodara")
-    plan_writer.version("p", BASE, 90_000, 90_000, "m")
-    plan_writer.assign("hotel", "p", 90_000, 90_000, "m")
+    plan_writer.set_terms("p", BASE, 90_000, 90_000, "m")
+    plan_writer.assign_plan("hotel", "p", 90_000, 90_000, "m")
     assert plan_writer.reserve(wish, 100_000, 1000.0).at is ReservationState.HELD
     return plan_writer
 
@@ -49,12 +49,12 @@
 def test_what_would_stand_above_the_ceiling_is_refused_whole() -> None:
     disk = Disk()
     plan_writer = plan_writer_with(disk=disk)
-    before, changes = disk.read(disk.names()[0]), len(plan_writer.log)
+    before, changes = disk.read(disk.names()[0]), len(plan_writer.changes)
     with pytest.raises(BookError, match="ceiling: expected at least the quota"):
         plan_writer.reserve(
             ReservationRequest("more", "hotel", 200_000, 201_000, 30 * MICRO_PER_UNIT), 100_000, 1000.0
         )
-    assert "more" not in plan_writer.reservations.all and len(plan_writer.log) == changes
+    assert "more" not in plan_writer.reservations.all and len(plan_writer.changes) == changes
     assert disk.read(disk.names()[0]) == before
 
 
@@ -89,8 +89,8 @@
     assert found is not None and found.plan == "p"
     used(plan_writer, 25, 2)  # in flight at the release
     assert plan_writer.release("wedding", START + 11_000) is one and plan_writer.tick(START + 11_000) == []
-    assert len(plan_writer.log) == 7  # one way back, and the later one withdrawn, whoever releases again
-    plan_writer.tick(START + 10_000 + SETTLE)
+    assert len(plan_writer.changes) == 7  # one way back, and the later one withdrawn, whoever releases again
+    plan_writer.tick(START + 10_000 + SETTLE_DELAY_MS)
     assert plan_writer.reservations.all["wedding"].at is ReservationState.RELEASED
     assert one.drawn == 65 * MICRO_PER_UNIT and one.given_back == 235 * MICRO_PER_UNIT
     used(plan_writer, 3, 3)  # a day late
@@ -103,7 +103,7 @@
     used(plan_writer, 400, 1)
     used(plan_writer, 50, 2, "p")
     plan_writer.tick(END)
-    plan_writer.tick(END + SETTLE)
+    plan_writer.tick(END + SETTLE_DELAY_MS)
     one = plan_writer.reservations.all["wedding"]
     assert one.at is ReservationState.EXPIRED and one.drawn == WISH.units and one.given_back == 0
 
@@ -116,10 +116,10 @@
 
 def test_where_an_account_is_put_after_a_release_it_stays() -> None:
     plan_writer = plan_writer_with()
-    plan_writer.version("low", Terms(1.0, 4.0, 2.0, 8.0), 100_000, 100_000, "m")
+    plan_writer.set_terms("low", Terms(1.0, 4.0, 2.0, 8.0), 100_000, 100_000, "m")
     plan_writer.tick(START)
     plan_writer.release("wedding", START + 1000)
-    plan_writer.assign("hotel", "low", START + 2000, START + 2000, "m")
+    plan_writer.assign_plan("hotel", "low", START + 2000, START + 2000, "m")
     bound = [
         v.plan
         for at in (START + 1500, START + 2000, END)
@@ -136,7 +136,7 @@
     plan_writer.release("wedding", START + 1000)
     again = PlanWriter(Store(disk), "vadodara")
     used(again, 5, 2)
-    again.tick(START + 1000 + SETTLE)
+    again.tick(START + 1000 + SETTLE_DELAY_MS)
     one = again.reservations.all["wedding"]
     assert one.at is ReservationState.RELEASED and one.drawn == 15 * MICRO_PER_UNIT
     used(again, 2, 3)
@@ -148,7 +148,7 @@
 def test_an_account_with_a_reservation_stays_where_it_is() -> None:
     plan_writer = plan_writer_with()
     with pytest.raises(BookError, match="has reservation wedding then; release it first"):
-        plan_writer.assign("hotel", "p", START + 5, 100_000, "m")
-    plan_writer.assign("hotel", "p", END + 5, 100_000, "m")
+        plan_writer.assign_plan("hotel", "p", START + 5, 100_000, "m")
+    plan_writer.assign_plan("hotel", "p", END + 5, 100_000, "m")
     with pytest.raises(BookError, match="another reservation then"):
         plan_writer.reserve(ReservationRequest("b", "hotel", END - 5, END + 5, 1), 100_000, 1000.0)
--- a/tests/plans/test_follow.py
+++ b/tests/plans/test_follow.py
@@ -95,16 +95,16 @@
     follower = following(2)  # the hotel is on LARGE
     follower.change(1, Version("low", 10, Stamp(1, 3), SMALL))
     assert follower.tick(LEASE - MAX_CLOCK_SKEW_MS - 1) == ()
-    bound = follower.binding("hotel", 100)
+    bound = follower.binding_version("hotel", 100)
     assert bound is not None and bound.terms == LARGE
     assert (
         follower.tick(LEASE - MAX_CLOCK_SKEW_MS) == (FollowerAction.FALL_BACK,) and follower.tick(LEASE) == ()
     )
-    bound = follower.binding("hotel", LEASE)
+    bound = follower.binding_version("hotel", LEASE)
     assert bound is not None and (bound.terms.ceiling_rate, bound.terms.ceiling_burst) == (2.0, 8.0)
     assert bound.terms.rate <= 2.0 and bound.terms.burst <= 8.0
     assert follower.beat(1, Stamp(1, 3), 9000, LEASE) == (FollowerAction.RENEW, FollowerAction.RECOVER)
-    bound = follower.binding("hotel", 9001)
+    bound = follower.binding_version("hotel", 9001)
     assert bound is not None and bound.terms == LARGE
 
 
@@ -145,4 +145,4 @@
 
 @pytest.mark.parametrize("account", ["hotel", "unknown"])
 def test_without_a_book_nothing_binds(account: str) -> None:
-    assert Follower("vadodara").binding(account, 5, "p") is None
+    assert Follower("vadodara").binding_version(account, 5, "p") is None
--- a/tests/plans/test_limiter.py
+++ b/tests/plans/test_limiter.py
@@ -243,7 +243,7 @@
         planned = plans.deciding(gateway, gateway, config)
         plans.start()
         now = serve.unix_ms()
-        plan_writer.version("p", LARGE, now, now, "m")
+        plan_writer.set_terms("p", LARGE, now, now, "m")
         publisher.changed()
         async with asyncio.timeout(10):
             while planned.follower.book != plan_writer.book:
--- a/tests/plans/test_serve.py
+++ b/tests/plans/test_serve.py
@@ -73,7 +73,7 @@
 def test_followers_get_the_book_and_each_change() -> None:
     async def play(publisher: Publisher, plan_writer: PlanWriter, address: tuple[str, int]) -> None:
         now = serve.unix_ms()
-        plan_writer.version("p", TERMS, now, now, "m")
+        plan_writer.set_terms("p", TERMS, now, now, "m")
         followed = [Followed(address) for _ in range(3)]
         for one in followed:
             await one.until(lambda one=one: one.follower.book == plan_writer.book)  # type: ignore[misc]
@@ -95,12 +95,12 @@
         plan_writer = PlanWriter(Store(disk), "vadodara")
         first = Publisher(plan_writer, TOKEN, beat=0.05)
         address = await first.listen("127.0.0.1", 0)
-        plan_writer.version("p", TERMS, serve.unix_ms() + 10_000, serve.unix_ms(), "m")
+        plan_writer.set_terms("p", TERMS, serve.unix_ms() + 10_000, serve.unix_ms(), "m")
         one = Followed(address)
         await one.until(lambda: one.follower.epoch == 1 and one.follower.book == plan_writer.book)
         await first.close()
         again = PlanWriter(Store(disk), "vadodara")
-        again.version("q", TERMS, serve.unix_ms() + 10_000, serve.unix_ms(), "m")
+        again.set_terms("q", TERMS, serve.unix_ms() + 10_000, serve.unix_ms(), "m")
         second = Publisher(again, TOKEN, beat=0.05)
         await second.listen(*address)
         await one.until(lambda: one.follower.epoch == 2 and one.follower.book == again.book)
--- a/tests/plans/test_store.py
+++ b/tests/plans/test_store.py
@@ -164,9 +164,9 @@
     """One thing that an operator wants; the model hears first what may come of it."""
     do: Callable[[PlanWriter], object] | None = None
     if step == 0 or "p" not in plan_writer.book.plans:
-        do = lambda o: o.version("p", TERMS[number % 2], now, now, "m")  # noqa: E731
+        do = lambda o: o.set_terms("p", TERMS[number % 2], now, now, "m")  # noqa: E731
     elif step == 1:
-        do = lambda o: o.assign("hotel", "p", now, now, "m")  # noqa: E731
+        do = lambda o: o.assign_plan("hotel", "p", now, now, "m")  # noqa: E731
     elif step == 2 and plan_writer.book.assignment_at("hotel", now) is not None:
         wish = ReservationRequest(f"ev{now}", "hotel", now + 50, now + 60, 1)
         model.reserved[wish.key] = {None, ReservationState.HELD, ReservationState.REFUSED}
@@ -219,11 +219,11 @@
 def test_what_is_refused_changes_nothing() -> None:
     disk = Disk()
     plan_writer = PlanWriter(Store(disk), "vadodara")
-    plan_writer.version("p", TERMS[0], 1000, 1000, "m")
+    plan_writer.set_terms("p", TERMS[0], 1000, 1000, "m")
     before, digest = disk.read(disk.names()[0]), plan_writer.book.digest()
     for bad in (Terms(float("inf"), 1), Terms(1, 1, 0.5, 1)):
         with pytest.raises(BookError):
-            plan_writer.version("p", bad, 2000, 1000, "m")
+            plan_writer.set_terms("p", bad, 2000, 1000, "m")
     with pytest.raises(BookError, match="has no plan"):
         plan_writer.reserve(ReservationRequest("k", "inn", 2000, 3000, 1), 1000, 1e6)
     assert disk.read(disk.names()[0]) == before and plan_writer.book.digest() == digest
@@ -232,8 +232,8 @@
 def test_a_full_disk_refuses_a_reservation_and_a_release_whole() -> None:
     disk = Disk()
     plan_writer = PlanWriter(Store(disk), "vadodara")
-    plan_writer.version("p", TERMS[0], 1000, 1000, "m")
-    plan_writer.assign("hotel", "p", 1000, 1000, "m")
+    plan_writer.set_terms("p", TERMS[0], 1000, 1000, "m")
+    plan_writer.assign_plan("hotel", "p", 1000, 1000, "m")
     plan_writer.reserve(ReservationRequest("a", "hotel", 2000, 3000, 1), 1000, 1e6)
     disk.room = 3
     with pytest.raises(OSError):
--- a/tests/plans/test_wiring.py
+++ b/tests/plans/test_wiring.py
@@ -74,8 +74,8 @@
         publisher = Publisher(plan_writer, "t", beat=0.05)
         host, port = await publisher.listen("127.0.0.1", 0)
         now = unix_ms()
-        plan_writer.version("season", Terms(100.0, 100.0), now, now, "m")
-        plan_writer.assign("00000000b4d65521", "season", now, now, "m")
+        plan_writer.set_terms("season", Terms(100.0, 100.0), now, now, "m")
+        plan_writer.assign_plan("00000000b4d65521", "season", now, now, "m")
         operators = tmp_path / "operators.toml"
         operators.write_text(f'[plans]\nwriter = "{host}:{port}"\ninstallation = "vadodara"\n')
         async with (
