--- a/cypresspulley/plans/book.py
+++ b/cypresspulley/plans/book.py
@@ -128,7 +128,7 @@
 
 
 Change = Version | Assignment | Withdrawal
-PlanChange = TypeVar("One", Version, Assignment)
+ChangeT = TypeVar("ChangeT", Version, Assignment)
 
 
 def as_json(change: Change) -> dict[str, Any]:
@@ -199,13 +199,13 @@
     return Assignment(_text(raw.get("account"), f"{where}.account"), *told, plan, author, reason)
 
 
-def _in_force(history: tuple[PlanChange, ...], at: int) -> PlanChange | None:
+def _in_force(history: tuple[ChangeT, ...], at: int) -> ChangeT | None:
     """The last one whose instant has come."""
     number = bisect_right(history, at, key=lambda one: one.effective)
     return history[number - 1] if number else None
 
 
-def _with(history: tuple[PlanChange, ...], one: PlanChange) -> tuple[PlanChange, ...]:
+def _with(history: tuple[ChangeT, ...], one: ChangeT) -> tuple[ChangeT, ...]:
     whole = list(history)
     insort(whole, one, key=lambda each: each.key)
     return tuple(whole)
--- a/cypresspulley/plans/command.py
+++ b/cypresspulley/plans/command.py
@@ -151,7 +151,7 @@
         for name in sorted(plan_writer.book.accounts)
         if (a := plan_writer.book.assignment_at(name, at)) is not None
     ]
-    reservations = [reservation_json(one) for one in plan_writer.reservations.all.values()]
+    reservations = [reservation_json(one) for one in plan_writer.reservations.by_key.values()]
     told = {
         "installation": plan_writer.book.installation, "epoch": plan_writer.epoch, "digest": plan_writer.book.digest(),
         "plans": list(map(books.as_json, plans)), "accounts": list(map(books.as_json, found)),
--- a/cypresspulley/plans/plan_writer.py
+++ b/cypresspulley/plans/plan_writer.py
@@ -16,7 +16,7 @@
     Book,
     BookError,
     Change,
-    PlanChange,
+    ChangeT,
     Stamp,
     Terms,
     Version,
@@ -60,7 +60,7 @@
             self._store.commit()
 
     def __repr__(self) -> str:
-        return f"<PlanWriter epoch {self.epoch}, {self.book!r}, {len(self.reservations.all)} reservations>"
+        return f"<PlanWriter epoch {self.epoch}, {self.book!r}, {len(self.reservations.by_key)} reservations>"
 
     # Reading what is there.
 
@@ -94,19 +94,19 @@
         self.changes.append(change)
 
     def _replay_reservation(self, record: Record) -> None:
-        wish = ReservationRequest(**record["wish"])
-        one = Reservation(wish, ReservationState(record["at"]), record["drawn"], {}, record["given_back"])
-        one.corrections, one.past = record["corrections"], record["past"]
-        one.plan, one.since = record["plan"], record["since"]
-        if one.at in (ReservationState.ACTIVE, ReservationState.DRAINING):
-            one.flying[FLEET_DRAW_KEY] = 0
-        self.reservations.all[wish.key] = one
+        request = ReservationRequest(**record["wish"])
+        one = Reservation(request, ReservationState(record["at"]), record["drawn"], {}, record["given_back"])
+        one.corrections, one.window_ended = record["corrections"], record["past"]
+        one.plan, one.draining_since = record["plan"], record["since"]
+        if one.state in (ReservationState.ACTIVE, ReservationState.DRAINING):
+            one.in_flight[FLEET_DRAW_KEY] = 0
+        self.reservations.by_key[request.key] = one
 
     def _records(self) -> Iterator[Record]:
         """All that is known, for a new generation."""
         yield {"kind": "epoch", "epoch": self.epoch, "installation": self.book.installation}
         yield from map(books.as_json, self.changes)
-        yield from map(_reservation_record, self.reservations.all.values())
+        yield from map(_reservation_record, self.reservations.by_key.values())
         yield from self.usage_ledger.snapshot()
 
     def compact(self) -> None:
@@ -137,7 +137,7 @@
         """An account's plan from an instant on."""
         return self._write(Assignment(account, effective, self._next_stamp, plan, author, reason), now, dry)
 
-    def _write(self, change: PlanChange, now: int, dry: bool) -> PlanChange:
+    def _write(self, change: ChangeT, now: int, dry: bool) -> ChangeT:
         if dry:
             self._check_change(change, now)
         else:
@@ -148,14 +148,14 @@
         books.parse_change(books.as_json(change), "change")  # what a start could not read must not be stored
         check_new_change(self.book, change, now)
         if isinstance(change, Assignment):
-            for one in self.reservations.all.values():
+            for one in self.reservations.by_key.values():
                 held = (
-                    one.at in (ReservationState.HELD, ReservationState.ACTIVE)
-                    and one.wish.account == change.account
+                    one.state in (ReservationState.HELD, ReservationState.ACTIVE)
+                    and one.request.account == change.account
                 )
-                if held and one.wish.start <= change.effective < one.wish.end:
+                if held and one.request.start <= change.effective < one.request.end:
                     raise BookError(
-                        f"account: {change.account} has reservation {one.wish.key} then; release it first"
+                        f"account: {change.account} has reservation {one.request.key} then; release it first"
                     )
         return self.book.with_change(change)
 
@@ -217,56 +217,62 @@
         )
 
     def reserve(
-        self, wish: ReservationRequest, now: int, fleet_rate: float, dry: bool = False
+        self, request: ReservationRequest, now: int, fleet_rate: float, dry: bool = False
     ) -> Reservation:
         """Set aside, or refuse; stored before it is said, with the event's plan that limiters go by."""
-        if wish.end <= now:
-            raise BookError(f"end: expected an instant after {now}, got {wish.end}, which is past")
-        capacity = self.capacity_for(wish.account, wish.start, fleet_rate)
-        if wish.key in self.reservations.all:
-            return self.reservations.ask(wish, capacity)
+        if request.end <= now:
+            raise BookError(f"end: expected an instant after {now}, got {request.end}, which is past")
+        capacity = self.capacity_for(request.account, request.start, fleet_rate)
+        if request.key in self.reservations.by_key:
+            return self.reservations.reserve(request, capacity)
         try:
-            one = self.reservations.ask(wish, capacity)
-            changes = self._changes_for_reservation(one, now) if one.at is ReservationState.HELD else []
+            one = self.reservations.reserve(request, capacity)
+            changes = self._changes_for_reservation(one, now) if one.state is ReservationState.HELD else []
             self._store_reservation(one, changes, dry)
         except (OSError, BookError):
-            self.reservations.all.pop(wish.key, None)
+            self.reservations.by_key.pop(request.key, None)
             raise
         if dry:
-            del self.reservations.all[wish.key]
+            del self.reservations.by_key[request.key]
         return one
 
     def _changes_for_reservation(self, one: Reservation, now: int) -> list[Change]:
         """The event's plan, the account's way to it at the window's begin, and back at its end."""
-        wish = one.wish
-        start = max(wish.start, now)
-        base = self.book.binding_version(wish.account, start)
+        request = one.request
+        start = max(request.start, now)
+        base = self.book.binding_version(request.account, start)
         assert base is not None  # there is room by its terms
-        if any(self._overlaps(wish, other) for other in self.reservations.all.values() if other is not one):
+        if any(
+            self._overlaps(request, other) for other in self.reservations.by_key.values() if other is not one
+        ):
             raise BookError(
-                f"start, end: {wish.account} has another reservation then; expected one at a time"
+                f"start, end: {request.account} has another reservation then; expected one at a time"
             )
-        one.plan = event_plan(base.plan, wish.key)
-        epoch, seq, end = self.epoch, self._next_stamp.seq, self._next_free_instant(wish.account, wish.end)
-        told = ("reservations", f"reservation {wish.key}")
+        one.plan = event_plan(base.plan, request.key)
+        epoch, seq, end = (
+            self.epoch,
+            self._next_stamp.seq,
+            self._next_free_instant(request.account, request.end),
+        )
+        told = ("reservations", f"reservation {request.key}")
         return [
-            Version(one.plan, start, Stamp(epoch, seq), event_terms(base.terms, wish), *told),
+            Version(one.plan, start, Stamp(epoch, seq), event_terms(base.terms, request), *told),
             Assignment(
-                wish.account,
-                self._next_free_instant(wish.account, start),
+                request.account,
+                self._next_free_instant(request.account, start),
                 Stamp(epoch, seq + 1),
                 one.plan,
                 *told,
             ),
-            Assignment(wish.account, end, Stamp(epoch, seq + 2), base.plan, *told),
+            Assignment(request.account, end, Stamp(epoch, seq + 2), base.plan, *told),
         ]
 
     @staticmethod
-    def _overlaps(wish: ReservationRequest, other: Reservation) -> bool:
+    def _overlaps(request: ReservationRequest, other: Reservation) -> bool:
         """Whether both are of one account, and open at one time."""
-        there = other.wish
-        together = there.start < wish.end and wish.start < there.end
-        return other.at not in TERMINAL_STATES and there.account == wish.account and together
+        there = other.request
+        together = there.start < request.end and request.start < there.end
+        return other.state not in TERMINAL_STATES and there.account == request.account and together
 
     def _next_free_instant(self, account: str, instant: int) -> int:
         """The instant, or the next one that no other assignment of the account has."""
@@ -289,16 +295,16 @@
 
     def release(self, key: str, now: int) -> Reservation:
         """No new draws from now on; what is not drawn is given back once limiters have told all they used."""
-        known = self.reservations.all.get(key)
-        before = replace(known, flying=dict(known.flying)) if known is not None else None
-        if known is not None and known.at in (ReservationState.HELD, ReservationState.ACTIVE):
-            known.since = now
+        known = self.reservations.by_key.get(key)
+        before = replace(known, in_flight=dict(known.in_flight)) if known is not None else None
+        if known is not None and known.state in (ReservationState.HELD, ReservationState.ACTIVE):
+            known.draining_since = now
         one = self.reservations.release(key)
-        if before is not None and one.at is not before.at:
+        if before is not None and one.state is not before.state:
             try:
                 self._store_reservation(one, self._changes_for_release(one, now))
             except OSError:
-                self.reservations.all[key] = before
+                self.reservations.by_key[key] = before
                 raise
         return one
 
@@ -307,9 +313,11 @@
         plan, _, _ = one.plan.rpartition(MARK)
         if not plan:
             return []
-        account, seq = one.wish.account, self._next_stamp.seq
-        reason = "reservations", f"release of {one.wish.key}"
-        mine = [a for a in self.book.accounts.get(account, ()) if f"reservation {one.wish.key}" == a.reason]
+        account, seq = one.request.account, self._next_stamp.seq
+        reason = "reservations", f"release of {one.request.key}"
+        mine = [
+            a for a in self.book.accounts.get(account, ()) if f"reservation {one.request.key}" == a.reason
+        ]
         changes: list[Change] = [
             Withdrawal(a.stamp, now, Stamp(self.epoch, seq + n), *reason)
             for n, a in enumerate(a for a in mine if a.effective > now)
@@ -325,14 +333,14 @@
     def tick(self, now: int) -> list[Reservation]:
         """Windows of reservations begin and end; what drains settles once all use has had time to come."""
         changed = self.reservations.tick(now)
-        for one in self.reservations.all.values():
-            if one.at is ReservationState.ACTIVE:
-                one.flying.setdefault(FLEET_DRAW_KEY, 0)
-            elif one.at is ReservationState.DRAINING:
-                one.since = one.since or now
-                if now >= one.since + SETTLE_DELAY_MS:
+        for one in self.reservations.by_key.values():
+            if one.state is ReservationState.ACTIVE:
+                one.in_flight.setdefault(FLEET_DRAW_KEY, 0)
+            elif one.state is ReservationState.DRAINING:
+                one.draining_since = one.draining_since or now
+                if now >= one.draining_since + SETTLE_DELAY_MS:
                     self.reservations.settle(
-                        one.wish.key, FLEET_DRAW_KEY, drawn(one.wish, self._reported_usage(one))
+                        one.request.key, FLEET_DRAW_KEY, drawn(one.request, self._reported_usage(one))
                     )
                     changed.append(one)
         unique = {id(one): one for one in changed}
@@ -346,17 +354,19 @@
     def _record_corrections(self, record: UsageRecord) -> None:
         """Use that comes after its reservation has settled is a correction of it, and changes nothing given back."""
         over = {
-            one.plan: one for one in self.reservations.all.values() if one.plan and one.at in TERMINAL_STATES
+            one.plan: one
+            for one in self.reservations.by_key.values()
+            if one.plan and one.state in TERMINAL_STATES
         }
         for key, units in record.rows:
             if (one := over.get(key.plan)) is not None:
-                self.reservations.correct(one.wish.key, units)
+                self.reservations.correct(one.request.key, units)
 
 
 def _reservation_record(one: Reservation) -> Record:
-    wish = {name: getattr(one.wish, name) for name in ReservationRequest.__slots__}
+    wish = {name: getattr(one.request, name) for name in ReservationRequest.__slots__}
     return {
-        "kind": "reservation", "wish": wish, "at": one.at.value, "drawn": one.drawn,
-        "given_back": one.given_back, "corrections": one.corrections, "past": one.past,
-        "plan": one.plan, "since": one.since,
+        "kind": "reservation", "wish": wish, "at": one.state.value, "drawn": one.drawn,
+        "given_back": one.given_back, "corrections": one.corrections, "past": one.window_ended,
+        "plan": one.plan, "since": one.draining_since,
     }  # fmt: skip
--- a/cypresspulley/plans/reservations.py
+++ b/cypresspulley/plans/reservations.py
@@ -79,43 +79,43 @@
 class Reservation:
     """One wish and what became of it."""
 
-    wish: ReservationRequest
-    at: ReservationState = ReservationState.REQUESTED
+    request: ReservationRequest
+    state: ReservationState = ReservationState.REQUESTED
     drawn: int = 0  # settled micro-units
-    flying: dict[str, int] = field(default_factory=dict)  # guesses of the requests in flight
+    in_flight: dict[str, int] = field(default_factory=dict)  # guesses of the requests in flight
     given_back: int = 0
     corrections: int = 0  # micro-units that were settled after it was over
-    past: bool = False  # its window is
+    window_ended: bool = False  # its window is
     plan: str = ""  # the event's plan, under which limiters draw on it
-    since: int = 0  # Unix milliseconds from which it takes no new draws
+    draining_since: int = 0  # Unix milliseconds from which it takes no new draws
 
     def __repr__(self) -> str:
-        w = self.wish
-        return f"<Reservation {w.key} of {w.account}: {self.at.value}, {self.drawn / MICRO_PER_UNIT:g} of {w.units / MICRO_PER_UNIT:g}>"
+        w = self.request
+        return f"<Reservation {w.key} of {w.account}: {self.state.value}, {self.drawn / MICRO_PER_UNIT:g} of {w.units / MICRO_PER_UNIT:g}>"
 
     @property
-    def left(self) -> int:
+    def available_units(self) -> int:
         """Micro-units that a new draw may have; 0 unless it is active."""
-        if self.at is not ReservationState.ACTIVE:
+        if self.state is not ReservationState.ACTIVE:
             return 0
-        return max(0, self.wish.units - self.drawn - sum(self.flying.values()))
+        return max(0, self.request.units - self.drawn - sum(self.in_flight.values()))
 
-    def hear(self, what: ReservationEvent) -> bool:
+    def handle_event(self, what: ReservationEvent) -> bool:
         """Whether that changed anything."""
-        now = TRANSITIONS.get((self.at, what))
+        now = TRANSITIONS.get((self.state, what))
         if now is None:
             return False
-        self.at, self.past = now, self.past or what is ReservationEvent.OVER
+        self.state, self.window_ended = now, self.window_ended or what is ReservationEvent.OVER
         if now is ReservationState.DRAINING:
-            self.ended()
+            self.finish_if_drained()
         elif now in (ReservationState.RELEASED, ReservationState.EXPIRED):
-            self.given_back = max(0, self.wish.units - self.drawn)
+            self.given_back = max(0, self.request.units - self.drawn)
         return True
 
-    def ended(self) -> None:
+    def finish_if_drained(self) -> None:
         """A draw has ended: with the last one a reservation that drains is over."""
-        if not self.flying:
-            self.hear(ReservationEvent.SPENT if self.past else ReservationEvent.EMPTY)
+        if not self.in_flight:
+            self.handle_event(ReservationEvent.SPENT if self.window_ended else ReservationEvent.EMPTY)
 
 
 @dataclass(frozen=True, slots=True)
@@ -131,11 +131,11 @@
 def peak_rate(wishes: Iterable[ReservationRequest]) -> float:
     """The most micro-units a second that wishes ask for at any one time, each spread evenly over its window."""
     edges = list[tuple[int, int, float]]()
-    for wish in wishes:
-        rate = wish.units * 1000 / (wish.end - wish.start)
+    for request in wishes:
+        rate = request.units * 1000 / (request.end - request.start)
         edges += [
-            (wish.start, 1, rate),
-            (wish.end, 0, -rate),
+            (request.start, 1, rate),
+            (request.end, 0, -rate),
         ]  # what ends at an instant leaves before what begins
     now = most = 0.0
     for _, _, rate in sorted(edges):
@@ -148,81 +148,83 @@
     """All reservations of one installation, by key."""
 
     def __init__(self) -> None:
-        self.all = dict[str, Reservation]()
+        self.by_key = dict[str, Reservation]()
 
-    def ask(self, wish: ReservationRequest, room: Capacity) -> Reservation:
+    def reserve(self, request: ReservationRequest, room: Capacity) -> Reservation:
         """Set aside, or refuse; the same key and wish again change nothing. ``ReservationError`` for bad input."""
-        wish.check()
-        if (known := self.all.get(wish.key)) is not None:
-            if known.wish != wish:
-                raise ReservationError(f"key: {wish.key!r} names another reservation; expected a new key")
+        request.check()
+        if (known := self.by_key.get(request.key)) is not None:
+            if known.request != request:
+                raise ReservationError(f"key: {request.key!r} names another reservation; expected a new key")
             return known
-        open_ = [r for r in self.all.values() if r.at not in TERMINAL_STATES]
+        open_ = [r for r in self.by_key.values() if r.state not in TERMINAL_STATES]
         if len(open_) >= MAX_OPEN_RESERVATIONS:
             raise ReservationError(f"expected at most {MAX_OPEN_RESERVATIONS} reservations that are not over")
-        one = self.all[wish.key] = Reservation(wish)
-        one.hear(ReservationEvent.ADMITTED if self._fits(wish, open_, room) else ReservationEvent.REFUSED)
+        one = self.by_key[request.key] = Reservation(request)
+        one.handle_event(
+            ReservationEvent.ADMITTED if self._fits(request, open_, room) else ReservationEvent.REFUSED
+        )
         return one
 
     @staticmethod
-    def _fits(wish: ReservationRequest, open_: list[Reservation], room: Capacity) -> bool:
-        beside = [r.wish for r in open_ if r.wish.start < wish.end and wish.start < r.wish.end]
-        if peak_rate([*beside, wish]) > room.fleet_rate:
+    def _fits(request: ReservationRequest, open_: list[Reservation], room: Capacity) -> bool:
+        beside = [r.request for r in open_ if r.request.start < request.end and request.start < r.request.end]
+        if peak_rate([*beside, request]) > room.fleet_rate:
             return False
         if room.ceiling_rate <= 0:
             return True
-        own = [w for w in beside if w.account == wish.account]
+        own = [w for w in beside if w.account == request.account]
         # Any span of the window must hold it: what is reserved beyond the rate comes out of the burst.
-        over = peak_rate([*own, wish]) - room.ceiling_rate
-        return over <= 0 or wish.units + sum(w.units for w in own) <= (
-            room.ceiling_burst + room.ceiling_rate * (wish.end - wish.start) // 1000
+        over = peak_rate([*own, request]) - room.ceiling_rate
+        return over <= 0 or request.units + sum(w.units for w in own) <= (
+            room.ceiling_burst + room.ceiling_rate * (request.end - request.start) // 1000
         )
 
     def tick(self, now: int) -> list[Reservation]:
         """Windows begin and end; what changed."""
         changed = []
-        for one in self.all.values():
-            begun = one.wish.start <= now and one.hear(ReservationEvent.BEGUN)
-            ended = one.wish.end <= now and one.hear(ReservationEvent.OVER)
+        for one in self.by_key.values():
+            begun = one.request.start <= now and one.handle_event(ReservationEvent.BEGUN)
+            ended = one.request.end <= now and one.handle_event(ReservationEvent.OVER)
             if begun or ended:
                 changed.append(one)
         return changed
 
     def release(self, key: str) -> Reservation:
         """Give back what is not drawn; a second time changes nothing."""
-        if (one := self.all.get(key)) is None:
+        if (one := self.by_key.get(key)) is None:
             raise ReservationError(f"key: no reservation is named {key!r}")
-        one.hear(ReservationEvent.RELEASE)
+        one.handle_event(ReservationEvent.RELEASE)
         return one
 
     def draw(self, key: str, request: str, units: int) -> bool:
         """Whether a request may draw its guess; the same request again draws nothing more."""
-        one = self.all.get(key)
+        one = self.by_key.get(key)
         if one is None or units < 0:
             return False
-        if request in one.flying:
+        if request in one.in_flight:
             return True
         if (
-            one.at is not ReservationState.ACTIVE
-            or one.left < units
-            or len(one.flying) >= MAX_IN_FLIGHT_DRAWS
+            one.state is not ReservationState.ACTIVE
+            or one.available_units < units
+            or len(one.in_flight) >= MAX_IN_FLIGHT_DRAWS
         ):
             return False
-        one.flying[request] = units
+        one.in_flight[request] = units
         return True
 
     def settle(self, key: str, request: str, true: int) -> int:
         """A request that drew has ended with so many true micro-units (0: it never ran). The correction that a late
         one makes: true units less the guess, of what was counted as drawn when the reservation was over."""
-        one = self.all.get(key)
-        if one is None or true < 0 or request not in one.flying:
+        one = self.by_key.get(key)
+        if one is None or true < 0 or request not in one.in_flight:
             return 0
-        guess = one.flying.pop(request)
+        guess = one.in_flight.pop(request)
         one.drawn += true
-        one.ended()
+        one.finish_if_drained()
         return true - guess
 
     def correct(self, key: str, by: int) -> None:
         """True units that differ from what was settled, known after all: beside what was given back, never in it."""
-        if (one := self.all.get(key)) is not None:
+        if (one := self.by_key.get(key)) is not None:
             one.corrections += by
--- a/cypresspulley/plans/wishes.py
+++ b/cypresspulley/plans/wishes.py
@@ -120,9 +120,9 @@
 
 def reservation_json(one: Reservation) -> dict[str, Any]:
     """A reservation for people and programs: units as numbers."""
-    w = one.wish
+    w = one.request
     return {
-        "key": w.key, "account": w.account, "start": w.start, "end": w.end, "purpose": w.purpose, "at": one.at.value,
+        "key": w.key, "account": w.account, "start": w.start, "end": w.end, "purpose": w.purpose, "at": one.state.value,
         "units": w.units / MICRO_PER_UNIT, "drawn": one.drawn / MICRO_PER_UNIT, "given_back": one.given_back / MICRO_PER_UNIT,
     }  # fmt: skip
 
--- a/cypresspulley/rehearsal/play.py
+++ b/cypresspulley/rehearsal/play.py
@@ -158,7 +158,7 @@
     """All that is on the stage of one play."""
 
     def __init__(
-        self, scenario: Scenario, plan: Plan, limiter: MakeLimiter, sink: Callable[[log.UsageRecord], None],
+        self, scenario: Scenario, plan: Plan, limiter: MakeLimiter, sink: Callable[[log.Record], None],
         base: str, clock: Callable[[], float] = time.monotonic, unix: Callable[[], float] = time.time,
         ground: Ground | None = None,
     ) -> None:  # fmt: skip
@@ -205,7 +205,7 @@
             self.side = Side(scenario, plan, self.stage, self.limiters, self.day.limiters, ground)
             self.returning |= self.side.late  # away until their time
 
-    def _seen(self, record: log.UsageRecord) -> None:
+    def _seen(self, record: log.Record) -> None:
         """Each record goes into the log, and what is of the kit's own history there too."""
         self._sink(record)
         if self.side is not None:
@@ -824,8 +824,8 @@
 
 async def play(
     scenario: Scenario, seed: int, *, logs: Path | None = None, command: list[str] | None = None,
-    progress: Progress | None = None, records: list[log.UsageRecord] | None = None, plan: Plan | None = None,
-) -> list[log.UsageRecord]:  # fmt: skip
+    progress: Progress | None = None, records: list[log.Record] | None = None, plan: Plan | None = None,
+) -> list[log.Record]:  # fmt: skip
     """Play a day (of ``plan``, by default the one drawn from the seed); the records of it.
 
     ``logs`` keeps the limiters' logs, configurations and ``records.jsonl``.
@@ -925,7 +925,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-def keep(records: list[log.UsageRecord], path: Path) -> None:
+def keep(records: list[log.Record], path: Path) -> None:
     """Write a log that ``fawnseam judge`` reads."""
     try:
         with path.open("w", encoding="utf-8") as file:
--- a/cypresspulley/rehearsal/standins/bookkeeper.py
+++ b/cypresspulley/rehearsal/standins/bookkeeper.py
@@ -89,7 +89,9 @@
             )
             if self.plan_writer.book.assignment_at(account, now) is None:
                 self.plan_writer.assign_plan(account, plan, now, now, "rehearsal")
-            keys += [wish.key] if self.plan_writer.reserve(wish, now, 1e6).at is ReservationState.HELD else []
+            keys += (
+                [wish.key] if self.plan_writer.reserve(wish, now, 1e6).state is ReservationState.HELD else []
+            )
         self._changed()
         await asyncio.sleep(lasts / 2)
         self.plan_writer.tick(self._stage.unix_ms())
--- a/tests/plans/disk.py
+++ b/tests/plans/disk.py
@@ -16,16 +16,16 @@
 
 
 class Disk:
-    """``left`` operations until the crash (None: never); ``room`` bytes until it is full."""
+    """``operations_left`` operations until the crash (None: never); ``room`` bytes until it is full."""
 
-    def __init__(self, left: int | None = None, room: int | None = None) -> None:
-        self.left, self.room = left, room
+    def __init__(self, operations_left: int | None = None, room: int | None = None) -> None:
+        self.operations_left, self.room = operations_left, room
         self._live, self._safe = dict[str, _Data](), dict[str, _Data]()
 
     def step(self) -> None:
-        if self.left is not None:
-            self.left -= 1
-            if self.left < 0:
+        if self.operations_left is not None:
+            self.operations_left -= 1
+            if self.operations_left < 0:
                 raise CrashError
 
     def names(self) -> list[str]:
--- a/tests/plans/test_events.py
+++ b/tests/plans/test_events.py
@@ -27,7 +27,7 @@
     plan_writer = PlanWriter(Store(disk or Disk()), "vadodara")
     plan_writer.set_terms("p", BASE, 90_000, 90_000, "m")
     plan_writer.assign_plan("hotel", "p", 90_000, 90_000, "m")
-    assert plan_writer.reserve(wish, 100_000, 1000.0).at is ReservationState.HELD
+    assert plan_writer.reserve(wish, 100_000, 1000.0).state is ReservationState.HELD
     return plan_writer
 
 
@@ -54,7 +54,7 @@
         plan_writer.reserve(
             ReservationRequest("more", "hotel", 200_000, 201_000, 30 * MICRO_PER_UNIT), 100_000, 1000.0
         )
-    assert "more" not in plan_writer.reservations.all and len(plan_writer.changes) == changes
+    assert "more" not in plan_writer.reservations.by_key and len(plan_writer.changes) == changes
     assert disk.read(disk.names()[0]) == before
 
 
@@ -81,17 +81,17 @@
 
 def test_a_release_while_drawn_on_settles_by_what_limiters_tell() -> None:
     plan_writer = plan_writer_with()
-    assert [one.at for one in plan_writer.tick(START)] == [ReservationState.ACTIVE]
+    assert [one.state for one in plan_writer.tick(START)] == [ReservationState.ACTIVE]
     used(plan_writer, 40, 1)
     one = plan_writer.release("wedding", START + 10_000)
-    assert one.at is ReservationState.DRAINING and one.given_back == 0
+    assert one.state is ReservationState.DRAINING and one.given_back == 0
     found = plan_writer.book.binding_version("hotel", START + 10_001)
     assert found is not None and found.plan == "p"
     used(plan_writer, 25, 2)  # in flight at the release
     assert plan_writer.release("wedding", START + 11_000) is one and plan_writer.tick(START + 11_000) == []
     assert len(plan_writer.changes) == 7  # one way back, and the later one withdrawn, whoever releases again
     plan_writer.tick(START + 10_000 + SETTLE_DELAY_MS)
-    assert plan_writer.reservations.all["wedding"].at is ReservationState.RELEASED
+    assert plan_writer.reservations.by_key["wedding"].state is ReservationState.RELEASED
     assert one.drawn == 65 * MICRO_PER_UNIT and one.given_back == 235 * MICRO_PER_UNIT
     used(plan_writer, 3, 3)  # a day late
     assert one.corrections == 3 * MICRO_PER_UNIT and one.given_back == 235 * MICRO_PER_UNIT
@@ -104,13 +104,13 @@
     used(plan_writer, 50, 2, "p")
     plan_writer.tick(END)
     plan_writer.tick(END + SETTLE_DELAY_MS)
-    one = plan_writer.reservations.all["wedding"]
-    assert one.at is ReservationState.EXPIRED and one.drawn == WISH.units and one.given_back == 0
+    one = plan_writer.reservations.by_key["wedding"]
+    assert one.state is ReservationState.EXPIRED and one.drawn == WISH.units and one.given_back == 0
 
 
 def test_a_release_before_the_window_takes_the_account_off_it() -> None:
     plan_writer = plan_writer_with()
-    assert plan_writer.release("wedding", 110_000).at is ReservationState.RELEASED
+    assert plan_writer.release("wedding", 110_000).state is ReservationState.RELEASED
     assert [a.plan for a in plan_writer.book.accounts["hotel"]] == ["p"]
 
 
@@ -137,11 +137,11 @@
     again = PlanWriter(Store(disk), "vadodara")
     used(again, 5, 2)
     again.tick(START + 1000 + SETTLE_DELAY_MS)
-    one = again.reservations.all["wedding"]
-    assert one.at is ReservationState.RELEASED and one.drawn == 15 * MICRO_PER_UNIT
+    one = again.reservations.by_key["wedding"]
+    assert one.state is ReservationState.RELEASED and one.drawn == 15 * MICRO_PER_UNIT
     used(again, 2, 3)
     again.compact()
-    last = PlanWriter(Store(disk), "vadodara").reservations.all["wedding"]
+    last = PlanWriter(Store(disk), "vadodara").reservations.by_key["wedding"]
     assert (last.drawn, last.corrections, last.plan) == (15 * MICRO_PER_UNIT, 2 * MICRO_PER_UNIT, PLAN)
 
 
--- a/tests/plans/test_reservations.py
+++ b/tests/plans/test_reservations.py
@@ -28,16 +28,16 @@
 
 def made(wish: ReservationRequest = WISH, room: Capacity = ROOMY) -> Reservations:
     all_ = Reservations()
-    all_.ask(wish, room)
+    all_.reserve(wish, room)
     return all_
 
 
 @pytest.mark.parametrize(("at", "heard"), list(product(ReservationState, ReservationEvent)))
 def test_each_cell_of_the_table(at: ReservationState, heard: ReservationEvent) -> None:
-    one = Reservation(WISH, at, flying={"r": 5})
-    assert one.hear(heard) == ((at, heard) in TRANSITIONS)
-    assert one.at is TRANSITIONS.get((at, heard), at)
-    assert at not in TERMINAL_STATES or one.at is at
+    one = Reservation(WISH, at, in_flight={"r": 5})
+    assert one.handle_event(heard) == ((at, heard) in TRANSITIONS)
+    assert one.state is TRANSITIONS.get((at, heard), at)
+    assert at not in TERMINAL_STATES or one.state is at
 
 
 def test_a_release_while_drawn_on_settles_by_what_is_in_flight() -> None:
@@ -45,11 +45,11 @@
     all_.tick(1000)
     assert all_.draw("ev", "r1", 30) and all_.draw("ev", "r2", 20) and all_.draw("ev", "r1", 30)
     one = all_.release("ev")
-    assert one.at is ReservationState.DRAINING and one.given_back == 0 and not all_.draw("ev", "r3", 1)
+    assert one.state is ReservationState.DRAINING and one.given_back == 0 and not all_.draw("ev", "r3", 1)
     all_.settle("ev", "r1", 35)
-    assert all_.release("ev").at is ReservationState.DRAINING  # a second time changes nothing
+    assert all_.release("ev").state is ReservationState.DRAINING  # a second time changes nothing
     all_.settle("ev", "r2", 0)  # it never ran
-    assert all_.all["ev"].at is ReservationState.RELEASED and one.drawn == 35 and one.given_back == 65
+    assert all_.by_key["ev"].state is ReservationState.RELEASED and one.drawn == 35 and one.given_back == 65
     assert all_.settle("ev", "r2", 50) == 0 and one.given_back == 65
 
 
@@ -57,18 +57,18 @@
     all_ = made()
     all_.tick(1500)
     assert all_.draw("ev", "r", 100) and not all_.draw("ev", "s", 1)
-    assert [r.at for r in all_.tick(2000)] == [ReservationState.DRAINING]
+    assert [r.state for r in all_.tick(2000)] == [ReservationState.DRAINING]
     all_.settle("ev", "r", 90)
-    assert all_.all["ev"].at is ReservationState.EXPIRED and all_.all["ev"].given_back == 10
+    assert all_.by_key["ev"].state is ReservationState.EXPIRED and all_.by_key["ev"].given_back == 10
     all_.correct("ev", 4)
-    assert all_.all["ev"].given_back == 10 and all_.all["ev"].corrections == 4
+    assert all_.by_key["ev"].given_back == 10 and all_.by_key["ev"].corrections == 4
 
 
 def test_a_key_names_one_reservation() -> None:
     all_ = made()
-    assert all_.ask(WISH, Capacity(0)) is all_.all["ev"]
+    assert all_.reserve(WISH, Capacity(0)) is all_.by_key["ev"]
     with pytest.raises(ReservationError, match="names another"):
-        all_.ask(ReservationRequest("ev", "hotel", 1000, 2000, 101), ROOMY)
+        all_.reserve(ReservationRequest("ev", "hotel", 1000, 2000, 101), ROOMY)
     with pytest.raises(ReservationError, match="no reservation"):
         all_.release("other")
 
@@ -85,18 +85,23 @@
 def test_only_what_plan_and_fleet_can_hold_is_admitted(
     wish: ReservationRequest, room: Capacity, at: ReservationState
 ) -> None:
-    assert made(wish, room).all["ev"].at is at
+    assert made(wish, room).by_key["ev"].state is at
 
 
 def test_what_others_hold_at_the_time_counts() -> None:
     all_ = made()
     assert (
-        all_.ask(ReservationRequest("b", "inn", 1999, 2999, 50), Capacity(149)).at is ReservationState.REFUSED
+        all_.reserve(ReservationRequest("b", "inn", 1999, 2999, 50), Capacity(149)).state
+        is ReservationState.REFUSED
+    )
+    assert (
+        all_.reserve(ReservationRequest("c", "inn", 2000, 3000, 50), Capacity(149)).state
+        is ReservationState.HELD
     )
-    assert all_.ask(ReservationRequest("c", "inn", 2000, 3000, 50), Capacity(149)).at is ReservationState.HELD
     all_.release("ev")
     assert (
-        all_.ask(ReservationRequest("d", "inn", 1000, 2000, 100), Capacity(149)).at is ReservationState.HELD
+        all_.reserve(ReservationRequest("d", "inn", 1000, 2000, 100), Capacity(149)).state
+        is ReservationState.HELD
     )
     assert peak_rate([]) == 0
 
@@ -128,24 +133,24 @@
 @given(STEPS)
 def test_units_are_drawn_or_given_back_once_in_any_order(steps: list[tuple[str, int, int]]) -> None:
     all_ = made()
-    one, settled, states = all_.all["ev"], 0, [ReservationState.HELD]
+    one, settled, states = all_.by_key["ev"], 0, [ReservationState.HELD]
     for kind, number, units in steps:
-        was_over, back = one.at in TERMINAL_STATES, one.given_back
+        was_over, back = one.state in TERMINAL_STATES, one.given_back
         if kind == "draw":
             all_.draw("ev", f"r{number}", units)
         elif kind == "settle":
-            settled += units if f"r{number}" in one.flying else 0
+            settled += units if f"r{number}" in one.in_flight else 0
             all_.settle("ev", f"r{number}", units)
         elif kind == "release":
             all_.release("ev")
         else:
             all_.tick(number)
         assert one.drawn == settled
-        assert not was_over or (one.at in TERMINAL_STATES and one.given_back == back and not one.flying)
-        assert one.at not in TERMINAL_STATES or one.given_back == max(0, WISH.units - one.drawn)
-        assert one.at is ReservationState.ACTIVE or one.left == 0
-        if one.at is not states[-1]:
-            states.append(one.at)
+        assert not was_over or (one.state in TERMINAL_STATES and one.given_back == back and not one.in_flight)
+        assert one.state not in TERMINAL_STATES or one.given_back == max(0, WISH.units - one.drawn)
+        assert one.state is ReservationState.ACTIVE or one.available_units == 0
+        if one.state is not states[-1]:
+            states.append(one.state)
     assert len(states) == len(set(states))  # no state twice
 
 
--- a/tests/plans/test_store.py
+++ b/tests/plans/test_store.py
@@ -41,7 +41,7 @@
     rng, disk, acknowledged, sent = Random(seed), Disk(), list[Record](), list[list[Record]]()
     lives = 0
     while lives < 3:
-        disk.left = left + lives
+        disk.operations_left = left + lives
         try:
             store = Store(disk)
             state = plain(store)
@@ -140,13 +140,13 @@
     def check(self, plan_writer: PlanWriter) -> None:
         assert plan_writer.epoch > self.epoch and plan_writer.book.digest() in self.books
         for key, states in self.reserved.items():
-            found = plan_writer.reservations.all.get(key)
-            assert (found.at if found is not None else None) in states
+            found = plan_writer.reservations.by_key.get(key)
+            assert (found.state if found is not None else None) in states
         self.acknowledge(plan_writer)
 
     def acknowledge(self, plan_writer: PlanWriter) -> None:
         self.epoch, self.books = plan_writer.epoch, {plan_writer.book.digest()}
-        self.reserved = {key: {one.at} for key, one in plan_writer.reservations.all.items()}
+        self.reserved = {key: {one.state} for key, one in plan_writer.reservations.by_key.items()}
 
 
 def outcome_of(plan_writer: PlanWriter, disk: Disk, do: Callable[[PlanWriter], object]) -> str:
@@ -195,7 +195,7 @@
     """No change lost, none half there, no reservation made or given back twice, and epochs only grow."""
     rng, disk, model, now = Random(seed), Disk(), Model(), 1000
     for life in range(4):
-        disk.left = None if life == 3 else left + life
+        disk.operations_left = None if life == 3 else left + life
         try:
             plan_writer = PlanWriter(Store(disk), "vadodara")
             model.check(plan_writer)
@@ -238,9 +238,11 @@
     disk.room = 3
     with pytest.raises(OSError):
         plan_writer.release("a", 1000)
-    assert plan_writer.reservations.all["a"].at is ReservationState.HELD
+    assert plan_writer.reservations.by_key["a"].state is ReservationState.HELD
     with pytest.raises(OSError):
         plan_writer.reserve(ReservationRequest("b", "hotel", 4000, 5000, 1), 1000, 1e6)
-    assert "b" not in plan_writer.reservations.all
+    assert "b" not in plan_writer.reservations.by_key
     found = PlanWriter(Store(disk.after_crash(Random(1))), "vadodara")
-    assert found.reservations.all["a"].at is ReservationState.HELD and "b" not in found.reservations.all
+    assert (
+        found.reservations.by_key["a"].state is ReservationState.HELD and "b" not in found.reservations.by_key
+    )
