--- a/cypresspulley/cli.py
+++ b/cypresspulley/cli.py
@@ -403,7 +403,7 @@
     }  # fmt: skip
     raw = {"wish": "change", "plan": plan, "terms": terms, **_instant(effective)}
     told = {"author": author, "reason": reason, "dry_run": dry_run}
-    sys.exit(command.wish({**raw, **told}, store, to, installation, as_json))
+    sys.exit(command.run_operation({**raw, **told}, store, to, installation, as_json))
 
 
 @plans.command("assign")
@@ -426,7 +426,7 @@
 
     raw = {"wish": "assign", "account": account, "plan": plan, **_instant(effective)}
     told = {"author": author, "reason": reason, "dry_run": dry_run}
-    sys.exit(command.wish({**raw, **told}, store, to, installation, as_json))
+    sys.exit(command.run_operation({**raw, **told}, store, to, installation, as_json))
 
 
 @plans.command("reserve")
@@ -461,7 +461,7 @@
         **window,
     }
     told = {"purpose": purpose, "author": author, "reason": reason, "dry_run": dry_run}
-    sys.exit(command.wish({**raw, **told}, store, to, installation, as_json))
+    sys.exit(command.run_operation({**raw, **told}, store, to, installation, as_json))
 
 
 @plans.command("release")
@@ -479,7 +479,7 @@
     from cypresspulley.plans import command
 
     raw = {"wish": "release", "key": key, "author": author, "reason": reason}
-    sys.exit(command.wish(raw, store, to, installation, as_json))
+    sys.exit(command.run_operation(raw, store, to, installation, as_json))
 
 
 @plans.command("show")
@@ -490,7 +490,7 @@
     """What is in force."""
     from cypresspulley.plans import command
 
-    sys.exit(command.show(folder, at, as_json))
+    sys.exit(command.show_in_force(folder, at, as_json))
 
 
 @plans.command("history")
@@ -501,7 +501,7 @@
     """All that was said of an account or a plan."""
     from cypresspulley.plans import command
 
-    sys.exit(command.past(folder, name, as_json))
+    sys.exit(command.show_history(folder, name, as_json))
 
 
 @plans.command("diff")
@@ -512,7 +512,7 @@
     """Changes that only one of two books has."""
     from cypresspulley.plans import command
 
-    sys.exit(command.diff(one, other, as_json))
+    sys.exit(command.show_difference(one, other, as_json))
 
 
 @plans.command("check")
@@ -522,7 +522,7 @@
     """What is damaged in a book's folder, and what can be saved; changes nothing."""
     from cypresspulley.plans import command
 
-    sys.exit(command.examine(folder, as_json))
+    sys.exit(command.check_store(folder, as_json))
 
 
 if __name__ == "__main__":
--- a/cypresspulley/plans/command.py
+++ b/cypresspulley/plans/command.py
@@ -88,7 +88,9 @@
     await publisher.close()
 
 
-def wish(raw: dict[str, Any], store: Path | None, to: str | None, installation: str, as_json: bool) -> int:
+def run_operation(
+    raw: dict[str, Any], store: Path | None, to: str | None, installation: str, as_json: bool
+) -> int:
     """One change, by the writer that serves, or by this process where none does."""
     try:
         if to is not None:
@@ -134,7 +136,7 @@
     return "\n".join(lines)
 
 
-def show(store: Path, at: int | None, as_json: bool) -> int:
+def show_in_force(store: Path, at: int | None, as_json: bool) -> int:
     """What is in force."""
     try:
         plan_writer = _reading(store)
@@ -163,7 +165,7 @@
     return DONE
 
 
-def past(store: Path, name: str, as_json: bool) -> int:
+def show_history(store: Path, name: str, as_json: bool) -> int:
     """All that was said of one account or plan."""
     try:
         found = history(_reading(store).book, name)
@@ -173,7 +175,7 @@
     return DONE
 
 
-def diff(one: Path, other: Path, as_json: bool) -> int:
+def show_difference(one: Path, other: Path, as_json: bool) -> int:
     """1 where the two books differ."""
     try:
         old, new = _reading(one).book, _reading(other).book
@@ -190,7 +192,7 @@
     return f"{len(book.changes_by_stamp)}, digest {book.digest()}"
 
 
-def examine(store: Path, as_json: bool) -> int:
+def check_store(store: Path, as_json: bool) -> int:
     """What is damaged and what can be saved; 1 where no generation is good."""
     try:
         found = check(DiskFolder(str(store), write=False))
