--- a/benchmarks/plan_churn.py
+++ b/benchmarks/plan_churn.py
@@ -24,7 +24,7 @@
 from cypresspulley.plans.book import Assignment, Book, Change, Stamp, Terms, Version
 from cypresspulley.plans.bucket_level import BucketLevel
 from cypresspulley.plans.follow import MAX_CLOCK_SKEW_MS, Follower, FollowerAction
-from cypresspulley.plans.lease import LEASE
+from cypresspulley.plans.lease import LEASE_MS
 from cypresspulley.plans.limiter import Planned
 from cypresspulley.plans.usage import UsageRecorder
 from cypresspulley.policy.gateway import Gateway
@@ -52,7 +52,7 @@
     """The slack: whoever is late by a lease, less the skew that it takes off and clocks give back, goes on by the
     highest terms where the lowest are in force; and one request that is let in at the same moment at each."""
     high, low = TERMS["l"], TERMS["s"]
-    late = (LEASE - MAX_CLOCK_SKEW_MS) / 1000 + 2 * CLOCK
+    late = (LEASE_MS - MAX_CLOCK_SKEW_MS) / 1000 + 2 * CLOCK
     return (high.ceiling_rate - low.ceiling_rate) * late + high.ceiling_burst - low.ceiling_burst + LIMITERS
 
 
@@ -177,7 +177,7 @@
     def change(self) -> None:
         self.at(self.now + self.every * self.rng.uniform(0.5, 1.5), self.change)
         plan = self.rng.choice([name for name in TERMS if name != self.plan_at(int(self.now * 1000))])
-        ahead = LEASE / 1000 if self.calm else self.rng.choice((0.0, 0.0, 0.1, LEASE / 1000))
+        ahead = LEASE_MS / 1000 if self.calm else self.rng.choice((0.0, 0.0, 0.1, LEASE_MS / 1000))
         self.assign(plan, ahead)
 
     def assign(self, plan: str, ahead: float) -> None:
@@ -212,7 +212,7 @@
         """The answer is what the writer has by then; where it is lost, the next beat has it asked for again."""
         sent, book = int(self.now * 1000), self.book
         if whole:
-            self.say(one, life, lambda follower: follower.whole(1, book, sent, LEASE))
+            self.say(one, life, lambda follower: follower.whole(1, book, sent, LEASE_MS))
             return
         last = one.planned.follower.book.last_stamp.seq if one.planned is not None else 0
         for made in book.changes()[last:]:
@@ -222,7 +222,7 @@
         self.at(self.now + 1.0, self.beat)
         sent, last = int(self.now * 1000), self.book.last_stamp
         for one in self.limiters:
-            self.say(one, one.life, lambda follower: follower.beat(1, last, sent, LEASE))
+            self.say(one, one.life, lambda follower: follower.beat(1, last, sent, LEASE_MS))
 
     def cut(self) -> None:
         self.at(self.now + self.rng.uniform(2, 6), self.cut)
--- a/cypresspulley/plans/plan_writer.py
+++ b/cypresspulley/plans/plan_writer.py
@@ -25,7 +25,7 @@
 )  # fmt: skip
 from cypresspulley.plans.bucket_level import max_ceiling_overshoot
 from cypresspulley.plans.events import MARK, drawn, event_plan, event_terms
-from cypresspulley.plans.lease import LEASE
+from cypresspulley.plans.lease import LEASE_MS
 from cypresspulley.plans.reservations import (
     MICRO_PER_UNIT,
     TERMINAL_STATES,
@@ -168,7 +168,7 @@
     def find_ceiling_overshoots(self, change: Change, now: int) -> dict[str, float]:
         """Accounts whose ceiling the change lowers, and by how many units it may be passed: those that the last limiter
         to hear admits. Nothing where the change was announced a lease ahead."""
-        late = max(0.0, (LEASE - (change.effective - now)) / 1000)
+        late = max(0.0, (LEASE_MS - (change.effective - now)) / 1000)
         accounts = list[str]()
         new: Version | None = None
         if isinstance(change, Assignment):
--- a/cypresspulley/plans/serve.py
+++ b/cypresspulley/plans/serve.py
@@ -24,7 +24,7 @@
 
 from cypresspulley.plans import book as books
 from cypresspulley.plans.book import Change
-from cypresspulley.plans.lease import LEASE
+from cypresspulley.plans.lease import LEASE_MS
 from cypresspulley.plans.plan_writer import PlanWriter
 from cypresspulley.plans.wishes import carry_out
 
@@ -223,7 +223,7 @@
         return self._plan_writer.changes[known:]
 
     def _head(self, kind: str) -> dict[str, Any]:
-        return {"kind": kind, "epoch": self._plan_writer.epoch, "sent": self._clock(), "lease": LEASE}
+        return {"kind": kind, "epoch": self._plan_writer.epoch, "sent": self._clock(), "lease": LEASE_MS}
 
     async def _whole(self, writer: asyncio.StreamWriter) -> int:
         count = len(self._plan_writer.changes)  # what comes meanwhile is told after it
--- a/cypresspulley/plans/wishes.py
+++ b/cypresspulley/plans/wishes.py
@@ -11,7 +11,7 @@
 
 from cypresspulley.plans import book as books
 from cypresspulley.plans.book import Book, BookError, Change, Version, Withdrawal
-from cypresspulley.plans.lease import LEASE
+from cypresspulley.plans.lease import LEASE_MS
 from cypresspulley.plans.plan_writer import PlanWriter
 from cypresspulley.plans.reservations import MICRO_PER_UNIT, Reservation, ReservationError, ReservationRequest
 from cypresspulley.plans.usage import parse_usage_record
@@ -96,7 +96,7 @@
 def _change(
     plan_writer: PlanWriter, kind: str, keys: _Raw, author: str, now: int, dry: bool
 ) -> dict[str, Any]:
-    effective, reason = keys.instant("effective", now, now + LEASE), keys.text("reason", "")
+    effective, reason = keys.instant("effective", now, now + LEASE_MS), keys.text("reason", "")
     change: Change
     if kind == "change":
         terms = books.parse_terms(keys.keys.get("terms"), "terms")
--- a/cypresspulley/rehearsal/rules.py
+++ b/cypresspulley/rehearsal/rules.py
@@ -12,7 +12,7 @@
 
 from cypresspulley.plans.bucket_level import BucketLevel
 from cypresspulley.plans.bucket_level import max_ceiling_overshoot as slack_of_change
-from cypresspulley.plans.lease import LEASE
+from cypresspulley.plans.lease import LEASE_MS
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.standins.processor import fall_bound, warmth
 from cypresspulley.rehearsal.timeline import FOREVER, Attempt, Timeline, Try
@@ -21,7 +21,7 @@
 ROUND_TRIP = 0.001  # seconds there and back between a client and its limiter
 ANSWER_SLACK = 0.008 + SOCKETS  # past the client's time
 CEILING_SLACK = 0.1  # of the ceiling's burst, one of the largest requests at least
-BOOK_LEASE = LEASE / 1000  # seconds that a limiter may go by a plan book without a word of it
+BOOK_LEASE = LEASE_MS / 1000  # seconds that a limiter may go by a plan book without a word of it
 CEILING_LATE = 0.15  # seconds of the ceiling's rate by which its slack is wider on sockets
 TOLD_SHARE = 2 / 3  # of the work that pushed a cold server over must come from limiters that knew
 REFUSALS = (429, 503)
