--- a/benchmarks/plan_churn.py
+++ b/benchmarks/plan_churn.py
@@ -25,7 +25,7 @@
 from cypresspulley.plans.bucket_level import BucketLevel
 from cypresspulley.plans.follow import MAX_CLOCK_SKEW_MS, Follower, FollowerAction
 from cypresspulley.plans.lease import LEASE_MS
-from cypresspulley.plans.limiter import Planned
+from cypresspulley.plans.limiter import PlanBookDecisions
 from cypresspulley.plans.usage import UsageRecorder
 from cypresspulley.policy.gateway import Gateway
 
@@ -72,7 +72,7 @@
 
     index: int
     offset: float  # of its clock
-    planned: Planned | None = None
+    decisions: PlanBookDecisions | None = None
     life: int = 0
     cut_until: float = 0.0
 
@@ -84,7 +84,7 @@
     seed: int
     seconds: float = 20.0
     every: float = 1.0
-    make: Callable[..., Planned] = Planned
+    make: Callable[..., PlanBookDecisions] = PlanBookDecisions
     make_follower: Callable[[str], Follower] = Follower
     calm: bool = (
         False  # all is heard, each change announced a lease ahead, clocks right, nobody dies: no slack
@@ -133,7 +133,7 @@
         usage_recorder = UsageRecorder(f"n{one.index}", one.life + 1)
         self.usage_recorders.append(usage_recorder)
         follower = self.make_follower("churn")
-        one.planned, one.life = (
+        one.decisions, one.life = (
             self.make(gateway, gateway, settings(one.index), follower, usage_recorder),
             one.life + 1,
         )
@@ -142,9 +142,9 @@
         self.ask(one, one.life, whole=True)
 
     def feed(self, one: Limiter, life: int, event: api.Event) -> None:
-        if one.planned is None or one.life != life:
+        if one.decisions is None or one.life != life:
             return
-        for action in one.planned.handle(self.now + one.offset, event):
+        for action in one.decisions.handle(self.now + one.offset, event):
             if isinstance(action, api.SetTimer):
                 fired = partial(self.feed, one, life, api.TimerFired(action.token))
                 self.at(self.now + action.delay, fired)
@@ -168,8 +168,8 @@
     def kill(self) -> None:
         self.at(self.now + self.rng.uniform(8, 24), self.kill)
         one = self.rng.choice(self.limiters)
-        if one.planned is not None:
-            one.planned = None
+        if one.decisions is not None:
+            one.decisions = None
             self.at(self.now + self.rng.uniform(0.2, 2.0), partial(self.start, one))
 
     # The writer and the way to its followers.
@@ -198,9 +198,9 @@
         self.at(self.now + self.rng.uniform(0, LATE), partial(self.hear, one, life, what))
 
     def hear(self, one: Limiter, life: int, what: Callable[[Follower], tuple[FollowerAction, ...]]) -> None:
-        if one.planned is None or one.life != life or self.now < one.cut_until:
+        if one.decisions is None or one.life != life or self.now < one.cut_until:
             return
-        actions = what(one.planned.follower)
+        actions = what(one.decisions.follower)
         if FollowerAction.ASK_FROM in actions or FollowerAction.ASK_ALL in actions:
             self.ask(one, life, FollowerAction.ASK_ALL in actions)
 
@@ -214,7 +214,7 @@
         if whole:
             self.say(one, life, lambda follower: follower.whole(1, book, sent, LEASE_MS))
             return
-        last = one.planned.follower.book.last_stamp.seq if one.planned is not None else 0
+        last = one.decisions.follower.book.last_stamp.seq if one.decisions is not None else 0
         for made in book.changes()[last:]:
             self.say(one, life, partial(self.told, made))
 
--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -38,7 +38,7 @@
     from cypresspulley.accesslog import LogFile
     from cypresspulley.histories.writer import AnyHistory
     from cypresspulley.net.peers import Peers
-    from cypresspulley.plans.limiter import Plans
+    from cypresspulley.plans.limiter import PlanBookClient
     from cypresspulley.together import Together
 
 log = logging.getLogger("cypresspulley")
@@ -240,20 +240,20 @@
     decisions: DecisionModule,
     gateway: Gateway,
     clock: Callable[[], float],
-) -> tuple[DecisionModule, Plans]:
+) -> tuple[DecisionModule, PlanBookClient]:
     """The decisions by a plan book, where the operators name its writer; what is off is not even imported."""
     try:
-        from cypresspulley.plans.limiter import Plans
+        from cypresspulley.plans.limiter import PlanBookClient
     except ImportError as error:
         raise ConfigError(f"plans needs its extra: pip install 'cypresspulley[plans]' ({error})") from None
     try:
         address, token = split_address(table[0]), os.environ.get("FAWNSEAM_PLANS_TOKEN", "")
         # Its use is told under this name: two limiters of one name would each be taken for the other.
         name = str(config.raw.get("name") or os.environ.get("LB_NAME") or "limiter")
-        plans = Plans(address, token, table[1], name, clock)
+        plans = PlanBookClient(address, token, table[1], name, clock)
     except ValueError as error:
         raise ConfigError(f"plans: {error}") from None
-    return plans.deciding(decisions, gateway, config.settings), plans
+    return plans.wrap_decisions(decisions, gateway, config.settings), plans
 
 
 def _together(
--- a/cypresspulley/plans/limiter.py
+++ b/cypresspulley/plans/limiter.py
@@ -30,29 +30,31 @@
 
 log = logging.getLogger(__name__)
 
-PERIOD = 3600  # seconds of a period of use
-OVER_COST = 0.5  # of a plan that only the book knows
+USAGE_PERIOD_S = 3600  # seconds of a period of use
+DEFAULT_OVER_COST = 0.5  # of a plan that only the book knows
 UNVERSIONED = Stamp(0, 0)
 
 
-def plan_of(version: Version, base: api.Plan | None) -> api.Plan:
+def plan_from_version(version: Version, base: api.Plan | None) -> api.Plan:
     """A version as the decisions know plans; what the book does not say is the settings' own."""
     t = version.terms
-    over_cost, over_worth = (base.over_cost, base.over_worth) if base is not None else (OVER_COST, 0.0)
+    over_cost, over_worth = (
+        (base.over_cost, base.over_worth) if base is not None else (DEFAULT_OVER_COST, 0.0)
+    )
     return api.Plan(
         version.plan, price=t.worth, rate=t.rate, burst=t.burst, open_limit=t.cap, over_worth=over_worth,
         over_cost=over_cost, ceiling_rate=t.ceiling_rate, ceiling_burst=t.ceiling_burst,
     )  # fmt: skip
 
 
-def _limits(rate: float, burst: float, share: int) -> tuple[float, float]:
+def _limits_per_share(rate: float, burst: float, share: int) -> tuple[float, float]:
     """How an even share fills; one of no ceiling at all is always full."""
     return (rate / max(1, share), burst / max(1, share)) if burst > 0 else (math.inf, math.inf)
 
 
-def _share_of(a: Account) -> BucketLevel:
+def _ceiling_share(a: Account) -> BucketLevel:
     """An account's even share of its ceiling, as if all of it were kept in shares."""
-    limits = _limits(a.plan.ceiling_rate, a.plan.ceiling_burst, a.gateways)
+    limits = _limits_per_share(a.plan.ceiling_rate, a.plan.ceiling_burst, a.gateways)
     units = (
         a.ceiling_level / a.local_ceiling_part
         if a.plan.ceiling_burst > 0 and a.local_ceiling_part > 0
@@ -61,67 +63,76 @@
     return BucketLevel(units, a.refilled_at, *limits)
 
 
-class Planned:
+class PlanBookDecisions:
     """``decide`` is what decides, ``gateway`` the levels behind it (the same, unless something watches)."""
 
     def __init__(
         self, decide: Any, gateway: Gateway, settings: api.Settings, follower: Follower, usage_recorder: UsageRecorder
     ) -> None:  # fmt: skip
-        self._decide, self._gateway, self._base, self.follower = decide, gateway, settings, follower
+        self._decisions, self._gateway, self._base_settings, self.follower = (
+            decide,
+            gateway,
+            settings,
+            follower,
+        )
         self.usage_recorder = usage_recorder
-        self._seen: object = None  # the book and state that the terms in force were read from
-        self._due = 0  # Unix milliseconds at which the next version is in force
+        self._seen_state: object = None  # the book and state that the terms in force were read from
+        self._next_effective_ms = 0  # Unix milliseconds at which the next version is in force
         self._now = -math.inf  # of the last event
         self._in_force = dict[str, Version]()
-        self._open = dict[
+        self._uncounted = dict[
             int, tuple[UsageKey, int]
         ]()  # tries that have not been counted: what they would count
-        self._out = dict[int, int]()  # attempts of these that are out
+        self._open_attempts = dict[int, int]()  # attempts of these that are out
 
     def __repr__(self) -> str:
-        return f"<Planned {len(self._in_force)} plans, {self.follower!r}, {self.usage_recorder!r}>"
+        return f"<PlanBookDecisions {len(self._in_force)} plans, {self.follower!r}, {self.usage_recorder!r}>"
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         actions = list[api.Action]()
         if isinstance(event, api.SettingsChanged):
-            self._base, self._seen = event.settings, None
-        for at in self._instants(int(now * 1000)):
+            self._base_settings, self._seen_state = event.settings, None
+        for at in self._pending_instants(int(now * 1000)):
             # Each at its own instant, however late it is looked at: stores fill by the old terms until then.
             self._now = max(self._now, min(now, at / 1000))
-            if self._look(at) or isinstance(event, api.SettingsChanged):
-                actions += self._decide.handle(self._now, api.SettingsChanged(self._settings()))
+            if self._refresh_terms(at) or isinstance(event, api.SettingsChanged):
+                actions += self._decisions.handle(self._now, api.SettingsChanged(self._settings()))
         self._now = max(self._now, now)
         if isinstance(event, api.SettingsChanged):
             return actions
         if isinstance(event, api.Request):
-            event = self._bound(now, event)
+            event = self._bind_request(now, event)
         elif isinstance(event, api.Outcome):
-            self._ended(event)
+            self._count_outcome(event)
         elif isinstance(event, api.ClientDisconnected):
-            self._over(event.id)
-        more: list[api.Action] = self._decide.handle(now, event)
+            self._end_request(event.id)
+        more: list[api.Action] = self._decisions.handle(now, event)
         for action in more:
-            if isinstance(action, api.Send) and action.id in self._open:  # one that was counted is done here
-                self._out[action.id] = self._out.get(action.id, 0) + 1
+            if (
+                isinstance(action, api.Send) and action.id in self._uncounted
+            ):  # one that was counted is done here
+                self._open_attempts[action.id] = self._open_attempts.get(action.id, 0) + 1
             elif isinstance(action, api.Refuse | api.Fail):
-                self._over(action.id)
+                self._end_request(action.id)
         return actions + more
 
-    def _instants(self, now: int) -> list[int]:
+    def _pending_instants(self, now: int) -> list[int]:
         """When other terms may have come into force since the last look, in order; now at last, if anything has."""
         self.follower.tick(now)
         state = (self.follower.book, self.follower.at is FollowerState.LAPSED)
-        if self._seen == state and now < self._due:
+        if self._seen_state == state and now < self._next_effective_ms:
             return []
-        due = {v.effective for v in self._versions() if self._due <= v.effective < now}
-        self._seen = state
-        self._due = min((v.effective for v in self._versions() if v.effective > now), default=2**62)
+        due = {v.effective for v in self._versions() if self._next_effective_ms <= v.effective < now}
+        self._seen_state = state
+        self._next_effective_ms = min(
+            (v.effective for v in self._versions() if v.effective > now), default=2**62
+        )
         return [*sorted(due), now]
 
     def _versions(self) -> Iterator[Version]:
         return (version for history in self.follower.book.plans.values() for version in history)
 
-    def _look(self, at: int) -> bool:
+    def _refresh_terms(self, at: int) -> bool:
         """Whether other terms are in force at an instant than at the last one that was looked at."""
         before, book = self._in_force, self.follower.book
         found = (
@@ -131,29 +142,29 @@
         return before != self._in_force
 
     def _settings(self) -> api.Settings:
-        base = {plan.name: plan for plan in self._base.plans}
-        told = {name: plan_of(version, base.get(name)) for name, version in self._in_force.items()}
-        return replace(self._base, plans=tuple({**base, **told}.values()))
+        base = {plan.name: plan for plan in self._base_settings.plans}
+        told = {name: plan_from_version(version, base.get(name)) for name, version in self._in_force.items()}
+        return replace(self._base_settings, plans=tuple({**base, **told}.values()))
 
-    def _bound(self, now: float, ev: api.Request) -> api.Request:
+    def _bind_request(self, now: float, ev: api.Request) -> api.Request:
         """The request under the plan that its account is on now; its levels come along where that is another."""
         assigned = self.follower.book.assignment_at(ev.account, int(now * 1000))
         plan = ev.plan if assigned is None or assigned.plan not in self._in_force else assigned.plan
         version = self._in_force.get(plan)
         stamp = version.stamp if version is not None else UNVERSIONED
         bound = ev if plan == ev.plan else replace(ev, plan=plan)
-        self._open[ev.id] = (
-            UsageKey(ev.account, plan, stamp, int(now) // PERIOD),
+        self._uncounted[ev.id] = (
+            UsageKey(ev.account, plan, stamp, int(now) // USAGE_PERIOD_S),
             round(ev.units * MICRO_PER_UNIT),
         )
-        self._carry(now, bound)
+        self._carry_level(now, bound)
         return bound
 
-    def _carry(self, now: float, ev: api.Request) -> None:
+    def _carry_level(self, now: float, ev: api.Request) -> None:
         """An account whose plan has changed since it was last seen takes its levels along, by each plan in between; one
         that is new here was full at most, and bounded by each change that there was."""
         quotas = self._gateway.quotas
-        key = next((k for k in self._keys(ev) if k in quotas.accounts), None)
+        key = next((k for k in self._account_keys(ev) if k in quotas.accounts), None)
         old = quotas.accounts[key] if key is not None else None
         since = old.refilled_at if old is not None else 0.0
         instants = self.follower.book.change_instants(ev.account, int(since * 1000), int(now * 1000))
@@ -162,12 +173,12 @@
         ceiling = BucketLevel(math.inf, since, math.inf, math.inf)
         if key is not None and old is not None:
             del quotas.accounts[key]
-            ceiling = _share_of(old)
+            ceiling = _ceiling_share(old)
         for at in instants:
             if (version := self.follower.book.binding_version(ev.account, at, ev.plan)) is not None:
                 terms = self.follower.lowered(version, at).terms
                 ceiling = ceiling.with_limits(
-                    at / 1000, *_limits(terms.ceiling_rate, terms.ceiling_burst, ev.gateways)
+                    at / 1000, *_limits_per_share(terms.ceiling_rate, terms.ceiling_burst, ev.gateways)
                 )
         new = quotas.get_or_create_account(now, ev)
         if old is not None:
@@ -183,33 +194,33 @@
                 new.local_ceiling_part * new.plan.ceiling_burst / new.gateways - new.ceiling_level,
             )
 
-    def _keys(self, ev: api.Request) -> Iterator[tuple[str, str]]:
+    def _account_keys(self, ev: api.Request) -> Iterator[tuple[str, str]]:
         """Where the account may be known: under its plan, or under one that it had."""
         yield ev.plan, ev.account
-        for name in {**self._in_force, **{plan.name: None for plan in self._base.plans}}:
+        for name in {**self._in_force, **{plan.name: None for plan in self._base_settings.plans}}:
             yield name, ev.account
 
-    def _over(self, id: int) -> None:
+    def _end_request(self, id: int) -> None:
         """A try is over with no answer of a server: it may have run where an attempt is still out."""
-        counts, out = self._open.pop(id, None), self._out.pop(id, 0)
+        counts, out = self._uncounted.pop(id, None), self._open_attempts.pop(id, 0)
         if counts is not None and out > 0:
             self.usage_recorder.add_usage(*counts)
 
-    def _ended(self, ev: api.Outcome) -> None:
+    def _count_outcome(self, ev: api.Outcome) -> None:
         """An attempt that may have run counts its try's units, once; true units settle them."""
-        if (counts := self._open.get(ev.id)) is None:
+        if (counts := self._uncounted.get(ev.id)) is None:
             return
         if ev.status in NEVER_RAN:
-            self._out[ev.id] = self._out.get(ev.id, 1) - 1
+            self._open_attempts[ev.id] = self._open_attempts.get(ev.id, 1) - 1
             return
-        del self._open[ev.id]
-        self._out.pop(ev.id, None)
+        del self._uncounted[ev.id]
+        self._open_attempts.pop(ev.id, None)
         key, units = counts
         true = round(ev.units * MICRO_PER_UNIT) if ev.status is Status.OK and ev.units is not None else units
         self.usage_recorder.add_usage(key, true)
 
 
-class Plans:
+class PlanBookClient:
     """The connections of one limiter to a book's writer. ``token`` may not be empty."""
 
     def __init__(
@@ -222,23 +233,25 @@
         # Without a disk the time of a start is what grows with each life.
         self.usage_recorder = UsageRecorder(name, int(clock() * 1000))
         self._export = Export(where, self.usage_recorder)
-        self._channel = Channel(
-            where, follower, self._told, lambda: int(clock() * 1000), self.usage_recorder.epoch
+        self._writer_channel = Channel(
+            where, follower, self._log_change, lambda: int(clock() * 1000), self.usage_recorder.epoch
         )
 
-    def deciding(self, decide: Any, gateway: Gateway, settings: api.Settings) -> Planned:
-        return Planned(decide, gateway, settings, self._channel.follower, self.usage_recorder)
+    def wrap_decisions(self, decide: Any, gateway: Gateway, settings: api.Settings) -> PlanBookDecisions:
+        return PlanBookDecisions(
+            decide, gateway, settings, self._writer_channel.follower, self.usage_recorder
+        )
 
-    def _told(self) -> None:
-        log.info("plans: %r", self._channel.follower)
+    def _log_change(self) -> None:
+        log.info("plans: %r", self._writer_channel.follower)
 
     def start(self) -> None:
-        self._channel.start()
+        self._writer_channel.start()
         self._export.start()
 
     async def close(self) -> None:
         """A planned end loses nothing where the writer can be reached."""
-        self._channel.close()
+        self._writer_channel.close()
         self._export.close()
         self.usage_recorder.cut_record()
         try:
--- a/tests/plans/test_churn.py
+++ b/tests/plans/test_churn.py
@@ -12,14 +12,14 @@
 from cypresspulley.plans import reservations, usage
 from cypresspulley.plans.book import Book, Stamp, Version
 from cypresspulley.plans.follow import Follower, FollowerEvent
-from cypresspulley.plans.limiter import Planned
+from cypresspulley.plans.limiter import PlanBookDecisions
 from cypresspulley.plans.reservations import ReservationState
 from tests.plans import test_follow, test_reservations, test_use
 
 SEEDS = range(6)
 
 
-def lowest(make: type[Planned] = Planned, follower: type[Follower] = Follower) -> float:
+def lowest(make: type[PlanBookDecisions] = PlanBookDecisions, follower: type[Follower] = Follower) -> float:
     """On days that leave no slack: each change is heard of a lease ahead."""
     return min(Day(seed, 20.0, 1.0, make, follower, calm=True).play().worst for seed in SEEDS)
 
@@ -38,40 +38,40 @@
     assert (one.worst, one.sent) == (other.worst, other.sent)
 
 
-class Forgiving(Planned):
+class Forgiving(PlanBookDecisions):
     """An account starts anew with each plan."""
 
-    def _carry(self, now: float, ev: api.Request) -> None:
-        for key in self._keys(ev):
+    def _carry_level(self, now: float, ev: api.Request) -> None:
+        for key in self._account_keys(ev):
             if key[0] != ev.plan:
                 self._gateway.quotas.accounts.pop(key, None)
 
 
-class Forgetful(Planned):
+class Forgetful(PlanBookDecisions):
     """Only the plan that an account is on when it is seen again counts, not those in between."""
 
-    def _carry(self, now: float, ev: api.Request) -> None:
+    def _carry_level(self, now: float, ev: api.Request) -> None:
         book, self.follower.book = self.follower.book, Book("churn")
         try:
-            super()._carry(now, ev)
+            super()._carry_level(now, ev)
         finally:
             self.follower.book = book
 
 
-class Old(Planned):
+class Old(PlanBookDecisions):
     """The first plan that an account was seen on binds it for good."""
 
-    def _bound(self, now: float, ev: api.Request) -> api.Request:
+    def _bind_request(self, now: float, ev: api.Request) -> api.Request:
         self._first = getattr(self, "_first", None) or self.follower.book
         book, self.follower.book = self.follower.book, self._first
         try:
-            return super()._bound(now, ev)
+            return super()._bind_request(now, ev)
         finally:
             self.follower.book = book
 
 
 @pytest.mark.parametrize("mutant", [Forgiving, Forgetful, Old])
-def test_a_limiter_that_does_not_go_by_the_change_is_convicted(mutant: type[Planned]) -> None:
+def test_a_limiter_that_does_not_go_by_the_change_is_convicted(mutant: type[PlanBookDecisions]) -> None:
     assert lowest(mutant) < -2 * LIMITERS
 
 
--- a/tests/plans/test_limiter.py
+++ b/tests/plans/test_limiter.py
@@ -13,7 +13,7 @@
 from cypresspulley.plans.channel import Where
 from cypresspulley.plans.export import Export
 from cypresspulley.plans.follow import Follower
-from cypresspulley.plans.limiter import Planned, Plans
+from cypresspulley.plans.limiter import PlanBookClient, PlanBookDecisions
 from cypresspulley.plans.plan_writer import PlanWriter
 from cypresspulley.plans.reservations import MICRO_PER_UNIT
 from cypresspulley.plans.serve import Publisher
@@ -40,7 +40,7 @@
         self.follower, self.usage_recorder = Follower("vadodara"), UsageRecorder("n1", 1)
         self.follower.whole(1, self.book, T0, lease)
         gateway = self.world.gateway
-        self.planned = Planned(gateway, gateway, self.config, self.follower, self.usage_recorder)
+        self.decisions = PlanBookDecisions(gateway, gateway, self.config, self.follower, self.usage_recorder)
         self.world.gateway = self.planned  # type: ignore[assignment]
         self.gateway = gateway
         self.world.feed(w.servers("s0", "s1", "s2", "s3"))
@@ -153,7 +153,9 @@
     old, new = UsageKey("hotel", "p", Stamp(1, 1), period), UsageKey("hotel", "p", Stamp(1, 3), period)
     record = day.usage_recorder.cut_record()
     assert record is not None and dict(record.rows) == {old: 2 * MICRO_PER_UNIT, new: MICRO_PER_UNIT}
-    assert not day.planned._open and not day.planned._out  # nothing stays of a try that ran twice
+    assert (
+        not day.decisions._uncounted and not day.decisions._open_attempts
+    )  # nothing stays of a try that ran twice
 
 
 def test_what_never_ran_or_was_refused_is_not_counted() -> None:
@@ -164,7 +166,11 @@
     while day.world.open_attempts:
         day.world.serve(api.Status.UNREACHABLE)
     day.world.feed(w.request(2, "read", "small", "hotel", units=1000.0))
-    assert day.usage_recorder.cut_record() is None and not day.planned._open and not day.planned._out
+    assert (
+        day.usage_recorder.cut_record() is None
+        and not day.decisions._uncounted
+        and not day.decisions._open_attempts
+    )
 
 
 def test_a_try_whose_client_left_while_it_was_out_may_have_run() -> None:
@@ -174,7 +180,9 @@
     assert day.world.open_attempts
     day.world.feed(api.ClientDisconnected(3))
     assert (
-        day.usage_recorder.pending_units == MICRO_PER_UNIT and not day.planned._open and not day.planned._out
+        day.usage_recorder.pending_units == MICRO_PER_UNIT
+        and not day.decisions._uncounted
+        and not day.decisions._open_attempts
     )
 
 
@@ -194,7 +202,9 @@
         day.world.feed(w.request(id, "read", "small", "hotel"))
         day.world.serve((api.Status.OK, api.Status.BROKEN, api.Status.UNREACHABLE)[id % 3])
     day.world.advance(day.world.now + 5)
-    assert len(day.planned._open) == len(day.planned._out) == len(day.gateway._requests) == 0
+    assert (
+        len(day.decisions._uncounted) == len(day.decisions._open_attempts) == len(day.gateway._requests) == 0
+    )
 
 
 def test_use_reaches_the_writer_once_though_the_first_answer_is_lost(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -237,16 +247,16 @@
         plan_writer = PlanWriter(Store(Disk()), "vadodara")
         publisher = Publisher(plan_writer, "t", beat=0.05)
         address = await publisher.listen("127.0.0.1", 0)
-        plans = Plans(address, "t", "vadodara", "n1", lambda: serve.unix_ms() / 1000)
+        plans = PlanBookClient(address, "t", "vadodara", "n1", lambda: serve.unix_ms() / 1000)
         config = w.settings(plans=BASE)
         gateway = Gateway(config, 1, serve.unix_ms() / 1000)
-        planned = plans.deciding(gateway, gateway, config)
+        decisions = plans.wrap_decisions(gateway, gateway, config)
         plans.start()
         now = serve.unix_ms()
         plan_writer.set_terms("p", LARGE, now, now, "m")
         publisher.changed()
         async with asyncio.timeout(10):
-            while planned.follower.book != plan_writer.book:
+            while decisions.follower.book != plan_writer.book:
                 await asyncio.sleep(0.005)
         plans.usage_recorder.add_usage(UsageKey("hotel", "p", Stamp(1, 1), 0), 9)
         await plans.close()
@@ -261,4 +271,4 @@
 
 def test_no_token_is_no_start() -> None:
     with pytest.raises(ValueError, match="FAWNSEAM_PLANS_TOKEN"):
-        Plans(("127.0.0.1", 1), "", "vadodara", "n1", lambda: 0.0)
+        PlanBookClient(("127.0.0.1", 1), "", "vadodara", "n1", lambda: 0.0)
--- a/tests/plans/test_wiring.py
+++ b/tests/plans/test_wiring.py
@@ -11,7 +11,7 @@
 from cypresspulley.config import ConfigError, config_from
 from cypresspulley.operators import Operators, OperatorsError, load_operators
 from cypresspulley.plans.book import Stamp, Terms
-from cypresspulley.plans.limiter import Planned
+from cypresspulley.plans.limiter import PlanBookDecisions
 from cypresspulley.plans.plan_writer import PlanWriter
 from cypresspulley.plans.reservations import MICRO_PER_UNIT
 from cypresspulley.plans.serve import Publisher, unix_ms
@@ -60,7 +60,7 @@
     with pytest.raises(ConfigError, match="plans"):
         _plans(config, ("nowhere", "x"), gateway, gateway, lambda: 0.0)
     decisions, _ = _plans(config, ("127.0.0.1:1", "x"), gateway, gateway, lambda: 0.0)
-    assert isinstance(decisions, Planned)
+    assert isinstance(decisions, PlanBookDecisions)
 
 
 def test_a_real_limiter_goes_by_the_book_and_tells_its_use(
--- a/tests/rehearsal/virtual/test_books.py
+++ b/tests/rehearsal/virtual/test_books.py
@@ -45,28 +45,28 @@
     assert len(moves) > 10 and all(move.ahead == 3.2 for move in moves)
 
 
-class Forgiving(limiter.Planned):
+class Forgiving(limiter.PlanBookDecisions):
     """An account starts anew with each plan."""
 
-    def _carry(self, now: float, ev: api.Request) -> None:
-        for key in list(self._keys(ev)):
+    def _carry_level(self, now: float, ev: api.Request) -> None:
+        for key in list(self._account_keys(ev)):
             self._gateway.quotas.accounts.pop(key, None)
 
 
-class Deaf(limiter.Planned):
+class Deaf(limiter.PlanBookDecisions):
     """Whatever the book says, the higher plan holds."""
 
-    def _bound(self, now: float, ev: api.Request) -> api.Request:
+    def _bind_request(self, now: float, ev: api.Request) -> api.Request:
         return ev
 
 
 @pytest.mark.long
 @pytest.mark.parametrize("mutant", [Forgiving, Deaf])
 def test_a_limiter_that_does_not_go_by_the_book_is_convicted(
-    mutant: type[limiter.Planned], monkeypatch: pytest.MonkeyPatch
+    mutant: type[limiter.PlanBookDecisions], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     assert broken(day(), 1) == []
-    monkeypatch.setattr(limiter, "Planned", mutant)
+    monkeypatch.setattr(limiter, "PlanBookDecisions", mutant)
     assert broken(day(), 1) == ["ceilings kept"]
 
 
