--- a/benchmarks/plan_book.py
+++ b/benchmarks/plan_book.py
@@ -80,7 +80,7 @@
             began = time.perf_counter()
             now = unix_ms()
             plan_writer.assign_plan(f"account-{n}", "p", now + 5000, now, "m")
-            publisher.changed()
+            publisher.notify_followers()
             async with asyncio.timeout(20):
                 while any(
                     channel.follower.book.last_stamp != plan_writer.book.last_stamp for channel in channels
--- a/cypresspulley/plans/command.py
+++ b/cypresspulley/plans/command.py
@@ -18,7 +18,7 @@
 from cypresspulley.plans.book import Book, Change, Version, Withdrawal
 from cypresspulley.plans.files import DiskFolder
 from cypresspulley.plans.plan_writer import PlanWriter
-from cypresspulley.plans.serve import PATH, Publisher, unix_ms
+from cypresspulley.plans.serve import PLANS_PATH, Publisher, unix_ms
 from cypresspulley.plans.store import Store, check
 from cypresspulley.plans.wishes import carry_out, difference, history, reservation_json
 
@@ -117,7 +117,7 @@
     connection = http.client.HTTPConnection(host, int(port), timeout=CALL_WAIT)
     try:
         headers = {"Authorization": f"Bearer {os.environ.get(TOKEN, '')}"}
-        connection.request("POST", PATH, json.dumps(raw), headers)
+        connection.request("POST", PLANS_PATH, json.dumps(raw), headers)
         answer = connection.getresponse()
         return answer.status, json.loads(answer.read(1 << 20))
     finally:
--- a/cypresspulley/plans/serve.py
+++ b/cypresspulley/plans/serve.py
@@ -30,15 +30,15 @@
 
 log = logging.getLogger(__name__)
 
-BEAT = 1.0  # seconds
-MOST_HEAD = 8192  # bytes
-HEAD_WAIT = 5.0  # seconds for a head
-MOST_FOLLOWERS = 4096  # as many limiters as a fleet's view holds (``fleet.view.MOST_MEMBERS``)
-BACKLOG = 1024  # dials that wait to be accepted: a fleet that restarts dials as one
-STALLED = 5.0  # seconds in which a follower must take what is written to it
-PATH = "/v1/plans"
-MOST_BODY = 65_536  # bytes of a wish
-REASONS = {
+HEARTBEAT_INTERVAL_S = 1.0  # seconds
+MAX_HEAD_BYTES = 8192  # bytes
+READ_TIMEOUT_S = 5.0  # seconds for a head
+MAX_FOLLOWERS = 4096  # as many limiters as a fleet's view holds (``fleet.view.MOST_MEMBERS``)
+ACCEPT_BACKLOG = 1024  # dials that wait to be accepted: a fleet that restarts dials as one
+WRITE_TIMEOUT_S = 5.0  # seconds in which a follower must take what is written to it
+PLANS_PATH = "/v1/plans"
+MAX_BODY_BYTES = 65_536  # bytes of a wish
+REASON_PHRASES = {
     200: "OK", 400: "Bad Request", 401: "Unauthorized", 404: "Not Found", 405: "Method Not Allowed",
     409: "Conflict", 413: "Too Large", 503: "Unavailable",
 }  # fmt: skip
@@ -48,7 +48,7 @@
     return time.time_ns() // 1_000_000
 
 
-class RefusedError(Exception):
+class RejectedCallError(Exception):
     """A call that is answered with a status and no lines."""
 
     def __init__(self, status: int, text: str) -> None:
@@ -65,39 +65,39 @@
     body: int | None = None
 
 
-def parse_head(head: bytes, token: str) -> Call:
+def parse_request_head(head: bytes, token: str) -> Call:
     """What is asked; ``RefusedError`` for anything but the two calls there are."""
     try:
         lines = head.decode("ascii").split("\r\n")
         method, target, version = lines[0].split(" ")
     except (UnicodeDecodeError, ValueError):
-        raise RefusedError(400, "expected GET /v1/plans?epoch=E&since=N HTTP/1.1") from None
+        raise RejectedCallError(400, "expected GET /v1/plans?epoch=E&since=N HTTP/1.1") from None
     url = urlsplit(target)
     if not version.startswith("HTTP/1."):
-        raise RefusedError(400, f"expected HTTP/1.1, got {version!r:.20}")
-    if url.path != PATH:
-        raise RefusedError(404, f"expected {PATH}")
+        raise RejectedCallError(400, f"expected HTTP/1.1, got {version!r:.20}")
+    if url.path != PLANS_PATH:
+        raise RejectedCallError(404, f"expected {PLANS_PATH}")
     if method not in ("GET", "POST"):
-        raise RefusedError(405, "expected GET or POST")
+        raise RejectedCallError(405, "expected GET or POST")
     fields = {
         name.strip().lower(): value.strip() for name, _, value in (line.partition(":") for line in lines[1:])
     }
     if not hmac.compare_digest(fields.get("authorization", "").encode(), f"Bearer {token}".encode()):
-        raise RefusedError(401, "expected Authorization: Bearer TOKEN with this book's token")
+        raise RejectedCallError(401, "expected Authorization: Bearer TOKEN with this book's token")
     if method == "POST":
         length = fields.get("content-length", "")
         if not length.isdigit() or len(length) > 9 or "transfer-encoding" in fields:
-            raise RefusedError(400, "Content-Length: expected a whole number, and no Transfer-Encoding")
-        if int(length) > MOST_BODY:
-            raise RefusedError(413, f"expected a body of at most {MOST_BODY} bytes")
+            raise RejectedCallError(400, "Content-Length: expected a whole number, and no Transfer-Encoding")
+        if int(length) > MAX_BODY_BYTES:
+            raise RejectedCallError(413, f"expected a body of at most {MAX_BODY_BYTES} bytes")
         return Call(body=int(length))
     asked = parse_qs(url.query)
     try:
         epoch, since = (int(asked.get(name, ["0"])[-1]) for name in ("epoch", "since"))
     except ValueError:
-        raise RefusedError(400, "epoch, since: expected whole numbers") from None
+        raise RejectedCallError(400, "epoch, since: expected whole numbers") from None
     if epoch < 0 or since < 0:
-        raise RefusedError(400, "epoch, since: expected numbers from 0 on")
+        raise RejectedCallError(400, "epoch, since: expected numbers from 0 on")
     return Call(epoch, since)
 
 
@@ -105,136 +105,147 @@
     """Serves an office's book to followers. The office changes elsewhere; ``changed`` tells of it."""
 
     def __init__(
-        self, plan_writer: PlanWriter, token: str, clock: Callable[[], int] = unix_ms, beat: float = BEAT
+        self,
+        plan_writer: PlanWriter,
+        token: str,
+        clock: Callable[[], int] = unix_ms,
+        heartbeat_s: float = HEARTBEAT_INTERVAL_S,
     ) -> None:
         if not token:
             raise ValueError("token: expected one that is not empty")
-        self._plan_writer, self._token, self._clock, self._beat = plan_writer, token, clock, beat
+        self._plan_writer, self._token, self._clock, self._heartbeat_s = (
+            plan_writer,
+            token,
+            clock,
+            heartbeat_s,
+        )
         self._server: asyncio.Server | None = None
-        self._news = asyncio.Event()
-        self._writers = set[asyncio.StreamWriter]()
+        self._change_event = asyncio.Event()
+        self._follower_streams = set[asyncio.StreamWriter]()
 
     @property
-    def followers(self) -> int:
+    def follower_count(self) -> int:
         """Connections that the book is published to."""
-        return len(self._writers)
+        return len(self._follower_streams)
 
     async def listen(self, host: str, port: int) -> tuple[str, int]:
         """Serve; the address taken."""
-        self._server = await asyncio.start_server(self._serve, host, port, limit=MOST_HEAD, backlog=BACKLOG)
+        self._server = await asyncio.start_server(
+            self._serve, host, port, limit=MAX_HEAD_BYTES, backlog=ACCEPT_BACKLOG
+        )
         name = self._server.sockets[0].getsockname()
         return str(name[0]), int(name[1])
 
-    def changed(self) -> None:
+    def notify_followers(self) -> None:
         """The office has changed: all followers are told."""
-        news, self._news = self._news, asyncio.Event()
-        news.set()
+        change_event, self._change_event = self._change_event, asyncio.Event()
+        change_event.set()
 
     async def close(self) -> None:
         if self._server is not None:
             self._server.close()
-            for writer in self._writers:
+            for writer in self._follower_streams:
                 writer.transport.abort()
-            self.changed()  # whoever waits for news finds its connection gone
+            self.notify_followers()  # whoever waits for news finds its connection gone
             await self._server.wait_closed()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            call = await self._call(reader)
+            call = await self._read_call(reader)
             if call.body is not None:
-                return self._answer(writer, 200, await self._wish(reader, call.body))
-        except RefusedError as no:
-            return self._answer(writer, no.status, {"error": str(no)})
+                return self._send_answer(writer, 200, await self._handle_operation(reader, call.body))
+        except RejectedCallError as no:
+            return self._send_answer(writer, no.status, {"error": str(no)})
         except (OSError, asyncio.IncompleteReadError):
             return writer.transport.abort()
-        self._writers.add(writer)
+        self._follower_streams.add(writer)
         try:
             writer.write(
                 b"HTTP/1.1 200 OK\r\nContent-Type: application/x-ndjson\r\nConnection: close\r\n\r\n"
             )
-            await self._tell(writer, call.epoch, call.since)
+            await self._stream_book(writer, call.epoch, call.since)
         except (OSError, TimeoutError, asyncio.CancelledError):
             pass
         finally:
-            self._writers.discard(writer)
+            self._follower_streams.discard(writer)
             writer.transport.abort()
 
-    async def _call(self, reader: asyncio.StreamReader) -> Call:
+    async def _read_call(self, reader: asyncio.StreamReader) -> Call:
         try:
-            async with asyncio.timeout(HEAD_WAIT):
+            async with asyncio.timeout(READ_TIMEOUT_S):
                 head = await reader.readuntil(b"\r\n\r\n")
         except (asyncio.LimitOverrunError, asyncio.IncompleteReadError, TimeoutError):
-            raise RefusedError(
-                400, f"expected a head of at most {MOST_HEAD} bytes within {HEAD_WAIT:g} s"
+            raise RejectedCallError(
+                400, f"expected a head of at most {MAX_HEAD_BYTES} bytes within {READ_TIMEOUT_S:g} s"
             ) from None
-        call = parse_head(head[:-4], self._token)
-        if call.body is None and self.followers >= MOST_FOLLOWERS:
-            raise RefusedError(503, f"expected at most {MOST_FOLLOWERS} followers")
+        call = parse_request_head(head[:-4], self._token)
+        if call.body is None and self.follower_count >= MAX_FOLLOWERS:
+            raise RejectedCallError(503, f"expected at most {MAX_FOLLOWERS} followers")
         return call
 
-    async def _wish(self, reader: asyncio.StreamReader, size: int) -> dict[str, Any]:
+    async def _handle_operation(self, reader: asyncio.StreamReader, size: int) -> dict[str, Any]:
         try:
-            async with asyncio.timeout(HEAD_WAIT):
+            async with asyncio.timeout(READ_TIMEOUT_S):
                 body = await reader.readexactly(size)
             done = carry_out(self._plan_writer, json.loads(body), self._clock())
         except TimeoutError:
-            raise RefusedError(400, f"expected the whole body within {HEAD_WAIT:g} s") from None
+            raise RejectedCallError(400, f"expected the whole body within {READ_TIMEOUT_S:g} s") from None
         except RecursionError:
-            raise RefusedError(400, "expected JSON of little depth") from None
+            raise RejectedCallError(400, "expected JSON of little depth") from None
         except OSError as error:
-            raise RefusedError(503, f"the store: {error}") from None
+            raise RejectedCallError(503, f"the store: {error}") from None
         except ValueError as error:
-            raise RefusedError(409, str(error)) from None
-        self.changed()
+            raise RejectedCallError(409, str(error)) from None
+        self.notify_followers()
         return done
 
     @staticmethod
-    def _answer(writer: asyncio.StreamWriter, status: int, told: dict[str, Any]) -> None:
+    def _send_answer(writer: asyncio.StreamWriter, status: int, told: dict[str, Any]) -> None:
         body = json.dumps(told).encode() + b"\n"
         allow = "Allow: GET, POST\r\n" if status == 405 else ""
         writer.write(
-            f"HTTP/1.1 {status} {REASONS[status]}\r\n{allow}Content-Type: application/json\r\n"
+            f"HTTP/1.1 {status} {REASON_PHRASES[status]}\r\n{allow}Content-Type: application/json\r\n"
             f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n".encode()
             + body
         )
         writer.close()
 
-    async def _tell(self, writer: asyncio.StreamWriter, epoch: int, since: int) -> None:
+    async def _stream_book(self, writer: asyncio.StreamWriter, epoch: int, since: int) -> None:
         plan_writer = self._plan_writer
         known = since if epoch == plan_writer.epoch else 0
         if not known or known > plan_writer.book.last_stamp.seq:
-            known = await self._whole(writer)
+            known = await self._send_whole_book(writer)
         while True:
-            news = self._news
-            for change in self._behind(known):
-                await self._write(
+            change_event = self._change_event
+            for change in self._changes_after(known):
+                await self._send_line(
                     writer, {"kind": "change", "epoch": plan_writer.epoch, "change": books.as_json(change)}
                 )
             known = plan_writer.book.last_stamp.seq
-            await self._write(
-                writer, {**self._head("beat"), "last": [plan_writer.book.last_stamp.epoch, known]}
+            await self._send_line(
+                writer, {**self._message_fields("beat"), "last": [plan_writer.book.last_stamp.epoch, known]}
             )
             with suppress(TimeoutError):
-                await asyncio.wait_for(news.wait(), self._beat)
+                await asyncio.wait_for(change_event.wait(), self._heartbeat_s)
 
-    def _behind(self, known: int) -> list[Change]:
+    def _changes_after(self, known: int) -> list[Change]:
         if known == self._plan_writer.book.last_stamp.seq:
             return []
         return self._plan_writer.changes[known:]
 
-    def _head(self, kind: str) -> dict[str, Any]:
+    def _message_fields(self, kind: str) -> dict[str, Any]:
         return {"kind": kind, "epoch": self._plan_writer.epoch, "sent": self._clock(), "lease": LEASE_MS}
 
-    async def _whole(self, writer: asyncio.StreamWriter) -> int:
+    async def _send_whole_book(self, writer: asyncio.StreamWriter) -> int:
         count = len(self._plan_writer.changes)  # what comes meanwhile is told after it
         told = {"installation": self._plan_writer.book.installation, "changes": count}
-        await self._write(writer, {**self._head("whole"), **told})
+        await self._send_line(writer, {**self._message_fields("whole"), **told})
         for number in range(count):
-            await self._write(writer, books.as_json(self._plan_writer.changes[number]))
+            await self._send_line(writer, books.as_json(self._plan_writer.changes[number]))
         return count
 
     @staticmethod
-    async def _write(writer: asyncio.StreamWriter, line: dict[str, Any]) -> None:
+    async def _send_line(writer: asyncio.StreamWriter, line: dict[str, Any]) -> None:
         writer.write(json.dumps(line, separators=(",", ":")).encode() + b"\n")
-        async with asyncio.timeout(STALLED):
+        async with asyncio.timeout(WRITE_TIMEOUT_S):
             await writer.drain()
--- a/cypresspulley/rehearsal/standins/bookkeeper.py
+++ b/cypresspulley/rehearsal/standins/bookkeeper.py
@@ -101,7 +101,7 @@
 
     def _changed(self) -> None:
         for publisher in self._publishers.values():
-            publisher.changed()
+            publisher.notify_followers()
 
     def _move(self, account: str, plan: str, ahead: float) -> None:
         down = account not in self._low
--- a/tests/plans/test_limiter.py
+++ b/tests/plans/test_limiter.py
@@ -245,7 +245,7 @@
 def test_a_limiter_s_part_follows_and_exports_to_its_end() -> None:
     async def run() -> None:
         plan_writer = PlanWriter(Store(Disk()), "vadodara")
-        publisher = Publisher(plan_writer, "t", beat=0.05)
+        publisher = Publisher(plan_writer, "t", heartbeat_s=0.05)
         address = await publisher.listen("127.0.0.1", 0)
         plans = PlanBookClient(address, "t", "vadodara", "n1", lambda: serve.unix_ms() / 1000)
         config = w.settings(plans=BASE)
@@ -254,7 +254,7 @@
         plans.start()
         now = serve.unix_ms()
         plan_writer.set_terms("p", LARGE, now, now, "m")
-        publisher.changed()
+        publisher.notify_followers()
         async with asyncio.timeout(10):
             while decisions.follower.book != plan_writer.book:
                 await asyncio.sleep(0.005)
--- a/tests/plans/test_serve.py
+++ b/tests/plans/test_serve.py
@@ -14,7 +14,7 @@
 from cypresspulley.plans.channel import Channel, Where
 from cypresspulley.plans.follow import Follower, FollowerState
 from cypresspulley.plans.plan_writer import PlanWriter
-from cypresspulley.plans.serve import Publisher, RefusedError, parse_head
+from cypresspulley.plans.serve import Publisher, RejectedCallError, parse_request_head
 from cypresspulley.plans.store import Store
 from tests.plans.disk import Disk
 
@@ -46,7 +46,7 @@
 def with_writer(play: Play, disk: Disk | None = None) -> None:
     async def run() -> None:
         plan_writer = PlanWriter(Store(disk or Disk()), "vadodara")
-        publisher = Publisher(plan_writer, TOKEN, beat=0.05)
+        publisher = Publisher(plan_writer, TOKEN, heartbeat_s=0.05)
         address = await publisher.listen("127.0.0.1", 0)
         try:
             await play(publisher, plan_writer, address)
@@ -93,7 +93,7 @@
 
     async def run() -> None:
         plan_writer = PlanWriter(Store(disk), "vadodara")
-        first = Publisher(plan_writer, TOKEN, beat=0.05)
+        first = Publisher(plan_writer, TOKEN, heartbeat_s=0.05)
         address = await first.listen("127.0.0.1", 0)
         plan_writer.set_terms("p", TERMS, serve.unix_ms() + 10_000, serve.unix_ms(), "m")
         one = Followed(address)
@@ -101,7 +101,7 @@
         await first.close()
         again = PlanWriter(Store(disk), "vadodara")
         again.set_terms("q", TERMS, serve.unix_ms() + 10_000, serve.unix_ms(), "m")
-        second = Publisher(again, TOKEN, beat=0.05)
+        second = Publisher(again, TOKEN, heartbeat_s=0.05)
         await second.listen(*address)
         await one.until(lambda: one.follower.epoch == 2 and one.follower.book == again.book)
         assert set(one.follower.book.plans) == {"p", "q"}
@@ -115,7 +115,7 @@
     async def play(publisher: Publisher, plan_writer: PlanWriter, address: tuple[str, int]) -> None:
         one = Followed(address, "wrong")
         await one.until(lambda: "401" in one.channel.why)
-        assert one.follower.at is FollowerState.EMPTY and publisher.followers == 0
+        assert one.follower.at is FollowerState.EMPTY and publisher.follower_count == 0
         one.channel.close()
 
     with_writer(play)
@@ -160,7 +160,7 @@
 
 
 def test_half_a_call_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(serve, "HEAD_WAIT", 0.05)
+    monkeypatch.setattr(serve, "READ_TIMEOUT_S", 0.05)
 
     async def play(publisher: Publisher, plan_writer: PlanWriter, address: tuple[str, int]) -> None:
         assert (await asked(address, b"GET /v1/pl"))[0] == 400
@@ -170,7 +170,7 @@
 
 
 def test_followers_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(serve, "MOST_FOLLOWERS", 1)
+    monkeypatch.setattr(serve, "MAX_FOLLOWERS", 1)
 
     async def play(publisher: Publisher, plan_writer: PlanWriter, address: tuple[str, int]) -> None:
         one = Followed(address)
@@ -224,10 +224,12 @@
 
 
 def test_a_head_is_read_whole_or_refused() -> None:
-    call = parse_head(b"GET /v1/plans?epoch=3&since=7 HTTP/1.1\r\nauthorization:  Bearer t0ken ", TOKEN)
+    call = parse_request_head(
+        b"GET /v1/plans?epoch=3&since=7 HTTP/1.1\r\nauthorization:  Bearer t0ken ", TOKEN
+    )
     assert (call.epoch, call.since, call.body) == (3, 7, None)
-    with pytest.raises(RefusedError, match=r"HTTP/1\.1"):
-        parse_head(b"GET /v1/plans SPDY/3", TOKEN)
+    with pytest.raises(RejectedCallError, match=r"HTTP/1\.1"):
+        parse_request_head(b"GET /v1/plans SPDY/3", TOKEN)
 
 
 def test_an_empty_token_is_refused() -> None:
--- a/tests/plans/test_wiring.py
+++ b/tests/plans/test_wiring.py
@@ -71,7 +71,7 @@
 
     async def main() -> None:
         plan_writer = PlanWriter(Store(Disk()), "vadodara")
-        publisher = Publisher(plan_writer, "t", beat=0.05)
+        publisher = Publisher(plan_writer, "t", heartbeat_s=0.05)
         host, port = await publisher.listen("127.0.0.1", 0)
         now = unix_ms()
         plan_writer.set_terms("season", Terms(100.0, 100.0), now, now, "m")
@@ -83,7 +83,7 @@
             started(config(dial), tmp_path, "--operators", str(operators)) as program,
         ):
             async with asyncio.timeout(20):
-                while not publisher.followers:
+                while not publisher.follower_count:
                     await asyncio.sleep(0.01)
             reader, writer = await program.connect()
             served = 0
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -100,15 +100,15 @@
         transport = asyncio.Transport()
 
     async def main() -> None:
-        publisher = Publisher(PlanWriter(Store(Disk()), "vadodara"), TOKEN, beat=0.05)
+        publisher = Publisher(PlanWriter(Store(Disk()), "vadodara"), TOKEN, heartbeat_s=0.05)
         address = await publisher.listen("127.0.0.1", 0)
         others: list[Any] = [FollowerStub() for _ in range(LARGE_FLEET_SIZE - 1)]
-        publisher._writers.update(others)
+        publisher._follower_streams.update(others)
         one = Followed(address)
         await one.until(lambda: one.follower.at is FollowerState.CURRENT)
-        assert publisher.followers == LARGE_FLEET_SIZE <= serve.MOST_FOLLOWERS
+        assert publisher.follower_count == LARGE_FLEET_SIZE <= serve.MAX_FOLLOWERS
         one.channel.close()
-        publisher._writers.difference_update(others)
+        publisher._follower_streams.difference_update(others)
         await publisher.close()
 
     asyncio.run(main())
