--- a/tests/plans/test_limiter.py
+++ b/tests/plans/test_limiter.py
@@ -41,7 +41,7 @@
         self.follower.whole(1, self.book, T0, lease)
         gateway = self.world.gateway
         self.decisions = PlanBookDecisions(gateway, gateway, self.config, self.follower, self.usage_recorder)
-        self.world.gateway = self.planned  # type: ignore[assignment]
+        self.world.gateway = self.decisions  # type: ignore[assignment]
         self.gateway = gateway
         self.world.feed(w.servers("s0", "s1", "s2", "s3"))
 
