--- a/benchmarks/plan_churn.py
+++ b/benchmarks/plan_churn.py
@@ -206,13 +206,13 @@
 
     @staticmethod
     def told(made: Change, follower: Follower) -> tuple[FollowerAction, ...]:
-        return follower.change(1, made)
+        return follower.receive_change(1, made)
 
     def ask(self, one: Limiter, life: int, whole: bool) -> None:
         """The answer is what the writer has by then; where it is lost, the next beat has it asked for again."""
         sent, book = int(self.now * 1000), self.book
         if whole:
-            self.say(one, life, lambda follower: follower.whole(1, book, sent, LEASE_MS))
+            self.say(one, life, lambda follower: follower.receive_book(1, book, sent, LEASE_MS))
             return
         last = one.decisions.follower.book.last_stamp.seq if one.decisions is not None else 0
         for made in book.changes()[last:]:
@@ -222,7 +222,7 @@
         self.at(self.now + 1.0, self.beat)
         sent, last = int(self.now * 1000), self.book.last_stamp
         for one in self.limiters:
-            self.say(one, one.life, lambda follower: follower.beat(1, last, sent, LEASE_MS))
+            self.say(one, one.life, lambda follower: follower.receive_heartbeat(1, last, sent, LEASE_MS))
 
     def cut(self) -> None:
         self.at(self.now + self.rng.uniform(2, 6), self.cut)
--- a/cypresspulley/plans/channel.py
+++ b/cypresspulley/plans/channel.py
@@ -62,7 +62,7 @@
     async def _watch(self) -> None:
         while True:
             await asyncio.sleep(TICK)
-            if self.follower.tick(self._clock()):
+            if self.follower.check_lease(self._clock()):
                 log.warning("plans: the lease is over: the lowest ceiling holds from now on")
                 self._changed()
 
@@ -106,7 +106,7 @@
         if isinstance(epoch, bool) or not isinstance(epoch, int):
             raise EndedError(f"epoch: expected a whole number, got {epoch!r:.60}")
         if kind == "change":
-            return self.follower.change(epoch, books.parse_change(line.get("change"), "change"))
+            return self.follower.receive_change(epoch, books.parse_change(line.get("change"), "change"))
         sent, lease = line.get("sent"), line.get("lease")
         if not isinstance(sent, int) or not isinstance(lease, int):
             raise EndedError("sent, lease: expected whole milliseconds")
@@ -114,9 +114,9 @@
             last = line.get("last")
             if not isinstance(last, list) or len(last) != 2 or not all(isinstance(n, int) for n in last):
                 raise EndedError(f"last: expected [epoch, number], got {last!r:.60}")
-            return self.follower.beat(epoch, Stamp(*last), sent, lease)
+            return self.follower.receive_heartbeat(epoch, Stamp(*last), sent, lease)
         if kind == "whole":
-            return self.follower.whole(epoch, await self._book(reader, line), sent, lease)
+            return self.follower.receive_book(epoch, await self._book(reader, line), sent, lease)
         raise EndedError(f"kind: expected whole, change or beat, got {kind!r:.60}")
 
     async def _book(self, reader: asyncio.StreamReader, line: dict[str, Any]) -> Book:
--- a/cypresspulley/plans/follow.py
+++ b/cypresspulley/plans/follow.py
@@ -1,7 +1,7 @@
 """How a limiter follows a book: one table of states, free of I/O and clocks.
 
 The writer publishes changes numbered without gaps through all its epochs, and a beat each second. A change behind a gap
-is not taken before what is missing. A higher epoch is another writer: its book replaces the one here. A lower one is a
+is not taken before event is missing. A higher epoch is another writer: its book replaces the one here. A lower one is a
 writer that was replaced and does not know it: whatever it says is dropped. A beat carries a lease; when it is over, the
 limiter can no longer know that it has heard of everything, and goes by the lower of the ceiling it knows and the lowest
 that any plan of its book has.
@@ -97,76 +97,78 @@
     """A book as one limiter has it. What comes in is what the writer said, with its epoch and its clock."""
 
     def __init__(self, installation: str) -> None:
-        self.at, self.epoch = FollowerState.EMPTY, 0
+        self.state, self.epoch = FollowerState.EMPTY, 0
         self.book = Book(installation)
         self.lease_until = 0  # Unix milliseconds
 
     def __repr__(self) -> str:
-        return f"<Follower {self.at.value}, epoch {self.epoch}, {self.book.last_stamp}, lease until {self.lease_until}>"
+        return f"<Follower {self.state.value}, epoch {self.epoch}, {self.book.last_stamp}, lease until {self.lease_until}>"
 
-    def _hear(self, what: FollowerEvent) -> tuple[FollowerAction, ...]:
-        self.at, actions = TRANSITIONS.get((self.at, what), (self.at, ()))
+    def _transition(self, event: FollowerEvent) -> tuple[FollowerAction, ...]:
+        self.state, actions = TRANSITIONS.get((self.state, event), (self.state, ()))
         return actions
 
-    def _old_or_new(self, epoch: int) -> FollowerEvent | None:
+    def _compare_epoch(self, epoch: int) -> FollowerEvent | None:
         if epoch == self.epoch:
             return None
         return FollowerEvent.STALE if epoch < self.epoch else FollowerEvent.ANOTHER
 
-    def whole(self, epoch: int, book: Book, sent: int, lease: int) -> tuple[FollowerAction, ...]:
+    def receive_book(self, epoch: int, book: Book, sent: int, lease: int) -> tuple[FollowerAction, ...]:
         """A whole book. One of another installation is dropped, whatever its epoch."""
         if epoch < self.epoch or book.installation != self.book.installation:
-            return self._hear(FollowerEvent.STALE)
+            return self._transition(FollowerEvent.STALE)
         if epoch == self.epoch and book.last_stamp < self.book.last_stamp:
             return ()  # sent before what is here
-        actions = self._hear(FollowerEvent.BOOK)
+        actions = self._transition(FollowerEvent.BOOK)
         self.epoch, self.book = epoch, book
-        self._renew(sent, lease)
+        self._renew_lease(sent, lease)
         return actions
 
-    def change(self, epoch: int, change: Change) -> tuple[FollowerAction, ...]:
+    def receive_change(self, epoch: int, change: Change) -> tuple[FollowerAction, ...]:
         """One change; what is missing before it is asked for first."""
-        if (other := self._old_or_new(epoch)) is not None:
-            return self._hear(other)
+        if (epoch_event := self._compare_epoch(epoch)) is not None:
+            return self._transition(epoch_event)
         last = self.book.last_stamp.seq
         if change.stamp.seq <= last:
-            return self._hear(FollowerEvent.KNOWN)
+            return self._transition(FollowerEvent.KNOWN)
         if change.stamp.seq > last + 1:
-            return self._hear(FollowerEvent.GAP)
-        actions = self._hear(FollowerEvent.NEXT)
+            return self._transition(FollowerEvent.GAP)
+        actions = self._transition(FollowerEvent.NEXT)
         if FollowerAction.APPLY in actions:
             self.book = self.book.with_change(change)
         return actions
 
-    def beat(self, epoch: int, last: Stamp, sent: int, lease: int) -> tuple[FollowerAction, ...]:
+    def receive_heartbeat(self, epoch: int, last: Stamp, sent: int, lease: int) -> tuple[FollowerAction, ...]:
         """The writer lives, and its newest change is ``last``."""
-        if (other := self._old_or_new(epoch)) is not None:
-            return self._hear(other)
-        actions = self._hear(FollowerEvent.BEAT if last <= self.book.last_stamp else FollowerEvent.AHEAD)
+        if (epoch_event := self._compare_epoch(epoch)) is not None:
+            return self._transition(epoch_event)
+        actions = self._transition(
+            FollowerEvent.BEAT if last <= self.book.last_stamp else FollowerEvent.AHEAD
+        )
         if FollowerAction.RENEW in actions:
-            self._renew(sent, lease)
+            self._renew_lease(sent, lease)
         return actions
 
-    def _renew(self, sent: int, lease: int) -> None:
+    def _renew_lease(self, sent: int, lease: int) -> None:
         self.lease_until = max(self.lease_until, sent + lease - MAX_CLOCK_SKEW_MS)
 
-    def tick(self, now: int) -> tuple[FollowerAction, ...]:
+    def check_lease(self, now: int) -> tuple[FollowerAction, ...]:
         """Time passes: the lease may be over."""
-        over = self.at in (FollowerState.CURRENT, FollowerState.BEHIND) and now >= self.lease_until
-        return self._hear(FollowerEvent.OVER) if over else ()
+        over = self.state in (FollowerState.CURRENT, FollowerState.BEHIND) and now >= self.lease_until
+        return self._transition(FollowerEvent.OVER) if over else ()
 
     def binding_version(self, account: str, now: int, fallback: str = "") -> Version | None:
         """What binds a request of an account now; a lapsed lease lowers its ceiling."""
         found = self.book.binding_version(account, now, fallback)
-        return None if found is None else self.lowered(found, now)
+        return None if found is None else self.with_fallback_ceiling(found, now)
 
-    def lowered(self, version: Version, now: int) -> Version:
+    def with_fallback_ceiling(self, version: Version, now: int) -> Version:
         """A version as it binds here: with the lower ceiling once the lease is over."""
-        if self.at is not FollowerState.LAPSED:
+        if self.state is not FollowerState.LAPSED:
             return version
-        return replace(version, terms=self._lowered(version.terms, now))
+        return replace(version, terms=self._lower_terms(version.terms, now))
 
-    def _lowered(self, terms: Terms, now: int) -> Terms:
+    def _lower_terms(self, terms: Terms, now: int) -> Terms:
         rate, burst = self.book.lowest_ceiling(now)
         if rate <= 0:
             return terms
--- a/cypresspulley/plans/limiter.py
+++ b/cypresspulley/plans/limiter.py
@@ -118,8 +118,8 @@
 
     def _pending_instants(self, now: int) -> list[int]:
         """When other terms may have come into force since the last look, in order; now at last, if anything has."""
-        self.follower.tick(now)
-        state = (self.follower.book, self.follower.at is FollowerState.LAPSED)
+        self.follower.check_lease(now)
+        state = (self.follower.book, self.follower.state is FollowerState.LAPSED)
         if self._seen_state == state and now < self._next_effective_ms:
             return []
         due = {v.effective for v in self._versions() if self._next_effective_ms <= v.effective < now}
@@ -136,7 +136,9 @@
         """Whether other terms are in force at an instant than at the last one that was looked at."""
         before, book = self._in_force, self.follower.book
         found = (
-            self.follower.lowered(v, at) for plan in sorted(book.plans) if (v := book.version_at(plan, at))
+            self.follower.with_fallback_ceiling(v, at)
+            for plan in sorted(book.plans)
+            if (v := book.version_at(plan, at))
         )
         self._in_force = {version.plan: version for version in found}
         return before != self._in_force
@@ -176,7 +178,7 @@
             ceiling = _ceiling_share(old)
         for at in instants:
             if (version := self.follower.book.binding_version(ev.account, at, ev.plan)) is not None:
-                terms = self.follower.lowered(version, at).terms
+                terms = self.follower.with_fallback_ceiling(version, at).terms
                 ceiling = ceiling.with_limits(
                     at / 1000, *_limits_per_share(terms.ceiling_rate, terms.ceiling_burst, ev.gateways)
                 )
--- a/tests/plans/test_churn.py
+++ b/tests/plans/test_churn.py
@@ -78,15 +78,15 @@
 class Endless(Follower):
     """A lease that is never over."""
 
-    def tick(self, now: int) -> tuple[Any, ...]:
+    def check_lease(self, now: int) -> tuple[Any, ...]:
         return ()
 
 
 def test_without_its_lease_a_limiter_that_is_cut_off_goes_on_by_the_higher_ceiling() -> None:
     follower = test_follow.following(2)
     follower.__class__ = Endless
-    follower.change(1, Version("low", 10, Stamp(1, 3), test_follow.SMALL))
-    follower.tick(10**9)
+    follower.receive_change(1, Version("low", 10, Stamp(1, 3), test_follow.SMALL))
+    follower.check_lease(10**9)
     found = follower.binding_version("hotel", 10**9)
     assert found is not None and found.terms == test_follow.LARGE
 
@@ -102,7 +102,7 @@
 def test_an_epoch_ignored_is_convicted(monkeypatch: pytest.MonkeyPatch) -> None:
     check = test_follow.test_a_writer_that_was_replaced_is_fenced
     assert not fails(check)
-    monkeypatch.setattr(Follower, "_old_or_new", lambda self, epoch: None)
+    monkeypatch.setattr(Follower, "_compare_epoch", lambda self, epoch: None)
     assert fails(check)
 
 
--- a/tests/plans/test_events.py
+++ b/tests/plans/test_events.py
@@ -73,7 +73,7 @@
     counts = list[int]()
     for instant in (START - 5000, START + 30_000, END + 30_000):
         day = Day(now=100.0)
-        day.follower.whole(1, replace(plan_writer.book, installation="vadodara"), 100_000, 10_000_000)
+        day.follower.receive_book(1, replace(plan_writer.book, installation="vadodara"), 100_000, 10_000_000)
         day.world.advance(instant / 1000)
         counts.append(day.burst(0, 40))
     assert counts[1] > counts[0] and counts[1] > counts[2] and counts[0] == counts[2]
--- a/tests/plans/test_follow.py
+++ b/tests/plans/test_follow.py
@@ -37,7 +37,7 @@
 
 def following(last: int = 4, epoch: int = 1, sent: int = 0) -> Follower:
     follower = Follower("vadodara")
-    assert FollowerAction.REPLACE in follower.whole(epoch, book(last, epoch), sent, LEASE_MS)
+    assert FollowerAction.REPLACE in follower.receive_book(epoch, book(last, epoch), sent, LEASE_MS)
     return follower
 
 
@@ -52,23 +52,23 @@
 
 def test_a_gap_is_asked_for_and_nothing_behind_it_is_taken() -> None:
     follower = following()
-    assert follower.change(1, change(6)) == (FollowerAction.ASK_FROM,)
-    assert [follower.at] == [FollowerState.BEHIND]
-    assert follower.book == book(4) and follower.change(1, change(7)) == ()
-    assert FollowerAction.APPLY in follower.change(1, change(5)) and FollowerAction.APPLY in follower.change(
-        1, change(6)
-    )
-    assert follower.beat(1, Stamp(1, 6), 10, LEASE_MS) == (FollowerAction.RENEW,)
-    assert [follower.at] == [FollowerState.CURRENT]
-    assert follower.change(1, change(6)) == () and follower.book == book(6)
+    assert follower.receive_change(1, change(6)) == (FollowerAction.ASK_FROM,)
+    assert [follower.state] == [FollowerState.BEHIND]
+    assert follower.book == book(4) and follower.receive_change(1, change(7)) == ()
+    assert FollowerAction.APPLY in follower.receive_change(
+        1, change(5)
+    ) and FollowerAction.APPLY in follower.receive_change(1, change(6))
+    assert follower.receive_heartbeat(1, Stamp(1, 6), 10, LEASE_MS) == (FollowerAction.RENEW,)
+    assert [follower.state] == [FollowerState.CURRENT]
+    assert follower.receive_change(1, change(6)) == () and follower.book == book(6)
 
 
 def test_a_writer_that_was_replaced_is_fenced() -> None:
     follower = following(4, epoch=2)
     for actions in (
-        follower.change(1, change(5)),
-        follower.beat(1, Stamp(1, 9), 10, LEASE_MS),
-        follower.whole(1, book(9), 10, LEASE_MS),
+        follower.receive_change(1, change(5)),
+        follower.receive_heartbeat(1, Stamp(1, 9), 10, LEASE_MS),
+        follower.receive_book(1, book(9), 10, LEASE_MS),
     ):
         assert actions == (FollowerAction.DROP,)
     assert follower.book == book(4, 2) and follower.lease_until == LEASE_MS - MAX_CLOCK_SKEW_MS
@@ -76,46 +76,49 @@
 
 def test_a_new_writer_s_book_replaces_the_one_here() -> None:
     follower = following(6)
-    assert follower.change(2, change(5, 2)) == (FollowerAction.ASK_ALL,) and follower.book == book(6)
-    assert FollowerAction.REPLACE in follower.whole(2, book(4, 2), 10, LEASE_MS)
+    assert follower.receive_change(2, change(5, 2)) == (FollowerAction.ASK_ALL,) and follower.book == book(6)
+    assert FollowerAction.REPLACE in follower.receive_book(2, book(4, 2), 10, LEASE_MS)
     assert follower.epoch == 2 and follower.book == book(4, 2)
 
 
 def test_a_book_of_another_installation_is_dropped() -> None:
     follower = following()
-    assert follower.whole(9, Book("semien"), 0, LEASE_MS) == (FollowerAction.DROP,) and follower.book == book(
-        4
-    )
+    assert follower.receive_book(9, Book("semien"), 0, LEASE_MS) == (
+        FollowerAction.DROP,
+    ) and follower.book == book(4)
 
 
 def test_a_book_that_is_older_than_what_is_here_changes_nothing() -> None:
     follower = following(6)
-    assert follower.whole(1, book(4), 10, LEASE_MS) == () and follower.book == book(6)
+    assert follower.receive_book(1, book(4), 10, LEASE_MS) == () and follower.book == book(6)
 
 
 def test_when_the_lease_is_over_the_lower_ceiling_holds() -> None:
     follower = following(2)  # the hotel is on LARGE
-    follower.change(1, Version("low", 10, Stamp(1, 3), SMALL))
-    assert follower.tick(LEASE_MS - MAX_CLOCK_SKEW_MS - 1) == ()
+    follower.receive_change(1, Version("low", 10, Stamp(1, 3), SMALL))
+    assert follower.check_lease(LEASE_MS - MAX_CLOCK_SKEW_MS - 1) == ()
     bound = follower.binding_version("hotel", 100)
     assert bound is not None and bound.terms == LARGE
     assert (
-        follower.tick(LEASE_MS - MAX_CLOCK_SKEW_MS) == (FollowerAction.FALL_BACK,)
-        and follower.tick(LEASE_MS) == ()
+        follower.check_lease(LEASE_MS - MAX_CLOCK_SKEW_MS) == (FollowerAction.FALL_BACK,)
+        and follower.check_lease(LEASE_MS) == ()
     )
     bound = follower.binding_version("hotel", LEASE_MS)
     assert bound is not None and (bound.terms.ceiling_rate, bound.terms.ceiling_burst) == (2.0, 8.0)
     assert bound.terms.rate <= 2.0 and bound.terms.burst <= 8.0
-    assert follower.beat(1, Stamp(1, 3), 9000, LEASE_MS) == (FollowerAction.RENEW, FollowerAction.RECOVER)
+    assert follower.receive_heartbeat(1, Stamp(1, 3), 9000, LEASE_MS) == (
+        FollowerAction.RENEW,
+        FollowerAction.RECOVER,
+    )
     bound = follower.binding_version("hotel", 9001)
     assert bound is not None and bound.terms == LARGE
 
 
 def test_a_beat_that_was_long_under_way_carries_little_lease() -> None:
     follower = following()
-    follower.beat(1, Stamp(1, 4), 1000, LEASE_MS)
+    follower.receive_heartbeat(1, Stamp(1, 4), 1000, LEASE_MS)
     assert follower.lease_until == 1000 + LEASE_MS - MAX_CLOCK_SKEW_MS
-    follower.beat(1, Stamp(1, 4), 500, LEASE_MS)  # overtaken: it takes nothing away
+    follower.receive_heartbeat(1, Stamp(1, 4), 500, LEASE_MS)  # overtaken: it takes nothing away
     assert follower.lease_until == 1000 + LEASE_MS - MAX_CLOCK_SKEW_MS
 
 
@@ -133,17 +136,17 @@
         before = follower.epoch
         kind = rng.random()
         if kind < 0.6:
-            follower.change(epoch, change(seq, epoch))
+            follower.receive_change(epoch, change(seq, epoch))
         elif kind < 0.8:
-            follower.beat(epoch, Stamp(epoch, seq), rng.randint(0, 5000), LEASE_MS)
+            follower.receive_heartbeat(epoch, Stamp(epoch, seq), rng.randint(0, 5000), LEASE_MS)
         else:
-            follower.whole(epoch, book(seq, epoch), 0, LEASE_MS)
-        follower.tick(rng.randint(0, 9000))
+            follower.receive_book(epoch, book(seq, epoch), 0, LEASE_MS)
+        follower.check_lease(rng.randint(0, 9000))
         assert follower.epoch >= before
         known = follower.book.last_stamp.seq
         assert follower.book == (book(known, follower.epoch) if known else Book("vadodara"))
-    follower.whole(2, books[2], 9000, LEASE_MS)
-    assert follower.book == books[2] and follower.at is FollowerState.CURRENT
+    follower.receive_book(2, books[2], 9000, LEASE_MS)
+    assert follower.book == books[2] and follower.state is FollowerState.CURRENT
 
 
 @pytest.mark.parametrize("account", ["hotel", "unknown"])
--- a/tests/plans/test_limiter.py
+++ b/tests/plans/test_limiter.py
@@ -38,7 +38,7 @@
         for change in changes:
             self.book = self.book.with_change(change)
         self.follower, self.usage_recorder = Follower("vadodara"), UsageRecorder("n1", 1)
-        self.follower.whole(1, self.book, T0, lease)
+        self.follower.receive_book(1, self.book, T0, lease)
         gateway = self.world.gateway
         self.decisions = PlanBookDecisions(gateway, gateway, self.config, self.follower, self.usage_recorder)
         self.world.gateway = self.decisions  # type: ignore[assignment]
@@ -126,7 +126,7 @@
     day.burst(1, 1)
     plan = day.gateway.quotas.accounts["l", "hotel"].plan
     assert (plan.ceiling_rate, plan.ceiling_burst) == (2.0, 12.0)
-    day.follower.beat(1, Stamp(1, 3), 106_000, 10_000)
+    day.follower.receive_heartbeat(1, Stamp(1, 3), 106_000, 10_000)
     day.burst(2, 1)
     assert day.gateway.quotas.accounts["l", "hotel"].plan.ceiling_burst == 60.0
 
@@ -134,7 +134,7 @@
 def test_a_change_heard_of_binds_with_the_next_request() -> None:
     day = Day(version("l", 1, LARGE), version("s", 2, SMALL), assigned("l", 3))
     day.burst(0, 1)
-    day.follower.change(1, assigned("s", 4, T0 + 100))
+    day.follower.receive_change(1, assigned("s", 4, T0 + 100))
     day.world.advance(100.2)
     day.burst(1, 1)
     assert ("s", "hotel") in day.gateway.quotas.accounts
--- a/tests/plans/test_serve.py
+++ b/tests/plans/test_serve.py
@@ -82,7 +82,7 @@
         assert status == 200 and json.loads(told)["change"]["account"] == "hotel"
         for one in followed:
             await one.until(lambda one=one: one.follower.book == plan_writer.book)  # type: ignore[misc]
-            assert one.follower.at is FollowerState.CURRENT and "hotel" in one.follower.book.accounts
+            assert one.follower.state is FollowerState.CURRENT and "hotel" in one.follower.book.accounts
             one.channel.close()
 
     with_writer(play)
@@ -115,7 +115,7 @@
     async def play(publisher: Publisher, plan_writer: PlanWriter, address: tuple[str, int]) -> None:
         one = Followed(address, "wrong")
         await one.until(lambda: "401" in one.channel.why)
-        assert one.follower.at is FollowerState.EMPTY and publisher.follower_count == 0
+        assert one.follower.state is FollowerState.EMPTY and publisher.follower_count == 0
         one.channel.close()
 
     with_writer(play)
@@ -174,7 +174,7 @@
 
     async def play(publisher: Publisher, plan_writer: PlanWriter, address: tuple[str, int]) -> None:
         one = Followed(address)
-        await one.until(lambda: one.follower.at is FollowerState.CURRENT)
+        await one.until(lambda: one.follower.state is FollowerState.CURRENT)
         head = f"GET /v1/plans HTTP/1.1\r\nAuthorization: Bearer {TOKEN}\r\n\r\n"
         assert (await asked(address, head.encode()))[0] == 503
         one.channel.close()
@@ -216,7 +216,7 @@
         server = await asyncio.start_server(rude, "127.0.0.1", 0)
         one = Followed(server.sockets[0].getsockname()[:2])
         await one.until(lambda: bool(one.channel.why))
-        assert one.follower.at is FollowerState.EMPTY and one.follower.book.last_stamp.seq == 0
+        assert one.follower.state is FollowerState.EMPTY and one.follower.book.last_stamp.seq == 0
         one.channel.close()
         server.close()
 
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -105,7 +105,7 @@
         others: list[Any] = [FollowerStub() for _ in range(LARGE_FLEET_SIZE - 1)]
         publisher._follower_streams.update(others)
         one = Followed(address)
-        await one.until(lambda: one.follower.at is FollowerState.CURRENT)
+        await one.until(lambda: one.follower.state is FollowerState.CURRENT)
         assert publisher.follower_count == LARGE_FLEET_SIZE <= serve.MAX_FOLLOWERS
         one.channel.close()
         publisher._follower_streams.difference_update(others)
