--- a/cypresspulley/plans/command.py
+++ b/cypresspulley/plans/command.py
@@ -19,7 +19,7 @@
 from cypresspulley.plans.files import DiskFolder
 from cypresspulley.plans.plan_writer import PlanWriter
 from cypresspulley.plans.serve import PLANS_PATH, Publisher, unix_ms
-from cypresspulley.plans.store import Store, check
+from cypresspulley.plans.store import Store, check_generations
 from cypresspulley.plans.wishes import carry_out, difference, history, reservation_json
 
 DONE = 0
@@ -53,9 +53,9 @@
 
 def _reading(folder: Path) -> PlanWriter:
     """The office as it is stored, to look at: no lock, no new epoch, nothing written."""
-    if not folder.is_dir() or not check(DiskFolder(str(folder), write=False)):
+    if not folder.is_dir() or not check_generations(DiskFolder(str(folder), writable=False)):
         raise ValueError(f"{folder}: holds no plan book; expected the folder of one")
-    return PlanWriter(Store(DiskFolder(str(folder), write=False), read_only=True), new_epoch=False)
+    return PlanWriter(Store(DiskFolder(str(folder), writable=False), read_only=True), new_epoch=False)
 
 
 def serve(folder: Path, installation: str, host: str, port: int) -> int:
@@ -195,7 +195,7 @@
 def check_store(store: Path, as_json: bool) -> int:
     """What is damaged and what can be saved; 1 where no generation is good."""
     try:
-        found = check(DiskFolder(str(store), write=False))
+        found = check_generations(DiskFolder(str(store), writable=False))
     except OSError as error:
         return fail(error, BAD_INPUT)
     told = [{name: getattr(one, name) for name in one.__slots__} for one in found]
--- a/cypresspulley/plans/files.py
+++ b/cypresspulley/plans/files.py
@@ -16,7 +16,7 @@
     def sync(self) -> None:
         """Return when all that was written is on the disk."""
 
-    def cut(self, size: int) -> None:
+    def truncate(self, size: int) -> None:
         """Make it so many bytes long."""
 
     def close(self) -> None: ...
@@ -73,7 +73,7 @@
 
     def sync(self) -> None: ...
 
-    def cut(self, size: int) -> None:
+    def truncate(self, size: int) -> None:
         del self._data[size:]
 
     def close(self) -> None: ...
@@ -91,7 +91,7 @@
     def sync(self) -> None:
         os.fsync(self._fd)
 
-    def cut(self, size: int) -> None:
+    def truncate(self, size: int) -> None:
         os.ftruncate(self._fd, size)
 
     def close(self) -> None:
@@ -101,10 +101,10 @@
 class DiskFolder:
     """A real folder; one writer at a time holds its lock."""
 
-    def __init__(self, path: str, write: bool = True) -> None:
+    def __init__(self, path: str, writable: bool = True) -> None:
         self._path = path
         self._lock: int | None = None
-        if write:
+        if writable:
             os.makedirs(path, mode=0o700, exist_ok=True)
             self._lock = os.open(os.path.join(path, "lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
             try:
--- a/cypresspulley/plans/plan_writer.py
+++ b/cypresspulley/plans/plan_writer.py
@@ -56,7 +56,7 @@
             raise StoreError("installation: expected a name for a new store")
         if new_epoch:
             self.epoch += 1
-            self._store.put({"kind": "epoch", "epoch": self.epoch, "installation": self.book.installation})
+            self._store.add({"kind": "epoch", "epoch": self.epoch, "installation": self.book.installation})
             self._store.commit()
 
     def __repr__(self) -> str:
@@ -114,7 +114,7 @@
 
     def _commit(self, *records: Record) -> None:
         for record in records:
-            self._store.put(record)
+            self._store.add(record)
         self._store.commit()
         if self._store.needs_compaction:
             self.compact()
--- a/tests/plans/disk.py
+++ b/tests/plans/disk.py
@@ -86,7 +86,7 @@
         self._disk.step()
         self._data.synced = len(self._data.whole)
 
-    def cut(self, size: int) -> None:
+    def truncate(self, size: int) -> None:
         self._disk.step()
         del self._data.whole[size:]
         self._data.synced = min(self._data.synced, size)
--- a/tests/plans/test_store.py
+++ b/tests/plans/test_store.py
@@ -14,7 +14,15 @@
 from cypresspulley.plans.files import DiskFolder
 from cypresspulley.plans.plan_writer import PlanWriter
 from cypresspulley.plans.reservations import ReservationRequest, ReservationState
-from cypresspulley.plans.store import HEAD, Record, Store, StoreError, check, framed, read
+from cypresspulley.plans.store import (
+    FILE_HEADER,
+    Record,
+    Store,
+    StoreError,
+    check_generations,
+    encode_frame,
+    read_log,
+)
 from tests.plans.disk import CrashError, Disk
 
 
@@ -25,10 +33,10 @@
 def test_commits_survive_and_what_was_not_committed_is_gone() -> None:
     disk = Disk()
     store = Store(disk)
-    store.put({"n": 1})
-    store.put({"n": 2})
+    store.add({"n": 1})
+    store.add({"n": 2})
     store.commit()
-    store.put({"n": 3})
+    store.add({"n": 3})
     assert plain(Store(disk)) == [{"n": 1}, {"n": 2}]
 
 
@@ -52,7 +60,7 @@
             for number, size in enumerate(groups):
                 sent.append([{"n": len(acknowledged) + k, "life": lives} for k in range(size)])
                 for record in sent[-1]:
-                    store.put(record)
+                    store.add(record)
                 store.commit()
                 acknowledged = acknowledged + sent[-1]
                 if number == compact_after:
@@ -67,10 +75,10 @@
 def test_a_full_disk_takes_nothing_and_loses_nothing() -> None:
     disk = Disk()
     store = Store(disk)
-    store.put({"n": 1})
+    store.add({"n": 1})
     store.commit()
     disk.room = 10
-    store.put({"n": 2, "text": "x" * 50})
+    store.add({"n": 2, "text": "x" * 50})
     with pytest.raises(OSError, match="no space"):
         store.commit()
     with pytest.raises(OSError, match="takes nothing more"):
@@ -82,7 +90,7 @@
     disk = Disk()
     store = Store(disk)
     for n in range(4):
-        store.put({"n": n})
+        store.add({"n": n})
         store.commit()
     (name,) = disk.names()
     data = bytearray(disk.read(name))
@@ -91,7 +99,7 @@
     disk._live[name].whole = data
     with pytest.raises(StoreError, match=rf"{name}: damaged at byte \d+, with 2 good records"):
         Store(disk)
-    (found,) = check(disk)
+    (found,) = check_generations(disk)
     assert found.damaged_at is not None and found.saved == 2 and not found.good and "DAMAGED" in str(found)
     assert disk.read(name) == bytes(data)
 
@@ -101,17 +109,17 @@
     Store(disk)
     (name,) = disk.names()
     whole = len(disk.read(name))
-    disk._live[name].whole += framed([{"n": 1}])[:-1]
-    (found,) = check(disk)
-    assert found.torn == len(framed([{"n": 1}])) - 1 and found.good
+    disk._live[name].whole += encode_frame([{"n": 1}])[:-1]
+    (found,) = check_generations(disk)
+    assert found.torn == len(encode_frame([{"n": 1}])) - 1 and found.good
     Store(disk)
     assert len(disk.read(name)) == whole
 
 
 @given(st.binary(max_size=200))
 def test_whatever_bytes_are_read_without_an_error(data: bytes) -> None:
-    seen = read(HEAD + data)
-    assert (seen.end <= seen.size and read(data).records == ()) or data.startswith(HEAD)
+    seen = read_log(FILE_HEADER + data)
+    assert (seen.end <= seen.size and read_log(data).records == ()) or data.startswith(FILE_HEADER)
 
 
 def test_one_writer_at_a_time(tmp_path: Path) -> None:
@@ -119,7 +127,7 @@
     with pytest.raises(OSError, match="one writer at a time"):
         DiskFolder(str(tmp_path))
     store = Store(folder)
-    store.put({"n": 1})
+    store.add({"n": 1})
     store.commit()
     store.compact([{"n": 1}])
     store.close()
