--- a/cypresspulley/plans/plan_writer.py
+++ b/cypresspulley/plans/plan_writer.py
@@ -24,8 +24,13 @@
     check_new_change,
 )  # fmt: skip
 from cypresspulley.plans.bucket_level import max_ceiling_overshoot
-from cypresspulley.plans.events import MARK, drawn, event_plan, event_terms
 from cypresspulley.plans.lease import LEASE_MS
+from cypresspulley.plans.reservation_plans import (
+    NAME_SEPARATOR,
+    drawn_units,
+    reservation_plan_name,
+    reservation_plan_terms,
+)
 from cypresspulley.plans.reservations import (
     MICRO_PER_UNIT,
     TERMINAL_STATES,
@@ -248,7 +253,7 @@
             raise BookError(
                 f"start, end: {request.account} has another reservation then; expected one at a time"
             )
-        one.plan = event_plan(base.plan, request.key)
+        one.plan = reservation_plan_name(base.plan, request.key)
         epoch, seq, end = (
             self.epoch,
             self._next_stamp.seq,
@@ -256,7 +261,7 @@
         )
         told = ("reservations", f"reservation {request.key}")
         return [
-            Version(one.plan, start, Stamp(epoch, seq), event_terms(base.terms, request), *told),
+            Version(one.plan, start, Stamp(epoch, seq), reservation_plan_terms(base.terms, request), *told),
             Assignment(
                 request.account,
                 self._next_free_instant(request.account, start),
@@ -310,7 +315,7 @@
 
     def _changes_for_release(self, one: Reservation, now: int) -> list[Change]:
         """The account's way off the event's plan at once; what would have put it there or back later is withdrawn."""
-        plan, _, _ = one.plan.rpartition(MARK)
+        plan, _, _ = one.plan.rpartition(NAME_SEPARATOR)
         if not plan:
             return []
         account, seq = one.request.account, self._next_stamp.seq
@@ -340,7 +345,7 @@
                 one.draining_since = one.draining_since or now
                 if now >= one.draining_since + SETTLE_DELAY_MS:
                     self.reservations.settle(
-                        one.request.key, FLEET_DRAW_KEY, drawn(one.request, self._reported_usage(one))
+                        one.request.key, FLEET_DRAW_KEY, drawn_units(one.request, self._reported_usage(one))
                     )
                     changed.append(one)
         unique = {id(one): one for one in changed}
--- a/cypresspulley/plans/events.py
+++ b/cypresspulley/plans/reservation_plans.py
@@ -12,25 +12,25 @@
 from cypresspulley.plans.book import BookError, Terms
 from cypresspulley.plans.reservations import MICRO_PER_UNIT, ReservationRequest
 
-AT_ONCE = 0.1  # of a reservation, that may be drawn in a moment
-MARK = "+"  # between a plan's name and the reservation's key
+BURST_SHARE = 0.1  # of a reservation, that may be drawn in a moment
+NAME_SEPARATOR = "+"  # between a plan's name and the reservation's key
 
 
-def event_plan(plan: str, key: str) -> str:
-    return f"{plan}{MARK}{key}"
+def reservation_plan_name(plan: str, key: str) -> str:
+    return f"{plan}{NAME_SEPARATOR}{key}"
 
 
-def event_terms(base: Terms, wish: ReservationRequest) -> Terms:
+def reservation_plan_terms(base: Terms, request: ReservationRequest) -> Terms:
     """The account's terms with the reservation on top; ``BookError`` where they would stand above the ceiling."""
-    units, seconds = wish.units / MICRO_PER_UNIT, (wish.end - wish.start) / 1000
+    units, seconds = request.units / MICRO_PER_UNIT, (request.end - request.start) / 1000
     terms = replace(
-        base, rate=base.rate + (1 - AT_ONCE) * units / seconds, burst=base.burst + AT_ONCE * units
+        base, rate=base.rate + (1 - BURST_SHARE) * units / seconds, burst=base.burst + BURST_SHARE * units
     )
     if (problem := next(terms.problems(), None)) is not None:
         raise BookError(f"units: with them the plan would not hold: {problem}")
     return terms
 
 
-def drawn(wish: ReservationRequest, used: int) -> int:
+def drawn_units(request: ReservationRequest, used: int) -> int:
     """Micro-units of the reservation that so much use under the event's plan has drawn."""
-    return max(0, min(wish.units, used))
+    return max(0, min(request.units, used))
--- a/tests/plans/test_events.py
+++ b/tests/plans/test_events.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 
 from cypresspulley.plans.book import BookError, Stamp, Terms
-from cypresspulley.plans.events import drawn, event_plan, event_terms
 from cypresspulley.plans.plan_writer import SETTLE_DELAY_MS, PlanWriter
+from cypresspulley.plans.reservation_plans import drawn_units, reservation_plan_name, reservation_plan_terms
 from cypresspulley.plans.reservations import MICRO_PER_UNIT, ReservationRequest, ReservationState
 from cypresspulley.plans.store import Store
 from cypresspulley.plans.usage import UsageKey, UsageRecord
@@ -20,7 +20,7 @@
 BASE = Terms(2.0, 8.0, 20.0, 200.0)
 START, END = 120_000, 180_000
 WISH = ReservationRequest("wedding", "hotel", START, END, 300 * MICRO_PER_UNIT, "a wedding")
-PLAN = event_plan("p", "wedding")
+PLAN = reservation_plan_name("p", "wedding")
 
 
 def plan_writer_with(wish: ReservationRequest = WISH, disk: Disk | None = None) -> PlanWriter:
@@ -40,10 +40,10 @@
 def test_no_more_than_the_reservation_can_be_drawn_beyond_the_plan(units: float, seconds: int) -> None:
     wish = ReservationRequest("k", "hotel", 0, seconds * 1000, round(units * MICRO_PER_UNIT))
     base = Terms(2.0, 8.0)
-    terms = event_terms(base, wish)
+    terms = reservation_plan_terms(base, wish)
     most = (terms.burst - base.burst) + (terms.rate - base.rate) * seconds
     assert most == pytest.approx(wish.units / MICRO_PER_UNIT)
-    assert drawn(wish, wish.units * 2) == wish.units and drawn(wish, -5) == 0
+    assert drawn_units(wish, wish.units * 2) == wish.units and drawn_units(wish, -5) == 0
 
 
 def test_what_would_stand_above_the_ceiling_is_refused_whole() -> None:
