--- a/cypresspulley/plans/command.py
+++ b/cypresspulley/plans/command.py
@@ -18,8 +18,8 @@
 from cypresspulley.plans.book import Book, Change, Version, Withdrawal
 from cypresspulley.plans.files import DiskFolder
 from cypresspulley.plans.plan_writer import PlanWriter
-from cypresspulley.plans.serve import PATH, Publisher, unix_ms
-from cypresspulley.plans.store import Store, check
+from cypresspulley.plans.serve import PLANS_PATH, Publisher, unix_ms
+from cypresspulley.plans.store import Store, check_generations
 from cypresspulley.plans.wishes import carry_out, difference, history, reservation_json
 
 DONE = 0
@@ -53,9 +53,9 @@
 
 def _reading(folder: Path) -> PlanWriter:
     """The office as it is stored, to look at: no lock, no new epoch, nothing written."""
-    if not folder.is_dir() or not check(DiskFolder(str(folder), write=False)):
+    if not folder.is_dir() or not check_generations(DiskFolder(str(folder), writable=False)):
         raise ValueError(f"{folder}: holds no plan book; expected the folder of one")
-    return PlanWriter(Store(DiskFolder(str(folder), write=False), read_only=True), new_epoch=False)
+    return PlanWriter(Store(DiskFolder(str(folder), writable=False), read_only=True), new_epoch=False)
 
 
 def serve(folder: Path, installation: str, host: str, port: int) -> int:
@@ -88,7 +88,9 @@
     await publisher.close()
 
 
-def wish(raw: dict[str, Any], store: Path | None, to: str | None, installation: str, as_json: bool) -> int:
+def run_operation(
+    raw: dict[str, Any], store: Path | None, to: str | None, installation: str, as_json: bool
+) -> int:
     """One change, by the writer that serves, or by this process where none does."""
     try:
         if to is not None:
@@ -115,7 +117,7 @@
     connection = http.client.HTTPConnection(host, int(port), timeout=CALL_WAIT)
     try:
         headers = {"Authorization": f"Bearer {os.environ.get(TOKEN, '')}"}
-        connection.request("POST", PATH, json.dumps(raw), headers)
+        connection.request("POST", PLANS_PATH, json.dumps(raw), headers)
         answer = connection.getresponse()
         return answer.status, json.loads(answer.read(1 << 20))
     finally:
@@ -134,7 +136,7 @@
     return "\n".join(lines)
 
 
-def show(store: Path, at: int | None, as_json: bool) -> int:
+def show_in_force(store: Path, at: int | None, as_json: bool) -> int:
     """What is in force."""
     try:
         plan_writer = _reading(store)
@@ -151,7 +153,7 @@
         for name in sorted(plan_writer.book.accounts)
         if (a := plan_writer.book.assignment_at(name, at)) is not None
     ]
-    reservations = [reservation_json(one) for one in plan_writer.reservations.all.values()]
+    reservations = [reservation_json(one) for one in plan_writer.reservations.by_key.values()]
     told = {
         "installation": plan_writer.book.installation, "epoch": plan_writer.epoch, "digest": plan_writer.book.digest(),
         "plans": list(map(books.as_json, plans)), "accounts": list(map(books.as_json, found)),
@@ -163,7 +165,7 @@
     return DONE
 
 
-def past(store: Path, name: str, as_json: bool) -> int:
+def show_history(store: Path, name: str, as_json: bool) -> int:
     """All that was said of one account or plan."""
     try:
         found = history(_reading(store).book, name)
@@ -173,7 +175,7 @@
     return DONE
 
 
-def diff(one: Path, other: Path, as_json: bool) -> int:
+def show_difference(one: Path, other: Path, as_json: bool) -> int:
     """1 where the two books differ."""
     try:
         old, new = _reading(one).book, _reading(other).book
@@ -190,10 +192,10 @@
     return f"{len(book.changes_by_stamp)}, digest {book.digest()}"
 
 
-def examine(store: Path, as_json: bool) -> int:
+def check_store(store: Path, as_json: bool) -> int:
     """What is damaged and what can be saved; 1 where no generation is good."""
     try:
-        found = check(DiskFolder(str(store), write=False))
+        found = check_generations(DiskFolder(str(store), writable=False))
     except OSError as error:
         return fail(error, BAD_INPUT)
     told = [{name: getattr(one, name) for name in one.__slots__} for one in found]
--- a/cypresspulley/plans/wishes.py
+++ b/cypresspulley/plans/wishes.py
@@ -11,7 +11,7 @@
 
 from cypresspulley.plans import book as books
 from cypresspulley.plans.book import Book, BookError, Change, Version, Withdrawal
-from cypresspulley.plans.lease import LEASE
+from cypresspulley.plans.lease import LEASE_MS
 from cypresspulley.plans.plan_writer import PlanWriter
 from cypresspulley.plans.reservations import MICRO_PER_UNIT, Reservation, ReservationError, ReservationRequest
 from cypresspulley.plans.usage import parse_usage_record
@@ -96,17 +96,17 @@
 def _change(
     plan_writer: PlanWriter, kind: str, keys: _Raw, author: str, now: int, dry: bool
 ) -> dict[str, Any]:
-    effective, reason = keys.instant("effective", now, now + LEASE), keys.text("reason", "")
+    effective, reason = keys.instant("effective", now, now + LEASE_MS), keys.text("reason", "")
     change: Change
     if kind == "change":
         terms = books.parse_terms(keys.keys.get("terms"), "terms")
-        change = plan_writer.version(keys.text("plan"), terms, effective, now, author, reason, dry=True)
+        change = plan_writer.set_terms(keys.text("plan"), terms, effective, now, author, reason, dry=True)
     else:
         told = keys.text("account"), keys.text("plan")
-        change = plan_writer.assign(*told, effective, now, author, reason, dry=True)
-    passed = plan_writer.passed_by(change, now)
+        change = plan_writer.assign_plan(*told, effective, now, author, reason, dry=True)
+    passed = plan_writer.find_ceiling_overshoots(change, now)
     if not dry:
-        plan_writer.take(change, now)
+        plan_writer.write_change(change, now)
     return {"change": books.as_json(change), "passed_by": passed}
 
 
@@ -120,9 +120,9 @@
 
 def reservation_json(one: Reservation) -> dict[str, Any]:
     """A reservation for people and programs: units as numbers."""
-    w = one.wish
+    w = one.request
     return {
-        "key": w.key, "account": w.account, "start": w.start, "end": w.end, "purpose": w.purpose, "at": one.at.value,
+        "key": w.key, "account": w.account, "start": w.start, "end": w.end, "purpose": w.purpose, "at": one.state.value,
         "units": w.units / MICRO_PER_UNIT, "drawn": one.drawn / MICRO_PER_UNIT, "given_back": one.given_back / MICRO_PER_UNIT,
     }  # fmt: skip
 
--- a/tests/plans/test_events.py
+++ b/tests/plans/test_events.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 
 from cypresspulley.plans.book import BookError, Stamp, Terms
-from cypresspulley.plans.events import drawn, event_plan, event_terms
-from cypresspulley.plans.plan_writer import SETTLE, PlanWriter
+from cypresspulley.plans.plan_writer import SETTLE_DELAY_MS, PlanWriter
+from cypresspulley.plans.reservation_plans import drawn_units, reservation_plan_name, reservation_plan_terms
 from cypresspulley.plans.reservations import MICRO_PER_UNIT, ReservationRequest, ReservationState
 from cypresspulley.plans.store import Store
 from cypresspulley.plans.usage import UsageKey, UsageRecord
@@ -20,14 +20,14 @@
 BASE = Terms(2.0, 8.0, 20.0, 200.0)
 START, END = 120_000, 180_000
 WISH = ReservationRequest("wedding", "hotel", START, END, 300 * MICRO_PER_UNIT, "a wedding")
-PLAN = event_plan("p", "wedding")
+PLAN = reservation_plan_name("p", "wedding")
 
 
 def plan_writer_with(wish: ReservationRequest = WISH, disk: Disk | None = None) -> PlanWriter:
     plan_writer = PlanWriter(Store(disk or Disk()), "vadodara")
-    plan_writer.version("p", BASE, 90_000, 90_000, "m")
-    plan_writer.assign("hotel", "p", 90_000, 90_000, "m")
-    assert plan_writer.reserve(wish, 100_000, 1000.0).at is ReservationState.HELD
+    plan_writer.set_terms("p", BASE, 90_000, 90_000, "m")
+    plan_writer.assign_plan("hotel", "p", 90_000, 90_000, "m")
+    assert plan_writer.reserve(wish, 100_000, 1000.0).state is ReservationState.HELD
     return plan_writer
 
 
@@ -40,21 +40,21 @@
 def test_no_more_than_the_reservation_can_be_drawn_beyond_the_plan(units: float, seconds: int) -> None:
     wish = ReservationRequest("k", "hotel", 0, seconds * 1000, round(units * MICRO_PER_UNIT))
     base = Terms(2.0, 8.0)
-    terms = event_terms(base, wish)
+    terms = reservation_plan_terms(base, wish)
     most = (terms.burst - base.burst) + (terms.rate - base.rate) * seconds
     assert most == pytest.approx(wish.units / MICRO_PER_UNIT)
-    assert drawn(wish, wish.units * 2) == wish.units and drawn(wish, -5) == 0
+    assert drawn_units(wish, wish.units * 2) == wish.units and drawn_units(wish, -5) == 0
 
 
 def test_what_would_stand_above_the_ceiling_is_refused_whole() -> None:
     disk = Disk()
     plan_writer = plan_writer_with(disk=disk)
-    before, changes = disk.read(disk.names()[0]), len(plan_writer.log)
+    before, changes = disk.read(disk.names()[0]), len(plan_writer.changes)
     with pytest.raises(BookError, match="ceiling: expected at least the quota"):
         plan_writer.reserve(
             ReservationRequest("more", "hotel", 200_000, 201_000, 30 * MICRO_PER_UNIT), 100_000, 1000.0
         )
-    assert "more" not in plan_writer.reservations.all and len(plan_writer.log) == changes
+    assert "more" not in plan_writer.reservations.by_key and len(plan_writer.changes) == changes
     assert disk.read(disk.names()[0]) == before
 
 
@@ -73,7 +73,7 @@
     counts = list[int]()
     for instant in (START - 5000, START + 30_000, END + 30_000):
         day = Day(now=100.0)
-        day.follower.whole(1, replace(plan_writer.book, installation="vadodara"), 100_000, 10_000_000)
+        day.follower.receive_book(1, replace(plan_writer.book, installation="vadodara"), 100_000, 10_000_000)
         day.world.advance(instant / 1000)
         counts.append(day.burst(0, 40))
     assert counts[1] > counts[0] and counts[1] > counts[2] and counts[0] == counts[2]
@@ -81,17 +81,17 @@
 
 def test_a_release_while_drawn_on_settles_by_what_limiters_tell() -> None:
     plan_writer = plan_writer_with()
-    assert [one.at for one in plan_writer.tick(START)] == [ReservationState.ACTIVE]
+    assert [one.state for one in plan_writer.tick(START)] == [ReservationState.ACTIVE]
     used(plan_writer, 40, 1)
     one = plan_writer.release("wedding", START + 10_000)
-    assert one.at is ReservationState.DRAINING and one.given_back == 0
+    assert one.state is ReservationState.DRAINING and one.given_back == 0
     found = plan_writer.book.binding_version("hotel", START + 10_001)
     assert found is not None and found.plan == "p"
     used(plan_writer, 25, 2)  # in flight at the release
     assert plan_writer.release("wedding", START + 11_000) is one and plan_writer.tick(START + 11_000) == []
-    assert len(plan_writer.log) == 7  # one way back, and the later one withdrawn, whoever releases again
-    plan_writer.tick(START + 10_000 + SETTLE)
-    assert plan_writer.reservations.all["wedding"].at is ReservationState.RELEASED
+    assert len(plan_writer.changes) == 7  # one way back, and the later one withdrawn, whoever releases again
+    plan_writer.tick(START + 10_000 + SETTLE_DELAY_MS)
+    assert plan_writer.reservations.by_key["wedding"].state is ReservationState.RELEASED
     assert one.drawn == 65 * MICRO_PER_UNIT and one.given_back == 235 * MICRO_PER_UNIT
     used(plan_writer, 3, 3)  # a day late
     assert one.corrections == 3 * MICRO_PER_UNIT and one.given_back == 235 * MICRO_PER_UNIT
@@ -103,23 +103,23 @@
     used(plan_writer, 400, 1)
     used(plan_writer, 50, 2, "p")
     plan_writer.tick(END)
-    plan_writer.tick(END + SETTLE)
-    one = plan_writer.reservations.all["wedding"]
-    assert one.at is ReservationState.EXPIRED and one.drawn == WISH.units and one.given_back == 0
+    plan_writer.tick(END + SETTLE_DELAY_MS)
+    one = plan_writer.reservations.by_key["wedding"]
+    assert one.state is ReservationState.EXPIRED and one.drawn == WISH.units and one.given_back == 0
 
 
 def test_a_release_before_the_window_takes_the_account_off_it() -> None:
     plan_writer = plan_writer_with()
-    assert plan_writer.release("wedding", 110_000).at is ReservationState.RELEASED
+    assert plan_writer.release("wedding", 110_000).state is ReservationState.RELEASED
     assert [a.plan for a in plan_writer.book.accounts["hotel"]] == ["p"]
 
 
 def test_where_an_account_is_put_after_a_release_it_stays() -> None:
     plan_writer = plan_writer_with()
-    plan_writer.version("low", Terms(1.0, 4.0, 2.0, 8.0), 100_000, 100_000, "m")
+    plan_writer.set_terms("low", Terms(1.0, 4.0, 2.0, 8.0), 100_000, 100_000, "m")
     plan_writer.tick(START)
     plan_writer.release("wedding", START + 1000)
-    plan_writer.assign("hotel", "low", START + 2000, START + 2000, "m")
+    plan_writer.assign_plan("hotel", "low", START + 2000, START + 2000, "m")
     bound = [
         v.plan
         for at in (START + 1500, START + 2000, END)
@@ -136,19 +136,19 @@
     plan_writer.release("wedding", START + 1000)
     again = PlanWriter(Store(disk), "vadodara")
     used(again, 5, 2)
-    again.tick(START + 1000 + SETTLE)
-    one = again.reservations.all["wedding"]
-    assert one.at is ReservationState.RELEASED and one.drawn == 15 * MICRO_PER_UNIT
+    again.tick(START + 1000 + SETTLE_DELAY_MS)
+    one = again.reservations.by_key["wedding"]
+    assert one.state is ReservationState.RELEASED and one.drawn == 15 * MICRO_PER_UNIT
     used(again, 2, 3)
     again.compact()
-    last = PlanWriter(Store(disk), "vadodara").reservations.all["wedding"]
+    last = PlanWriter(Store(disk), "vadodara").reservations.by_key["wedding"]
     assert (last.drawn, last.corrections, last.plan) == (15 * MICRO_PER_UNIT, 2 * MICRO_PER_UNIT, PLAN)
 
 
 def test_an_account_with_a_reservation_stays_where_it_is() -> None:
     plan_writer = plan_writer_with()
     with pytest.raises(BookError, match="has reservation wedding then; release it first"):
-        plan_writer.assign("hotel", "p", START + 5, 100_000, "m")
-    plan_writer.assign("hotel", "p", END + 5, 100_000, "m")
+        plan_writer.assign_plan("hotel", "p", START + 5, 100_000, "m")
+    plan_writer.assign_plan("hotel", "p", END + 5, 100_000, "m")
     with pytest.raises(BookError, match="another reservation then"):
         plan_writer.reserve(ReservationRequest("b", "hotel", END - 5, END + 5, 1), 100_000, 1000.0)
--- a/tests/plans/test_store.py
+++ b/tests/plans/test_store.py
@@ -14,7 +14,15 @@
 from cypresspulley.plans.files import DiskFolder
 from cypresspulley.plans.plan_writer import PlanWriter
 from cypresspulley.plans.reservations import ReservationRequest, ReservationState
-from cypresspulley.plans.store import HEAD, Record, Store, StoreError, check, framed, read
+from cypresspulley.plans.store import (
+    FILE_HEADER,
+    Record,
+    Store,
+    StoreError,
+    check_generations,
+    encode_frame,
+    read_log,
+)
 from tests.plans.disk import CrashError, Disk
 
 
@@ -25,10 +33,10 @@
 def test_commits_survive_and_what_was_not_committed_is_gone() -> None:
     disk = Disk()
     store = Store(disk)
-    store.put({"n": 1})
-    store.put({"n": 2})
+    store.add({"n": 1})
+    store.add({"n": 2})
     store.commit()
-    store.put({"n": 3})
+    store.add({"n": 3})
     assert plain(Store(disk)) == [{"n": 1}, {"n": 2}]
 
 
@@ -41,7 +49,7 @@
     rng, disk, acknowledged, sent = Random(seed), Disk(), list[Record](), list[list[Record]]()
     lives = 0
     while lives < 3:
-        disk.left = left + lives
+        disk.operations_left = left + lives
         try:
             store = Store(disk)
             state = plain(store)
@@ -52,7 +60,7 @@
             for number, size in enumerate(groups):
                 sent.append([{"n": len(acknowledged) + k, "life": lives} for k in range(size)])
                 for record in sent[-1]:
-                    store.put(record)
+                    store.add(record)
                 store.commit()
                 acknowledged = acknowledged + sent[-1]
                 if number == compact_after:
@@ -67,10 +75,10 @@
 def test_a_full_disk_takes_nothing_and_loses_nothing() -> None:
     disk = Disk()
     store = Store(disk)
-    store.put({"n": 1})
+    store.add({"n": 1})
     store.commit()
     disk.room = 10
-    store.put({"n": 2, "text": "x" * 50})
+    store.add({"n": 2, "text": "x" * 50})
     with pytest.raises(OSError, match="no space"):
         store.commit()
     with pytest.raises(OSError, match="takes nothing more"):
@@ -82,7 +90,7 @@
     disk = Disk()
     store = Store(disk)
     for n in range(4):
-        store.put({"n": n})
+        store.add({"n": n})
         store.commit()
     (name,) = disk.names()
     data = bytearray(disk.read(name))
@@ -91,7 +99,7 @@
     disk._live[name].whole = data
     with pytest.raises(StoreError, match=rf"{name}: damaged at byte \d+, with 2 good records"):
         Store(disk)
-    (found,) = check(disk)
+    (found,) = check_generations(disk)
     assert found.damaged_at is not None and found.saved == 2 and not found.good and "DAMAGED" in str(found)
     assert disk.read(name) == bytes(data)
 
@@ -101,17 +109,17 @@
     Store(disk)
     (name,) = disk.names()
     whole = len(disk.read(name))
-    disk._live[name].whole += framed([{"n": 1}])[:-1]
-    (found,) = check(disk)
-    assert found.torn == len(framed([{"n": 1}])) - 1 and found.good
+    disk._live[name].whole += encode_frame([{"n": 1}])[:-1]
+    (found,) = check_generations(disk)
+    assert found.torn == len(encode_frame([{"n": 1}])) - 1 and found.good
     Store(disk)
     assert len(disk.read(name)) == whole
 
 
 @given(st.binary(max_size=200))
 def test_whatever_bytes_are_read_without_an_error(data: bytes) -> None:
-    seen = read(HEAD + data)
-    assert (seen.end <= seen.size and read(data).records == ()) or data.startswith(HEAD)
+    seen = read_log(FILE_HEADER + data)
+    assert (seen.end <= seen.size and read_log(data).records == ()) or data.startswith(FILE_HEADER)
 
 
 def test_one_writer_at_a_time(tmp_path: Path) -> None:
@@ -119,7 +127,7 @@
     with pytest.raises(OSError, match="one writer at a time"):
         DiskFolder(str(tmp_path))
     store = Store(folder)
-    store.put({"n": 1})
+    store.add({"n": 1})
     store.commit()
     store.compact([{"n": 1}])
     store.close()
@@ -140,13 +148,13 @@
     def check(self, plan_writer: PlanWriter) -> None:
         assert plan_writer.epoch > self.epoch and plan_writer.book.digest() in self.books
         for key, states in self.reserved.items():
-            found = plan_writer.reservations.all.get(key)
-            assert (found.at if found is not None else None) in states
+            found = plan_writer.reservations.by_key.get(key)
+            assert (found.state if found is not None else None) in states
         self.acknowledge(plan_writer)
 
     def acknowledge(self, plan_writer: PlanWriter) -> None:
         self.epoch, self.books = plan_writer.epoch, {plan_writer.book.digest()}
-        self.reserved = {key: {one.at} for key, one in plan_writer.reservations.all.items()}
+        self.reserved = {key: {one.state} for key, one in plan_writer.reservations.by_key.items()}
 
 
 def outcome_of(plan_writer: PlanWriter, disk: Disk, do: Callable[[PlanWriter], object]) -> str:
@@ -164,9 +172,9 @@
     """One thing that an operator wants; the model hears first what may come of it."""
     do: Callable[[PlanWriter], object] | None = None
     if step == 0 or "p" not in plan_writer.book.plans:
-        do = lambda o: o.version("p", TERMS[number % 2], now, now, "m")  # noqa: E731
+        do = lambda o: o.set_terms("p", TERMS[number % 2], now, now, "m")  # noqa: E731
     elif step == 1:
-        do = lambda o: o.assign("hotel", "p", now, now, "m")  # noqa: E731
+        do = lambda o: o.assign_plan("hotel", "p", now, now, "m")  # noqa: E731
     elif step == 2 and plan_writer.book.assignment_at("hotel", now) is not None:
         wish = ReservationRequest(f"ev{now}", "hotel", now + 50, now + 60, 1)
         model.reserved[wish.key] = {None, ReservationState.HELD, ReservationState.REFUSED}
@@ -195,7 +203,7 @@
     """No change lost, none half there, no reservation made or given back twice, and epochs only grow."""
     rng, disk, model, now = Random(seed), Disk(), Model(), 1000
     for life in range(4):
-        disk.left = None if life == 3 else left + life
+        disk.operations_left = None if life == 3 else left + life
         try:
             plan_writer = PlanWriter(Store(disk), "vadodara")
             model.check(plan_writer)
@@ -219,11 +227,11 @@
 def test_what_is_refused_changes_nothing() -> None:
     disk = Disk()
     plan_writer = PlanWriter(Store(disk), "vadodara")
-    plan_writer.version("p", TERMS[0], 1000, 1000, "m")
+    plan_writer.set_terms("p", TERMS[0], 1000, 1000, "m")
     before, digest = disk.read(disk.names()[0]), plan_writer.book.digest()
     for bad in (Terms(float("inf"), 1), Terms(1, 1, 0.5, 1)):
         with pytest.raises(BookError):
-            plan_writer.version("p", bad, 2000, 1000, "m")
+            plan_writer.set_terms("p", bad, 2000, 1000, "m")
     with pytest.raises(BookError, match="has no plan"):
         plan_writer.reserve(ReservationRequest("k", "inn", 2000, 3000, 1), 1000, 1e6)
     assert disk.read(disk.names()[0]) == before and plan_writer.book.digest() == digest
@@ -232,15 +240,17 @@
 def test_a_full_disk_refuses_a_reservation_and_a_release_whole() -> None:
     disk = Disk()
     plan_writer = PlanWriter(Store(disk), "vadodara")
-    plan_writer.version("p", TERMS[0], 1000, 1000, "m")
-    plan_writer.assign("hotel", "p", 1000, 1000, "m")
+    plan_writer.set_terms("p", TERMS[0], 1000, 1000, "m")
+    plan_writer.assign_plan("hotel", "p", 1000, 1000, "m")
     plan_writer.reserve(ReservationRequest("a", "hotel", 2000, 3000, 1), 1000, 1e6)
     disk.room = 3
     with pytest.raises(OSError):
         plan_writer.release("a", 1000)
-    assert plan_writer.reservations.all["a"].at is ReservationState.HELD
+    assert plan_writer.reservations.by_key["a"].state is ReservationState.HELD
     with pytest.raises(OSError):
         plan_writer.reserve(ReservationRequest("b", "hotel", 4000, 5000, 1), 1000, 1e6)
-    assert "b" not in plan_writer.reservations.all
+    assert "b" not in plan_writer.reservations.by_key
     found = PlanWriter(Store(disk.after_crash(Random(1))), "vadodara")
-    assert found.reservations.all["a"].at is ReservationState.HELD and "b" not in found.reservations.all
+    assert (
+        found.reservations.by_key["a"].state is ReservationState.HELD and "b" not in found.reservations.by_key
+    )
--- a/tests/plans/test_wiring.py
+++ b/tests/plans/test_wiring.py
@@ -11,7 +11,7 @@
 from cypresspulley.config import ConfigError, config_from
 from cypresspulley.operators import Operators, OperatorsError, load_operators
 from cypresspulley.plans.book import Stamp, Terms
-from cypresspulley.plans.limiter import Planned
+from cypresspulley.plans.limiter import PlanBookDecisions
 from cypresspulley.plans.plan_writer import PlanWriter
 from cypresspulley.plans.reservations import MICRO_PER_UNIT
 from cypresspulley.plans.serve import Publisher, unix_ms
@@ -60,7 +60,7 @@
     with pytest.raises(ConfigError, match="plans"):
         _plans(config, ("nowhere", "x"), gateway, gateway, lambda: 0.0)
     decisions, _ = _plans(config, ("127.0.0.1:1", "x"), gateway, gateway, lambda: 0.0)
-    assert isinstance(decisions, Planned)
+    assert isinstance(decisions, PlanBookDecisions)
 
 
 def test_a_real_limiter_goes_by_the_book_and_tells_its_use(
@@ -71,11 +71,11 @@
 
     async def main() -> None:
         plan_writer = PlanWriter(Store(Disk()), "vadodara")
-        publisher = Publisher(plan_writer, "t", beat=0.05)
+        publisher = Publisher(plan_writer, "t", heartbeat_s=0.05)
         host, port = await publisher.listen("127.0.0.1", 0)
         now = unix_ms()
-        plan_writer.version("season", Terms(100.0, 100.0), now, now, "m")
-        plan_writer.assign("00000000b4d65521", "season", now, now, "m")
+        plan_writer.set_terms("season", Terms(100.0, 100.0), now, now, "m")
+        plan_writer.assign_plan("00000000b4d65521", "season", now, now, "m")
         operators = tmp_path / "operators.toml"
         operators.write_text(f'[plans]\nwriter = "{host}:{port}"\ninstallation = "vadodara"\n')
         async with (
@@ -83,7 +83,7 @@
             started(config(dial), tmp_path, "--operators", str(operators)) as program,
         ):
             async with asyncio.timeout(20):
-                while not publisher.followers:
+                while not publisher.follower_count:
                     await asyncio.sleep(0.01)
             reader, writer = await program.connect()
             served = 0
