--- a/cypresspulley/plans/command.py
+++ b/cypresspulley/plans/command.py
@@ -17,10 +17,15 @@
 from cypresspulley.plans import book as books
 from cypresspulley.plans.book import Book, Change, Version, Withdrawal
 from cypresspulley.plans.files import DiskFolder
+from cypresspulley.plans.operations import (
+    apply_operation,
+    find_added_changes,
+    find_history,
+    reservation_as_json,
+)
 from cypresspulley.plans.plan_writer import PlanWriter
 from cypresspulley.plans.serve import PLANS_PATH, Publisher, unix_ms
 from cypresspulley.plans.store import Store, check_generations
-from cypresspulley.plans.wishes import carry_out, difference, history, reservation_json
 
 DONE = 0
 REFUSED = 1
@@ -99,7 +104,7 @@
                 return fail(done.get("error", f"answered {status}"), REFUSED if status == 409 else BAD_INPUT)
         elif store is not None:
             with closing(DiskFolder(str(store))) as folder:
-                done = carry_out(PlanWriter(Store(folder), installation), raw, unix_ms())
+                done = apply_operation(PlanWriter(Store(folder), installation), raw, unix_ms())
         else:
             return fail("expected --store DIR, or --to HOST:PORT of a writer that serves", BAD_INPUT)
     except OSError as error:
@@ -153,7 +158,7 @@
         for name in sorted(plan_writer.book.accounts)
         if (a := plan_writer.book.assignment_at(name, at)) is not None
     ]
-    reservations = [reservation_json(one) for one in plan_writer.reservations.by_key.values()]
+    reservations = [reservation_as_json(one) for one in plan_writer.reservations.by_key.values()]
     told = {
         "installation": plan_writer.book.installation, "epoch": plan_writer.epoch, "digest": plan_writer.book.digest(),
         "plans": list(map(books.as_json, plans)), "accounts": list(map(books.as_json, found)),
@@ -168,7 +173,7 @@
 def show_history(store: Path, name: str, as_json: bool) -> int:
     """All that was said of one account or plan."""
     try:
-        found = history(_reading(store).book, name)
+        found = find_history(_reading(store).book, name)
     except (OSError, ValueError) as error:
         return fail(error, BAD_INPUT)
     _say(list(map(books.as_json, found)), as_json, "\n".join(map(_line, found)))
@@ -181,7 +186,7 @@
         old, new = _reading(one).book, _reading(other).book
     except (OSError, ValueError) as error:
         return fail(error, BAD_INPUT)
-    gone, come = difference(new, old), difference(old, new)
+    gone, come = find_added_changes(new, old), find_added_changes(old, new)
     told = {"only_first": list(map(books.as_json, gone)), "only_second": list(map(books.as_json, come))}
     lines = [f"- {_line(change)}" for change in gone] + [f"+ {_line(change)}" for change in come]
     _say(told, as_json, "\n".join(lines) or f"the same changes: {_same(old)}")
--- a/cypresspulley/plans/serve.py
+++ b/cypresspulley/plans/serve.py
@@ -1,7 +1,7 @@
 """Publishing a book: the writer's HTTP side. Lines of JSON, one for each change, and a beat each second.
 
     GET /v1/plans?epoch=E&since=N        Authorization: Bearer TOKEN
-    POST /v1/plans                       the same; a body of JSON, one wish of ``wishes.py``
+    POST /v1/plans                       the same; a body of JSON, one wish of ``operations.py``
 
 answers 200 with lines that go on until one side ends: first ``whole`` with all changes where the follower's epoch is
 another or nothing is known there (``since=0``), else the changes behind number N; then each new change, and ``beat``.
@@ -25,8 +25,8 @@
 from cypresspulley.plans import book as books
 from cypresspulley.plans.book import Change
 from cypresspulley.plans.lease import LEASE_MS
+from cypresspulley.plans.operations import apply_operation
 from cypresspulley.plans.plan_writer import PlanWriter
-from cypresspulley.plans.wishes import carry_out
 
 log = logging.getLogger(__name__)
 
@@ -187,7 +187,7 @@
         try:
             async with asyncio.timeout(READ_TIMEOUT_S):
                 body = await reader.readexactly(size)
-            done = carry_out(self._plan_writer, json.loads(body), self._clock())
+            done = apply_operation(self._plan_writer, json.loads(body), self._clock())
         except TimeoutError:
             raise RejectedCallError(400, f"expected the whole body within {READ_TIMEOUT_S:g} s") from None
         except RecursionError:
