--- a/benchmarks/plan_book.py
+++ b/benchmarks/plan_book.py
@@ -15,7 +15,7 @@
 import time
 
 from cypresspulley.plans.book import Assignment, Book, Stamp, Terms, Version
-from cypresspulley.plans.channel import Channel, Where
+from cypresspulley.plans.channel import WriterAddress, WriterChannel
 from cypresspulley.plans.files import DiskFolder
 from cypresspulley.plans.follow import Follower
 from cypresspulley.plans.plan_writer import PlanWriter
@@ -71,7 +71,10 @@
         publisher = Publisher(plan_writer, "t")
         address = await publisher.listen("127.0.0.1", 0)
         news = asyncio.Event()
-        channels = [Channel(Where(*address, "t"), Follower("bench"), news.set, seed=n) for n in range(count)]
+        channels = [
+            WriterChannel(WriterAddress(*address, "t"), Follower("bench"), news.set, seed=n)
+            for n in range(count)
+        ]
         for channel in channels:
             channel.start()
         took = list[float]()
--- a/cypresspulley/plans/command.py
+++ b/cypresspulley/plans/command.py
@@ -27,23 +27,23 @@
 from cypresspulley.plans.serve import PLANS_PATH, Publisher, unix_ms
 from cypresspulley.plans.store import Store, check_generations
 
-DONE = 0
-REFUSED = 1
-BAD_INPUT = 2
-BROKEN = 3
-TOKEN = "FAWNSEAM_PLANS_TOKEN"
-CALL_WAIT = 10.0  # seconds
+EXIT_DONE = 0
+EXIT_REFUSED = 1
+EXIT_BAD_INPUT = 2
+EXIT_BROKEN = 3
+TOKEN_VARIABLE = "FAWNSEAM_PLANS_TOKEN"
+CALL_TIMEOUT_S = 10.0  # seconds
 
 
-def _say(told: Any, as_json: bool, text: str) -> None:
+def _print_result(told: Any, as_json: bool, text: str) -> None:
     print(json.dumps(told) if as_json else text)
 
 
-def _when(instant: int) -> str:
+def _format_instant(instant: int) -> str:
     return time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(instant / 1000)) + f".{instant % 1000:03} UTC"
 
 
-def _line(change: Change) -> str:
+def _format_change(change: Change) -> str:
     by = f"  by {change.author}" + (f": {change.reason}" if change.reason else "")
     if isinstance(change, Version):
         t = change.terms
@@ -53,10 +53,10 @@
         what = f"{change.target} does not come into force"
     else:
         what = f"{change.account} is on {change.plan}"
-    return f"{change.stamp!s:>8}  from {_when(change.effective)}  {what}{by}"
+    return f"{change.stamp!s:>8}  from {_format_instant(change.effective)}  {what}{by}"
 
 
-def _reading(folder: Path) -> PlanWriter:
+def _open_read_only(folder: Path) -> PlanWriter:
     """The office as it is stored, to look at: no lock, no new epoch, nothing written."""
     if not folder.is_dir() or not check_generations(DiskFolder(str(folder), writable=False)):
         raise ValueError(f"{folder}: holds no plan book; expected the folder of one")
@@ -65,20 +65,22 @@
 
 def serve(folder: Path, installation: str, host: str, port: int) -> int:
     """Publish until SIGTERM or SIGINT."""
-    token = os.environ.get(TOKEN, "")
+    token = os.environ.get(TOKEN_VARIABLE, "")
     if not token:
-        return fail(f"{TOKEN}: expected the token that followers and operators will show", BAD_INPUT)
+        return fail(
+            f"{TOKEN_VARIABLE}: expected the token that followers and operators will show", EXIT_BAD_INPUT
+        )
     try:
         with closing(DiskFolder(str(folder))) as held:
-            asyncio.run(_serving(PlanWriter(Store(held), installation), token, host, port))
+            asyncio.run(_serve_until_stopped(PlanWriter(Store(held), installation), token, host, port))
     except OSError as error:
-        return fail(error, BROKEN)
+        return fail(error, EXIT_BROKEN)
     except ValueError as error:
-        return fail(f"{folder}: {error}", BAD_INPUT)
-    return DONE
+        return fail(f"{folder}: {error}", EXIT_BAD_INPUT)
+    return EXIT_DONE
 
 
-async def _serving(plan_writer: PlanWriter, token: str, host: str, port: int) -> None:
+async def _serve_until_stopped(plan_writer: PlanWriter, token: str, host: str, port: int) -> None:
     publisher = Publisher(plan_writer, token)
     address = await publisher.listen(host, port)
     print(f"fawnseam plans: {plan_writer!r} at {address[0]}:{address[1]}", file=sys.stderr, flush=True)
@@ -99,29 +101,31 @@
     """One change, by the writer that serves, or by this process where none does."""
     try:
         if to is not None:
-            status, done = _call(to, raw)
+            status, done = _call_writer(to, raw)
             if status != 200:
-                return fail(done.get("error", f"answered {status}"), REFUSED if status == 409 else BAD_INPUT)
+                return fail(
+                    done.get("error", f"answered {status}"), EXIT_REFUSED if status == 409 else EXIT_BAD_INPUT
+                )
         elif store is not None:
             with closing(DiskFolder(str(store))) as folder:
                 done = apply_operation(PlanWriter(Store(folder), installation), raw, unix_ms())
         else:
-            return fail("expected --store DIR, or --to HOST:PORT of a writer that serves", BAD_INPUT)
+            return fail("expected --store DIR, or --to HOST:PORT of a writer that serves", EXIT_BAD_INPUT)
     except OSError as error:
-        return fail(error, BROKEN)
+        return fail(error, EXIT_BROKEN)
     except ValueError as error:
-        return fail(error, REFUSED)
-    _say(done, as_json, _told(done))
-    return REFUSED if done.get("at") == "refused" else DONE
+        return fail(error, EXIT_REFUSED)
+    _print_result(done, as_json, _format_result(done))
+    return EXIT_REFUSED if done.get("at") == "refused" else EXIT_DONE
 
 
-def _call(to: str, raw: dict[str, Any]) -> tuple[int, dict[str, Any]]:
+def _call_writer(to: str, raw: dict[str, Any]) -> tuple[int, dict[str, Any]]:
     host, _, port = to.rpartition(":")
     if not host or not port.isdigit():
         raise ValueError(f"--to: expected HOST:PORT, got {to!r}")
-    connection = http.client.HTTPConnection(host, int(port), timeout=CALL_WAIT)
+    connection = http.client.HTTPConnection(host, int(port), timeout=CALL_TIMEOUT_S)
     try:
-        headers = {"Authorization": f"Bearer {os.environ.get(TOKEN, '')}"}
+        headers = {"Authorization": f"Bearer {os.environ.get(TOKEN_VARIABLE, '')}"}
         connection.request("POST", PLANS_PATH, json.dumps(raw), headers)
         answer = connection.getresponse()
         return answer.status, json.loads(answer.read(1 << 20))
@@ -129,11 +133,11 @@
         connection.close()
 
 
-def _told(done: dict[str, Any]) -> str:
+def _format_result(done: dict[str, Any]) -> str:
     dry = "would be: " if done["dry_run"] else ""
     if "change" not in done:
         return f"{dry}{done['key']} of {done['account']}: {done['at']}, {done['units']:g} units"
-    lines = [dry + _line(books.parse_change(done["change"], "change")).strip()]
+    lines = [dry + _format_change(books.parse_change(done["change"], "change")).strip()]
     for account, by in done["passed_by"].items():
         lines.append(
             f"  {account} may pass its new ceiling by {by:g} units: announced less than a lease ahead"
@@ -144,9 +148,9 @@
 def show_in_force(store: Path, at: int | None, as_json: bool) -> int:
     """What is in force."""
     try:
-        plan_writer = _reading(store)
+        plan_writer = _open_read_only(store)
     except (OSError, ValueError) as error:
-        return fail(error, BAD_INPUT)
+        return fail(error, EXIT_BAD_INPUT)
     at = unix_ms() if at is None else at
     plans = [
         v
@@ -164,36 +168,38 @@
         "plans": list(map(books.as_json, plans)), "accounts": list(map(books.as_json, found)),
         "reservations": reservations,
     }  # fmt: skip
-    lines = [repr(plan_writer), *map(_line, plans), *map(_line, found)]
+    lines = [repr(plan_writer), *map(_format_change, plans), *map(_format_change, found)]
     lines += [f"{r['key']}: {r['account']}, {r['units']:g} units, {r['at']}" for r in reservations]
-    _say(told, as_json, "\n".join(lines))
-    return DONE
+    _print_result(told, as_json, "\n".join(lines))
+    return EXIT_DONE
 
 
 def show_history(store: Path, name: str, as_json: bool) -> int:
     """All that was said of one account or plan."""
     try:
-        found = find_history(_reading(store).book, name)
+        found = find_history(_open_read_only(store).book, name)
     except (OSError, ValueError) as error:
-        return fail(error, BAD_INPUT)
-    _say(list(map(books.as_json, found)), as_json, "\n".join(map(_line, found)))
-    return DONE
+        return fail(error, EXIT_BAD_INPUT)
+    _print_result(list(map(books.as_json, found)), as_json, "\n".join(map(_format_change, found)))
+    return EXIT_DONE
 
 
 def show_difference(one: Path, other: Path, as_json: bool) -> int:
     """1 where the two books differ."""
     try:
-        old, new = _reading(one).book, _reading(other).book
+        old, new = _open_read_only(one).book, _open_read_only(other).book
     except (OSError, ValueError) as error:
-        return fail(error, BAD_INPUT)
+        return fail(error, EXIT_BAD_INPUT)
     gone, come = find_added_changes(new, old), find_added_changes(old, new)
     told = {"only_first": list(map(books.as_json, gone)), "only_second": list(map(books.as_json, come))}
-    lines = [f"- {_line(change)}" for change in gone] + [f"+ {_line(change)}" for change in come]
-    _say(told, as_json, "\n".join(lines) or f"the same changes: {_same(old)}")
-    return REFUSED if gone or come else DONE
+    lines = [f"- {_format_change(change)}" for change in gone] + [
+        f"+ {_format_change(change)}" for change in come
+    ]
+    _print_result(told, as_json, "\n".join(lines) or f"the same changes: {_format_book(old)}")
+    return EXIT_REFUSED if gone or come else EXIT_DONE
 
 
-def _same(book: Book) -> str:
+def _format_book(book: Book) -> str:
     return f"{len(book.changes_by_stamp)}, digest {book.digest()}"
 
 
@@ -202,7 +208,7 @@
     try:
         found = check_generations(DiskFolder(str(store), writable=False))
     except OSError as error:
-        return fail(error, BAD_INPUT)
+        return fail(error, EXIT_BAD_INPUT)
     told = [{name: getattr(one, name) for name in one.__slots__} for one in found]
-    _say(told, as_json, "\n".join(map(str, found)) or f"{store}: holds no plan book")
-    return DONE if found and found[0].good else REFUSED
+    _print_result(told, as_json, "\n".join(map(str, found)) or f"{store}: holds no plan book")
+    return EXIT_DONE if found and found[0].good else EXIT_REFUSED
--- a/cypresspulley/plans/export.py
+++ b/cypresspulley/plans/export.py
@@ -6,70 +6,74 @@
 import json
 import logging
 
-from cypresspulley.plans.channel import EndedError, Where
+from cypresspulley.plans.channel import ConnectionEndedError, WriterAddress
 from cypresspulley.plans.usage import UsageRecord, UsageRecorder
 
 log = logging.getLogger(__name__)
 
-EVERY = 1.0  # seconds between two cuts: what a kill loses, beside what waits for its acknowledgement
-CALL_WAIT = 3.0  # seconds
-MOST_ANSWER = 65_536  # bytes
+EXPORT_INTERVAL_S = (
+    1.0  # seconds between two cuts: what a kill loses, beside what waits for its acknowledgement
+)
+CALL_TIMEOUT_S = 3.0  # seconds
+MAX_ANSWER_BYTES = 65_536  # bytes
 
 
-class Export:
+class UsageExporter:
     """Tells one gatherer's records, the oldest first, one at a time."""
 
-    def __init__(self, where: Where, usage_recorder: UsageRecorder, every: float = EVERY) -> None:
-        self._where, self._usage_recorder, self._every = where, usage_recorder, every
+    def __init__(
+        self, address: WriterAddress, usage_recorder: UsageRecorder, interval_s: float = EXPORT_INTERVAL_S
+    ) -> None:
+        self._address, self._usage_recorder, self._interval_s = address, usage_recorder, interval_s
         self._task: asyncio.Task[None] | None = None
-        self.why = ""  # the last call failed
+        self.last_error = ""  # the last call failed
 
     def start(self) -> None:
-        self._task = asyncio.get_running_loop().create_task(self._keep())
+        self._task = asyncio.get_running_loop().create_task(self._export_periodically())
 
     def close(self) -> None:
         if self._task is not None:
             self._task.cancel()
 
-    async def _keep(self) -> None:
+    async def _export_periodically(self) -> None:
         while True:
-            await asyncio.sleep(self._every)
+            await asyncio.sleep(self._interval_s)
             self._usage_recorder.cut_record()
             try:
                 await self.flush()
-            except (OSError, EOFError, EndedError, asyncio.LimitOverrunError, ValueError) as error:
-                if str(error) != self.why:
+            except (OSError, EOFError, ConnectionEndedError, asyncio.LimitOverrunError, ValueError) as error:
+                if str(error) != self.last_error:
                     log.warning("plans: use was not exported: %s", error or repr(error))
-                self.why = str(error)
+                self.last_error = str(error)
 
     async def flush(self) -> None:
         """Tell all that waits; ``OSError``, ``EndedError`` and the like where the writer does not take it."""
         for record in sorted(
             self._usage_recorder.unacknowledged.values(), key=lambda one: (one.epoch, one.seq)
         ):
-            if await self._told(record):
+            if await self._send_record(record):
                 self._usage_recorder.acknowledge(record.epoch, record.seq)
 
-    async def _told(self, record: UsageRecord) -> bool:
+    async def _send_record(self, record: UsageRecord) -> bool:
         body = json.dumps(
             {"wish": "use", "author": record.writer, "record": record.as_json()}, separators=(",", ":")
         ).encode()
-        async with asyncio.timeout(CALL_WAIT):
+        async with asyncio.timeout(CALL_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(
-                self._where.host, self._where.port, limit=MOST_ANSWER
+                self._address.host, self._address.port, limit=MAX_ANSWER_BYTES
             )
             try:
                 writer.write(
                     b"POST /v1/plans HTTP/1.1\r\nHost: plans\r\nConnection: close\r\n"
-                    + f"Authorization: Bearer {self._where.token}\r\nContent-Length: {len(body)}\r\n\r\n".encode()
+                    + f"Authorization: Bearer {self._address.token}\r\nContent-Length: {len(body)}\r\n\r\n".encode()
                     + body
                 )
-                answer = await reader.read(MOST_ANSWER)
-                while len(answer) < MOST_ANSWER and (more := await reader.read(MOST_ANSWER)):
+                answer = await reader.read(MAX_ANSWER_BYTES)
+                while len(answer) < MAX_ANSWER_BYTES and (more := await reader.read(MAX_ANSWER_BYTES)):
                     answer += more
             finally:
                 writer.transport.abort()
         head, _, text = answer.partition(b"\r\n\r\n")
         if b" 200 " not in head.split(b"\r\n", 1)[0]:
-            raise EndedError(f"{record.idempotency_key}: answered {head[:40]!r} {text[:200]!r}")
+            raise ConnectionEndedError(f"{record.idempotency_key}: answered {head[:40]!r} {text[:200]!r}")
         return json.loads(text).get("acknowledged") is True
--- a/cypresspulley/plans/limiter.py
+++ b/cypresspulley/plans/limiter.py
@@ -20,8 +20,8 @@
 from cypresspulley.interface import Status
 from cypresspulley.plans.book import Stamp, Version
 from cypresspulley.plans.bucket_level import BucketLevel
-from cypresspulley.plans.channel import Channel, EndedError, Where
-from cypresspulley.plans.export import Export
+from cypresspulley.plans.channel import ConnectionEndedError, WriterAddress, WriterChannel
+from cypresspulley.plans.export import UsageExporter
 from cypresspulley.plans.follow import Follower, FollowerState
 from cypresspulley.plans.reservations import MICRO_PER_UNIT
 from cypresspulley.plans.usage import UsageKey, UsageRecorder
@@ -231,12 +231,12 @@
         if not token:
             raise ValueError("FAWNSEAM_PLANS_TOKEN: expected the token that the writer wants")
         self._clock = clock
-        where, follower = Where(*address, token), Follower(installation)
+        writer_address, follower = WriterAddress(*address, token), Follower(installation)
         # Without a disk the time of a start is what grows with each life.
         self.usage_recorder = UsageRecorder(name, int(clock() * 1000))
-        self._export = Export(where, self.usage_recorder)
-        self._writer_channel = Channel(
-            where, follower, self._log_change, lambda: int(clock() * 1000), self.usage_recorder.epoch
+        self._usage_exporter = UsageExporter(writer_address, self.usage_recorder)
+        self._writer_channel = WriterChannel(
+            writer_address, follower, self._log_change, lambda: int(clock() * 1000), self.usage_recorder.epoch
         )
 
     def wrap_decisions(self, decide: Any, gateway: Gateway, settings: api.Settings) -> PlanBookDecisions:
@@ -249,16 +249,16 @@
 
     def start(self) -> None:
         self._writer_channel.start()
-        self._export.start()
+        self._usage_exporter.start()
 
     async def close(self) -> None:
         """A planned end loses nothing where the writer can be reached."""
         self._writer_channel.close()
-        self._export.close()
+        self._usage_exporter.close()
         self.usage_recorder.cut_record()
         try:
-            await self._export.flush()
-        except (OSError, EOFError, EndedError, ValueError) as error:
+            await self._usage_exporter.flush()
+        except (OSError, EOFError, ConnectionEndedError, ValueError) as error:
             log.warning(
                 "plans: %d records of use were not exported: %s",
                 len(self.usage_recorder.unacknowledged),
--- a/cypresspulley/plans/operations.py
+++ b/cypresspulley/plans/operations.py
@@ -151,8 +151,8 @@
 
 
 __all__ = [
-    "ReservationError",
     "OperationError",
+    "ReservationError",
     "apply_operation",
     "find_added_changes",
     "find_history",
--- a/tests/plans/test_limiter.py
+++ b/tests/plans/test_limiter.py
@@ -10,8 +10,8 @@
 from cypresspulley import interface as api
 from cypresspulley.plans import serve
 from cypresspulley.plans.book import Assignment, Book, Change, Stamp, Terms, Version
-from cypresspulley.plans.channel import Where
-from cypresspulley.plans.export import Export
+from cypresspulley.plans.channel import WriterAddress
+from cypresspulley.plans.export import UsageExporter
 from cypresspulley.plans.follow import Follower
 from cypresspulley.plans.limiter import PlanBookClient, PlanBookDecisions
 from cypresspulley.plans.plan_writer import PlanWriter
@@ -215,15 +215,15 @@
         publisher = Publisher(plan_writer, "t")
         address = await publisher.listen("127.0.0.1", 0)
         usage_recorder = UsageRecorder("n1", 7)
-        export = Export(Where(*address, "t"), usage_recorder)
+        exporter = UsageExporter(WriterAddress(*address, "t"), usage_recorder)
         usage_recorder.add_usage(UsageKey("hotel", "p", Stamp(1, 1), 0), 5)
         assert usage_recorder.cut_record() is not None
         monkeypatch.setattr(
             usage_recorder, "acknowledge", lambda epoch, seq: False
         )  # killed before it heard of it
-        await export.flush()
+        await exporter.flush()
         monkeypatch.undo()
-        await export.flush()
+        await exporter.flush()
         assert not usage_recorder.unacknowledged and sum(plan_writer.usage_ledger.totals.values()) == 5
         plan_writer.compact()
         await publisher.close()
--- a/tests/plans/test_serve.py
+++ b/tests/plans/test_serve.py
@@ -11,7 +11,7 @@
 
 from cypresspulley.plans import serve
 from cypresspulley.plans.book import Terms
-from cypresspulley.plans.channel import Channel, Where
+from cypresspulley.plans.channel import WriterAddress, WriterChannel
 from cypresspulley.plans.follow import Follower, FollowerState
 from cypresspulley.plans.plan_writer import PlanWriter
 from cypresspulley.plans.serve import Publisher, RejectedCallError, parse_request_head
@@ -28,7 +28,7 @@
     def __init__(self, address: tuple[str, int], token: str = TOKEN) -> None:
         self.follower = Follower("vadodara")
         self._news = asyncio.Event()
-        self.channel = Channel(Where(*address, token), self.follower, self._news.set, seed=1)
+        self.channel = WriterChannel(WriterAddress(*address, token), self.follower, self._news.set, seed=1)
         self.channel.start()
 
     async def until(self, wanted: Callable[[], bool]) -> None:
@@ -114,7 +114,7 @@
 def test_a_follower_without_the_token_gets_nothing() -> None:
     async def play(publisher: Publisher, plan_writer: PlanWriter, address: tuple[str, int]) -> None:
         one = Followed(address, "wrong")
-        await one.until(lambda: "401" in one.channel.why)
+        await one.until(lambda: "401" in one.channel.last_error)
         assert one.follower.state is FollowerState.EMPTY and publisher.follower_count == 0
         one.channel.close()
 
@@ -215,7 +215,7 @@
 
         server = await asyncio.start_server(rude, "127.0.0.1", 0)
         one = Followed(server.sockets[0].getsockname()[:2])
-        await one.until(lambda: bool(one.channel.why))
+        await one.until(lambda: bool(one.channel.last_error))
         assert one.follower.state is FollowerState.EMPTY and one.follower.book.last_stamp.seq == 0
         one.channel.close()
         server.close()
