--- a/cypresspulley/plans/lease.py
+++ b/cypresspulley/plans/lease.py
@@ -1,3 +1,3 @@
-"""How long limiters go by a plan book without a word of its writer."""
+"""How long limiters may apply a plan book without hearing from its writer."""
 
-LEASE_MS = 3_000  # milliseconds, told with each beat
+LEASE_MS = 3_000  # milliseconds; sent with each heartbeat
