--- a/cypresspulley/plans/channel.py
+++ b/cypresspulley/plans/channel.py
@@ -1,4 +1,4 @@
-"""The limiter's way to a book's writer: a connection that is kept up, its lines to the follower, its wishes back."""
+"""The limiter's connection to the plan book's writer: reconnects when it ends and passes its messages to the follower."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 log = logging.getLogger(__name__)
 
 MAX_LINE_BYTES = 65_536  # bytes
-MAX_BOOK_CHANGES = 2_000_000  # of a whole book
-SILENCE_TIMEOUT_S = 4.0  # seconds without a line, after which the writer is taken for gone
-RECONNECT_DELAYS_S = (0.1, 0.5, 2.0, 5.0)  # seconds between two dials, by how many failed in a row
-LEASE_CHECK_INTERVAL_S = 0.1  # seconds between two looks at the lease
+MAX_BOOK_CHANGES = 2_000_000  # changes in a whole book
+SILENCE_TIMEOUT_S = 4.0  # seconds without a line after which the writer is considered gone
+RECONNECT_DELAYS_S = (0.1, 0.5, 2.0, 5.0)  # seconds before the next attempt, by consecutive failures
+LEASE_CHECK_INTERVAL_S = 0.1  # seconds
 
 
 class ConnectionEndedError(Exception):
-    """The connection cannot be used any more; the text says why."""
+    """The connection can no longer be used. The text gives the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class WriterAddress:
-    """A writer's address and the token it wants."""
+    """The address of a writer and the token that it expects."""
 
     host: str
     port: int
@@ -38,7 +38,7 @@
 
 
 class WriterChannel:
-    """Follows one writer. ``changed`` is called whenever what binds may have changed."""
+    """Follows one writer. Calls ``on_change`` whenever the terms in force may have changed."""
 
     def __init__(
         self, address: WriterAddress, follower: Follower, on_change: Callable[[], None],
@@ -49,7 +49,7 @@
         self._tasks = set[asyncio.Task[None]]()
         self._failed_attempts = 0
         self._wants_whole_book = False
-        self.last_error = ""  # the last connection ended
+        self.last_error = ""  # why the last connection ended
 
     def start(self) -> None:
         loop = asyncio.get_running_loop()
@@ -63,7 +63,7 @@
         while True:
             await asyncio.sleep(LEASE_CHECK_INTERVAL_S)
             if self.follower.check_lease(self._clock()):
-                log.warning("plans: the lease is over: the lowest ceiling holds from now on")
+                log.warning("plans: the lease has expired: applying the lowest ceiling of any plan")
                 self._on_change()
 
     async def _run_connections(self) -> None:
@@ -71,7 +71,7 @@
             try:
                 await self._follow_writer()
             except (OSError, EOFError, ConnectionEndedError, asyncio.LimitOverrunError, ValueError) as error:
-                if str(error) != self.last_error:  # once for a row of the same
+                if str(error) != self.last_error:  # the same error in a row is logged once
                     log.warning("plans: the connection to the writer ended: %s", error or repr(error))
                 self.last_error = str(error)
             delay = RECONNECT_DELAYS_S[min(self._failed_attempts, len(RECONNECT_DELAYS_S) - 1)]
@@ -102,7 +102,7 @@
             writer.transport.abort()
 
     async def _handle_message(self, reader: asyncio.StreamReader) -> tuple[FollowerAction, ...]:
-        """What the next message leads to."""
+        """Reads the next message, passes it to the follower and returns the resulting actions."""
         line = await self._read_line(reader)
         kind, epoch = line.get("kind"), line.get("epoch")
         if isinstance(epoch, bool) or not isinstance(epoch, int):
@@ -138,22 +138,22 @@
         try:
             line = json.loads(text)
         except (ValueError, RecursionError):
-            raise ConnectionEndedError(f"a line that is no JSON: {text!r:.60}") from None
+            raise ConnectionEndedError(f"expected a line of JSON, got {text!r:.60}") from None
         if not isinstance(line, dict):
-            raise ConnectionEndedError(f"a line that is no object: {text!r:.60}")
+            raise ConnectionEndedError(f"expected a JSON object, got {text!r:.60}")
         return line
 
     def _apply_actions(self, actions: tuple[FollowerAction, ...]) -> None:
-        """What the follower wants; the connection ends where it needs another answer."""
+        """Carries out the follower's actions. Raises ``ConnectionEndedError`` where it needs a new connection."""
         if FollowerAction.DROP in actions:
             raise ConnectionEndedError(
-                f"a writer of an epoch before {self.follower.epoch}, or of another installation"
+                f"the writer's epoch is before {self.follower.epoch}, or it serves another installation"
             )
         if {FollowerAction.REPLACE, FollowerAction.APPLY, FollowerAction.RECOVER} & set(actions):
             self._wants_whole_book = False
             self._on_change()
         if FollowerAction.ASK_ALL in actions:
             self._wants_whole_book = True
-            raise ConnectionEndedError("another writer: its whole book is asked for")
+            raise ConnectionEndedError("the writer has changed: requesting its whole book")
         if FollowerAction.ASK_FROM in actions:
-            raise ConnectionEndedError("changes are missing: asked for behind the last one here")
+            raise ConnectionEndedError("changes are missing: requesting those after the last one received")
