--- a/cypresspulley/plans/book.py
+++ b/cypresspulley/plans/book.py
@@ -43,8 +43,8 @@
 class Terms:
     """The limits of a plan.
 
-    ``rate`` is in units per second and ``burst`` in units; the ceiling is a hard limit (0: none). ``worth`` is the value
-    of a unit, ``cap`` the number of concurrent requests (0: unlimited).
+    ``rate`` is in units per second and ``burst`` in units; the ceiling is a hard limit (0: none). ``worth`` is the
+    value of a unit, ``cap`` the number of concurrent requests (0: unlimited).
     """
 
     rate: float
@@ -230,7 +230,10 @@
     withdrawals: Map[Stamp, Stamp] = field(default_factory=Map)
 
     def __repr__(self) -> str:
-        return f"<Book of {self.installation}: {len(self.plans)} plans, {len(self.accounts)} accounts, {self.last_stamp}>"
+        return (
+            f"<Book of {self.installation}: {len(self.plans)} plans, "
+            f"{len(self.accounts)} accounts, {self.last_stamp}>"
+        )
 
     def with_change(self, change: Change) -> Book:
         """Returns a book that also holds ``change``, or this one where it already does.
@@ -291,7 +294,7 @@
         return sorted(reassigned | {at for at in versions if after < at <= until})
 
     def lowest_ceiling(self, at: int) -> tuple[float, float]:
-        """Returns the lowest ceiling rate and burst of all versions in force or still to come; (0, 0) for no ceiling."""
+        """Returns the lowest ceiling rate and burst of the versions in force or still to come; (0, 0) for none."""
         found = [v.terms for history in self.plans.values() for v in history if v.effective >= at]
         found += [v.terms for plan in self.plans if (v := self.version_at(plan, at)) is not None]
         limits = [(t.ceiling_rate, t.ceiling_burst) for t in found if t.ceiling_rate > 0]
--- a/cypresspulley/plans/bucket_level.py
+++ b/cypresspulley/plans/bucket_level.py
@@ -1,10 +1,11 @@
 """The level of a token bucket across a change of its limits. Arithmetic only.
 
-A change adds no units and keeps none above the new burst: the level becomes ``min(level, new burst)`` and refills at the
-new rate from that instant on. Usage before the change is not recomputed under the new terms, so requests are refused for
-no longer than the new bucket takes to fill. Changing back and forth within a moment gains nothing, because taking the
-minimum twice gives the same minimum. For buckets that are kept in shares s_i of one ceiling, the sum of min(s_i, b / n)
-is at most min(sum s_i, b): all limiters together hold no more than a single one that applied the rule to the whole.
+A change adds no units and keeps none above the new burst: the level becomes ``min(level, new burst)`` and refills at
+the new rate from that instant on. Usage before the change is not recomputed under the new terms, so requests are
+refused for no longer than the new bucket takes to fill. Changing back and forth within a moment gains nothing, because
+taking the minimum twice gives the same minimum. For buckets that are kept in shares s_i of one ceiling, the sum of
+min(s_i, b / n) is at most min(sum s_i, b): all limiters together hold no more than a single one that applied the rule
+to the whole.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BucketLevel:
-    """A token bucket at the instant ``at`` (seconds): ``units`` of at most ``burst``, refilled at ``rate`` per second."""
+    """A token bucket at instant ``at`` (seconds): ``units``, at most ``burst``, refilled at ``rate`` per second."""
 
     units: float
     at: float
@@ -33,7 +34,7 @@
         return BucketLevel(self.units - units, self.at, self.rate, self.burst)
 
     def with_limits(self, at: float, rate: float, burst: float) -> BucketLevel:
-        """Returns the bucket after a change at ``at``: refilled by the old limits until then, capped by the new burst."""
+        """Returns the bucket after a change at ``at``: refilled by the old rate until then, capped by the new burst."""
         old = self.refilled_until(at)
         return BucketLevel(min(old.units, burst), max(at, self.at), rate, burst)
 
--- a/cypresspulley/plans/channel.py
+++ b/cypresspulley/plans/channel.py
@@ -1,4 +1,4 @@
-"""The limiter's connection to the plan book's writer: reconnects when it ends and passes its messages to the follower."""
+"""The limiter's connection to the plan book's writer: reconnects when it ends, passes messages to the follower."""
 
 from __future__ import annotations
 
--- a/cypresspulley/plans/command.py
+++ b/cypresspulley/plans/command.py
@@ -1,4 +1,4 @@
-"""What ``fawnseam plans`` does; its exit codes."""
+"""The commands of ``fawnseam plans`` and their exit codes."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 CALL_TIMEOUT_S = 10.0  # seconds
 
 
-def _print_result(told: Any, as_json: bool, text: str) -> None:
-    print(json.dumps(told) if as_json else text)
+def _print_result(result: Any, as_json: bool, text: str) -> None:
+    print(json.dumps(result) if as_json else text)
 
 
 def _format_instant(instant: int) -> str:
@@ -44,35 +44,39 @@
 
 
 def _format_change(change: Change) -> str:
-    by = f"  by {change.author}" + (f": {change.reason}" if change.reason else "")
+    author = f"  by {change.author}" + (f": {change.reason}" if change.reason else "")
     if isinstance(change, Version):
-        t = change.terms
-        ceiling = f", ceiling {t.ceiling_rate:g}/s of {t.ceiling_burst:g}" if t.ceiling_rate else ""
-        what = f"{change.plan} gives {t.rate:g}/s of {t.burst:g}{ceiling}"
+        terms = change.terms
+        ceiling = (
+            f", ceiling {terms.ceiling_rate:g}/s of {terms.ceiling_burst:g}" if terms.ceiling_rate else ""
+        )
+        description = f"{change.plan} gives {terms.rate:g}/s of {terms.burst:g}{ceiling}"
     elif isinstance(change, Withdrawal):
-        what = f"{change.target} does not come into force"
+        description = f"{change.target} does not come into force"
     else:
-        what = f"{change.account} is on {change.plan}"
-    return f"{change.stamp!s:>8}  from {_format_instant(change.effective)}  {what}{by}"
+        description = f"{change.account} is on {change.plan}"
+    return f"{change.stamp!s:>8}  from {_format_instant(change.effective)}  {description}{author}"
 
 
 def _open_read_only(folder: Path) -> PlanWriter:
-    """The office as it is stored, to look at: no lock, no new epoch, nothing written."""
+    """Opens a stored plan book for reading: takes no lock, starts no epoch and writes nothing."""
     if not folder.is_dir() or not check_generations(DiskFolder(str(folder), writable=False)):
         raise ValueError(f"{folder}: holds no plan book; expected the folder of one")
     return PlanWriter(Store(DiskFolder(str(folder), writable=False), read_only=True), new_epoch=False)
 
 
 def serve(folder: Path, installation: str, host: str, port: int) -> int:
-    """Publish until SIGTERM or SIGINT."""
+    """Publishes the book until SIGTERM or SIGINT; returns the exit code."""
     token = os.environ.get(TOKEN_VARIABLE, "")
     if not token:
         return fail(
             f"{TOKEN_VARIABLE}: expected the token that followers and operators will show", EXIT_BAD_INPUT
         )
     try:
-        with closing(DiskFolder(str(folder))) as held:
-            asyncio.run(_serve_until_stopped(PlanWriter(Store(held), installation), token, host, port))
+        with closing(DiskFolder(str(folder))) as locked_folder:
+            asyncio.run(
+                _serve_until_stopped(PlanWriter(Store(locked_folder), installation), token, host, port)
+            )
     except OSError as error:
         return fail(error, EXIT_BROKEN)
     except ValueError as error:
@@ -98,7 +102,10 @@
 def run_operation(
     raw: dict[str, Any], store: Path | None, to: str | None, installation: str, as_json: bool
 ) -> int:
-    """One change, by the writer that serves, or by this process where none does."""
+    """Applies one operation through the serving writer (``to``), or in this process where no writer serves (``store``).
+
+    Returns the exit code.
+    """
     try:
         if to is not None:
             status, done = _call_writer(to, raw)
@@ -134,10 +141,10 @@
 
 
 def _format_result(done: dict[str, Any]) -> str:
-    dry = "would be: " if done["dry_run"] else ""
+    prefix = "would be: " if done["dry_run"] else ""
     if "change" not in done:
-        return f"{dry}{done['key']} of {done['account']}: {done['at']}, {done['units']:g} units"
-    lines = [dry + _format_change(books.parse_change(done["change"], "change")).strip()]
+        return f"{prefix}{done['key']} of {done['account']}: {done['at']}, {done['units']:g} units"
+    lines = [prefix + _format_change(books.parse_change(done["change"], "change")).strip()]
     for account, by in done["passed_by"].items():
         lines.append(
             f"  {account} may pass its new ceiling by {by:g} units: announced less than a lease ahead"
@@ -146,7 +153,7 @@
 
 
 def show_in_force(store: Path, at: int | None, as_json: bool) -> int:
-    """What is in force."""
+    """Prints the plans, assignments and reservations in force at an instant (Unix milliseconds; None: now)."""
     try:
         plan_writer = _open_read_only(store)
     except (OSError, ValueError) as error:
@@ -157,25 +164,25 @@
         for plan in sorted(plan_writer.book.plans)
         if (v := plan_writer.book.version_at(plan, at)) is not None
     ]
-    found = [
+    assignments = [
         a
         for name in sorted(plan_writer.book.accounts)
         if (a := plan_writer.book.assignment_at(name, at)) is not None
     ]
     reservations = [reservation_as_json(one) for one in plan_writer.reservations.by_key.values()]
-    told = {
+    result = {
         "installation": plan_writer.book.installation, "epoch": plan_writer.epoch, "digest": plan_writer.book.digest(),
-        "plans": list(map(books.as_json, plans)), "accounts": list(map(books.as_json, found)),
+        "plans": list(map(books.as_json, plans)), "accounts": list(map(books.as_json, assignments)),
         "reservations": reservations,
     }  # fmt: skip
-    lines = [repr(plan_writer), *map(_format_change, plans), *map(_format_change, found)]
+    lines = [repr(plan_writer), *map(_format_change, plans), *map(_format_change, assignments)]
     lines += [f"{r['key']}: {r['account']}, {r['units']:g} units, {r['at']}" for r in reservations]
-    _print_result(told, as_json, "\n".join(lines))
+    _print_result(result, as_json, "\n".join(lines))
     return EXIT_DONE
 
 
 def show_history(store: Path, name: str, as_json: bool) -> int:
-    """All that was said of one account or plan."""
+    """Prints all changes of one account or plan."""
     try:
         found = find_history(_open_read_only(store).book, name)
     except (OSError, ValueError) as error:
@@ -184,19 +191,19 @@
     return EXIT_DONE
 
 
-def show_difference(one: Path, other: Path, as_json: bool) -> int:
-    """1 where the two books differ."""
+def show_difference(first: Path, second: Path, as_json: bool) -> int:
+    """Prints the changes that only one of two books has. Returns 1 where they differ."""
     try:
-        old, new = _open_read_only(one).book, _open_read_only(other).book
+        old, new = _open_read_only(first).book, _open_read_only(second).book
     except (OSError, ValueError) as error:
         return fail(error, EXIT_BAD_INPUT)
-    gone, come = find_added_changes(new, old), find_added_changes(old, new)
-    told = {"only_first": list(map(books.as_json, gone)), "only_second": list(map(books.as_json, come))}
-    lines = [f"- {_format_change(change)}" for change in gone] + [
-        f"+ {_format_change(change)}" for change in come
+    removed, added = find_added_changes(new, old), find_added_changes(old, new)
+    result = {"only_first": list(map(books.as_json, removed)), "only_second": list(map(books.as_json, added))}
+    lines = [f"- {_format_change(change)}" for change in removed] + [
+        f"+ {_format_change(change)}" for change in added
     ]
-    _print_result(told, as_json, "\n".join(lines) or f"the same changes: {_format_book(old)}")
-    return EXIT_REFUSED if gone or come else EXIT_DONE
+    _print_result(result, as_json, "\n".join(lines) or f"the same changes: {_format_book(old)}")
+    return EXIT_REFUSED if removed or added else EXIT_DONE
 
 
 def _format_book(book: Book) -> str:
@@ -204,11 +211,11 @@
 
 
 def check_store(store: Path, as_json: bool) -> int:
-    """What is damaged and what can be saved; 1 where no generation is good."""
+    """Prints the damage found in a store and what can be recovered. Returns 1 unless the newest generation is good."""
     try:
         found = check_generations(DiskFolder(str(store), writable=False))
     except OSError as error:
         return fail(error, EXIT_BAD_INPUT)
-    told = [{name: getattr(one, name) for name in one.__slots__} for one in found]
-    _print_result(told, as_json, "\n".join(map(str, found)) or f"{store}: holds no plan book")
+    result = [{name: getattr(one, name) for name in one.__slots__} for one in found]
+    _print_result(result, as_json, "\n".join(map(str, found)) or f"{store}: holds no plan book")
     return EXIT_DONE if found and found[0].good else EXIT_REFUSED
