--- a/cypresspulley/plans/export.py
+++ b/cypresspulley/plans/export.py
@@ -1,4 +1,4 @@
-"""A limiter's use on its way to the writer: cut each second, told until it is acknowledged."""
+"""Exports a limiter's usage to the writer: cuts a record each second and sends it until it is acknowledged."""
 
 from __future__ import annotations
 
@@ -11,22 +11,21 @@
 
 log = logging.getLogger(__name__)
 
-EXPORT_INTERVAL_S = (
-    1.0  # seconds between two cuts: what a kill loses, beside what waits for its acknowledgement
-)
+# Seconds between two records. A killed limiter loses the usage of this time and the unacknowledged records.
+EXPORT_INTERVAL_S = 1.0
 CALL_TIMEOUT_S = 3.0  # seconds
 MAX_ANSWER_BYTES = 65_536  # bytes
 
 
 class UsageExporter:
-    """Tells one gatherer's records, the oldest first, one at a time."""
+    """Sends the records of one usage recorder, the oldest first, one at a time."""
 
     def __init__(
         self, address: WriterAddress, usage_recorder: UsageRecorder, interval_s: float = EXPORT_INTERVAL_S
     ) -> None:
         self._address, self._usage_recorder, self._interval_s = address, usage_recorder, interval_s
         self._task: asyncio.Task[None] | None = None
-        self.last_error = ""  # the last call failed
+        self.last_error = ""  # why the last call failed
 
     def start(self) -> None:
         self._task = asyncio.get_running_loop().create_task(self._export_periodically())
@@ -43,11 +42,15 @@
                 await self.flush()
             except (OSError, EOFError, ConnectionEndedError, asyncio.LimitOverrunError, ValueError) as error:
                 if str(error) != self.last_error:
-                    log.warning("plans: use was not exported: %s", error or repr(error))
+                    log.warning("plans: usage was not exported: %s", error or repr(error))
                 self.last_error = str(error)
 
     async def flush(self) -> None:
-        """Tell all that waits; ``OSError``, ``EndedError`` and the like where the writer does not take it."""
+        """Sends all unacknowledged records.
+
+        Raises ``OSError``, ``EOFError``, ``ConnectionEndedError`` or ``ValueError`` where the writer does not accept
+        one.
+        """
         for record in sorted(
             self._usage_recorder.unacknowledged.values(), key=lambda one: (one.epoch, one.seq)
         ):
--- a/cypresspulley/plans/files.py
+++ b/cypresspulley/plans/files.py
@@ -1,4 +1,4 @@
-"""The few file operations that the store needs, behind an interface, so that tests can lose what was not synced."""
+"""The file operations that the store needs, behind an interface, so that tests can lose data that was not synced."""
 
 from __future__ import annotations
 
@@ -8,40 +8,40 @@
 
 
 class File(Protocol):
-    """A file that is appended to."""
+    """A file opened for appending."""
 
     def write(self, data: bytes) -> None:
-        """Append all of it; ``OSError`` where that is not possible, with some of it written or none."""
+        """Appends all of the data. Raises ``OSError`` where it cannot; some of it may have been written then."""
 
     def sync(self) -> None:
-        """Return when all that was written is on the disk."""
+        """Returns when all written data is on the disk."""
 
     def truncate(self, size: int) -> None:
-        """Make it so many bytes long."""
+        """Shortens the file to ``size`` bytes."""
 
     def close(self) -> None: ...
 
 
 class Folder(Protocol):
-    """The folder that a store lives in."""
+    """The folder that holds a store's files."""
 
     def names(self) -> list[str]: ...
 
     def read(self, name: str) -> bytes: ...
 
     def append(self, name: str) -> File:
-        """Open to append; made where it is not there."""
+        """Opens a file for appending, creating it where it does not exist."""
 
     def rename(self, old: str, new: str) -> None: ...
 
     def remove(self, name: str) -> None: ...
 
     def sync(self) -> None:
-        """Return when names that were made, changed or removed are on the disk."""
+        """Returns when created, renamed and removed names are on the disk."""
 
 
 class MemoryFolder:
-    """A folder that lasts as long as its process: for rehearsals, and installations that want no more."""
+    """A folder in memory, for rehearsals and for installations that need no persistence."""
 
     def __init__(self) -> None:
         self._files = dict[str, bytearray]()
@@ -81,36 +81,38 @@
 
 class DiskFile:
     def __init__(self, path: str) -> None:
-        self._fd = os.open(path, os.O_RDWR | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
+        self._descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
 
     def write(self, data: bytes) -> None:
-        rest = memoryview(data)
-        while rest:
-            rest = rest[os.write(self._fd, rest) :]
+        remaining = memoryview(data)
+        while remaining:
+            remaining = remaining[os.write(self._descriptor, remaining) :]
 
     def sync(self) -> None:
-        os.fsync(self._fd)
+        os.fsync(self._descriptor)
 
     def truncate(self, size: int) -> None:
-        os.ftruncate(self._fd, size)
+        os.ftruncate(self._descriptor, size)
 
     def close(self) -> None:
-        os.close(self._fd)
+        os.close(self._descriptor)
 
 
 class DiskFolder:
-    """A real folder; one writer at a time holds its lock."""
+    """A folder on disk. One writer at a time holds its lock."""
 
     def __init__(self, path: str, writable: bool = True) -> None:
         self._path = path
-        self._lock: int | None = None
+        self._lock_descriptor: int | None = None
         if writable:
             os.makedirs(path, mode=0o700, exist_ok=True)
-            self._lock = os.open(os.path.join(path, "lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+            self._lock_descriptor = os.open(
+                os.path.join(path, "lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600
+            )
             try:
-                fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+                fcntl.flock(self._lock_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
             except BlockingIOError:
-                os.close(self._lock)
+                os.close(self._lock_descriptor)
                 raise OSError(f"{path}: another process writes here; expected one writer at a time") from None
 
     def names(self) -> list[str]:
@@ -130,14 +132,14 @@
         os.remove(os.path.join(self._path, name))
 
     def sync(self) -> None:
-        fd = os.open(self._path, os.O_RDONLY | os.O_DIRECTORY)
+        descriptor = os.open(self._path, os.O_RDONLY | os.O_DIRECTORY)
         try:
-            os.fsync(fd)
+            os.fsync(descriptor)
         finally:
-            os.close(fd)
+            os.close(descriptor)
 
     def close(self) -> None:
-        """Let another writer in."""
-        if self._lock is not None:
-            os.close(self._lock)
-            self._lock = None
+        """Releases the lock, so that another writer can open the folder."""
+        if self._lock_descriptor is not None:
+            os.close(self._lock_descriptor)
+            self._lock_descriptor = None
