--- a/cypresspulley/plans/follow.py
+++ b/cypresspulley/plans/follow.py
@@ -1,10 +1,10 @@
-"""How a limiter follows a book: one table of states, free of I/O and clocks.
+"""The state machine of a limiter that follows a plan book. No I/O; times come from the caller.
 
-The writer publishes changes numbered without gaps through all its epochs, and a beat each second. A change behind a gap
-is not taken before event is missing. A higher epoch is another writer: its book replaces the one here. A lower one is a
-writer that was replaced and does not know it: whatever it says is dropped. A beat carries a lease; when it is over, the
-limiter can no longer know that it has heard of everything, and goes by the lower of the ceiling it knows and the lowest
-that any plan of its book has.
+The writer publishes changes, numbered without gaps across all its epochs, and a heartbeat each second. A change after a
+gap is not applied until the missing ones have arrived. A higher epoch belongs to a new writer, whose book replaces the
+local one. A lower epoch belongs to a writer that was replaced and does not know it: its messages are dropped. A
+heartbeat carries a lease. When the lease expires, the limiter can no longer know that it has every change, and applies
+the lower of an account's ceiling and the lowest ceiling of any plan in its book.
 """
 
 from __future__ import annotations
@@ -14,37 +14,37 @@
 
 from cypresspulley.plans.book import Book, Change, Stamp, Terms, Version
 
-MAX_CLOCK_SKEW_MS = 200  # milliseconds by which clocks may differ: taken off each lease
+MAX_CLOCK_SKEW_MS = 200  # milliseconds by which clocks may differ; subtracted from each lease
 
 
 class FollowerState(Enum):
-    EMPTY = "empty"  # no book yet: the limiter's own settings hold
+    EMPTY = "empty"  # no book yet; the limiter's own settings apply
     CURRENT = "current"
-    BEHIND = "behind"  # something is missing, and was asked for
-    LAPSED = "lapsed"  # the lease is over
+    BEHIND = "behind"  # changes are missing and have been requested
+    LAPSED = "lapsed"  # the lease has expired
 
 
 class FollowerEvent(Enum):
-    STALE = "stale"  # anything of a lower epoch
-    ANOTHER = "another"  # anything of a higher epoch, but its whole book
-    BOOK = "book"  # a whole book, of this epoch or a higher one
-    NEXT = "next"  # the change behind the last one here
-    KNOWN = "known"  # one that is here
-    GAP = "gap"  # one further on
-    BEAT = "beat"  # nothing is missing
-    AHEAD = "ahead"  # a beat that tells of changes which are not here
-    OVER = "over"  # the lease is
+    STALE = "stale"  # any message of a lower epoch
+    ANOTHER = "another"  # any message of a higher epoch except a whole book
+    BOOK = "book"  # a whole book of this epoch or a higher one
+    NEXT = "next"  # the change after the last one held
+    KNOWN = "known"  # a change that is already held
+    GAP = "gap"  # a change after missing ones
+    BEAT = "beat"  # a heartbeat; no change is missing
+    AHEAD = "ahead"  # a heartbeat that names changes which are missing
+    OVER = "over"  # the lease expired
 
 
 class FollowerAction(Enum):
-    DROP = "drop"  # end the connection, say why
+    DROP = "drop"  # end the connection with an error
     REPLACE = "replace"
     APPLY = "apply"
-    RENEW = "renew"  # the lease, by what the writer sent it with
+    RENEW = "renew"  # extend the lease by the duration that the writer sent
     ASK_ALL = "ask all"
-    ASK_FROM = "ask from"  # behind the last change here
+    ASK_FROM = "ask from"  # request the changes after the last one held
     FALL_BACK = "fall back"
-    RECOVER = "recover"  # from the fall-back
+    RECOVER = "recover"  # stop applying the fallback ceiling
 
 
 TRANSITIONS: dict[tuple[FollowerState, FollowerEvent], tuple[FollowerState, tuple[FollowerAction, ...]]] = {
@@ -74,7 +74,7 @@
     (FollowerState.BEHIND, FollowerEvent.NEXT): (
         FollowerState.BEHIND,
         (FollowerAction.APPLY,),
-    ),  # a beat tells when the last one is here
+    ),  # a heartbeat confirms the last one
     (FollowerState.BEHIND, FollowerEvent.BEAT): (FollowerState.CURRENT, (FollowerAction.RENEW,)),
     (FollowerState.BEHIND, FollowerEvent.ANOTHER): (FollowerState.BEHIND, (FollowerAction.ASK_ALL,)),
     (FollowerState.BEHIND, FollowerEvent.OVER): (FollowerState.LAPSED, (FollowerAction.FALL_BACK,)),
@@ -94,7 +94,10 @@
 
 
 class Follower:
-    """A book as one limiter has it. What comes in is what the writer said, with its epoch and its clock."""
+    """A limiter's copy of a plan book, updated by the writer's messages.
+
+    ``sent`` (Unix milliseconds by the writer's clock) and ``lease`` (milliseconds) are those of the message.
+    """
 
     def __init__(self, installation: str) -> None:
         self.state, self.epoch = FollowerState.EMPTY, 0
@@ -102,7 +105,10 @@
         self.lease_until = 0  # Unix milliseconds
 
     def __repr__(self) -> str:
-        return f"<Follower {self.state.value}, epoch {self.epoch}, {self.book.last_stamp}, lease until {self.lease_until}>"
+        return (
+            f"<Follower {self.state.value}, epoch {self.epoch}, {self.book.last_stamp}, "
+            f"lease until {self.lease_until}>"
+        )
 
     def _transition(self, event: FollowerEvent) -> tuple[FollowerAction, ...]:
         self.state, actions = TRANSITIONS.get((self.state, event), (self.state, ()))
@@ -114,18 +120,18 @@
         return FollowerEvent.STALE if epoch < self.epoch else FollowerEvent.ANOTHER
 
     def receive_book(self, epoch: int, book: Book, sent: int, lease: int) -> tuple[FollowerAction, ...]:
-        """A whole book. One of another installation is dropped, whatever its epoch."""
+        """Handles a whole book. A book of another installation is dropped, whatever its epoch."""
         if epoch < self.epoch or book.installation != self.book.installation:
             return self._transition(FollowerEvent.STALE)
         if epoch == self.epoch and book.last_stamp < self.book.last_stamp:
-            return ()  # sent before what is here
+            return ()  # older than the book held
         actions = self._transition(FollowerEvent.BOOK)
         self.epoch, self.book = epoch, book
         self._renew_lease(sent, lease)
         return actions
 
     def receive_change(self, epoch: int, change: Change) -> tuple[FollowerAction, ...]:
-        """One change; what is missing before it is asked for first."""
+        """Handles a change. Changes that are missing before it are requested first."""
         if (epoch_event := self._compare_epoch(epoch)) is not None:
             return self._transition(epoch_event)
         last = self.book.last_stamp.seq
@@ -139,7 +145,7 @@
         return actions
 
     def receive_heartbeat(self, epoch: int, last: Stamp, sent: int, lease: int) -> tuple[FollowerAction, ...]:
-        """The writer lives, and its newest change is ``last``."""
+        """Handles a heartbeat: the writer is alive and its newest change is ``last``."""
         if (epoch_event := self._compare_epoch(epoch)) is not None:
             return self._transition(epoch_event)
         actions = self._transition(
@@ -153,17 +159,17 @@
         self.lease_until = max(self.lease_until, sent + lease - MAX_CLOCK_SKEW_MS)
 
     def check_lease(self, now: int) -> tuple[FollowerAction, ...]:
-        """Time passes: the lease may be over."""
-        over = self.state in (FollowerState.CURRENT, FollowerState.BEHIND) and now >= self.lease_until
-        return self._transition(FollowerEvent.OVER) if over else ()
+        """Checks at ``now`` (Unix milliseconds) whether the lease has expired."""
+        expired = self.state in (FollowerState.CURRENT, FollowerState.BEHIND) and now >= self.lease_until
+        return self._transition(FollowerEvent.OVER) if expired else ()
 
     def binding_version(self, account: str, now: int, fallback: str = "") -> Version | None:
-        """What binds a request of an account now; a lapsed lease lowers its ceiling."""
+        """Returns the version that limits an account now; after the lease expired, with the fallback ceiling."""
         found = self.book.binding_version(account, now, fallback)
         return None if found is None else self.with_fallback_ceiling(found, now)
 
     def with_fallback_ceiling(self, version: Version, now: int) -> Version:
-        """A version as it binds here: with the lower ceiling once the lease is over."""
+        """Returns the version as this limiter applies it: with the lower ceiling once the lease has expired."""
         if self.state is not FollowerState.LAPSED:
             return version
         return replace(version, terms=self._lower_terms(version.terms, now))
@@ -172,9 +178,9 @@
         rate, burst = self.book.lowest_ceiling(now)
         if rate <= 0:
             return terms
-        own = terms.ceiling_rate > 0
-        rate = min(rate, terms.ceiling_rate) if own else rate
-        burst = min(burst, terms.ceiling_burst) if own else burst
+        has_ceiling = terms.ceiling_rate > 0
+        rate = min(rate, terms.ceiling_rate) if has_ceiling else rate
+        burst = min(burst, terms.ceiling_burst) if has_ceiling else burst
         # The quota never stands above the ceiling.
         return replace(
             terms,
