--- a/cypresspulley/plans/limiter.py
+++ b/cypresspulley/plans/limiter.py
@@ -1,11 +1,11 @@
-"""A limiter that goes by a plan book: between the node and the decisions, seeing each event and action.
-
-A request's plan becomes the one that its account is assigned to, the plans' terms those of the versions in force, from
-their instants on and before the request that comes at one. An account whose plan changes takes its levels along by the
-rule of ``bucket_level.py``.
-Use is counted under the version that a request was admitted under, once for each try that may
-have run. Where there is no book yet the settings hold as they are. ``Planned`` does no I/O, its clock comes with each
-event; ``Plans`` is what a limiter starts and ends.
+"""Applies a plan book in a limiter, as a layer between the node and the decision module.
+
+A request's plan is replaced by the one that its account is assigned to, and the plans' terms by those of the versions
+in force. A version applies from its effective instant on, including to a request that arrives at that instant. When an
+account's plan changes, its bucket levels are carried over by the rule of ``bucket_level.py``. Usage is counted under
+the version that the request was admitted under, once for each request that may have run. Until the first book arrives,
+the limiter's own settings apply. ``PlanBookDecisions`` does no I/O and takes the time from each event;
+``PlanBookClient`` holds the connections that a limiter starts and closes.
 """
 
 from __future__ import annotations
@@ -30,41 +30,45 @@
 
 log = logging.getLogger(__name__)
 
-USAGE_PERIOD_S = 3600  # seconds of a period of use
-DEFAULT_OVER_COST = 0.5  # of a plan that only the book knows
-UNVERSIONED = Stamp(0, 0)
+USAGE_PERIOD_S = 3600  # seconds; length of the periods that usage is summed by
+DEFAULT_OVER_COST = 0.5  # for a plan that is in the book but not in the settings
+UNVERSIONED = Stamp(0, 0)  # stands for the version of a plan that is not in the book
 
 
 def plan_from_version(version: Version, base: api.Plan | None) -> api.Plan:
-    """A version as the decisions know plans; what the book does not say is the settings' own."""
-    t = version.terms
+    """Returns the plan that a version describes; what the book does not define comes from the settings' plan."""
+    terms = version.terms
     over_cost, over_worth = (
         (base.over_cost, base.over_worth) if base is not None else (DEFAULT_OVER_COST, 0.0)
     )
     return api.Plan(
-        version.plan, price=t.worth, rate=t.rate, burst=t.burst, open_limit=t.cap, over_worth=over_worth,
-        over_cost=over_cost, ceiling_rate=t.ceiling_rate, ceiling_burst=t.ceiling_burst,
+        version.plan, price=terms.worth, rate=terms.rate, burst=terms.burst, open_limit=terms.cap,
+        over_worth=over_worth, over_cost=over_cost, ceiling_rate=terms.ceiling_rate,
+        ceiling_burst=terms.ceiling_burst,
     )  # fmt: skip
 
 
-def _limits_per_share(rate: float, burst: float, share: int) -> tuple[float, float]:
-    """How an even share fills; one of no ceiling at all is always full."""
-    return (rate / max(1, share), burst / max(1, share)) if burst > 0 else (math.inf, math.inf)
+def _limits_per_share(rate: float, burst: float, shares: int) -> tuple[float, float]:
+    """Returns rate and burst of an even share of a limit; both are infinite where there is no limit."""
+    return (rate / max(1, shares), burst / max(1, shares)) if burst > 0 else (math.inf, math.inf)
 
 
-def _ceiling_share(a: Account) -> BucketLevel:
-    """An account's even share of its ceiling, as if all of it were kept in shares."""
-    limits = _limits_per_share(a.plan.ceiling_rate, a.plan.ceiling_burst, a.gateways)
+def _ceiling_share(account: Account) -> BucketLevel:
+    """Returns an account's even share of its ceiling, as if the whole ceiling were divided into shares."""
+    limits = _limits_per_share(account.plan.ceiling_rate, account.plan.ceiling_burst, account.gateways)
     units = (
-        a.ceiling_level / a.local_ceiling_part
-        if a.plan.ceiling_burst > 0 and a.local_ceiling_part > 0
+        account.ceiling_level / account.local_ceiling_part
+        if account.plan.ceiling_burst > 0 and account.local_ceiling_part > 0
         else limits[1]
     )
-    return BucketLevel(units, a.refilled_at, *limits)
+    return BucketLevel(units, account.refilled_at, *limits)
 
 
 class PlanBookDecisions:
-    """``decide`` is what decides, ``gateway`` the levels behind it (the same, unless something watches)."""
+    """Wraps a decision module and applies the plan book to its events.
+
+    ``decide`` handles the events; ``gateway`` holds the bucket levels (the same object, unless ``decide`` wraps it).
+    """
 
     def __init__(
         self, decide: Any, gateway: Gateway, settings: api.Settings, follower: Follower, usage_recorder: UsageRecorder
@@ -76,14 +80,12 @@
             follower,
         )
         self.usage_recorder = usage_recorder
-        self._seen_state: object = None  # the book and state that the terms in force were read from
-        self._next_effective_ms = 0  # Unix milliseconds at which the next version is in force
-        self._now = -math.inf  # of the last event
+        self._seen_state: object = None  # the book and lease state that the terms in force were computed from
+        self._next_effective_ms = 0  # Unix milliseconds at which the next version takes effect
+        self._now = -math.inf  # time of the last event
         self._in_force = dict[str, Version]()
-        self._uncounted = dict[
-            int, tuple[UsageKey, int]
-        ]()  # tries that have not been counted: what they would count
-        self._open_attempts = dict[int, int]()  # attempts of these that are out
+        self._uncounted = dict[int, tuple[UsageKey, int]]()  # usage of requests that was not counted yet
+        self._open_attempts = dict[int, int]()  # attempts in flight of these requests
 
     def __repr__(self) -> str:
         return f"<PlanBookDecisions {len(self._in_force)} plans, {self.follower!r}, {self.usage_recorder!r}>"
@@ -93,7 +95,7 @@
         if isinstance(event, api.SettingsChanged):
             self._base_settings, self._seen_state = event.settings, None
         for at in self._pending_instants(int(now * 1000)):
-            # Each at its own instant, however late it is looked at: stores fill by the old terms until then.
+            # Each change is applied at its own instant, however late: buckets refill by the old terms until then.
             self._now = max(self._now, min(now, at / 1000))
             if self._refresh_terms(at) or isinstance(event, api.SettingsChanged):
                 actions += self._decisions.handle(self._now, api.SettingsChanged(self._settings()))
@@ -106,18 +108,20 @@
             self._count_outcome(event)
         elif isinstance(event, api.ClientDisconnected):
             self._end_request(event.id)
-        more: list[api.Action] = self._decisions.handle(now, event)
-        for action in more:
-            if (
-                isinstance(action, api.Send) and action.id in self._uncounted
-            ):  # one that was counted is done here
+        decided: list[api.Action] = self._decisions.handle(now, event)
+        for action in decided:
+            # A request that was counted needs no further tracking.
+            if isinstance(action, api.Send) and action.id in self._uncounted:
                 self._open_attempts[action.id] = self._open_attempts.get(action.id, 0) + 1
             elif isinstance(action, api.Refuse | api.Fail):
                 self._end_request(action.id)
-        return actions + more
+        return actions + decided
 
     def _pending_instants(self, now: int) -> list[int]:
-        """When other terms may have come into force since the last look, in order; now at last, if anything has."""
+        """Returns, in order, the instants since the last call at which terms may have changed.
+
+        ``now`` is the last of them; the list is empty where nothing can have changed.
+        """
         self.follower.check_lease(now)
         state = (self.follower.book, self.follower.state is FollowerState.LAPSED)
         if self._seen_state == state and now < self._next_effective_ms:
@@ -133,7 +137,7 @@
         return (version for history in self.follower.book.plans.values() for version in history)
 
     def _refresh_terms(self, at: int) -> bool:
-        """Whether other terms are in force at an instant than at the last one that was looked at."""
+        """Computes the terms in force at an instant; returns whether they differ from the previous ones."""
         before, book = self._in_force, self.follower.book
         found = (
             self.follower.with_fallback_ceiling(v, at)
@@ -145,11 +149,13 @@
 
     def _settings(self) -> api.Settings:
         base = {plan.name: plan for plan in self._base_settings.plans}
-        told = {name: plan_from_version(version, base.get(name)) for name, version in self._in_force.items()}
-        return replace(self._base_settings, plans=tuple({**base, **told}.values()))
+        from_book = {
+            name: plan_from_version(version, base.get(name)) for name, version in self._in_force.items()
+        }
+        return replace(self._base_settings, plans=tuple({**base, **from_book}.values()))
 
     def _bind_request(self, now: float, ev: api.Request) -> api.Request:
-        """The request under the plan that its account is on now; its levels come along where that is another."""
+        """Returns the request with its account's current plan, and carries the account's levels over to that plan."""
         assigned = self.follower.book.assignment_at(ev.account, int(now * 1000))
         plan = ev.plan if assigned is None or assigned.plan not in self._in_force else assigned.plan
         version = self._in_force.get(plan)
@@ -163,8 +169,10 @@
         return bound
 
     def _carry_level(self, now: float, ev: api.Request) -> None:
-        """An account whose plan has changed since it was last seen takes its levels along, by each plan in between; one
-        that is new here was full at most, and bounded by each change that there was."""
+        """Carries an account's levels through each plan that it was on since its last request.
+
+        An account that is new to this limiter starts full at most, limited by each change that there was.
+        """
         quotas = self._gateway.quotas
         key = next((k for k in self._account_keys(ev) if k in quotas.accounts), None)
         old = quotas.accounts[key] if key is not None else None
@@ -190,40 +198,42 @@
             new.ceiling_level = min(
                 new.ceiling_level, new.local_ceiling_part * ceiling.refilled_until(now).units
             )
-            # A start that is vouched for gives nothing of that back.
+            # ``fill_ceiling`` must not give back the units that are missing here.
             new.ceiling_drawn = max(
                 new.ceiling_drawn,
                 new.local_ceiling_part * new.plan.ceiling_burst / new.gateways - new.ceiling_level,
             )
 
     def _account_keys(self, ev: api.Request) -> Iterator[tuple[str, str]]:
-        """Where the account may be known: under its plan, or under one that it had."""
+        """Yields the keys under which the account may be stored: its current plan first, then every known plan."""
         yield ev.plan, ev.account
         for name in {**self._in_force, **{plan.name: None for plan in self._base_settings.plans}}:
             yield name, ev.account
 
     def _end_request(self, id: int) -> None:
-        """A try is over with no answer of a server: it may have run where an attempt is still out."""
-        counts, out = self._uncounted.pop(id, None), self._open_attempts.pop(id, 0)
-        if counts is not None and out > 0:
-            self.usage_recorder.add_usage(*counts)
+        """Handles a request that ends without a server's answer: counts it where an attempt in flight may have run."""
+        usage, open_attempts = self._uncounted.pop(id, None), self._open_attempts.pop(id, 0)
+        if usage is not None and open_attempts > 0:
+            self.usage_recorder.add_usage(*usage)
 
     def _count_outcome(self, ev: api.Outcome) -> None:
-        """An attempt that may have run counts its try's units, once; true units settle them."""
-        if (counts := self._uncounted.get(ev.id)) is None:
+        """Counts a request's units once, for the first attempt that may have run; actual units replace the estimate."""
+        if (usage := self._uncounted.get(ev.id)) is None:
             return
         if ev.status in NEVER_RAN:
             self._open_attempts[ev.id] = self._open_attempts.get(ev.id, 1) - 1
             return
         del self._uncounted[ev.id]
         self._open_attempts.pop(ev.id, None)
-        key, units = counts
-        true = round(ev.units * MICRO_PER_UNIT) if ev.status is Status.OK and ev.units is not None else units
-        self.usage_recorder.add_usage(key, true)
+        key, units = usage
+        actual_units = (
+            round(ev.units * MICRO_PER_UNIT) if ev.status is Status.OK and ev.units is not None else units
+        )
+        self.usage_recorder.add_usage(key, actual_units)
 
 
 class PlanBookClient:
-    """The connections of one limiter to a book's writer. ``token`` may not be empty."""
+    """The connections of one limiter to a plan book's writer. Raises ``ValueError`` where ``token`` is empty."""
 
     def __init__(
         self, address: tuple[str, int], token: str, installation: str, name: str, clock: Callable[[], float]
@@ -232,7 +242,7 @@
             raise ValueError("FAWNSEAM_PLANS_TOKEN: expected the token that the writer wants")
         self._clock = clock
         writer_address, follower = WriterAddress(*address, token), Follower(installation)
-        # Without a disk the time of a start is what grows with each life.
+        # The epoch must grow with each start of the limiter; without a disk the start time serves as the epoch.
         self.usage_recorder = UsageRecorder(name, int(clock() * 1000))
         self._usage_exporter = UsageExporter(writer_address, self.usage_recorder)
         self._writer_channel = WriterChannel(
@@ -252,7 +262,7 @@
         self._usage_exporter.start()
 
     async def close(self) -> None:
-        """A planned end loses nothing where the writer can be reached."""
+        """Closes the connections and exports the remaining usage, so that a planned stop loses none if possible."""
         self._writer_channel.close()
         self._usage_exporter.close()
         self.usage_recorder.cut_record()
@@ -260,7 +270,7 @@
             await self._usage_exporter.flush()
         except (OSError, EOFError, ConnectionEndedError, ValueError) as error:
             log.warning(
-                "plans: %d records of use were not exported: %s",
+                "plans: %d usage records were not exported: %s",
                 len(self.usage_recorder.unacknowledged),
                 error,
             )
