--- a/cypresspulley/plans/plan_writer.py
+++ b/cypresspulley/plans/plan_writer.py
@@ -1,8 +1,8 @@
-"""The writer: book, reservations and unexported use over one store. Each change is safe before it is in force.
+"""The single writer of a plan book: book, reservations and reported usage over one store.
 
-A start opens a new epoch, stored before anything is written under it. What was stored is all that is known: the office
-is the sum of its records, so that a start after any crash is the office as it was acknowledged, and at most what was
-written and not yet acknowledged besides.
+Each change is on the disk before it takes effect. Each start opens a new epoch, which is stored before anything is
+written under it. The state is rebuilt from the stored records alone: after a crash it holds everything that was
+acknowledged and at most what was written and not yet acknowledged.
 """
 
 from __future__ import annotations
@@ -43,18 +43,19 @@
 from cypresspulley.plans.store import Record, Store, StoreError
 from cypresspulley.plans.usage import UsageLedger, UsageRecord, parse_usage_record
 
-FLEET_DRAW_KEY = "limiters"  # what stands for all their draws while a reservation is drawn on
-SETTLE_DELAY_MS = 15_000  # milliseconds in which limiters end what they have in hand under the event's plan, and tell their use
+FLEET_DRAW_KEY = "limiters"  # stands for the draws of all limiters on a reservation
+# Time in which limiters finish the requests admitted under a reservation's plan and export their usage, milliseconds.
+SETTLE_DELAY_MS = 15_000
 
 
 class PlanWriter:
-    """One installation's plans. ``now`` is Unix time in milliseconds, from whoever calls."""
+    """The plans, reservations and usage of one installation. ``now`` is Unix time in milliseconds, from the caller."""
 
     def __init__(self, store: Store, installation: str = "", new_epoch: bool = True) -> None:
         self._store = store
         self.book, self.epoch = Book(installation), 0
         self.reservations, self.usage_ledger = Reservations(), UsageLedger()
-        self.changes = list[Change]()  # by number: the one of number n stands at n - 1
+        self.changes = list[Change]()  # the change with sequence number n is at index n - 1
         for number, record in enumerate(store.records):
             self._replay(record, f"record {number}")
         if not self.book.installation:
@@ -67,7 +68,7 @@
     def __repr__(self) -> str:
         return f"<PlanWriter epoch {self.epoch}, {self.book!r}, {len(self.reservations.by_key)} reservations>"
 
-    # Reading what is there.
+    # Recovery from the stored records.
 
     def _replay(self, record: Record, where: str) -> None:
         kind = record.get("kind")
@@ -100,15 +101,17 @@
 
     def _replay_reservation(self, record: Record) -> None:
         request = ReservationRequest(**record["wish"])
-        one = Reservation(request, ReservationState(record["at"]), record["drawn"], {}, record["given_back"])
-        one.corrections, one.window_ended = record["corrections"], record["past"]
-        one.plan, one.draining_since = record["plan"], record["since"]
-        if one.state in (ReservationState.ACTIVE, ReservationState.DRAINING):
-            one.in_flight[FLEET_DRAW_KEY] = 0
-        self.reservations.by_key[request.key] = one
+        reservation = Reservation(
+            request, ReservationState(record["at"]), record["drawn"], {}, record["given_back"]
+        )
+        reservation.corrections, reservation.window_ended = record["corrections"], record["past"]
+        reservation.plan, reservation.draining_since = record["plan"], record["since"]
+        if reservation.state in (ReservationState.ACTIVE, ReservationState.DRAINING):
+            reservation.in_flight[FLEET_DRAW_KEY] = 0
+        self.reservations.by_key[request.key] = reservation
 
     def _records(self) -> Iterator[Record]:
-        """All that is known, for a new generation."""
+        """Yields the whole state as records, for a new generation of the store."""
         yield {"kind": "epoch", "epoch": self.epoch, "installation": self.book.installation}
         yield from map(books.as_json, self.changes)
         yield from map(_reservation_record, self.reservations.by_key.values())
@@ -133,13 +136,13 @@
     def set_terms(
         self, plan: str, terms: Terms, effective: int, now: int, author: str, reason: str = "", dry: bool = False
     ) -> Version:  # fmt: skip
-        """A plan's terms from an instant on."""
+        """Sets the terms of a plan from the instant ``effective`` on. A dry run only checks the change."""
         return self._write(Version(plan, effective, self._next_stamp, terms, author, reason), now, dry)
 
     def assign_plan(
         self, account: str, plan: str, effective: int, now: int, author: str, reason: str = "", dry: bool = False
     ) -> Assignment:  # fmt: skip
-        """An account's plan from an instant on."""
+        """Assigns an account to a plan from the instant ``effective`` on. A dry run only checks the change."""
         return self._write(Assignment(account, effective, self._next_stamp, plan, author, reason), now, dry)
 
     def _write(self, change: ChangeT, now: int, dry: bool) -> ChangeT:
@@ -150,29 +153,33 @@
         return change
 
     def _check_change(self, change: Change, now: int) -> Book:
-        books.parse_change(books.as_json(change), "change")  # what a start could not read must not be stored
+        # A record that a start cannot read must not be stored.
+        books.parse_change(books.as_json(change), "change")
         check_new_change(self.book, change, now)
         if isinstance(change, Assignment):
-            for one in self.reservations.by_key.values():
-                held = (
-                    one.state in (ReservationState.HELD, ReservationState.ACTIVE)
-                    and one.request.account == change.account
+            for reservation in self.reservations.by_key.values():
+                is_open = (
+                    reservation.state in (ReservationState.HELD, ReservationState.ACTIVE)
+                    and reservation.request.account == change.account
                 )
-                if held and one.request.start <= change.effective < one.request.end:
+                if is_open and reservation.request.start <= change.effective < reservation.request.end:
                     raise BookError(
-                        f"account: {change.account} has reservation {one.request.key} then; release it first"
+                        f"account: {change.account} has reservation {reservation.request.key} then; release it first"
                     )
         return self.book.with_change(change)
 
     def write_change(self, change: Change, now: int) -> None:
-        """A new change: checked, stored, then in the book."""
+        """Checks a new change, stores it and adds it to the book. Raises ``BookError`` or ``OSError``."""
         book = self._check_change(change, now)
         self._commit(books.as_json(change))
         self._apply_change(book, change)
 
     def find_ceiling_overshoots(self, change: Change, now: int) -> dict[str, float]:
-        """Accounts whose ceiling the change lowers, and by how many units it may be passed: those that the last limiter
-        to hear admits. Nothing where the change was announced a lease ahead."""
+        """Returns the accounts whose ceiling a change lowers, with the units by which it may be exceeded.
+
+        These are the units that the last limiter to receive the change may still admit. The result is empty where the
+        change is announced at least a lease ahead.
+        """
         late = max(0.0, (LEASE_MS - (change.effective - now)) / 1000)
         accounts = list[str]()
         new: Version | None = None
@@ -180,27 +187,27 @@
             accounts = [change.account]
             new = self.book.version_at(change.plan, change.effective)
         elif isinstance(change, Version):
-            held = ((a, self.book.assignment_at(a, change.effective)) for a in self.book.accounts)
-            accounts = [a for a, on in held if on is not None and on.plan == change.plan]
+            assigned = ((a, self.book.assignment_at(a, change.effective)) for a in self.book.accounts)
+            accounts = [a for a, on in assigned if on is not None and on.plan == change.plan]
             new = change
-        found = dict[str, float]()
+        overshoots = dict[str, float]()
         for account in accounts:
             old = self.book.binding_version(account, change.effective - 1)
             if old is None or new is None or old.terms.ceiling_rate <= 0 or new.terms.ceiling_rate <= 0:
                 continue
-            by = max_ceiling_overshoot(
+            units = max_ceiling_overshoot(
                 (old.terms.ceiling_rate, old.terms.ceiling_burst),
                 (new.terms.ceiling_rate, new.terms.ceiling_burst),
                 late,
             )
-            if by > 0:
-                found[account] = by
-        return found
+            if units > 0:
+                overshoots[account] = units
+        return overshoots
 
-    # Use.
+    # Usage.
 
     def accept_usage(self, record: UsageRecord) -> bool:
-        """Whether a limiter's record may be acknowledged: it is stored, now or before."""
+        """Stores a limiter's usage record; returns whether it may be acknowledged, because it is stored now or was."""
         if self.usage_ledger.contains(record):
             return self.usage_ledger.accept(record)
         self._commit(record.as_json())
@@ -210,7 +217,11 @@
     # Reservations.
 
     def capacity_for(self, account: str, at: int, fleet_rate: float) -> Capacity:
-        """What the fleet (units a second that may be set aside) and the account's plan can hold."""
+        """Returns the capacity that reservations of an account may use.
+
+        ``fleet_rate`` is what the fleet may set aside, in units per second. Raises ``BookError`` for an account without
+        a plan.
+        """
         found = self.book.binding_version(account, at)
         if found is None:
             raise BookError(f"account: {account!r} has no plan at {at}; expected one that is assigned")
@@ -224,154 +235,176 @@
     def reserve(
         self, request: ReservationRequest, now: int, fleet_rate: float, dry: bool = False
     ) -> Reservation:
-        """Set aside, or refuse; stored before it is said, with the event's plan that limiters go by."""
+        """Admits or refuses a reservation, and stores it with the plan that limiters apply during its window.
+
+        Raises ``BookError``, ``ReservationError`` or ``OSError``; no new reservation is kept then.
+        """
         if request.end <= now:
             raise BookError(f"end: expected an instant after {now}, got {request.end}, which is past")
         capacity = self.capacity_for(request.account, request.start, fleet_rate)
         if request.key in self.reservations.by_key:
             return self.reservations.reserve(request, capacity)
         try:
-            one = self.reservations.reserve(request, capacity)
-            changes = self._changes_for_reservation(one, now) if one.state is ReservationState.HELD else []
-            self._store_reservation(one, changes, dry)
+            reservation = self.reservations.reserve(request, capacity)
+            changes = (
+                self._changes_for_reservation(reservation, now)
+                if reservation.state is ReservationState.HELD
+                else []
+            )
+            self._store_reservation(reservation, changes, dry)
         except (OSError, BookError):
             self.reservations.by_key.pop(request.key, None)
             raise
         if dry:
             del self.reservations.by_key[request.key]
-        return one
+        return reservation
 
-    def _changes_for_reservation(self, one: Reservation, now: int) -> list[Change]:
-        """The event's plan, the account's way to it at the window's begin, and back at its end."""
-        request = one.request
+    def _changes_for_reservation(self, reservation: Reservation, now: int) -> list[Change]:
+        """Returns the reservation's plan, the assignment to it at the window's start and the one back at its end."""
+        request = reservation.request
         start = max(request.start, now)
         base = self.book.binding_version(request.account, start)
-        assert base is not None  # there is room by its terms
+        assert base is not None  # the capacity was computed from its terms
         if any(
-            self._overlaps(request, other) for other in self.reservations.by_key.values() if other is not one
+            self._overlaps(request, other)
+            for other in self.reservations.by_key.values()
+            if other is not reservation
         ):
             raise BookError(
                 f"start, end: {request.account} has another reservation then; expected one at a time"
             )
-        one.plan = reservation_plan_name(base.plan, request.key)
+        reservation.plan = reservation_plan_name(base.plan, request.key)
         epoch, seq, end = (
             self.epoch,
             self._next_stamp.seq,
             self._next_free_instant(request.account, request.end),
         )
-        told = ("reservations", f"reservation {request.key}")
+        origin = ("reservations", f"reservation {request.key}")
         return [
-            Version(one.plan, start, Stamp(epoch, seq), reservation_plan_terms(base.terms, request), *told),
+            Version(
+                reservation.plan,
+                start,
+                Stamp(epoch, seq),
+                reservation_plan_terms(base.terms, request),
+                *origin,
+            ),
             Assignment(
                 request.account,
                 self._next_free_instant(request.account, start),
                 Stamp(epoch, seq + 1),
-                one.plan,
-                *told,
+                reservation.plan,
+                *origin,
             ),
-            Assignment(request.account, end, Stamp(epoch, seq + 2), base.plan, *told),
+            Assignment(request.account, end, Stamp(epoch, seq + 2), base.plan, *origin),
         ]
 
     @staticmethod
     def _overlaps(request: ReservationRequest, other: Reservation) -> bool:
-        """Whether both are of one account, and open at one time."""
-        there = other.request
-        together = there.start < request.end and request.start < there.end
-        return other.state not in TERMINAL_STATES and there.account == request.account and together
+        """Returns whether both are of one account and their windows overlap."""
+        booked = other.request
+        overlapping = booked.start < request.end and request.start < booked.end
+        return other.state not in TERMINAL_STATES and booked.account == request.account and overlapping
 
     def _next_free_instant(self, account: str, instant: int) -> int:
-        """The instant, or the next one that no other assignment of the account has."""
-        taken = {one.effective for one in self.book.accounts.get(account, ())}
-        while instant in taken:
+        """Returns the first instant from ``instant`` on at which no assignment of the account takes effect."""
+        used_instants = {assignment.effective for assignment in self.book.accounts.get(account, ())}
+        while instant in used_instants:
             instant += 1
         return instant
 
-    def _store_reservation(self, one: Reservation, changes: list[Change], dry: bool = False) -> None:
-        """One commit for the reservation and what limiters hear of it; then it is in force."""
+    def _store_reservation(self, reservation: Reservation, changes: list[Change], dry: bool = False) -> None:
+        """Stores the reservation and its changes in one commit, then adds the changes to the book."""
         book = self.book
         for change in changes:
             books.parse_change(books.as_json(change), "change")
             book = book.with_change(change)
         if dry:
             return
-        self._commit(_reservation_record(one), *map(books.as_json, changes))
+        self._commit(_reservation_record(reservation), *map(books.as_json, changes))
         for change in changes:
             self._apply_change(self.book.with_change(change), change)
 
     def release(self, key: str, now: int) -> Reservation:
-        """No new draws from now on; what is not drawn is given back once limiters have told all they used."""
+        """Ends a reservation: it takes no new draws, and the undrawn rest is given back once all usage is reported."""
         known = self.reservations.by_key.get(key)
         before = replace(known, in_flight=dict(known.in_flight)) if known is not None else None
         if known is not None and known.state in (ReservationState.HELD, ReservationState.ACTIVE):
             known.draining_since = now
-        one = self.reservations.release(key)
-        if before is not None and one.state is not before.state:
+        reservation = self.reservations.release(key)
+        if before is not None and reservation.state is not before.state:
             try:
-                self._store_reservation(one, self._changes_for_release(one, now))
+                self._store_reservation(reservation, self._changes_for_release(reservation, now))
             except OSError:
                 self.reservations.by_key[key] = before
                 raise
-        return one
+        return reservation
 
-    def _changes_for_release(self, one: Reservation, now: int) -> list[Change]:
-        """The account's way off the event's plan at once; what would have put it there or back later is withdrawn."""
-        plan, _, _ = one.plan.rpartition(NAME_SEPARATOR)
+    def _changes_for_release(self, reservation: Reservation, now: int) -> list[Change]:
+        """Returns the changes that move the account back to its own plan at once and withdraw its later assignments."""
+        plan, _, _ = reservation.plan.rpartition(NAME_SEPARATOR)
         if not plan:
             return []
-        account, seq = one.request.account, self._next_stamp.seq
-        reason = "reservations", f"release of {one.request.key}"
-        mine = [
-            a for a in self.book.accounts.get(account, ()) if f"reservation {one.request.key}" == a.reason
+        account, seq = reservation.request.account, self._next_stamp.seq
+        origin = "reservations", f"release of {reservation.request.key}"
+        own_assignments = [
+            a
+            for a in self.book.accounts.get(account, ())
+            if f"reservation {reservation.request.key}" == a.reason
         ]
         changes: list[Change] = [
-            Withdrawal(a.stamp, now, Stamp(self.epoch, seq + n), *reason)
-            for n, a in enumerate(a for a in mine if a.effective > now)
+            Withdrawal(a.stamp, now, Stamp(self.epoch, seq + n), *origin)
+            for n, a in enumerate(a for a in own_assignments if a.effective > now)
         ]
         assigned = self.book.assignment_at(account, now)
-        if assigned is not None and assigned.plan == one.plan:
-            back = Stamp(self.epoch, seq + len(changes))
+        if assigned is not None and assigned.plan == reservation.plan:
+            stamp = Stamp(self.epoch, seq + len(changes))
             changes.append(
-                Assignment(account, self._next_free_instant(account, now + 1), back, plan, *reason)
+                Assignment(account, self._next_free_instant(account, now + 1), stamp, plan, *origin)
             )
         return changes
 
     def tick(self, now: int) -> list[Reservation]:
-        """Windows of reservations begin and end; what drains settles once all use has had time to come."""
+        """Starts and ends the windows of reservations, and settles draining ones after ``SETTLE_DELAY_MS``.
+
+        Returns the reservations that changed.
+        """
         changed = self.reservations.tick(now)
-        for one in self.reservations.by_key.values():
-            if one.state is ReservationState.ACTIVE:
-                one.in_flight.setdefault(FLEET_DRAW_KEY, 0)
-            elif one.state is ReservationState.DRAINING:
-                one.draining_since = one.draining_since or now
-                if now >= one.draining_since + SETTLE_DELAY_MS:
+        for reservation in self.reservations.by_key.values():
+            if reservation.state is ReservationState.ACTIVE:
+                reservation.in_flight.setdefault(FLEET_DRAW_KEY, 0)
+            elif reservation.state is ReservationState.DRAINING:
+                reservation.draining_since = reservation.draining_since or now
+                if now >= reservation.draining_since + SETTLE_DELAY_MS:
                     self.reservations.settle(
-                        one.request.key, FLEET_DRAW_KEY, drawn_units(one.request, self._reported_usage(one))
+                        reservation.request.key,
+                        FLEET_DRAW_KEY,
+                        drawn_units(reservation.request, self._reported_usage(reservation)),
                     )
-                    changed.append(one)
-        unique = {id(one): one for one in changed}
-        self._commit(*map(_reservation_record, unique.values()))
-        return list(unique.values())
+                    changed.append(reservation)
+        changed_by_id = {id(reservation): reservation for reservation in changed}
+        self._commit(*map(_reservation_record, changed_by_id.values()))
+        return list(changed_by_id.values())
 
-    def _reported_usage(self, one: Reservation) -> int:
-        """Micro-units that limiters have told of under the event's plan."""
-        return sum(units for key, units in self.usage_ledger.totals.items() if key.plan == one.plan)
+    def _reported_usage(self, reservation: Reservation) -> int:
+        """Returns the micro-units that limiters reported under the reservation's plan."""
+        return sum(units for key, units in self.usage_ledger.totals.items() if key.plan == reservation.plan)
 
     def _record_corrections(self, record: UsageRecord) -> None:
-        """Use that comes after its reservation has settled is a correction of it, and changes nothing given back."""
-        over = {
-            one.plan: one
-            for one in self.reservations.by_key.values()
-            if one.plan and one.state in TERMINAL_STATES
+        """Records usage that arrives after its reservation has settled as a correction; nothing more is given back."""
+        settled_by_plan = {
+            reservation.plan: reservation
+            for reservation in self.reservations.by_key.values()
+            if reservation.plan and reservation.state in TERMINAL_STATES
         }
         for key, units in record.rows:
-            if (one := over.get(key.plan)) is not None:
-                self.reservations.correct(one.request.key, units)
+            if (reservation := settled_by_plan.get(key.plan)) is not None:
+                self.reservations.correct(reservation.request.key, units)
 
 
-def _reservation_record(one: Reservation) -> Record:
-    wish = {name: getattr(one.request, name) for name in ReservationRequest.__slots__}
+def _reservation_record(reservation: Reservation) -> Record:
+    wish = {name: getattr(reservation.request, name) for name in ReservationRequest.__slots__}
     return {
-        "kind": "reservation", "wish": wish, "at": one.state.value, "drawn": one.drawn,
-        "given_back": one.given_back, "corrections": one.corrections, "past": one.window_ended,
-        "plan": one.plan, "since": one.draining_since,
+        "kind": "reservation", "wish": wish, "at": reservation.state.value, "drawn": reservation.drawn,
+        "given_back": reservation.given_back, "corrections": reservation.corrections, "past": reservation.window_ended,
+        "plan": reservation.plan, "since": reservation.draining_since,
     }  # fmt: skip
