--- a/cypresspulley/plans/operations.py
+++ b/cypresspulley/plans/operations.py
@@ -1,6 +1,7 @@
-"""What operators may ask of an office, as plain objects: the command line and the writer's HTTP side speak the same.
+"""The operations that operators may request of a plan writer, as plain objects.
 
-``carry_out`` checks a wish whole, does it, and tells what was done; nothing is changed by a wish that is refused.
+The command line and the writer's HTTP server accept the same operations. ``apply_operation`` validates an operation,
+applies it and returns the result; a refused operation changes nothing.
 """
 
 from __future__ import annotations
@@ -29,24 +30,24 @@
 
 
 class OperationError(ValueError):
-    """A wish that cannot be read; the text names the key and what was expected."""
+    """An operation is malformed. The text names the key and the expected value."""
 
 
 @dataclass(frozen=True, slots=True)
 class _OperationFields:
-    """A wish's keys, each read with a check."""
+    """The fields of an operation. Each accessor validates the value and raises ``OperationError``."""
 
-    keys: dict[str, Any]
+    values: dict[str, Any]
 
     def text(self, name: str, default: str | None = None) -> str:
-        value = self.keys.get(name, default)
+        value = self.values.get(name, default)
         if not isinstance(value, str) or (not value and default is None):
             raise OperationError(f"{name}: expected a text, got {value!r:.60}")
         return value
 
     def instant(self, name: str, now: int, default: int | None = None) -> int:
-        """Unix milliseconds; a text ``+SECONDS`` counts from now."""
-        value = self.keys.get(name, default)
+        """Returns an instant in Unix milliseconds; the text ``+SECONDS`` is relative to ``now``."""
+        value = self.values.get(name, default)
         if isinstance(value, str) and value.startswith("+"):
             try:
                 ahead = float(value[1:])
@@ -60,7 +61,7 @@
         return value
 
     def number(self, name: str) -> float:
-        value = self.keys.get(name)
+        value = self.values.get(name)
         if (
             isinstance(value, bool)
             or not isinstance(value, int | float)
@@ -71,7 +72,11 @@
 
 
 def apply_operation(plan_writer: PlanWriter, raw: Any, now: int) -> dict[str, Any]:
-    """Do it; ``BookError``, ``ReservationError`` or ``WishError`` say why not, and nothing has changed then."""
+    """Applies an operation and returns its result.
+
+    Raises ``BookError``, ``ReservationError``, ``UsageError`` or ``OperationError`` with the reason where it is
+    refused; nothing has changed then.
+    """
     if not isinstance(raw, dict) or raw.get("wish") not in OPERATION_KEYS:
         raise OperationError(f"wish: expected one of {', '.join(OPERATION_KEYS)}")
     kind = raw["wish"]
@@ -79,63 +84,67 @@
         raise OperationError(
             f"{min(extra)}: unknown; expected {', '.join(sorted(OPERATION_KEYS[kind] | COMMON_KEYS))}"
         )
-    keys = _OperationFields(raw)
-    author, dry = keys.text("author"), raw.get("dry_run", False) is True
+    fields = _OperationFields(raw)
+    author, dry = fields.text("author"), raw.get("dry_run", False) is True
     if kind in ("change", "assign"):
-        done = _change(plan_writer, kind, keys, author, now, dry)
+        result = _apply_change(plan_writer, kind, fields, author, now, dry)
     elif kind == "reserve":
-        done = _reserve(plan_writer, keys, now, dry)
+        result = _apply_reservation(plan_writer, fields, now, dry)
     elif kind == "use":
         record = parse_usage_record(raw.get("record"))
         return {"acknowledged": plan_writer.accept_usage(record), "key": record.idempotency_key}
     else:
-        done = reservation_as_json(plan_writer.release(keys.text("key"), now))
+        result = reservation_as_json(plan_writer.release(fields.text("key"), now))
     if not dry:
-        log.info("plans: %s by %s: %s (%s)", kind, author, done, keys.text("reason", ""))
-    return {"wish": kind, "dry_run": dry, **done}
+        log.info("plans: %s by %s: %s (%s)", kind, author, result, fields.text("reason", ""))
+    return {"wish": kind, "dry_run": dry, **result}
 
 
-def _change(
-    plan_writer: PlanWriter, kind: str, keys: _OperationFields, author: str, now: int, dry: bool
+def _apply_change(
+    plan_writer: PlanWriter, kind: str, fields: _OperationFields, author: str, now: int, dry: bool
 ) -> dict[str, Any]:
-    effective, reason = keys.instant("effective", now, now + LEASE_MS), keys.text("reason", "")
+    effective, reason = fields.instant("effective", now, now + LEASE_MS), fields.text("reason", "")
     change: Change
     if kind == "change":
-        terms = books.parse_terms(keys.keys.get("terms"), "terms")
-        change = plan_writer.set_terms(keys.text("plan"), terms, effective, now, author, reason, dry=True)
+        terms = books.parse_terms(fields.values.get("terms"), "terms")
+        change = plan_writer.set_terms(fields.text("plan"), terms, effective, now, author, reason, dry=True)
     else:
-        told = keys.text("account"), keys.text("plan")
-        change = plan_writer.assign_plan(*told, effective, now, author, reason, dry=True)
-    passed = plan_writer.find_ceiling_overshoots(change, now)
+        account_and_plan = fields.text("account"), fields.text("plan")
+        change = plan_writer.assign_plan(*account_and_plan, effective, now, author, reason, dry=True)
+    overshoots = plan_writer.find_ceiling_overshoots(change, now)
     if not dry:
         plan_writer.write_change(change, now)
-    return {"change": books.as_json(change), "passed_by": passed}
+    return {"change": books.as_json(change), "passed_by": overshoots}
 
 
-def _reserve(plan_writer: PlanWriter, keys: _OperationFields, now: int, dry: bool) -> dict[str, Any]:
-    wish = ReservationRequest(
-        keys.text("key"), keys.text("account"), keys.instant("start", now), keys.instant("end", now),
-        round(keys.number("units") * MICRO_PER_UNIT), keys.text("purpose", ""),
+def _apply_reservation(
+    plan_writer: PlanWriter, fields: _OperationFields, now: int, dry: bool
+) -> dict[str, Any]:
+    request = ReservationRequest(
+        fields.text("key"), fields.text("account"), fields.instant("start", now), fields.instant("end", now),
+        round(fields.number("units") * MICRO_PER_UNIT), fields.text("purpose", ""),
     )  # fmt: skip
-    return reservation_as_json(plan_writer.reserve(wish, now, keys.number("fleet_rate"), dry))
+    return reservation_as_json(plan_writer.reserve(request, now, fields.number("fleet_rate"), dry))
 
 
-def reservation_as_json(one: Reservation) -> dict[str, Any]:
-    """A reservation for people and programs: units as numbers."""
-    w = one.request
+def reservation_as_json(reservation: Reservation) -> dict[str, Any]:
+    """Returns a reservation for people and programs, with amounts in units instead of micro-units."""
+    request = reservation.request
     return {
-        "key": w.key, "account": w.account, "start": w.start, "end": w.end, "purpose": w.purpose, "at": one.state.value,
-        "units": w.units / MICRO_PER_UNIT, "drawn": one.drawn / MICRO_PER_UNIT, "given_back": one.given_back / MICRO_PER_UNIT,
+        "key": request.key, "account": request.account, "start": request.start, "end": request.end,
+        "purpose": request.purpose, "at": reservation.state.value,
+        "units": request.units / MICRO_PER_UNIT, "drawn": reservation.drawn / MICRO_PER_UNIT,
+        "given_back": reservation.given_back / MICRO_PER_UNIT,
     }  # fmt: skip
 
 
 def find_added_changes(old: Book, new: Book) -> list[Change]:
-    """Changes that only the second one has, by stamp."""
+    """Returns the changes that only the second book has, by stamp."""
     return [change for change in new.changes() if change.stamp not in old.changes_by_stamp]
 
 
 def _subject_of(book: Book, change: Change) -> str:
-    """The account or plan that a change is of."""
+    """Returns the name of the account or plan that a change concerns."""
     if isinstance(change, Withdrawal):
         target = book.changes_by_stamp.get(change.target)
         return "" if target is None else _subject_of(book, target)
@@ -143,7 +152,7 @@
 
 
 def find_history(book: Book, name: str) -> list[Change]:
-    """All that ever was said of an account, or of a plan, by instant."""
+    """Returns all changes of an account or a plan, by effective instant. Raises ``BookError`` for an unknown name."""
     found = [change for change in book.changes() if _subject_of(book, change) == name]
     if not found:
         raise BookError(f"{name!r}: neither an account nor a plan of {book.installation}")
--- a/cypresspulley/plans/reservation_plans.py
+++ b/cypresspulley/plans/reservation_plans.py
@@ -1,8 +1,9 @@
-"""How a reservation reaches the limiters: as a plan of its own that its account is on for the window. No I/O, no clock.
+"""The plan through which a reservation reaches the limiters. No I/O, no clock.
 
-The event's plan is the account's plan with the reserved units on top of its quota: nine tenths evenly over the window,
-one tenth as burst, so that no more than the reservation can be drawn beyond the plan, by whichever limiters. The
-ceiling stays where it is. What was used under the event's plan is drawn from the reservation first.
+A reservation becomes a plan of its own, which its account is assigned to for the window. It is the account's plan with
+the reserved units added to its quota: nine tenths evenly over the window, one tenth as burst, so that all limiters
+together can draw no more than the reservation beyond the plan. The ceiling is unchanged. Usage under the reservation's
+plan is drawn from the reservation first.
 """
 
 from __future__ import annotations
@@ -12,8 +13,8 @@
 from cypresspulley.plans.book import BookError, Terms
 from cypresspulley.plans.reservations import MICRO_PER_UNIT, ReservationRequest
 
-BURST_SHARE = 0.1  # of a reservation, that may be drawn in a moment
-NAME_SEPARATOR = "+"  # between a plan's name and the reservation's key
+BURST_SHARE = 0.1  # share of a reservation that may be drawn at once
+NAME_SEPARATOR = "+"  # between the plan's name and the reservation's key
 
 
 def reservation_plan_name(plan: str, key: str) -> str:
@@ -21,7 +22,7 @@
 
 
 def reservation_plan_terms(base: Terms, request: ReservationRequest) -> Terms:
-    """The account's terms with the reservation on top; ``BookError`` where they would stand above the ceiling."""
+    """Returns the account's terms plus the reservation. Raises ``BookError`` where they would exceed the ceiling."""
     units, seconds = request.units / MICRO_PER_UNIT, (request.end - request.start) / 1000
     terms = replace(
         base, rate=base.rate + (1 - BURST_SHARE) * units / seconds, burst=base.burst + BURST_SHARE * units
@@ -32,5 +33,5 @@
 
 
 def drawn_units(request: ReservationRequest, used: int) -> int:
-    """Micro-units of the reservation that so much use under the event's plan has drawn."""
+    """Returns the micro-units of a reservation drawn by ``used`` micro-units of usage under its plan."""
     return max(0, min(request.units, used))
--- a/cypresspulley/plans/reservations.py
+++ b/cypresspulley/plans/reservations.py
@@ -1,7 +1,8 @@
-"""Allowance set aside ahead for booked events. States as a table; no I/O, no clock. Units are whole micro-units.
+"""Quota reserved in advance for scheduled events, as a state machine. Amounts are whole micro-units. No I/O, no clock.
 
-A reservation is drawn on by requests in its window; what it holds is given back once, when the last request that drew
-on it has ended. True units that differ from the guess settle when they are known; late, they are a correction.
+Requests draw on a reservation during its window. The undrawn rest is given back once, when the last request that drew
+on it has ended. A draw is an estimate until the actual units are known; a difference that becomes known after the end
+is a correction.
 """
 
 from __future__ import annotations
@@ -10,37 +11,37 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-MICRO_PER_UNIT = 1_000_000  # micro-units of a unit
-MAX_OPEN_RESERVATIONS = 10_000  # reservations that are not over, of one installation
-MAX_IN_FLIGHT_DRAWS = 100_000  # requests that draw on one
+MICRO_PER_UNIT = 1_000_000  # micro-units per unit
+MAX_OPEN_RESERVATIONS = 10_000  # per installation
+MAX_IN_FLIGHT_DRAWS = 100_000  # requests per reservation
 
 
 class ReservationError(ValueError):
-    """A reservation that cannot be made or used so; the text says what was expected."""
+    """A reservation cannot be made or used as requested. The text names the expected value."""
 
 
 class ReservationState(Enum):
     REQUESTED = "requested"
-    HELD = "held"  # admitted, its window has not begun
+    HELD = "held"  # admitted; the window has not begun
     ACTIVE = "active"
     DRAINING = "draining"  # takes no new draws; some are in flight
     RELEASED = "released"
-    EXPIRED = "expired"  # its window is over, nothing is in flight
+    EXPIRED = "expired"  # the window has ended and no draw is in flight
     REFUSED = "refused"
 
 
 class ReservationEvent(Enum):
     ADMITTED = "admitted"
     REFUSED = "refused"
-    BEGUN = "begun"  # its window has
+    BEGUN = "begun"  # the window has begun
     RELEASE = "release"
-    OVER = "over"  # its window is
-    EMPTY = "empty"  # the last draw in flight has ended
-    SPENT = "spent"  # it has, and the window is over
+    OVER = "over"  # the window has ended
+    EMPTY = "empty"  # the last draw in flight has ended before the end of the window
+    SPENT = "spent"  # the last draw in flight has ended after the end of the window
 
 
 TERMINAL_STATES = (ReservationState.RELEASED, ReservationState.EXPIRED, ReservationState.REFUSED)
-# What is not here changes nothing: a release of what is over, a window's begin after a release.
+# Other events change nothing, such as a release in a terminal state or the start of the window after a release.
 TRANSITIONS: dict[tuple[ReservationState, ReservationEvent], ReservationState] = {
     (ReservationState.REQUESTED, ReservationEvent.ADMITTED): ReservationState.HELD,
     (ReservationState.REQUESTED, ReservationEvent.REFUSED): ReservationState.REFUSED,
@@ -57,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReservationRequest:
-    """What was asked for. ``start`` and ``end`` are Unix time in milliseconds, ``units`` micro-units."""
+    """The request for a reservation. ``start`` and ``end`` are Unix milliseconds, ``units`` are micro-units."""
 
     key: str
     account: str
@@ -77,71 +78,75 @@
 
 @dataclass(slots=True)
 class Reservation:
-    """One wish and what became of it."""
+    """A requested reservation and its state."""
 
     request: ReservationRequest
     state: ReservationState = ReservationState.REQUESTED
     drawn: int = 0  # settled micro-units
-    in_flight: dict[str, int] = field(default_factory=dict)  # guesses of the requests in flight
-    given_back: int = 0
-    corrections: int = 0  # micro-units that were settled after it was over
-    window_ended: bool = False  # its window is
-    plan: str = ""  # the event's plan, under which limiters draw on it
+    in_flight: dict[str, int] = field(default_factory=dict)  # estimated micro-units of requests in flight
+    given_back: int = 0  # micro-units
+    corrections: int = 0  # micro-units that were settled after the reservation ended
+    window_ended: bool = False
+    plan: str = ""  # name of the plan under which limiters draw on it
     draining_since: int = 0  # Unix milliseconds from which it takes no new draws
 
     def __repr__(self) -> str:
-        w = self.request
-        return f"<Reservation {w.key} of {w.account}: {self.state.value}, {self.drawn / MICRO_PER_UNIT:g} of {w.units / MICRO_PER_UNIT:g}>"
+        request = self.request
+        return (
+            f"<Reservation {request.key} of {request.account}: {self.state.value}, "
+            f"{self.drawn / MICRO_PER_UNIT:g} of {request.units / MICRO_PER_UNIT:g}>"
+        )
 
     @property
     def available_units(self) -> int:
-        """Micro-units that a new draw may have; 0 unless it is active."""
+        """The micro-units available to a new draw; 0 unless the reservation is active."""
         if self.state is not ReservationState.ACTIVE:
             return 0
         return max(0, self.request.units - self.drawn - sum(self.in_flight.values()))
 
-    def handle_event(self, what: ReservationEvent) -> bool:
-        """Whether that changed anything."""
-        now = TRANSITIONS.get((self.state, what))
-        if now is None:
+    def handle_event(self, event: ReservationEvent) -> bool:
+        """Applies an event; returns whether it changed the state."""
+        new_state = TRANSITIONS.get((self.state, event))
+        if new_state is None:
             return False
-        self.state, self.window_ended = now, self.window_ended or what is ReservationEvent.OVER
-        if now is ReservationState.DRAINING:
+        self.state, self.window_ended = new_state, self.window_ended or event is ReservationEvent.OVER
+        if new_state is ReservationState.DRAINING:
             self.finish_if_drained()
-        elif now in (ReservationState.RELEASED, ReservationState.EXPIRED):
+        elif new_state in (ReservationState.RELEASED, ReservationState.EXPIRED):
             self.given_back = max(0, self.request.units - self.drawn)
         return True
 
     def finish_if_drained(self) -> None:
-        """A draw has ended: with the last one a reservation that drains is over."""
+        """Ends a draining reservation when its last draw has ended."""
         if not self.in_flight:
             self.handle_event(ReservationEvent.SPENT if self.window_ended else ReservationEvent.EMPTY)
 
 
 @dataclass(frozen=True, slots=True)
 class Capacity:
-    """What plan and fleet can hold: micro-units a second of the fleet that may be set aside, and an account's ceiling
-    (rate a second and burst in micro-units; 0: none)."""
+    """The limits that reservations must fit into.
+
+    ``fleet_rate`` is what the fleet may set aside, in micro-units per second. The account's ceiling is a rate in
+    micro-units per second and a burst in micro-units (0: none).
+    """
 
     fleet_rate: int
     ceiling_rate: int = 0
     ceiling_burst: int = 0
 
 
-def peak_rate(wishes: Iterable[ReservationRequest]) -> float:
-    """The most micro-units a second that wishes ask for at any one time, each spread evenly over its window."""
+def peak_rate(requests: Iterable[ReservationRequest]) -> float:
+    """Returns the highest total rate of the requests in micro-units per second, each spread evenly over its window."""
     edges = list[tuple[int, int, float]]()
-    for request in wishes:
+    for request in requests:
         rate = request.units * 1000 / (request.end - request.start)
-        edges += [
-            (request.start, 1, rate),
-            (request.end, 0, -rate),
-        ]  # what ends at an instant leaves before what begins
-    now = most = 0.0
+        # At one instant, windows that end are sorted before windows that begin.
+        edges += [(request.start, 1, rate), (request.end, 0, -rate)]
+    rate_now = peak = 0.0
     for _, _, rate in sorted(edges):
-        now += rate
-        most = max(most, now)
-    return most
+        rate_now += rate
+        peak = max(peak, rate_now)
+    return peak
 
 
 class Reservations:
@@ -150,81 +155,92 @@
     def __init__(self) -> None:
         self.by_key = dict[str, Reservation]()
 
-    def reserve(self, request: ReservationRequest, room: Capacity) -> Reservation:
-        """Set aside, or refuse; the same key and wish again change nothing. ``ReservationError`` for bad input."""
+    def reserve(self, request: ReservationRequest, capacity: Capacity) -> Reservation:
+        """Admits or refuses a reservation; repeating the same request changes nothing.
+
+        Raises ``ReservationError`` for invalid input.
+        """
         request.check()
         if (known := self.by_key.get(request.key)) is not None:
             if known.request != request:
                 raise ReservationError(f"key: {request.key!r} names another reservation; expected a new key")
             return known
-        open_ = [r for r in self.by_key.values() if r.state not in TERMINAL_STATES]
-        if len(open_) >= MAX_OPEN_RESERVATIONS:
+        open_reservations = [r for r in self.by_key.values() if r.state not in TERMINAL_STATES]
+        if len(open_reservations) >= MAX_OPEN_RESERVATIONS:
             raise ReservationError(f"expected at most {MAX_OPEN_RESERVATIONS} reservations that are not over")
-        one = self.by_key[request.key] = Reservation(request)
-        one.handle_event(
-            ReservationEvent.ADMITTED if self._fits(request, open_, room) else ReservationEvent.REFUSED
+        reservation = self.by_key[request.key] = Reservation(request)
+        reservation.handle_event(
+            ReservationEvent.ADMITTED
+            if self._fits(request, open_reservations, capacity)
+            else ReservationEvent.REFUSED
         )
-        return one
+        return reservation
 
     @staticmethod
-    def _fits(request: ReservationRequest, open_: list[Reservation], room: Capacity) -> bool:
-        beside = [r.request for r in open_ if r.request.start < request.end and request.start < r.request.end]
-        if peak_rate([*beside, request]) > room.fleet_rate:
+    def _fits(request: ReservationRequest, open_reservations: list[Reservation], capacity: Capacity) -> bool:
+        concurrent = [
+            r.request
+            for r in open_reservations
+            if r.request.start < request.end and request.start < r.request.end
+        ]
+        if peak_rate([*concurrent, request]) > capacity.fleet_rate:
             return False
-        if room.ceiling_rate <= 0:
+        if capacity.ceiling_rate <= 0:
             return True
-        own = [w for w in beside if w.account == request.account]
-        # Any span of the window must hold it: what is reserved beyond the rate comes out of the burst.
-        over = peak_rate([*own, request]) - room.ceiling_rate
-        return over <= 0 or request.units + sum(w.units for w in own) <= (
-            room.ceiling_burst + room.ceiling_rate * (request.end - request.start) // 1000
+        own = [r for r in concurrent if r.account == request.account]
+        # Any span of the window must fit: the units reserved beyond the ceiling's rate come out of its burst.
+        over = peak_rate([*own, request]) - capacity.ceiling_rate
+        return over <= 0 or request.units + sum(r.units for r in own) <= (
+            capacity.ceiling_burst + capacity.ceiling_rate * (request.end - request.start) // 1000
         )
 
     def tick(self, now: int) -> list[Reservation]:
-        """Windows begin and end; what changed."""
+        """Starts and ends the windows that are due; returns the reservations that changed."""
         changed = []
-        for one in self.by_key.values():
-            begun = one.request.start <= now and one.handle_event(ReservationEvent.BEGUN)
-            ended = one.request.end <= now and one.handle_event(ReservationEvent.OVER)
+        for reservation in self.by_key.values():
+            begun = reservation.request.start <= now and reservation.handle_event(ReservationEvent.BEGUN)
+            ended = reservation.request.end <= now and reservation.handle_event(ReservationEvent.OVER)
             if begun or ended:
-                changed.append(one)
+                changed.append(reservation)
         return changed
 
     def release(self, key: str) -> Reservation:
-        """Give back what is not drawn; a second time changes nothing."""
-        if (one := self.by_key.get(key)) is None:
+        """Releases the undrawn rest; repeating it changes nothing. Raises ``ReservationError`` for an unknown key."""
+        if (reservation := self.by_key.get(key)) is None:
             raise ReservationError(f"key: no reservation is named {key!r}")
-        one.handle_event(ReservationEvent.RELEASE)
-        return one
+        reservation.handle_event(ReservationEvent.RELEASE)
+        return reservation
 
     def draw(self, key: str, request: str, units: int) -> bool:
-        """Whether a request may draw its guess; the same request again draws nothing more."""
-        one = self.by_key.get(key)
-        if one is None or units < 0:
+        """Returns whether a request may draw its estimated units; the same request draws only once."""
+        reservation = self.by_key.get(key)
+        if reservation is None or units < 0:
             return False
-        if request in one.in_flight:
+        if request in reservation.in_flight:
             return True
         if (
-            one.state is not ReservationState.ACTIVE
-            or one.available_units < units
-            or len(one.in_flight) >= MAX_IN_FLIGHT_DRAWS
+            reservation.state is not ReservationState.ACTIVE
+            or reservation.available_units < units
+            or len(reservation.in_flight) >= MAX_IN_FLIGHT_DRAWS
         ):
             return False
-        one.in_flight[request] = units
+        reservation.in_flight[request] = units
         return True
 
-    def settle(self, key: str, request: str, true: int) -> int:
-        """A request that drew has ended with so many true micro-units (0: it never ran). The correction that a late
-        one makes: true units less the guess, of what was counted as drawn when the reservation was over."""
-        one = self.by_key.get(key)
-        if one is None or true < 0 or request not in one.in_flight:
+    def settle(self, key: str, request: str, actual: int) -> int:
+        """Settles a draw with the actual micro-units of its request (0: it never ran).
+
+        Returns the actual units less the estimate; 0 where the request has no draw in flight.
+        """
+        reservation = self.by_key.get(key)
+        if reservation is None or actual < 0 or request not in reservation.in_flight:
             return 0
-        guess = one.in_flight.pop(request)
-        one.drawn += true
-        one.finish_if_drained()
-        return true - guess
-
-    def correct(self, key: str, by: int) -> None:
-        """True units that differ from what was settled, known after all: beside what was given back, never in it."""
-        if (one := self.by_key.get(key)) is not None:
-            one.corrections += by
+        estimate = reservation.in_flight.pop(request)
+        reservation.drawn += actual
+        reservation.finish_if_drained()
+        return actual - estimate
+
+    def correct(self, key: str, difference: int) -> None:
+        """Records a difference to the settled units that became known late. It never changes what was given back."""
+        if (reservation := self.by_key.get(key)) is not None:
+            reservation.corrections += difference
