--- a/cypresspulley/plans/serve.py
+++ b/cypresspulley/plans/serve.py
@@ -1,12 +1,13 @@
-"""Publishing a book: the writer's HTTP side. Lines of JSON, one for each change, and a beat each second.
+"""The writer's HTTP server: publishes a plan book as lines of JSON and accepts operations.
 
     GET /v1/plans?epoch=E&since=N        Authorization: Bearer TOKEN
-    POST /v1/plans                       the same; a body of JSON, one wish of ``operations.py``
+    POST /v1/plans                       the same header; the body is one JSON operation of ``operations.py``
 
-answers 200 with lines that go on until one side ends: first ``whole`` with all changes where the follower's epoch is
-another or nothing is known there (``since=0``), else the changes behind number N; then each new change, and ``beat``.
-401 without the right token, 404, 405, 400; 503 where there are too many followers, or the disk takes nothing more. A
-wish is answered 200 with what was done, 409 with why not. Loopback unless told otherwise.
+GET is answered with 200 and a stream of lines that goes on until one side closes the connection. The stream begins with
+``whole`` and all changes where the follower has another epoch or no changes (``since=0``), else with the changes after
+number N. Each new change follows, and a ``beat`` (heartbeat) each second. Errors are 400, 401 for a wrong token, 404,
+405, and 503 for too many followers or where the store cannot be written. POST is answered with 200 and the result, or
+with 409 and the reason. The command line listens on loopback by default.
 """
 
 from __future__ import annotations
@@ -30,14 +31,14 @@
 
 log = logging.getLogger(__name__)
 
-HEARTBEAT_INTERVAL_S = 1.0  # seconds
-MAX_HEAD_BYTES = 8192  # bytes
-READ_TIMEOUT_S = 5.0  # seconds for a head
-MAX_FOLLOWERS = 4096  # as many limiters as a fleet's view holds (``fleet.view.MOST_MEMBERS``)
-ACCEPT_BACKLOG = 1024  # dials that wait to be accepted: a fleet that restarts dials as one
-WRITE_TIMEOUT_S = 5.0  # seconds in which a follower must take what is written to it
+HEARTBEAT_INTERVAL_S = 1.0
+MAX_HEAD_BYTES = 8192
+READ_TIMEOUT_S = 5.0  # seconds for a request's head, and for its body
+MAX_FOLLOWERS = 4096  # as many limiters as a fleet's membership view holds (``fleet.view.MOST_MEMBERS``)
+ACCEPT_BACKLOG = 1024  # connections waiting to be accepted: a fleet that restarts connects all at once
+WRITE_TIMEOUT_S = 5.0  # seconds in which a follower must read what is written to it
 PLANS_PATH = "/v1/plans"
-MAX_BODY_BYTES = 65_536  # bytes of a wish
+MAX_BODY_BYTES = 65_536  # bytes of an operation
 REASON_PHRASES = {
     200: "OK", 400: "Bad Request", 401: "Unauthorized", 404: "Not Found", 405: "Method Not Allowed",
     409: "Conflict", 413: "Too Large", 503: "Unavailable",
@@ -49,7 +50,7 @@
 
 
 class RejectedCallError(Exception):
-    """A call that is answered with a status and no lines."""
+    """A call is answered with an error status. The text becomes the body."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -58,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A call that may be answered: a follower's (``body`` is None), or a wish of so many bytes."""
+    """An accepted call: a follower's (``body`` is None), or an operation with ``body`` bytes of JSON."""
 
     epoch: int = 0
     since: int = 0
@@ -66,7 +67,7 @@
 
 
 def parse_request_head(head: bytes, token: str) -> Call:
-    """What is asked; ``RefusedError`` for anything but the two calls there are."""
+    """Parses the head of a request. Raises ``RejectedCallError`` for anything but the two defined calls."""
     try:
         lines = head.decode("ascii").split("\r\n")
         method, target, version = lines[0].split(" ")
@@ -91,9 +92,9 @@
         if int(length) > MAX_BODY_BYTES:
             raise RejectedCallError(413, f"expected a body of at most {MAX_BODY_BYTES} bytes")
         return Call(body=int(length))
-    asked = parse_qs(url.query)
+    query = parse_qs(url.query)
     try:
-        epoch, since = (int(asked.get(name, ["0"])[-1]) for name in ("epoch", "since"))
+        epoch, since = (int(query.get(name, ["0"])[-1]) for name in ("epoch", "since"))
     except ValueError:
         raise RejectedCallError(400, "epoch, since: expected whole numbers") from None
     if epoch < 0 or since < 0:
@@ -102,7 +103,10 @@
 
 
 class Publisher:
-    """Serves an office's book to followers. The office changes elsewhere; ``changed`` tells of it."""
+    """Serves a plan writer's book to followers.
+
+    Whoever changes the plan writer outside the publisher calls ``notify_followers``.
+    """
 
     def __init__(
         self,
@@ -125,11 +129,11 @@
 
     @property
     def follower_count(self) -> int:
-        """Connections that the book is published to."""
+        """The number of connections that the book is published to."""
         return len(self._follower_streams)
 
     async def listen(self, host: str, port: int) -> tuple[str, int]:
-        """Serve; the address taken."""
+        """Starts to listen; returns the address, with the port that the system chose for port 0."""
         self._server = await asyncio.start_server(
             self._serve, host, port, limit=MAX_HEAD_BYTES, backlog=ACCEPT_BACKLOG
         )
@@ -137,7 +141,7 @@
         return str(name[0]), int(name[1])
 
     def notify_followers(self) -> None:
-        """The office has changed: all followers are told."""
+        """Sends the changes since the last call to all followers."""
         change_event, self._change_event = self._change_event, asyncio.Event()
         change_event.set()
 
@@ -146,7 +150,7 @@
             self._server.close()
             for writer in self._follower_streams:
                 writer.transport.abort()
-            self.notify_followers()  # whoever waits for news finds its connection gone
+            self.notify_followers()  # a stream that waits for changes finds its connection closed
             await self._server.wait_closed()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -154,8 +158,8 @@
             call = await self._read_call(reader)
             if call.body is not None:
                 return self._send_answer(writer, 200, await self._handle_operation(reader, call.body))
-        except RejectedCallError as no:
-            return self._send_answer(writer, no.status, {"error": str(no)})
+        except RejectedCallError as rejection:
+            return self._send_answer(writer, rejection.status, {"error": str(rejection)})
         except (OSError, asyncio.IncompleteReadError):
             return writer.transport.abort()
         self._follower_streams.add(writer)
@@ -187,7 +191,7 @@
         try:
             async with asyncio.timeout(READ_TIMEOUT_S):
                 body = await reader.readexactly(size)
-            done = apply_operation(self._plan_writer, json.loads(body), self._clock())
+            result = apply_operation(self._plan_writer, json.loads(body), self._clock())
         except TimeoutError:
             raise RejectedCallError(400, f"expected the whole body within {READ_TIMEOUT_S:g} s") from None
         except RecursionError:
@@ -197,11 +201,11 @@
         except ValueError as error:
             raise RejectedCallError(409, str(error)) from None
         self.notify_followers()
-        return done
+        return result
 
     @staticmethod
-    def _send_answer(writer: asyncio.StreamWriter, status: int, told: dict[str, Any]) -> None:
-        body = json.dumps(told).encode() + b"\n"
+    def _send_answer(writer: asyncio.StreamWriter, status: int, answer: dict[str, Any]) -> None:
+        body = json.dumps(answer).encode() + b"\n"
         allow = "Allow: GET, POST\r\n" if status == 405 else ""
         writer.write(
             f"HTTP/1.1 {status} {REASON_PHRASES[status]}\r\n{allow}Content-Type: application/json\r\n"
@@ -237,9 +241,9 @@
         return {"kind": kind, "epoch": self._plan_writer.epoch, "sent": self._clock(), "lease": LEASE_MS}
 
     async def _send_whole_book(self, writer: asyncio.StreamWriter) -> int:
-        count = len(self._plan_writer.changes)  # what comes meanwhile is told after it
-        told = {"installation": self._plan_writer.book.installation, "changes": count}
-        await self._send_line(writer, {**self._message_fields("whole"), **told})
+        count = len(self._plan_writer.changes)  # changes that arrive meanwhile are sent afterwards
+        description = {"installation": self._plan_writer.book.installation, "changes": count}
+        await self._send_line(writer, {**self._message_fields("whole"), **description})
         for number in range(count):
             await self._send_line(writer, books.as_json(self._plan_writer.changes[number]))
         return count
--- a/cypresspulley/plans/store.py
+++ b/cypresspulley/plans/store.py
@@ -1,15 +1,16 @@
-"""An append-only log of records that survives crashes: checksums, group commit, torn tails, snapshot and compaction.
-
-Format, version 1. A file ``log.N`` (N in ten digits) is a generation. It begins with the line ``fawnseam log 1``, and
-holds frames: length of the payload (4 bytes, little-endian), CRC-32 of length and payload (4 bytes), payload (a JSON
-array of records in UTF-8). What is committed together is one frame, so that a crash leaves all of it or none. A
-generation begins with a snapshot, frames that hold the state when it was written, closed by a record ``{"kind":
-"whole", "records": n}``; what follows are records in the order in which they were committed.
-
-Each generation is written beside the old one under another name, synced, renamed, and its folder synced before the old
-one is removed: at any crash one whole generation is there. A record counts from the return of ``commit``. What stands
-behind the last good frame at a start, and is no good frame, is a torn tail: it was never acknowledged and is cut off. A
-bad frame with a good one behind it is damage, and nothing is cut: ``check`` tells what can be saved.
+"""A crash-safe, append-only log of records: checksums, group commit, torn tails, snapshots and compaction.
+
+Format, version 1. A file ``log.N`` (N in ten digits) is a generation. It begins with the line ``fawnseam log 1``,
+followed by frames: length of the payload (4 bytes, little-endian), CRC-32 of length and payload (4 bytes), payload (a
+JSON array of records in UTF-8). Records that are committed together form one frame, so that a crash leaves all or none
+of them. A generation begins with a snapshot: frames that hold the state when it was written, closed by a record
+``{"kind": "whole", "records": n}``. The records after it are in the order in which they were committed.
+
+A new generation is written beside the old one under another name, synced and renamed, and the folder is synced before
+the old one is removed, so that one complete generation exists after any crash. A record is durable once ``commit``
+returns. At a start, bytes after the last good frame that form no good frame are a torn tail: they were never
+acknowledged and are cut off. A bad frame with a good one after it is damage, and nothing is cut:
+``check_generations`` reports what can be recovered.
 """
 
 from __future__ import annotations
@@ -25,16 +26,14 @@
 
 FILE_HEADER = b"fawnseam log 1\n"
 FRAME_HEADER = struct.Struct("<II")
-MAX_PAYLOAD_BYTES = 1 << 20  # bytes: a length beyond it is damage, not a reason to read on
-SNAPSHOT_FRAME_RECORDS = 256  # records of a snapshot in a frame
-COMPACTION_THRESHOLD_BYTES = (
-    8 << 20
-)  # bytes of records behind the snapshot, from which a store wants to be compacted
+MAX_PAYLOAD_BYTES = 1 << 20  # a greater length field is treated as damage
+SNAPSHOT_FRAME_RECORDS = 256  # records per frame of a snapshot
+COMPACTION_THRESHOLD_BYTES = 8 << 20  # bytes after the snapshot beyond which the store needs compaction
 Record = dict[str, Any]
 
 
 class StoreError(ValueError):
-    """A store that cannot be used as it is; the text names file and byte."""
+    """A store cannot be used as it is. The text names the file and the byte."""
 
 
 def encode_frame(records: list[Record]) -> bytes:
@@ -45,73 +44,73 @@
     return length + struct.pack("<I", zlib.crc32(length + payload)) + payload
 
 
-def _decode_frame(data: bytes, at: int) -> tuple[list[Record], int] | None:
-    """The records of the frame that begins there, and where it ends; None for no good one."""
-    if at + FRAME_HEADER.size > len(data):
+def _decode_frame(data: bytes, offset: int) -> tuple[list[Record], int] | None:
+    """Returns the records of the frame that begins at ``offset`` and the offset of its end; None for no good frame."""
+    if offset + FRAME_HEADER.size > len(data):
         return None
-    length, checksum = FRAME_HEADER.unpack_from(data, at)
-    payload = data[at + FRAME_HEADER.size : at + FRAME_HEADER.size + length]
+    length, checksum = FRAME_HEADER.unpack_from(data, offset)
+    payload = data[offset + FRAME_HEADER.size : offset + FRAME_HEADER.size + length]
     if length > MAX_PAYLOAD_BYTES or len(payload) < length:
         return None
-    if zlib.crc32(data[at : at + 4] + payload) != checksum:
+    if zlib.crc32(data[offset : offset + 4] + payload) != checksum:
         return None
     try:
         records = json.loads(payload)
     except (ValueError, RecursionError):
         return None
     good = isinstance(records, list) and all(isinstance(one, dict) for one in records)
-    return (records, at + FRAME_HEADER.size + length) if good else None
+    return (records, offset + FRAME_HEADER.size + length) if good else None
 
 
 @dataclass(frozen=True, slots=True)
 class LogContents:
-    """What a file holds: good records in order, where the last one ends, and what stands behind that."""
+    """The contents of a log file: its good records in order, the end of the last one, and what follows it."""
 
     records: tuple[Record, ...]
     end: int
     size: int
-    next_good: int | None = None  # a good frame behind a bad one: where it begins
-    saved: tuple[Record, ...] = ()  # good records behind the damage
+    next_good: int | None = None  # offset of the first good frame after a bad one
+    saved: tuple[Record, ...] = ()  # good records after the damage
 
     @property
     def has_snapshot(self) -> bool:
-        """Whether its snapshot is closed."""
+        """Whether the file holds a complete snapshot."""
         return any(r.get("kind") == "whole" and r.get("records") == n for n, r in enumerate(self.records))
 
     @property
     def torn(self) -> int:
-        """Bytes of a torn tail; 0 for none, or for damage."""
+        """The length of a torn tail in bytes; 0 where there is none or the file is damaged."""
         return 0 if self.next_good is not None else self.size - self.end
 
 
 def read_log(data: bytes) -> LogContents:
-    """All good frames from the start; past a bad one, a search for the next good one."""
-    records, at = list[Record](), len(FILE_HEADER)
+    """Reads all good frames from the start; after a bad one, searches for the next good one."""
+    records, offset = list[Record](), len(FILE_HEADER)
     if not data.startswith(FILE_HEADER):
         return LogContents((), 0, len(data))
-    while (found := _decode_frame(data, at)) is not None:
-        more, at = found
+    while (found := _decode_frame(data, offset)) is not None:
+        more, offset = found
         records += more
-    saved, next_good, place = list[Record](), None, at + 1
-    while place < len(data):
-        if (found := _decode_frame(data, place)) is None:
-            place += 1
+    saved, next_good, position = list[Record](), None, offset + 1
+    while position < len(data):
+        if (found := _decode_frame(data, position)) is None:
+            position += 1
             continue
-        next_good = place if next_good is None else next_good
+        next_good = position if next_good is None else next_good
         saved += found[0]
-        place = found[1]
-    return LogContents(tuple(records), at, len(data), next_good, tuple(saved))
+        position = found[1]
+    return LogContents(tuple(records), offset, len(data), next_good, tuple(saved))
 
 
 def _generations(folder: Folder) -> list[tuple[int, str]]:
-    """Numbers and names of all generations, newest first."""
+    """Returns the numbers and names of all generations, newest first."""
     names = [n for n in folder.names() if n.startswith("log.") and n[4:].isdigit()]
     return sorted(((int(name[4:]), name) for name in names), reverse=True)
 
 
 @dataclass(frozen=True, slots=True)
 class GenerationCheck:
-    """What ``check`` found in one file."""
+    """The result of ``check_generations`` for one file."""
 
     name: str
     records: int
@@ -138,21 +137,27 @@
 
 
 def check_generations(folder: Folder) -> list[GenerationCheck]:
-    """Each generation as it is; changes nothing."""
+    """Examines each generation, the newest first; changes nothing."""
     found = []
     for _, name in _generations(folder):
-        seen = read_log(folder.read(name))
-        at = seen.end if seen.next_good is not None else None
+        contents = read_log(folder.read(name))
+        damaged_at = contents.end if contents.next_good is not None else None
         found.append(
             GenerationCheck(
-                name, len(seen.records), seen.size, seen.torn, at, len(seen.saved), seen.has_snapshot
+                name,
+                len(contents.records),
+                contents.size,
+                contents.torn,
+                damaged_at,
+                len(contents.saved),
+                contents.has_snapshot,
             )
         )
     return found
 
 
 class Store:
-    """The newest whole generation of a folder, opened to append. One process at a time."""
+    """The newest complete generation of a folder, opened for appending by one process at a time."""
 
     def __init__(self, folder: Folder, read_only: bool = False) -> None:
         self._folder, self._read_only = folder, read_only
@@ -160,7 +165,7 @@
         self.records, self._generation = tuple[Record, ...](), 0
         self._file: File | None = None
         self._end = self._snapshot_end = 0
-        self.failure = ""  # why nothing may be committed any more
+        self.failure = ""  # why nothing can be committed any more
         self._open()
 
     def __repr__(self) -> str:
@@ -169,21 +174,21 @@
 
     def _open(self) -> None:
         for number, name in _generations(self._folder):
-            seen = read_log(self._folder.read(name))
-            if not seen.has_snapshot and seen.next_good is None:
-                continue  # a crash while it was written: an older one is there
-            if seen.next_good is not None:
+            contents = read_log(self._folder.read(name))
+            if not contents.has_snapshot and contents.next_good is None:
+                continue  # a crash interrupted the writing of this one; an older one exists
+            if contents.next_good is not None:
                 raise StoreError(
-                    f"{name}: damaged at byte {seen.end}, with {len(seen.saved)} good records from byte "
-                    f"{seen.next_good} on; expected frames without a gap (fawnseam plans check)"
+                    f"{name}: damaged at byte {contents.end}, with {len(contents.saved)} good records from byte "
+                    f"{contents.next_good} on; expected frames without a gap (fawnseam plans check)"
                 )
-            self._generation, self.records, self._end = number, seen.records, seen.end
+            self._generation, self.records, self._end = number, contents.records, contents.end
             if self._read_only:
                 self.failure = "it was opened to read"
                 return
             self._file = self._folder.append(name)
-            if seen.torn:
-                self._file.truncate(seen.end)
+            if contents.torn:
+                self._file.truncate(contents.end)
                 self._file.sync()
             self._snapshot_end = self._end
             return
@@ -192,18 +197,22 @@
         self.compact(())
 
     def add(self, record: Record) -> None:
-        """Add a record to the next commit."""
+        """Adds a record to the next commit."""
         self._uncommitted.append(record)
 
     def commit(self) -> None:
-        """All that was put, at once and synced, or none of it: ``OSError``, and nothing more until a new start."""
+        """Writes and syncs all added records as one frame.
+
+        Raises ``OSError`` where that fails. None of the records is acknowledged then, and the store accepts no more
+        commits until it is opened again.
+        """
         if self.failure:
             raise OSError(f"the store takes nothing more: {self.failure}")
-        waiting, self._uncommitted = self._uncommitted, []
-        if not waiting:
+        records, self._uncommitted = self._uncommitted, []
+        if not records:
             return
         assert self._file is not None
-        data = encode_frame(waiting)
+        data = encode_frame(records)
         try:
             self._file.write(data)
             self._file.sync()
@@ -213,20 +222,20 @@
         self._end += len(data)
 
     def _discard_partial_write(self, error: OSError) -> None:
-        """Cut what may have been written in part. After a failed sync only a start can tell what the disk holds."""
+        """Cuts off a partial write. After a failed sync, only opening the store again shows what the disk holds."""
         self.failure = str(error) or repr(error)
         try:
             assert self._file is not None
             self._file.truncate(self._end)
         except OSError:
-            pass  # a start reads what is there: a whole frame more is a record that nobody was told of
+            pass  # the next start reads the file: a complete frame more holds records that were never acknowledged
 
     @property
     def needs_compaction(self) -> bool:
         return self._end - self._snapshot_end > COMPACTION_THRESHOLD_BYTES
 
     def compact(self, state: Iterable[Record]) -> None:
-        """A new generation that begins with the state; the old one goes when the new one is safe."""
+        """Writes a new generation that begins with ``state``; removes the old ones once the new one is on the disk."""
         if self._uncommitted:
             raise StoreError("expected a commit before the store is compacted")
         records = list(state)
