--- a/cypresspulley/plans/__init__.py
+++ b/cypresspulley/plans/__init__.py
@@ -1,1 +1,1 @@
-"""Plans in service: versions, reservations, use across a change, and their store."""
+"""Plans that change while limiters serve: versions, reservations, usage reports and their store."""
--- a/cypresspulley/plans/usage.py
+++ b/cypresspulley/plans/usage.py
@@ -1,9 +1,10 @@
-"""Use by account, plan version and period: gathered at a limiter, exported once and only once. No I/O, no clock.
+"""Usage by account, plan version and period: recorded at a limiter and exported exactly once. No I/O, no clock.
 
-Amounts are whole micro-units, so that sums are exact. A writer (one limiter's place, through all its lives) cuts what
-it gathered into records, numbered without gaps within an epoch, one epoch for each life. A record is told until it is
-acknowledged; whoever takes records in keeps each (writer, epoch, number) once. Together that is exactly once, as long
-as a record that was told is never told with other content, which is why it is stored before it is told.
+Amounts are whole micro-units, so that sums are exact. A record's ``writer`` is one limiter, identified by its name
+across restarts. It cuts its usage into records that are numbered without gaps within an epoch, one epoch for each
+start. A record is sent until it is acknowledged, and the receiver counts each (writer, epoch, number) once. Together
+this is exactly once, as long as a number is never sent again with other content; where the limiter has a disk, a record
+is therefore stored before it is sent.
 """
 
 from __future__ import annotations
@@ -16,19 +17,22 @@
 from cypresspulley.plans.book import Stamp
 
 RECORD_FORMAT = 1
-MAX_ROWS = 10_000  # rows gathered, or in one record
-MAX_UNACKNOWLEDGED_RECORDS = 1_000  # records that wait for their acknowledgement
-MAX_RECORDS_PER_EPOCH = 1_000_000  # numbers that an intake keeps apart for one writer's epoch
+MAX_ROWS = 10_000  # rows in one record, or pending at a recorder
+MAX_UNACKNOWLEDGED_RECORDS = 1_000
+MAX_RECORDS_PER_EPOCH = 1_000_000  # record numbers that a ledger remembers for one writer's epoch
 
 
 class UsageError(ValueError):
-    """A record that cannot be taken; the text names the key and what was expected."""
+    """A record cannot be accepted. The text names the key and the expected value."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class UsageKey:
-    """What use is attributed to: the version that the request was admitted under, and the period of its end
-    (its number: Unix time over the period's length)."""
+    """What usage is attributed to: account, plan, version and period.
+
+    ``version`` is the one that the request was admitted under, ``period`` a number: Unix time divided by the period's
+    length.
+    """
 
     account: str
     plan: str
@@ -38,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageRecord:
-    """What one writer tells at once."""
+    """Usage that one writer reports at once, in micro-units for each key."""
 
     writer: str
     epoch: int
@@ -54,72 +58,74 @@
         return blake2b(repr(self.rows).encode(), digest_size=8).hexdigest()
 
     def as_json(self) -> dict[str, Any]:
-        rows = [_row_json(key, units) for key, units in self.rows]
+        rows = [_row_as_json(key, units) for key, units in self.rows]
         return {
-            "kind": "use", "format": RECORD_FORMAT, "writer": self.writer, "epoch": self.epoch, "seq": self.seq, "rows": rows,
+            "kind": "use", "format": RECORD_FORMAT, "writer": self.writer, "epoch": self.epoch, "seq": self.seq,
+            "rows": rows,
         }  # fmt: skip
 
 
 def parse_usage_record(raw: Any, where: str = "record") -> UsageRecord:
-    """A record from JSON, checked whole."""
+    """Parses and validates a record from JSON. Raises ``UsageError``."""
     if not isinstance(raw, dict) or raw.get("kind") != "use":
         raise UsageError(f"{where}.kind: expected use")
     if raw.get("format") != RECORD_FORMAT:
         raise UsageError(f"{where}.format: expected {RECORD_FORMAT}, got {raw.get('format')!r:.60}")
     writer, rows = raw.get("writer"), raw.get("rows")
-    epoch, seq = _whole(raw.get("epoch"), f"{where}.epoch"), _whole(raw.get("seq"), f"{where}.seq")
+    epoch, seq = _parse_int(raw.get("epoch"), f"{where}.epoch"), _parse_int(raw.get("seq"), f"{where}.seq")
     if not isinstance(writer, str) or not 0 < len(writer) <= 80:
         raise UsageError(f"{where}.writer: expected 1 to 80 characters, got {writer!r:.60}")
     if not isinstance(rows, list) or len(rows) > MAX_ROWS:
         raise UsageError(f"{where}.rows: expected a list of at most {MAX_ROWS}")
     return UsageRecord(
-        writer, epoch, seq, tuple(_row(row, f"{where}.rows.{n}") for n, row in enumerate(rows))
+        writer, epoch, seq, tuple(_parse_row(row, f"{where}.rows.{n}") for n, row in enumerate(rows))
     )
 
 
-def _whole(raw: Any, where: str, least: int = 0) -> int:
-    if isinstance(raw, bool) or not isinstance(raw, int) or not least <= raw < 2**53:
-        raise UsageError(f"{where}: expected a whole number from {least} to 2^53, got {raw!r:.60}")
+def _parse_int(raw: Any, where: str, minimum: int = 0) -> int:
+    if isinstance(raw, bool) or not isinstance(raw, int) or not minimum <= raw < 2**53:
+        raise UsageError(f"{where}: expected a whole number from {minimum} to 2^53, got {raw!r:.60}")
     return int(raw)
 
 
 T = TypeVar("T")
-SNAPSHOT_PART_SIZE = 1_000  # entries of a part of a state
+SNAPSHOT_PART_SIZE = 1_000  # entries per part of a snapshot
 
 
-def _parts(entries: list[T]) -> Iterator[list[T]]:
+def _split_parts(entries: list[T]) -> Iterator[list[T]]:
     return (entries[n : n + SNAPSHOT_PART_SIZE] for n in range(0, len(entries), SNAPSHOT_PART_SIZE))
 
 
-def _row_json(key: UsageKey, units: int) -> list[Any]:
+def _row_as_json(key: UsageKey, units: int) -> list[Any]:
     return [key.account, key.plan, key.version.epoch, key.version.seq, key.period, units]
 
 
-def _row(raw: Any, where: str) -> tuple[UsageKey, int]:
+def _parse_row(raw: Any, where: str) -> tuple[UsageKey, int]:
     if not isinstance(raw, list) or len(raw) != 6 or not all(isinstance(text, str) for text in raw[:2]):
         raise UsageError(
             f"{where}: expected [account, plan, epoch, seq, period, micro-units], got {raw!r:.60}"
         )
-    epoch, seq, period = (_whole(number, where) for number in raw[2:5])
-    return UsageKey(raw[0], raw[1], Stamp(epoch, seq), period), _whole(raw[5], where, 1 - 2**53)
+    epoch, seq, period = (_parse_int(number, where) for number in raw[2:5])
+    return UsageKey(raw[0], raw[1], Stamp(epoch, seq), period), _parse_int(raw[5], where, 1 - 2**53)
 
 
 class UsageRecorder:
-    """One life of a writer. What is gathered and not cut dies with it: at most what was used since the last cut."""
+    """Records the usage of a limiter during one epoch. A crash loses the usage since the last ``cut_record``."""
 
     def __init__(self, writer: str, epoch: int) -> None:
         self.writer, self.epoch, self._seq = writer, epoch, 0
         self._rows = dict[UsageKey, int]()
-        self.unacknowledged = dict[
-            tuple[int, int], UsageRecord
-        ]()  # by epoch and number, not acknowledged yet
-        self.dropped_units = 0  # micro-units that found no room
+        self.unacknowledged = dict[tuple[int, int], UsageRecord]()  # by epoch and number
+        self.dropped_units = 0  # micro-units beyond ``MAX_ROWS``
 
     def __repr__(self) -> str:
-        return f"<UsageRecorder {self.writer}/{self.epoch}: {len(self._rows)} rows, {len(self.unacknowledged)} records wait>"
+        return (
+            f"<UsageRecorder {self.writer}/{self.epoch}: {len(self._rows)} rows, "
+            f"{len(self.unacknowledged)} records wait>"
+        )
 
     def add_usage(self, key: UsageKey, units: int) -> None:
-        """Add use (below 0: a settlement); where no more fits it is counted as lost, and said so."""
+        """Adds micro-units (negative for a correction); beyond ``MAX_ROWS`` keys they count as ``dropped_units``."""
         if key not in self._rows and len(self._rows) >= MAX_ROWS:
             self.dropped_units += units
         else:
@@ -127,11 +133,14 @@
 
     @property
     def pending_units(self) -> int:
-        """Micro-units that a crash now would lose where there is no disk: what was not cut."""
+        """The micro-units that are not in a record yet and that a crash would lose."""
         return sum(self._rows.values())
 
     def cut_record(self) -> UsageRecord | None:
-        """What was gathered as a record, to be stored before it is told; None for nothing, or no room."""
+        """Moves the pending usage into a record, to be stored before it is sent.
+
+        Returns None where there is none, or too many records are unacknowledged.
+        """
         rows = tuple(sorted((k, u) for k, u in self._rows.items() if u))
         if not rows or len(self.unacknowledged) >= MAX_UNACKNOWLEDGED_RECORDS:
             return None
@@ -143,7 +152,7 @@
         return record
 
     def restore_record(self, record: UsageRecord) -> None:
-        """A record of an earlier life that was stored and not acknowledged."""
+        """Adds an unacknowledged record of an earlier epoch. Raises ``UsageError`` for any other one."""
         if record.writer != self.writer or record.epoch >= self.epoch:
             raise UsageError(
                 f"{record.idempotency_key}: expected {self.writer}, an epoch before {self.epoch}"
@@ -151,20 +160,23 @@
         self.unacknowledged[record.epoch, record.seq] = record
 
     def acknowledge(self, epoch: int, seq: int) -> bool:
-        """Whether that one was waiting; a second acknowledgement changes nothing."""
+        """Removes an acknowledged record; returns whether it was unacknowledged."""
         return self.unacknowledged.pop((epoch, seq), None) is not None
 
 
 class UsageLedger:
-    """The other side: each record once, in any order; one of the same number with other content is put aside."""
+    """The receiving side: counts each record once, in any order, and sets aside conflicting ones."""
 
     def __init__(self) -> None:
         self.totals = dict[UsageKey, int]()
-        self._seen = dict[tuple[str, int], dict[int, str]]()  # digests by writer and epoch
-        self.quarantined = list[UsageRecord]()
+        self._seen = dict[tuple[str, int], dict[int, str]]()  # digests by number, by writer and epoch
+        self.quarantined = list[UsageRecord]()  # records with the number of an accepted one and other content
 
     def accept(self, record: UsageRecord) -> bool:
-        """Whether it may be acknowledged: it was taken, now or before. False: it conflicts with one that was."""
+        """Counts a record unless it was counted before; returns whether it may be acknowledged.
+
+        Returns False for a record that conflicts with an accepted one. Raises ``UsageError`` for too many records.
+        """
         seen = self._seen.setdefault((record.writer, record.epoch), {})
         known = seen.get(record.seq)
         if known is not None:
@@ -181,28 +193,28 @@
         return True
 
     def contains(self, record: UsageRecord) -> bool:
-        """Whether one of that number was taken."""
+        """Returns whether a record with the same number was accepted."""
         return record.seq in self._seen.get((record.writer, record.epoch), {})
 
     def snapshot(self) -> Iterator[dict[str, Any]]:
-        """All that was taken, in parts, for a store."""
+        """Yields the whole state in parts, for a store."""
         for (writer, epoch), seen in self._seen.items():
-            for part in _parts(sorted(seen.items())):
+            for part in _split_parts(sorted(seen.items())):
                 yield {"kind": "taken", "writer": writer, "epoch": epoch, "seen": [list(one) for one in part]}
-        for rows in _parts(sorted(self.totals.items())):
-            yield {"kind": "totals", "rows": [_row_json(*row) for row in rows]}
+        for rows in _split_parts(sorted(self.totals.items())):
+            yield {"kind": "totals", "rows": [_row_as_json(*row) for row in rows]}
 
     def restore(self, part: dict[str, Any]) -> None:
-        """A part of an earlier state."""
+        """Adds one part of a stored snapshot."""
         if part["kind"] == "taken":
             seen = self._seen.setdefault((part["writer"], part["epoch"]), {})
             seen.update((number, digest) for number, digest in part["seen"])
             return
         for raw in part["rows"]:
-            key, units = _row(raw, "totals")
+            key, units = _parse_row(raw, "totals")
             self.totals[key] = self.totals.get(key, 0) + units
 
     def missing_numbers(self, writer: str, epoch: int) -> list[int]:
-        """Numbers below the highest that have not come."""
+        """Returns the record numbers below the highest that have not been received."""
         seen = self._seen.get((writer, epoch), {})
         return [n for n in range(1, max(seen, default=0)) if n not in seen]
