--- a/cypresspulley/plans/reservations.py
+++ b/cypresspulley/plans/reservations.py
@@ -187,10 +187,10 @@
             return False
         if capacity.ceiling_rate <= 0:
             return True
-        own = [r for r in concurrent if r.account == request.account]
+        own = [booked for booked in concurrent if booked.account == request.account]
         # Any span of the window must fit: the units reserved beyond the ceiling's rate come out of its burst.
         over = peak_rate([*own, request]) - capacity.ceiling_rate
-        return over <= 0 or request.units + sum(r.units for r in own) <= (
+        return over <= 0 or request.units + sum(booked.units for booked in own) <= (
             capacity.ceiling_burst + capacity.ceiling_rate * (request.end - request.start) // 1000
         )
 
