--- a/benchmarks/plan_book.py
+++ b/benchmarks/plan_book.py
@@ -1,8 +1,8 @@
-"""What a plan book costs: ``python -m benchmarks.plan_book``.
+"""Measures the cost of a plan book: ``python -m benchmarks.plan_book``.
 
-A change to a book of 100,000 accounts beside a copy of a dict of as many; a look-up; and the time from a change at the
-writer, committed to a real disk, until each of 3 and of 40 followers on loopback has it. Exit code 1 where a change
-takes 1 ms or more in the median.
+Times a change to a book of 100,000 accounts compared with copying a dict of the same size, a lookup, and the delay from
+a change at the writer, committed to disk, until each of 3 and of 40 followers on loopback has it. The exit code is 1
+where the median of a change is 1 ms or more.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 TERMS = Terms(3.0, 12.0, 5.0, 24.0)
 
 
-def large(accounts: int) -> Book:
+def make_book(accounts: int) -> Book:
     book = (
         Book("bench")
         .with_change(Version("p", 0, Stamp(1, 1), TERMS))
@@ -36,51 +36,52 @@
     return book
 
 
-def spread(seconds: list[float]) -> str:
+def format_durations(seconds: list[float]) -> str:
     micros = sorted(s * 1e6 for s in seconds)
     return f"{statistics.median(micros):.1f} us in the median, {micros[-1]:.1f} at most"
 
 
-def changes(accounts: int, times: int) -> float:
-    """Seconds of a change, in the median."""
-    book, copied = large(accounts), {f"account-{n}": ("p", 0) for n in range(accounts)}
-    took, beside, looked = list[float](), list[float](), list[float]()
+def measure_changes(accounts: int, times: int) -> float:
+    """Prints the duration of a change and a lookup; returns the median of a change in seconds."""
+    book, copied = make_book(accounts), {f"account-{n}": ("p", 0) for n in range(accounts)}
+    change_durations, copy_durations, lookup_durations = list[float](), list[float](), list[float]()
     for n in range(times):
         account = f"account-{n * 37 % accounts}"
-        began = time.perf_counter()
+        started = time.perf_counter()
         book = book.with_change(Assignment(account, 1 + n, Stamp(1, accounts + 3 + n), "pq"[n % 2]))
-        took.append(time.perf_counter() - began)
-        began = time.perf_counter()
+        change_durations.append(time.perf_counter() - started)
+        started = time.perf_counter()
         copied = {**copied, account: ("q", n)}
-        beside.append(time.perf_counter() - began)
-        began = time.perf_counter()
+        copy_durations.append(time.perf_counter() - started)
+        started = time.perf_counter()
         book.binding_version(account, 1 + n)
-        looked.append(time.perf_counter() - began)
-    ratio = statistics.median(beside) / statistics.median(took)
+        lookup_durations.append(time.perf_counter() - started)
+    ratio = statistics.median(copy_durations) / statistics.median(change_durations)
     print(
-        f"a change of {accounts} accounts: {spread(took)}; a dict's copy {spread(beside)}: {ratio:.0f} times"
+        f"a change of {accounts} accounts: {format_durations(change_durations)}; "
+        f"a dict's copy {format_durations(copy_durations)}: {ratio:.0f} times"
     )
-    print(f"a look-up: {spread(looked)}")
-    return statistics.median(took)
+    print(f"a look-up: {format_durations(lookup_durations)}")
+    return statistics.median(change_durations)
 
 
-async def heard(count: int, times: int) -> None:
-    """From a change to the last follower's having it."""
+async def measure_propagation(count: int, times: int) -> None:
+    """Prints the time from a change until the last of ``count`` followers has it."""
     with tempfile.TemporaryDirectory() as path:
         plan_writer = PlanWriter(Store(DiskFolder(path)), "bench")
         publisher = Publisher(plan_writer, "t")
         address = await publisher.listen("127.0.0.1", 0)
-        news = asyncio.Event()
+        change_event = asyncio.Event()
         channels = [
-            WriterChannel(WriterAddress(*address, "t"), Follower("bench"), news.set, seed=n)
+            WriterChannel(WriterAddress(*address, "t"), Follower("bench"), change_event.set, seed=n)
             for n in range(count)
         ]
         for channel in channels:
             channel.start()
-        took = list[float]()
+        change_durations = list[float]()
         plan_writer.set_terms("p", TERMS, unix_ms(), unix_ms(), "m")
         for n in range(times + 1):
-            began = time.perf_counter()
+            started = time.perf_counter()
             now = unix_ms()
             plan_writer.assign_plan(f"account-{n}", "p", now + 5000, now, "m")
             publisher.notify_followers()
@@ -88,14 +89,16 @@
                 while any(
                     channel.follower.book.last_stamp != plan_writer.book.last_stamp for channel in channels
                 ):
-                    news.clear()
-                    await news.wait()
-            if n:  # the first waits for the connections
-                took.append(time.perf_counter() - began)
+                    change_event.clear()
+                    await change_event.wait()
+            if n:  # the first includes connecting
+                change_durations.append(time.perf_counter() - started)
         for channel in channels:
             channel.close()
         await publisher.close()
-    print(f"from a change to the last of {count} followers, commit included: {spread(took)}")
+    print(
+        f"from a change to the last of {count} followers, commit included: {format_durations(change_durations)}"
+    )
 
 
 def main(arguments: list[str] | None = None) -> int:
@@ -103,9 +106,9 @@
     parser.add_argument("--accounts", type=int, default=100_000)
     parser.add_argument("--times", type=int, default=50)
     options = parser.parse_args(arguments)
-    median = changes(options.accounts, options.times)
+    median = measure_changes(options.accounts, options.times)
     for count in (3, 40):
-        asyncio.run(heard(count, options.times))
+        asyncio.run(measure_propagation(count, options.times))
     return int(median >= 1e-3)
 
 
--- a/benchmarks/plan_use.py
+++ b/benchmarks/plan_use.py
@@ -1,8 +1,9 @@
-"""Use exported beside use that servers counted: ``python -m benchmarks.plan_use [--seeds 20]``.
+"""Compares exported usage with the requests that servers ran: ``python -m benchmarks.plan_use [--seeds 20]``.
 
-Plays days of changing plans in virtual time, without kills and with one limiter killed, and adds up what the writer has
-been told beside the tries of which a server ran an attempt. Prints the difference: above 0, tries that a server ran and
-nobody told of (the client left, or the limiter died first); below 0, tries that were told of and never ran.
+Runs rehearsals of changing plans in virtual time, without kills and with one limiter killed. Compares the usage that
+the writer received with the number of requests of which a server ran an attempt, and prints the difference. A positive
+one is requests that ran and were not reported (the client left, or the limiter was killed first); a negative one is
+requests that were reported and never ran.
 """
 
 from __future__ import annotations
@@ -17,16 +18,20 @@
 from cypresspulley.rehearsal.virtual.play import play_virtual
 
 
-def played(seed: int, kills: bool) -> tuple[int, int, int]:
-    """Tries that a server ran, micro-units that were told, tries of which the client left while an attempt was out."""
+def play_seed(seed: int, kills: bool) -> tuple[int, int, int]:
+    """Plays one rehearsal.
+
+    Returns the requests that a server ran, the reported micro-units, and the requests whose client left during an
+    attempt.
+    """
     scenario = load_scenario("plan-churn")
     faults = tuple(f for f in scenario.faults if f.at < 18 and (kills or f.kind != "limiter-kill"))
     records = play_virtual(scenario.model_copy(update={"seconds": 20.0, "faults": faults}), seed)
     arrived = {r.attempt: r.id for r in records if isinstance(r, log.Arrived)}
     ran = {arrived[r.attempt] for r in records if isinstance(r, log.Ran)}
-    told = sum(r.units for r in records if isinstance(r, log.Exported))
+    reported = sum(r.units for r in records if isinstance(r, log.Exported))
     left = {r.id for r in records if isinstance(r, log.Left)} & ran
-    return len(ran), told, len(left)
+    return len(ran), reported, len(left)
 
 
 def main(arguments: list[str] | None = None) -> int:
@@ -36,11 +41,11 @@
     options = parser.parse_args(arguments)
     for kills in (False, True):
         with ProcessPoolExecutor(options.jobs) as pool:
-            found = list(pool.map(played, range(options.seeds), [kills] * options.seeds))
-        ran, told, left = (sum(row[n] for row in found) for n in range(3))
+            found = list(pool.map(play_seed, range(options.seeds), [kills] * options.seeds))
+        ran, reported, left = (sum(row[n] for row in found) for n in range(3))
         print(
             f"{'a limiter killed' if kills else 'no kills'}, {options.seeds} seeds: servers ran {ran} tries, "
-            f"{told / MICRO_PER_UNIT:g} units were told; {ran - told / MICRO_PER_UNIT:+g} not told, "
+            f"{reported / MICRO_PER_UNIT:g} units were told; {ran - reported / MICRO_PER_UNIT:+g} not told, "
             f"{left} of all were left by their clients"
         )
     return 0
