--- a/tests/plans/test_serve.py
+++ b/tests/plans/test_serve.py
@@ -186,7 +186,7 @@
     disk = Disk()
 
     async def play(publisher: Publisher, plan_writer: PlanWriter, address: tuple[str, int]) -> None:
-        disk.room = 3
+        disk.free_bytes = 3
         terms = {"rate": 1, "burst": 2}
         wish = {"wish": "change", "plan": "p", "terms": terms, "author": "m"}
         status, body = await asked(address, posted(json.dumps(wish).encode()))
--- a/tests/plans/test_store.py
+++ b/tests/plans/test_store.py
@@ -1,4 +1,4 @@
-"""The store against a disk that loses what was not synced, at each single operation; and one that is full."""
+"""The store on a disk that crashes at any operation and loses data that was not synced, and on a full disk."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from tests.plans.disk import CrashError, Disk
 
 
-def plain(store: Store) -> list[Record]:
+def committed_records(store: Store) -> list[Record]:
     return [r for r in store.records if r.get("kind") != "whole"]
 
 
@@ -37,7 +37,7 @@
     store.add({"n": 2})
     store.commit()
     store.add({"n": 3})
-    assert plain(Store(disk)) == [{"n": 1}, {"n": 2}]
+    assert committed_records(Store(disk)) == [{"n": 1}, {"n": 2}]
 
 
 @settings(deadline=None, max_examples=300)
@@ -45,20 +45,20 @@
 def test_at_whatever_operation_it_dies_what_was_acknowledged_is_there(
     left: int, seed: int, groups: list[int], compact_after: int
 ) -> None:
-    """Groups are whole or absent, in order, none that was acknowledged is missing, and at most one more is there."""
+    """Commits are complete or absent and in order; no acknowledged one is missing, and at most one more is present."""
     rng, disk, acknowledged, sent = Random(seed), Disk(), list[Record](), list[list[Record]]()
-    lives = 0
-    while lives < 3:
-        disk.operations_left = left + lives
+    starts = 0
+    while starts < 3:
+        disk.operations_left = left + starts
         try:
             store = Store(disk)
-            state = plain(store)
+            state = committed_records(store)
             assert state[: len(acknowledged)] == acknowledged
             extra = state[len(acknowledged) :]
             assert not extra or extra == sent[-1]
             acknowledged = state
             for number, size in enumerate(groups):
-                sent.append([{"n": len(acknowledged) + k, "life": lives} for k in range(size)])
+                sent.append([{"n": len(acknowledged) + k, "life": starts} for k in range(size)])
                 for record in sent[-1]:
                     store.add(record)
                 store.commit()
@@ -68,8 +68,8 @@
         except CrashError:
             pass
         disk = disk.after_crash(rng)
-        lives += 1
-    assert plain(Store(disk))[: len(acknowledged)] == acknowledged
+        starts += 1
+    assert committed_records(Store(disk))[: len(acknowledged)] == acknowledged
 
 
 def test_a_full_disk_takes_nothing_and_loses_nothing() -> None:
@@ -77,13 +77,13 @@
     store = Store(disk)
     store.add({"n": 1})
     store.commit()
-    disk.room = 10
+    disk.free_bytes = 10
     store.add({"n": 2, "text": "x" * 50})
     with pytest.raises(OSError, match="no space"):
         store.commit()
     with pytest.raises(OSError, match="takes nothing more"):
         store.commit()
-    assert plain(Store(disk)) == [{"n": 1}]
+    assert committed_records(Store(disk)) == [{"n": 1}]
 
 
 def test_damage_in_the_middle_is_told_and_nothing_is_cut() -> None:
@@ -96,7 +96,7 @@
     data = bytearray(disk.read(name))
     at = bytes(data).index(b'{"n":1}')
     data[at + 5] ^= 1
-    disk._live[name].whole = data
+    disk._files[name].content = data
     with pytest.raises(StoreError, match=rf"{name}: damaged at byte \d+, with 2 good records"):
         Store(disk)
     (found,) = check_generations(disk)
@@ -109,7 +109,7 @@
     Store(disk)
     (name,) = disk.names()
     whole = len(disk.read(name))
-    disk._live[name].whole += encode_frame([{"n": 1}])[:-1]
+    disk._files[name].content += encode_frame([{"n": 1}])[:-1]
     (found,) = check_generations(disk)
     assert found.torn == len(encode_frame([{"n": 1}])) - 1 and found.good
     Store(disk)
@@ -132,14 +132,14 @@
     store.compact([{"n": 1}])
     store.close()
     folder.close()
-    assert plain(Store(DiskFolder(str(tmp_path)))) == [{"n": 1}]
+    assert committed_records(Store(DiskFolder(str(tmp_path)))) == [{"n": 1}]
 
 
 TERMS = (Terms(1, 4, 2, 8), Terms(3, 12, 5, 24))
 
 
 class Model:
-    """What a start may show: what was acknowledged, or that and the one thing that was under way."""
+    """The states that a start may show: everything acknowledged, with or without the operation in progress."""
 
     def __init__(self) -> None:
         self.books, self.epoch = {PlanWriter(Store(Disk()), "vadodara").book.digest()}, 0
@@ -157,41 +157,41 @@
         self.reserved = {key: {one.state} for key, one in plan_writer.reservations.by_key.items()}
 
 
-def outcome_of(plan_writer: PlanWriter, disk: Disk, do: Callable[[PlanWriter], object]) -> str:
-    """The book's digest after something that an office does, tried on a twin."""
-    twin_disk = Disk()
+def digest_after(plan_writer: PlanWriter, disk: Disk, operation: Callable[[PlanWriter], object]) -> str:
+    """Returns the book's digest after an operation, which is applied to a copy."""
+    copied_disk = Disk()
     for name in disk.names():
-        twin_disk.append(name).write(disk.read(name))
-    twin = PlanWriter(Store(twin_disk), new_epoch=False)
-    twin.epoch = plan_writer.epoch
-    do(twin)
-    return twin.book.digest()
+        copied_disk.append(name).write(disk.read(name))
+    copied_writer = PlanWriter(Store(copied_disk), new_epoch=False)
+    copied_writer.epoch = plan_writer.epoch
+    operation(copied_writer)
+    return copied_writer.book.digest()
 
 
-def act(plan_writer: PlanWriter, disk: Disk, model: Model, step: int, number: int, now: int) -> None:
-    """One thing that an operator wants; the model hears first what may come of it."""
-    do: Callable[[PlanWriter], object] | None = None
+def apply_step(plan_writer: PlanWriter, disk: Disk, model: Model, step: int, number: int, now: int) -> None:
+    """Applies one operation of an operator, after adding its possible results to the model."""
+    operation: Callable[[PlanWriter], object] | None = None
     if step == 0 or "p" not in plan_writer.book.plans:
-        do = lambda o: o.set_terms("p", TERMS[number % 2], now, now, "m")  # noqa: E731
+        operation = lambda w: w.set_terms("p", TERMS[number % 2], now, now, "m")  # noqa: E731
     elif step == 1:
-        do = lambda o: o.assign_plan("hotel", "p", now, now, "m")  # noqa: E731
+        operation = lambda w: w.assign_plan("hotel", "p", now, now, "m")  # noqa: E731
     elif step == 2 and plan_writer.book.assignment_at("hotel", now) is not None:
         wish = ReservationRequest(f"ev{now}", "hotel", now + 50, now + 60, 1)
         model.reserved[wish.key] = {None, ReservationState.HELD, ReservationState.REFUSED}
-        do = lambda o: o.reserve(wish, now, 1e6 if number % 2 else 1e-9)  # noqa: E731
+        operation = lambda w: w.reserve(wish, now, 1e6 if number % 2 else 1e-9)  # noqa: E731
     elif model.reserved and step == 3:
         key = max(model.reserved)
         model.reserved[key].add(ReservationState.RELEASED)
-        do = lambda o: o.release(key, now)  # noqa: E731
+        operation = lambda w: w.release(key, now)  # noqa: E731
     elif step == 4:
         plan_writer.compact()
-    if do is not None:
+    if operation is not None:
         try:
-            model.books.add(outcome_of(plan_writer, disk, do))
+            model.books.add(digest_after(plan_writer, disk, operation))
         except BookError:
             model.acknowledge(plan_writer)
-            return  # the twin refused it, and so would the office
-        do(plan_writer)
+            return  # refused by the copy, and so by the writer
+        operation(plan_writer)
     model.acknowledge(plan_writer)
 
 
@@ -200,16 +200,16 @@
 def test_an_office_that_dies_at_any_write_is_as_it_was_acknowledged(
     left: int, seed: int, steps: list[int]
 ) -> None:
-    """No change lost, none half there, no reservation made or given back twice, and epochs only grow."""
+    """No change is lost or partial, no reservation is made or given back twice, and epochs only grow."""
     rng, disk, model, now = Random(seed), Disk(), Model(), 1000
-    for life in range(4):
-        disk.operations_left = None if life == 3 else left + life
+    for start in range(4):
+        disk.operations_left = None if start == 3 else left + start
         try:
             plan_writer = PlanWriter(Store(disk), "vadodara")
             model.check(plan_writer)
             for number, step in enumerate(steps):
                 now += 10
-                act(plan_writer, disk, model, step, number, now)
+                apply_step(plan_writer, disk, model, step, number, now)
         except CrashError:
             pass
         disk = disk.after_crash(rng)
@@ -243,7 +243,7 @@
     plan_writer.set_terms("p", TERMS[0], 1000, 1000, "m")
     plan_writer.assign_plan("hotel", "p", 1000, 1000, "m")
     plan_writer.reserve(ReservationRequest("a", "hotel", 2000, 3000, 1), 1000, 1e6)
-    disk.room = 3
+    disk.free_bytes = 3
     with pytest.raises(OSError):
         plan_writer.release("a", 1000)
     assert plan_writer.reservations.by_key["a"].state is ReservationState.HELD
