--- a/tests/plans/test_book.py
+++ b/tests/plans/test_book.py
@@ -1,4 +1,4 @@
-"""Books: immutable, alike in any order, with what binds at each instant; bad input named."""
+"""Plan books: immutable, equal for the same changes in any order, with the version in force at each instant."""
 
 from __future__ import annotations
 
@@ -34,54 +34,62 @@
     return book
 
 
-def changes(least: int = 0) -> st.SearchStrategy[list[Change]]:
+def changes(min_size: int = 0) -> st.SearchStrategy[list[Change]]:
     names, instants = st.sampled_from("abc"), st.integers(0, 50)
     version = st.tuples(st.just("v"), names, instants, st.sampled_from((SMALL, LARGE)))
-    assigned = st.tuples(st.just("a"), names, instants, names)
+    assignment = st.tuples(st.just("a"), names, instants, names)
 
-    withdrawn = st.tuples(st.just("w"), names, instants, st.integers(1, 12))
+    withdrawal = st.tuples(st.just("w"), names, instants, st.integers(1, 12))
 
-    def stamped(drawn: list[tuple[Any, ...]]) -> list[Change]:
-        made = list[Change]()
-        for seq, (kind, name, at, what) in enumerate(drawn, 1):
+    def add_stamps(drawn: list[tuple[Any, ...]]) -> list[Change]:
+        changes_made = list[Change]()
+        for seq, (kind, name, at, content) in enumerate(drawn, 1):
             stamp = Stamp(1 + seq // 5, seq)
             if kind == "w":
-                target = next((c.stamp for c in made if c.stamp.seq == what), None)
-                made.append(Withdrawal(target or stamp, at, stamp))
+                target = next((c.stamp for c in changes_made if c.stamp.seq == content), None)
+                changes_made.append(Withdrawal(target or stamp, at, stamp))
             else:
-                made.append(
-                    Version(name, at, stamp, what) if kind == "v" else Assignment(name, at, stamp, what)
+                changes_made.append(
+                    Version(name, at, stamp, content) if kind == "v" else Assignment(name, at, stamp, content)
                 )
-        return made
+        return changes_made
 
-    return st.lists(st.one_of(version, assigned, withdrawn), min_size=least, max_size=12).map(stamped)
+    return st.lists(st.one_of(version, assignment, withdrawal), min_size=min_size, max_size=12).map(
+        add_stamps
+    )
 
 
 @given(changes(), st.randoms(use_true_random=False))
-def test_the_same_changes_in_any_order_and_number_give_the_same_book(made: list[Change], rng: Any) -> None:
-    shuffled = made + [change for change in made if rng.random() < 0.3]
+def test_the_same_changes_in_any_order_and_number_give_the_same_book(
+    changes_made: list[Change], rng: Any
+) -> None:
+    shuffled = changes_made + [change for change in changes_made if rng.random() < 0.3]
     rng.shuffle(shuffled)
-    one, other = book_of(*made), book_of(*shuffled)
-    assert one == other and one.digest() == other.digest() and one.last_stamp == other.last_stamp
+    first, second = book_of(*changes_made), book_of(*shuffled)
+    assert first == second and first.digest() == second.digest() and first.last_stamp == second.last_stamp
     for at in range(0, 52, 3):
         for name in "abc":
-            assert one.binding_version(name, at, "a") == other.binding_version(name, at, "a")
+            assert first.binding_version(name, at, "a") == second.binding_version(name, at, "a")
 
 
 @given(changes(1), st.integers(0, 51))
-def test_what_binds_is_the_last_whose_instant_has_come(made: list[Change], at: int) -> None:
-    book = book_of(*made)
+def test_what_binds_is_the_last_whose_instant_has_come(changes_made: list[Change], at: int) -> None:
+    book = book_of(*changes_made)
     for name in "abc":
-        gone = {c.target for c in made if isinstance(c, Withdrawal)}
-        all_ = [c for c in made if isinstance(c, Assignment) and c.account == name and c.stamp not in gone]
-        due = [c for c in all_ if c.effective <= at]
+        withdrawn = {c.target for c in changes_made if isinstance(c, Withdrawal)}
+        assignments = [
+            c
+            for c in changes_made
+            if isinstance(c, Assignment) and c.account == name and c.stamp not in withdrawn
+        ]
+        due = [c for c in assignments if c.effective <= at]
         found = book.assignment_at(name, at)
         assert found == max(due, key=lambda c: (c.effective, c.stamp), default=None)
 
 
 @given(changes())
-def test_a_change_survives_json(made: list[Change]) -> None:
-    for change in made:
+def test_a_change_survives_json(changes_made: list[Change]) -> None:
+    for change in changes_made:
         assert parse_change(json.loads(json.dumps(as_json(change))), "x") == change
 
 
@@ -97,9 +105,11 @@
 def test_up_down_up_within_a_second_heard_in_other_orders_ends_alike() -> None:
     base = (Version("s", 0, Stamp(1, 1), SMALL), Version("l", 0, Stamp(1, 2), LARGE))
     moves = [Assignment("hotel", 1000 + 300 * n, Stamp(1, 3 + n), "lsl"[n]) for n in range(3)]
-    one, other = book_of(*base, *moves), book_of(*moves[::-1], *base[::-1])
-    assert one == other
-    bound = [v.plan for at in (1000, 1300, 1600) if (v := one.binding_version("hotel", at, "s")) is not None]
+    first, second = book_of(*base, *moves), book_of(*moves[::-1], *base[::-1])
+    assert first == second
+    bound = [
+        v.plan for at in (1000, 1300, 1600) if (v := first.binding_version("hotel", at, "s")) is not None
+    ]
     assert bound == ["l", "s", "l"]
 
 
@@ -109,7 +119,7 @@
         book.with_change(Version("p", 0, Stamp(1, 1), SMALL))
 
 
-BASE = book_of(Version("p", 0, Stamp(1, 1), LARGE), Assignment("hotel", 100, Stamp(1, 2), "p"))
+BOOK = book_of(Version("p", 0, Stamp(1, 1), LARGE), Assignment("hotel", 100, Stamp(1, 2), "p"))
 
 
 @pytest.mark.parametrize(
@@ -129,7 +139,7 @@
 )
 def test_what_a_writer_must_not_take(change: Change, said: str) -> None:
     with pytest.raises(BookError, match=said):
-        check_new_change(BASE, change, 50)
+        check_new_change(BOOK, change, 50)
 
 
 @pytest.mark.parametrize(
@@ -164,11 +174,11 @@
 
 
 KEYS = st.sampled_from(("kind", "stamp", "plan", "terms", "effective", "account"))
-PLAIN = st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=5)
-ANYTHING = st.recursive(PLAIN, lambda inner: st.lists(inner, max_size=3) | st.dictionaries(KEYS, inner))
+SCALARS = st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=5)
+ANY_JSON = st.recursive(SCALARS, lambda inner: st.lists(inner, max_size=3) | st.dictionaries(KEYS, inner))
 
 
-@given(ANYTHING)
+@given(ANY_JSON)
 def test_whatever_comes_is_a_change_or_a_named_error(raw: Any) -> None:
     try:
         parse_change(raw, "line 3")
