--- a/tests/plans/test_churn.py
+++ b/tests/plans/test_churn.py
@@ -91,7 +91,7 @@
 
 
 def test_without_its_lease_a_limiter_that_is_cut_off_goes_on_by_the_higher_ceiling() -> None:
-    follower = test_follow.following(2)
+    follower = test_follow.make_follower(2)
     follower.__class__ = NeverExpiringFollower
     follower.receive_change(1, Version("low", 10, Stamp(1, 3), test_follow.SMALL))
     follower.check_lease(10**9)
--- a/tests/plans/test_events.py
+++ b/tests/plans/test_events.py
@@ -1,4 +1,4 @@
-"""Reservations as limiters meet them: more inside the window, nothing after, settled by the use that is told."""
+"""Reservations at the limiters: more quota inside the window, none after it, settled by the reported usage."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from cypresspulley.plans.store import Store
 from cypresspulley.plans.usage import UsageKey, UsageRecord
 from tests.plans.disk import Disk
-from tests.plans.test_limiter import Day
+from tests.plans.test_limiter import LimiterSetup
 
 BASE = Terms(2.0, 8.0, 20.0, 200.0)
 START, END = 120_000, 180_000
@@ -31,7 +31,7 @@
     return plan_writer
 
 
-def used(plan_writer: PlanWriter, units: float, seq: int, plan: str = PLAN) -> None:
+def report_usage(plan_writer: PlanWriter, units: float, seq: int, plan: str = PLAN) -> None:
     key = UsageKey("hotel", plan, Stamp(1, 3), 0)
     assert plan_writer.accept_usage(UsageRecord("n1", 1, seq, ((key, round(units * MICRO_PER_UNIT)),)))
 
@@ -41,8 +41,8 @@
     wish = ReservationRequest("k", "hotel", 0, seconds * 1000, round(units * MICRO_PER_UNIT))
     base = Terms(2.0, 8.0)
     terms = reservation_plan_terms(base, wish)
-    most = (terms.burst - base.burst) + (terms.rate - base.rate) * seconds
-    assert most == pytest.approx(wish.units / MICRO_PER_UNIT)
+    max_units = (terms.burst - base.burst) + (terms.rate - base.rate) * seconds
+    assert max_units == pytest.approx(wish.units / MICRO_PER_UNIT)
     assert drawn_units(wish, wish.units * 2) == wish.units and drawn_units(wish, -5) == 0
 
 
@@ -70,42 +70,52 @@
 
 def test_a_limiter_lets_more_in_inside_the_window_and_not_after() -> None:
     plan_writer = plan_writer_with()
-    counts = list[int]()
+    admitted = list[int]()
     for instant in (START - 5000, START + 30_000, END + 30_000):
-        day = Day(now=100.0)
-        day.follower.receive_book(1, replace(plan_writer.book, installation="vadodara"), 100_000, 10_000_000)
-        day.world.advance(instant / 1000)
-        counts.append(day.burst(0, 40))
-    assert counts[1] > counts[0] and counts[1] > counts[2] and counts[0] == counts[2]
+        setup = LimiterSetup(now=100.0)
+        setup.follower.receive_book(
+            1, replace(plan_writer.book, installation="vadodara"), 100_000, 10_000_000
+        )
+        setup.world.advance(instant / 1000)
+        admitted.append(setup.send_burst(0, 40))
+    assert admitted[1] > admitted[0] and admitted[1] > admitted[2] and admitted[0] == admitted[2]
 
 
 def test_a_release_while_drawn_on_settles_by_what_limiters_tell() -> None:
     plan_writer = plan_writer_with()
-    assert [one.state for one in plan_writer.tick(START)] == [ReservationState.ACTIVE]
-    used(plan_writer, 40, 1)
-    one = plan_writer.release("wedding", START + 10_000)
-    assert one.state is ReservationState.DRAINING and one.given_back == 0
+    assert [reservation.state for reservation in plan_writer.tick(START)] == [ReservationState.ACTIVE]
+    report_usage(plan_writer, 40, 1)
+    reservation = plan_writer.release("wedding", START + 10_000)
+    assert reservation.state is ReservationState.DRAINING and reservation.given_back == 0
     found = plan_writer.book.binding_version("hotel", START + 10_001)
     assert found is not None and found.plan == "p"
-    used(plan_writer, 25, 2)  # in flight at the release
-    assert plan_writer.release("wedding", START + 11_000) is one and plan_writer.tick(START + 11_000) == []
-    assert len(plan_writer.changes) == 7  # one way back, and the later one withdrawn, whoever releases again
+    report_usage(plan_writer, 25, 2)  # in flight at the release
+    assert (
+        plan_writer.release("wedding", START + 11_000) is reservation
+        and plan_writer.tick(START + 11_000) == []
+    )
+    # One assignment back and one withdrawal, however often it is released.
+    assert len(plan_writer.changes) == 7
     plan_writer.tick(START + 10_000 + SETTLE_DELAY_MS)
     assert plan_writer.reservations.by_key["wedding"].state is ReservationState.RELEASED
-    assert one.drawn == 65 * MICRO_PER_UNIT and one.given_back == 235 * MICRO_PER_UNIT
-    used(plan_writer, 3, 3)  # a day late
-    assert one.corrections == 3 * MICRO_PER_UNIT and one.given_back == 235 * MICRO_PER_UNIT
+    assert reservation.drawn == 65 * MICRO_PER_UNIT and reservation.given_back == 235 * MICRO_PER_UNIT
+    report_usage(plan_writer, 3, 3)  # a day late
+    assert reservation.corrections == 3 * MICRO_PER_UNIT and reservation.given_back == 235 * MICRO_PER_UNIT
 
 
 def test_a_window_that_ends_settles_and_what_is_beyond_it_is_plain_use() -> None:
     plan_writer = plan_writer_with()
     plan_writer.tick(START)
-    used(plan_writer, 400, 1)
-    used(plan_writer, 50, 2, "p")
+    report_usage(plan_writer, 400, 1)
+    report_usage(plan_writer, 50, 2, "p")
     plan_writer.tick(END)
     plan_writer.tick(END + SETTLE_DELAY_MS)
-    one = plan_writer.reservations.by_key["wedding"]
-    assert one.state is ReservationState.EXPIRED and one.drawn == WISH.units and one.given_back == 0
+    reservation = plan_writer.reservations.by_key["wedding"]
+    assert (
+        reservation.state is ReservationState.EXPIRED
+        and reservation.drawn == WISH.units
+        and reservation.given_back == 0
+    )
 
 
 def test_a_release_before_the_window_takes_the_account_off_it() -> None:
@@ -132,15 +142,15 @@
     disk = Disk()
     plan_writer = plan_writer_with(disk=disk)
     plan_writer.tick(START)
-    used(plan_writer, 10, 1)
+    report_usage(plan_writer, 10, 1)
     plan_writer.release("wedding", START + 1000)
-    again = PlanWriter(Store(disk), "vadodara")
-    used(again, 5, 2)
-    again.tick(START + 1000 + SETTLE_DELAY_MS)
-    one = again.reservations.by_key["wedding"]
-    assert one.state is ReservationState.RELEASED and one.drawn == 15 * MICRO_PER_UNIT
-    used(again, 2, 3)
-    again.compact()
+    restarted = PlanWriter(Store(disk), "vadodara")
+    report_usage(restarted, 5, 2)
+    restarted.tick(START + 1000 + SETTLE_DELAY_MS)
+    reservation = restarted.reservations.by_key["wedding"]
+    assert reservation.state is ReservationState.RELEASED and reservation.drawn == 15 * MICRO_PER_UNIT
+    report_usage(restarted, 2, 3)
+    restarted.compact()
     last = PlanWriter(Store(disk), "vadodara").reservations.by_key["wedding"]
     assert (last.drawn, last.corrections, last.plan) == (15 * MICRO_PER_UNIT, 2 * MICRO_PER_UNIT, PLAN)
 
--- a/tests/plans/test_follow.py
+++ b/tests/plans/test_follow.py
@@ -1,4 +1,4 @@
-"""Following a book: each row of the table, lost and late messages in any order, epochs that fence, leases that end."""
+"""The follower: each transition, lost and late messages in any order, fencing by epochs, and expiring leases."""
 
 from __future__ import annotations
 
@@ -29,29 +29,29 @@
 
 
 def book(last: int, epoch: int = 1) -> Book:
-    found = Book("vadodara")
+    result = Book("vadodara")
     for seq in range(1, last + 1):
-        found = found.with_change(change(seq, epoch))
-    return found
+        result = result.with_change(change(seq, epoch))
+    return result
 
 
-def following(last: int = 4, epoch: int = 1, sent: int = 0) -> Follower:
+def make_follower(last: int = 4, epoch: int = 1, sent: int = 0) -> Follower:
     follower = Follower("vadodara")
     assert FollowerAction.REPLACE in follower.receive_book(epoch, book(last, epoch), sent, LEASE_MS)
     return follower
 
 
 def test_the_table_has_a_row_for_all_that_may_come() -> None:
-    wanted = {(at, heard) for at in FollowerState for heard in FollowerEvent} - {
+    expected = {(at, heard) for at in FollowerState for heard in FollowerEvent} - {
         *((at, FollowerEvent.KNOWN) for at in FollowerState),  # changes nothing anywhere
         (FollowerState.EMPTY, FollowerEvent.OVER), (FollowerState.LAPSED, FollowerEvent.OVER),  # no lease
-        (FollowerState.BEHIND, FollowerEvent.GAP), (FollowerState.BEHIND, FollowerEvent.AHEAD),  # asked for already
+        (FollowerState.BEHIND, FollowerEvent.GAP), (FollowerState.BEHIND, FollowerEvent.AHEAD),  # already requested
     }  # fmt: skip
-    assert set(TRANSITIONS) == wanted
+    assert set(TRANSITIONS) == expected
 
 
 def test_a_gap_is_asked_for_and_nothing_behind_it_is_taken() -> None:
-    follower = following()
+    follower = make_follower()
     assert follower.receive_change(1, change(6)) == (FollowerAction.ASK_FROM,)
     assert [follower.state] == [FollowerState.BEHIND]
     assert follower.book == book(4) and follower.receive_change(1, change(7)) == ()
@@ -64,7 +64,7 @@
 
 
 def test_a_writer_that_was_replaced_is_fenced() -> None:
-    follower = following(4, epoch=2)
+    follower = make_follower(4, epoch=2)
     for actions in (
         follower.receive_change(1, change(5)),
         follower.receive_heartbeat(1, Stamp(1, 9), 10, LEASE_MS),
@@ -75,50 +75,51 @@
 
 
 def test_a_new_writer_s_book_replaces_the_one_here() -> None:
-    follower = following(6)
+    follower = make_follower(6)
     assert follower.receive_change(2, change(5, 2)) == (FollowerAction.ASK_ALL,) and follower.book == book(6)
     assert FollowerAction.REPLACE in follower.receive_book(2, book(4, 2), 10, LEASE_MS)
     assert follower.epoch == 2 and follower.book == book(4, 2)
 
 
 def test_a_book_of_another_installation_is_dropped() -> None:
-    follower = following()
+    follower = make_follower()
     assert follower.receive_book(9, Book("semien"), 0, LEASE_MS) == (
         FollowerAction.DROP,
     ) and follower.book == book(4)
 
 
 def test_a_book_that_is_older_than_what_is_here_changes_nothing() -> None:
-    follower = following(6)
+    follower = make_follower(6)
     assert follower.receive_book(1, book(4), 10, LEASE_MS) == () and follower.book == book(6)
 
 
 def test_when_the_lease_is_over_the_lower_ceiling_holds() -> None:
-    follower = following(2)  # the hotel is on LARGE
+    follower = make_follower(2)  # the hotel is on LARGE
     follower.receive_change(1, Version("low", 10, Stamp(1, 3), SMALL))
     assert follower.check_lease(LEASE_MS - MAX_CLOCK_SKEW_MS - 1) == ()
-    bound = follower.binding_version("hotel", 100)
-    assert bound is not None and bound.terms == LARGE
+    version = follower.binding_version("hotel", 100)
+    assert version is not None and version.terms == LARGE
     assert (
         follower.check_lease(LEASE_MS - MAX_CLOCK_SKEW_MS) == (FollowerAction.FALL_BACK,)
         and follower.check_lease(LEASE_MS) == ()
     )
-    bound = follower.binding_version("hotel", LEASE_MS)
-    assert bound is not None and (bound.terms.ceiling_rate, bound.terms.ceiling_burst) == (2.0, 8.0)
-    assert bound.terms.rate <= 2.0 and bound.terms.burst <= 8.0
+    version = follower.binding_version("hotel", LEASE_MS)
+    assert version is not None and (version.terms.ceiling_rate, version.terms.ceiling_burst) == (2.0, 8.0)
+    assert version.terms.rate <= 2.0 and version.terms.burst <= 8.0
     assert follower.receive_heartbeat(1, Stamp(1, 3), 9000, LEASE_MS) == (
         FollowerAction.RENEW,
         FollowerAction.RECOVER,
     )
-    bound = follower.binding_version("hotel", 9001)
-    assert bound is not None and bound.terms == LARGE
+    version = follower.binding_version("hotel", 9001)
+    assert version is not None and version.terms == LARGE
 
 
 def test_a_beat_that_was_long_under_way_carries_little_lease() -> None:
-    follower = following()
+    follower = make_follower()
     follower.receive_heartbeat(1, Stamp(1, 4), 1000, LEASE_MS)
     assert follower.lease_until == 1000 + LEASE_MS - MAX_CLOCK_SKEW_MS
-    follower.receive_heartbeat(1, Stamp(1, 4), 500, LEASE_MS)  # overtaken: it takes nothing away
+    # An overtaken heartbeat does not shorten the lease.
+    follower.receive_heartbeat(1, Stamp(1, 4), 500, LEASE_MS)
     assert follower.lease_until == 1000 + LEASE_MS - MAX_CLOCK_SKEW_MS
 
 
@@ -127,7 +128,7 @@
 def test_whatever_is_lost_doubled_or_swapped_the_book_is_a_prefix_and_ends_whole(
     seed: int, last: int
 ) -> None:
-    """Two writers, the first of which does not know that it was replaced; connections end and are made again."""
+    """Two writers send messages, and the first does not know that it was replaced."""
     rng, follower = Random(seed), Follower("vadodara")
     books = {1: book(last), 2: book(last, 2)}
     for _ in range(last * 4):
