--- a/tests/plans/test_reservations.py
+++ b/tests/plans/test_reservations.py
@@ -1,4 +1,4 @@
-"""Reservations and levels over a change: tables, and a search for orders that give something twice."""
+"""Reservations and bucket levels across changes: each transition, and a search for orders that grant units twice."""
 
 from __future__ import annotations
 
@@ -23,84 +23,99 @@
 )  # fmt: skip
 
 WISH = ReservationRequest("ev", "hotel", 1000, 2000, 100)
-ROOMY = Capacity(10**9)
+LARGE_CAPACITY = Capacity(10**9)
 
 
-def made(wish: ReservationRequest = WISH, room: Capacity = ROOMY) -> Reservations:
-    all_ = Reservations()
-    all_.reserve(wish, room)
-    return all_
+def reserved(wish: ReservationRequest = WISH, room: Capacity = LARGE_CAPACITY) -> Reservations:
+    reservations = Reservations()
+    reservations.reserve(wish, room)
+    return reservations
 
 
 @pytest.mark.parametrize(("at", "heard"), list(product(ReservationState, ReservationEvent)))
 def test_each_cell_of_the_table(at: ReservationState, heard: ReservationEvent) -> None:
-    one = Reservation(WISH, at, in_flight={"r": 5})
-    assert one.handle_event(heard) == ((at, heard) in TRANSITIONS)
-    assert one.state is TRANSITIONS.get((at, heard), at)
-    assert at not in TERMINAL_STATES or one.state is at
+    reservation = Reservation(WISH, at, in_flight={"r": 5})
+    assert reservation.handle_event(heard) == ((at, heard) in TRANSITIONS)
+    assert reservation.state is TRANSITIONS.get((at, heard), at)
+    assert at not in TERMINAL_STATES or reservation.state is at
 
 
 def test_a_release_while_drawn_on_settles_by_what_is_in_flight() -> None:
-    all_ = made()
-    all_.tick(1000)
-    assert all_.draw("ev", "r1", 30) and all_.draw("ev", "r2", 20) and all_.draw("ev", "r1", 30)
-    one = all_.release("ev")
-    assert one.state is ReservationState.DRAINING and one.given_back == 0 and not all_.draw("ev", "r3", 1)
-    all_.settle("ev", "r1", 35)
-    assert all_.release("ev").state is ReservationState.DRAINING  # a second time changes nothing
-    all_.settle("ev", "r2", 0)  # it never ran
-    assert all_.by_key["ev"].state is ReservationState.RELEASED and one.drawn == 35 and one.given_back == 65
-    assert all_.settle("ev", "r2", 50) == 0 and one.given_back == 65
+    reservations = reserved()
+    reservations.tick(1000)
+    assert (
+        reservations.draw("ev", "r1", 30)
+        and reservations.draw("ev", "r2", 20)
+        and reservations.draw("ev", "r1", 30)
+    )
+    reservation = reservations.release("ev")
+    assert (
+        reservation.state is ReservationState.DRAINING
+        and reservation.given_back == 0
+        and not reservations.draw("ev", "r3", 1)
+    )
+    reservations.settle("ev", "r1", 35)
+    assert reservations.release("ev").state is ReservationState.DRAINING  # a second time changes nothing
+    reservations.settle("ev", "r2", 0)  # it never ran
+    assert (
+        reservations.by_key["ev"].state is ReservationState.RELEASED
+        and reservation.drawn == 35
+        and reservation.given_back == 65
+    )
+    assert reservations.settle("ev", "r2", 50) == 0 and reservation.given_back == 65
 
 
 def test_the_window_s_end_lets_what_is_in_flight_end() -> None:
-    all_ = made()
-    all_.tick(1500)
-    assert all_.draw("ev", "r", 100) and not all_.draw("ev", "s", 1)
-    assert [r.state for r in all_.tick(2000)] == [ReservationState.DRAINING]
-    all_.settle("ev", "r", 90)
-    assert all_.by_key["ev"].state is ReservationState.EXPIRED and all_.by_key["ev"].given_back == 10
-    all_.correct("ev", 4)
-    assert all_.by_key["ev"].given_back == 10 and all_.by_key["ev"].corrections == 4
+    reservations = reserved()
+    reservations.tick(1500)
+    assert reservations.draw("ev", "r", 100) and not reservations.draw("ev", "s", 1)
+    assert [r.state for r in reservations.tick(2000)] == [ReservationState.DRAINING]
+    reservations.settle("ev", "r", 90)
+    assert (
+        reservations.by_key["ev"].state is ReservationState.EXPIRED
+        and reservations.by_key["ev"].given_back == 10
+    )
+    reservations.correct("ev", 4)
+    assert reservations.by_key["ev"].given_back == 10 and reservations.by_key["ev"].corrections == 4
 
 
 def test_a_key_names_one_reservation() -> None:
-    all_ = made()
-    assert all_.reserve(WISH, Capacity(0)) is all_.by_key["ev"]
+    reservations = reserved()
+    assert reservations.reserve(WISH, Capacity(0)) is reservations.by_key["ev"]
     with pytest.raises(ReservationError, match="names another"):
-        all_.reserve(ReservationRequest("ev", "hotel", 1000, 2000, 101), ROOMY)
+        reservations.reserve(ReservationRequest("ev", "hotel", 1000, 2000, 101), LARGE_CAPACITY)
     with pytest.raises(ReservationError, match="no reservation"):
-        all_.release("other")
+        reservations.release("other")
 
 
 @pytest.mark.parametrize(
     ("wish", "room", "at"),
     [
         (WISH, Capacity(100), ReservationState.HELD),
-        (WISH, Capacity(99), ReservationState.REFUSED),  # the fleet has less
-        (WISH, Capacity(100, 50, 50), ReservationState.HELD),  # out of the ceiling's rate and its burst
+        (WISH, Capacity(99), ReservationState.REFUSED),  # the fleet has less capacity
+        (WISH, Capacity(100, 50, 50), ReservationState.HELD),  # fits into the ceiling's rate plus its burst
         (WISH, Capacity(100, 50, 49), ReservationState.REFUSED),
     ],
 )
 def test_only_what_plan_and_fleet_can_hold_is_admitted(
     wish: ReservationRequest, room: Capacity, at: ReservationState
 ) -> None:
-    assert made(wish, room).by_key["ev"].state is at
+    assert reserved(wish, room).by_key["ev"].state is at
 
 
 def test_what_others_hold_at_the_time_counts() -> None:
-    all_ = made()
+    reservations = reserved()
     assert (
-        all_.reserve(ReservationRequest("b", "inn", 1999, 2999, 50), Capacity(149)).state
+        reservations.reserve(ReservationRequest("b", "inn", 1999, 2999, 50), Capacity(149)).state
         is ReservationState.REFUSED
     )
     assert (
-        all_.reserve(ReservationRequest("c", "inn", 2000, 3000, 50), Capacity(149)).state
+        reservations.reserve(ReservationRequest("c", "inn", 2000, 3000, 50), Capacity(149)).state
         is ReservationState.HELD
     )
-    all_.release("ev")
+    reservations.release("ev")
     assert (
-        all_.reserve(ReservationRequest("d", "inn", 1000, 2000, 100), Capacity(149)).state
+        reservations.reserve(ReservationRequest("d", "inn", 1000, 2000, 100), Capacity(149)).state
         is ReservationState.HELD
     )
     assert peak_rate([]) == 0
@@ -116,7 +131,7 @@
 )
 def test_bad_wishes_are_refused(bad: ReservationRequest) -> None:
     with pytest.raises(ReservationError, match="expected"):
-        made(bad)
+        reserved(bad)
 
 
 STEPS = st.lists(
@@ -132,45 +147,52 @@
 
 @given(STEPS)
 def test_units_are_drawn_or_given_back_once_in_any_order(steps: list[tuple[str, int, int]]) -> None:
-    all_ = made()
-    one, settled, states = all_.by_key["ev"], 0, [ReservationState.HELD]
+    reservations = reserved()
+    reservation, settled, states = reservations.by_key["ev"], 0, [ReservationState.HELD]
     for kind, number, units in steps:
-        was_over, back = one.state in TERMINAL_STATES, one.given_back
+        was_over, given_back = reservation.state in TERMINAL_STATES, reservation.given_back
         if kind == "draw":
-            all_.draw("ev", f"r{number}", units)
+            reservations.draw("ev", f"r{number}", units)
         elif kind == "settle":
-            settled += units if f"r{number}" in one.in_flight else 0
-            all_.settle("ev", f"r{number}", units)
+            settled += units if f"r{number}" in reservation.in_flight else 0
+            reservations.settle("ev", f"r{number}", units)
         elif kind == "release":
-            all_.release("ev")
+            reservations.release("ev")
         else:
-            all_.tick(number)
-        assert one.drawn == settled
-        assert not was_over or (one.state in TERMINAL_STATES and one.given_back == back and not one.in_flight)
-        assert one.state not in TERMINAL_STATES or one.given_back == max(0, WISH.units - one.drawn)
-        assert one.state is ReservationState.ACTIVE or one.available_units == 0
-        if one.state is not states[-1]:
-            states.append(one.state)
-    assert len(states) == len(set(states))  # no state twice
+            reservations.tick(number)
+        assert reservation.drawn == settled
+        assert not was_over or (
+            reservation.state in TERMINAL_STATES
+            and reservation.given_back == given_back
+            and not reservation.in_flight
+        )
+        assert reservation.state not in TERMINAL_STATES or reservation.given_back == max(
+            0, WISH.units - reservation.drawn
+        )
+        assert reservation.state is ReservationState.ACTIVE or reservation.available_units == 0
+        if reservation.state is not states[-1]:
+            states.append(reservation.state)
+    assert len(states) == len(set(states))  # no state is entered twice
 
 
-FIGURES = st.floats(0.1, 50)
+POSITIVE_NUMBERS = st.floats(0.1, 50)
 
 
 @given(
-    st.lists(st.tuples(FIGURES, FIGURES), min_size=1, max_size=6), st.lists(FIGURES, min_size=6, max_size=6)
+    st.lists(st.tuples(POSITIVE_NUMBERS, POSITIVE_NUMBERS), min_size=1, max_size=6),
+    st.lists(POSITIVE_NUMBERS, min_size=6, max_size=6),
 )
 def test_shares_together_hold_no_more_than_the_whole(
-    terms: list[tuple[float, float]], gaps: list[float]
+    terms: list[tuple[float, float]], delays: list[float]
 ) -> None:
-    """Up, down and up again: n shares that carry over hold at most what one store that does would."""
+    """Across any series of changes, n shares together hold at most as much as one bucket for the whole."""
     n, at = 5, 0.0
     whole = BucketLevel(20.0, 0.0, 2.0, 20.0)
     shares = [BucketLevel(20.0 / n * k / 2, 0.0, 2.0 / n, 20.0 / n) for k in range(n) if k <= 2] + [
         BucketLevel(0, 0, 0.4, 4.0)
     ] * 2
-    for (rate, burst), gap in zip(terms, gaps, strict=False):
-        at += gap
+    for (rate, burst), delay in zip(terms, delays, strict=False):
+        at += delay
         whole = whole.with_limits(at, rate, burst)
         shares = [s.with_limits(at, rate / n, burst / n) for s in shares]
         assert sum(s.units for s in shares) <= whole.units + 1e-9
