--- a/tests/plans/test_use.py
+++ b/tests/plans/test_use.py
@@ -1,4 +1,4 @@
-"""Use exported once and only once: crashes between cutting, storing, telling and hearing the acknowledgement."""
+"""Usage is exported exactly once, with crashes between cutting, storing, sending and receiving the acknowledgement."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     usage_recorder, usage_ledger = UsageRecorder("n1", 1), UsageLedger()
     usage_recorder.add_usage(HOTEL, 5)
     usage_recorder.add_usage(AFTER, 2)
-    usage_recorder.add_usage(HOTEL, -1)  # it truly cost less
+    usage_recorder.add_usage(HOTEL, -1)  # the actual cost was lower
     record = usage_recorder.cut_record()
     assert record is not None and usage_ledger.accept(record) and usage_recorder.cut_record() is None
     assert usage_ledger.totals == {HOTEL: 4, AFTER: 2}
@@ -58,9 +58,8 @@
     usage_recorder.add_usage(HOTEL, 1)
     assert usage_recorder.cut_record() is not None
     usage_recorder.add_usage(HOTEL, 1)
-    assert (
-        usage_recorder.cut_record() is None and usage_recorder.pending_units == 1
-    )  # held until one is acknowledged
+    # Kept until a record is acknowledged.
+    assert usage_recorder.cut_record() is None and usage_recorder.pending_units == 1
     assert usage_recorder.acknowledge(1, 1) and not usage_recorder.acknowledge(1, 1)
     assert usage_recorder.cut_record() is not None
     usage_ledger = UsageLedger()
@@ -69,16 +68,16 @@
         usage_ledger.accept(UsageRecord("n1", 1, 2, ()))
 
 
-class Disk:
-    """A writer's records on a lasting disk: what was stored and what was struck out."""
+class RecordDisk:
+    """The stored, unacknowledged records of a writer on a persistent disk."""
 
     def __init__(self) -> None:
-        self.epoch, self.kept = 0, dict[tuple[int, int], dict[str, Any]]()
+        self.epoch, self.stored = 0, dict[tuple[int, int], dict[str, Any]]()
 
     def start(self, writer: str) -> UsageRecorder:
         self.epoch += 1
         usage_recorder = UsageRecorder(writer, self.epoch)
-        for raw in self.kept.values():
+        for raw in self.stored.values():
             usage_recorder.restore_record(parse_usage_record(json.loads(json.dumps(raw))))
         return usage_recorder
 
@@ -88,7 +87,7 @@
 def test_exported_use_sums_exactly_but_for_what_a_crash_caught_before_it_was_cut(
     seed: int, steps: list[int]
 ) -> None:
-    rng, disk, usage_ledger = Random(seed), Disk(), UsageLedger()
+    rng, disk, usage_ledger = Random(seed), RecordDisk(), UsageLedger()
     usage_recorder = disk.start("n1")
     counted = lost = 0
     for step in steps:
@@ -97,18 +96,17 @@
             counted += units
             usage_recorder.add_usage(rng.choice((HOTEL, AFTER)), units)
         elif step == 2 and (record := usage_recorder.cut_record()) is not None:
-            disk.kept[record.epoch, record.seq] = record.as_json()
-        elif step == 3 and usage_recorder.unacknowledged:  # told, and the acknowledgement may be lost
+            disk.stored[record.epoch, record.seq] = record.as_json()
+        elif step == 3 and usage_recorder.unacknowledged:  # sent; the acknowledgement may be lost
             record = rng.choice(list(usage_recorder.unacknowledged.values()))
             assert usage_ledger.accept(record)
             if rng.random() < 0.5 and usage_recorder.acknowledge(record.epoch, record.seq):
-                del disk.kept[record.epoch, record.seq]
+                del disk.stored[record.epoch, record.seq]
         elif step == 4:  # killed
             lost += usage_recorder.pending_units
             usage_recorder = disk.start("n1")
-        elif (
-            step == 5 and (cut := usage_recorder.cut_record()) is not None
-        ):  # killed between cutting and storing
+        # Step 5: killed between cutting and storing.
+        elif step == 5 and (cut := usage_recorder.cut_record()) is not None:
             lost += sum(units for _, units in cut.rows) + usage_recorder.pending_units
             usage_recorder = disk.start("n1")
     lost += usage_recorder.pending_units
--- a/tests/plans/test_wiring.py
+++ b/tests/plans/test_wiring.py
@@ -1,4 +1,4 @@
-"""[plans] in the operators' file: read, refused with its key, and carried out by a real limiter."""
+"""The [plans] table of the operators' file: parsed, rejected with the key named, and applied by a limiter process."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from tests.plans.disk import Disk
 from tests.test_program import config, started
 
-RAW = {
+RAW_CONFIG = {
     "listen": "127.0.0.1:1",
     "discovery": "127.0.0.1:2",
     "seed": "1",
@@ -33,7 +33,7 @@
 }
 
 
-def table(tmp_path: Path, text: str) -> Operators:
+def load_table(tmp_path: Path, text: str) -> Operators:
     path = tmp_path / "operators.toml"
     path.write_text(text)
     return load_operators(str(path))
@@ -47,11 +47,11 @@
 @pytest.mark.parametrize("text", ['[plans]\nwriter = "a:1"\n', '[plans]\nwriter = 3\ninstallation = "x"\n'])
 def test_a_table_that_is_short_is_named(tmp_path: Path, text: str) -> None:
     with pytest.raises(OperatorsError, match=r"plans\.(installation|writer): expected a str"):
-        table(tmp_path, text)
+        load_table(tmp_path, text)
 
 
 def test_what_cannot_be_followed_is_no_start(monkeypatch: pytest.MonkeyPatch) -> None:
-    config = config_from(RAW)
+    config = config_from(RAW_CONFIG)
     gateway = Gateway(config.settings, 1, 0.0)
     monkeypatch.delenv("FAWNSEAM_PLANS_TOKEN", raising=False)
     with pytest.raises(ConfigError, match="plans: FAWNSEAM_PLANS_TOKEN"):
@@ -66,7 +66,7 @@
 def test_a_real_limiter_goes_by_the_book_and_tells_its_use(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A process that follows a writer: its use is counted under the book's plan and version, to its planned end."""
+    """A limiter process follows a writer and reports its usage by the book's plan and version until it stops."""
     monkeypatch.setenv("FAWNSEAM_PLANS_TOKEN", "t")
 
     async def main() -> None:
