--- a/cypresspulley/plans/follow.py
+++ b/cypresspulley/plans/follow.py
@@ -71,10 +71,8 @@
         FollowerState.CURRENT,
         (FollowerAction.REPLACE, FollowerAction.RENEW),
     ),
-    (FollowerState.BEHIND, FollowerEvent.NEXT): (
-        FollowerState.BEHIND,
-        (FollowerAction.APPLY,),
-    ),  # a heartbeat confirms the last one
+    # Only a heartbeat confirms that the last missing change has arrived.
+    (FollowerState.BEHIND, FollowerEvent.NEXT): (FollowerState.BEHIND, (FollowerAction.APPLY,)),
     (FollowerState.BEHIND, FollowerEvent.BEAT): (FollowerState.CURRENT, (FollowerAction.RENEW,)),
     (FollowerState.BEHIND, FollowerEvent.ANOTHER): (FollowerState.BEHIND, (FollowerAction.ASK_ALL,)),
     (FollowerState.BEHIND, FollowerEvent.OVER): (FollowerState.LAPSED, (FollowerAction.FALL_BACK,)),
