--- a/cypresspulley/plans/channel.py
+++ b/cypresspulley/plans/channel.py
@@ -63,7 +63,7 @@
         while True:
             await asyncio.sleep(LEASE_CHECK_INTERVAL_S)
             if self.follower.check_lease(self._clock()):
-                log.warning("plans: the lease has expired: applying the lowest ceiling of any plan")
+                log.warning("plans: the lease is over: the lowest ceiling holds from now on")
                 self._on_change()
 
     async def _run_connections(self) -> None:
@@ -147,7 +147,7 @@
         """Carries out the follower's actions. Raises ``ConnectionEndedError`` where it needs a new connection."""
         if FollowerAction.DROP in actions:
             raise ConnectionEndedError(
-                f"the writer's epoch is before {self.follower.epoch}, or it serves another installation"
+                f"a writer of an epoch before {self.follower.epoch}, or of another installation"
             )
         if {FollowerAction.REPLACE, FollowerAction.APPLY, FollowerAction.RECOVER} & set(actions):
             self._wants_whole_book = False
--- a/cypresspulley/plans/export.py
+++ b/cypresspulley/plans/export.py
@@ -42,7 +42,7 @@
                 await self.flush()
             except (OSError, EOFError, ConnectionEndedError, asyncio.LimitOverrunError, ValueError) as error:
                 if str(error) != self.last_error:
-                    log.warning("plans: usage was not exported: %s", error or repr(error))
+                    log.warning("plans: use was not exported: %s", error or repr(error))
                 self.last_error = str(error)
 
     async def flush(self) -> None:
--- a/cypresspulley/takeover/handover.py
+++ b/cypresspulley/takeover/handover.py
@@ -323,7 +323,7 @@
 
     def reject(self) -> None:
         """Reject an unusable offer: the predecessor continues to serve, and this process starts alone."""
-        log.error("takeover: the offer is unusable; this process starts alone")
+        log.error("takeover: the offer was rejected, this process starts alone")
         self._offer = None
         self.machine.state = TakeoverState.RECEIVING
         self._handle_event(TakeoverEvent.INVALID)
