--- a/benchmarks/together_mutants.py
+++ b/benchmarks/together_mutants.py
@@ -1,10 +1,10 @@
-"""Whether the checkers convict limiters with one fault each, by the histories of days in virtual time.
+"""Checks that the history checkers detect limiters with one fault each, on days in virtual time.
 
     python -m benchmarks.together_mutants [--seeds 2] [--jobs 2] [--json FILE]
 
-Each mutant is a patch of the program in a process of its own; the right program is played on the same days and has to
-be acquitted. A mutant that no seed convicts of a promise that it breaks has escaped: exit code 1. Where two guards
-each hold alone, the mutant has both taken out, and says so.
+Each mutant is a patch of the program in a process of its own. The unpatched program runs on the same days and must
+pass the checkers. A mutant for which no seed shows a broken promise of its list has escaped: exit code 1. Where either
+of two guards is sufficient, the mutant removes both, and its name says so.
 """
 
 from __future__ import annotations
@@ -20,86 +20,93 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.together_plays import PLAYS
+from benchmarks.together_plays import SCENARIOS
+from cypresspulley.closing.bypass import BypassReason, WallClockMonitor
 from cypresspulley.closing.calendar import Calendar, Timeline
-from cypresspulley.closing.doubt import Doubt, WallClock
+from cypresspulley.closing.closing_tracker import ClosingTracker
 from cypresspulley.closing.lease import Lease
-from cypresspulley.closing.noticed import Noticed
-from cypresspulley.closing.purging import Purging
+from cypresspulley.closing.purge_coordinator import PurgeCoordinator
 from cypresspulley.fleet import detector
 from cypresspulley.fleet.detector import Detector
-from cypresspulley.fleet.records import State
-from cypresspulley.fleet.view import Held, View
+from cypresspulley.fleet.records import MemberState
+from cypresspulley.fleet.view import StoredRow, View
 from cypresspulley.histories.check import CHECKERS
-from cypresspulley.lanes import share, spells
+from cypresspulley.lanes import allocation, shedding_policy
 
 
 @dataclass(frozen=True)
 class Mutant:
-    """``patch`` changes the program in this process; ``promises`` are those that it breaks, any of which convicts."""
+    """``patch`` changes the program in this process; a finding of any of ``promises``, which it breaks, detects it."""
 
     name: str
-    play: str
+    scenario: str
     promises: frozenset[str]
     patch: Callable[[], None]
 
 
 def _incarnation_not_raised() -> None:
     def of_me(self: Detector, claim: Any) -> None:
-        me = self.view.myself
-        if claim.life == me.life and claim.rank > me.rank and claim.state >= State.SUSPECTED:
-            self._become(replace(me, incarnation=claim.incarnation), "refuted")
+        me = self.view.local_member
+        if claim.life == me.life and claim.rank > me.rank and claim.state >= MemberState.SUSPECTED:
+            self._update_self(replace(me, incarnation=claim.incarnation), "refuted")
 
-    Detector._take_of_me = of_me  # type: ignore[method-assign]
+    Detector._apply_claim_about_self = of_me  # type: ignore[method-assign]
 
 
 def _death_without_suspicion() -> None:
     def failed(self: Detector, key: str) -> None:
-        probe = self._probes.end(int(key))
-        held = self.view.get(probe.target) if probe is not None and probe.counts else None
+        probe = self._probes.remove(int(key))
+        held = self.view.get(probe.target) if probe is not None and probe.accuses else None
         if probe is not None and held is not None and held.life == probe.life and held.state.present:
-            self._hold(replace(held, state=State.DEAD), "probe", self.view.me)
+            self._store_claim(replace(held, state=MemberState.DEAD), "probe", self.view.local_name)
 
-    detector._TIMERS["failed"] = failed
+    detector._TIMER_HANDLERS["failed"] = failed
 
 
 def _old_rows_taken() -> None:
-    def merge_row(self: View, now: float, cell: Any) -> bool:
-        if self.get(cell.owner) is None or cell.owner == self.me:
+    def merge_row(self: View, now: float, row_record: Any) -> bool:
+        if self.get(row_record.owner) is None or row_record.owner == self.local_name:
             return False
-        held = self._rows.setdefault(cell.owner, {}).get(cell.subsystem)
-        if held is not None and (held.version, held.body) >= (cell.version, cell.body):
+        held = self._rows.setdefault(row_record.owner, {}).get(row_record.subsystem)
+        if held is not None and (held.version, held.body) >= (row_record.version, row_record.body):
             return False
-        self._hold(now, cell.owner, cell.subsystem, Held(cell.life, cell.version, cell.body, now, now))
+        self._store_row(
+            now,
+            row_record.owner,
+            row_record.subsystem,
+            StoredRow(row_record.life, row_record.version, row_record.body, now, now),
+        )
         return True
 
     View.merge_row = merge_row  # type: ignore[method-assign]
 
 
 def _floor_ignored() -> None:
-    fill = share.fill
+    split_capacity = allocation.split_capacity
 
     def no_floors(lanes: Any, *rest: Any) -> Any:
-        return fill([replace(lane, floor=0.0, floor_units=0.0) for lane in lanes], *rest)
+        return split_capacity([replace(lane, floor=0.0, floor_units=0.0) for lane in lanes], *rest)
 
-    share.fill = no_floors  # type: ignore[assignment]
+    allocation.split_capacity = no_floors  # type: ignore[assignment]
 
 
 def _excess_first() -> None:
-    revised = spells.revised
+    revise_policy = shedding_policy.revise_policy
 
-    def excess(before: Any, maker: int, until: float, bears: float, inside: Any, beyond: Any) -> Any:
-        return revised(before, maker, until, bears, inside, (1.0,) * len(beyond))
+    def excess_first(
+        before: Any, author: int, ends_at: float, capacity: float, within_quota: Any, over_quota: Any
+    ) -> Any:
+        return revise_policy(before, author, ends_at, capacity, within_quota, (1.0,) * len(over_quota))
 
-    spells.revised = excess
+    shedding_policy.revise_policy = excess_first
 
 
 def _lease_without_end() -> None:
-    Lease.held = lambda self, now: self.until > float("-inf")  # type: ignore[method-assign]
+    Lease.is_held = lambda self, now: self.expires_at > float("-inf")  # type: ignore[method-assign]
 
 
 def _no_bypass() -> None:
-    Timeline.near = lambda self, t, bound: False  # type: ignore[method-assign]
+    Timeline.is_near_closing = lambda self, t, bound: False  # type: ignore[method-assign]
 
 
 def _time_only() -> None:
@@ -107,19 +114,19 @@
 
 
 def _refire() -> None:
-    notice = Noticed.notice
+    notice = ClosingTracker.collect_closings
 
-    def again(self: Noticed, before: Any, after: Any, wall: float) -> Any:
-        if self._since is not None and wall < self._since:
-            self._since = wall
+    def again(self: ClosingTracker, before: Any, after: Any, wall: float) -> Any:
+        if self._collected_until is not None and wall < self._collected_until:
+            self._collected_until = wall
         return notice(self, before, after, wall)
 
-    Noticed.notice = again  # type: ignore[method-assign]
-    WallClock.look = lambda self, mono, wall, error: Doubt.NONE  # type: ignore[method-assign]
+    ClosingTracker.collect_closings = again  # type: ignore[method-assign]
+    WallClockMonitor.check = lambda self, mono, wall, clock_error: BypassReason.NONE  # type: ignore[method-assign]
 
 
 def _hasty_yes() -> None:
-    Purging._missing = lambda *_: []  # type: ignore[method-assign]
+    PurgeCoordinator._find_missing = lambda *_: []  # type: ignore[method-assign]
 
 
 MUTANTS = (
@@ -150,12 +157,12 @@
 )
 
 
-def played(number: int | None, play: str, seed: int) -> dict[str, Any]:
-    """One day with a mutant, or with the right program, and what its checker says."""
+def run_day(number: int | None, scenario: str, seed: int) -> dict[str, Any]:
+    """Run one day with a mutant, or with the unpatched program, and return the checker's verdict."""
     if number is not None:
         MUTANTS[number].patch()
     began = time.process_time()
-    verdict = CHECKERS[play](PLAYS[play](seed))
+    verdict = CHECKERS[scenario](SCENARIOS[scenario](seed))
     found: dict[str, int] = {}
     for finding in verdict.findings:
         found[finding.promise] = found.get(finding.promise, 0) + 1
@@ -167,12 +174,12 @@
 
 
 def _verdict(number: int | None, days: list[dict[str, Any]]) -> tuple[bool, str]:
-    """Whether it is as it has to be, in a word too."""
+    """Return whether the verdict is as expected, and the verdict in a word."""
     if number is None:
-        right = all(not day["found"] and day["checked"] for day in days)
-        return right, "acquitted" if right else "CONVICTED"
-    right = any(MUTANTS[number].promises & set(day["found"]) for day in days)
-    return right, "convicted" if right else "ESCAPED"
+        is_expected = all(not day["found"] and day["checked"] for day in days)
+        return is_expected, "acquitted" if is_expected else "CONVICTED"
+    is_expected = any(MUTANTS[number].promises & set(day["found"]) for day in days)
+    return is_expected, "convicted" if is_expected else "ESCAPED"
 
 
 def main() -> int:
@@ -183,25 +190,30 @@
     parser.add_argument("--jobs", type=int, default=2)
     parser.add_argument("--json", type=Path)
     options = parser.parse_args()
-    wanted = [(None, play) for play in PLAYS] + [(n, mutant.play) for n, mutant in enumerate(MUTANTS)]
-    rows, right = list[dict[str, Any]](), True
+    runs = [(None, scenario) for scenario in SCENARIOS] + [
+        (n, mutant.scenario) for n, mutant in enumerate(MUTANTS)
+    ]
+    rows, all_expected = list[dict[str, Any]](), True
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(options.jobs, mp_context=context, max_tasks_per_child=1) as pool:
         seeds = range(1, options.seeds + 1)
-        under_way = [[pool.submit(played, number, play, seed) for seed in seeds] for number, play in wanted]
-        for (number, play), futures in zip(wanted, under_way, strict=True):
+        submitted = [
+            [pool.submit(run_day, number, scenario, seed) for seed in seeds] for number, scenario in runs
+        ]
+        for (number, scenario), futures in zip(runs, submitted, strict=True):
             days = [future.result() for future in futures]
             name = "none" if number is None else MUTANTS[number].name
-            as_wanted, word = _verdict(number, days)
-            right = right and as_wanted
-            rows.append({"mutant": name, "play": play, "verdict": word, "days": days})
+            is_expected, word = _verdict(number, days)
+            all_expected = all_expected and is_expected
+            rows.append({"mutant": name, "play": scenario, "verdict": word, "days": days})
             found = "; ".join(", ".join(f"{k} {v}" for k, v in day["found"].items()) or "-" for day in days)
             print(
-                f"{play:8} {name:58} {word:10} {sum(day['checked'] for day in days):7}  {found}", flush=True
+                f"{scenario:8} {name:58} {word:10} {sum(day['checked'] for day in days):7}  {found}",
+                flush=True,
             )
     if options.json:
         options.json.write_text(json.dumps(rows, indent=1) + "\n")
-    return 0 if right else 1
+    return 0 if all_expected else 1
 
 
 if __name__ == "__main__":
--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -20,12 +20,12 @@
 from cypresspulley import interface as api
 from cypresspulley.config import Config, ConfigError, configured
 from cypresspulley.lifecycle import Lifecycle
+from cypresspulley.net.admin import AdminServer
 from cypresspulley.net.counter import Counter, CounterClient
-from cypresspulley.net.discovery import Follower
-from cypresspulley.net.door import Door
+from cypresspulley.net.discovery import DiscoveryClient
 from cypresspulley.net.frontend import Frontend, PathHandler
 from cypresspulley.net.http import split_address
-from cypresspulley.net.node import Decisions, Node, UnixClock
+from cypresspulley.net.node import DecisionModule, Node, UnixClock
 from cypresspulley.net.upstream import Upstream
 from cypresspulley.operators import Operators, OperatorsError, load_operators
 from cypresspulley.policy.gateway import Gateway
@@ -38,8 +38,8 @@
     from cypresspulley.accesslog import LogFile
     from cypresspulley.histories.writer import AnyHistory
     from cypresspulley.net.peers import Peers
-    from cypresspulley.plans.limiter import Plans
-    from cypresspulley.together import Together
+    from cypresspulley.plans.limiter import PlanBookClient
+    from cypresspulley.together import FleetServices
 
 log = logging.getLogger("cypresspulley")
 
@@ -97,7 +97,7 @@
     operators: Operators,
     clock: Callable[[], float] | None = None,
     reread: Callable[[], Config] = configured,
-    watched: Callable[[Gateway], Decisions] | None = None,
+    watched: Callable[[Gateway], DecisionModule] | None = None,
     opened: Callable[[Service], None] | None = None,
     wall: Callable[[], float] = time.time,
     history: AnyHistory | None = None,
@@ -131,28 +131,30 @@
     gateway = _gateway(config, clock)
     if offer is not None and not service.adopt(gateway, clock(), offer, upstream):
         gateway, offer = _gateway(config, clock), None
-    decisions: Decisions = gateway if watched is None else watched(gateway)
+    decisions: DecisionModule = gateway if watched is None else watched(gateway)
     plans = None
     if operators.plans is not None:
         decisions, plans = _plans(config, operators.plans, decisions, gateway, clock)
     together = None
     if operators.fleet is not None:
         together = _together(config, operators, clock, wall, history)
-        decisions = together.deciding(decisions, gateway)
+        decisions = together.wrap(decisions, gateway)
         if together.closing is not None:
             service.purge = together.closing.purge
     if operators.tally is not None:
         from cypresspulley.tally import Tally
 
-        decisions = Tally(decisions, operators.tally, config.settings.warm_after, lambda: upstream.dials)
+        decisions = Tally(
+            decisions, operators.tally, config.settings.warm_after, lambda: upstream.dials_started
+        )
     node, access_log = _node(config.settings, decisions, clock, upstream, counter, operators, together)
     if config.known is not None and offer is None:
-        node.listed(config.known)
+        node.apply_listing(config.known)
     between = PeerLink(node)
     await between.follow(config)
     other = _other_front(config.settings, operators, clock)
     frontend = Frontend(node, config.settings, clients, other, time.monotonic if alone else clock)
-    frontend.on_sweep = partial(node.look_at, time.time) if alone else None
+    frontend.on_sweep = partial(node.check_wall_clock, time.time) if alone else None
     frontend.relay = upstream.relay
     try:
         if config.operator is None:
@@ -162,7 +164,9 @@
     except OSError as error:
         raise ConfigError(f"cannot listen: {error}") from None
     since = config.known.version if config.known else None
-    follower = Follower(node.listed, Random(config.seed).random, timing.discovery_pushes, node.confirmed)
+    follower = DiscoveryClient(
+        node.apply_listing, Random(config.seed).random, timing.discovery_pushes, node.record_discovery_contact
+    )
     follower.follow(*config.discovery, since)
     if counter is not None:
         counter.start()
@@ -178,9 +182,9 @@
         nonlocal timing
         timing = newest
         upstream.retune(timing.dial_timeout, timing.idle_timeout)
-        follower.retune(timing.discovery_pushes)
+        follower.set_pushed(timing.discovery_pushes)
         if counter is not None and settings.counter_timeout > 0:
-            counter.retune(settings.counter_timeout)
+            counter.set_timeout(settings.counter_timeout)
         node.retune(settings)
         frontend.reader.retune(settings)
         service.retuned()
@@ -211,7 +215,7 @@
     if not service.leave():
         await asyncio.sleep(ACCEPT_FOR)  # clients do not know yet: what they still open is taken and answered
     await frontend.close(answer_within(timing.longest_deadline))
-    node.abandon_all()
+    node.fail_open_requests()
     await frontend.close(FLUSH_WITHIN)
     hangup.close()
     service.close()
@@ -231,33 +235,37 @@
 
 
 def _plans(
-    config: Config, table: tuple[str, str], decisions: Decisions, gateway: Gateway, clock: Callable[[], float]
-) -> tuple[Decisions, Plans]:
+    config: Config,
+    table: tuple[str, str],
+    decisions: DecisionModule,
+    gateway: Gateway,
+    clock: Callable[[], float],
+) -> tuple[DecisionModule, PlanBookClient]:
     """The decisions by a plan book, where the operators name its writer; what is off is not even imported."""
     try:
-        from cypresspulley.plans.limiter import Plans
+        from cypresspulley.plans.limiter import PlanBookClient
     except ImportError as error:
         raise ConfigError(f"plans needs its extra: pip install 'cypresspulley[plans]' ({error})") from None
     try:
         address, token = split_address(table[0]), os.environ.get("FAWNSEAM_PLANS_TOKEN", "")
         # Its use is told under this name: two limiters of one name would each be taken for the other.
         name = str(config.raw.get("name") or os.environ.get("LB_NAME") or "limiter")
-        plans = Plans(address, token, table[1], name, clock)
+        plans = PlanBookClient(address, token, table[1], name, clock)
     except ValueError as error:
         raise ConfigError(f"plans: {error}") from None
-    return plans.deciding(decisions, gateway, config.settings), plans
+    return plans.wrap_decisions(decisions, gateway, config.settings), plans
 
 
 def _together(
     config: Config, operators: Operators, clock: Callable[[], float], wall: Callable[[], float],
     history: AnyHistory | None,
-) -> Together:  # fmt: skip
+) -> FleetServices:  # fmt: skip
     """What limiters do together, where the operators' file has a fleet; what is off is not even imported."""
     try:
-        from cypresspulley.together import Together
+        from cypresspulley.together import FleetServices
 
         name = str(config.raw.get("name") or os.environ.get("LB_NAME") or "limiter")
-        return Together(operators, name, config.settings, config.seed, clock, wall, history)
+        return FleetServices(operators, name, config.settings, config.seed, clock, wall, history)
     except ImportError as error:
         raise ConfigError(f"fleet needs its extra: pip install 'cypresspulley[fleet]' ({error})") from None
     except (OperatorsError, OSError) as error:
@@ -286,11 +294,11 @@
         return None
 
 
-async def _door(config: Config, service: Service) -> Door | None:
+async def _door(config: Config, service: Service) -> AdminServer | None:
     """The operators' way in, where the configuration names one: before anything slow, so that it says no meanwhile."""
     if config.operator is None:
         return None
-    door = Door(service.call)
+    door = AdminServer(service.call)
     try:
         await door.listen(*config.operator)
     except OSError as error:
@@ -304,11 +312,11 @@
     if not timeout or operators.keeper is None:
         return CounterClient(*config.counter, timeout) if config.counter and timeout else None
     try:
-        from cypresspulley.keeper.engine import EngineCounter, engine_url
+        from cypresspulley.keeper.engine import EngineCounter, parse_engine_url
     except ImportError as error:
         raise ConfigError(f"keeper needs its extra: pip install 'cypresspulley[keeper]' ({error})") from None
     try:
-        return EngineCounter(engine_url(operators.keeper), timeout)
+        return EngineCounter(parse_engine_url(operators.keeper), timeout)
     except ValueError as error:
         raise ConfigError(f"keeper.url: {error}") from None
 
@@ -351,7 +359,7 @@
         if addresses is None:
             return
         if self._peers is not None:
-            return self._peers.follow(list(addresses.peers), addresses.everyone)
+            return self._peers.set_peers(list(addresses.peers), addresses.everyone)
         from cypresspulley.net.peers import Peers
 
         peers = Peers(
@@ -363,7 +371,7 @@
             await peers.listen(*addresses.listen)
         except OSError as error:
             raise ConfigError(f"cannot listen for messages of limiters: {error}") from None
-        self._peers, self._listen, self._node.tell = peers, addresses.listen, peers.tell
+        self._peers, self._listen, self._node.broadcast = peers, addresses.listen, peers.broadcast
 
     def follow_later(self, config: Config) -> None:
         """The same from a reload: an address that cannot be had is told in the log, and messages are off."""
@@ -382,7 +390,7 @@
     def _leave(self) -> None:
         if self._peers is not None:
             self._peers.close()
-        self._peers, self._listen, self._node.tell = None, None, None
+        self._peers, self._listen, self._node.broadcast = None, None, None
 
     def close(self) -> None:
         if self._task is not None:
@@ -391,8 +399,8 @@
 
 
 def _node(
-    settings: api.Settings, gateway: Decisions, clock: Callable[[], float], upstream: Upstream,
-    counter: Counter | None, operators: Operators, together: Together | None,
+    settings: api.Settings, gateway: DecisionModule, clock: Callable[[], float], upstream: Upstream,
+    counter: Counter | None, operators: Operators, together: FleetServices | None,
 ) -> tuple[Node, LogFile | None]:  # fmt: skip
     """The node, with an access log where the operators want one; what is off is not even imported."""
     if operators.access_log is None:
--- a/cypresspulley/explore/examine.py
+++ b/cypresspulley/explore/examine.py
@@ -43,9 +43,9 @@
     accounts = gateway.quotas.accounts.values()
     return {
         "requests": len(gateway._requests),
-        "of accounts": sum(a.open for a in accounts),
-        "slots": sum(a.slots.held for a in accounts if a.slots is not None),
-        "work": sum(s.open for s in gateway.fleet.servers.values()),
+        "of accounts": sum(a.open_attempts for a in accounts),
+        "slots": sum(a.slots.open_attempts for a in accounts if a.slots is not None),
+        "work": sum(s.outstanding_work for s in gateway.load_balancer.servers.values()),
     }
 
 
@@ -150,7 +150,7 @@
 
 def _of_probe(handle: VirtualHandle) -> bool:
     """A probe may be out at the end: no request waits for it."""
-    done = getattr(handle.args[0], "done", None) if handle.args else None
+    done = getattr(handle.args[0], "on_done", None) if handle.args else None
     return called(handle) == "Upstream._expired" and getattr(done, "__name__", "") == "_probed"
 
 
--- a/cypresspulley/fleet/actions.py
+++ b/cypresspulley/fleet/actions.py
@@ -1,4 +1,4 @@
-"""What the detector is told, and what it wants done."""
+"""Events that the detector handles and actions that it returns."""
 
 from __future__ import annotations
 
@@ -10,46 +10,48 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Begin:
-    """The channel is open."""
+class Started:
+    """The socket is open."""
 
 
 @dataclass(frozen=True, slots=True)
-class Tick:
-    """``Detector.due`` has come."""
+class TimerFired:
+    """The instant ``Detector.due`` has been reached."""
 
 
 @dataclass(frozen=True, slots=True)
-class Datagram:
+class DatagramReceived:
+    """A datagram has arrived, as raw bytes."""
+
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Leave:
-    """This process has begun to end."""
+class LeaveRequested:
+    """This process has begun an orderly shutdown."""
 
 
 @dataclass(frozen=True, slots=True)
-class End:
-    """This process is about to end."""
+class Stopped:
+    """This process is about to exit."""
 
 
-Event = Begin | Tick | Datagram | Leave | End
+Event = Started | TimerFired | DatagramReceived | LeaveRequested | Stopped
 
 # Actions
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """``address`` is ``host:port`` as a member tells it: it may be no address at all."""
+    """Send a datagram to ``address``, the ``host:port`` that a member advertises; it is not validated."""
 
     address: str
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
-    """The view has another state of a member. ``cause`` as in ``histories.events``: self, probe, told or refuted."""
+class MemberChanged:
+    """The record of a member has changed. ``cause``, as in ``histories.events``, is self, probe, told or refuted."""
 
     member: Member
     cause: str
@@ -57,27 +59,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Settled:
+    """This member has begun (or ceased) to agree with all others; ``digest`` and ``members`` are its own."""
+
     settled: bool
     digest: int
     members: int
 
 
 @dataclass(frozen=True, slots=True)
-class Rose:
-    """This member has a new life, in which ``held`` is what it holds of the others, tombstones among it."""
+class LifeRaised:
+    """This member has started a new life. ``others`` are its records of the others, tombstones included."""
 
     life: int
-    held: tuple[Member, ...]
+    others: tuple[Member, ...]
     settled: Settled
 
 
 @dataclass(frozen=True, slots=True)
-class RowTaken:
-    """Another's row is held now, of another life than the one that was held of it."""
+class RowAccepted:
+    """A row of another member was stored that is of another life than the stored row before it."""
 
     owner: str
     life: int
     subsystem: str
 
 
-Action = Send | Changed | Rose | Settled | RowTaken
+Action = Send | MemberChanged | LifeRaised | Settled | RowAccepted
--- a/cypresspulley/fleet/documents.py
+++ b/cypresspulley/fleet/documents.py
@@ -5,101 +5,117 @@
 from collections import OrderedDict
 from hashlib import blake2b
 
-from cypresspulley.fleet.records import MOST_DOCUMENT
-from cypresspulley.fleet.wire import DIGEST, PART, Fetch, Part
+from cypresspulley.fleet.records import MAX_DOCUMENT_BYTES
+from cypresspulley.fleet.wire import DIGEST_BYTES, PART_BYTES, DocumentPart, DocumentRequest
 
-MOST_HELD = 16  # documents; the one that was longest not asked for goes first
-MOST_WANTED = 8
-AT_ONCE = 8  # parts that one request asks for
-TRIES = 8  # members a period that are asked anew because the one asked before lacked the document
+MAX_DOCUMENTS = 16  # the least recently used one is evicted
+MAX_REQUESTED = 8
+PARTS_PER_FETCH = 8  # parts in one request
+RETRIES_PER_PERIOD = 8  # requests to another member after one that lacks the document
 
 
 class Documents:
-    """Those that are held, and the parts of those that are wanted."""
+    """The stored documents and the parts received of requested ones."""
 
     def __init__(self) -> None:
-        self._held = OrderedDict[bytes, bytes]()
-        self._wanted = dict[
-            bytes, tuple[int, dict[int, bytes]]
-        ]()  # by digest: of how many (0 unknown), the parts
-        self._tried = 0
+        self._documents = OrderedDict[bytes, bytes]()
+        # By digest: the number of parts (0 if unknown), and the parts received by number.
+        self._requested = dict[bytes, tuple[int, dict[int, bytes]]]()
+        self._retries = 0
 
     def __repr__(self) -> str:
-        return f"<Documents: {len(self._held)} held, {len(self._wanted)} wanted>"
-
-    def offer(self, body: bytes) -> str:
-        if len(body) > MOST_DOCUMENT:
-            raise ValueError(f"document: expected at most {MOST_DOCUMENT} bytes, got {len(body)}")
-        digest = blake2b(body, digest_size=DIGEST).digest()
-        self._wanted.pop(digest, None)
-        self._held[digest] = body
-        self._held.move_to_end(digest)
-        while len(self._held) > MOST_HELD:
-            self._held.popitem(last=False)
+        return f"<Documents: {len(self._documents)} stored, {len(self._requested)} requested>"
+
+    def store(self, body: bytes) -> str:
+        """Store a document and return its digest in hex; ``ValueError`` over ``MAX_DOCUMENT_BYTES``."""
+        if len(body) > MAX_DOCUMENT_BYTES:
+            raise ValueError(f"document: expected at most {MAX_DOCUMENT_BYTES} bytes, got {len(body)}")
+        digest = blake2b(body, digest_size=DIGEST_BYTES).digest()
+        self._requested.pop(digest, None)
+        self._documents[digest] = body
+        self._documents.move_to_end(digest)
+        while len(self._documents) > MAX_DOCUMENTS:
+            self._documents.popitem(last=False)
         return digest.hex()
 
-    def want(self, digest: str) -> None:
-        """``ValueError`` for what is no digest. Of more than ``MOST_WANTED`` the oldest wish is given up."""
+    def request(self, digest: str) -> None:
+        """Request a document, dropping the oldest request over ``MAX_REQUESTED``.
+
+        Raises ``ValueError`` for an invalid digest.
+        """
         key = bytes.fromhex(digest)
-        if len(key) != DIGEST:
-            raise ValueError(f"document: expected a digest of {2 * DIGEST} hex digits, got {digest!r:.60}")
-        if key not in self._held and key not in self._wanted:
-            while len(self._wanted) >= MOST_WANTED:
-                del self._wanted[next(iter(self._wanted))]
-            self._wanted[key] = (0, {})
+        if len(key) != DIGEST_BYTES:
+            raise ValueError(
+                f"document: expected a digest of {2 * DIGEST_BYTES} hex digits, got {digest!r:.60}"
+            )
+        if key not in self._documents and key not in self._requested:
+            while len(self._requested) >= MAX_REQUESTED:
+                del self._requested[next(iter(self._requested))]
+            self._requested[key] = (0, {})
 
     def get(self, digest: str) -> bytes | None:
+        """Return a stored document; None for one that is not stored."""
         key = bytes.fromhex(digest)
-        body = self._held.get(key)
+        body = self._documents.get(key)
         if body is not None:
-            self._held.move_to_end(key)
+            self._documents.move_to_end(key)
         return body
 
-    def wanted(self) -> list[bytes]:
-        """What to ask for in a period that begins."""
-        self._tried = 0
-        return list(self._wanted)
+    def start_period(self) -> list[bytes]:
+        """Reset the retries for a new period and return the digests of the requested documents."""
+        self._retries = 0
+        return list(self._requested)
 
-    def try_another(self) -> bool:
-        """Whether another member may be asked in this period, the last having lacked the document."""
-        self._tried += 1
-        return self._tried <= TRIES
+    def may_retry(self) -> bool:
+        """Whether another member may be asked in this period, after one that lacks the document."""
+        self._retries += 1
+        return self._retries <= RETRIES_PER_PERIOD
 
-    def request(self, digest: bytes) -> Fetch | None:
-        """What to ask for next; None for what is not wanted."""
-        if digest not in self._wanted:
+    def next_parts_request(self, digest: bytes) -> DocumentRequest | None:
+        """Return the request for the next missing parts; None for a document that is not requested."""
+        if digest not in self._requested:
             return None
-        of, parts = self._wanted[digest]
-        missing = [number for number in range(of or AT_ONCE) if number not in parts][:AT_ONCE]
+        count, parts = self._requested[digest]
+        missing = [number for number in range(count or PARTS_PER_FETCH) if number not in parts][
+            :PARTS_PER_FETCH
+        ]
         mask = sum(1 << number for number in missing)
-        return Fetch(digest, mask.to_bytes((max(missing, default=0) + 8) // 8, "little"))
+        return DocumentRequest(digest, mask.to_bytes((max(missing, default=0) + 8) // 8, "little"))
 
-    def parts(self, request: Fetch) -> list[Part] | None:
-        """The answer to a request, ``AT_ONCE`` parts at most; None where the document is not held."""
-        body = self._held.get(request.digest)
+    def requested_parts(self, request: DocumentRequest) -> list[DocumentPart] | None:
+        """Return the parts that a request asks for, at most ``PARTS_PER_FETCH``; None without the document."""
+        body = self._documents.get(request.digest)
         if body is None:
             return None
-        self._held.move_to_end(request.digest)
-        of = max(1, -(-len(body) // PART))
-        mask = int.from_bytes(request.parts, "little")
-        asked = [number for number in range(of) if mask >> number & 1][:AT_ONCE]
-        return [Part(request.digest, n, of, body[n * PART : (n + 1) * PART]) for n in asked]
-
-    def take(self, part: Part) -> bool:
-        """Lay a part to the others; whether the next ones may be asked for now (all that were asked for are here)."""
-        if part.digest not in self._wanted or part.number >= part.of:
+        self._documents.move_to_end(request.digest)
+        count = max(1, -(-len(body) // PART_BYTES))
+        mask = int.from_bytes(request.part_mask, "little")
+        numbers = [number for number in range(count) if mask >> number & 1][:PARTS_PER_FETCH]
+        return [
+            DocumentPart(request.digest, n, count, body[n * PART_BYTES : (n + 1) * PART_BYTES])
+            for n in numbers
+        ]
+
+    def add_part(self, part: DocumentPart) -> bool:
+        """Add a part. Returns whether to request the next ones: all parts of the last request have arrived."""
+        if part.digest not in self._requested or part.number >= part.count:
             return False
-        of, parts = self._wanted[part.digest]
-        if of and of != part.of:  # one of two lies, and which cannot be told: begin anew
-            self._wanted[part.digest] = (0, {})
+        count, parts = self._requested[part.digest]
+        if (
+            count and count != part.count
+        ):  # one of the two counts is false and it is unknown which: start again
+            self._requested[part.digest] = (0, {})
             return False
         parts[part.number] = part.body
-        self._wanted[part.digest] = (part.of, parts)
-        if len(parts) < part.of:
-            return len(parts) % AT_ONCE == 0
-        body = b"".join(parts[number] for number in range(part.of))
-        if blake2b(body, digest_size=DIGEST).digest() == part.digest and len(body) <= MOST_DOCUMENT:
-            self.offer(body)
+        self._requested[part.digest] = (part.count, parts)
+        if len(parts) < part.count:
+            return len(parts) % PARTS_PER_FETCH == 0
+        body = b"".join(parts[number] for number in range(part.count))
+        if (
+            blake2b(body, digest_size=DIGEST_BYTES).digest() == part.digest
+            and len(body) <= MAX_DOCUMENT_BYTES
+        ):
+            self.store(body)
         else:
-            self._wanted[part.digest] = (0, {})
+            self._requested[part.digest] = (0, {})
         return False
--- a/cypresspulley/fleet/outbox.py
+++ b/cypresspulley/fleet/outbox.py
@@ -1,4 +1,4 @@
-"""Lays out datagrams: a message, this member itself, and as much news beside it as there is room. No I/O, no clock."""
+"""Builds datagrams: a message, the sender's own record, and as much gossip as there is room for. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -11,81 +11,91 @@
 from cypresspulley.fleet.actions import Action, Send
 from cypresspulley.fleet.view import View
 
-MOST_PIECES = 24  # datagrams of one answer
-ENVELOPE = 140  # bytes: more than an envelope takes beside its message, its sender and the records
+MAX_RESPONSE_DATAGRAMS = 24  # bound on the datagrams of one anti-entropy response
+ENVELOPE_BYTES = 140  # upper bound on an envelope without its message, sender and records
 
 
 class Outbox:
-    """Actions gather in it until ``empty``. ``now`` and ``wall`` are the instants of the event that is handled."""
+    """Collects the actions of one event until ``drain``; ``now`` and ``wall`` are the instants of that event."""
 
     def __init__(self, codec: wire.Codec, view: View, counts: Counter[str]) -> None:
         self._codec, self._view, self._counts = codec, view, counts
-        self._number = 0
+        self._sequence = 0
         self._actions = list[Action]()
-        self._me = view.entry(view.me)
+        self._sender = view.encode_member(view.local_name)
         self.now = self.wall = 0.0
 
     def __repr__(self) -> str:
-        return f"<Outbox: {self._number} datagrams in this life>"
+        return f"<Outbox: {self._sequence} datagrams in this life>"
 
-    def empty(self) -> list[Action]:
-        done, self._actions = self._actions, []
-        return done
+    def drain(self) -> list[Action]:
+        """Remove the collected actions and return them."""
+        actions, self._actions = self._actions, []
+        return actions
 
-    def act(self, action: Action) -> None:
+    def add_action(self, action: Action) -> None:
         self._actions.append(action)
 
-    def introduce(self, new_life: bool = False) -> Raw:
-        """Take this member's own record anew from the view; a new life counts its datagrams from 0."""
-        self._me = self._view.entry(self._view.me)
+    def refresh_sender(self, new_life: bool = False) -> Raw:
+        """Encode this member's own record again and return it; a new life numbers its datagrams from 0."""
+        self._sender = self._view.encode_member(self._view.local_name)
         if new_life:
-            self._number = 0
-        return self._me
+            self._sequence = 0
+        return self._sender
 
-    def say(self, name: str, message: wire.Message) -> None:
-        """Send to a member of the view."""
+    def send_to_member(self, name: str, message: wire.Message) -> None:
+        """Send a message to a member of the view, with gossip; an unknown name is ignored."""
         member = self._view.get(name)
         if member is not None:
-            self.post(member.address, message)
-
-    def post(self, address: str, message: wire.Message, first: Sequence[str] = ()) -> None:
-        """Send with news beside it; ``first`` are members whose records go in any case."""
-        told = wire.raw(message)
-        entries = [self._view.entry(name) for name in first]
-        room = self.room(told) - sum(wire.size(entry) for entry in entries)
-        news, cells = self._view.queue.take(self.now, self._view, room)
-        self.send(address, told, entries + news, cells)
-
-    def room(self, told: Raw) -> int:
-        """Bytes for records beside a message."""
-        return wire.MOST_BYTES - wire.HEAD - ENVELOPE - wire.size(self._me) - wire.size(told)
-
-    def send(self, address: str, told: Raw, entries: Sequence[Raw], cells: Sequence[Raw]) -> None:
+            self.send_with_gossip(member.address, message)
+
+    def send_with_gossip(self, address: str, message: wire.Message, extra: Sequence[str] = ()) -> None:
+        """Send a message with gossip; the records of the members ``extra`` are always included."""
+        message_bytes = wire.encode_record(message)
+        member_records = [self._view.encode_member(name) for name in extra]
+        room = self.record_room(message_bytes) - sum(wire.encoded_size(record) for record in member_records)
+        gossip, row_records = self._view.gossip_queue.take_records(self.now, self._view, room)
+        self.send(address, message_bytes, member_records + gossip, row_records)
+
+    def record_room(self, message_bytes: Raw) -> int:
+        """Return the bytes left for records beside a message."""
+        return (
+            wire.MAX_DATAGRAM_BYTES
+            - wire.HEADER_BYTES
+            - ENVELOPE_BYTES
+            - wire.encoded_size(self._sender)
+            - wire.encoded_size(message_bytes)
+        )
+
+    def send(
+        self, address: str, message_bytes: Raw, member_records: Sequence[Raw], row_records: Sequence[Raw]
+    ) -> None:
+        """Send one datagram with exactly these records; the caller ensures that they fit."""
         view = self._view
-        wall = max(0, round(self.wall * 1000))
-        head = (self._number, wall, view.digest, view.rows_digest, view.versions())
-        self._number += 1
-        data = self._codec.encode(head, self._me, told, entries, cells)
+        wall_ms = max(0, round(self.wall * 1000))
+        header = (self._sequence, wall_ms, view.digest, view.rows_digest, view.own_row_versions())
+        self._sequence += 1
+        data = self._codec.encode(header, self._sender, message_bytes, member_records, row_records)
         self._counts["sent"] += 1
         self._counts["sent bytes"] += len(data)
         self._actions.append(Send(address, data))
 
     def send_all(
-        self, address: str, message: wire.Message, entries: Sequence[Raw], cells: Sequence[Raw]
+        self, address: str, message: wire.Message, member_records: Sequence[Raw], row_records: Sequence[Raw]
     ) -> None:
-        """Send all of the records, in as many datagrams as it takes, ``MOST_PIECES`` at most; none where none are."""
-        told = wire.raw(message)
-        whole = self.room(told)
+        """Send records in as many datagrams as needed, at most ``MAX_RESPONSE_DATAGRAMS``; none without records."""
+        message_bytes = wire.encode_record(message)
+        full_room = self.record_room(message_bytes)
         parts: tuple[list[Raw], list[Raw]] = ([], [])
-        room, sent = whole, 0
-        for kind, records in enumerate((entries, cells)):
+        room, sent = full_room, 0
+        for kind, records in enumerate((member_records, row_records)):
             for record in records:
-                if wire.size(record) > room:
-                    self.send(address, told, *parts)
-                    parts, room, sent = ([], []), whole, sent + 1
-                    if sent == MOST_PIECES:
+                if wire.encoded_size(record) > room:
+                    self.send(address, message_bytes, *parts)
+                    parts, room, sent = ([], []), full_room, sent + 1
+                    if sent == MAX_RESPONSE_DATAGRAMS:
                         return
                 parts[kind].append(record)
-                room -= wire.size(record)
+                room -= wire.encoded_size(record)
         if parts[0] or parts[1]:
-            self.send(address, told, *parts)
+            self.send(address, message_bytes, *parts)
--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -26,12 +26,12 @@
 from cypresspulley.net.http import MAX_BODY_BYTES, MAX_HEAD_BYTES, UNFORWARDED_HEADERS
 from cypresspulley.net.listener import Listener, SocketListener, bind, open_listener
 from cypresspulley.net.relay import (
-    HIGH_WATER_MOST,
-    LARGEST,
+    CLIENT_STALL_SECONDS,
     LAST_CHUNK,
-    RATE,
-    READER,
-    WINDOW,
+    MAX_HIGH_WATER_BYTES,
+    MAX_STREAMED_BODY_BYTES,
+    MIN_BODY_BYTES_PER_SECOND,
+    UPLOAD_RATE_WINDOW_SECONDS,
     Download,
     Relay,
     Upload,
@@ -65,7 +65,7 @@
 # Seconds: Retry-After of a 503 during the last phase of shutdown, until the client has learned of other limiters.
 SHUTDOWN_RETRY_AFTER = 0.5
 HEAD_TIMEOUT = 2.5  # seconds to receive a request head: clients take up to 2 s, and this process may be late
-BODY_RATE_WINDOW = 2.0  # seconds over which a small body must arrive at ``RATE``
+BODY_RATE_WINDOW = 2.0  # seconds over which a small body must arrive at ``MIN_BODY_BYTES_PER_SECOND``
 # Seconds for which a connection is still read after our half-close. Closing with unread bytes would send a reset,
 # which may destroy the last response.
 LINGER_TIMEOUT = 0.5
@@ -148,7 +148,7 @@
             self.stream = None
             return self.respond(502)
         self._client.frontend.open_ids.discard(self.id)
-        self.stream.whole, self.stream.broken = whole, not whole
+        self.stream.complete, self.stream.broken = whole, not whole
         self._client.flush()
 
     @property
@@ -498,7 +498,7 @@
             if self._length is not None or not WHOLE_NUMBER_PATTERN.fullmatch(value):
                 raise BadRequestError(400, "content-length is repeated or not a decimal number")
             self._length = int(value)
-            if self._length > LARGEST:
+            if self._length > MAX_STREAMED_BODY_BYTES:
                 raise BadRequestError(413, "body too large")
         elif key == b"transfer-encoding":
             if self._chunked or value.lower() != b"chunked":
@@ -541,7 +541,7 @@
             return
         self._size += len(body)
         if self._upload is not None:
-            if self._size > LARGEST:
+            if self._size > MAX_STREAMED_BODY_BYTES:
                 raise BadRequestError(413, "body too large")
             return self._upload.feed(body)
         self._body.append(body)
@@ -555,7 +555,7 @@
         request = ClientRequest(self, keep_alive=True)
         upload = request.upload = self._upload = Upload(self._length, self._set_upload_held)
         self._progress, self._progress_at = 0, self.frontend.clock()
-        self.frontend.relay.cut(self._transport.get_extra_info("socket"))
+        self.frontend.relay.limit_socket_buffers(self._transport.get_extra_info("socket"))
         pieces, self._body = self._body, []
         for piece in pieces:
             upload.feed(piece)
@@ -667,7 +667,7 @@
 
     def _closes_after(self, request: ClientRequest) -> bool:
         """Whether the connection closes after the response to ``request``."""
-        if request.upload is not None and not request.upload.whole:
+        if request.upload is not None and not request.upload.complete:
             # Nobody needs the rest of the body. It is read and discarded for a while, because closing over unread
             # bytes would send a reset, which may destroy the response.
             self._rejected, self._linger_timeout, self._linger_max_bytes = (
@@ -695,14 +695,14 @@
             )
             framing_line = framing(stream.length, request.accepts_chunked)
             close = b"Connection: close\r\n" if request.closes_connection else b""
-            transport.set_write_buffer_limits(high=HIGH_WATER_MOST)
-            self.frontend.relay.cut(transport.get_extra_info("socket"))
+            transport.set_write_buffer_limits(high=MAX_HIGH_WATER_BYTES)
+            self.frontend.relay.limit_socket_buffers(transport.get_extra_info("socket"))
             transport.write(b"".join((STATUS_LINES[200], stream.headers, framing_line, close, b"\r\n")))
             self._progress, self._progress_at = 0, self.frontend.clock()
-            stream.turn(self._write_body, stream.length is None and request.accepts_chunked)
+            stream.start(self._write_body, stream.length is None and request.accepts_chunked)
             if self._writing_paused:
                 stream.hold(True)
-        if not stream.whole:
+        if not stream.complete:
             return False
         if stream.chunked:
             transport.write(LAST_CHUNK)
@@ -738,10 +738,10 @@
         """Pause the server while the client reads its streamed response too slowly; resume when it has caught up."""
         self._update_buffered()
         stream = self._pending[0].stream if self._pending else None
-        if stream is not None and stream.write is not None and not stream.whole and not stream.broken:
+        if stream is not None and stream.write is not None and not stream.complete and not stream.broken:
             if not held and self._transport is not None:
                 self._transport.set_write_buffer_limits(
-                    high=HIGH_WATER_MOST
+                    high=MAX_HIGH_WATER_BYTES
                 )  # more memory may be free by now
             stream.hold(held)
 
@@ -901,7 +901,7 @@
                 self._reject(408)
         elif now - self._progress_at > BODY_RATE_WINDOW and not self.has_unread_data:
             # Measured from the end of the head, so that a slow head does not shorten the time for the body.
-            if self._size - self._progress < RATE * BODY_RATE_WINDOW:
+            if self._size - self._progress < MIN_BODY_BYTES_PER_SECOND * BODY_RATE_WINDOW:
                 return self._reject(408)
             self._progress, self._progress_at = self._size, now
 
@@ -916,14 +916,17 @@
             transport.close()
 
     def _check_reader(self, now: float) -> None:
-        """Reset the connection if the client has read nothing of its responses for ``READER`` seconds."""
+        """Reset the connection if the client has read nothing of its responses for ``CLIENT_STALL_SECONDS`` seconds."""
         transport = self._transport or self._lingering
         assert transport is not None
         unwritten = transport.get_write_buffer_size()
         if unwritten != self._progress:
             self._progress, self._progress_at = unwritten, now
-        elif now - self._progress_at > READER:
-            log.warning("client has read nothing of its response for %g s; resetting the connection", READER)
+        elif now - self._progress_at > CLIENT_STALL_SECONDS:
+            log.warning(
+                "client has read nothing of its response for %g s; resetting the connection",
+                CLIENT_STALL_SECONDS,
+            )
             self._reset_connection()
 
     def _check_transfer(self, now: float) -> None:
@@ -932,8 +935,8 @@
         if (
             upload is not None and not self._reading_paused
         ):  # while reading is paused the client cannot make progress
-            if now - self._progress_at > WINDOW and not self.has_unread_data:
-                if upload.size - self._progress < RATE * WINDOW:
+            if now - self._progress_at > UPLOAD_RATE_WINDOW_SECONDS and not self.has_unread_data:
+                if upload.size - self._progress < MIN_BODY_BYTES_PER_SECOND * UPLOAD_RATE_WINDOW_SECONDS:
                     return self._abort_upload(upload, 408)
                 self._progress, self._progress_at = upload.size, now
             return
--- a/cypresspulley/plans/command.py
+++ b/cypresspulley/plans/command.py
@@ -1,4 +1,4 @@
-"""What ``fawnseam plans`` does; its exit codes."""
+"""The commands of ``fawnseam plans`` and their exit codes."""
 
 from __future__ import annotations
 
@@ -17,63 +17,77 @@
 from cypresspulley.plans import book as books
 from cypresspulley.plans.book import Book, Change, Version, Withdrawal
 from cypresspulley.plans.files import DiskFolder
-from cypresspulley.plans.office import Office
-from cypresspulley.plans.serve import PATH, Publisher, unix_ms
-from cypresspulley.plans.store import Store, check
-from cypresspulley.plans.wishes import carry_out, difference, history, reservation_json
+from cypresspulley.plans.operations import (
+    apply_operation,
+    find_added_changes,
+    find_history,
+    reservation_as_json,
+)
+from cypresspulley.plans.plan_writer import PlanWriter
+from cypresspulley.plans.serve import PLANS_PATH, Publisher, unix_ms
+from cypresspulley.plans.store import Store, check_generations
 
-DONE, REFUSED, BAD_INPUT, BROKEN = 0, 1, 2, 3
-TOKEN = "FAWNSEAM_PLANS_TOKEN"
-CALL_WAIT = 10.0  # seconds
+EXIT_DONE = 0
+EXIT_REFUSED = 1
+EXIT_BAD_INPUT = 2
+EXIT_BROKEN = 3
+TOKEN_VARIABLE = "FAWNSEAM_PLANS_TOKEN"
+CALL_TIMEOUT_S = 10.0  # seconds
 
 
-def _say(told: Any, as_json: bool, text: str) -> None:
-    print(json.dumps(told) if as_json else text)
+def _print_result(result: Any, as_json: bool, text: str) -> None:
+    print(json.dumps(result) if as_json else text)
 
 
-def _when(instant: int) -> str:
+def _format_instant(instant: int) -> str:
     return time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(instant / 1000)) + f".{instant % 1000:03} UTC"
 
 
-def _line(change: Change) -> str:
-    by = f"  by {change.author}" + (f": {change.reason}" if change.reason else "")
+def _format_change(change: Change) -> str:
+    author = f"  by {change.author}" + (f": {change.reason}" if change.reason else "")
     if isinstance(change, Version):
-        t = change.terms
-        ceiling = f", ceiling {t.ceiling_rate:g}/s of {t.ceiling_burst:g}" if t.ceiling_rate else ""
-        what = f"{change.plan} gives {t.rate:g}/s of {t.burst:g}{ceiling}"
+        terms = change.terms
+        ceiling = (
+            f", ceiling {terms.ceiling_rate:g}/s of {terms.ceiling_burst:g}" if terms.ceiling_rate else ""
+        )
+        description = f"{change.plan} gives {terms.rate:g}/s of {terms.burst:g}{ceiling}"
     elif isinstance(change, Withdrawal):
-        what = f"{change.target} does not come into force"
+        description = f"{change.target} does not come into force"
     else:
-        what = f"{change.account} is on {change.plan}"
-    return f"{change.stamp!s:>8}  from {_when(change.effective)}  {what}{by}"
+        description = f"{change.account} is on {change.plan}"
+    return f"{change.stamp!s:>8}  from {_format_instant(change.effective)}  {description}{author}"
 
 
-def _reading(folder: Path) -> Office:
-    """The office as it is stored, to look at: no lock, no new epoch, nothing written."""
-    if not folder.is_dir() or not check(DiskFolder(str(folder), write=False)):
+def _open_read_only(folder: Path) -> PlanWriter:
+    """Opens a stored plan book for reading: takes no lock, starts no epoch and writes nothing."""
+    if not folder.is_dir() or not check_generations(DiskFolder(str(folder), writable=False)):
         raise ValueError(f"{folder}: holds no plan book; expected the folder of one")
-    return Office(Store(DiskFolder(str(folder), write=False), read_only=True), new_epoch=False)
+    return PlanWriter(Store(DiskFolder(str(folder), writable=False), read_only=True), new_epoch=False)
 
 
 def serve(folder: Path, installation: str, host: str, port: int) -> int:
-    """Publish until SIGTERM or SIGINT."""
-    token = os.environ.get(TOKEN, "")
+    """Publishes the book until SIGTERM or SIGINT; returns the exit code."""
+    token = os.environ.get(TOKEN_VARIABLE, "")
     if not token:
-        return fail(f"{TOKEN}: expected the token that followers and operators will show", BAD_INPUT)
+        return fail(
+            f"{TOKEN_VARIABLE}: expected the token that followers and operators will show", EXIT_BAD_INPUT
+        )
     try:
-        with closing(DiskFolder(str(folder))) as held:
-            asyncio.run(_serving(Office(Store(held), installation), token, host, port))
+        with closing(DiskFolder(str(folder))) as locked_folder:
+            asyncio.run(
+                _serve_until_stopped(PlanWriter(Store(locked_folder), installation), token, host, port)
+            )
     except OSError as error:
-        return fail(error, BROKEN)
+        return fail(error, EXIT_BROKEN)
     except ValueError as error:
-        return fail(f"{folder}: {error}", BAD_INPUT)
-    return DONE
+        return fail(f"{folder}: {error}", EXIT_BAD_INPUT)
+    return EXIT_DONE
 
 
-async def _serving(office: Office, token: str, host: str, port: int) -> None:
-    publisher = Publisher(office, token)
+async def _serve_until_stopped(plan_writer: PlanWriter, token: str, host: str, port: int) -> None:
+    publisher = Publisher(plan_writer, token)
     address = await publisher.listen(host, port)
-    print(f"fawnseam plans: {office!r} at {address[0]}:{address[1]}", file=sys.stderr, flush=True)
+    print(f"fawnseam plans: {plan_writer!r} at {address[0]}:{address[1]}", file=sys.stderr, flush=True)
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, stop.set)
@@ -81,49 +95,56 @@
         try:
             await asyncio.wait_for(stop.wait(), 1.0)
         except TimeoutError:
-            office.tick(unix_ms())
+            plan_writer.tick(unix_ms())
     await publisher.close()
 
 
-def wish(raw: dict[str, Any], store: Path | None, to: str | None, installation: str, as_json: bool) -> int:
-    """One change, by the writer that serves, or by this process where none does."""
+def run_operation(
+    raw: dict[str, Any], store: Path | None, to: str | None, installation: str, as_json: bool
+) -> int:
+    """Applies one operation through the serving writer (``to``), or in this process where no writer serves (``store``).
+
+    Returns the exit code.
+    """
     try:
         if to is not None:
-            status, done = _call(to, raw)
+            status, done = _call_writer(to, raw)
             if status != 200:
-                return fail(done.get("error", f"answered {status}"), REFUSED if status == 409 else BAD_INPUT)
+                return fail(
+                    done.get("error", f"answered {status}"), EXIT_REFUSED if status == 409 else EXIT_BAD_INPUT
+                )
         elif store is not None:
             with closing(DiskFolder(str(store))) as folder:
-                done = carry_out(Office(Store(folder), installation), raw, unix_ms())
+                done = apply_operation(PlanWriter(Store(folder), installation), raw, unix_ms())
         else:
-            return fail("expected --store DIR, or --to HOST:PORT of a writer that serves", BAD_INPUT)
+            return fail("expected --store DIR, or --to HOST:PORT of a writer that serves", EXIT_BAD_INPUT)
     except OSError as error:
-        return fail(error, BROKEN)
+        return fail(error, EXIT_BROKEN)
     except ValueError as error:
-        return fail(error, REFUSED)
-    _say(done, as_json, _told(done))
-    return REFUSED if done.get("at") == "refused" else DONE
+        return fail(error, EXIT_REFUSED)
+    _print_result(done, as_json, _format_result(done))
+    return EXIT_REFUSED if done.get("at") == "refused" else EXIT_DONE
 
 
-def _call(to: str, raw: dict[str, Any]) -> tuple[int, dict[str, Any]]:
+def _call_writer(to: str, raw: dict[str, Any]) -> tuple[int, dict[str, Any]]:
     host, _, port = to.rpartition(":")
     if not host or not port.isdigit():
         raise ValueError(f"--to: expected HOST:PORT, got {to!r}")
-    connection = http.client.HTTPConnection(host, int(port), timeout=CALL_WAIT)
+    connection = http.client.HTTPConnection(host, int(port), timeout=CALL_TIMEOUT_S)
     try:
-        headers = {"Authorization": f"Bearer {os.environ.get(TOKEN, '')}"}
-        connection.request("POST", PATH, json.dumps(raw), headers)
+        headers = {"Authorization": f"Bearer {os.environ.get(TOKEN_VARIABLE, '')}"}
+        connection.request("POST", PLANS_PATH, json.dumps(raw), headers)
         answer = connection.getresponse()
         return answer.status, json.loads(answer.read(1 << 20))
     finally:
         connection.close()
 
 
-def _told(done: dict[str, Any]) -> str:
-    dry = "would be: " if done["dry_run"] else ""
+def _format_result(done: dict[str, Any]) -> str:
+    prefix = "would be: " if done["dry_run"] else ""
     if "change" not in done:
-        return f"{dry}{done['key']} of {done['account']}: {done['at']}, {done['units']:g} units"
-    lines = [dry + _line(books.change_from(done["change"], "change")).strip()]
+        return f"{prefix}{done['key']} of {done['account']}: {done['at']}, {done['units']:g} units"
+    lines = [prefix + _format_change(books.parse_change(done["change"], "change")).strip()]
     for account, by in done["passed_by"].items():
         lines.append(
             f"  {account} may pass its new ceiling by {by:g} units: announced less than a lease ahead"
@@ -131,62 +152,70 @@
     return "\n".join(lines)
 
 
-def show(store: Path, at: int | None, as_json: bool) -> int:
-    """What is in force."""
+def show_in_force(store: Path, at: int | None, as_json: bool) -> int:
+    """Prints the plans, assignments and reservations in force at an instant (Unix milliseconds; None: now)."""
     try:
-        office = _reading(store)
+        plan_writer = _open_read_only(store)
     except (OSError, ValueError) as error:
-        return fail(error, BAD_INPUT)
+        return fail(error, EXIT_BAD_INPUT)
     at = unix_ms() if at is None else at
-    plans = [v for plan in sorted(office.book.plans) if (v := office.book.version(plan, at)) is not None]
-    found = [
-        a for name in sorted(office.book.accounts) if (a := office.book.assignment(name, at)) is not None
+    plans = [
+        v
+        for plan in sorted(plan_writer.book.plans)
+        if (v := plan_writer.book.version_at(plan, at)) is not None
     ]
-    reservations = [reservation_json(one) for one in office.reservations.all.values()]
-    told = {
-        "installation": office.book.installation, "epoch": office.epoch, "digest": office.book.digest(),
-        "plans": list(map(books.as_json, plans)), "accounts": list(map(books.as_json, found)),
+    assignments = [
+        a
+        for name in sorted(plan_writer.book.accounts)
+        if (a := plan_writer.book.assignment_at(name, at)) is not None
+    ]
+    reservations = [reservation_as_json(one) for one in plan_writer.reservations.by_key.values()]
+    result = {
+        "installation": plan_writer.book.installation, "epoch": plan_writer.epoch, "digest": plan_writer.book.digest(),
+        "plans": list(map(books.as_json, plans)), "accounts": list(map(books.as_json, assignments)),
         "reservations": reservations,
     }  # fmt: skip
-    lines = [repr(office), *map(_line, plans), *map(_line, found)]
+    lines = [repr(plan_writer), *map(_format_change, plans), *map(_format_change, assignments)]
     lines += [f"{r['key']}: {r['account']}, {r['units']:g} units, {r['at']}" for r in reservations]
-    _say(told, as_json, "\n".join(lines))
-    return DONE
+    _print_result(result, as_json, "\n".join(lines))
+    return EXIT_DONE
 
 
-def past(store: Path, name: str, as_json: bool) -> int:
-    """All that was said of one account or plan."""
+def show_history(store: Path, name: str, as_json: bool) -> int:
+    """Prints all changes of one account or plan."""
     try:
-        found = history(_reading(store).book, name)
+        found = find_history(_open_read_only(store).book, name)
     except (OSError, ValueError) as error:
-        return fail(error, BAD_INPUT)
-    _say(list(map(books.as_json, found)), as_json, "\n".join(map(_line, found)))
-    return DONE
+        return fail(error, EXIT_BAD_INPUT)
+    _print_result(list(map(books.as_json, found)), as_json, "\n".join(map(_format_change, found)))
+    return EXIT_DONE
 
 
-def diff(one: Path, other: Path, as_json: bool) -> int:
-    """1 where the two books differ."""
+def show_difference(first: Path, second: Path, as_json: bool) -> int:
+    """Prints the changes that only one of two books has. Returns 1 where they differ."""
     try:
-        old, new = _reading(one).book, _reading(other).book
+        old, new = _open_read_only(first).book, _open_read_only(second).book
     except (OSError, ValueError) as error:
-        return fail(error, BAD_INPUT)
-    gone, come = difference(new, old), difference(old, new)
-    told = {"only_first": list(map(books.as_json, gone)), "only_second": list(map(books.as_json, come))}
-    lines = [f"- {_line(change)}" for change in gone] + [f"+ {_line(change)}" for change in come]
-    _say(told, as_json, "\n".join(lines) or f"the same changes: {_same(old)}")
-    return REFUSED if gone or come else DONE
+        return fail(error, EXIT_BAD_INPUT)
+    removed, added = find_added_changes(new, old), find_added_changes(old, new)
+    result = {"only_first": list(map(books.as_json, removed)), "only_second": list(map(books.as_json, added))}
+    lines = [f"- {_format_change(change)}" for change in removed] + [
+        f"+ {_format_change(change)}" for change in added
+    ]
+    _print_result(result, as_json, "\n".join(lines) or f"the same changes: {_format_book(old)}")
+    return EXIT_REFUSED if removed or added else EXIT_DONE
 
 
-def _same(book: Book) -> str:
-    return f"{len(book.stamps)}, digest {book.digest()}"
+def _format_book(book: Book) -> str:
+    return f"{len(book.changes_by_stamp)}, digest {book.digest()}"
 
 
-def examine(store: Path, as_json: bool) -> int:
-    """What is damaged and what can be saved; 1 where no generation is good."""
+def check_store(store: Path, as_json: bool) -> int:
+    """Prints the damage found in a store and what can be recovered. Returns 1 unless the newest generation is good."""
     try:
-        found = check(DiskFolder(str(store), write=False))
+        found = check_generations(DiskFolder(str(store), writable=False))
     except OSError as error:
-        return fail(error, BAD_INPUT)
-    told = [{name: getattr(one, name) for name in one.__slots__} for one in found]
-    _say(told, as_json, "\n".join(map(str, found)) or f"{store}: holds no plan book")
-    return DONE if found and found[0].good else REFUSED
+        return fail(error, EXIT_BAD_INPUT)
+    result = [{name: getattr(one, name) for name in one.__slots__} for one in found]
+    _print_result(result, as_json, "\n".join(map(str, found)) or f"{store}: holds no plan book")
+    return EXIT_DONE if found and found[0].good else EXIT_REFUSED
--- a/cypresspulley/plans/follow.py
+++ b/cypresspulley/plans/follow.py
@@ -1,10 +1,10 @@
-"""How a limiter follows a book: one table of states, free of I/O and clocks.
+"""The state machine of a limiter that follows a plan book. No I/O; times come from the caller.
 
-The writer publishes changes numbered without gaps through all its epochs, and a beat each second. A change behind a gap
-is not taken before what is missing. A higher epoch is another writer: its book replaces the one here. A lower one is a
-writer that was replaced and does not know it: whatever it says is dropped. A beat carries a lease; when it is over, the
-limiter can no longer know that it has heard of everything, and goes by the lower of the ceiling it knows and the lowest
-that any plan of its book has.
+The writer publishes changes, numbered without gaps across all its epochs, and a heartbeat each second. A change after a
+gap is not applied until the missing ones have arrived. A higher epoch belongs to a new writer, whose book replaces the
+local one. A lower epoch belongs to a writer that was replaced and does not know it: its messages are dropped. A
+heartbeat carries a lease. When the lease expires, the limiter can no longer know that it has every change, and applies
+the lower of an account's ceiling and the lowest ceiling of any plan in its book.
 """
 
 from __future__ import annotations
@@ -14,147 +14,171 @@
 
 from cypresspulley.plans.book import Book, Change, Stamp, Terms, Version
 
-SKEW = 200  # milliseconds by which clocks may differ: taken off each lease
+MAX_CLOCK_SKEW_MS = 200  # milliseconds by which clocks may differ; subtracted from each lease
 
 
-class At(Enum):
-    EMPTY = "empty"  # no book yet: the limiter's own settings hold
+class FollowerState(Enum):
+    EMPTY = "empty"  # no book yet; the limiter's own settings apply
     CURRENT = "current"
-    BEHIND = "behind"  # something is missing, and was asked for
-    LAPSED = "lapsed"  # the lease is over
+    BEHIND = "behind"  # changes are missing and have been requested
+    LAPSED = "lapsed"  # the lease has expired
 
 
-class Heard(Enum):
-    STALE = "stale"  # anything of a lower epoch
-    ANOTHER = "another"  # anything of a higher epoch, but its whole book
-    BOOK = "book"  # a whole book, of this epoch or a higher one
-    NEXT = "next"  # the change behind the last one here
-    KNOWN = "known"  # one that is here
-    GAP = "gap"  # one further on
-    BEAT = "beat"  # nothing is missing
-    AHEAD = "ahead"  # a beat that tells of changes which are not here
-    OVER = "over"  # the lease is
+class FollowerEvent(Enum):
+    STALE = "stale"  # any message of a lower epoch
+    ANOTHER = "another"  # any message of a higher epoch except a whole book
+    BOOK = "book"  # a whole book of this epoch or a higher one
+    NEXT = "next"  # the change after the last one held
+    KNOWN = "known"  # a change that is already held
+    GAP = "gap"  # a change after missing ones
+    BEAT = "beat"  # a heartbeat; no change is missing
+    AHEAD = "ahead"  # a heartbeat that names changes which are missing
+    OVER = "over"  # the lease expired
 
 
-class Do(Enum):
-    DROP = "drop"  # end the connection, say why
+class FollowerAction(Enum):
+    DROP = "drop"  # end the connection with an error
     REPLACE = "replace"
     APPLY = "apply"
-    RENEW = "renew"  # the lease, by what the writer sent it with
+    RENEW = "renew"  # extend the lease by the duration that the writer sent
     ASK_ALL = "ask all"
-    ASK_FROM = "ask from"  # behind the last change here
+    ASK_FROM = "ask from"  # request the changes after the last one held
     FALL_BACK = "fall back"
-    RECOVER = "recover"  # from the fall-back
-
-
-TABLE: dict[tuple[At, Heard], tuple[At, tuple[Do, ...]]] = {
-    (At.EMPTY, Heard.ANOTHER): (At.EMPTY, (Do.ASK_ALL,)),
-    (At.EMPTY, Heard.BOOK): (At.CURRENT, (Do.REPLACE, Do.RENEW)),
-    (At.EMPTY, Heard.NEXT): (At.EMPTY, (Do.ASK_ALL,)),
-    (At.EMPTY, Heard.GAP): (At.EMPTY, (Do.ASK_ALL,)),
-    (At.EMPTY, Heard.AHEAD): (At.EMPTY, (Do.ASK_ALL,)),
-    (At.EMPTY, Heard.BEAT): (At.EMPTY, (Do.ASK_ALL,)),
-    (At.CURRENT, Heard.BOOK): (At.CURRENT, (Do.REPLACE, Do.RENEW)),
-    (At.CURRENT, Heard.NEXT): (At.CURRENT, (Do.APPLY,)),
-    (At.CURRENT, Heard.GAP): (At.BEHIND, (Do.ASK_FROM,)),
-    (At.CURRENT, Heard.AHEAD): (At.BEHIND, (Do.ASK_FROM,)),
-    (At.CURRENT, Heard.BEAT): (At.CURRENT, (Do.RENEW,)),
-    (At.CURRENT, Heard.ANOTHER): (At.BEHIND, (Do.ASK_ALL,)),
-    (At.CURRENT, Heard.OVER): (At.LAPSED, (Do.FALL_BACK,)),
-    (At.BEHIND, Heard.BOOK): (At.CURRENT, (Do.REPLACE, Do.RENEW)),
-    (At.BEHIND, Heard.NEXT): (At.BEHIND, (Do.APPLY,)),  # a beat tells when the last one is here
-    (At.BEHIND, Heard.BEAT): (At.CURRENT, (Do.RENEW,)),
-    (At.BEHIND, Heard.ANOTHER): (At.BEHIND, (Do.ASK_ALL,)),
-    (At.BEHIND, Heard.OVER): (At.LAPSED, (Do.FALL_BACK,)),
-    (At.LAPSED, Heard.BOOK): (At.CURRENT, (Do.REPLACE, Do.RENEW, Do.RECOVER)),
-    (At.LAPSED, Heard.NEXT): (At.LAPSED, (Do.APPLY,)),
-    (At.LAPSED, Heard.GAP): (At.LAPSED, (Do.ASK_FROM,)),
-    (At.LAPSED, Heard.AHEAD): (At.LAPSED, (Do.ASK_FROM,)),
-    (At.LAPSED, Heard.BEAT): (At.CURRENT, (Do.RENEW, Do.RECOVER)),
-    (At.LAPSED, Heard.ANOTHER): (At.LAPSED, (Do.ASK_ALL,)),
-} | {(at, Heard.STALE): (at, (Do.DROP,)) for at in At}
+    RECOVER = "recover"  # stop applying the fallback ceiling
+
+
+TRANSITIONS: dict[tuple[FollowerState, FollowerEvent], tuple[FollowerState, tuple[FollowerAction, ...]]] = {
+    (FollowerState.EMPTY, FollowerEvent.ANOTHER): (FollowerState.EMPTY, (FollowerAction.ASK_ALL,)),
+    (FollowerState.EMPTY, FollowerEvent.BOOK): (
+        FollowerState.CURRENT,
+        (FollowerAction.REPLACE, FollowerAction.RENEW),
+    ),
+    (FollowerState.EMPTY, FollowerEvent.NEXT): (FollowerState.EMPTY, (FollowerAction.ASK_ALL,)),
+    (FollowerState.EMPTY, FollowerEvent.GAP): (FollowerState.EMPTY, (FollowerAction.ASK_ALL,)),
+    (FollowerState.EMPTY, FollowerEvent.AHEAD): (FollowerState.EMPTY, (FollowerAction.ASK_ALL,)),
+    (FollowerState.EMPTY, FollowerEvent.BEAT): (FollowerState.EMPTY, (FollowerAction.ASK_ALL,)),
+    (FollowerState.CURRENT, FollowerEvent.BOOK): (
+        FollowerState.CURRENT,
+        (FollowerAction.REPLACE, FollowerAction.RENEW),
+    ),
+    (FollowerState.CURRENT, FollowerEvent.NEXT): (FollowerState.CURRENT, (FollowerAction.APPLY,)),
+    (FollowerState.CURRENT, FollowerEvent.GAP): (FollowerState.BEHIND, (FollowerAction.ASK_FROM,)),
+    (FollowerState.CURRENT, FollowerEvent.AHEAD): (FollowerState.BEHIND, (FollowerAction.ASK_FROM,)),
+    (FollowerState.CURRENT, FollowerEvent.BEAT): (FollowerState.CURRENT, (FollowerAction.RENEW,)),
+    (FollowerState.CURRENT, FollowerEvent.ANOTHER): (FollowerState.BEHIND, (FollowerAction.ASK_ALL,)),
+    (FollowerState.CURRENT, FollowerEvent.OVER): (FollowerState.LAPSED, (FollowerAction.FALL_BACK,)),
+    (FollowerState.BEHIND, FollowerEvent.BOOK): (
+        FollowerState.CURRENT,
+        (FollowerAction.REPLACE, FollowerAction.RENEW),
+    ),
+    # Only a heartbeat confirms that the last missing change has arrived.
+    (FollowerState.BEHIND, FollowerEvent.NEXT): (FollowerState.BEHIND, (FollowerAction.APPLY,)),
+    (FollowerState.BEHIND, FollowerEvent.BEAT): (FollowerState.CURRENT, (FollowerAction.RENEW,)),
+    (FollowerState.BEHIND, FollowerEvent.ANOTHER): (FollowerState.BEHIND, (FollowerAction.ASK_ALL,)),
+    (FollowerState.BEHIND, FollowerEvent.OVER): (FollowerState.LAPSED, (FollowerAction.FALL_BACK,)),
+    (FollowerState.LAPSED, FollowerEvent.BOOK): (
+        FollowerState.CURRENT,
+        (FollowerAction.REPLACE, FollowerAction.RENEW, FollowerAction.RECOVER),
+    ),
+    (FollowerState.LAPSED, FollowerEvent.NEXT): (FollowerState.LAPSED, (FollowerAction.APPLY,)),
+    (FollowerState.LAPSED, FollowerEvent.GAP): (FollowerState.LAPSED, (FollowerAction.ASK_FROM,)),
+    (FollowerState.LAPSED, FollowerEvent.AHEAD): (FollowerState.LAPSED, (FollowerAction.ASK_FROM,)),
+    (FollowerState.LAPSED, FollowerEvent.BEAT): (
+        FollowerState.CURRENT,
+        (FollowerAction.RENEW, FollowerAction.RECOVER),
+    ),
+    (FollowerState.LAPSED, FollowerEvent.ANOTHER): (FollowerState.LAPSED, (FollowerAction.ASK_ALL,)),
+} | {(at, FollowerEvent.STALE): (at, (FollowerAction.DROP,)) for at in FollowerState}
 
 
 class Follower:
-    """A book as one limiter has it. What comes in is what the writer said, with its epoch and its clock."""
+    """A limiter's copy of a plan book, updated by the writer's messages.
+
+    ``sent`` (Unix milliseconds by the writer's clock) and ``lease`` (milliseconds) are those of the message.
+    """
 
     def __init__(self, installation: str) -> None:
-        self.at, self.epoch = At.EMPTY, 0
+        self.state, self.epoch = FollowerState.EMPTY, 0
         self.book = Book(installation)
         self.lease_until = 0  # Unix milliseconds
 
     def __repr__(self) -> str:
-        return f"<Follower {self.at.value}, epoch {self.epoch}, {self.book.last}, lease until {self.lease_until}>"
+        return (
+            f"<Follower {self.state.value}, epoch {self.epoch}, {self.book.last_stamp}, "
+            f"lease until {self.lease_until}>"
+        )
 
-    def _hear(self, what: Heard) -> tuple[Do, ...]:
-        self.at, does = TABLE.get((self.at, what), (self.at, ()))
-        return does
+    def _transition(self, event: FollowerEvent) -> tuple[FollowerAction, ...]:
+        self.state, actions = TRANSITIONS.get((self.state, event), (self.state, ()))
+        return actions
 
-    def _old_or_new(self, epoch: int) -> Heard | None:
+    def _compare_epoch(self, epoch: int) -> FollowerEvent | None:
         if epoch == self.epoch:
             return None
-        return Heard.STALE if epoch < self.epoch else Heard.ANOTHER
+        return FollowerEvent.STALE if epoch < self.epoch else FollowerEvent.ANOTHER
 
-    def whole(self, epoch: int, book: Book, sent: int, lease: int) -> tuple[Do, ...]:
-        """A whole book. One of another installation is dropped, whatever its epoch."""
+    def receive_book(self, epoch: int, book: Book, sent: int, lease: int) -> tuple[FollowerAction, ...]:
+        """Handles a whole book. A book of another installation is dropped, whatever its epoch."""
         if epoch < self.epoch or book.installation != self.book.installation:
-            return self._hear(Heard.STALE)
-        if epoch == self.epoch and book.last < self.book.last:
-            return ()  # sent before what is here
-        does = self._hear(Heard.BOOK)
+            return self._transition(FollowerEvent.STALE)
+        if epoch == self.epoch and book.last_stamp < self.book.last_stamp:
+            return ()  # older than the book held
+        actions = self._transition(FollowerEvent.BOOK)
         self.epoch, self.book = epoch, book
-        self._renew(sent, lease)
-        return does
-
-    def change(self, epoch: int, change: Change) -> tuple[Do, ...]:
-        """One change; what is missing before it is asked for first."""
-        if (other := self._old_or_new(epoch)) is not None:
-            return self._hear(other)
-        last = self.book.last.seq
+        self._renew_lease(sent, lease)
+        return actions
+
+    def receive_change(self, epoch: int, change: Change) -> tuple[FollowerAction, ...]:
+        """Handles a change. Changes that are missing before it are requested first."""
+        if (epoch_event := self._compare_epoch(epoch)) is not None:
+            return self._transition(epoch_event)
+        last = self.book.last_stamp.seq
         if change.stamp.seq <= last:
-            return self._hear(Heard.KNOWN)
+            return self._transition(FollowerEvent.KNOWN)
         if change.stamp.seq > last + 1:
-            return self._hear(Heard.GAP)
-        does = self._hear(Heard.NEXT)
-        if Do.APPLY in does:
-            self.book = self.book.taking(change)
-        return does
-
-    def beat(self, epoch: int, last: Stamp, sent: int, lease: int) -> tuple[Do, ...]:
-        """The writer lives, and its newest change is ``last``."""
-        if (other := self._old_or_new(epoch)) is not None:
-            return self._hear(other)
-        does = self._hear(Heard.BEAT if last <= self.book.last else Heard.AHEAD)
-        if Do.RENEW in does:
-            self._renew(sent, lease)
-        return does
-
-    def _renew(self, sent: int, lease: int) -> None:
-        self.lease_until = max(self.lease_until, sent + lease - SKEW)
-
-    def tick(self, now: int) -> tuple[Do, ...]:
-        """Time passes: the lease may be over."""
-        over = self.at in (At.CURRENT, At.BEHIND) and now >= self.lease_until
-        return self._hear(Heard.OVER) if over else ()
-
-    def binding(self, account: str, now: int, fallback: str = "") -> Version | None:
-        """What binds a request of an account now; a lapsed lease lowers its ceiling."""
-        found = self.book.terms(account, now, fallback)
-        return None if found is None else self.lowered(found, now)
-
-    def lowered(self, version: Version, now: int) -> Version:
-        """A version as it binds here: with the lower ceiling once the lease is over."""
-        if self.at is not At.LAPSED:
+            return self._transition(FollowerEvent.GAP)
+        actions = self._transition(FollowerEvent.NEXT)
+        if FollowerAction.APPLY in actions:
+            self.book = self.book.with_change(change)
+        return actions
+
+    def receive_heartbeat(self, epoch: int, last: Stamp, sent: int, lease: int) -> tuple[FollowerAction, ...]:
+        """Handles a heartbeat: the writer is alive and its newest change is ``last``."""
+        if (epoch_event := self._compare_epoch(epoch)) is not None:
+            return self._transition(epoch_event)
+        actions = self._transition(
+            FollowerEvent.BEAT if last <= self.book.last_stamp else FollowerEvent.AHEAD
+        )
+        if FollowerAction.RENEW in actions:
+            self._renew_lease(sent, lease)
+        return actions
+
+    def _renew_lease(self, sent: int, lease: int) -> None:
+        self.lease_until = max(self.lease_until, sent + lease - MAX_CLOCK_SKEW_MS)
+
+    def check_lease(self, now: int) -> tuple[FollowerAction, ...]:
+        """Checks at ``now`` (Unix milliseconds) whether the lease has expired."""
+        expired = self.state in (FollowerState.CURRENT, FollowerState.BEHIND) and now >= self.lease_until
+        return self._transition(FollowerEvent.OVER) if expired else ()
+
+    def binding_version(self, account: str, now: int, fallback: str = "") -> Version | None:
+        """Returns the version that limits an account now; after the lease expired, with the fallback ceiling."""
+        found = self.book.binding_version(account, now, fallback)
+        return None if found is None else self.with_fallback_ceiling(found, now)
+
+    def with_fallback_ceiling(self, version: Version, now: int) -> Version:
+        """Returns the version as this limiter applies it: with the lower ceiling once the lease has expired."""
+        if self.state is not FollowerState.LAPSED:
             return version
-        return replace(version, terms=self._lowered(version.terms, now))
+        return replace(version, terms=self._lower_terms(version.terms, now))
 
-    def _lowered(self, terms: Terms, now: int) -> Terms:
+    def _lower_terms(self, terms: Terms, now: int) -> Terms:
         rate, burst = self.book.lowest_ceiling(now)
         if rate <= 0:
             return terms
-        own = terms.ceiling_rate > 0
-        rate = min(rate, terms.ceiling_rate) if own else rate
-        burst = min(burst, terms.ceiling_burst) if own else burst
+        has_ceiling = terms.ceiling_rate > 0
+        rate = min(rate, terms.ceiling_rate) if has_ceiling else rate
+        burst = min(burst, terms.ceiling_burst) if has_ceiling else burst
         # The quota never stands above the ceiling.
         return replace(
             terms,
--- a/cypresspulley/plans/store.py
+++ b/cypresspulley/plans/store.py
@@ -1,15 +1,16 @@
-"""An append-only log of records that survives crashes: checksums, group commit, torn tails, snapshot and compaction.
-
-Format, version 1. A file ``log.N`` (N in ten digits) is a generation. It begins with the line ``fawnseam log 1``, and
-holds frames: length of the payload (4 bytes, little-endian), CRC-32 of length and payload (4 bytes), payload (a JSON
-array of records in UTF-8). What is committed together is one frame, so that a crash leaves all of it or none. A
-generation begins with a snapshot, frames that hold the state when it was written, closed by a record ``{"kind":
-"whole", "records": n}``; what follows are records in the order in which they were committed.
-
-Each generation is written beside the old one under another name, synced, renamed, and its folder synced before the old
-one is removed: at any crash one whole generation is there. A record counts from the return of ``commit``. What stands
-behind the last good frame at a start, and is no good frame, is a torn tail: it was never acknowledged and is cut off. A
-bad frame with a good one behind it is damage, and nothing is cut: ``check`` tells what can be saved.
+"""A crash-safe, append-only log of records: checksums, group commit, torn tails, snapshots and compaction.
+
+Format, version 1. A file ``log.N`` (N in ten digits) is a generation. It begins with the line ``fawnseam log 1``,
+followed by frames: length of the payload (4 bytes, little-endian), CRC-32 of length and payload (4 bytes), payload (a
+JSON array of records in UTF-8). Records that are committed together form one frame, so that a crash leaves all or none
+of them. A generation begins with a snapshot: frames that hold the state when it was written, closed by a record
+``{"kind": "whole", "records": n}``. The records after it are in the order in which they were committed.
+
+A new generation is written beside the old one under another name, synced and renamed, and the folder is synced before
+the old one is removed, so that one complete generation exists after any crash. A record is durable once ``commit``
+returns. At a start, bytes after the last good frame that form no good frame are a torn tail: they were never
+acknowledged and are cut off. A bad frame with a good one after it is damage, and nothing is cut:
+``check_generations`` reports what can be recovered.
 """
 
 from __future__ import annotations
@@ -23,93 +24,93 @@
 
 from cypresspulley.plans.files import File, Folder
 
-HEAD = b"fawnseam log 1\n"
-FRAME = struct.Struct("<II")
-MOST_PAYLOAD = 1 << 20  # bytes: a length beyond it is damage, not a reason to read on
-PART = 256  # records of a snapshot in a frame
-COMPACT_AT = 8 << 20  # bytes of records behind the snapshot, from which a store wants to be compacted
+FILE_HEADER = b"fawnseam log 1\n"
+FRAME_HEADER = struct.Struct("<II")
+MAX_PAYLOAD_BYTES = 1 << 20  # a greater length field is treated as damage
+SNAPSHOT_FRAME_RECORDS = 256  # records per frame of a snapshot
+COMPACTION_THRESHOLD_BYTES = 8 << 20  # bytes after the snapshot beyond which the store needs compaction
 Record = dict[str, Any]
 
 
 class StoreError(ValueError):
-    """A store that cannot be used as it is; the text names file and byte."""
+    """A store cannot be used as it is. The text names the file and the byte."""
 
 
-def framed(records: list[Record]) -> bytes:
+def encode_frame(records: list[Record]) -> bytes:
     payload = json.dumps(records, separators=(",", ":"), sort_keys=True, allow_nan=False).encode()
-    if len(payload) > MOST_PAYLOAD:
-        raise StoreError(f"a commit of {len(payload)} bytes; expected at most {MOST_PAYLOAD}")
+    if len(payload) > MAX_PAYLOAD_BYTES:
+        raise StoreError(f"a commit of {len(payload)} bytes; expected at most {MAX_PAYLOAD_BYTES}")
     length = struct.pack("<I", len(payload))
     return length + struct.pack("<I", zlib.crc32(length + payload)) + payload
 
 
-def _frame_at(data: bytes, at: int) -> tuple[list[Record], int] | None:
-    """The records of the frame that begins there, and where it ends; None for no good one."""
-    if at + FRAME.size > len(data):
+def _decode_frame(data: bytes, offset: int) -> tuple[list[Record], int] | None:
+    """Returns the records of the frame that begins at ``offset`` and the offset of its end; None for no good frame."""
+    if offset + FRAME_HEADER.size > len(data):
         return None
-    length, checksum = FRAME.unpack_from(data, at)
-    payload = data[at + FRAME.size : at + FRAME.size + length]
-    if length > MOST_PAYLOAD or len(payload) < length:
+    length, checksum = FRAME_HEADER.unpack_from(data, offset)
+    payload = data[offset + FRAME_HEADER.size : offset + FRAME_HEADER.size + length]
+    if length > MAX_PAYLOAD_BYTES or len(payload) < length:
         return None
-    if zlib.crc32(data[at : at + 4] + payload) != checksum:
+    if zlib.crc32(data[offset : offset + 4] + payload) != checksum:
         return None
     try:
         records = json.loads(payload)
     except (ValueError, RecursionError):
         return None
     good = isinstance(records, list) and all(isinstance(one, dict) for one in records)
-    return (records, at + FRAME.size + length) if good else None
+    return (records, offset + FRAME_HEADER.size + length) if good else None
 
 
 @dataclass(frozen=True, slots=True)
-class Reading:
-    """What a file holds: good records in order, where the last one ends, and what stands behind that."""
+class LogContents:
+    """The contents of a log file: its good records in order, the end of the last one, and what follows it."""
 
     records: tuple[Record, ...]
     end: int
     size: int
-    next_good: int | None = None  # a good frame behind a bad one: where it begins
-    saved: tuple[Record, ...] = ()  # good records behind the damage
+    next_good: int | None = None  # offset of the first good frame after a bad one
+    saved: tuple[Record, ...] = ()  # good records after the damage
 
     @property
-    def whole(self) -> bool:
-        """Whether its snapshot is closed."""
+    def has_snapshot(self) -> bool:
+        """Whether the file holds a complete snapshot."""
         return any(r.get("kind") == "whole" and r.get("records") == n for n, r in enumerate(self.records))
 
     @property
     def torn(self) -> int:
-        """Bytes of a torn tail; 0 for none, or for damage."""
+        """The length of a torn tail in bytes; 0 where there is none or the file is damaged."""
         return 0 if self.next_good is not None else self.size - self.end
 
 
-def read(data: bytes) -> Reading:
-    """All good frames from the start; past a bad one, a search for the next good one."""
-    records, at = list[Record](), len(HEAD)
-    if not data.startswith(HEAD):
-        return Reading((), 0, len(data))
-    while (found := _frame_at(data, at)) is not None:
-        more, at = found
+def read_log(data: bytes) -> LogContents:
+    """Reads all good frames from the start; after a bad one, searches for the next good one."""
+    records, offset = list[Record](), len(FILE_HEADER)
+    if not data.startswith(FILE_HEADER):
+        return LogContents((), 0, len(data))
+    while (found := _decode_frame(data, offset)) is not None:
+        more, offset = found
         records += more
-    saved, next_good, place = list[Record](), None, at + 1
-    while place < len(data):
-        if (found := _frame_at(data, place)) is None:
-            place += 1
+    saved, next_good, position = list[Record](), None, offset + 1
+    while position < len(data):
+        if (found := _decode_frame(data, position)) is None:
+            position += 1
             continue
-        next_good = place if next_good is None else next_good
+        next_good = position if next_good is None else next_good
         saved += found[0]
-        place = found[1]
-    return Reading(tuple(records), at, len(data), next_good, tuple(saved))
+        position = found[1]
+    return LogContents(tuple(records), offset, len(data), next_good, tuple(saved))
 
 
 def _generations(folder: Folder) -> list[tuple[int, str]]:
-    """Numbers and names of all generations, newest first."""
+    """Returns the numbers and names of all generations, newest first."""
     names = [n for n in folder.names() if n.startswith("log.") and n[4:].isdigit()]
     return sorted(((int(name[4:]), name) for name in names), reverse=True)
 
 
 @dataclass(frozen=True, slots=True)
-class Checked:
-    """What ``check`` found in one file."""
+class GenerationCheck:
+    """The result of ``check_generations`` for one file."""
 
     name: str
     records: int
@@ -135,104 +136,120 @@
         return f"{self.name}: {self.size} bytes, {state}"
 
 
-def check(folder: Folder) -> list[Checked]:
-    """Each generation as it is; changes nothing."""
+def check_generations(folder: Folder) -> list[GenerationCheck]:
+    """Examines each generation, the newest first; changes nothing."""
     found = []
     for _, name in _generations(folder):
-        seen = read(folder.read(name))
-        at = seen.end if seen.next_good is not None else None
-        found.append(Checked(name, len(seen.records), seen.size, seen.torn, at, len(seen.saved), seen.whole))
+        contents = read_log(folder.read(name))
+        damaged_at = contents.end if contents.next_good is not None else None
+        found.append(
+            GenerationCheck(
+                name,
+                len(contents.records),
+                contents.size,
+                contents.torn,
+                damaged_at,
+                len(contents.saved),
+                contents.has_snapshot,
+            )
+        )
     return found
 
 
 class Store:
-    """The newest whole generation of a folder, opened to append. One process at a time."""
+    """The newest complete generation of a folder, opened for appending by one process at a time."""
 
     def __init__(self, folder: Folder, read_only: bool = False) -> None:
         self._folder, self._read_only = folder, read_only
-        self._waiting = list[Record]()
-        self.records, self._number = tuple[Record, ...](), 0
+        self._uncommitted = list[Record]()
+        self.records, self._generation = tuple[Record, ...](), 0
         self._file: File | None = None
-        self._end = self._base = 0
-        self.broken = ""  # why nothing may be committed any more
+        self._end = self._snapshot_end = 0
+        self.failure = ""  # why nothing can be committed any more
         self._open()
 
     def __repr__(self) -> str:
-        state = f"{len(self._waiting)} waiting{self.broken and ', broken'}"
-        return f"<Store log.{self._number:010} {self._end} bytes, {state}>"
+        state = f"{len(self._uncommitted)} waiting{self.failure and ', broken'}"
+        return f"<Store log.{self._generation:010} {self._end} bytes, {state}>"
 
     def _open(self) -> None:
         for number, name in _generations(self._folder):
-            seen = read(self._folder.read(name))
-            if not seen.whole and seen.next_good is None:
-                continue  # a crash while it was written: an older one is there
-            if seen.next_good is not None:
+            contents = read_log(self._folder.read(name))
+            if not contents.has_snapshot and contents.next_good is None:
+                continue  # a crash interrupted the writing of this one; an older one exists
+            if contents.next_good is not None:
                 raise StoreError(
-                    f"{name}: damaged at byte {seen.end}, with {len(seen.saved)} good records from byte "
-                    f"{seen.next_good} on; expected frames without a gap (fawnseam plans check)"
+                    f"{name}: damaged at byte {contents.end}, with {len(contents.saved)} good records from byte "
+                    f"{contents.next_good} on; expected frames without a gap (fawnseam plans check)"
                 )
-            self._number, self.records, self._end = number, seen.records, seen.end
+            self._generation, self.records, self._end = number, contents.records, contents.end
             if self._read_only:
-                self.broken = "it was opened to read"
+                self.failure = "it was opened to read"
                 return
             self._file = self._folder.append(name)
-            if seen.torn:
-                self._file.cut(seen.end)
+            if contents.torn:
+                self._file.truncate(contents.end)
                 self._file.sync()
-            self._base = self._end
+            self._snapshot_end = self._end
             return
-        if any(read(self._folder.read(name)).records for _, name in _generations(self._folder)):
+        if any(read_log(self._folder.read(name)).records for _, name in _generations(self._folder)):
             raise StoreError("no generation has a whole snapshot; expected one (fawnseam plans check)")
         self.compact(())
 
-    def put(self, record: Record) -> None:
-        """Add a record to the next commit."""
-        self._waiting.append(record)
+    def add(self, record: Record) -> None:
+        """Adds a record to the next commit."""
+        self._uncommitted.append(record)
 
     def commit(self) -> None:
-        """All that was put, at once and synced, or none of it: ``OSError``, and nothing more until a new start."""
-        if self.broken:
-            raise OSError(f"the store takes nothing more: {self.broken}")
-        waiting, self._waiting = self._waiting, []
-        if not waiting:
+        """Writes and syncs all added records as one frame.
+
+        Raises ``OSError`` where that fails. None of the records is acknowledged then, and the store accepts no more
+        commits until it is opened again.
+        """
+        if self.failure:
+            raise OSError(f"the store takes nothing more: {self.failure}")
+        records, self._uncommitted = self._uncommitted, []
+        if not records:
             return
         assert self._file is not None
-        data = framed(waiting)
+        data = encode_frame(records)
         try:
             self._file.write(data)
             self._file.sync()
         except OSError as error:
-            self._undo(error)
+            self._discard_partial_write(error)
             raise
         self._end += len(data)
 
-    def _undo(self, error: OSError) -> None:
-        """Cut what may have been written in part. After a failed sync only a start can tell what the disk holds."""
-        self.broken = str(error) or repr(error)
+    def _discard_partial_write(self, error: OSError) -> None:
+        """Cuts off a partial write. After a failed sync, only opening the store again shows what the disk holds."""
+        self.failure = str(error) or repr(error)
         try:
             assert self._file is not None
-            self._file.cut(self._end)
+            self._file.truncate(self._end)
         except OSError:
-            pass  # a start reads what is there: a whole frame more is a record that nobody was told of
+            pass  # the next start reads the file: a complete frame more holds records that were never acknowledged
 
     @property
-    def wants_compacting(self) -> bool:
-        return self._end - self._base > COMPACT_AT
+    def needs_compaction(self) -> bool:
+        return self._end - self._snapshot_end > COMPACTION_THRESHOLD_BYTES
 
     def compact(self, state: Iterable[Record]) -> None:
-        """A new generation that begins with the state; the old one goes when the new one is safe."""
-        if self._waiting:
+        """Writes a new generation that begins with ``state``; removes the old ones once the new one is on the disk."""
+        if self._uncommitted:
             raise StoreError("expected a commit before the store is compacted")
         records = list(state)
-        parts = (records[n : n + PART] for n in range(0, len(records), PART))
-        body = b"".join(map(framed, parts)) + framed([{"kind": "whole", "records": len(records)}])
-        number, old = self._number + 1, _generations(self._folder)
+        parts = (
+            records[n : n + SNAPSHOT_FRAME_RECORDS] for n in range(0, len(records), SNAPSHOT_FRAME_RECORDS)
+        )
+        body = b"".join(map(encode_frame, parts)) + encode_frame([{"kind": "whole", "records": len(records)}])
+        number, old = self._generation + 1, _generations(self._folder)
         name = f"log.{number:010}"
         if "new" in self._folder.names():
             self._folder.remove("new")
         file = self._folder.append("new")
         try:
-            file.write(HEAD + body)
+            file.write(FILE_HEADER + body)
             file.sync()
             self._folder.rename("new", name)
             self._folder.sync()
@@ -241,8 +258,8 @@
             raise
         if self._file is not None:
             self._file.close()
-        self._file, self._number, self._end = file, number, len(HEAD) + len(body)
-        self._base = self._end
+        self._file, self._generation, self._end = file, number, len(FILE_HEADER) + len(body)
+        self._snapshot_end = self._end
         for _, stale in old:
             self._folder.remove(stale)
 
--- a/cypresspulley/policy/usage.py
+++ b/cypresspulley/policy/usage.py
@@ -1,4 +1,4 @@
-"""Messages between gateways: what they tell each other of their customers' use."""
+"""Usage messages between gateways: what each one reports of its accounts' use to the others."""
 
 from cypresspulley.messages import (
     KEY_COUNT,
@@ -10,63 +10,87 @@
 )
 from cypresspulley.policy.account import Account
 
-TELL_SHARE, IDLE_TELL = 0.6, 1.0  # of what an inbox takes; seconds between two messages with nothing to tell
-RECENT_BIRTH = 3.0  # seconds by which another must be older to have been there before
-HEARD_AT_MOST = 4096  # customers of others' messages that have not been met here
+INBOX_SHARE = 0.6  # of the messages that a gateway takes in, the share that usage messages may use
+IDLE_MESSAGE_SECONDS = 1.0  # between two messages with nothing to report
+MIN_AGE_LEAD_SECONDS = 3.0  # another gateway that is older by more was running before this one started
+MAX_UNKNOWN_ACCOUNTS = 4096  # accounts that others report and that have sent no request here
 
 
 class UsageBroadcast:
-    """What this gateway tells the others of its customers' use, and what it hears of customers it has not met. Lost
-    messages are lost; with nothing to tell there is one a second, so that an idle gateway is not taken for a cut."""
+    """Writes this gateway's usage messages and keeps what others report of accounts that are unknown here.
+
+    A lost message is not repeated. With nothing to report a message is sent every second, so that an idle gateway is
+    not taken for one that is cut off.
+    """
 
     def __init__(self, now: float, gateways: int, inbox: float) -> None:
-        self.follow(gateways, inbox)
-        self.born = self.at = self.heard_at = now
-        self.late = False  # the others were there before: this one is back and has forgotten what it sent on
-        self.strange = dict[int, tuple[float, float]]()  # units that others used; since when
-        self.owed = dict[int, Account]()  # whose use here the others may not know yet, by name
+        self.set_gateways(gateways, inbox)
+        self.started_at = self.sent_at = self.heard_at = now
+        # Whether the other gateways are older, so that this one has restarted and has lost what it had sent before.
+        self.was_restarted = False
+        self.unknown_use = dict[int, tuple[float, float]]()  # by key: units that others used, and since when
+        self.unreported_accounts = dict[int, Account]()  # by counter name: accounts with use to report
 
-    def follow(self, gateways: int, inbox: float) -> None:
-        """So many gateways write to inboxes that take so many messages a second."""
+    def set_gateways(self, gateways: int, inbox: float) -> None:
+        """Set the interval between messages so that each gateway's inbox, of ``inbox`` messages a second, can take
+        those of all others."""
         others = max(1, gateways - 1)
-        self.every = max(0.25, others / max(0.1, TELL_SHARE * inbox))
+        self.interval = max(0.25, others / max(0.1, INBOX_SHARE * inbox))
 
-    def due(self, now: float) -> bool:
-        return now - self.at >= (self.every if self.owed else max(self.every, IDLE_TELL))
+    def is_due(self, now: float) -> bool:
+        """Return whether a message is due."""
+        return now - self.sent_at >= (
+            self.interval if self.unreported_accounts else max(self.interval, IDLE_MESSAGE_SECONDS)
+        )
 
-    def write(self, now: float) -> str:
-        """The largest parts of their quotas first; what finds no room is told the next time."""
-        self.at = now
-        used = [a for a in self.owed.values() if abs(a.pending) >= UNITS_PER_STEP and a.share > 1]
-        used.sort(key=lambda a: (-abs(a.pending) / max(a.plan.burst, UNITS_PER_STEP), a.name))
-        rows = [(a, units_to_steps(a.pending)) for a in used[:MAX_ROWS]]
-        for a, told in rows:
-            a.pending -= told * UNITS_PER_STEP
-        self.owed = {a.name: a for a in used if abs(a.pending) >= UNITS_PER_STEP}
-        return encode_message(now - self.born, ((a.name, told) for a, told in rows))
+    def write_message(self, now: float) -> str:
+        """Write a message with the accounts that used the largest part of their burst; the rest waits for the next
+        one."""
+        self.sent_at = now
+        used = [
+            a
+            for a in self.unreported_accounts.values()
+            if abs(a.unreported) >= UNITS_PER_STEP and a.gateways > 1
+        ]
+        used.sort(key=lambda a: (-abs(a.unreported) / max(a.plan.burst, UNITS_PER_STEP), a.counter_name))
+        rows = [(account, units_to_steps(account.unreported)) for account in used[:MAX_ROWS]]
+        for account, reported_steps in rows:
+            account.unreported -= reported_steps * UNITS_PER_STEP
+        self.unreported_accounts = {a.counter_name: a for a in used if abs(a.unreported) >= UNITS_PER_STEP}
+        return encode_message(
+            now - self.started_at,
+            ((account.counter_name, reported_steps) for account, reported_steps in rows),
+        )
 
-    def read(self, now: float, text: str) -> list[tuple[int, float]]:
-        """Keys and units of a message; empty where it is none."""
-        if (told := decode_message(text)) is None:
+    def read_message(self, now: float, text: str) -> list[tuple[int, float]]:
+        """Return the keys and units of a message, or an empty list for a text that is not a valid message."""
+        if (message := decode_message(text)) is None:
             return []
         self.heard_at = now
-        self.late = self.late or told[0] > now - self.born + RECENT_BIRTH
-        return told[1]
+        self.was_restarted = self.was_restarted or message[0] > now - self.started_at + MIN_AGE_LEAD_SECONDS
+        return message[1]
 
-    def keep(self, now: float, key: int, units: float) -> None:
-        """Of a customer not met here: bounded, the longest known give way."""
-        used, since = self.strange.pop(key, (0.0, now))
-        self.strange[key] = used + units, since
-        if len(self.strange) > HEARD_AT_MOST:
-            del self.strange[next(iter(self.strange))]
+    def store_unknown_use(self, now: float, key: int, units: float) -> None:
+        """Keep what others report of an account that is unknown here. When the table is full, the least recently
+        reported account is dropped."""
+        used, since = self.unknown_use.pop(key, (0.0, now))
+        self.unknown_use[key] = used + units, since
+        if len(self.unknown_use) > MAX_UNKNOWN_ACCOUNTS:
+            del self.unknown_use[next(iter(self.unknown_use))]
 
-    def met(self, now: float, a: Account) -> None:
-        """A customer comes here for the first time: what others told of it counts."""
-        used, since = self.strange.pop(a.name % KEY_COUNT, (0.0, now))
-        a.level = min(a.level, a.plan.burst) - max(0.0, used - a.plan.rate * (now - since))
-        if self.late:
-            self.doubt(now, a)
+    def apply_unknown_use(self, now: float, account: Account) -> None:
+        """Deduct what others reported of an account before its first request here."""
+        used, since = self.unknown_use.pop(account.counter_name % KEY_COUNT, (0.0, now))
+        account.level = min(account.level, account.plan.burst) - max(
+            0.0, used - account.plan.rate * (now - since)
+        )
+        if self.was_restarted:
+            self.cap_at_even_share(now, account)
 
-    def doubt(self, now: float, a: Account) -> None:
-        """What was used before this gateway came back is not known: its store is taken to begin at the even share."""
-        a.level = min(a.level, a.plan.burst / a.share + a.plan.rate * (now - self.born))
+    def cap_at_even_share(self, now: float, account: Account) -> None:
+        """Cap an account's level at the even share plus the refill since this gateway started, because its use
+        before a restart is not known."""
+        account.level = min(
+            account.level,
+            account.plan.burst / account.gateways + account.plan.rate * (now - self.started_at),
+        )
--- a/cypresspulley/rehearsal/rules.py
+++ b/cypresspulley/rehearsal/rules.py
@@ -10,9 +10,9 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from cypresspulley.plans.carry import Level
-from cypresspulley.plans.carry import slack as slack_of_change
-from cypresspulley.plans.lease import LEASE
+from cypresspulley.plans.bucket_level import BucketLevel
+from cypresspulley.plans.bucket_level import max_ceiling_overshoot as slack_of_change
+from cypresspulley.plans.lease import LEASE_MS
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.standins.processor import fall_bound, warmth
 from cypresspulley.rehearsal.timeline import FOREVER, Attempt, Timeline, Try
@@ -21,7 +21,7 @@
 ROUND_TRIP = 0.001  # seconds there and back between a client and its limiter
 ANSWER_SLACK = 0.008 + SOCKETS  # past the client's time
 CEILING_SLACK = 0.1  # of the ceiling's burst, one of the largest requests at least
-BOOK_LEASE = LEASE / 1000  # seconds that a limiter may go by a plan book without a word of it
+BOOK_LEASE = LEASE_MS / 1000  # seconds that a limiter may go by a plan book without a word of it
 CEILING_LATE = 0.15  # seconds of the ceiling's rate by which its slack is wider on sockets
 TOLD_SHARE = 2 / 3  # of the work that pushed a cold server over must come from limiters that knew
 REFUSALS = (429, 503)
@@ -282,18 +282,20 @@
 
     Where plans change in service the store is that of the ceiling in force, carried over each change as the design of
     plans says, and the slack is wider by what the last to hear of a change may let in."""
-    stores = dict[tuple[str, str], Level]()
+    stores = dict[tuple[str, str], BucketLevel]()
     wider = _wider(line)
     for t, one in first_sendings(line):
         sent, plan = one.sent[0], line.plans[one.sent[0].plan]
         if plan.ceiling_rate <= 0:
             continue
         key = (sent.plan, sent.account)
-        store = stores.get(key) or Level(plan.ceiling_burst, -1e9, plan.ceiling_rate, plan.ceiling_burst)
+        store = stores.get(key) or BucketLevel(
+            plan.ceiling_burst, -1e9, plan.ceiling_rate, plan.ceiling_burst
+        )
         for move in line.moves.get(sent.account, ()):
             if store.at < move.t <= t:
-                store = store.carried(move.t, move.ceiling_rate, move.ceiling_burst)
-        store = stores[key] = store.moved(t).drawn(sent.units)
+                store = store.with_limits(move.t, move.ceiling_rate, move.ceiling_burst)
+        store = stores[key] = store.refilled_until(t).with_units_drawn(sent.units)
         slack = max(CEILING_SLACK * plan.ceiling_burst, line.day.max_units)
         slack += CEILING_LATE * plan.ceiling_rate + wider.get(sent.account, 0.0)
         yield t, one, store.units, slack
--- a/cypresspulley/service.py
+++ b/cypresspulley/service.py
@@ -11,14 +11,21 @@
 from typing import Any
 
 from cypresspulley.lifecycle import Lifecycle, LifecycleEvent
-from cypresspulley.net.door import Reply
+from cypresspulley.net.admin import Reply
 from cypresspulley.net.frontend import Frontend
 from cypresspulley.net.node import Node, UnixClock
 from cypresspulley.net.upstream import Upstream
 from cypresspulley.policy.gateway import Gateway
 from cypresspulley.takeover.channel import Folder
 from cypresspulley.takeover.handover import Offer, Peer, Predecessor, Successor
-from cypresspulley.takeover.snapshot import Ghosts, SnapshotError, Split, adopt, held, take
+from cypresspulley.takeover.snapshot import (
+    PredecessorAttempts,
+    SnapshotError,
+    StateSplit,
+    count_open_attempts,
+    restore_snapshot,
+    take_snapshot,
+)
 
 log = logging.getLogger(__name__)
 
@@ -38,8 +45,8 @@
         self._clock: Callable[[], float] = float
         self._successor: Successor | None = None  # this process's way to its predecessor
         self._predecessor: Predecessor | None = None  # and to its successor
-        self._split: Split | None = None
-        self._ghosts: Ghosts | None = None
+        self._split: StateSplit | None = None
+        self._predecessor_attempts: PredecessorAttempts | None = None
         self._drained = False  # as inherited, until the process serves
         self._tasks = set[asyncio.Task[None]]()
         # Purges what all limiters keep of an account: who may still have something; None where nothing is kept.
@@ -55,7 +62,7 @@
         if self._folder is None:
             return None
         self._successor = Successor(self._folder)
-        offer = await self._successor.offered()
+        offer = await self._successor.wait_for_offer()
         offset = offer.state.get(CLOCK_OFFSET) if offer is not None else None
         if isinstance(clock, UnixClock) and isinstance(offset, float) and math.isfinite(offset):
             clock.offset = offset
@@ -66,18 +73,18 @@
         assert self._successor is not None
         state = offer.state
         try:
-            adopt(gateway, now, state["decisions"])
+            restore_snapshot(gateway, now, state["decisions"])
             dials = {str(k): str(v) for k, v in state["dials"].items()}
-            for server in gateway.fleet.servers.values():
+            for server in gateway.load_balancer.servers.values():
                 name, born = server.entry.name, server.entry.born
-                upstream.update(name, dials.get(name, ""), server.up, born)
+                upstream.update_server(name, dials.get(name, ""), server.up, born)
             drained = bool(state["drained"])
         except (SnapshotError, KeyError, TypeError, ValueError, AttributeError) as error:
             log.error("takeover: %s", error)
             self._successor.reject()
             return False
-        for name in gateway.fleet.bans:
-            upstream.ban(name, True)
+        for name in gateway.load_balancer.bans:
+            upstream.set_banned(name, True)
         self._drained = drained
         return True
 
@@ -95,7 +102,7 @@
             self.life.apply(LifecycleEvent.DRAIN)
         self._heed()
         if gateway is not None:
-            self._ghosts = Ghosts(gateway)
+            self._predecessor_attempts = PredecessorAttempts(gateway)
         if self._successor is not None:
             self._successor.serve(self)
         if self._folder is not None:
@@ -118,7 +125,9 @@
     def _record(self) -> bool:
         """Write down what has to outlast this process; whether that could be done."""
         if self._folder is not None and self._gateway is not None:
-            text = json.dumps({"bans": sorted(self._gateway.fleet.bans), "drained": self.life.drained})
+            text = json.dumps(
+                {"bans": sorted(self._gateway.load_balancer.bans), "drained": self.life.drained}
+            )
             try:
                 self._folder.write(RECORD, text)
             except OSError as error:
@@ -155,7 +164,7 @@
 
     async def _tell(self, name: str, id: str, source: Peer | None) -> bool:
         peers = (self._successor, self._predecessor)
-        others = [peer.tell(name, id) for peer in peers if peer is not None and peer is not source]
+        others = [peer.forward_call(name, id) for peer in peers if peer is not None and peer is not source]
         return all(await asyncio.gather(*others))  # together: the answer at the door is due
 
     def _apply(self, name: str, id: str, sure: bool = False) -> Reply:
@@ -203,15 +212,16 @@
 
     # The host of a takeover.
 
-    def state(self) -> dict[str, Any]:
+    def take_snapshot(self) -> dict[str, Any]:
         assert self._gateway is not None and self._upstream is not None
         offset = self._clock.offset if isinstance(self._clock, UnixClock) else None
         return {
-            "decisions": take(self._gateway), "dials": self._upstream.dials_by_name(), "drained": self.life.drained,
+            "decisions": take_snapshot(self._gateway),
+            "dials": self._upstream.server_addresses(), "drained": self.life.drained,
             CLOCK_OFFSET: offset,
         }  # fmt: skip
 
-    def listener(self) -> int:
+    def duplicate_listener(self) -> int:
         assert self._frontend is not None
         return self._frontend.duplicate_listener()
 
@@ -230,21 +240,21 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def split(self) -> None:
+    def split_state(self) -> None:
         assert self._gateway is not None
-        self._split = Split(self._gateway)
+        self._split = StateSplit(self._gateway)
 
     def retuned(self) -> None:
         """Other settings hold; a process that hands over goes on with its part of them."""
         if self._split is not None:
-            self._split.replan()
+            self._split.scale_plans()
 
-    def unsplit(self, whole: bool) -> None:
+    def undo_split(self, whole: bool) -> None:
         if self._split is not None:
             self._split.undo(whole, self._clock())
             self._split = None
 
-    def handed(self, to: Peer | None) -> None:
+    def set_successor(self, to: Peer | None) -> None:
         assert self._frontend is not None
         if isinstance(to, Predecessor):
             self.life.apply(LifecycleEvent.HAND_OVER)
@@ -252,21 +262,21 @@
         else:
             self._frontend.set_handoff(None)
 
-    def held(self) -> list[tuple[str, str, int]]:
-        return held(self._gateway) if self._gateway is not None else []
+    def count_open_attempts(self) -> list[tuple[str, str, int]]:
+        return count_open_attempts(self._gateway) if self._gateway is not None else []
 
-    def told_held(self, rows: list[tuple[str, str, int]]) -> None:
-        if self._ghosts is not None:
-            self._ghosts.told({(plan, account): n for plan, account, n in rows})
+    def set_predecessor_attempts(self, rows: list[tuple[str, str, int]]) -> None:
+        if self._predecessor_attempts is not None:
+            self._predecessor_attempts.update({(plan, account): n for plan, account, n in rows})
 
-    def took(self, sock: socket.socket) -> None:
+    def adopt_connection(self, sock: socket.socket) -> None:
         assert self._frontend is not None
         self._later(self._frontend.adopt_connection(sock))
 
-    def applied(self, name: str, id: str, source: Peer) -> None:
+    def apply_call(self, name: str, id: str, source: Peer) -> None:
         self._apply(name, id, sure=True)
         self._later(self._tell(name, id, source))  # to a third process, where there is one
 
-    def alone(self) -> None:
+    def predecessor_ended(self) -> None:
         self.life.apply(LifecycleEvent.PREDECESSOR_ENDED)
         self._heed()
--- a/cypresspulley/takeover/handover.py
+++ b/cypresspulley/takeover/handover.py
@@ -1,4 +1,7 @@
-"""Drives both sides of a takeover: messages in, the table's steps out. What it does to the limiter is its host's."""
+"""The two sides of a takeover: feeds messages to the state machine and executes the resulting actions.
+
+Effects on the limiter itself are left to the ``Host``.
+"""
 
 from __future__ import annotations
 
@@ -9,98 +12,108 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from cypresspulley.takeover.channel import FDS, Channel, Folder, Message, same_user
-from cypresspulley.takeover.snapshot import SnapshotError, pack, unpack
-from cypresspulley.takeover.states import WAITS, At, Do, Heard, Side
+from cypresspulley.takeover.channel import MAX_DESCRIPTORS, Channel, Folder, Message, same_user
+from cypresspulley.takeover.snapshot import SnapshotError, decode_snapshot, encode_snapshot
+from cypresspulley.takeover.states import (
+    STATE_TIMEOUT_SECONDS,
+    TakeoverAction,
+    TakeoverEvent,
+    TakeoverMachine,
+    TakeoverState,
+)
 
 log = logging.getLogger(__name__)
 
-PART = 16_000  # characters of a snapshot in one message: escaped they are under its bound
-PARTS = 4096
-EARLY = 256  # calls of operators that may come between an offer and the word that this process serves
-TOLD = 0.5  # seconds for the other process to say that a call is in force there
-HELD_EVERY = 0.05  # seconds between two tellings of what is still out
-assert FDS == 1
+MAX_PART_CHARACTERS = 16_000  # of a snapshot in one message; escaped, they fit in ``MAX_MESSAGE_BYTES``
+MAX_PARTS = 4096
+MAX_EARLY_MESSAGES = 256  # operators' calls that may arrive between an offer and the start of serving here
+CALL_TIMEOUT_SECONDS = 0.5  # time for the other process to confirm that a call has taken effect there
+INFLIGHT_REPORT_SECONDS = 0.05  # time between two reports of the open attempts
+assert MAX_DESCRIPTORS == 1
 
 
 class Host(Protocol):
-    """The limiter, as a takeover sees it."""
+    """The operations on the limiter that a takeover needs."""
 
-    def state(self) -> dict[str, Any]:
-        """What a successor goes on from."""
+    def take_snapshot(self) -> dict[str, Any]:
+        """Return the state from which a successor continues."""
         ...
 
-    def listener(self) -> int:
-        """A descriptor of the clients' listener, the caller's own."""
+    def duplicate_listener(self) -> int:
+        """Return a duplicate descriptor of the clients' listener, owned by the caller."""
         ...
 
     def pause(self) -> None: ...
 
     def resume(self) -> None: ...
 
-    def split(self) -> None:
-        """What is offered is no longer this process's."""
+    def split_state(self) -> None:
+        """Give up the share of the state that is offered to the successor."""
         ...
 
-    def unsplit(self, whole: bool) -> None: ...
+    def undo_split(self, whole: bool) -> None: ...
 
-    def handed(self, to: Peer | None) -> None:
-        """Connections that come to rest go to the successor; None: there is none any more."""
+    def set_successor(self, to: Peer | None) -> None:
+        """Hand idle connections to the successor from now on; None: there is no successor any more."""
         ...
 
-    def held(self) -> list[tuple[str, str, int]]: ...
+    def count_open_attempts(self) -> list[tuple[str, str, int]]: ...
 
-    def told_held(self, rows: list[tuple[str, str, int]]) -> None: ...
+    def set_predecessor_attempts(self, rows: list[tuple[str, str, int]]) -> None: ...
 
-    def took(self, sock: socket.socket) -> None:
-        """A client's connection, passed on at rest."""
+    def adopt_connection(self, sock: socket.socket) -> None:
+        """Serve a client's connection that the other process handed over while it was idle."""
         ...
 
-    def applied(self, name: str, id: str, source: Peer) -> None:
-        """An operators' call that the other process was told."""
+    def apply_call(self, name: str, id: str, source: Peer) -> None:
+        """Apply an operators' call that the other process received."""
         ...
 
-    def alone(self) -> None:
-        """The predecessor has ended."""
+    def predecessor_ended(self) -> None:
+        """Serve alone after the predecessor has ended."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """What a predecessor hands over."""
+    """The listener and the state that a predecessor hands over."""
 
     listener: socket.socket
     state: dict[str, Any]
 
 
 class Peer:
-    """What both sides share: the channel, and the operators' calls that either was told."""
+    """The base class of both sides: the channel, and the forwarding of operators' calls."""
 
-    def __init__(self, at: At) -> None:
-        self.side = Side(at)
+    def __init__(self, state: TakeoverState) -> None:
+        self.machine = TakeoverMachine(state)
         self._channel: Channel | None = None
         self._host: Host | None = None
         self._loop = asyncio.get_running_loop()
         self._calls = dict[int, asyncio.Future[None]]()
-        self._number = 0
-        self._late: asyncio.TimerHandle | None = None
+        self._last_call_number = 0
+        self._timer: asyncio.TimerHandle | None = None
 
     def __repr__(self) -> str:
-        return f"<{type(self).__name__} {self.side.at.value}>"
+        return f"<{type(self).__name__} {self.machine.state.value}>"
 
     @property
-    def linked(self) -> bool:
-        return self._channel is not None and self._channel.open
+    def connected(self) -> bool:
+        return self._channel is not None and self._channel.is_open
+
+    async def forward_call(self, name: str, id: str) -> bool:
+        """Apply a call in the other process too.
 
-    async def tell(self, name: str, id: str) -> bool:
-        """Have a call in force in the other process too; whether it is, or there is no other."""
-        if not self.linked or self._channel is None:
+        Returns True once it has taken effect there or if there is no other process, and False after
+        ``CALL_TIMEOUT_SECONDS`` without confirmation.
+        """
+        if not self.connected or self._channel is None:
             return True
-        self._number = number = self._number + 1
+        self._last_call_number = number = self._last_call_number + 1
         done = self._calls[number] = self._loop.create_future()
         self._channel.send({"is": "call", "n": number, "name": name, "id": id})
         try:
-            async with asyncio.timeout(TOLD):
+            async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
                 await done
         except TimeoutError:
             return False
@@ -108,284 +121,302 @@
             self._calls.pop(number, None)
         return True
 
-    def _call(self, message: Message) -> None:
+    def _receive_call(self, message: Message) -> None:
         number, name, id = message.get("n"), message.get("name"), message.get("id")
         if not isinstance(number, int) or not isinstance(name, str) or not isinstance(id, str):
-            raise ValueError("a call without number, name and id")
+            raise ValueError("call message without number, name and id")
         assert self._host is not None and self._channel is not None
-        self._host.applied(name, id, self)
+        self._host.apply_call(name, id, self)
         self._channel.send({"is": "done", "n": number})
 
-    def _done(self, message: Message) -> None:
+    def _receive_done(self, message: Message) -> None:
         if (done := self._calls.pop(message.get("n", 0), None)) is not None and not done.done():
             done.set_result(None)
 
-    def _hung_up(self) -> None:
-        """Calls that wait for a process that is no more are in force where they need to be."""
+    def _complete_calls(self) -> None:
+        """Complete the calls that wait for the other process: after its end they need to be in effect only here."""
         calls, self._calls = self._calls, {}
         for done in calls.values():
             if not done.done():
                 done.set_result(None)
 
-    def _wait(self, heard: Heard) -> None:
-        """The table moves on; the wait of the state that is reached begins."""
-        if self._late is not None:
-            self._late.cancel()
-            self._late = None
-        before = self.side.at
-        for step in self.side.hear(heard):
-            self._do(step)
-        if self.side.at is not before:
-            log.info("takeover: %s, now %s", heard.value, self.side.at.value)
-        if (wait := WAITS.get(self.side.at)) is not None:
-            self._late = self._loop.call_later(wait, self._wait, Heard.LATE)
-
-    def _do(self, step: Do) -> None:
+    def _handle_event(self, event: TakeoverEvent) -> None:
+        """Make the transition for an event, execute its actions and start the timeout of the new state."""
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+        previous = self.machine.state
+        for action in self.machine.handle(event):
+            self._execute(action)
+        if self.machine.state is not previous:
+            log.info("takeover: %s, now %s", event.value, self.machine.state.value)
+        if (wait := STATE_TIMEOUT_SECONDS.get(self.machine.state)) is not None:
+            self._timer = self._loop.call_later(wait, self._handle_event, TakeoverEvent.TIMEOUT)
+
+    def _execute(self, action: TakeoverAction) -> None:
         raise NotImplementedError
 
-    def _drop(self) -> None:
+    def _close_channel(self) -> None:
         if self._channel is not None:
-            self._channel.end(silent=True)
-        self._hung_up()
+            self._channel.close(silent=True)
+        self._complete_calls()
 
 
 class Predecessor(Peer):
-    """Waits for a successor, all the life of a process."""
+    """The side of the serving process, which waits for a successor throughout its life."""
 
     def __init__(self, host: Host, folder: Folder) -> None:
-        super().__init__(At.WATCHING)
-        self._host, self._folder = host, folder
+        super().__init__(TakeoverState.WATCHING)
+        self._host = host
+        self._folder = folder
         self._sock: socket.socket | None = None
-        self._telling: asyncio.TimerHandle | None = None
-        self._watch()
+        self._report_timer: asyncio.TimerHandle | None = None
+        self._start_listening()
 
-    def _watch(self) -> None:
-        self._unwatch()
+    def _start_listening(self) -> None:
+        self._stop_listening()
         try:
             self._sock = self._folder.listen()
         except OSError as error:
-            return log.error("takeover: no successor will find this process: %s", error)
-        self._loop.add_reader(self._sock.fileno(), self._came)
+            return log.error("takeover: cannot listen for a successor: %s", error)
+        self._loop.add_reader(self._sock.fileno(), self._accept_successor)
 
-    def _unwatch(self) -> None:
+    def _stop_listening(self) -> None:
         if self._sock is not None:
             self._loop.remove_reader(self._sock.fileno())
             self._sock.close()
             self._sock = None
 
-    def _came(self) -> None:
+    def _accept_successor(self) -> None:
         assert self._sock is not None
         try:
             sock, _ = self._sock.accept()
         except OSError:
             return
-        if self.linked or not same_user(sock):
+        if self.connected or not same_user(sock):
             return sock.close()  # one successor at a time
-        self._channel = Channel(sock, self._heard, self._ended)
-        self._late = self._loop.call_later(WAITS[At.ASKING], self._wait, Heard.LATE)  # it must say hello
+        self._channel = Channel(sock, self._receive, self._on_channel_close)
+        self._timer = self._loop.call_later(
+            STATE_TIMEOUT_SECONDS[TakeoverState.ASKING], self._handle_event, TakeoverEvent.TIMEOUT
+        )  # it must send hello
 
-    def _heard(self, channel: Channel, message: Message, fd: int | None) -> None:
+    def _receive(self, channel: Channel, message: Message, fd: int | None) -> None:
         if fd is not None:
-            os.close(fd)  # a successor has none to give
+            os.close(fd)  # a successor sends no descriptors
         try:
             match message.get("is"):
                 case "hello":
-                    self._wait(Heard.HELLO)
+                    self._handle_event(TakeoverEvent.HELLO)
                 case "serving":
-                    self._wait(Heard.SERVING)
+                    self._handle_event(TakeoverEvent.SERVING)
                 case "call":
-                    self._call(message)
+                    self._receive_call(message)
                 case "done":
-                    self._done(message)
+                    self._receive_done(message)
                 case _:
-                    self._wait(Heard.BAD)
+                    self._handle_event(TakeoverEvent.INVALID)
         except ValueError as error:
             log.error("takeover: %s", error)
-            self._wait(Heard.BAD)
+            self._handle_event(TakeoverEvent.INVALID)
 
-    def _ended(self, channel: Channel) -> None:
+    def _on_channel_close(self, channel: Channel) -> None:
         if channel is self._channel:
-            self._hung_up()
-            self._wait(Heard.ENDED)
+            self._complete_calls()
+            self._handle_event(TakeoverEvent.ENDED)
 
-    def _do(self, step: Do) -> None:
+    def _execute(self, action: TakeoverAction) -> None:
         host = self._host
         assert host is not None
-        match step:
-            case Do.PAUSE:
+        match action:
+            case TakeoverAction.PAUSE:
                 host.pause()
-            case Do.OFFER:
+            case TakeoverAction.OFFER:
                 self._offer(host)
-            case Do.HAND:
-                self._unwatch()  # the successor is who the next one finds
-                host.handed(self)
-                self._tell_held()
-            case Do.TAKE_BACK:
-                host.unsplit(whole=True)
-            case Do.RESUME:
-                # Nothing to undo where all was taken back; else what was given may have been drawn.
-                host.unsplit(whole=False)
-                host.handed(None)
+            case TakeoverAction.HAND_OVER:
+                self._stop_listening()  # a further process must find the successor
+                host.set_successor(self)
+                self._report_open_attempts()
+            case TakeoverAction.TAKE_BACK:
+                host.undo_split(whole=True)
+            case TakeoverAction.RESUME:
+                # Does nothing after TAKE_BACK; otherwise the successor may have used the state that it was given.
+                host.undo_split(whole=False)
+                host.set_successor(None)
                 host.resume()
-                self._watch()
-            case Do.DROP:
-                self._drop()
+                self._start_listening()
+            case TakeoverAction.CLOSE_CHANNEL:
+                self._close_channel()
             case _:
-                raise AssertionError(step)
+                raise AssertionError(action)
 
     def _offer(self, host: Host) -> None:
         assert self._channel is not None
-        text, checksum = pack(host.state())
-        parts = [text[at : at + PART] for at in range(0, len(text), PART)]
-        host.split()
-        self._channel.send({"is": "offer", "parts": len(parts), "checksum": checksum}, host.listener())
+        text, checksum = encode_snapshot(host.take_snapshot())
+        parts = [text[at : at + MAX_PART_CHARACTERS] for at in range(0, len(text), MAX_PART_CHARACTERS)]
+        host.split_state()
+        self._channel.send(
+            {"is": "offer", "parts": len(parts), "checksum": checksum}, host.duplicate_listener()
+        )
         for part in parts:
             self._channel.send({"is": "part", "text": part})
 
     def pass_client(self, fd: int) -> bool:
-        """Pass a client's connection on; the descriptor is closed here. Whether there was somebody to take it."""
-        if not self.linked or self._channel is None:
+        """Hand a client's connection to the successor and close the descriptor here.
+
+        Returns whether a successor was connected.
+        """
+        if not self.connected or self._channel is None:
             os.close(fd)
             return False
-        self._channel.send({"is": "client"}, fd, self._unsent)
-        return self.linked
+        self._channel.send({"is": "client"}, fd, self._serve_unsent_client)
+        return self.connected
 
-    def _unsent(self, fd: int) -> None:
-        """The successor went before it could be given this client's connection: it is served on here."""
+    def _serve_unsent_client(self, fd: int) -> None:
+        """Continue to serve a connection here whose successor disconnected before it was sent."""
         assert self._host is not None
-        self._host.took(socket.socket(fileno=fd))
-
-    def _tell_held(self) -> None:
-        self._telling = None
-        if self.side.at is At.HANDED and self._host is not None and self._channel is not None:
-            self._channel.send({"is": "held", "rows": self._host.held()[:500]})
-            self._telling = self._loop.call_later(HELD_EVERY, self._tell_held)
+        self._host.adopt_connection(socket.socket(fileno=fd))
+
+    def _report_open_attempts(self) -> None:
+        self._report_timer = None
+        if (
+            self.machine.state is TakeoverState.HANDED_OVER
+            and self._host is not None
+            and self._channel is not None
+        ):
+            self._channel.send({"is": "held", "rows": self._host.count_open_attempts()[:500]})
+            self._report_timer = self._loop.call_later(INFLIGHT_REPORT_SECONDS, self._report_open_attempts)
 
     def close(self) -> None:
-        for timer in (self._telling, self._late):
+        for timer in (self._report_timer, self._timer):
             if timer is not None:
                 timer.cancel()
-        self._unwatch()
-        self._drop()
+        self._stop_listening()
+        self._close_channel()
 
 
 class Successor(Peer):
-    """Asks the process that serves for what it has."""
+    """The side of a new process, which requests the listener and the state of the serving one."""
 
     def __init__(self, folder: Folder) -> None:
-        super().__init__(At.ASKING)
-        self._settled = asyncio.Event()
+        super().__init__(TakeoverState.ASKING)
+        self._offer_settled = asyncio.Event()
         self._offer: Offer | None = None
         self._listener: socket.socket | None = None
-        self._wanted, self._checksum, self._parts = 0, "", list[str]()
-        self._early = list[Message]()  # what comes before this process serves
+        self._part_count = 0  # parts of the snapshot
+        self._checksum = ""
+        self._parts = list[str]()
+        self._early_messages = list[Message]()  # received before this process serves
         sock = folder.connect()
         if sock is not None and same_user(sock):
-            self._channel = Channel(sock, self._heard, self._ended)
+            self._channel = Channel(sock, self._receive, self._on_channel_close)
             self._channel.send({"is": "hello"})
-            self._late = self._loop.call_later(WAITS[At.ASKING], self._wait, Heard.LATE)
+            self._timer = self._loop.call_later(
+                STATE_TIMEOUT_SECONDS[TakeoverState.ASKING], self._handle_event, TakeoverEvent.TIMEOUT
+            )
         else:
-            self._wait(Heard.ENDED)
+            self._handle_event(TakeoverEvent.ENDED)
 
-    async def offered(self) -> Offer | None:
-        """What there is to go on from; None where this process starts alone."""
-        await self._settled.wait()
+    async def wait_for_offer(self) -> Offer | None:
+        """Wait for the predecessor's offer; return None if this process starts alone."""
+        await self._offer_settled.wait()
         return self._offer
 
     def reject(self) -> None:
-        """The offer cannot be used after all: the predecessor goes on, and this process starts alone."""
+        """Reject an unusable offer: the predecessor continues to serve, and this process starts alone."""
         log.error("takeover: the offer was rejected, this process starts alone")
         self._offer = None
-        self.side.at = At.RECEIVING
-        self._wait(Heard.BAD)
+        self.machine.state = TakeoverState.RECEIVING
+        self._handle_event(TakeoverEvent.INVALID)
 
     def serve(self, host: Host) -> None:
-        """From now on this process takes the connections."""
+        """Start serving: tell the predecessor, and process the messages that arrived early."""
         self._host = host
-        if self.side.at is At.SERVING and self._channel is not None:
+        if self.machine.state is TakeoverState.SERVING and self._channel is not None:
             self._channel.send({"is": "serving"})
-        early, self._early = self._early, []
+        early, self._early_messages = self._early_messages, []
         for message in early:
-            self._from_predecessor(host, message)
-        if self.side.at is At.ALONE:
-            host.alone()
+            self._receive_from_predecessor(host, message)
+        if self.machine.state is TakeoverState.ALONE:
+            host.predecessor_ended()
 
-    def _heard(self, channel: Channel, message: Message, fd: int | None) -> None:
+    def _receive(self, channel: Channel, message: Message, fd: int | None) -> None:
         sock = socket.socket(fileno=fd) if fd is not None else None
         try:
             match message.get("is"):
                 case "offer":
-                    self._begin(message, sock)
+                    self._receive_offer(message, sock)
                 case "client" if self._host is not None and sock is not None:
-                    self._host.took(sock)
+                    self._host.adopt_connection(sock)
                 case _ if sock is not None:
-                    raise ValueError(f"a descriptor where none belongs: {message.get('is')!r:.40}")
+                    raise ValueError(f"unexpected descriptor with message {message.get('is')!r:.40}")
                 case "part":
-                    self._part(message)
+                    self._receive_part(message)
                 case _ if self._host is None:
-                    if len(self._early) >= EARLY:
-                        raise ValueError("too much before this process serves")
-                    self._early.append(message)
+                    if len(self._early_messages) >= MAX_EARLY_MESSAGES:
+                        raise ValueError("too many messages before this process serves")
+                    self._early_messages.append(message)
                 case _:
-                    self._from_predecessor(self._host, message)
+                    self._receive_from_predecessor(self._host, message)
         except (ValueError, TypeError, KeyError) as error:
             if sock is not None:
                 sock.close()
             log.error("takeover: %s", error)
-            self._wait(Heard.BAD)
+            self._handle_event(TakeoverEvent.INVALID)
 
-    def _begin(self, message: Message, listener: socket.socket | None) -> None:
-        self._wanted, self._checksum = int(message["parts"]), str(message["checksum"])
-        if listener is None or not 0 < self._wanted <= PARTS or self._listener is not None:
-            raise ValueError("an offer without a listener, of too many parts or a second one")
+    def _receive_offer(self, message: Message, listener: socket.socket | None) -> None:
+        self._part_count, self._checksum = int(message["parts"]), str(message["checksum"])
+        if listener is None or not 0 < self._part_count <= MAX_PARTS or self._listener is not None:
+            raise ValueError("offer without a listener, with an invalid number of parts, or sent twice")
         self._listener = listener
-        self._wait(Heard.OFFER)
+        self._handle_event(TakeoverEvent.OFFER)
 
-    def _part(self, message: Message) -> None:
+    def _receive_part(self, message: Message) -> None:
         self._parts.append(str(message["text"]))
-        if len(self._parts) < self._wanted or self._listener is None:
+        if len(self._parts) < self._part_count or self._listener is None:
             return
         try:
-            state = unpack("".join(self._parts), self._checksum)
+            state = decode_snapshot("".join(self._parts), self._checksum)
         except SnapshotError as error:
             raise ValueError(str(error)) from None
         self._offer = Offer(self._listener, state)
-        self._wait(Heard.WHOLE)
+        self._handle_event(TakeoverEvent.OFFER_COMPLETE)
 
-    def _from_predecessor(self, host: Host, message: Message) -> None:
+    def _receive_from_predecessor(self, host: Host, message: Message) -> None:
         match message.get("is"):
             case "held":
-                host.told_held([(str(plan), str(account), int(n)) for plan, account, n in message["rows"]])
+                host.set_predecessor_attempts(
+                    [(str(plan), str(account), int(n)) for plan, account, n in message["rows"]]
+                )
             case "call":
-                self._call(message)
+                self._receive_call(message)
             case "done":
-                self._done(message)
+                self._receive_done(message)
             case kind:
-                raise ValueError(f"an unknown message: {kind!r:.40}")
+                raise ValueError(f"unknown message: {kind!r:.40}")
 
-    def _ended(self, channel: Channel) -> None:
-        self._hung_up()
-        self._wait(Heard.ENDED)
+    def _on_channel_close(self, channel: Channel) -> None:
+        self._complete_calls()
+        self._handle_event(TakeoverEvent.ENDED)
 
-    def _do(self, step: Do) -> None:
-        match step:
-            case Do.ADOPT:
-                self._settled.set()
-            case Do.START:
+    def _execute(self, action: TakeoverAction) -> None:
+        match action:
+            case TakeoverAction.ADOPT:
+                self._offer_settled.set()
+            case TakeoverAction.START:
                 self._offer = None
                 if self._listener is not None:
                     self._listener.close()
-                self._settled.set()
-            case Do.FORGET:
+                self._offer_settled.set()
+            case TakeoverAction.FORGET_PREDECESSOR:
                 if self._host is not None:
-                    self._host.told_held([])
-                    self._host.alone()
-            case Do.DROP:
-                self._drop()
+                    self._host.set_predecessor_attempts([])
+                    self._host.predecessor_ended()
+            case TakeoverAction.CLOSE_CHANNEL:
+                self._close_channel()
             case _:
-                raise AssertionError(step)
+                raise AssertionError(action)
 
     def close(self) -> None:
-        if self._late is not None:
-            self._late.cancel()
-        self._drop()
+        if self._timer is not None:
+            self._timer.cancel()
+        self._close_channel()
--- a/tests/closing/test_calendar.py
+++ b/tests/closing/test_calendar.py
@@ -1,4 +1,4 @@
-"""Closings and their ordinals: summer time, holidays, changes; held against counting second by second."""
+"""Closings and their ordinals: daylight saving time, holidays, changes; compared with a search by UTC offset."""
 
 from __future__ import annotations
 
@@ -9,7 +9,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cypresspulley.closing.calendar import GENERATIONS, MOST_DAYS, Calendar, Place, Timeline, zone_of
+from cypresspulley.closing.calendar import (
+    GENERATIONS_PER_VERSION,
+    MAX_TIMELINE_DAYS,
+    Calendar,
+    Place,
+    Timeline,
+    load_zone,
+)
 
 NEVER: tuple[tuple[time, ...], ...] = ((),) * 7
 
@@ -24,7 +31,7 @@
 
 def closings(place: Place, begin: str, end: str) -> list[str]:
     line = Timeline(place, at(begin) - 86_400)
-    found = line.between(at(begin), at(end))
+    found = line.closings_between(at(begin), at(end))
     return [f"{datetime.fromtimestamp(instant, UTC):%m-%d %H:%M}" for _, instant in found]
 
 
@@ -46,7 +53,9 @@
 def test_a_zone_that_left_out_a_day_keeps_its_closings_in_order() -> None:
     place = Place("apia", "Pacific/Apia", daily(time(18), time(23)))
     line = Timeline(place, at("2011-12-20T00:00Z"))
-    found = [instant for _, instant in line.between(at("2011-12-29T00:00Z"), at("2012-01-02T00:00Z"))]
+    found = [
+        instant for _, instant in line.closings_between(at("2011-12-29T00:00Z"), at("2012-01-02T00:00Z"))
+    ]
     assert found == sorted(set(found)) and len(found) == 8
 
 
@@ -56,9 +65,9 @@
         "v", "Asia/Kolkata", daily(time(18)), frozenset({christmas, next_day, eve}),
         {eve: (time(14),), next_day: (time(15),)}, {next_day: (time(12),)},
     )  # fmt: skip
-    assert place.times(date(2026, 12, 23)) == (time(18),)
-    assert place.times(christmas) == () and place.times(eve) == (time(14),)
-    assert place.times(next_day) == (time(12),)
+    assert place.closing_times(date(2026, 12, 23)) == (time(18),)
+    assert place.closing_times(christmas) == () and place.closing_times(eve) == (time(14),)
+    assert place.closing_times(next_day) == (time(12),)
 
 
 def test_two_zones_may_close_at_one_instant() -> None:
@@ -71,7 +80,7 @@
 def test_near_is_within_the_bound_on_both_sides() -> None:
     line = Timeline(Place("v", "Etc/UTC", daily(time(18))), at("2026-12-01T00:00Z"))
     close = at("2026-12-01T18:00Z")
-    told = [line.near(close + by, 0.25) for by in (-0.26, -0.25, 0.0, 0.25, 0.26)]
+    told = [line.is_near_closing(close + by, 0.25) for by in (-0.26, -0.25, 0.0, 0.25, 0.26)]
     assert told == [False, True, True, True, False]
 
 
@@ -80,13 +89,16 @@
     old, new = (Calendar(n, begin + n * 86_400, {"v": place}, {}) for n in (1, 2))
     t = begin + 5 * 86_400
     assert old.generation("v", t + 86_400) == old.generation("v", t) + 1
-    assert new.generation("v", t) > old.generation("v", t + 300 * 86_400) and GENERATIONS > MOST_DAYS * 8
+    assert (
+        new.generation("v", t) > old.generation("v", t + 300 * 86_400)
+        and GENERATIONS_PER_VERSION > MAX_TIMELINE_DAYS * 8
+    )
 
 
 def test_an_instant_beyond_all_days_has_no_ordinal() -> None:
     line = Timeline(Place("v", "Etc/UTC", NEVER), 0.0)
     with pytest.raises(ValueError, match="beyond"):
-        line.ordinal((MOST_DAYS + 10) * 86_400.0)
+        line.ordinal((MAX_TIMELINE_DAYS + 10) * 86_400.0)
 
 
 def test_zones_are_the_packages_own() -> None:
@@ -102,8 +114,8 @@
         "zone.tab",
     ):
         with pytest.raises(ValueError, match="no time zone"):
-            zone_of(bad)
-    assert zone_of("Asia/Kolkata").key == "Asia/Kolkata"
+            load_zone(bad)
+    assert load_zone("Asia/Kolkata").key == "Asia/Kolkata"
 
 
 ZONES = ("Asia/Kolkata", "America/New_York", "Australia/Lord_Howe", "Europe/Lisbon", "Africa/Casablanca")
@@ -123,12 +135,12 @@
 
 
 def brute(place: Place, begin: int, end: int) -> list[int]:
-    """The instants at which local time reaches a closing's the first time, or would have, looked for one by one."""
+    """Finds the closings by trying every UTC offset in use around each local closing time; the first match counts."""
     zone = ZoneInfo(place.zone)
     found = set[int]()
     day = datetime.fromtimestamp(begin, UTC).date() - timedelta(days=3)
     while day <= datetime.fromtimestamp(end, UTC).date() + timedelta(days=3):
-        for wanted in place.times(day):
+        for wanted in place.closing_times(day):
             local = datetime.combine(day, wanted)
             guess = int(local.replace(tzinfo=UTC).timestamp())
             hits = [
@@ -136,7 +148,7 @@
                 for offset in sorted({_offset(zone, guess + h * 3600) for h in range(-30, 31)}, reverse=True)
                 if datetime.fromtimestamp(instant := guess - offset, zone).replace(tzinfo=None) == local
             ]
-            # Skipped: by the offset that held before.
+            # A skipped local time: read with the offset from before the change.
             found.add(min(hits) if hits else guess - _offset(zone, guess - 30 * 3600))
         day += timedelta(days=1)
     return sorted(each for each in found if begin < each <= end)
@@ -154,7 +166,7 @@
     begin, end = int(at("2026-03-27T00:00Z")), int(at("2026-04-08T00:00Z"))
     line = Timeline(place, begin)
     wanted = brute(place, begin, end)
-    assert [instant for _, instant in line.between(begin, end)] == wanted
+    assert [instant for _, instant in line.closings_between(begin, end)] == wanted
     first, last = line.ordinal(begin), -1
     for count, instant in enumerate(wanted, 1):
         assert line.ordinal(instant) == first + count > last
--- a/tests/explore/mutants.py
+++ b/tests/explore/mutants.py
@@ -21,9 +21,9 @@
 from cypresspulley.net.requests import RequestReader
 from cypresspulley.net.upstream import Upstream
 from cypresspulley.policy.account import Account
-from cypresspulley.policy.classes import Classes
-from cypresspulley.policy.fleet import Fleet
+from cypresspulley.policy.classes import ClassRegistry
 from cypresspulley.policy.gateway import Gateway
+from cypresspulley.policy.load_balancer import LoadBalancer
 from cypresspulley.rehearsal.scenario import Scenario, load_scenario, parse_scenario
 from tests.rehearsal.small import small
 
@@ -45,22 +45,22 @@
 
 MUTANTS = (
     Mutant(
-        "a retry after a reset of an unsafe class", Gateway, "_again",
-        "if r.ran is not None and r.cls.effect is not Effect.SAFE:", "if False:",
+        "a retry after a reset of an unsafe class", Gateway, "_retry",
+        "if request.first_run is not None and request.cls.effect is not Effect.SAFE:", "if False:",
         "killed-mid-handover", ("no effect twice",),
         shown_by=3,
     ),
     Mutant(
-        "a refusal where it may have run", Gateway, "_end",
-        "if r.ran is None or effect is Effect.SAFE", "if True or effect is Effect.SAFE",
+        "a refusal where it may have run", Gateway, "_refuse_or_fail",
+        "request.first_run is None", "True",
         "killed-mid-handover", ("no effect twice",),
         shown_by=3,
     ),
     Mutant(
         "a drain heeded late",
         Node,
-        "listed",
-        "self._events.append(replace(listing.servers, previous=self._word_at))",
+        "apply_listing",
+        "self._events.append(replace(listing.servers, previous=self._discovery_contact_at))",
         "if any(entry.health is api.Health.DRAINING for entry in listing.servers.entries):\n"
         "        return  # until the next news\n"
         "    self._events.append(listing.servers)",
@@ -80,48 +80,49 @@
         "calm-morning", ("no request lost", "no effect twice", "leak", "log"),
     ),
     Mutant(
-        "a timer not cancelled", Node, "_close",
+        "a timer not cancelled", Node, "_remove_request",
         "opened.timer.cancel()", "pass",
         "calm-morning", ("leak",),
     ),
     Mutant(
         "a ceiling drawn twice", Account, "refill",
-        "min(self.keep * plan.ceiling_burst, whole) / self.share", "min(self.keep * plan.ceiling_burst, whole)",
+        "min(self.local_ceiling_part * plan.ceiling_burst, whole) / self.gateways",
+        "min(self.local_ceiling_part * plan.ceiling_burst, whole)",
         "small", ("ceilings kept",),
     ),
     Mutant(
-        "a pool that hands out a half-read connection", Upstream, "give_up",
+        "a pool that hands out a half-read connection", Upstream, "abort_exchange",
         "connection.abort()", "self.release(connection, True)",
         "slow", ("no request lost", "no effect twice", "log"),
     ),
     Mutant(
-        "a budget that forgets a restart", Fleet, "_cold_room",
-        "return s.budget > s.phase * r.work", "return True",
+        "a budget that forgets a restart", LoadBalancer, "_has_cold_budget",
+        "return server.cold_budget > server.budget_phase * request.work", "return True",
         "cold", ("no cold server pushed over",),
         inside=100.0,
         shown_by=2,
     ),
     Mutant(
-        "a ban lost", Fleet, "_usable",
+        "a ban lost", LoadBalancer, "_is_usable",
         "server.up and server.entry.name not in self.bans", "server.up",
         "by hand", ("drains kept",),
     ),
     Mutant(
-        "a server called back not cold", Fleet, "suspended",
-        "self._begin_slow_start(now, s, now)", "s.cold_at = None",
+        "a server called back not cold", LoadBalancer, "set_ban",
+        "self._begin_slow_start(now, server, now)", "server.cold_since = None",
         "cold by hand", ("no cold server pushed over",),
         inside=100.0,
         shown_by=1,
     ),
     Mutant(
-        "every server taken for a long-running one", discovery, "listing_from",
+        "every server taken for a long-running one", discovery, "parse_listing",
         'float(row.get("born_ms") or 0) / 1000', "0.0",
         "cold", ("no cold server pushed over",),
         inside=100.0,
         shown_by=2,
     ),
     Mutant(
-        "every class taken for safe to repeat", Classes, "record",
+        "every class taken for safe to repeat", ClassRegistry, "find",
         "record is not None and (effect is None or record.effect is effect):\n        return record",
         "record is not None and (effect is None or record.effect is effect):\n"
         '        return __import__("dataclasses").replace(record, effect=Effect.SAFE)',
--- a/tests/plans/test_store.py
+++ b/tests/plans/test_store.py
@@ -1,4 +1,4 @@
-"""The store against a disk that loses what was not synced, at each single operation; and one that is full."""
+"""The store on a disk that crashes at any operation and loses data that was not synced, and on a full disk."""
 
 from __future__ import annotations
 
@@ -12,24 +12,32 @@
 
 from cypresspulley.plans.book import BookError, Terms
 from cypresspulley.plans.files import DiskFolder
-from cypresspulley.plans.office import Office
-from cypresspulley.plans.reservations import At, Wish
-from cypresspulley.plans.store import HEAD, Record, Store, StoreError, check, framed, read
+from cypresspulley.plans.plan_writer import PlanWriter
+from cypresspulley.plans.reservations import ReservationRequest, ReservationState
+from cypresspulley.plans.store import (
+    FILE_HEADER,
+    Record,
+    Store,
+    StoreError,
+    check_generations,
+    encode_frame,
+    read_log,
+)
 from tests.plans.disk import CrashError, Disk
 
 
-def plain(store: Store) -> list[Record]:
+def committed_records(store: Store) -> list[Record]:
     return [r for r in store.records if r.get("kind") != "whole"]
 
 
 def test_commits_survive_and_what_was_not_committed_is_gone() -> None:
     disk = Disk()
     store = Store(disk)
-    store.put({"n": 1})
-    store.put({"n": 2})
+    store.add({"n": 1})
+    store.add({"n": 2})
     store.commit()
-    store.put({"n": 3})
-    assert plain(Store(disk)) == [{"n": 1}, {"n": 2}]
+    store.add({"n": 3})
+    assert committed_records(Store(disk)) == [{"n": 1}, {"n": 2}]
 
 
 @settings(deadline=None, max_examples=300)
@@ -37,22 +45,22 @@
 def test_at_whatever_operation_it_dies_what_was_acknowledged_is_there(
     left: int, seed: int, groups: list[int], compact_after: int
 ) -> None:
-    """Groups are whole or absent, in order, none that was acknowledged is missing, and at most one more is there."""
+    """Commits are complete or absent and in order; no acknowledged one is missing, and at most one more is present."""
     rng, disk, acknowledged, sent = Random(seed), Disk(), list[Record](), list[list[Record]]()
-    lives = 0
-    while lives < 3:
-        disk.left = left + lives
+    starts = 0
+    while starts < 3:
+        disk.operations_left = left + starts
         try:
             store = Store(disk)
-            state = plain(store)
+            state = committed_records(store)
             assert state[: len(acknowledged)] == acknowledged
             extra = state[len(acknowledged) :]
             assert not extra or extra == sent[-1]
             acknowledged = state
             for number, size in enumerate(groups):
-                sent.append([{"n": len(acknowledged) + k, "life": lives} for k in range(size)])
+                sent.append([{"n": len(acknowledged) + k, "life": starts} for k in range(size)])
                 for record in sent[-1]:
-                    store.put(record)
+                    store.add(record)
                 store.commit()
                 acknowledged = acknowledged + sent[-1]
                 if number == compact_after:
@@ -60,38 +68,38 @@
         except CrashError:
             pass
         disk = disk.after_crash(rng)
-        lives += 1
-    assert plain(Store(disk))[: len(acknowledged)] == acknowledged
+        starts += 1
+    assert committed_records(Store(disk))[: len(acknowledged)] == acknowledged
 
 
 def test_a_full_disk_takes_nothing_and_loses_nothing() -> None:
     disk = Disk()
     store = Store(disk)
-    store.put({"n": 1})
+    store.add({"n": 1})
     store.commit()
-    disk.room = 10
-    store.put({"n": 2, "text": "x" * 50})
+    disk.free_bytes = 10
+    store.add({"n": 2, "text": "x" * 50})
     with pytest.raises(OSError, match="no space"):
         store.commit()
     with pytest.raises(OSError, match="takes nothing more"):
         store.commit()
-    assert plain(Store(disk)) == [{"n": 1}]
+    assert committed_records(Store(disk)) == [{"n": 1}]
 
 
 def test_damage_in_the_middle_is_told_and_nothing_is_cut() -> None:
     disk = Disk()
     store = Store(disk)
     for n in range(4):
-        store.put({"n": n})
+        store.add({"n": n})
         store.commit()
     (name,) = disk.names()
     data = bytearray(disk.read(name))
     at = bytes(data).index(b'{"n":1}')
     data[at + 5] ^= 1
-    disk._live[name].whole = data
+    disk._files[name].content = data
     with pytest.raises(StoreError, match=rf"{name}: damaged at byte \d+, with 2 good records"):
         Store(disk)
-    (found,) = check(disk)
+    (found,) = check_generations(disk)
     assert found.damaged_at is not None and found.saved == 2 and not found.good and "DAMAGED" in str(found)
     assert disk.read(name) == bytes(data)
 
@@ -101,17 +109,17 @@
     Store(disk)
     (name,) = disk.names()
     whole = len(disk.read(name))
-    disk._live[name].whole += framed([{"n": 1}])[:-1]
-    (found,) = check(disk)
-    assert found.torn == len(framed([{"n": 1}])) - 1 and found.good
+    disk._files[name].content += encode_frame([{"n": 1}])[:-1]
+    (found,) = check_generations(disk)
+    assert found.torn == len(encode_frame([{"n": 1}])) - 1 and found.good
     Store(disk)
     assert len(disk.read(name)) == whole
 
 
 @given(st.binary(max_size=200))
 def test_whatever_bytes_are_read_without_an_error(data: bytes) -> None:
-    seen = read(HEAD + data)
-    assert (seen.end <= seen.size and read(data).records == ()) or data.startswith(HEAD)
+    seen = read_log(FILE_HEADER + data)
+    assert (seen.end <= seen.size and read_log(data).records == ()) or data.startswith(FILE_HEADER)
 
 
 def test_one_writer_at_a_time(tmp_path: Path) -> None:
@@ -119,72 +127,72 @@
     with pytest.raises(OSError, match="one writer at a time"):
         DiskFolder(str(tmp_path))
     store = Store(folder)
-    store.put({"n": 1})
+    store.add({"n": 1})
     store.commit()
     store.compact([{"n": 1}])
     store.close()
     folder.close()
-    assert plain(Store(DiskFolder(str(tmp_path)))) == [{"n": 1}]
+    assert committed_records(Store(DiskFolder(str(tmp_path)))) == [{"n": 1}]
 
 
 TERMS = (Terms(1, 4, 2, 8), Terms(3, 12, 5, 24))
 
 
 class Model:
-    """What a start may show: what was acknowledged, or that and the one thing that was under way."""
+    """The states that a start may show: everything acknowledged, with or without the operation in progress."""
 
     def __init__(self) -> None:
-        self.books, self.epoch = {Office(Store(Disk()), "vadodara").book.digest()}, 0
-        self.reserved = dict[str, set[At | None]]()
+        self.books, self.epoch = {PlanWriter(Store(Disk()), "vadodara").book.digest()}, 0
+        self.reserved = dict[str, set[ReservationState | None]]()
 
-    def check(self, office: Office) -> None:
-        assert office.epoch > self.epoch and office.book.digest() in self.books
+    def check(self, plan_writer: PlanWriter) -> None:
+        assert plan_writer.epoch > self.epoch and plan_writer.book.digest() in self.books
         for key, states in self.reserved.items():
-            found = office.reservations.all.get(key)
-            assert (found.at if found is not None else None) in states
-        self.acknowledge(office)
+            found = plan_writer.reservations.by_key.get(key)
+            assert (found.state if found is not None else None) in states
+        self.acknowledge(plan_writer)
 
-    def acknowledge(self, office: Office) -> None:
-        self.epoch, self.books = office.epoch, {office.book.digest()}
-        self.reserved = {key: {one.at} for key, one in office.reservations.all.items()}
+    def acknowledge(self, plan_writer: PlanWriter) -> None:
+        self.epoch, self.books = plan_writer.epoch, {plan_writer.book.digest()}
+        self.reserved = {key: {one.state} for key, one in plan_writer.reservations.by_key.items()}
 
 
-def outcome_of(office: Office, disk: Disk, do: Callable[[Office], object]) -> str:
-    """The book's digest after something that an office does, tried on a twin."""
-    twin_disk = Disk()
+def digest_after(plan_writer: PlanWriter, disk: Disk, operation: Callable[[PlanWriter], object]) -> str:
+    """Returns the book's digest after an operation, which is applied to a copy."""
+    copied_disk = Disk()
     for name in disk.names():
-        twin_disk.append(name).write(disk.read(name))
-    twin = Office(Store(twin_disk), new_epoch=False)
-    twin.epoch = office.epoch
-    do(twin)
-    return twin.book.digest()
-
-
-def act(office: Office, disk: Disk, model: Model, step: int, number: int, now: int) -> None:
-    """One thing that an operator wants; the model hears first what may come of it."""
-    do: Callable[[Office], object] | None = None
-    if step == 0 or "p" not in office.book.plans:
-        do = lambda o: o.version("p", TERMS[number % 2], now, now, "m")  # noqa: E731
+        copied_disk.append(name).write(disk.read(name))
+    copied_writer = PlanWriter(Store(copied_disk), new_epoch=False)
+    copied_writer.epoch = plan_writer.epoch
+    operation(copied_writer)
+    return copied_writer.book.digest()
+
+
+def apply_step(plan_writer: PlanWriter, disk: Disk, model: Model, step: int, number: int, now: int) -> None:
+    """Applies one operation of an operator, after adding its possible results to the model."""
+    operation: Callable[[PlanWriter], object] | None = None
+    if step == 0 or "p" not in plan_writer.book.plans:
+        operation = lambda w: w.set_terms("p", TERMS[number % 2], now, now, "m")  # noqa: E731
     elif step == 1:
-        do = lambda o: o.assign("hotel", "p", now, now, "m")  # noqa: E731
-    elif step == 2 and office.book.assignment("hotel", now) is not None:
-        wish = Wish(f"ev{now}", "hotel", now + 50, now + 60, 1)
-        model.reserved[wish.key] = {None, At.HELD, At.REFUSED}
-        do = lambda o: o.reserve(wish, now, 1e6 if number % 2 else 1e-9)  # noqa: E731
+        operation = lambda w: w.assign_plan("hotel", "p", now, now, "m")  # noqa: E731
+    elif step == 2 and plan_writer.book.assignment_at("hotel", now) is not None:
+        wish = ReservationRequest(f"ev{now}", "hotel", now + 50, now + 60, 1)
+        model.reserved[wish.key] = {None, ReservationState.HELD, ReservationState.REFUSED}
+        operation = lambda w: w.reserve(wish, now, 1e6 if number % 2 else 1e-9)  # noqa: E731
     elif model.reserved and step == 3:
         key = max(model.reserved)
-        model.reserved[key].add(At.RELEASED)
-        do = lambda o: o.release(key, now)  # noqa: E731
+        model.reserved[key].add(ReservationState.RELEASED)
+        operation = lambda w: w.release(key, now)  # noqa: E731
     elif step == 4:
-        office.compact()
-    if do is not None:
+        plan_writer.compact()
+    if operation is not None:
         try:
-            model.books.add(outcome_of(office, disk, do))
+            model.books.add(digest_after(plan_writer, disk, operation))
         except BookError:
-            model.acknowledge(office)
-            return  # the twin refused it, and so would the office
-        do(office)
-    model.acknowledge(office)
+            model.acknowledge(plan_writer)
+            return  # refused by the copy, and so by the writer
+        operation(plan_writer)
+    model.acknowledge(plan_writer)
 
 
 @settings(deadline=None, max_examples=300)
@@ -192,16 +200,16 @@
 def test_an_office_that_dies_at_any_write_is_as_it_was_acknowledged(
     left: int, seed: int, steps: list[int]
 ) -> None:
-    """No change lost, none half there, no reservation made or given back twice, and epochs only grow."""
+    """No change is lost or partial, no reservation is made or given back twice, and epochs only grow."""
     rng, disk, model, now = Random(seed), Disk(), Model(), 1000
-    for life in range(4):
-        disk.left = None if life == 3 else left + life
+    for start in range(4):
+        disk.operations_left = None if start == 3 else left + start
         try:
-            office = Office(Store(disk), "vadodara")
-            model.check(office)
+            plan_writer = PlanWriter(Store(disk), "vadodara")
+            model.check(plan_writer)
             for number, step in enumerate(steps):
                 now += 10
-                act(office, disk, model, step, number, now)
+                apply_step(plan_writer, disk, model, step, number, now)
         except CrashError:
             pass
         disk = disk.after_crash(rng)
@@ -209,38 +217,40 @@
 
 def test_a_store_of_another_installation_is_refused() -> None:
     disk = Disk()
-    Office(Store(disk), "vadodara")
+    PlanWriter(Store(disk), "vadodara")
     with pytest.raises(StoreError, match="of 'vadodara'; expected 'semien'"):
-        Office(Store(disk), "semien")
+        PlanWriter(Store(disk), "semien")
     with pytest.raises(StoreError, match="installation"):
-        Office(Store(Disk()))
+        PlanWriter(Store(Disk()))
 
 
 def test_what_is_refused_changes_nothing() -> None:
     disk = Disk()
-    office = Office(Store(disk), "vadodara")
-    office.version("p", TERMS[0], 1000, 1000, "m")
-    before, digest = disk.read(disk.names()[0]), office.book.digest()
+    plan_writer = PlanWriter(Store(disk), "vadodara")
+    plan_writer.set_terms("p", TERMS[0], 1000, 1000, "m")
+    before, digest = disk.read(disk.names()[0]), plan_writer.book.digest()
     for bad in (Terms(float("inf"), 1), Terms(1, 1, 0.5, 1)):
         with pytest.raises(BookError):
-            office.version("p", bad, 2000, 1000, "m")
+            plan_writer.set_terms("p", bad, 2000, 1000, "m")
     with pytest.raises(BookError, match="has no plan"):
-        office.reserve(Wish("k", "inn", 2000, 3000, 1), 1000, 1e6)
-    assert disk.read(disk.names()[0]) == before and office.book.digest() == digest
+        plan_writer.reserve(ReservationRequest("k", "inn", 2000, 3000, 1), 1000, 1e6)
+    assert disk.read(disk.names()[0]) == before and plan_writer.book.digest() == digest
 
 
 def test_a_full_disk_refuses_a_reservation_and_a_release_whole() -> None:
     disk = Disk()
-    office = Office(Store(disk), "vadodara")
-    office.version("p", TERMS[0], 1000, 1000, "m")
-    office.assign("hotel", "p", 1000, 1000, "m")
-    office.reserve(Wish("a", "hotel", 2000, 3000, 1), 1000, 1e6)
-    disk.room = 3
+    plan_writer = PlanWriter(Store(disk), "vadodara")
+    plan_writer.set_terms("p", TERMS[0], 1000, 1000, "m")
+    plan_writer.assign_plan("hotel", "p", 1000, 1000, "m")
+    plan_writer.reserve(ReservationRequest("a", "hotel", 2000, 3000, 1), 1000, 1e6)
+    disk.free_bytes = 3
     with pytest.raises(OSError):
-        office.release("a", 1000)
-    assert office.reservations.all["a"].at is At.HELD
+        plan_writer.release("a", 1000)
+    assert plan_writer.reservations.by_key["a"].state is ReservationState.HELD
     with pytest.raises(OSError):
-        office.reserve(Wish("b", "hotel", 4000, 5000, 1), 1000, 1e6)
-    assert "b" not in office.reservations.all
-    found = Office(Store(disk.after_crash(Random(1))), "vadodara")
-    assert found.reservations.all["a"].at is At.HELD and "b" not in found.reservations.all
+        plan_writer.reserve(ReservationRequest("b", "hotel", 4000, 5000, 1), 1000, 1e6)
+    assert "b" not in plan_writer.reservations.by_key
+    found = PlanWriter(Store(disk.after_crash(Random(1))), "vadodara")
+    assert (
+        found.reservations.by_key["a"].state is ReservationState.HELD and "b" not in found.reservations.by_key
+    )
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -9,9 +9,9 @@
 
 from cypresspulley import interface as api
 from cypresspulley.net.arrival import ArrivalClock
-from cypresspulley.net.listener import SocketListener, Step
+from cypresspulley.net.listener import AcceptResult, SocketListener
 from cypresspulley.net.upstream import Exchange, Upstream
-from cypresspulley.policy.fleet import Fleet
+from cypresspulley.policy.load_balancer import LoadBalancer
 
 
 @contextmanager
@@ -19,13 +19,13 @@
     """As the event loop's own servers: what waits is accepted and closed when accept fails."""
     accept = SocketListener._accept
 
-    def dropping(listener: SocketListener) -> Step:
+    def dropping(listener: SocketListener) -> AcceptResult:
         step = accept(listener)
-        while step is Step.BLOCKED:
+        while step is AcceptResult.BLOCKED:
             try:
                 listener.sock.accept()[0].close()
             except BlockingIOError:
-                return Step.EMPTY
+                return AcceptResult.EMPTY
             except OSError:
                 continue
         return step
@@ -51,25 +51,25 @@
 def birth_believed() -> Iterator[None]:
     """A server is as old as the wall clock says, and one that is told as older than before has not restarted."""
 
-    def believed(_fleet: Fleet, now: float, entry: api.ServerEntry, *_: Any) -> float | None:
+    def believed(_fleet: LoadBalancer, now: float, entry: api.ServerEntry, *_: Any) -> float | None:
         return now - entry.born + 100.0 if entry.born else None
 
-    with patch.object(Fleet, "_age_of_start", believed):
+    with patch.object(LoadBalancer, "_start_age", believed):
         yield
 
 
 @contextmanager
 def drained_server_used() -> Iterator[None]:
     """What the list says of a server's health is passed over."""
-    update = Upstream.update
+    update = Upstream.update_server
 
     def up(upstream: Upstream, name: str, dial: str, _up: bool, born: float = 0.0) -> None:
         update(upstream, name, dial, True, born)
 
-    def usable(_fleet: Fleet, server: Any) -> bool:
+    def usable(_fleet: LoadBalancer, server: Any) -> bool:
         return not server.gone
 
-    with patch.object(Upstream, "update", up), patch.object(Fleet, "_usable", usable):
+    with patch.object(Upstream, "update_server", up), patch.object(LoadBalancer, "_is_usable", usable):
         yield
 
 
--- a/tests/takeover/test_handover.py
+++ b/tests/takeover/test_handover.py
@@ -1,4 +1,4 @@
-"""Two processes' worth of limiter, joined by a folder, over loopback sockets."""
+"""Takeovers between two limiter instances in one process that share a directory, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 from cypresspulley.net.frontend import Frontend
 from cypresspulley.net.listener import SocketListener
 from cypresspulley.net.node import Node, UnixClock
-from cypresspulley.net.upstream import REST, Upstream
+from cypresspulley.net.upstream import REUSE_DELAY_SECONDS, Upstream
 from cypresspulley.policy.gateway import Gateway
 from cypresspulley.service import Service
 from cypresspulley.takeover import handover
 from cypresspulley.takeover.channel import Channel, Folder
-from cypresspulley.takeover.states import WAITS, At, Side
+from cypresspulley.takeover.states import STATE_TIMEOUT_SECONDS, TakeoverMachine, TakeoverState
 from tests.loopback import OK, SETTINGS, Origin, ask, listening, listing, read_message, run
 
 HEALTH = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
 class Process:
-    """One process of a limiter, as ``__main__.serve`` joins it."""
+    """One process of a limiter, set up like ``__main__.serve`` does."""
 
     def __init__(self, folder: Path, dial: str) -> None:
         self.clock, self.dial = UnixClock(), dial
@@ -49,16 +49,16 @@
             offer = None
         self.inherited = offer is not None
         if offer is None:
-            self.node.listed(listing({"s1": self.dial, "s2": self.dial}))
+            self.node.apply_listing(listing({"s1": self.dial, "s2": self.dial}))
         listener = offer.listener if offer is not None else None
         self.address = await self.frontend.listen_shared("127.0.0.1", port, listener)
         self.service.serve(self.node, self.frontend, self.gateway, self.upstream, self.clock, self.inherited)
         return self
 
     @property
-    def side(self) -> Side:
+    def machine(self) -> TakeoverMachine:
         assert self.service._predecessor is not None
-        return self.service._predecessor.side
+        return self.service._predecessor.machine
 
     async def end(self) -> None:
         self.service.leave()
@@ -67,7 +67,7 @@
         self.service.close()
 
     def die(self) -> None:
-        """As a kill leaves it: every descriptor is closed, nobody is told."""
+        """Close every descriptor without notice, as a SIGKILL does."""
         if self.frontend._listener is not None:
             self.frontend._listener.close()
         for client in list(self.frontend._clients):
@@ -77,15 +77,15 @@
 
 
 def accepting(process: Process) -> bool:
-    """Whether a process takes new connections."""
+    """Return whether a process accepts new connections."""
     listener = process.frontend._listener
     assert isinstance(listener, SocketListener)
     return not listener.paused
 
 
 @asynccontextmanager
-async def upgraded(folder: Path, origin: Origin) -> AsyncIterator[tuple[Process, Process]]:
-    """A process that serves and its successor, right after the takeover."""
+async def upgrade(folder: Path, origin: Origin) -> AsyncIterator[tuple[Process, Process]]:
+    """Yield a serving process and its successor, right after the takeover."""
     async with listening(origin.talk) as dial:
         old = await Process(folder, dial).start()
         new = await Process(folder, dial).start()
@@ -113,13 +113,13 @@
                 assert " 200 " in (await read_message(reader))[0]
             new = await Process(tmp_path, dial).start()
             await until(lambda: old.service.life.handed_over)
-            for reader, writer in kept:  # each connection answers, whichever process holds it
+            for reader, writer in kept:  # each connection is served, whichever process holds it
                 writer.write(ask())
                 status, headers, _ = await read_message(reader)
                 assert " 200 " in status and "connection" not in headers
             await until(lambda: not old.frontend._clients)
             assert len(new.frontend._clients) == 8
-            await old.end()  # and survive the old one's end
+            await old.end()  # the connections outlast the old process
             await until(lambda: new.service.life.state is LifecycleState.READY)
             for reader, writer in kept:
                 writer.write(ask())
@@ -137,14 +137,14 @@
             old = await Process(tmp_path, dial).start()
             row = api.ServerEntry("s1", api.Health.UP, "a", born=100.0)
             news = Listing(2, api.ServerList((row,), True), {"s1": dial})
-            old.node.listed(news)
+            old.node.apply_listing(news)
             new = await Process(tmp_path, dial).start()
             reader, writer = await asyncio.open_connection(*new.address)
-            for expected in (1, 1):  # the first list after the takeover says what is known
+            for expected in (1, 1):  # the first list after the takeover repeats known births
                 writer.write(ask())
                 assert " 200 " in (await read_message(reader))[0]
-                await asyncio.sleep(2 * REST)  # a connection rests before its next request
-                new.node.listed(news)
+                await asyncio.sleep(2 * REUSE_DELAY_SECONDS)  # a connection is not reused for this time
+                new.node.apply_listing(news)
                 assert origin.connections == expected
             writer.close()
             await old.end()
@@ -158,7 +158,7 @@
         origin = Origin()
         async with listening(origin.talk) as dial:
             old = await Process(tmp_path, dial).start()
-            old.frontend.pause()  # as between the offer and the successor's word
+            old.frontend.pause()  # as between the offer and the successor's "serving"
             waiting = [socket.create_connection(old.address) for _ in range(12)]
             for sock in waiting:
                 sock.sendall(ask())
@@ -176,20 +176,20 @@
 
 @pytest.mark.parametrize("step", [-3600.0, -5.0, 5.0, 3600.0])
 def test_a_wall_clock_that_stepped_between_two_starts_moves_no_instant(step: float, tmp_path: Path) -> None:
-    """A server's slow start, what accounts may still use: all are spans, and the new process goes on with them."""
+    """Guards against a stepped wall clock that shifts slow starts, births or quotas in the new process."""
 
     async def main() -> None:
         async with listening(Origin().talk) as dial:
             old = await Process(tmp_path, dial).start()
-            old.gateway.fleet.servers["s1"].cold_at = begun = old.clock() - 2.0
+            old.gateway.load_balancer.servers["s1"].cold_since = begun = old.clock() - 2.0
             new = Process(tmp_path, dial)
             new.clock.offset += step
             await new.start()
             assert new.inherited
-            assert new.gateway.fleet.servers["s1"].cold_at == begun
+            assert new.gateway.load_balancer.servers["s1"].cold_since == begun
             assert abs(new.clock() - old.clock()) < 1.0
-            assert new.gateway.fleet.known == old.gateway.fleet.known
-            assert new.gateway.quotas._born == old.gateway.quotas._born <= new.clock()
+            assert new.gateway.load_balancer.births == old.gateway.load_balancer.births
+            assert new.gateway.quotas._started_at == old.gateway.quotas._started_at <= new.clock()
             await old.end()
             await new.end()
 
@@ -217,16 +217,16 @@
             await taken.wait()
             new = await Process(tmp_path, dial).start()
             await until(lambda: old.service.life.handed_over)
-            ghost = [a.open for a in new.gateway.quotas.accounts.values()]
-            await until(lambda: sum(a.open for a in new.gateway.quotas.accounts.values()) == 1)
-            assert sum(ghost) <= 1
+            predecessor_attempts = [a.open_attempts for a in new.gateway.quotas.accounts.values()]
+            await until(lambda: sum(a.open_attempts for a in new.gateway.quotas.accounts.values()) == 1)
+            assert sum(predecessor_attempts) <= 1
             leaving = asyncio.create_task(old.end())
             await asyncio.sleep(0)
             release.set()
             assert " 200 " in (await read_message(reader))[0]
             await until(lambda: len(new.frontend._clients) == 1)
             await leaving
-            await until(lambda: sum(a.open for a in new.gateway.quotas.accounts.values()) == 0)
+            await until(lambda: sum(a.open_attempts for a in new.gateway.quotas.accounts.values()) == 0)
             writer.write(ask())
             assert " 200 " in (await read_message(reader))[0]
             writer.close()
@@ -237,22 +237,22 @@
 
 def test_bans_hold_in_both_processes_either_way_round_and_over_a_second_upgrade(tmp_path: Path) -> None:
     async def main() -> None:
-        async with upgraded(tmp_path, Origin()) as (old, new):
+        async with upgrade(tmp_path, Origin()) as (old, new):
             assert (await old.service.call("suspend", "s1")).status == 200
-            assert new.gateway.fleet.bans == old.gateway.fleet.bans == {"s1"}
+            assert new.gateway.load_balancer.bans == old.gateway.load_balancer.bans == {"s1"}
             assert (await new.service.call("resume", "s1")).status == 200
-            assert new.gateway.fleet.bans == old.gateway.fleet.bans == set()
+            assert new.gateway.load_balancer.bans == old.gateway.load_balancer.bans == set()
             assert (await new.service.call("suspend", "s2")).status == 200
-            assert old.gateway.fleet.bans == {"s2"}
+            assert old.gateway.load_balancer.bans == {"s2"}
             assert (await old.service.call("resume", "s2")).status == 200
             assert (await old.service.call("suspend", "s1")).status == 200
             old.die()
             await until(lambda: new.service.life.state is LifecycleState.READY)
             third = await Process(tmp_path, new.dial).start()
-            assert third.inherited and third.gateway.fleet.bans == {"s1"}
+            assert third.inherited and third.gateway.load_balancer.bans == {"s1"}
             assert not third.upstream._servers["s1"].usable and third.upstream._servers["s2"].usable
             assert (await third.service.call("resume", "s1")).status == 200
-            assert new.gateway.fleet.bans == set()
+            assert new.gateway.load_balancer.bans == set()
             await third.end()
 
     run(main())
@@ -290,13 +290,15 @@
             assert await dying.service.offered() is not None
             await until(
                 lambda: (
-                    old.service._predecessor is not None and old.service._predecessor.side.at is At.OFFERED
+                    old.service._predecessor is not None
+                    and old.service._predecessor.machine.state is TakeoverState.OFFERED
                 )
             )
             dying.service.close()
             await until(
                 lambda: (
-                    old.service._predecessor is not None and old.service._predecessor.side.at is At.WATCHING
+                    old.service._predecessor is not None
+                    and old.service._predecessor.machine.state is TakeoverState.WATCHING
                 )
             )
             await until(lambda: accepting(old))
@@ -305,7 +307,7 @@
             assert " 200 " in (await read_message(reader))[0]
             writer.close()
             assert old.service.life.state is LifecycleState.READY and old.service._split is None
-            new = await Process(tmp_path, dial).start()  # and the next one finds it
+            new = await Process(tmp_path, dial).start()  # the next successor finds it
             assert new.inherited
             await old.end()
             await new.end()
@@ -316,7 +318,7 @@
 def test_a_successor_that_dies_after_its_word_leaves_the_old_process_serving(tmp_path: Path) -> None:
     async def main() -> None:
         origin = Origin()
-        async with upgraded(tmp_path, origin) as (old, new):
+        async with upgrade(tmp_path, origin) as (old, new):
             await until(lambda: old.service.life.handed_over)
             new.die()
             await until(lambda: old.service.life.state is LifecycleState.READY and accepting(old))
@@ -329,11 +331,11 @@
 
 
 def test_a_predecessor_that_stalls_is_not_waited_for(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setitem(WAITS, At.ASKING, 0.05)
+    monkeypatch.setitem(STATE_TIMEOUT_SECONDS, TakeoverState.ASKING, 0.05)
 
     async def main() -> None:
         folder, origin = Folder(str(tmp_path), "test"), Origin()
-        stalled = folder.listen()  # the kernel takes the connection, nobody reads
+        stalled = folder.listen()  # the kernel accepts the connection, but nobody reads
         async with listening(origin.talk) as dial:
             new = await Process(tmp_path, dial).start()
             assert not new.inherited and new.service.life.state is LifecycleState.READY
@@ -355,17 +357,17 @@
             assert (await dead.service.call("suspend", "s1")).status == 200
             dead.die()
             new = await Process(tmp_path, dial).start()
-            assert not new.inherited and new.gateway.fleet.bans == {"s1"}
+            assert not new.inherited and new.gateway.load_balancer.bans == {"s1"}
             await new.end()
 
     run(main())
 
 
 @pytest.mark.parametrize(
-    "said",
+    "message",
     [b"", b"\xff", b"[]", b'{"is":"offer"}', b'{"is":"offer","parts":1,"checksum":"x"}', b'{"is":"part"}'],
 )
-def test_a_predecessor_that_talks_nonsense_is_left(tmp_path: Path, said: bytes) -> None:
+def test_a_predecessor_that_talks_nonsense_is_left(tmp_path: Path, message: bytes) -> None:
     async def main() -> None:
         folder, origin, loop = Folder(str(tmp_path), "test"), Origin(), asyncio.get_running_loop()
         sock = folder.listen()
@@ -373,8 +375,8 @@
         async def talk() -> None:
             peer, _ = await loop.sock_accept(sock)
             peer.setblocking(False)
-            if said:
-                peer.send(said)
+            if message:
+                peer.send(message)
             await asyncio.sleep(0)
             peer.close()
 
@@ -396,8 +398,8 @@
         origin = Origin()
         async with listening(origin.talk) as dial:
             old = await Process(tmp_path, dial).start()
-            monkeypatch.setattr(old.service, "state", lambda: {"decisions": {}, "dials": {}})
-            new = await Process(tmp_path, dial).start(old.address[1])  # beside it, by SO_REUSEPORT
+            monkeypatch.setattr(old.service, "take_snapshot", lambda: {"decisions": {}, "dials": {}})
+            new = await Process(tmp_path, dial).start(old.address[1])  # on the same port, by SO_REUSEPORT
             assert not new.inherited
             await until(lambda: accepting(old))
             assert old.service.life.state is LifecycleState.READY and old.service._split is None
@@ -410,17 +412,19 @@
 def test_who_connects_and_says_nothing_makes_way_for_a_successor(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setitem(WAITS, At.ASKING, 0.1)
+    monkeypatch.setitem(STATE_TIMEOUT_SECONDS, TakeoverState.ASKING, 0.1)
 
     async def main() -> None:
         async with listening(Origin().talk) as dial:
             old = await Process(tmp_path, dial).start()
             silent = Folder(str(tmp_path), "test").connect()
             assert silent is not None
-            await until(lambda: old.service._predecessor is not None and old.service._predecessor.linked)
-            await until(lambda: old.service._predecessor is not None and not old.service._predecessor.linked)
+            await until(lambda: old.service._predecessor is not None and old.service._predecessor.connected)
+            await until(
+                lambda: old.service._predecessor is not None and not old.service._predecessor.connected
+            )
             silent.close()
-            monkeypatch.setitem(WAITS, At.ASKING, 1.5)
+            monkeypatch.setitem(STATE_TIMEOUT_SECONDS, TakeoverState.ASKING, 1.5)
             new = await Process(tmp_path, dial).start()
             assert new.inherited
             await old.end()
@@ -436,13 +440,13 @@
         channel = Channel(ours, lambda *_: None, lambda _c: ended.set())
         theirs.send(b"[" + b" " * 70_000 + b"]")
         await ended.wait()
-        assert not channel.open
+        assert not channel.is_open
         theirs.close()
 
     run(main())
 
 
 def test_parts_of_a_snapshot_fit_in_a_message() -> None:
-    from cypresspulley.takeover.channel import MOST
+    from cypresspulley.takeover.channel import MAX_MESSAGE_BYTES
 
-    assert 2 * handover.PART + 100 < MOST and api.Health.UP.value == "up"
+    assert 2 * handover.MAX_PART_CHARACTERS + 100 < MAX_MESSAGE_BYTES and api.Health.UP.value == "up"
--- a/tests/test_classes.py
+++ b/tests/test_classes.py
@@ -1,4 +1,4 @@
-"""Which class record binds while settings change in service."""
+"""The class records that are in force while settings change at run time."""
 
 from __future__ import annotations
 
@@ -9,69 +9,73 @@
 from cypresspulley import interface as api
 from cypresspulley.explore.examine import left_of
 from cypresspulley.net.requests import BadRequestError, RequestReader
-from cypresspulley.policy.classes import HEARD, OLD, Classes
+from cypresspulley.policy.classes import CLIENT_UPDATE_SECONDS, REPLACED_RECORD_SECONDS, ClassRegistry
 from cypresspulley.settings import SettingsError, check_no_missing_keys, check_positive_figures
-from cypresspulley.takeover.snapshot import KEPT, Split
+from cypresspulley.takeover.snapshot import RETAINED_SHARE, StateSplit
 from tests import world as w
 
 SAFE, KEYED, UNSAFE = api.Effect.SAFE, api.Effect.KEYED, api.Effect.UNSAFE
 BASE = w.settings(plans=(api.Plan("free"),), has_counter=False, max_attempts=3)
-# "read" is safe at first, then unsafe; "entry" is dropped; "scan" is new.
+# The new settings make the class "read" unsafe, drop "entry" and add "scan".
 READ = replace(w.SAFE, effect=UNSAFE, aim=0.5)
 OTHER = replace(BASE, classes=(READ, w.UNSAFE, api.RequestClass("scan", 1.0, 2.0, SAFE)), max_attempts=2)
 
 
 def test_a_requests_form_tells_which_record_its_client_goes_by() -> None:
-    classes = Classes(BASE)
-    classes.change(100.0, OTHER)
-    assert classes.record(100.1, "read", SAFE) is w.SAFE, "its client has not heard"
-    assert classes.record(100.1, "read", UNSAFE) is READ
-    assert classes.record(100.1, "entry", KEYED) is w.KEYED and classes.record(100.1, "entry", UNSAFE) is None
-    assert classes.record(100.1, "scan", SAFE) is OTHER.classes[2]
-    after = 100.0 + OLD
-    assert classes.record(after, "read", SAFE) is None and classes.record(after, "entry", KEYED) is None
-    assert not classes.known(after, "entry") and classes.known(after, "read")
+    classes = ClassRegistry(BASE)
+    classes.apply_settings(100.0, OTHER)
+    assert classes.find(100.1, "read", SAFE) is w.SAFE, "its client has not heard"
+    assert classes.find(100.1, "read", UNSAFE) is READ
+    assert classes.find(100.1, "entry", KEYED) is w.KEYED and classes.find(100.1, "entry", UNSAFE) is None
+    assert classes.find(100.1, "scan", SAFE) is OTHER.classes[2]
+    after = 100.0 + REPLACED_RECORD_SECONDS
+    assert classes.find(after, "read", SAFE) is None and classes.find(after, "entry", KEYED) is None
+    assert not classes.is_known(after, "entry") and classes.is_known(after, "read")
 
 
 def test_attempts_are_the_fewer_of_both_until_clients_have_heard() -> None:
     for before, then in ((3, 2), (2, 3)):
-        classes = Classes(replace(BASE, max_attempts=before))
-        assert classes.attempts(100.0) == before
-        classes.change(100.0, replace(OTHER, max_attempts=then))
-        assert classes.attempts(100.1) == 2 and classes.attempts(100.1 + HEARD) == then
+        classes = ClassRegistry(replace(BASE, max_attempts=before))
+        assert classes.max_attempts(100.0) == before
+        classes.apply_settings(100.0, replace(OTHER, max_attempts=then))
+        assert (
+            classes.max_attempts(100.1) == 2 and classes.max_attempts(100.1 + CLIENT_UPDATE_SECONDS) == then
+        )
 
 
-def lost_and_again(world: w.World, id: int, effect: api.Effect, change: api.Settings | None) -> int:
-    """Attempts of a request whose answers all break, with settings that change while the first is out."""
+def count_broken_attempts(world: w.World, id: int, effect: api.Effect, change: api.Settings | None) -> int:
+    """Return the attempts of a request that all break, with settings that change during the first."""
     world.feed(replace(w.request(id), effect=effect))
     if change is not None:
         world.feed(api.SettingsChanged(change))
-    while (key := next((key for key in world.out if key[0] == id), None)) is not None:
-        world.feed(w.outcome(*key, world.out[key][0], api.Status.BROKEN))
+    while (key := next((key for key in world.open_attempts if key[0] == id), None)) is not None:
+        world.feed(w.outcome(*key, world.open_attempts[key][0], api.Status.BROKEN))
     return len(world.attempts[id])
 
 
-def started() -> w.World:
+def started_world() -> w.World:
     world = w.World(BASE)
     world.feed(w.servers("s0", "s1", "s2"))
     return world
 
 
 def test_an_open_request_keeps_the_record_and_the_attempts_it_was_let_in_under() -> None:
-    assert lost_and_again(started(), 1, SAFE, None) == 3
-    assert lost_and_again(started(), 1, SAFE, OTHER) == 3, "safe and three attempts, as it was let in"
-    world = started()
+    assert count_broken_attempts(started_world(), 1, SAFE, None) == 3
+    assert count_broken_attempts(started_world(), 1, SAFE, OTHER) == 3, (
+        "safe and three attempts, as it was let in"
+    )
+    world = started_world()
     world.feed(api.SettingsChanged(OTHER))
-    assert lost_and_again(world, 1, UNSAFE, BASE) == 1, "unsafe, though safe again meanwhile"
-    assert lost_and_again(world, 2, SAFE, None) == 2, "the fewer of both"
+    assert count_broken_attempts(world, 1, UNSAFE, BASE) == 1, "unsafe, though safe again meanwhile"
+    assert count_broken_attempts(world, 2, SAFE, None) == 2, "the fewer of both"
 
 
 def test_a_request_of_a_class_that_is_dropped_while_it_waits_is_tried_again() -> None:
-    world = started()
+    world = started_world()
     world.feed(replace(w.request(1), effect=SAFE))
     world.feed(api.SettingsChanged(replace(OTHER, classes=OTHER.classes[1:])))
-    (key,) = world.out
-    world.feed(w.outcome(*key, world.out[key][0], api.Status.BROKEN))
+    (key,) = world.open_attempts
+    world.feed(w.outcome(*key, world.open_attempts[key][0], api.Status.BROKEN))
     assert len(world.attempts[1]) == 2
 
 
@@ -82,9 +86,9 @@
     for id in range(3):
         world.feed(w.request(id, plan="capped"))
     account = world.gateway.quotas.accounts["capped", "x"]
-    before = account.level, account.open, left_of(world.gateway)["work"]
+    before = account.level, account.open_attempts, left_of(world.gateway)["work"]
     world.feed(api.SettingsChanged(replace(OTHER, plans=(replace(plan, rate=5.0),))))
-    assert (account.level, account.open, left_of(world.gateway)["work"]) == before
+    assert (account.level, account.open_attempts, left_of(world.gateway)["work"]) == before
     assert account.plan.rate == 5.0
 
 
@@ -92,13 +96,13 @@
     plan = api.Plan("capped", rate=2.0, burst=8.0, ceiling_rate=4.0, ceiling_burst=12.0)
     world = w.World(replace(BASE, plans=(plan,)))
     world.feed(w.request(1, plan="capped"))
-    split = Split(world.gateway)
+    split = StateSplit(world.gateway)
     changed = replace(plan, ceiling_rate=6.0)
     world.feed(api.SettingsChanged(replace(OTHER, plans=(changed,))))
-    split.replan()
+    split.scale_plans()
     account = world.gateway.quotas.accounts["capped", "x"]
     account.refill(world.now + 100.0)
-    assert account.ceiling <= KEPT * 12.0
+    assert account.ceiling_level <= RETAINED_SHARE * 12.0
     split.undo(whole=True, now=world.now + 100.0)
     assert account.plan == changed and world.gateway.quotas._plans == {"capped": changed}
 
@@ -114,7 +118,7 @@
     reader.retune(OTHER)
     assert reader.read(b"GET", target, fields).effect is SAFE
     assert reader.read(b"POST", target, fields).effect is UNSAFE
-    now = OLD
+    now = REPLACED_RECORD_SECONDS
     with pytest.raises(BadRequestError) as caught:
         reader.read(b"GET", target, fields)
     assert caught.value.status == 405
