--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Quotas shared by messages: what gateways tell each other, what is lost, and datagrams nobody should send."""
+"""Quotas shared by messages between gateways, with lost messages, and datagrams from unknown senders."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from cypresspulley.messages import DIGITS, UNITS_PER_STEP
 from cypresspulley.net.peers import MAX_MESSAGE, Peers
 from cypresspulley.policy.account import Account
-from cypresspulley.policy.usage import HEARD_AT_MOST, UsageBroadcast
+from cypresspulley.policy.usage import MAX_UNKNOWN_ACCOUNTS, UsageBroadcast
 from tests import world as w
 from tests.loopback import Limiter, Origin, Script, ask, forward, listening, run
 from tests.test_program import config
@@ -24,19 +24,19 @@
 PLAN = api.Plan("small", rate=2.0, burst=8.0, over_cost=0.5)
 
 
-def told(**changes: object) -> api.Settings:
+def shared_settings(**changes: object) -> api.Settings:
     settings = w.settings(plans=(PLAN,), has_counter=False, may_message_peers=True, inbox_rate=40.0)
     return replace(settings, **changes)  # type: ignore[arg-type]
 
 
-class Telling(w.World):
-    """A world that keeps the messages of its gateway."""
+class RecordingWorld(w.World):
+    """A world that records the messages of its gateway."""
 
     def __init__(self, config: api.Settings, seed: int = 1, now: float = 100.0) -> None:
         self.texts = list[str]()
         super().__init__(config, seed, now)
 
-    def take(self) -> list[str]:
+    def take_messages(self) -> list[str]:
         texts, self.texts = self.texts, []
         return texts
 
@@ -47,31 +47,31 @@
 
 
 class Fleet:
-    """Gateways whose messages reach each other late by ``delay`` seconds, or are lost."""
+    """Gateways whose messages reach each other at once, or are lost with the probability ``loss``."""
 
     def __init__(self, loss: float = 0.0, seed: int = 1, config: api.Settings | None = None) -> None:
-        base = config or told()
+        base = config or shared_settings()
         self.rng, self.loss = Random(seed), loss
-        self.worlds = [Telling(replace(base, index=i), seed + i) for i in range(base.gateways)]
+        self.worlds = [RecordingWorld(replace(base, index=i), seed + i) for i in range(base.gateways)]
         for world in self.worlds:
             world.feed(w.servers("s0", "s1", "s2", "s3"))
 
     def ask(self, at: int, now: float, id: int, units: float = 1.0, settle: float | None = None) -> bool:
-        """One request through gateway ``at``, answered at once; whether it was sent on."""
+        """Pass a request to gateway ``at``; the response arrives at once. Return whether it was sent to a server."""
         world = self.worlds[at]
         world.advance(now)
         before = len(world.sends)
         world.feed(w.request(id, "read", "small", "hotel", 3.0, units))
         for index, each in enumerate(self.worlds):
             each.advance(now)
-            for text in each.take():
-                self._tell(index, now, text)
-        for (asked, attempt), (server, _) in list(world.out.items()):
+            for text in each.take_messages():
+                self._broadcast(index, now, text)
+        for (asked, attempt), (server, _) in list(world.open_attempts.items()):
             event = w.outcome(asked, attempt, server, api.Status.OK)
             world.feed(replace(event, units=settle))
         return len(world.sends) > before
 
-    def _tell(self, at: int, now: float, text: str) -> None:
+    def _broadcast(self, at: int, now: float, text: str) -> None:
         assert len(text.encode()) <= MAX_MESSAGE
         for index, world in enumerate(self.worlds):
             if index != at and self.rng.random() >= self.loss:
@@ -80,7 +80,7 @@
 
 
 def play(fleet: Fleet, seconds: float, shares: tuple[float, ...], every: float = 0.05) -> float:
-    """Units sent on while every request of an account that asks far beyond its quota comes in unevenly."""
+    """Return the units sent to servers for an account far above its quota, spread over the gateways by ``shares``."""
     sent, now, id = 0.0, 100.0, 0
     while now < 100.0 + seconds:
         at = fleet.rng.choices(range(len(shares)), shares)[0]
@@ -106,7 +106,7 @@
     for fleet, units in ((dear, 4.0), (cheap, 0.25)):
         for id in range(8):
             fleet.ask(0, 100.0 + 0.01 * id, id, 1.0, units)
-        fleet.ask(0, 100.3, 8, 1.0, units)  # tells the others
+        fleet.ask(0, 100.3, 8, 1.0, units)  # broadcasts the use
     assert [len(fleet.worlds[0].sends) for fleet in (dear, cheap)] == [2, 9]
     assert not dear.ask(1, 100.31, 99) and cheap.ask(1, 100.31, 99)
 
@@ -123,7 +123,7 @@
     fleet = Fleet()
     for id in range(8):
         assert fleet.ask(0, 100.0 + 0.01 * id, id)
-    fleet.ask(0, 100.4, 8)  # tells the rest
+    fleet.ask(0, 100.4, 8)  # broadcasts the use
     assert not any(fleet.ask(1, 100.5, 20 + n) for n in range(2, 5))
 
 
@@ -138,16 +138,16 @@
 
 
 def test_a_gateway_that_is_back_does_not_take_the_stores_for_full() -> None:
-    """Its account's store was emptied before it was killed; the others, which are older, say that it is back."""
+    """The account's store was empty when the gateway was killed. Messages of older gateways show the restart to it."""
     fleet = Fleet()
     for id in range(100):
         fleet.ask(0, 100.0 + 0.05 * id, id)
     now = 105.0
-    fleet.worlds[0] = Telling(replace(told(), index=0), 9, now)
+    fleet.worlds[0] = RecordingWorld(replace(shared_settings(), index=0), 9, now)
     fleet.worlds[0].feed(w.servers("s0", "s1", "s2", "s3"))
     for world in fleet.worlds[1:]:
         world.advance(now + 1.1)
-        for text in world.take():
+        for text in world.take_messages():
             fleet.worlds[0].advance(now + 1.1)
             fleet.worlds[0].feed(api.PeerMessage(1, text))
     sent = sum(fleet.ask(0, now + 1.2 + 0.01 * n, 200 + n) for n in range(8))
@@ -156,9 +156,9 @@
 
 def test_messages_of_customers_nobody_meets_do_not_pile_up() -> None:
     usage = UsageBroadcast(0.0, 3, 40.0)
-    for key in range(HEARD_AT_MOST + 500):
-        usage.keep(0.0, key, 1.0)
-    assert len(usage.strange) == HEARD_AT_MOST
+    for key in range(MAX_UNKNOWN_ACCOUNTS + 500):
+        usage.store_unknown_use(0.0, key, 1.0)
+    assert len(usage.unknown_use) == MAX_UNKNOWN_ACCOUNTS
 
 
 @hypothesis.settings(derandomize=True, deadline=None)
@@ -170,20 +170,20 @@
         for n in range(len(amounts))
     ]
     for account, amount in zip(accounts, amounts, strict=True):
-        account.pending = amount
-    usage, heard = UsageBroadcast(0.0, 3, 40.0), dict[int, float]()
+        account.unreported = amount
+    usage, received = UsageBroadcast(0.0, 3, 40.0), dict[int, float]()
     for now in (1.0, 2.0):
-        usage.owed = {a.name: a for a in accounts}
-        for key, units in usage.read(now, usage.write(now)):
-            heard[key] = heard.get(key, 0.0) + units
+        usage.unreported_accounts = {a.counter_name: a for a in accounts}
+        for key, units in usage.read_message(now, usage.write_message(now)):
+            received[key] = received.get(key, 0.0) + units
     for account, amount in zip(accounts, amounts, strict=True):
-        assert heard.get(account.name % 64**6, 0.0) + account.pending == pytest.approx(amount)
-        assert abs(account.pending) <= UNITS_PER_STEP
+        assert received.get(account.counter_name % 64**6, 0.0) + account.unreported == pytest.approx(amount)
+        assert abs(account.unreported) <= UNITS_PER_STEP
 
 
 def test_messages_are_no_more_than_an_inbox_takes() -> None:
     few, many = UsageBroadcast(0.0, 3, 40.0), UsageBroadcast(0.0, 300, 40.0)
-    assert few.every == 0.25 and 299 / many.every < 40.0
+    assert few.interval == 0.25 and 299 / many.interval < 40.0
 
 
 # On sockets.
@@ -191,35 +191,35 @@
 
 def test_datagrams_come_from_known_addresses_only_and_whole() -> None:
     async def main() -> None:
-        heard, came = list[tuple[int, str]](), asyncio.Event()
+        received, message_received = list[tuple[int, str]](), asyncio.Event()
 
-        def hear(sender: int, text: str) -> None:
-            heard.append((sender, text))
-            came.set()
+        def on_message(sender: int, text: str) -> None:
+            received.append((sender, text))
+            message_received.set()
 
         with (
-            socket.socket(type=socket.SOCK_DGRAM) as known,
-            socket.socket(type=socket.SOCK_DGRAM) as stranger,
+            socket.socket(type=socket.SOCK_DGRAM) as known_sender,
+            socket.socket(type=socket.SOCK_DGRAM) as unknown_sender,
         ):
-            for peer in (known, stranger):
+            for peer in (known_sender, unknown_sender):
                 peer.bind(("127.0.0.1", 0))
             with socket.socket(type=socket.SOCK_DGRAM) as probe:
                 probe.bind(("127.0.0.1", 0))
                 port = probe.getsockname()[1]
-            here, there = f"127.0.0.1:{port}", "{}:{}".format(*known.getsockname())
-            peers = Peers([here, there], there, hear)
+            here, there = f"127.0.0.1:{port}", "{}:{}".format(*known_sender.getsockname())
+            peers = Peers([here, there], there, on_message)
             await peers.listen("127.0.0.1", port)
-            stranger.sendto(b"AAAAAAgg", ("127.0.0.1", port))
+            unknown_sender.sendto(b"AAAAAAgg", ("127.0.0.1", port))
             for data in (b"x" * 257, b"", b"\xff" * 8, b"good"):
-                known.sendto(data, ("127.0.0.1", port))
-            await came.wait()
-            assert heard == [(1, "good")]
-            known.setblocking(False)
-            peers.tell("y" * 300)  # said in the log, not sent
-            peers.tell("hello")
-            assert await asyncio.get_running_loop().sock_recv(known, 500) == b"hello"
+                known_sender.sendto(data, ("127.0.0.1", port))
+            await message_received.wait()
+            assert received == [(1, "good")]
+            known_sender.setblocking(False)
+            peers.broadcast("y" * 300)  # logged, not sent
+            peers.broadcast("hello")
+            assert await asyncio.get_running_loop().sock_recv(known_sender, 500) == b"hello"
             peers.close()
-            peers.tell("nobody")
+            peers.broadcast("nobody")
 
     run(main())
 
@@ -229,8 +229,8 @@
         sent = list[str]()
         script = Script(lambda event: [api.Broadcast("AAAAAAgg")] if isinstance(event, api.Request) else [])
         async with Limiter(script, {}) as limiter:
-            await limiter.fetch(ask(ttl=50))  # with no way to the others it is dropped
-            limiter.node.tell = sent.append
+            await limiter.fetch(ask(ttl=50))  # without a socket for messages it is dropped
+            limiter.node.broadcast = sent.append
             await limiter.fetch(ask(ttl=50))
         assert sent == ["AAAAAAgg"]
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -10,7 +10,7 @@
 import pytest
 
 from cypresspulley import interface as api
-from cypresspulley.net.discovery import Follower
+from cypresspulley.net.discovery import DiscoveryClient
 from tests import world as w
 from tests.loopback import Limiter, Origin, Script, ask, forward, listening, run
 from tests.test_discovery import HEAD, chunk
@@ -56,7 +56,7 @@
         self.world.feed(api.ServerList((entry,), False, previous=self.world.now - BEAT))
 
     def cold_at(self, name: str) -> float | None:
-        return self.world.gateway.fleet.servers[name].cold_at
+        return self.world.gateway.load_balancer.servers[name].cold_since
 
 
 def test_a_start_is_as_old_as_the_last_word_allows_whatever_the_clock_says() -> None:
@@ -84,7 +84,7 @@
         world.advance(START + 0.5)
         entry = replace(world.up["s0"], born=world.now + step)
         world.feed(api.ServerList((entry,), False, previous=START))
-        cold_at = world.gateway.fleet.servers["s0"].cold_at
+        cold_at = world.gateway.load_balancer.servers["s0"].cold_since
         assert cold_at is not None and START <= cold_at <= world.now, step
         fleet = Fleet()
         birth = fleet.world.now + step
@@ -115,11 +115,11 @@
     async def main() -> None:
         origin, birth = Origin(), 7200.0
         async with listening(origin.talk) as dial, Limiter(Script(forward), {}) as limiter:
-            limiter.upstream.update("s1", dial, True, birth)
+            limiter.upstream.update_server("s1", dial, True, birth)
             assert "200" in (await limiter.fetch(ask()))[0]
             for count, step in enumerate((5.0, -5.0, 3600.0, -3600.0), 2):
                 await asyncio.sleep(0.05)  # behind the rest of a kept connection
-                limiter.upstream.update("s1", dial, True, birth + step)
+                limiter.upstream.update_server("s1", dial, True, birth + step)
                 birth += step
                 assert "200" in (await limiter.fetch(ask()))[0]
                 assert origin.connections == count
@@ -146,13 +146,20 @@
         async with listening(talk) as address, Limiter(script, {}) as limiter:
             clock = limiter.node._clock
             host, port = address.split(":")
-            follower = Follower(limiter.node.listed, lambda: 0.5, lived=limiter.node.confirmed)
+            follower = DiscoveryClient(
+                limiter.node.apply_listing, lambda: 0.5, on_contact=limiter.node.record_discovery_contact
+            )
             follower.follow(host, int(port))
             await until(lambda: len(lists(script)) == 2)
             first_at = clock()
             said.set()
-            await until(lambda: limiter.node._word_at is not None and limiter.node._word_at > first_at)
-            beat_at = limiter.node._word_at
+            await until(
+                lambda: (
+                    limiter.node._discovery_contact_at is not None
+                    and limiter.node._discovery_contact_at > first_at
+                )
+            )
+            beat_at = limiter.node._discovery_contact_at
             release.set()
             await until(lambda: len(lists(script)) == 3)
             last = lists(script)[-1]
@@ -179,7 +186,9 @@
         script = Script(lambda event: [api.Refuse(event.id, 0.1)] if isinstance(event, api.Request) else [])
         async with Limiter(script, {}) as limiter:
             ahead = [0.0]
-            limiter.frontend.on_sweep = lambda: limiter.node.look_at(lambda: limiter.node._clock() + ahead[0])
+            limiter.frontend.on_sweep = lambda: limiter.node.check_wall_clock(
+                lambda: limiter.node._clock() + ahead[0]
+            )
             await limiter.fetch(ask())
             ahead[0] = step
             await script.until(api.WallClockStep)
