--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -69,7 +69,9 @@
 
     def __init__(self, per_second: int) -> None:
         super().__init__()
-        self._limit, self._second, self._seen = per_second, 0, 0
+        self._limit = per_second
+        self._second = 0
+        self._seen = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
         if (second := int(time.monotonic())) != self._second:
--- a/cypresspulley/accesslog.py
+++ b/cypresspulley/accesslog.py
@@ -30,7 +30,8 @@
     """Lines to a file by a thread of its own, handed over some at a time: each hand-over wakes it once."""
 
     def __init__(self, path: str, most: int = MOST_WAITING) -> None:
-        self._path, self._most = path, most
+        self._path = path
+        self._most = most
         self._file = open(path, "ab", buffering=0)  # noqa: SIM115 -- the thread's until it ends
         self._queue = queue.SimpleQueue[tuple[bytes, int] | None]()
         self._pending = list[bytes]()
@@ -108,7 +109,8 @@
         counter: Counter | None, file: LogFile,
     ) -> None:  # fmt: skip
         super().__init__(settings, gateway, clock, upstream, counter)
-        self._file, self._timed = file, False
+        self._file = file
+        self._timed = False
         self._names = {name: json.dumps(name) for name in _names(settings)}
         self._born = dict[int, tuple[float, float]]()  # of an open request: first and last byte came
 
--- a/cypresspulley/cli.py
+++ b/cypresspulley/cli.py
@@ -16,7 +16,10 @@
 except ImportError:  # the limiter's own requirements do not hold it
     sys.exit("fawnseam: the command line is an extra: pip install 'cypresspulley[rehearsal]'")
 
-FAILED, BAD_INPUT, BROKEN_TOOL, INTERRUPTED = 1, 2, 3, 130
+FAILED = 1
+BAD_INPUT = 2
+BROKEN_TOOL = 3
+INTERRUPTED = 130
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
--- a/cypresspulley/reload.py
+++ b/cypresspulley/reload.py
@@ -16,7 +16,8 @@
 log = logging.getLogger("cypresspulley")
 
 # After SIGHUP a file that cannot be taken is looked at again, so many times and seconds apart: it may be half written.
-LOOKS, LOOK_AGAIN = 8, 0.25
+LOOKS = 8
+LOOK_AGAIN = 0.25
 
 # Of the file: none may go missing in service, but the counter where the settings have none.
 KEPT_KEYS = ("listen", "discovery", "counter", "limits", "settings")
@@ -34,8 +35,11 @@
         retune: Callable[[api.Settings, SocketSettings], None], rewire: Callable[[Config], None] = lambda _new: None,
     ) -> None:  # fmt: skip
         """``rewire`` gets each file that was taken, for the counter and the other limiters."""
-        self._config, self._follower, self._reread = config, follower, reread
-        self._retune, self._rewire = retune, rewire
+        self._config = config
+        self._follower = follower
+        self._reread = reread
+        self._retune = retune
+        self._rewire = rewire
         self._said = ""  # what is wrong with the file
 
     def __call__(self) -> bool:
--- a/cypresspulley/service.py
+++ b/cypresspulley/service.py
@@ -37,7 +37,8 @@
     """Answers the operators' calls, and is a takeover's host. Until ``serve`` it knows no node, and says so."""
 
     def __init__(self, life: Lifecycle, folder: Folder | None = None) -> None:
-        self.life, self._folder = life, folder
+        self.life = life
+        self._folder = folder
         self._node: Node | None = None
         self._frontend: Frontend | None = None
         self._gateway: Gateway | None = None
--- a/cypresspulley/tally.py
+++ b/cypresspulley/tally.py
@@ -47,12 +47,18 @@
         write: Callable[[str], None] = to_stderr,
         processor: Callable[[], float] = time.process_time,
     ) -> None:
-        self._inner, self._every, self._warm_after, self._dials, self._write = (
-            inner, every, warm_after, dials, write
-        )  # fmt: skip
-        self._processor, self._used, self._dialled = processor, processor(), 0
-        self._since, self._counts = 0.0, Counter[str]()
-        self._plans, self._born = dict[int, str](), dict[str, float]()
+        self._inner = inner
+        self._every = every
+        self._warm_after = warm_after
+        self._dials = dials
+        self._write = write
+        self._processor = processor
+        self._used = processor()
+        self._dialled = 0
+        self._since = 0.0
+        self._counts = Counter[str]()
+        self._plans = dict[int, str]()
+        self._born = dict[str, float]()
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         actions = self._inner.handle(now, event)
