--- a/cypresspulley/config.py
+++ b/cypresspulley/config.py
@@ -47,7 +47,7 @@
     """A configuration that cannot be run."""
 
 
-def config_from(raw: Any) -> Config:
+def parse_config(raw: Any) -> Config:
     """The configuration object; ``ConfigError`` names what is wrong."""
     if not isinstance(raw, dict) or not isinstance(raw.get("settings"), dict):
         raise ConfigError("the configuration is not an object with settings")
@@ -114,7 +114,7 @@
         raise ConfigError(f"cannot read {path}: {error}") from None
     if isinstance(raw, dict) and (door := os.environ.get("LB_OPERATOR")):
         raw.setdefault("operator", door)
-    return config_from(raw)
+    return parse_config(raw)
 
 
 def configured() -> Config:
--- a/cypresspulley/rehearsal/virtual/play.py
+++ b/cypresspulley/rehearsal/virtual/play.py
@@ -21,7 +21,7 @@
 import msgspec
 
 from cypresspulley.__main__ import serve
-from cypresspulley.config import Config, config_from
+from cypresspulley.config import Config, parse_config
 from cypresspulley.histories.clock import Shift
 from cypresspulley.histories.events import Kind
 from cypresspulley.histories.read import from_memory
@@ -127,7 +127,7 @@
         return self._shift.at(self._clock())
 
     def _config(self) -> Config:
-        return config_from(json.loads(json.dumps(self._raw)))
+        return parse_config(json.loads(json.dumps(self._raw)))
 
     async def start(self) -> None:
         self.lives += 1
--- a/tests/plans/test_wiring.py
+++ b/tests/plans/test_wiring.py
@@ -8,7 +8,7 @@
 import pytest
 
 from cypresspulley.__main__ import _plans
-from cypresspulley.config import ConfigError, config_from
+from cypresspulley.config import ConfigError, parse_config
 from cypresspulley.operators import Operators, OperatorsError, load_operators
 from cypresspulley.plans.book import Stamp, Terms
 from cypresspulley.plans.limiter import PlanBookDecisions
@@ -51,7 +51,7 @@
 
 
 def test_what_cannot_be_followed_is_no_start(monkeypatch: pytest.MonkeyPatch) -> None:
-    config = config_from(RAW_CONFIG)
+    config = parse_config(RAW_CONFIG)
     gateway = Gateway(config.settings, 1, 0.0)
     monkeypatch.delenv("FAWNSEAM_PLANS_TOKEN", raising=False)
     with pytest.raises(ConfigError, match="plans: FAWNSEAM_PLANS_TOKEN"):
--- a/tests/test_bad_lists.py
+++ b/tests/test_bad_lists.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from cypresspulley.config import ConfigError, config_from
+from cypresspulley.config import ConfigError, parse_config
 from cypresspulley.rehearsal.standins.discovery import Agent, Host
 from tests.loopback import Origin, ask, listening, read_message, run
 from tests.test_program import Program, config, stand_in_stage, started
@@ -89,7 +89,7 @@
 @pytest.mark.parametrize("known", MALFORMED.values(), ids=MALFORMED)
 def test_a_spoilt_list_in_the_configuration_is_named(known: object) -> None:
     with pytest.raises(ConfigError, match=r"^not a list of servers: "):
-        config_from(config("127.0.0.1:1") | {"known": known})
+        parse_config(config("127.0.0.1:1") | {"known": known})
 
 
 @pytest.mark.parametrize(
@@ -97,14 +97,14 @@
 )
 def test_a_number_of_descriptors_that_is_none_is_named(sockets: object) -> None:
     with pytest.raises(ConfigError, match=r"^limits\.sockets: expected a whole number from 1 to "):
-        config_from(config("127.0.0.1:1") | {"limits": {"sockets": sockets}})
+        parse_config(config("127.0.0.1:1") | {"limits": {"sockets": sockets}})
 
 
 def test_limits_that_are_no_object_are_named() -> None:
     with pytest.raises(ConfigError, match=r"^limits: expected an object"):
-        config_from(config("127.0.0.1:1") | {"limits": 64})
+        parse_config(config("127.0.0.1:1") | {"limits": 64})
 
 
 def test_an_empty_list_in_the_configuration_is_one() -> None:
-    read = config_from(config("127.0.0.1:1") | {"known": {"seq": 9, "whole": True, "hosts": []}}).known
+    read = parse_config(config("127.0.0.1:1") | {"known": {"seq": 9, "whole": True, "hosts": []}}).known
     assert read is not None and read.servers.complete and not read.servers.entries
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from cypresspulley import interface as api
-from cypresspulley.config import ConfigError, config_from
+from cypresspulley.config import ConfigError, parse_config
 from cypresspulley.messages import DIGITS, UNITS_PER_STEP
 from cypresspulley.net.peers import MAX_MESSAGE, Peers
 from cypresspulley.policy.account import Account
@@ -262,11 +262,11 @@
 
 def test_a_configuration_without_peers_has_none_and_a_wrong_one_says_so() -> None:
     raw = config("127.0.0.1:1")
-    assert config_from(raw).peers is None
+    assert parse_config(raw).peers is None
     peers = {"peer_listen": "127.0.0.1:7946", "peers_all": "127.0.0.1:7947", "peers": ["127.0.0.1:7948"]}
-    found = config_from(raw | peers).peers
+    found = parse_config(raw | peers).peers
     assert found is not None and found.listen == ("127.0.0.1", 7946)
     with pytest.raises(ConfigError, match="not an address"):
-        config_from(raw | peers | {"peers": ["nowhere"]})
+        parse_config(raw | peers | {"peers": ["nowhere"]})
     with pytest.raises(ConfigError, match="list of addresses"):
-        config_from(raw | peers | {"peers": "127.0.0.1:1"})
+        parse_config(raw | peers | {"peers": "127.0.0.1:1"})
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -18,7 +18,7 @@
 import pytest
 
 from cypresspulley.__main__ import LogLimit
-from cypresspulley.config import config_from
+from cypresspulley.config import parse_config
 from cypresspulley.rehearsal.standins.discovery import Agent, Host
 from cypresspulley.rehearsal.standins.keeper import Keeper
 from cypresspulley.rehearsal.standins.network import Link
@@ -238,7 +238,7 @@
 
 
 def test_the_configuration_is_read() -> None:
-    read = config_from(config("127.0.0.1:7070") | {"counter": "127.0.0.1:6400"})
+    read = parse_config(config("127.0.0.1:7070") | {"counter": "127.0.0.1:6400"})
     assert read.counter == ("127.0.0.1", 6400) and read.seed == 0x8C1F30D27A5BE964
     assert read.known is not None and read.known.version == 41 and read.known.servers.complete
     assert read.timing.dial_timeout == 1.0 and read.settings.max_attempts == 2
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -22,7 +22,7 @@
 import pytest
 
 from cypresspulley.__main__ import serve
-from cypresspulley.config import config_from
+from cypresspulley.config import parse_config
 from cypresspulley.operators import Operators
 from cypresspulley.reload import Reload
 from tests.loopback import OK, Origin, ask, listening, read_message, run
@@ -239,10 +239,10 @@
 
 
 def test_a_refused_file_is_said_once_however_often_it_is_looked_at(caplog: pytest.LogCaptureFixture) -> None:
-    whole = config_from(config("127.0.0.1:1"))
+    whole = parse_config(config("127.0.0.1:1"))
     files = [config("127.0.0.1:1") | {"settings": {}} for _ in range(5)]
     parts: Any = Counted()
-    reload = Reload(whole, parts, lambda: config_from(files.pop()), parts.retune)
+    reload = Reload(whole, parts, lambda: parse_config(files.pop()), parts.retune)
     while files:
         assert not reload()
     assert parts.calls == []
@@ -337,7 +337,7 @@
             os.kill(os.getpid(), TERM)
             tried.append(service)
 
-        await serve(config_from(raw), Operators(), opened=opened)
+        await serve(parse_config(raw), Operators(), opened=opened)
         assert tried and loop.time() - at < 1.0, "nobody came: nobody is waited for"
         with socket.socket() as probe:
             assert probe.connect_ex(("127.0.0.1", int(raw["listen"].split(":")[1]))) == errno.ECONNREFUSED
@@ -521,13 +521,13 @@
     """Two in a row before the loop has had a turn: the second is held against the first, not against the start."""
     first, second = config("127.0.0.1:1"), config("127.0.0.1:1") | {"settings": OTHER}
     second["discovery"] = "127.0.0.1:3"
-    files, held = [config_from(second), config_from(first)], list[Any]()
+    files, held = [parse_config(second), parse_config(first)], list[Any]()
     follower: Any = Counted()
 
     def retune(settings: Any, timing: Any) -> None:
         held.append(settings)
 
-    reload = Reload(config_from(first | {"settings": OTHER}), follower, files.pop, retune)
+    reload = Reload(parse_config(first | {"settings": OTHER}), follower, files.pop, retune)
     reload()
     reload()
     assert [each.classes[0].name for each in held] == ["lookup", "fetch"]
--- a/tests/test_settings_keys.py
+++ b/tests/test_settings_keys.py
@@ -11,7 +11,7 @@
 import pytest
 
 from cypresspulley import interface as api
-from cypresspulley.config import Config, ConfigError, config_from
+from cypresspulley.config import Config, ConfigError, parse_config
 from cypresspulley.reload import Reload
 from cypresspulley.settings import SettingsError, check_no_missing_keys, parse_settings, parse_socket_settings
 from tests.test_reload import Counted
@@ -205,7 +205,7 @@
     bounds = r"above 0, at most \d+" if POSITIVE & set(path_names(path)) else r"from 0 to \d+"
     row = f"'{COMPLETE_SETTINGS[str(path[0])][path[1]]['name']}': " if len(path) == 3 else ""
     with pytest.raises(ConfigError, match=rf"^settings: {row}{path[-1]}: expected a {kind} {bounds}, got "):
-        config_from(configuration(changed(path, value)))
+        parse_config(configuration(changed(path, value)))
 
 
 @pytest.mark.parametrize("path", number_paths(), ids=lambda path: ".".join(map(str, path)))
@@ -214,19 +214,19 @@
         raw = configuration(changed(path, value))
         if wrong & set(path_names(path)):
             with pytest.raises(ConfigError, match=rf"\b{path[-1]}: expected a (whole )?number "):
-                config_from(raw)
+                parse_config(raw)
         else:
-            config_from(raw)
+            parse_config(raw)
 
 
 @pytest.mark.parametrize("path", number_paths(), ids=lambda path: ".".join(map(str, path)))
 def test_a_figure_that_is_absurd_leaves_a_limiter_in_service_as_it_is(
     path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    config = config_from(configuration(COMPLETE_SETTINGS))
+    config = parse_config(configuration(COMPLETE_SETTINGS))
     files = [configuration(changed(path, value)) for value in (10**400, -1, "many")]
     counted: Any = Counted()
-    reload = Reload(config, counted, lambda: config_from(files.pop()), counted.retune)
+    reload = Reload(config, counted, lambda: parse_config(files.pop()), counted.retune)
     for _ in range(len(files)):
         assert not reload()
     assert counted.calls == [] and caplog.text.count(f"{path[-1]}: expected ") == 3
@@ -256,9 +256,9 @@
     expected = FILE_DEFAULTS[key]
     if expected is None:
         with pytest.raises(ConfigError, match=key):
-            config_from(raw)
+            parse_config(raw)
     else:
-        assert getattr(config_from(raw), expected[0]) == expected[1]
+        assert getattr(parse_config(raw), expected[0]) == expected[1]
 
 
 @pytest.mark.parametrize(
@@ -310,5 +310,5 @@
     text, accepted = json.dumps(configuration(COMPLETE_SETTINGS)), list[Config]()
     for end in range(len(text)):
         with suppress(ValueError, ConfigError):
-            accepted.append(config_from(json.loads(text[:end])))
+            accepted.append(parse_config(json.loads(text[:end])))
     assert not accepted
