--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -18,7 +18,7 @@
 import uvloop
 
 from cypresspulley import interface as api
-from cypresspulley.config import Config, ConfigError, configured
+from cypresspulley.config import Config, ConfigError, load_config_from_env
 from cypresspulley.lifecycle import Lifecycle
 from cypresspulley.net.admin import AdminServer
 from cypresspulley.net.counter import Counter, CounterClient
@@ -98,7 +98,7 @@
     config: Config,
     operators: Operators,
     clock: Callable[[], float] | None = None,
-    reread: Callable[[], Config] = configured,
+    reread: Callable[[], Config] = load_config_from_env,
     watched: Callable[[Gateway], DecisionModule] | None = None,
     opened: Callable[[Service], None] | None = None,
     wall: Callable[[], float] = time.time,
@@ -440,7 +440,7 @@
     logging.basicConfig(level=logging.INFO, handlers=[handler], format="%(asctime)s %(name)s: %(message)s")
     try:
         operators = _operators(sys.argv[1:] if arguments is None else arguments)
-        uvloop.run(serve(configured(), operators, hangup=hangup))
+        uvloop.run(serve(load_config_from_env(), operators, hangup=hangup))
     except ConfigError as error:
         print(f"cypresspulley: {error}", file=sys.stderr)
         return 2
--- a/cypresspulley/config.py
+++ b/cypresspulley/config.py
@@ -117,6 +117,6 @@
     return parse_config(raw)
 
 
-def configured() -> Config:
+def load_config_from_env() -> Config:
     """The configuration that LB_CONFIG names."""
     return load_config(os.environ.get("LB_CONFIG"))
