--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -29,7 +29,7 @@
 from cypresspulley.net.upstream import Upstream
 from cypresspulley.operators import Operators, OperatorsError, load_operators
 from cypresspulley.policy.gateway import Gateway
-from cypresspulley.reload import Hangup, Reload
+from cypresspulley.reload import SighupHandler, ConfigReloader
 from cypresspulley.service import Service
 from cypresspulley.settings import SocketSettings
 from cypresspulley.takeover.channel import Folder
@@ -103,14 +103,14 @@
     opened: Callable[[Service], None] | None = None,
     wall: Callable[[], float] = time.time,
     history: AnyHistory | None = None,
-    hangup: Hangup | None = None,
+    hangup: SighupHandler | None = None,
 ) -> None:
     """Run one limiter until SIGTERM or SIGINT. All that it takes from the machine is the running loop, Unix time
     from ``clock`` and, at SIGHUP, the configuration from ``reread``. ``watched`` may put something between the
     decisions and the node that sees every event and action; ``opened`` gets what the operators' door calls on;
     ``wall`` is the wall clock, which may step: only what limiters do together looks at it, and writes ``history``
     where one is given; ``hangup`` may have heard SIGHUP already."""
-    loop, stop, hangup = asyncio.get_running_loop(), asyncio.Event(), hangup or Hangup()
+    loop, stop, hangup = asyncio.get_running_loop(), asyncio.Event(), hangup or SighupHandler()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
     loop.add_signal_handler(signal.SIGHUP, hangup)
@@ -201,7 +201,7 @@
         elif counter is not None and new.counter is not None:
             counter.move(*new.counter)
 
-    reload = Reload(config, follower, reread, retune, rewire)
+    reload = ConfigReloader(config, follower, reread, retune, rewire)
 
     if alone:  # where many limiters share a process, what one freezes stays for good
         gc.collect()
@@ -433,7 +433,7 @@
 def main(arguments: list[str] | None = None) -> int:
     handler = logging.StreamHandler(sys.stderr)
     handler.addFilter(LogLimit(LOGS_A_SECOND))
-    hangup = Hangup()
+    hangup = SighupHandler()
     signal.signal(
         signal.SIGHUP, lambda *_: hangup()
     )  # until the loop handles it: it must never end the process
--- a/cypresspulley/reload.py
+++ b/cypresspulley/reload.py
@@ -23,7 +23,7 @@
 KEPT_KEYS = ("listen", "discovery", "counter", "limits", "settings")
 
 
-class Reload:
+class ConfigReloader:
     """SIGHUP: the file is read again; discovery and the counter are followed to where it says, and its settings hold.
 
     All of the file is checked before anything changes: a broken one changes nothing but the log, which has one line
@@ -74,7 +74,7 @@
         return True
 
 
-class Hangup:
+class SighupHandler:
     """SIGHUP at any time: one that comes before ``reload`` is there waits for it, and one that meets half a file looks
     again. The latest counts; after ``close`` none does."""
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -24,7 +24,7 @@
 from cypresspulley.__main__ import serve
 from cypresspulley.config import parse_config
 from cypresspulley.operators import Operators
-from cypresspulley.reload import Reload
+from cypresspulley.reload import ConfigReloader
 from tests.loopback import OK, Origin, ask, listening, read_message, run
 from tests.test_discovery import HEAD, chunk
 from tests.test_program import WIRE_SETTINGS, Program, config, free_port, started
@@ -242,7 +242,7 @@
     whole = parse_config(config("127.0.0.1:1"))
     files = [config("127.0.0.1:1") | {"settings": {}} for _ in range(5)]
     parts: Any = Counted()
-    reload = Reload(whole, parts, lambda: parse_config(files.pop()), parts.retune)
+    reload = ConfigReloader(whole, parts, lambda: parse_config(files.pop()), parts.retune)
     while files:
         assert not reload()
     assert parts.calls == []
@@ -527,7 +527,7 @@
     def retune(settings: Any, timing: Any) -> None:
         held.append(settings)
 
-    reload = Reload(parse_config(first | {"settings": OTHER}), follower, files.pop, retune)
+    reload = ConfigReloader(parse_config(first | {"settings": OTHER}), follower, files.pop, retune)
     reload()
     reload()
     assert [each.classes[0].name for each in held] == ["lookup", "fetch"]
--- a/tests/test_settings_keys.py
+++ b/tests/test_settings_keys.py
@@ -12,7 +12,7 @@
 
 from cypresspulley import interface as api
 from cypresspulley.config import Config, ConfigError, parse_config
-from cypresspulley.reload import Reload
+from cypresspulley.reload import ConfigReloader
 from cypresspulley.settings import SettingsError, check_no_missing_keys, parse_settings, parse_socket_settings
 from tests.test_reload import Counted
 
@@ -226,7 +226,7 @@
     config = parse_config(configuration(COMPLETE_SETTINGS))
     files = [configuration(changed(path, value)) for value in (10**400, -1, "many")]
     counted: Any = Counted()
-    reload = Reload(config, counted, lambda: parse_config(files.pop()), counted.retune)
+    reload = ConfigReloader(config, counted, lambda: parse_config(files.pop()), counted.retune)
     for _ in range(len(files)):
         assert not reload()
     assert counted.calls == [] and caplog.text.count(f"{path[-1]}: expected ") == 3
