--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -64,7 +64,7 @@
 LOGS_A_SECOND = 20
 
 
-class LogLimit(logging.Filter):
+class LogRateLimiter(logging.Filter):
     """Drops what exceeds so many lines a second, and tells how many."""
 
     def __init__(self, per_second: int) -> None:
@@ -432,7 +432,7 @@
 
 def main(arguments: list[str] | None = None) -> int:
     handler = logging.StreamHandler(sys.stderr)
-    handler.addFilter(LogLimit(LOGS_A_SECOND))
+    handler.addFilter(LogRateLimiter(LOGS_A_SECOND))
     hangup = SighupHandler()
     signal.signal(
         signal.SIGHUP, lambda *_: hangup()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from cypresspulley.__main__ import LogLimit
+from cypresspulley.__main__ import LogRateLimiter
 from cypresspulley.config import parse_config
 from cypresspulley.rehearsal.standins.discovery import Agent, Host
 from cypresspulley.rehearsal.standins.keeper import Keeper
@@ -245,7 +245,7 @@
 
 
 def test_a_flood_of_log_lines_is_cut() -> None:
-    limit = LogLimit(3)
+    limit = LogRateLimiter(3)
     record = logging.LogRecord("x", 20, "", 0, "text", (), None)
     passed = sum(limit.filter(record) for _ in range(1000))
     assert 3 <= passed <= 9  # three a second, however slow this machine is
