--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -129,7 +129,7 @@
     timing = config.timing
     upstream = Upstream(clock, timing.dial_timeout, timing.idle_timeout, servers)
     counter = _counter(config, operators)
-    offer = await service.offered(clock)
+    offer = await service.wait_for_offer(clock)
     gateway = _gateway(config, clock)
     if offer is not None and not service.adopt(gateway, clock(), offer, upstream):
         gateway, offer = _gateway(config, clock), None
--- a/cypresspulley/service.py
+++ b/cypresspulley/service.py
@@ -55,7 +55,7 @@
 
     # Starting, alone or after a predecessor.
 
-    async def offered(self, clock: Callable[[], float] | None = None) -> Offer | None:
+    async def wait_for_offer(self, clock: Callable[[], float] | None = None) -> Offer | None:
         """What a process that serves already hands over; None where there is none.
 
         Instants in it are by the predecessor's clock: ``clock`` goes on by that, and what reads it has to come later.
--- a/tests/takeover/test_handover.py
+++ b/tests/takeover/test_handover.py
@@ -41,7 +41,7 @@
         self.inherited = False
 
     async def start(self, port: int = 0) -> Process:
-        offer = await self.service.offered(self.clock)
+        offer = await self.service.wait_for_offer(self.clock)
         self.gateway = Gateway(SETTINGS, 1, self.clock())
         self.node = Node(SETTINGS, self.gateway, self.clock, self.upstream, None)
         self.frontend = Frontend(self.node, SETTINGS, 64)
@@ -287,7 +287,7 @@
         async with listening(origin.talk) as dial:
             old = await Process(tmp_path, dial).start()
             dying = Process(tmp_path, dial)
-            assert await dying.service.offered() is not None
+            assert await dying.service.wait_for_offer() is not None
             await until(
                 lambda: (
                     old.service._predecessor is not None
