--- a/cypresspulley/service.py
+++ b/cypresspulley/service.py
@@ -36,8 +36,8 @@
 class Service:
     """Answers the operators' calls, and is a takeover's host. Until ``serve`` it knows no node, and says so."""
 
-    def __init__(self, life: Lifecycle, folder: Folder | None = None) -> None:
-        self.life = life
+    def __init__(self, lifecycle: Lifecycle, folder: Folder | None = None) -> None:
+        self.lifecycle = lifecycle
         self._folder = folder
         self._node: Node | None = None
         self._frontend: Frontend | None = None
@@ -96,11 +96,11 @@
         """Clients' connections are taken from now on."""
         self._node, self._frontend, self._gateway, self._upstream = node, frontend, gateway, upstream
         self._clock = clock or self._clock
-        self.life.apply(LifecycleEvent.SERVE_AS_SUCCESSOR if inherited else LifecycleEvent.SERVE)
+        self.lifecycle.apply(LifecycleEvent.SERVE_AS_SUCCESSOR if inherited else LifecycleEvent.SERVE)
         if not inherited:
             self._recall()
         if self._drained:
-            self.life.apply(LifecycleEvent.DRAIN)
+            self.lifecycle.apply(LifecycleEvent.DRAIN)
         self._heed()
         if gateway is not None:
             self._predecessor_attempts = PredecessorAttempts(gateway)
@@ -127,7 +127,7 @@
         """Write down what has to outlast this process; whether that could be done."""
         if self._folder is not None and self._gateway is not None:
             text = json.dumps(
-                {"bans": sorted(self._gateway.load_balancer.bans), "drained": self.life.drained}
+                {"bans": sorted(self._gateway.load_balancer.bans), "drained": self.lifecycle.drained}
             )
             try:
                 self._folder.write(RECORD, text)
@@ -140,9 +140,9 @@
 
     async def call(self, name: str, id: str) -> Reply:
         """A call of the operators; it is in force when this returns, in both processes during an upgrade."""
-        state = {"state": self.life.state.value}
+        state = {"state": self.lifecycle.state.value}
         if name == "readyz":
-            return Reply(200 if self.life.ready else 503, state)
+            return Reply(200 if self.lifecycle.ready else 503, state)
         if self._node is None:
             return Reply(503, state | {"error": "the process starts; call again"})
         if name == "purge":
@@ -171,10 +171,10 @@
     def _apply(self, name: str, id: str, sure: bool = False) -> Reply:
         if name in ("suspend", "resume"):
             return self._ban(id, name == "suspend", sure)
-        if not self.life.apply(LifecycleEvent.DRAIN if name == "drain" else LifecycleEvent.ACTIVATE):
-            return Reply(409, {"state": self.life.state.value, "error": f"cannot {name} now"})
+        if not self.lifecycle.apply(LifecycleEvent.DRAIN if name == "drain" else LifecycleEvent.ACTIVATE):
+            return Reply(409, {"state": self.lifecycle.state.value, "error": f"cannot {name} now"})
         self._heed()
-        return self._recorded(Reply(200, {"state": self.life.state.value}))
+        return self._recorded(Reply(200, {"state": self.lifecycle.state.value}))
 
     def _ban(self, id: str, out: bool, sure: bool) -> Reply:
         assert self._node is not None
@@ -193,15 +193,15 @@
 
     def leave(self) -> bool:
         """The process was told to end; whether a successor takes what comes."""
-        handed = self.life.handed_over
-        self.life.apply(LifecycleEvent.TERMINATE)
+        handed = self.lifecycle.handed_over
+        self.lifecycle.apply(LifecycleEvent.TERMINATE)
         self._heed()
         return handed
 
     def _heed(self) -> None:
         if self._frontend is None:
             return
-        if self.life.drained:
+        if self.lifecycle.drained:
             self._frontend.drain()
         else:
             self._frontend.activate()
@@ -218,7 +218,7 @@
         offset = self._clock.offset if isinstance(self._clock, UnixClock) else None
         return {
             "decisions": take_snapshot(self._gateway),
-            "dials": self._upstream.server_addresses(), "drained": self.life.drained,
+            "dials": self._upstream.server_addresses(), "drained": self.lifecycle.drained,
             CLOCK_OFFSET: offset,
         }  # fmt: skip
 
@@ -231,7 +231,7 @@
         self._frontend.pause()
 
     def resume(self) -> None:
-        self.life.apply(LifecycleEvent.TAKE_BACK)
+        self.lifecycle.apply(LifecycleEvent.TAKE_BACK)
         self._heed()
         if self._frontend is not None and not self._frontend.is_shutting_down:
             self._frontend.resume()
@@ -258,7 +258,7 @@
     def set_successor(self, to: Peer | None) -> None:
         assert self._frontend is not None
         if isinstance(to, Predecessor):
-            self.life.apply(LifecycleEvent.HAND_OVER)
+            self.lifecycle.apply(LifecycleEvent.HAND_OVER)
             self._frontend.set_handoff(to.pass_client)
         else:
             self._frontend.set_handoff(None)
@@ -279,5 +279,5 @@
         self._later(self._tell(name, id, source))  # to a third process, where there is one
 
     def predecessor_ended(self) -> None:
-        self.life.apply(LifecycleEvent.PREDECESSOR_ENDED)
+        self.lifecycle.apply(LifecycleEvent.PREDECESSOR_ENDED)
         self._heed()
--- a/tests/takeover/test_handover.py
+++ b/tests/takeover/test_handover.py
@@ -112,7 +112,7 @@
                 writer.write(ask())
                 assert " 200 " in (await read_message(reader))[0]
             new = await Process(tmp_path, dial).start()
-            await until(lambda: old.service.life.handed_over)
+            await until(lambda: old.service.lifecycle.handed_over)
             for reader, writer in kept:  # each connection is served, whichever process holds it
                 writer.write(ask())
                 status, headers, _ = await read_message(reader)
@@ -120,7 +120,7 @@
             await until(lambda: not old.frontend._clients)
             assert len(new.frontend._clients) == 8
             await old.end()  # the connections outlast the old process
-            await until(lambda: new.service.life.state is LifecycleState.READY)
+            await until(lambda: new.service.lifecycle.state is LifecycleState.READY)
             for reader, writer in kept:
                 writer.write(ask())
                 assert " 200 " in (await read_message(reader))[0]
@@ -216,7 +216,7 @@
             writer.write(ask())
             await taken.wait()
             new = await Process(tmp_path, dial).start()
-            await until(lambda: old.service.life.handed_over)
+            await until(lambda: old.service.lifecycle.handed_over)
             predecessor_attempts = [a.open_attempts for a in new.gateway.quotas.accounts.values()]
             await until(lambda: sum(a.open_attempts for a in new.gateway.quotas.accounts.values()) == 1)
             assert sum(predecessor_attempts) <= 1
@@ -247,7 +247,7 @@
             assert (await old.service.call("resume", "s2")).status == 200
             assert (await old.service.call("suspend", "s1")).status == 200
             old.die()
-            await until(lambda: new.service.life.state is LifecycleState.READY)
+            await until(lambda: new.service.lifecycle.state is LifecycleState.READY)
             third = await Process(tmp_path, new.dial).start()
             assert third.inherited and third.gateway.load_balancer.bans == {"s1"}
             assert not third.upstream._servers["s1"].usable and third.upstream._servers["s2"].usable
@@ -265,13 +265,13 @@
             old = await Process(tmp_path, dial).start()
             assert (await old.service.call("drain", "")).status == 200
             new = await Process(tmp_path, dial).start()
-            await until(lambda: old.service.life.handed_over)
+            await until(lambda: old.service.lifecycle.handed_over)
             assert new.frontend.draining and (await new.service.call("readyz", "")).status == 200
             assert (await new.service.call("activate", "")).status == 200
-            assert not old.service.life.drained and not new.frontend.draining
+            assert not old.service.lifecycle.drained and not new.frontend.draining
             assert (await old.service.call("drain", "")).status == 200
             await old.end()
-            await until(lambda: new.service.life.state is LifecycleState.DRAINING)
+            await until(lambda: new.service.lifecycle.state is LifecycleState.DRAINING)
             reader, writer = await asyncio.open_connection(*new.address)
             writer.write(HEALTH)
             assert " 503 " in (await read_message(reader))[0]
@@ -306,7 +306,7 @@
             writer.write(ask())
             assert " 200 " in (await read_message(reader))[0]
             writer.close()
-            assert old.service.life.state is LifecycleState.READY and old.service._split is None
+            assert old.service.lifecycle.state is LifecycleState.READY and old.service._split is None
             new = await Process(tmp_path, dial).start()  # the next successor finds it
             assert new.inherited
             await old.end()
@@ -319,9 +319,9 @@
     async def main() -> None:
         origin = Origin()
         async with upgrade(tmp_path, origin) as (old, new):
-            await until(lambda: old.service.life.handed_over)
+            await until(lambda: old.service.lifecycle.handed_over)
             new.die()
-            await until(lambda: old.service.life.state is LifecycleState.READY and accepting(old))
+            await until(lambda: old.service.lifecycle.state is LifecycleState.READY and accepting(old))
             reader, writer = await asyncio.open_connection(*old.address)
             writer.write(ask())
             assert " 200 " in (await read_message(reader))[0]
@@ -338,7 +338,7 @@
         stalled = folder.listen()  # the kernel accepts the connection, but nobody reads
         async with listening(origin.talk) as dial:
             new = await Process(tmp_path, dial).start()
-            assert not new.inherited and new.service.life.state is LifecycleState.READY
+            assert not new.inherited and new.service.lifecycle.state is LifecycleState.READY
             reader, writer = await asyncio.open_connection(*new.address)
             writer.write(ask())
             assert " 200 " in (await read_message(reader))[0]
@@ -383,7 +383,7 @@
         task = loop.create_task(talk())
         async with listening(origin.talk) as dial:
             new = await Process(tmp_path, dial).start()
-            assert not new.inherited and new.service.life.state is LifecycleState.READY
+            assert not new.inherited and new.service.lifecycle.state is LifecycleState.READY
             await new.end()
         await task
         sock.close()
@@ -402,7 +402,7 @@
             new = await Process(tmp_path, dial).start(old.address[1])  # on the same port, by SO_REUSEPORT
             assert not new.inherited
             await until(lambda: accepting(old))
-            assert old.service.life.state is LifecycleState.READY and old.service._split is None
+            assert old.service.lifecycle.state is LifecycleState.READY and old.service._split is None
             await old.end()
             await new.end()
 
--- a/tests/takeover/test_record.py
+++ b/tests/takeover/test_record.py
@@ -31,7 +31,7 @@
             assert (await process.service.call("drain", "")).status == 200
             process.die()
             successor = await Process(tmp_path, dial).start()
-            assert successor.gateway.load_balancer.bans == {"s1"} and successor.service.life.drained
+            assert successor.gateway.load_balancer.bans == {"s1"} and successor.service.lifecycle.drained
             await successor.end()
 
     run(main())
