--- a/benchmarks/fleet_counts.py
+++ b/benchmarks/fleet_counts.py
@@ -14,18 +14,18 @@
 from collections import Counter, defaultdict
 from pathlib import Path
 
-from cypresspulley.tally import MARK
+from cypresspulley.tally import LINE_PREFIX
 
 
 def read_counts(path: Path) -> list[tuple[float, dict[str, int]]]:
     """Return the counts of a log by start of the interval (Unix time). Lines truncated by a kill are skipped."""
     rows = []
     for line in path.read_text(errors="replace").splitlines():
-        at = line.find(MARK + "{")
+        at = line.find(LINE_PREFIX + "{")
         if at < 0:
             continue
         try:
-            row = json.loads(line[at + len(MARK) :])
+            row = json.loads(line[at + len(LINE_PREFIX) :])
             rows.append((float(row["from"]), {str(k): int(v) for k, v in row["counts"].items()}))
         except (ValueError, KeyError, TypeError, AttributeError):
             continue
--- a/cypresspulley/tally.py
+++ b/cypresspulley/tally.py
@@ -15,8 +15,8 @@
 
 from cypresspulley import interface as api
 
-MARK = "tally "  # what a line begins with
-MOST_KINDS = 16 * 1024  # in one spell: 1,024 servers by status; what goes beyond is counted as "other"
+LINE_PREFIX = "tally "  # what a line begins with
+MAX_KINDS = 16 * 1024  # in one spell: 1,024 servers by status; what goes beyond is counted as "other"
 HEALTHY = frozenset({api.Status.OK, api.Status.CANCELLED, api.Status.REJECTED})
 
 
@@ -70,7 +70,7 @@
         return actions
 
     def _add(self, kind: str, amount: int = 1) -> None:
-        known = kind in self._counts or len(self._counts) < MOST_KINDS
+        known = kind in self._counts or len(self._counts) < MAX_KINDS
         self._counts[kind if known else "other"] += amount
 
     def _event(self, event: api.Event) -> None:
@@ -120,6 +120,6 @@
         if self._counts:
             self._add("processor us", round(1e6 * (used - self._used)))
             row = {"from": round(self._since, 3), "counts": self._counts}
-            self._write(MARK + json.dumps(row, separators=(",", ":")) + "\n")
+            self._write(LINE_PREFIX + json.dumps(row, separators=(",", ":")) + "\n")
         self._dialled, self._used = dialled, used
         self._since, self._counts = now, Counter()
--- a/tests/test_tally.py
+++ b/tests/test_tally.py
@@ -9,7 +9,7 @@
 
 from benchmarks.fleet_counts import main, read_counts, sum_counts
 from cypresspulley import interface as api
-from cypresspulley.tally import MARK, MOST_KINDS, Tally
+from cypresspulley.tally import LINE_PREFIX, MAX_KINDS, Tally
 from tests import world as w
 
 
@@ -31,7 +31,7 @@
 
 
 def test_a_spell_is_a_line_of_counts_by_kind() -> None:
-    rows = [json.loads(line.removeprefix(MARK)) for line in tallied()]
+    rows = [json.loads(line.removeprefix(LINE_PREFIX)) for line in tallied()]
     assert rows[-1]["counts"] == {
         "try gold first": 1, "send gold": 1, "cold s1": 1, "outcome error": 1, "bad s1 error": 1,
         "refuse gold gate": 1, "list whole": 1, "processor us": 0,
@@ -43,11 +43,11 @@
     lines = list[str]()
     tally = Tally(Still(), 0.1, 10.0, write=lines.append)
     tally.handle(100.0, api.TimerFired(1))
-    for id in range(2 * MOST_KINDS):
+    for id in range(2 * MAX_KINDS):
         tally.handle(100.01, w.request(id, "read", f"plan-{id}", "acct", 3.0))
     tally.handle(101.0, api.TimerFired(2))
-    counts = json.loads(lines[-1].removeprefix(MARK))["counts"]
-    assert len(counts) <= MOST_KINDS + 2 and counts["other"] > MOST_KINDS
+    counts = json.loads(lines[-1].removeprefix(LINE_PREFIX))["counts"]
+    assert len(counts) <= MAX_KINDS + 2 and counts["other"] > MAX_KINDS
 
 
 def test_logs_of_a_fleet_add_up_and_cut_lines_are_passed_over(
