--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -98,10 +98,10 @@
     config: Config,
     operators: Operators,
     clock: Callable[[], float] | None = None,
-    reread: Callable[[], Config] = load_config_from_env,
-    watched: Callable[[Gateway], DecisionModule] | None = None,
-    opened: Callable[[Service], None] | None = None,
-    wall: Callable[[], float] = time.time,
+    read_config: Callable[[], Config] = load_config_from_env,
+    wrap_gateway: Callable[[Gateway], DecisionModule] | None = None,
+    on_service_created: Callable[[Service], None] | None = None,
+    wall_clock: Callable[[], float] = time.time,
     history: AnyHistory | None = None,
     hangup: SighupHandler | None = None,
 ) -> None:
@@ -123,8 +123,8 @@
     limit = descriptor_limit(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
     clients = servers = connection_share(limit, config.operator is not None)
     service = Service(Lifecycle(), _folder(config))
-    if opened is not None:
-        opened(service)
+    if on_service_created is not None:
+        on_service_created(service)
     door = await _door(config, service)
     timing = config.timing
     upstream = Upstream(clock, timing.dial_timeout, timing.idle_timeout, servers)
@@ -133,13 +133,13 @@
     gateway = _gateway(config, clock)
     if offer is not None and not service.adopt(gateway, clock(), offer, upstream):
         gateway, offer = _gateway(config, clock), None
-    decisions: DecisionModule = gateway if watched is None else watched(gateway)
+    decisions: DecisionModule = gateway if wrap_gateway is None else wrap_gateway(gateway)
     plans = None
     if operators.plans is not None:
         decisions, plans = _plans(config, operators.plans, decisions, gateway, clock)
     together = None
     if operators.fleet is not None:
-        together = _together(config, operators, clock, wall, history)
+        together = _together(config, operators, clock, wall_clock, history)
         decisions = together.wrap(decisions, gateway)
         if together.closing is not None:
             service.purge = together.closing.purge
@@ -201,7 +201,7 @@
         elif counter is not None and new.counter is not None:
             counter.move(*new.counter)
 
-    reload = ConfigReloader(config, follower, reread, retune, rewire)
+    reload = ConfigReloader(config, follower, read_config, retune, rewire)
 
     if alone:  # where many limiters share a process, what one freezes stays for good
         gc.collect()
@@ -259,7 +259,7 @@
 
 
 def _together(
-    config: Config, operators: Operators, clock: Callable[[], float], wall: Callable[[], float],
+    config: Config, operators: Operators, clock: Callable[[], float], wall_clock: Callable[[], float],
     history: AnyHistory | None,
 ) -> FleetServices:  # fmt: skip
     """What limiters do together, where the operators' file has a fleet; what is off is not even imported."""
@@ -267,7 +267,7 @@
         from cypresspulley.together import FleetServices
 
         name = str(config.raw.get("name") or os.environ.get("LB_NAME") or "limiter")
-        return FleetServices(operators, name, config.settings, config.seed, clock, wall, history)
+        return FleetServices(operators, name, config.settings, config.seed, clock, wall_clock, history)
     except ImportError as error:
         raise ConfigError(f"fleet needs its extra: pip install 'cypresspulley[fleet]' ({error})") from None
     except (OperatorsError, OSError) as error:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -337,7 +337,7 @@
             os.kill(os.getpid(), TERM)
             tried.append(service)
 
-        await serve(parse_config(raw), Operators(), opened=opened)
+        await serve(parse_config(raw), Operators(), on_service_created=opened)
         assert tried and loop.time() - at < 1.0, "nobody came: nobody is waited for"
         with socket.socket() as probe:
             assert probe.connect_ex(("127.0.0.1", int(raw["listen"].split(":")[1]))) == errno.ECONNREFUSED
