--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -189,7 +189,7 @@
             counter.set_timeout(settings.counter_timeout)
         node.retune(settings)
         frontend.reader.retune(settings)
-        service.retuned()
+        service.on_settings_changed()
 
     def rewire(new: Config) -> None:
         nonlocal counter
--- a/cypresspulley/service.py
+++ b/cypresspulley/service.py
@@ -245,7 +245,7 @@
         assert self._gateway is not None
         self._split = StateSplit(self._gateway)
 
-    def retuned(self) -> None:
+    def on_settings_changed(self) -> None:
         """Other settings hold; a process that hands over goes on with its part of them."""
         if self._split is not None:
             self._split.scale_plans()
