--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -136,7 +136,7 @@
     decisions: DecisionModule = gateway if wrap_gateway is None else wrap_gateway(gateway)
     plans = None
     if operators.plans is not None:
-        decisions, plans = _plans(config, operators.plans, decisions, gateway, clock)
+        decisions, plans = _connect_plan_book(config, operators.plans, decisions, gateway, clock)
     together = None
     if operators.fleet is not None:
         together = _together(config, operators, clock, wall_clock, history)
@@ -236,7 +236,7 @@
         access_log.close()
 
 
-def _plans(
+def _connect_plan_book(
     config: Config,
     table: tuple[str, str],
     decisions: DecisionModule,
--- a/tests/plans/test_wiring.py
+++ b/tests/plans/test_wiring.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from cypresspulley.__main__ import _plans
+from cypresspulley.__main__ import _connect_plan_book
 from cypresspulley.config import ConfigError, parse_config
 from cypresspulley.operators import Operators, OperatorsError, load_operators
 from cypresspulley.plans.book import Stamp, Terms
@@ -55,11 +55,11 @@
     gateway = Gateway(config.settings, 1, 0.0)
     monkeypatch.delenv("FAWNSEAM_PLANS_TOKEN", raising=False)
     with pytest.raises(ConfigError, match="plans: FAWNSEAM_PLANS_TOKEN"):
-        _plans(config, ("127.0.0.1:1", "x"), gateway, gateway, lambda: 0.0)
+        _connect_plan_book(config, ("127.0.0.1:1", "x"), gateway, gateway, lambda: 0.0)
     monkeypatch.setenv("FAWNSEAM_PLANS_TOKEN", "t")
     with pytest.raises(ConfigError, match="plans"):
-        _plans(config, ("nowhere", "x"), gateway, gateway, lambda: 0.0)
-    decisions, _ = _plans(config, ("127.0.0.1:1", "x"), gateway, gateway, lambda: 0.0)
+        _connect_plan_book(config, ("nowhere", "x"), gateway, gateway, lambda: 0.0)
+    decisions, _ = _connect_plan_book(config, ("127.0.0.1:1", "x"), gateway, gateway, lambda: 0.0)
     assert isinstance(decisions, PlanBookDecisions)
 
 
