--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m cypresspulley``: one limiter, configured by the file that LB_CONFIG names."""
+"""Runs one limiter as ``python -m cypresspulley``, configured by the file that LB_CONFIG names."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 from cypresspulley.net.upstream import Upstream
 from cypresspulley.operators import Operators, OperatorsError, load_operators
 from cypresspulley.policy.gateway import Gateway
-from cypresspulley.reload import SighupHandler, ConfigReloader
+from cypresspulley.reload import ConfigReloader, SighupHandler
 from cypresspulley.service import Service
 from cypresspulley.settings import SocketSettings
 from cypresspulley.takeover.channel import Folder
@@ -43,55 +43,68 @@
 
 log = logging.getLogger("cypresspulley")
 
-# Descriptors kept from clients and servers: 14 of a process at rest with its listener, 32 of discovery at most (15
+# Descriptors not available to clients and servers: 14 of an idle process with its listener, at most 32 of discovery (15
 # calls and an old watch at each of two addresses), those of the counter and of other limiters, and those being closed.
 RESERVED_DESCRIPTORS = 58
-DOOR_DESCRIPTORS = 80  # and for the operators' door
-LARGEST_RESERVE = 0.75  # of all descriptors, where they are few
-ACCEPT_FOR = 0.5  # seconds after SIGTERM for which clients still come
-# SIGKILL may come so many seconds later than the longest deadline after SIGTERM, and what it finds is lost.
-KILL_AFTER = 0.7
-FLUSH_WITHIN = 0.2  # seconds for the answers to what even then is open
-END_MARGIN = 0.2  # seconds kept back of all: a process that ends may be held up
-LEAST_ANSWER = 0.02  # seconds for what was taken, at least
-
-
-def answer_within(longest_deadline: float) -> float:
-    """Seconds, after those in which clients still come, in which what was taken may be answered."""
-    return max(LEAST_ANSWER, longest_deadline + KILL_AFTER - ACCEPT_FOR - FLUSH_WITHIN - END_MARGIN)
+ADMIN_DESCRIPTORS = 80  # reserved in addition if the operators' interface is configured
+MAX_RESERVED_SHARE = 0.75  # of all descriptors, so that a low limit leaves some for clients and servers
+ACCEPT_AFTER_SIGTERM_SECONDS = 0.5  # new connections are accepted for this long after SIGTERM
+# SIGKILL may follow SIGTERM after the longest deadline plus this time; requests open by then are lost.
+KILL_GRACE_SECONDS = 0.7
+FLUSH_TIMEOUT_SECONDS = 0.2  # for sending the responses to requests that are failed at the end
+EXIT_MARGIN_SECONDS = 0.2  # held back because the exit of a process may be delayed
+MIN_ANSWER_SECONDS = 0.02  # lower bound of the time for answering accepted requests
+
+
+def answer_timeout(longest_deadline: float) -> float:
+    """Return the seconds left for answering accepted requests once no new connections are accepted.
+
+    ``longest_deadline`` is the longest deadline of a request in seconds.
+    """
+    return max(
+        MIN_ANSWER_SECONDS,
+        longest_deadline
+        + KILL_GRACE_SECONDS
+        - ACCEPT_AFTER_SIGTERM_SECONDS
+        - FLUSH_TIMEOUT_SECONDS
+        - EXIT_MARGIN_SECONDS,
+    )
 
 
-LOGS_A_SECOND = 20
+MAX_LOG_LINES_PER_SECOND = 20
 
 
 class LogRateLimiter(logging.Filter):
-    """Drops what exceeds so many lines a second, and tells how many."""
+    """Drops the log lines beyond a number per second; the next second's first line reports how many."""
 
     def __init__(self, per_second: int) -> None:
         super().__init__()
         self._limit = per_second
         self._second = 0
-        self._seen = 0
+        self._lines_in_second = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
         if (second := int(time.monotonic())) != self._second:
-            dropped, self._second, self._seen = self._seen - self._limit, second, 0
+            dropped, self._second, self._lines_in_second = self._lines_in_second - self._limit, second, 0
             if dropped > 0:
                 record.msg = f"{record.msg} (and {dropped} lines dropped before)"
-        self._seen += 1
-        return self._seen <= self._limit
+        self._lines_in_second += 1
+        return self._lines_in_second <= self._limit
+
 
+def descriptor_limit(configured: int, rlimit: int) -> int:
+    """Return the number of usable descriptors: the configured one, or the resource limit if that is lower."""
+    return configured if rlimit == resource.RLIM_INFINITY else min(configured, rlimit)
 
-def descriptor_limit(told: int, allowed: int) -> int:
-    """How many descriptors there are: what the configuration says, or the machine allows where that is less."""
-    return told if allowed == resource.RLIM_INFINITY else min(told, allowed)
 
+def connection_share(limit: int, has_admin_server: bool) -> int:
+    """Return the number of connections that clients may hold; servers may hold as many again.
 
-def connection_share(limit: int, door: bool) -> int:
-    """Connections that clients may hold, and servers as many again, of ``limit`` descriptors: the rest is kept for
-    discovery, the counter and the listener, whoever fills up his own."""
-    reserve = RESERVED_DESCRIPTORS + DOOR_DESCRIPTORS * door
-    return max(1, (limit - min(reserve, int(LARGEST_RESERVE * limit))) // 2)
+    The rest of ``limit`` descriptors is reserved for discovery, the counter and the listener, so that these still work
+    when clients or servers use up their share.
+    """
+    reserve = RESERVED_DESCRIPTORS + ADMIN_DESCRIPTORS * has_admin_server
+    return max(1, (limit - min(reserve, int(MAX_RESERVED_SHARE * limit))) // 2)
 
 
 async def serve(
@@ -103,60 +116,71 @@
     on_service_created: Callable[[Service], None] | None = None,
     wall_clock: Callable[[], float] = time.time,
     history: AnyHistory | None = None,
-    hangup: SighupHandler | None = None,
+    sighup_handler: SighupHandler | None = None,
 ) -> None:
-    """Run one limiter until SIGTERM or SIGINT. All that it takes from the machine is the running loop, Unix time
-    from ``clock`` and, at SIGHUP, the configuration from ``reread``. ``watched`` may put something between the
-    decisions and the node that sees every event and action; ``opened`` gets what the operators' door calls on;
-    ``wall`` is the wall clock, which may step: only what limiters do together looks at it, and writes ``history``
-    where one is given; ``hangup`` may have heard SIGHUP already."""
-    loop, stop, hangup = asyncio.get_running_loop(), asyncio.Event(), hangup or SighupHandler()
+    """Run one limiter until SIGTERM or SIGINT.
+
+    The limiter depends on the machine only through the running loop, Unix time from ``clock`` and, at SIGHUP, the
+    configuration from ``read_config``. ``wrap_gateway`` may put an observer of every event and action between the
+    decisions and the node. ``on_service_created`` receives the service that answers the operators' calls.
+    ``wall_clock`` may step: only the fleet services read it, and they write ``history`` if one is given.
+    ``sighup_handler`` may have received SIGHUP already. Raises ``ConfigError`` if the configuration cannot be run.
+    """
+    loop, stop, sighup_handler = (
+        asyncio.get_running_loop(),
+        asyncio.Event(),
+        sighup_handler or SighupHandler(),
+    )
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    loop.add_signal_handler(signal.SIGHUP, hangup)
+    loop.add_signal_handler(signal.SIGHUP, sighup_handler)
     loop.set_exception_handler(
         lambda _loop, context: log.error("%s", context.get("message"), exc_info=context.get("exception"))
     )
-    alone = clock is None  # in a process of its own
+    owns_process = clock is None  # False if several limiters run in one process
     clock = clock or UnixClock()
-    # Usual clients hold a third of all at most; what silent ones hold beyond gives way to them.
+    # Active clients need a third of all descriptors at most; idle connections beyond that are closed in their favour.
     limit = descriptor_limit(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-    clients = servers = connection_share(limit, config.operator is not None)
-    service = Service(Lifecycle(), _folder(config))
+    max_clients = max_servers = connection_share(limit, config.operator is not None)
+    service = Service(Lifecycle(), _open_takeover_folder(config))
     if on_service_created is not None:
         on_service_created(service)
-    door = await _door(config, service)
+    admin_server = await _start_admin_server(config, service)
     timing = config.timing
-    upstream = Upstream(clock, timing.dial_timeout, timing.idle_timeout, servers)
-    counter = _counter(config, operators)
+    upstream = Upstream(clock, timing.dial_timeout, timing.idle_timeout, max_servers)
+    counter = _build_counter(config, operators)
     offer = await service.wait_for_offer(clock)
-    gateway = _gateway(config, clock)
+    gateway = _build_gateway(config, clock)
     if offer is not None and not service.adopt(gateway, clock(), offer, upstream):
-        gateway, offer = _gateway(config, clock), None
+        gateway, offer = _build_gateway(config, clock), None
     decisions: DecisionModule = gateway if wrap_gateway is None else wrap_gateway(gateway)
     plans = None
     if operators.plans is not None:
         decisions, plans = _connect_plan_book(config, operators.plans, decisions, gateway, clock)
-    together = None
+    fleet_services = None
     if operators.fleet is not None:
-        together = _together(config, operators, clock, wall_clock, history)
-        decisions = together.wrap(decisions, gateway)
-        if together.closing is not None:
-            service.purge = together.closing.purge
+        fleet_services = _build_fleet_services(config, operators, clock, wall_clock, history)
+        decisions = fleet_services.wrap(decisions, gateway)
+        if fleet_services.closing is not None:
+            service.purge = fleet_services.closing.purge
     if operators.tally is not None:
         from cypresspulley.tally import Tally
 
         decisions = Tally(
             decisions, operators.tally, config.settings.warm_after, lambda: upstream.dials_started
         )
-    node, access_log = _node(config.settings, decisions, clock, upstream, counter, operators, together)
+    node, access_log = _build_node(
+        config.settings, decisions, clock, upstream, counter, operators, fleet_services
+    )
     if config.known is not None and offer is None:
         node.apply_listing(config.known)
-    between = PeerLink(node)
-    await between.follow(config)
-    other = _other_front(config.settings, operators, clock)
-    frontend = Frontend(node, config.settings, clients, other, time.monotonic if alone else clock)
-    frontend.on_sweep = partial(node.check_wall_clock, time.time) if alone else None
+    peer_link = PeerLink(node)
+    await peer_link.apply(config)
+    graphql_handler = _build_graphql_handler(config.settings, operators, clock)
+    frontend = Frontend(
+        node, config.settings, max_clients, graphql_handler, time.monotonic if owns_process else clock
+    )
+    frontend.on_sweep = partial(node.check_wall_clock, time.time) if owns_process else None
     frontend.relay = upstream.relay
     try:
         if config.operator is None:
@@ -165,73 +189,74 @@
             await frontend.listen_shared(*config.listen, None if offer is None else offer.listener)
     except OSError as error:
         raise ConfigError(f"cannot listen: {error}") from None
-    since = config.known.version if config.known else None
-    follower = DiscoveryClient(
+    known_version = config.known.version if config.known else None
+    discovery_client = DiscoveryClient(
         node.apply_listing, Random(config.seed).random, timing.discovery_pushes, node.record_discovery_contact
     )
-    follower.follow(*config.discovery, since)
+    discovery_client.follow(*config.discovery, known_version)
     if counter is not None:
         counter.start()
     if plans is not None:
         plans.start()
-    if together is not None:
+    if fleet_services is not None:
         try:
-            await together.start()
+            await fleet_services.start()
         except OSError as error:
             raise ConfigError(f"fleet: cannot listen: {error}") from None
 
-    def retune(settings: api.Settings, newest: SocketSettings) -> None:
+    def retune(settings: api.Settings, new_timing: SocketSettings) -> None:
         nonlocal timing
-        timing = newest
+        timing = new_timing
         upstream.retune(timing.dial_timeout, timing.idle_timeout)
-        follower.set_pushed(timing.discovery_pushes)
+        discovery_client.set_pushed(timing.discovery_pushes)
         if counter is not None and settings.counter_timeout > 0:
             counter.set_timeout(settings.counter_timeout)
         node.retune(settings)
         frontend.reader.retune(settings)
         service.on_settings_changed()
 
-    def rewire(new: Config) -> None:
+    def apply_addresses(new: Config) -> None:
         nonlocal counter
-        between.follow_later(new)
-        if counter is None and (brought := _counter(new, operators)) is not None:
-            counter = brought
+        peer_link.apply_later(new)
+        if counter is None and (new_counter := _build_counter(new, operators)) is not None:
+            counter = new_counter
             node.use_counter(counter)
             counter.start()
         elif counter is not None and new.counter is not None:
             counter.move(*new.counter)
 
-    reload = ConfigReloader(config, follower, read_config, retune, rewire)
+    reload = ConfigReloader(config, discovery_client, read_config, retune, apply_addresses)
 
-    if alone:  # where many limiters share a process, what one freezes stays for good
+    if owns_process:  # in a shared process, objects frozen by one limiter would never be freed
         gc.collect()
-        gc.freeze()  # what is here now stays: the collector need not walk it again
+        gc.freeze()  # the objects of the start live as long as the process, so the collector can skip them
     service.serve(node, frontend, gateway, upstream, clock, offer is not None)
     log.info("ready")
-    closing = together.closing if together is not None else None
-    hangup.ready(reload, closing.reload if closing is not None else None)
+    closing = fleet_services.closing if fleet_services is not None else None
+    sighup_handler.ready(reload, closing.reload if closing is not None else None)
     await stop.wait()
     log.info("stopping")
-    if together is not None:
-        together.leave()
+    if fleet_services is not None:
+        fleet_services.leave()
     if not service.leave():
-        await asyncio.sleep(ACCEPT_FOR)  # clients do not know yet: what they still open is taken and answered
-    await frontend.close(answer_within(timing.longest_deadline))
+        # Clients have not heard of the shutdown yet: connections that they still open are accepted and served.
+        await asyncio.sleep(ACCEPT_AFTER_SIGTERM_SECONDS)
+    await frontend.close(answer_timeout(timing.longest_deadline))
     node.fail_open_requests()
-    await frontend.close(FLUSH_WITHIN)
-    hangup.close()
+    await frontend.close(FLUSH_TIMEOUT_SECONDS)
+    sighup_handler.close()
     service.close()
-    if door is not None:
-        door.close()
-    follower.close()
+    if admin_server is not None:
+        admin_server.close()
+    discovery_client.close()
     upstream.close()
     if counter is not None:
         counter.close()
-    between.close()
+    peer_link.close()
     if plans is not None:
         await plans.close()
-    if together is not None:
-        await together.close()
+    if fleet_services is not None:
+        await fleet_services.close()
     if access_log is not None:
         access_log.close()
 
@@ -243,14 +268,17 @@
     gateway: Gateway,
     clock: Callable[[], float],
 ) -> tuple[DecisionModule, PlanBookClient]:
-    """The decisions by a plan book, where the operators name its writer; what is off is not even imported."""
+    """Return the decisions wrapped with a plan book, and the client of its writer.
+
+    The module is imported only if the operators configured plans. Raises ``ConfigError``.
+    """
     try:
         from cypresspulley.plans.limiter import PlanBookClient
     except ImportError as error:
         raise ConfigError(f"plans needs its extra: pip install 'cypresspulley[plans]' ({error})") from None
     try:
         address, token = split_address(table[0]), os.environ.get("FAWNSEAM_PLANS_TOKEN", "")
-        # Its use is told under this name: two limiters of one name would each be taken for the other.
+        # Usage is reported under this name, so two limiters with the same name could not be told apart.
         name = str(config.raw.get("name") or os.environ.get("LB_NAME") or "limiter")
         plans = PlanBookClient(address, token, table[1], name, clock)
     except ValueError as error:
@@ -258,11 +286,14 @@
     return plans.wrap_decisions(decisions, gateway, config.settings), plans
 
 
-def _together(
+def _build_fleet_services(
     config: Config, operators: Operators, clock: Callable[[], float], wall_clock: Callable[[], float],
     history: AnyHistory | None,
 ) -> FleetServices:  # fmt: skip
-    """What limiters do together, where the operators' file has a fleet; what is off is not even imported."""
+    """Return the services that limiters provide together as a fleet.
+
+    The module is imported only if the operators' file has a fleet. Raises ``ConfigError``.
+    """
     try:
         from cypresspulley.together import FleetServices
 
@@ -274,15 +305,15 @@
         raise ConfigError(str(error)) from None
 
 
-def _gateway(config: Config, clock: Callable[[], float]) -> Gateway:
+def _build_gateway(config: Config, clock: Callable[[], float]) -> Gateway:
     try:
         return Gateway(config.settings, config.seed, clock())
     except ValueError as error:
         raise ConfigError(str(error)) from None
 
 
-def _folder(config: Config) -> Folder | None:
-    """Where a successor finds this process: there is one where operators have a door."""
+def _open_takeover_folder(config: Config) -> Folder | None:
+    """Return the folder in which a successor finds this process; None without the operators' interface."""
     path = os.environ.get("TMPDIR")
     if config.operator is None:
         return None
@@ -296,20 +327,23 @@
         return None
 
 
-async def _door(config: Config, service: Service) -> AdminServer | None:
-    """The operators' way in, where the configuration names one: before anything slow, so that it says no meanwhile."""
+async def _start_admin_server(config: Config, service: Service) -> AdminServer | None:
+    """Start the operators' interface if one is configured.
+
+    It starts before any slow step, so that it answers "not ready" meanwhile.
+    """
     if config.operator is None:
         return None
-    door = AdminServer(service.call)
+    admin_server = AdminServer(service.call)
     try:
-        await door.listen(*config.operator)
+        await admin_server.listen(*config.operator)
     except OSError as error:
         raise ConfigError(f"operator: cannot listen at {config.operator}: {error}") from None
-    return door
+    return admin_server
 
 
-def _counter(config: Config, operators: Operators) -> Counter | None:
-    """The platform's keeper, or the engine that the operators name in its place."""
+def _build_counter(config: Config, operators: Operators) -> Counter | None:
+    """Return a client of the platform's counter, or of the storage engine that the operators configured instead."""
     timeout = config.settings.counter_timeout
     if not timeout or operators.keeper is None:
         return CounterClient(*config.counter, timeout) if config.counter and timeout else None
@@ -323,10 +357,13 @@
         raise ConfigError(f"keeper.url: {error}") from None
 
 
-def _other_front(
+def _build_graphql_handler(
     settings: api.Settings, operators: Operators, clock: Callable[[], float]
 ) -> PathHandler | None:
-    """GraphQL's way in, where the operators want it; what is off is not even imported."""
+    """Return the handler of GraphQL requests, or None if the operators did not configure it.
+
+    The modules are imported only if it is configured. Raises ``ConfigError``.
+    """
     if operators.graphql is None:
         return None
     try:
@@ -345,7 +382,7 @@
 
 
 class PeerLink:
-    """The way to the other limiters, where the settings allow messages and the configuration names one."""
+    """Connects the node to the other limiters if the settings allow messages and addresses are configured."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
@@ -353,11 +390,11 @@
         self._listen: tuple[str, int] | None = None
         self._task: asyncio.Task[None] | None = None
 
-    async def follow(self, config: Config) -> None:
-        """Go on by a configuration; ``ConfigError`` where its address cannot be had."""
+    async def apply(self, config: Config) -> None:
+        """Listen and send as a configuration says; raises ``ConfigError`` if its address cannot be bound."""
         addresses = config.peers if config.settings.may_message_peers else None
         if addresses is None or addresses.listen != self._listen:
-            self._leave()
+            self._stop_listening()
         if addresses is None:
             return
         if self._peers is not None:
@@ -375,21 +412,24 @@
             raise ConfigError(f"cannot listen for messages of limiters: {error}") from None
         self._peers, self._listen, self._node.broadcast = peers, addresses.listen, peers.broadcast
 
-    def follow_later(self, config: Config) -> None:
-        """The same from a reload: an address that cannot be had is told in the log, and messages are off."""
-        before, self._task = self._task, None
+    def apply_later(self, config: Config) -> None:
+        """Apply a reloaded configuration, after those before it.
+
+        If its address cannot be bound, the error is logged and messages are off.
+        """
+        previous, self._task = self._task, None
 
-        async def in_turn() -> None:
-            if before is not None:
-                await asyncio.wait([before])
+        async def apply_in_order() -> None:
+            if previous is not None:
+                await asyncio.wait([previous])
             try:
-                await self.follow(config)
+                await self.apply(config)
             except ConfigError as error:
                 log.error("%s", error)
 
-        self._task = asyncio.get_running_loop().create_task(in_turn())
+        self._task = asyncio.get_running_loop().create_task(apply_in_order())
 
-    def _leave(self) -> None:
+    def _stop_listening(self) -> None:
         if self._peers is not None:
             self._peers.close()
         self._peers, self._listen, self._node.broadcast = None, None, None
@@ -397,17 +437,20 @@
     def close(self) -> None:
         if self._task is not None:
             self._task.cancel()
-        self._leave()
+        self._stop_listening()
 
 
-def _node(
+def _build_node(
     settings: api.Settings, gateway: DecisionModule, clock: Callable[[], float], upstream: Upstream,
-    counter: Counter | None, operators: Operators, together: FleetServices | None,
+    counter: Counter | None, operators: Operators, fleet_services: FleetServices | None,
 ) -> tuple[Node, LogFile | None]:  # fmt: skip
-    """The node, with an access log where the operators want one; what is off is not even imported."""
+    """Return the node, and the access log if the operators configured one.
+
+    The access log's module is imported only in that case. Raises ``ConfigError`` if its file cannot be opened.
+    """
     if operators.access_log is None:
-        plain = Node if together is None else together.node(Node)
-        return plain(settings, gateway, clock, upstream, counter), None
+        node_class = Node if fleet_services is None else fleet_services.node(Node)
+        return node_class(settings, gateway, clock, upstream, counter), None
     from cypresspulley.accesslog import LogFile, LoggedNode
 
     try:
@@ -415,11 +458,11 @@
     except OSError as error:
         raise ConfigError(f"cannot write the access log: {error}") from None
     asyncio.get_running_loop().add_signal_handler(signal.SIGUSR1, file.reopen)
-    logged = LoggedNode if together is None else together.node(LoggedNode)
-    return logged(settings, gateway, clock, upstream, counter, file), file
+    logged_class = LoggedNode if fleet_services is None else fleet_services.node(LoggedNode)
+    return logged_class(settings, gateway, clock, upstream, counter, file), file
 
 
-def _operators(arguments: list[str]) -> Operators:
+def _load_operators(arguments: list[str]) -> Operators:
     if not arguments:
         return Operators()
     if len(arguments) != 2 or arguments[0] != "--operators":
@@ -432,15 +475,15 @@
 
 def main(arguments: list[str] | None = None) -> int:
     handler = logging.StreamHandler(sys.stderr)
-    handler.addFilter(LogRateLimiter(LOGS_A_SECOND))
-    hangup = SighupHandler()
+    handler.addFilter(LogRateLimiter(MAX_LOG_LINES_PER_SECOND))
+    sighup_handler = SighupHandler()
     signal.signal(
-        signal.SIGHUP, lambda *_: hangup()
-    )  # until the loop handles it: it must never end the process
+        signal.SIGHUP, lambda *_: sighup_handler()
+    )  # until the loop handles SIGHUP, whose default action would end the process
     logging.basicConfig(level=logging.INFO, handlers=[handler], format="%(asctime)s %(name)s: %(message)s")
     try:
-        operators = _operators(sys.argv[1:] if arguments is None else arguments)
-        uvloop.run(serve(load_config_from_env(), operators, hangup=hangup))
+        operators = _load_operators(sys.argv[1:] if arguments is None else arguments)
+        uvloop.run(serve(load_config_from_env(), operators, sighup_handler=sighup_handler))
     except ConfigError as error:
         print(f"cypresspulley: {error}", file=sys.stderr)
         return 2
--- a/cypresspulley/rehearsal/virtual/play.py
+++ b/cypresspulley/rehearsal/virtual/play.py
@@ -144,8 +144,8 @@
             history = MemoryHistory(clock, self._wall)
             self.histories.append(history)
         work = serve(
-            self._config(), self._operators, clock=clock, read_config=self._config, wrap_gateway=watched, on_service_created=self._opened,
-            wall_clock=self._wall, history=history,
+            self._config(), self._operators, clock=clock, read_config=self._config, wrap_gateway=watched,
+            on_service_created=self._opened, wall_clock=self._wall, history=history,
         )  # fmt: skip
         task = self._loop.create_task(work, context=context)
         task.add_done_callback(self._done)
