--- a/cypresspulley/reload.py
+++ b/cypresspulley/reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the configuration is read again, checked as a whole, and holds from then on."""
+"""Reloads the configuration at SIGHUP: the file is read and checked as a whole before it is applied."""
 
 from __future__ import annotations
 
@@ -15,100 +15,106 @@
 
 log = logging.getLogger("cypresspulley")
 
-# After SIGHUP a file that cannot be taken is looked at again, so many times and seconds apart: it may be half written.
-LOOKS = 8
-LOOK_AGAIN = 0.25
+# A file that is rejected after SIGHUP is read again a few times, because it may be only half written.
+MAX_READS = 8
+READ_INTERVAL_SECONDS = 0.25
 
-# Of the file: none may go missing in service, but the counter where the settings have none.
-KEPT_KEYS = ("listen", "discovery", "counter", "limits", "settings")
+# Keys that a reloaded file must still have; the counter only if the settings have one.
+REQUIRED_KEYS = ("listen", "discovery", "counter", "limits", "settings")
 
 
 class ConfigReloader:
-    """SIGHUP: the file is read again; discovery and the counter are followed to where it says, and its settings hold.
+    """Reads the file again, moves discovery and the counter to its addresses, and applies its settings.
 
-    All of the file is checked before anything changes: a broken one changes nothing but the log, which has one line
-    for each way in which it is broken.
+    The whole file is checked before anything changes. A broken file changes nothing; it is logged, and only again when
+    the error differs from the previous one.
     """
 
     def __init__(
-        self, config: Config, follower: DiscoveryClient, reread: Callable[[], Config],
-        retune: Callable[[api.Settings, SocketSettings], None], rewire: Callable[[Config], None] = lambda _new: None,
+        self, config: Config, discovery_client: DiscoveryClient, read_config: Callable[[], Config],
+        retune: Callable[[api.Settings, SocketSettings], None],
+        apply_addresses: Callable[[Config], None] = lambda _new: None,
     ) -> None:  # fmt: skip
-        """``rewire`` gets each file that was taken, for the counter and the other limiters."""
+        """``apply_addresses`` receives each accepted file, for the counter and the other limiters."""
         self._config = config
-        self._follower = follower
-        self._reread = reread
+        self._discovery_client = discovery_client
+        self._read_config = read_config
         self._retune = retune
-        self._rewire = rewire
-        self._said = ""  # what is wrong with the file
+        self._apply_addresses = apply_addresses
+        self._last_error = ""  # of the latest reading; empty if the file was accepted
 
     def __call__(self) -> bool:
-        """Whether the file was taken."""
+        """Read the file again; return True if it was accepted."""
         old = self._config
         try:
-            new = self._reread()
-            kept = (key for key in KEPT_KEYS if key != "counter" or new.settings.has_counter)
-            if missing := [key for key in kept if old.raw.get(key) and not new.raw.get(key)]:
+            new = self._read_config()
+            required = (key for key in REQUIRED_KEYS if key != "counter" or new.settings.has_counter)
+            if missing := [key for key in required if old.raw.get(key) and not new.raw.get(key)]:
                 raise ConfigError(f"{missing[0]} is missing")
             check_no_missing_keys(new.raw.get("settings") or {}, old.raw.get("settings") or {})
         except (ConfigError, ValueError) as error:
-            # A half-written or wrong file must not end a limiter that serves.
-            if (said := str(error)) != self._said:
+            # A half-written or wrong file must not end a limiter in service.
+            if (message := str(error)) != self._last_error:
                 log.error("the configuration was not reloaded: %s: %s", os.environ.get("LB_CONFIG"), error)
-            self._said = said
+            self._last_error = message
             return False
-        self._said = ""
-        self._follower.follow(*new.discovery)
+        self._last_error = ""
+        self._discovery_client.follow(*new.discovery)
         changed = new.settings != old.settings or new.timing != old.timing
         if changed:
             self._retune(new.settings, new.timing)
-        self._rewire(new)
+        self._apply_addresses(new)
         served = replace(
             old, discovery=new.discovery, counter=new.counter, known=new.known, settings=new.settings,
             timing=new.timing, peers=new.peers,
         )  # fmt: skip
         self._config = replace(served, raw=new.raw)
-        late = new != served or (new.counter is None and new.settings.has_counter)
-        rest = "; some of the file needs a restart" if late else ""
+        needs_restart = new != served or (new.counter is None and new.settings.has_counter)
+        rest = "; some of the file needs a restart" if needs_restart else ""
         log.info("the configuration was reloaded%s%s", ", other settings hold" if changed else "", rest)
         return True
 
 
 class SighupHandler:
-    """SIGHUP at any time: one that comes before ``reload`` is there waits for it, and one that meets half a file looks
-    again. The latest counts; after ``close`` none does."""
+    """Handles SIGHUP at any time in the life of the process.
+
+    A signal that arrives before ``ready`` is handled by it. A file that is rejected is read up to
+    ``MAX_READS`` times in all; a later signal starts over. After ``close``, signals have no effect.
+    """
 
     def __init__(self) -> None:
         self._reload: Callable[[], bool] | None = None
-        self._beside: Callable[[], None] | None = None
-        self._waiting = False
+        self._on_signal: Callable[[], None] | None = None
+        self._pending = False
         self._timer: asyncio.TimerHandle | None = None
 
     def __call__(self) -> None:
-        self._waiting = True
-        if self._beside is not None:
-            self._beside()
-        self._look(LOOKS)
-
-    def ready(self, reload: Callable[[], bool], beside: Callable[[], None] | None) -> None:
-        """From now on the file can be taken; ``beside`` is called once for each signal."""
-        self._reload, self._beside = reload, beside
-        if self._waiting:
+        self._pending = True
+        if self._on_signal is not None:
+            self._on_signal()
+        self._try_reload(MAX_READS)
+
+    def ready(self, reload: Callable[[], bool], on_signal: Callable[[], None] | None) -> None:
+        """Handle signals from now on, those received before included; ``on_signal`` is called once for each one."""
+        self._reload, self._on_signal = reload, on_signal
+        if self._pending:
             self()
 
     def close(self) -> None:
-        self._reload = self._beside = None
-        self._stop()
+        self._reload = self._on_signal = None
+        self._cancel_timer()
 
-    def _stop(self) -> None:
+    def _cancel_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _look(self, looks: int) -> None:
-        self._stop()
-        if self._reload is None or not self._waiting:
+    def _try_reload(self, remaining_reads: int) -> None:
+        self._cancel_timer()
+        if self._reload is None or not self._pending:
             return
-        self._waiting = not self._reload() and looks > 1
-        if self._waiting:
-            self._timer = asyncio.get_running_loop().call_later(LOOK_AGAIN, self._look, looks - 1)
+        self._pending = not self._reload() and remaining_reads > 1
+        if self._pending:
+            self._timer = asyncio.get_running_loop().call_later(
+                READ_INTERVAL_SECONDS, self._try_reload, remaining_reads - 1
+            )
--- a/cypresspulley/service.py
+++ b/cypresspulley/service.py
@@ -1,4 +1,4 @@
-"""What operators call on: joins the door, the states of the process, a takeover, clients and the decisions."""
+"""Answers the operators' calls; connects their interface, the process states, takeovers, clients and decisions."""
 
 from __future__ import annotations
 
@@ -29,12 +29,15 @@
 
 log = logging.getLogger(__name__)
 
-RECORD = "bans"  # the file that outlasts a takeover that failed
-CLOCK_OFFSET = "clock_offset"  # in what is handed over: seconds from the monotonic clock to the decisions'
+RECORD_FILE = "bans"  # file that passes on bans and drain when a predecessor could not hand over
+CLOCK_OFFSET = "clock_offset"  # key of the snapshot: seconds from the monotonic clock to the decisions' clock
 
 
 class Service:
-    """Answers the operators' calls, and is a takeover's host. Until ``serve`` it knows no node, and says so."""
+    """Answers the operators' calls and is the ``Host`` of a takeover.
+
+    Until ``serve`` there is no node, and calls other than ``readyz`` are answered with 503.
+    """
 
     def __init__(self, lifecycle: Lifecycle, folder: Folder | None = None) -> None:
         self.lifecycle = lifecycle
@@ -44,21 +47,23 @@
         self._gateway: Gateway | None = None
         self._upstream: Upstream | None = None
         self._clock: Callable[[], float] = float
-        self._successor: Successor | None = None  # this process's way to its predecessor
-        self._predecessor: Predecessor | None = None  # and to its successor
+        self._successor: Successor | None = None  # our side of the channel to our predecessor
+        self._predecessor: Predecessor | None = None  # our side of the channel to our successor
         self._split: StateSplit | None = None
         self._predecessor_attempts: PredecessorAttempts | None = None
-        self._drained = False  # as inherited, until the process serves
+        self._drained = False  # inherited value, used until the process serves
         self._tasks = set[asyncio.Task[None]]()
-        # Purges what all limiters keep of an account: who may still have something; None where nothing is kept.
+        # Purges an account's cached answers on all limiters; returns the limiters that may still have some. None if
+        # nothing is cached.
         self.purge: Callable[[str], Awaitable[tuple[str, ...]]] | None = None
 
-    # Starting, alone or after a predecessor.
+    # Start, alone or after a predecessor.
 
     async def wait_for_offer(self, clock: Callable[[], float] | None = None) -> Offer | None:
-        """What a process that serves already hands over; None where there is none.
+        """Return what a running predecessor hands over; None if there is no predecessor.
 
-        Instants in it are by the predecessor's clock: ``clock`` goes on by that, and what reads it has to come later.
+        Times in the offer are by the predecessor's clock. ``clock`` is set to continue that clock, so everything that
+        reads ``clock`` has to be created after this call.
         """
         if self._folder is None:
             return None
@@ -70,7 +75,7 @@
         return offer
 
     def adopt(self, gateway: Gateway, now: float, offer: Offer, upstream: Upstream) -> bool:
-        """Go on from the offer; whether it could be used. Where not, ``gateway`` is spoilt."""
+        """Restore the state of the offer; return False if it is invalid, which leaves ``gateway`` unusable."""
         assert self._successor is not None
         state = offer.state
         try:
@@ -93,26 +98,26 @@
         self, node: Node, frontend: Frontend, gateway: Gateway | None = None, upstream: Upstream | None = None,
         clock: Callable[[], float] | None = None, inherited: bool = False,
     ) -> None:  # fmt: skip
-        """Clients' connections are taken from now on."""
+        """Start to serve: client connections are accepted from now on."""
         self._node, self._frontend, self._gateway, self._upstream = node, frontend, gateway, upstream
         self._clock = clock or self._clock
         self.lifecycle.apply(LifecycleEvent.SERVE_AS_SUCCESSOR if inherited else LifecycleEvent.SERVE)
         if not inherited:
-            self._recall()
+            self._restore_record()
         if self._drained:
             self.lifecycle.apply(LifecycleEvent.DRAIN)
-        self._heed()
+        self._apply_drain()
         if gateway is not None:
             self._predecessor_attempts = PredecessorAttempts(gateway)
         if self._successor is not None:
             self._successor.serve(self)
         if self._folder is not None:
             self._predecessor = Predecessor(self, self._folder)
-            self._record()
+            self._write_record()
 
-    def _recall(self) -> None:
-        """A predecessor that could not hand over has left its bans in the folder."""
-        text = self._folder.read(RECORD) if self._folder is not None else None
+    def _restore_record(self) -> None:
+        """Restore the bans and the drain from the file of a predecessor that could not hand over."""
+        text = self._folder.read(RECORD_FILE) if self._folder is not None else None
         if text is None or self._node is None:
             return
         try:
@@ -123,14 +128,14 @@
         for name in bans:
             self._node.suspend(name, True, sure=True)
 
-    def _record(self) -> bool:
-        """Write down what has to outlast this process; whether that could be done."""
+    def _write_record(self) -> bool:
+        """Write the bans and the drain to the folder, to outlast this process; return False if that failed."""
         if self._folder is not None and self._gateway is not None:
             text = json.dumps(
                 {"bans": sorted(self._gateway.load_balancer.bans), "drained": self.lifecycle.drained}
             )
             try:
-                self._folder.write(RECORD, text)
+                self._folder.write(RECORD_FILE, text)
             except OSError as error:
                 log.error("takeover: the record of bans cannot be written: %s", error)
                 return False
@@ -139,7 +144,10 @@
     # The operators' calls.
 
     async def call(self, name: str, id: str) -> Reply:
-        """A call of the operators; it is in force when this returns, in both processes during an upgrade."""
+        """Apply an operators' call and return its answer.
+
+        A call answered with 200 has taken effect, during an upgrade in both processes.
+        """
         state = {"state": self.lifecycle.state.value}
         if name == "readyz":
             return Reply(200 if self.lifecycle.ready else 503, state)
@@ -148,7 +156,7 @@
         if name == "purge":
             return await self._purge(id)
         reply = self._apply(name, id)
-        if reply.status == 200 and not await self._tell(name, id, None):
+        if reply.status == 200 and not await self._forward_call(name, id, None):
             return Reply(503, {"error": "the other process of this upgrade did not answer; call again"})
         return reply
 
@@ -163,28 +171,28 @@
             return Reply(503, {"account": account, "missing": list(missing)})
         return Reply(200, {"account": account, "purged": True})
 
-    async def _tell(self, name: str, id: str, source: Peer | None) -> bool:
+    async def _forward_call(self, name: str, id: str, source: Peer | None) -> bool:
         peers = (self._successor, self._predecessor)
         others = [peer.forward_call(name, id) for peer in peers if peer is not None and peer is not source]
-        return all(await asyncio.gather(*others))  # together: the answer at the door is due
+        return all(await asyncio.gather(*others))  # concurrently, because the operators wait for the answer
 
     def _apply(self, name: str, id: str, sure: bool = False) -> Reply:
         if name in ("suspend", "resume"):
             return self._ban(id, name == "suspend", sure)
         if not self.lifecycle.apply(LifecycleEvent.DRAIN if name == "drain" else LifecycleEvent.ACTIVATE):
             return Reply(409, {"state": self.lifecycle.state.value, "error": f"cannot {name} now"})
-        self._heed()
-        return self._recorded(Reply(200, {"state": self.lifecycle.state.value}))
+        self._apply_drain()
+        return self._confirm_recorded(Reply(200, {"state": self.lifecycle.state.value}))
 
     def _ban(self, id: str, out: bool, sure: bool) -> Reply:
         assert self._node is not None
         if not self._node.suspend(id, out, sure):
             return Reply(404, {"server": id, "error": "no server of this id was ever listed"})
-        return self._recorded(Reply(200, {"server": id, "suspended": out}))
+        return self._confirm_recorded(Reply(200, {"server": id, "suspended": out}))
 
-    def _recorded(self, reply: Reply) -> Reply:
-        """The answer to a call that is in force: yes only where it would outlast this process."""
-        if self._record():
+    def _confirm_recorded(self, reply: Reply) -> Reply:
+        """Record the state after a call took effect; return ``reply``, or 503 if the state could not be recorded."""
+        if self._write_record():
             return reply
         return Reply(
             503,
@@ -192,13 +200,13 @@
         )
 
     def leave(self) -> bool:
-        """The process was told to end; whether a successor takes what comes."""
-        handed = self.lifecycle.handed_over
+        """Begin the shutdown; return True if a successor accepts new connections."""
+        is_handed_over = self.lifecycle.handed_over
         self.lifecycle.apply(LifecycleEvent.TERMINATE)
-        self._heed()
-        return handed
+        self._apply_drain()
+        return is_handed_over
 
-    def _heed(self) -> None:
+    def _apply_drain(self) -> None:
         if self._frontend is None:
             return
         if self.lifecycle.drained:
@@ -211,7 +219,7 @@
             if peer is not None:
                 peer.close()
 
-    # The host of a takeover.
+    # Host of a takeover.
 
     def take_snapshot(self) -> dict[str, Any]:
         assert self._gateway is not None and self._upstream is not None
@@ -232,11 +240,11 @@
 
     def resume(self) -> None:
         self.lifecycle.apply(LifecycleEvent.TAKE_BACK)
-        self._heed()
+        self._apply_drain()
         if self._frontend is not None and not self._frontend.is_shutting_down:
             self._frontend.resume()
 
-    def _later(self, work: Coroutine[Any, Any, Any]) -> None:
+    def _run_in_background(self, work: Coroutine[Any, Any, Any]) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -246,7 +254,7 @@
         self._split = StateSplit(self._gateway)
 
     def on_settings_changed(self) -> None:
-        """Other settings hold; a process that hands over goes on with its part of them."""
+        """Adapt to new settings; a process that hands over keeps only its share of the plans."""
         if self._split is not None:
             self._split.scale_plans()
 
@@ -272,12 +280,12 @@
 
     def adopt_connection(self, sock: socket.socket) -> None:
         assert self._frontend is not None
-        self._later(self._frontend.adopt_connection(sock))
+        self._run_in_background(self._frontend.adopt_connection(sock))
 
     def apply_call(self, name: str, id: str, source: Peer) -> None:
         self._apply(name, id, sure=True)
-        self._later(self._tell(name, id, source))  # to a third process, where there is one
+        self._run_in_background(self._forward_call(name, id, source))  # a third process may be involved
 
     def predecessor_ended(self) -> None:
         self.lifecycle.apply(LifecycleEvent.PREDECESSOR_ENDED)
-        self._heed()
+        self._apply_drain()
