--- a/cypresspulley/config.py
+++ b/cypresspulley/config.py
@@ -1,4 +1,4 @@
-"""The configuration that LB_CONFIG names, as typed records: addresses, limits, last known servers, settings."""
+"""Reads the configuration file into typed records: addresses, limits, last known servers and settings."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerAddresses:
-    """Where messages of other limiters come in, from whom, and where one goes to reach all of them."""
+    """Addresses for messages between limiters: our own, those to accept from, and one that reaches all."""
 
     listen: tuple[str, int]
     peers: tuple[str, ...]
@@ -30,38 +30,40 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """The configuration of one limiter process."""
+
     listen: tuple[str, int]
     discovery: tuple[str, int]
     counter: tuple[str, int] | None
     seed: int
-    sockets: int
-    known: Listing | None
+    sockets: int  # descriptors that this process may hold
+    known: Listing | None  # the latest list of servers, used until discovery answers
     peers: PeerAddresses | None
-    operator: tuple[str, int] | None  # where operators call; None: there is no door
+    operator: tuple[str, int] | None  # address of the operators' interface; None: off
     settings: api.Settings
     timing: SocketSettings
-    raw: dict[str, Any] = field(repr=False, compare=False, default_factory=dict)  # the file, as it was read
+    raw: dict[str, Any] = field(repr=False, compare=False, default_factory=dict)  # the parsed file
 
 
 class ConfigError(Exception):
-    """A configuration that cannot be run."""
+    """The configuration cannot be run."""
 
 
 def parse_config(raw: Any) -> Config:
-    """The configuration object; ``ConfigError`` names what is wrong."""
+    """Return the configuration from its JSON object; raises ``ConfigError`` naming the invalid value."""
     if not isinstance(raw, dict) or not isinstance(raw.get("settings"), dict):
         raise ConfigError("the configuration is not an object with settings")
     try:
         check_positive_figures(raw["settings"])
         return Config(
-            listen=_address(raw, "listen"),
-            discovery=_address(raw, "discovery"),
-            counter=_address(raw, "counter") if raw.get("counter") else None,
+            listen=_parse_address(raw, "listen"),
+            discovery=_parse_address(raw, "discovery"),
+            counter=_parse_address(raw, "counter") if raw.get("counter") else None,
             seed=int(str(raw.get("seed") or "0"), 16),
-            sockets=_sockets(raw),
+            sockets=_parse_descriptor_limit(raw),
             known=parse_listing(raw["known"]) if raw.get("known") else None,
-            peers=_peers_from(raw),
-            operator=_address(raw, "operator") if raw.get("operator") else None,
+            peers=_parse_peers(raw),
+            operator=_parse_address(raw, "operator") if raw.get("operator") else None,
             settings=parse_settings(raw["settings"]),
             timing=parse_socket_settings(raw["settings"]),
             raw=raw,
@@ -70,21 +72,23 @@
         raise ConfigError(str(error)) from None
 
 
-def _sockets(raw: dict[str, Any]) -> int:
-    """How many descriptors this process may hold: 1,024 where nothing is said."""
+def _parse_descriptor_limit(raw: dict[str, Any]) -> int:
+    """Return the number of descriptors that this process may hold; 1,024 by default."""
     limits = raw.get("limits") or {}
     if not isinstance(limits, dict):
         raise ConfigError(f"limits: expected an object, got {limits!r:.40}")
     sockets = 1024 if limits.get("sockets") is None else limits["sockets"]
-    number = isinstance(sockets, int | float) and not isinstance(sockets, bool) and 0 < sockets <= MAX_NUMBER
-    if not number or sockets != int(sockets):
+    is_number = (
+        isinstance(sockets, int | float) and not isinstance(sockets, bool) and 0 < sockets <= MAX_NUMBER
+    )
+    if not is_number or sockets != int(sockets):
         raise ConfigError(
             f"limits.sockets: expected a whole number from 1 to {MAX_NUMBER}, got {sockets!r:.40}"
         )
     return int(sockets)
 
 
-def _address(raw: dict[str, Any], key: str) -> tuple[str, int]:
+def _parse_address(raw: dict[str, Any], key: str) -> tuple[str, int]:
     if raw.get(key) is None:
         raise ConfigError(f"{key} is missing")
     try:
@@ -93,7 +97,7 @@
         raise ConfigError(f"{key}: {error}") from None
 
 
-def _peers_from(raw: dict[str, Any]) -> PeerAddresses | None:
+def _parse_peers(raw: dict[str, Any]) -> PeerAddresses | None:
     if not raw.get("peer_listen") or not raw.get("peers_all"):
         return None
     peers = raw.get("peers") or []
@@ -105,6 +109,10 @@
 
 
 def load_config(path: str | None) -> Config:
+    """Read the file; raises ``ConfigError`` if it cannot be read or is invalid.
+
+    LB_OPERATOR gives the address of the operators' interface if the file has none.
+    """
     if not path:
         raise ConfigError("LB_CONFIG is not set")
     try:
@@ -112,11 +120,11 @@
             raw = json.load(file)
     except (OSError, ValueError) as error:
         raise ConfigError(f"cannot read {path}: {error}") from None
-    if isinstance(raw, dict) and (door := os.environ.get("LB_OPERATOR")):
-        raw.setdefault("operator", door)
+    if isinstance(raw, dict) and (operator_address := os.environ.get("LB_OPERATOR")):
+        raw.setdefault("operator", operator_address)
     return parse_config(raw)
 
 
 def load_config_from_env() -> Config:
-    """The configuration that LB_CONFIG names."""
+    """Return the configuration from the file that LB_CONFIG names; raises ``ConfigError``."""
     return load_config(os.environ.get("LB_CONFIG"))
