--- a/cypresspulley/accesslog.py
+++ b/cypresspulley/accesslog.py
@@ -124,7 +124,7 @@
         self._born[request.event.id] = (now - request.seconds_since_first_byte, now)
         super().arrived(request)
 
-    def kept(self, request: ClientRequest, size: int) -> None:
+    def log_cached_response(self, request: ClientRequest, size: int) -> None:
         """A kept answer was given in place of a server's (``closing/node.py``)."""
         assert request.event is not None
         now = self._clock()
--- a/cypresspulley/closing/node.py
+++ b/cypresspulley/closing/node.py
@@ -90,7 +90,9 @@
                 return False
             answer, age = found
             request.respond(200, answer.body, b"%bAge: %d\r\n" % (answer.headers, max(0, int(age))))
-            if (log := getattr(self, "kept", None)) is not None:  # if ``kind`` writes an access log
+            if (
+                log := getattr(self, "log_cached_response", None)
+            ) is not None:  # if ``kind`` writes an access log
                 log(request, len(answer.body))
             return True
 
