--- a/tests/test_accesslog.py
+++ b/tests/test_accesslog.py
@@ -106,10 +106,10 @@
     pipe = tmp_path / "pipe"
     os.mkfifo(pipe)
     reader = os.open(pipe, os.O_RDONLY | os.O_NONBLOCK)
-    file = LogFile(str(pipe), most=100_000)
+    file = LogFile(str(pipe), max_waiting_bytes=100_000)
     began, number = time.monotonic(), 0
     while not file.dropped and time.monotonic() - began < 5:
-        # The pipe, the batch that the writer holds and `most`: however they are cut, 1 MB is more than all three.
+        # The pipe, the batch that the writer holds and `max_waiting_bytes` together hold less than 1 MB.
         assert number < 100_000
         file.put(b'{"n":%d}' % number)
         number += 1
@@ -119,7 +119,7 @@
     drain = threading.Thread(target=lambda: got.extend(iter(lambda: os.read(reader, 1 << 16), b"")))
     drain.start()
     file.flush()
-    wait_for(lambda: file._waiting == 0)
+    wait_for(lambda: file._waiting_bytes == 0)
     dropped = file.dropped
     file.put(b'{"n":"last"}')
     file.close()
@@ -159,10 +159,10 @@
     file.put(b'{"n":"last"}')
     file.close()
     lines = bytes(disk.taken).splitlines()
-    whole = [json.loads(line) for line in lines if line.endswith(b"}")]
-    assert whole[-2:] == [{"kind": "dropped", "lines": 3 - room // 8}, {"n": "last"}]
-    assert whole[:-2] == [{"n": number} for number in range(room // 8)]
-    assert len(lines) == len(whole) + (room % 8 > 0)
+    complete = [json.loads(line) for line in lines if line.endswith(b"}")]
+    assert complete[-2:] == [{"kind": "dropped", "lines": 3 - room // 8}, {"n": "last"}]
+    assert complete[:-2] == [{"n": number} for number in range(room // 8)]
+    assert len(lines) == len(complete) + (room % 8 > 0)
 
 
 def test_a_disk_that_takes_nothing_is_counted() -> None:
