--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -21,7 +21,7 @@
 from cypresspulley.plans.plan_writer import PlanWriter
 from cypresspulley.plans.serve import Publisher
 from cypresspulley.plans.store import Store
-from cypresspulley.service import RECORD
+from cypresspulley.service import RECORD_FILE
 from cypresspulley.takeover.channel import Folder
 from cypresspulley.takeover.snapshot import decode_snapshot, encode_snapshot, restore_snapshot, take_snapshot
 from tests import world as w
@@ -120,8 +120,8 @@
         Folder(str(tmp_path), "test"),
         [f"{n:04d}".ljust(MAX_ID_LENGTH, "\xe9") for n in range(LARGE_FLEET_SIZE)],
     )
-    folder.write(RECORD, json.dumps({"bans": names, "drained": False}))
-    assert json.loads(folder.read(RECORD) or "{}")["bans"] == names
+    folder.write(RECORD_FILE, json.dumps({"bans": names, "drained": False}))
+    assert json.loads(folder.read(RECORD_FILE) or "{}")["bans"] == names
 
 
 def test_a_takeover_hands_over_a_large_fleet_whole() -> None:
