--- a/cypresspulley/cli.py
+++ b/cypresspulley/cli.py
@@ -1,7 +1,7 @@
-"""The command ``fawnseam``: one thin subcommand for each tool.
+"""The command ``fawnseam``, with one thin subcommand for each tool.
 
-Exit codes: 0 as wished; 1 a rule was broken or a goal missed; 2 bad input; 3 the tool itself could not do its
-work, or its run counts for nothing; 130 interrupted.
+Exit codes: 0 success; 1 a rule was broken or a goal was missed; 2 bad input; 3 the tool itself failed or its run is
+void; 130 interrupted.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 try:
     import click
-except ImportError:  # the limiter's own requirements do not hold it
+except ImportError:  # click is not among the limiter's own requirements
     sys.exit("fawnseam: the command line is an extra: pip install 'cypresspulley[rehearsal]'")
 
-FAILED = 1
-BAD_INPUT = 2
-BROKEN_TOOL = 3
-INTERRUPTED = 130
+EXIT_FAILED = 1
+EXIT_BAD_INPUT = 2
+EXIT_BROKEN_TOOL = 3
+EXIT_INTERRUPTED = 130
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -163,8 +163,8 @@
     sys.exit(command.explore(scenario, wanted, command.Outputs(out, json_file, png)))
 
 
-def _inputs(function: Callable[..., None]) -> Callable[..., None]:
-    """The options of everything that reads captures."""
+def _add_capture_options(function: Callable[..., None]) -> Callable[..., None]:
+    """Add the arguments and options of the commands that read captures."""
     for option in reversed((
         click.argument("files", nargs=-1, required=True),
         click.option("--kind", type=click.Choice(("auto", "har", "json", "combined", "common", "envoy", "haproxy")),
@@ -190,7 +190,7 @@
 
 
 @capture.command("inspect")
-@_inputs
+@_add_capture_options
 @click.option("--json", "json_file", type=click.Path(path_type=Path), help="Write the figures as JSON.")
 @click.option("--html", type=click.Path(path_type=Path), help="Write a page to look at.")
 def capture_inspect(
@@ -212,7 +212,7 @@
 
 
 @capture.command("scrub")
-@_inputs
+@_add_capture_options
 @click.option(
     "--out", type=click.Path(path_type=Path), required=True, help="The capture to write (JSON lines)."
 )
@@ -237,7 +237,7 @@
 
 
 @main.command()
-@_inputs
+@_add_capture_options
 @click.option(
     "--against", multiple=True, metavar="HOST:PORT", help="Limiters that run; default: the kit's own."
 )
@@ -340,23 +340,27 @@
     """
 
 
-_STORE = click.option(
+_STORE_OPTION = click.option(
     "--store", type=click.Path(path_type=Path), help="The book's folder, where no writer serves it."
 )
-_TO = click.option(
+_WRITER_OPTION = click.option(
     "--to", metavar="HOST:PORT", help="The writer that serves the book (FAWNSEAM_PLANS_TOKEN)."
 )
-_NAME = click.option("--installation", default="", help="The installation; needed for a new store.")
-_AUTHOR = click.option("--author", required=True, help="Who wants it.")
-_REASON = click.option("--reason", default="", help="Why.")
-_DRY = click.option(
+_INSTALLATION_OPTION = click.option(
+    "--installation", default="", help="The installation; needed for a new store."
+)
+_AUTHOR_OPTION = click.option("--author", required=True, help="Who wants it.")
+_REASON_OPTION = click.option("--reason", default="", help="Why.")
+_DRY_RUN_OPTION = click.option(
     "--dry-run", is_flag=True, help="Change nothing; say what would be, and who would be over."
 )
-_JSON = click.option("--json", "as_json", is_flag=True, help="Tell it as JSON.")
-_EFFECTIVE = click.option("--effective", help="Unix milliseconds or +SECONDS; a lease ahead by itself.")
+_JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="Tell it as JSON.")
+_EFFECTIVE_OPTION = click.option(
+    "--effective", help="Unix milliseconds or +SECONDS; a lease ahead by itself."
+)
 
 
-def _instant(text: str | None) -> dict[str, int | str]:
+def _parse_effective(text: str | None) -> dict[str, int | str]:
     if text is None:
         return {}
     return {"effective": int(text) if text.isdigit() else text}
@@ -377,9 +381,9 @@
 
 
 @plans.command("change")
-@_STORE
-@_TO
-@_NAME
+@_STORE_OPTION
+@_WRITER_OPTION
+@_INSTALLATION_OPTION
 @click.option("--plan", required=True)
 @click.option("--rate", type=float, required=True, help="Units a second.")
 @click.option("--burst", type=float, required=True, help="Units.")
@@ -387,11 +391,11 @@
 @click.option("--ceiling-burst", type=float, default=0.0)
 @click.option("--worth", type=float, default=1.0, help="Of a unit.")
 @click.option("--cap", type=int, default=0, help="Requests out at once; 0: no cap.")
-@_EFFECTIVE
-@_AUTHOR
-@_REASON
-@_DRY
-@_JSON
+@_EFFECTIVE_OPTION
+@_AUTHOR_OPTION
+@_REASON_OPTION
+@_DRY_RUN_OPTION
+@_JSON_OPTION
 def plans_change(
     store: Path | None, to: str | None, installation: str, plan: str, rate: float, burst: float, ceiling_rate: float,
     ceiling_burst: float, worth: float, cap: int, effective: str | None, author: str, reason: str, dry_run: bool,
@@ -404,22 +408,22 @@
         "rate": rate, "burst": burst, "ceiling_rate": ceiling_rate, "ceiling_burst": ceiling_burst, "worth": worth,
         "cap": cap,
     }  # fmt: skip
-    raw = {"wish": "change", "plan": plan, "terms": terms, **_instant(effective)}
-    told = {"author": author, "reason": reason, "dry_run": dry_run}
-    sys.exit(command.run_operation({**raw, **told}, store, to, installation, as_json))
+    raw = {"wish": "change", "plan": plan, "terms": terms, **_parse_effective(effective)}
+    options = {"author": author, "reason": reason, "dry_run": dry_run}
+    sys.exit(command.run_operation({**raw, **options}, store, to, installation, as_json))
 
 
 @plans.command("assign")
 @click.argument("account")
 @click.argument("plan")
-@_STORE
-@_TO
-@_NAME
-@_EFFECTIVE
-@_AUTHOR
-@_REASON
-@_DRY
-@_JSON
+@_STORE_OPTION
+@_WRITER_OPTION
+@_INSTALLATION_OPTION
+@_EFFECTIVE_OPTION
+@_AUTHOR_OPTION
+@_REASON_OPTION
+@_DRY_RUN_OPTION
+@_JSON_OPTION
 def plans_assign(
     account: str, plan: str, store: Path | None, to: str | None, installation: str, effective: str | None,
     author: str, reason: str, dry_run: bool, as_json: bool,
@@ -427,9 +431,9 @@
     """Put ACCOUNT on PLAN from an instant on."""
     from cypresspulley.plans import command
 
-    raw = {"wish": "assign", "account": account, "plan": plan, **_instant(effective)}
-    told = {"author": author, "reason": reason, "dry_run": dry_run}
-    sys.exit(command.run_operation({**raw, **told}, store, to, installation, as_json))
+    raw = {"wish": "assign", "account": account, "plan": plan, **_parse_effective(effective)}
+    options = {"author": author, "reason": reason, "dry_run": dry_run}
+    sys.exit(command.run_operation({**raw, **options}, store, to, installation, as_json))
 
 
 @plans.command("reserve")
@@ -440,13 +444,13 @@
 @click.option("--end", required=True, help="Unix milliseconds or +SECONDS.")
 @click.option("--fleet-rate", type=float, required=True, help="Units a second that the fleet may set aside.")
 @click.option("--purpose", default="")
-@_STORE
-@_TO
-@_NAME
-@_AUTHOR
-@_REASON
-@_DRY
-@_JSON
+@_STORE_OPTION
+@_WRITER_OPTION
+@_INSTALLATION_OPTION
+@_AUTHOR_OPTION
+@_REASON_OPTION
+@_DRY_RUN_OPTION
+@_JSON_OPTION
 def plans_reserve(
     key: str, account: str, units: float, start: str, end: str, fleet_rate: float, purpose: str, store: Path | None,
     to: str | None, installation: str, author: str, reason: str, dry_run: bool, as_json: bool,
@@ -463,18 +467,18 @@
         "fleet_rate": fleet_rate,
         **window,
     }
-    told = {"purpose": purpose, "author": author, "reason": reason, "dry_run": dry_run}
-    sys.exit(command.run_operation({**raw, **told}, store, to, installation, as_json))
+    options = {"purpose": purpose, "author": author, "reason": reason, "dry_run": dry_run}
+    sys.exit(command.run_operation({**raw, **options}, store, to, installation, as_json))
 
 
 @plans.command("release")
 @click.argument("key")
-@_STORE
-@_TO
-@_NAME
-@_AUTHOR
-@_REASON
-@_JSON
+@_STORE_OPTION
+@_WRITER_OPTION
+@_INSTALLATION_OPTION
+@_AUTHOR_OPTION
+@_REASON_OPTION
+@_JSON_OPTION
 def plans_release(
     key: str, store: Path | None, to: str | None, installation: str, author: str, reason: str, as_json: bool
 ) -> None:
@@ -488,7 +492,7 @@
 @plans.command("show")
 @click.argument("folder", type=click.Path(path_type=Path))
 @click.option("--at", type=int, help="Unix milliseconds; now by itself.")
-@_JSON
+@_JSON_OPTION
 def plans_show(folder: Path, at: int | None, as_json: bool) -> None:
     """What is in force."""
     from cypresspulley.plans import command
@@ -499,7 +503,7 @@
 @plans.command("history")
 @click.argument("folder", type=click.Path(path_type=Path))
 @click.argument("name")
-@_JSON
+@_JSON_OPTION
 def plans_history(folder: Path, name: str, as_json: bool) -> None:
     """All that was said of an account or a plan."""
     from cypresspulley.plans import command
@@ -510,7 +514,7 @@
 @plans.command("diff")
 @click.argument("one", type=click.Path(path_type=Path))
 @click.argument("other", type=click.Path(path_type=Path))
-@_JSON
+@_JSON_OPTION
 def plans_diff(one: Path, other: Path, as_json: bool) -> None:
     """Changes that only one of two books has."""
     from cypresspulley.plans import command
@@ -520,7 +524,7 @@
 
 @plans.command("check")
 @click.argument("folder", type=click.Path(path_type=Path))
-@_JSON
+@_JSON_OPTION
 def plans_check(folder: Path, as_json: bool) -> None:
     """What is damaged in a book's folder, and what can be saved; changes nothing."""
     from cypresspulley.plans import command
--- a/cypresspulley/policy/__init__.py
+++ b/cypresspulley/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision of the limiter, free of I/O and clocks: gate, fleet, quota, and the gateway that joins them."""
+"""The decisions of the limiter, without I/O or clocks: gates, servers, quotas, and the gateway that combines them."""
