--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -228,7 +228,7 @@
     run(main())
 
 
-class Counted:
+class CallRecorder:
     """What Reload moves: it notes each call."""
 
     def __init__(self) -> None:
@@ -241,7 +241,7 @@
 def test_a_refused_file_is_said_once_however_often_it_is_looked_at(caplog: pytest.LogCaptureFixture) -> None:
     whole = parse_config(config("127.0.0.1:1"))
     files = [config("127.0.0.1:1") | {"settings": {}} for _ in range(5)]
-    parts: Any = Counted()
+    parts: Any = CallRecorder()
     reload = ConfigReloader(whole, parts, lambda: parse_config(files.pop()), parts.retune)
     while files:
         assert not reload()
@@ -522,7 +522,7 @@
     first, second = config("127.0.0.1:1"), config("127.0.0.1:1") | {"settings": OTHER}
     second["discovery"] = "127.0.0.1:3"
     files, held = [parse_config(second), parse_config(first)], list[Any]()
-    follower: Any = Counted()
+    follower: Any = CallRecorder()
 
     def retune(settings: Any, timing: Any) -> None:
         held.append(settings)
--- a/tests/test_settings_keys.py
+++ b/tests/test_settings_keys.py
@@ -14,7 +14,7 @@
 from cypresspulley.config import Config, ConfigError, parse_config
 from cypresspulley.reload import ConfigReloader
 from cypresspulley.settings import SettingsError, check_no_missing_keys, parse_settings, parse_socket_settings
-from tests.test_reload import Counted
+from tests.test_reload import CallRecorder
 
 # The specification's example, with a keyed class, a plan with a limit on open attempts, and peer messages.
 COMPLETE_SETTINGS: dict[str, Any] = {
@@ -225,7 +225,7 @@
 ) -> None:
     config = parse_config(configuration(COMPLETE_SETTINGS))
     files = [configuration(changed(path, value)) for value in (10**400, -1, "many")]
-    counted: Any = Counted()
+    counted: Any = CallRecorder()
     reload = ConfigReloader(config, counted, lambda: parse_config(files.pop()), counted.retune)
     for _ in range(len(files)):
         assert not reload()
