--- a/tests/test_accesslog.py
+++ b/tests/test_accesslog.py
@@ -1,4 +1,4 @@
-"""The limiter's own access log: what it says, that it never holds the loop, that it can be rotated; off, nothing."""
+"""Tests of the access log: contents, rotation, that it never blocks the event loop, and that it is off by default."""
 
 from __future__ import annotations
 
@@ -102,7 +102,7 @@
 
 
 def test_a_slow_disk_drops_lines_and_holds_nobody(tmp_path: Path) -> None:
-    """A pipe that nobody reads takes 64 KiB, then blocks its writer as a dying disk would."""
+    """A pipe without a reader accepts 64 KiB and then blocks its writer, like a failing disk."""
     pipe = tmp_path / "pipe"
     os.mkfifo(pipe)
     reader = os.open(pipe, os.O_RDONLY | os.O_NONBLOCK)
@@ -132,7 +132,7 @@
 
 
 class FillingDisk(io.RawIOBase):
-    """Takes bytes up to some room, the last of them in part, and then none (ENOSPC) until there is room again."""
+    """Accepts ``room`` bytes, the last write in part, then raises ENOSPC until there is room again."""
 
     def __init__(self, room: int) -> None:
         self.room, self.taken = room, bytearray()
@@ -148,7 +148,7 @@
 
 @pytest.mark.parametrize("room", [0, 1, 8, 9, 10, 20])
 def test_a_line_that_a_full_disk_took_in_part_spoils_none_behind_it(tmp_path: Path, room: int) -> None:
-    """Whoever reads the log finds each line whole but the one that broke off, and knows how many are missing."""
+    """A reader finds every line complete except the one that broke off, and how many lines are missing."""
     file, disk = LogFile(str(tmp_path / "log")), FillingDisk(room)
     file._file = disk  # type: ignore[assignment]
     for number in range(3):
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -1,4 +1,4 @@
-"""Tables keyed by what comes from outside stay bounded over a long life."""
+"""Tests that tables with keys from outside stay bounded in a long-running process."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests import world as w
 
 ACCOUNTS = 1_000_000
-EVERY = 0.002  # seconds between two of them: 500 a second
+INTERVAL_SECONDS = 0.002  # between two accounts: 500 per second
 
 
 @pytest.mark.long
@@ -19,13 +19,13 @@
     quotas = w.World(gateway_settings).gateway.quotas
     now, largest = 100.0, 0
     for number in range(ACCOUNTS):
-        now += EVERY
+        now += INTERVAL_SECONDS
         quotas.get_or_create_account(now, w.request(number, plan="capped", account=f"{number:016x}"))
-        if number % 5000 == 0:  # every 10 s; in service it is each second
+        if number % 5000 == 0:  # every 10 s; in service every second
             quotas.tick(now)
             largest = max(largest, len(quotas.accounts))
-    lived = (quota.ACCOUNT_IDLE_SECONDS + 12.0) / EVERY
-    assert largest <= lived, "an account that is idle for a minute and full is forgotten"
+    max_accounts = (quota.ACCOUNT_IDLE_SECONDS + 12.0) / INTERVAL_SECONDS
+    assert largest <= max_accounts, "an account that is idle for a minute and full is forgotten"
     quotas.tick(now + quota.ACCOUNT_IDLE_SECONDS + 10.0)
     assert not quotas.accounts
 
--- a/tests/test_large_program.py
+++ b/tests/test_large_program.py
@@ -1,4 +1,4 @@
-"""The whole program as a process among 1,024 limiters, with 1,024 servers on its list."""
+"""Tests of the whole program as a process among 1,024 limiters, with 1,024 servers on its list."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 from tests.test_large_lists import KEY, LARGE_FLEET_SIZE, fleet_table, loopback
 from tests.test_program import Program, config, free_port, stand_in_stage
 
-LISTENERS = 16  # that stand behind all servers
-READY_WITHIN = 10.0  # seconds in which a limiter that is started again has to be ready
-PEAK = re.compile(r"VmHWM:\s+(\d+) kB")
+LISTENERS = 16  # shared by all servers
+READY_SECONDS = 10.0  # a restarted limiter has to be ready within this time
+PEAK_MEMORY_LINE = re.compile(r"VmHWM:\s+(\d+) kB")
 
 
 @asynccontextmanager
 async def servers(origin: Origin) -> AsyncIterator[list[Host]]:
-    """As many servers, behind few listeners."""
+    """Yield ``LARGE_FLEET_SIZE`` servers behind a few listeners."""
 
     async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(asyncio.IncompleteReadError, ConnectionError):
@@ -45,7 +45,10 @@
 
 
 def large_config(discovery: str, known: list[Host]) -> dict[str, Any]:
-    """The last of as many limiters, which may send each other messages; the limits of the days that are scored."""
+    """Return the configuration of the last of ``LARGE_FLEET_SIZE`` limiters, which may send each other messages.
+
+    Its limits are those of the scored rehearsals.
+    """
     raw = config("127.0.0.1:1", discovery)
     here = f"127.0.0.1:{free_port()}"
     raw["settings"] = raw["settings"] | {
@@ -66,7 +69,7 @@
 
 @asynccontextmanager
 async def started(raw: dict[str, Any], folder: Path, *arguments: str) -> AsyncIterator[Program]:
-    """The program in a process of its own; what it says goes to ``log`` in the folder."""
+    """Run the program in its own process, with its output in the file ``log`` of the folder."""
     (folder / "config.json").write_text(json.dumps(raw))
     env = {**os.environ, "LB_CONFIG": str(folder / "config.json"), "FAWNSEAM_FLEET_KEY": KEY}
     with open(folder / "log", "wb") as log:
@@ -75,7 +78,7 @@
         )
     program = Program(process, raw["listen"])
     try:
-        async with asyncio.timeout(READY_WITHIN):
+        async with asyncio.timeout(READY_SECONDS):
             await program.ready()
         yield program
     finally:
@@ -93,7 +96,7 @@
 
 
 async def suspend(door: str, server: str) -> int:
-    """The status of the operators' call."""
+    """Return the status of an operators' call to suspend a server."""
     host, _, port = door.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(f"PUT /v1/servers/{server}/suspend HTTP/1.1\r\nHost: x\r\n\r\n".encode())
@@ -102,14 +105,14 @@
     return int(status)
 
 
-def peak(pid: int) -> float:
-    """MB of memory that the process has held at most."""
-    found = PEAK.search(Path(f"/proc/{pid}/status").read_text())
+def peak_memory_mb(pid: int) -> float:
+    """Return the peak memory of the process in MB."""
+    found = PEAK_MEMORY_LINE.search(Path(f"/proc/{pid}/status").read_text())
     assert found is not None
     return int(found[1]) / 1024
 
 
-async def ended(program: Program) -> None:
+async def terminate(program: Program) -> None:
     program.process.send_signal(signal.SIGTERM)
     assert await program.process.wait() == 0
 
@@ -125,23 +128,23 @@
                 while not agent.watchers:
                     await asyncio.sleep(0.01)
                 status, body = await fetch(program)
-                while " 200 " not in status:  # the list is on its way
+                while " 200 " not in status:  # the list has not arrived yet
                     status, body = await fetch(program)
                 assert body == b"hi"
                 assert [await suspend(raw["operator"], name) for name in ("s0000", "s0512", "s1023")] == [
                     200
                 ] * 3
                 assert await suspend(raw["operator"], "s1024") == 404  # never listed
-                used, limit = peak(program.process.pid), raw["limits"]["memory_mb"]
-                assert used < limit / 2, f"{used:.1f} MB of {limit}"
-                await ended(program)
+                used_mb, limit_mb = peak_memory_mb(program.process.pid), raw["limits"]["memory_mb"]
+                assert used_mb < limit_mb / 2, f"{used_mb:.1f} MB of {limit_mb}"
+                await terminate(program)
         agent.close()
 
     run(main())
 
 
 def test_a_limiter_that_is_back_has_the_whole_list_and_seeds_of_the_whole_fleet(tmp_path: Path) -> None:
-    """Its configuration brings the list, discovery is down, and the operators' file names every limiter as a seed."""
+    """The list comes from the configuration, discovery is down, and the operators' file has all limiters as seeds."""
 
     async def main() -> None:
         origin = Origin()
@@ -155,10 +158,10 @@
             raw = large_config("127.0.0.1:1", hosts)
             async with started(raw, tmp_path, "--operators", str(tmp_path / "operators.toml")) as program:
                 assert (await fetch(program))[1] == b"hi"
-                used, limit = peak(program.process.pid), raw["limits"]["memory_mb"]
-                assert used < limit / 2, f"{used:.1f} MB of {limit}"
-                await ended(program)
-        left = re.search(r"left the fleet; datagrams: .*'sent': (\d+)", (tmp_path / "log").read_text())
-        assert left is not None and int(left[1]) >= 3  # it knocks at three seeds at a time
+                used_mb, limit_mb = peak_memory_mb(program.process.pid), raw["limits"]["memory_mb"]
+                assert used_mb < limit_mb / 2, f"{used_mb:.1f} MB of {limit_mb}"
+                await terminate(program)
+        summary = re.search(r"left the fleet; datagrams: .*'sent': (\d+)", (tmp_path / "log").read_text())
+        assert summary is not None and int(summary[1]) >= 3  # it contacts three seeds at a time
 
     run(main())
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The whole program as a process: configuration, readiness, SIGTERM, SIGKILL."""
+"""Tests of the whole program as a process: configuration, readiness, SIGTERM, SIGKILL, takeover."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def stand_in_stage() -> Stage:
-    """A stage that keeps nothing, for stand-ins outside a rehearsal."""
+    """Return a stage that records nothing, for stand-ins outside a rehearsal."""
     return Stage(lambda _record: None, lambda _id, _cls: 0.0)
 
 
@@ -56,7 +56,7 @@
 
 
 class Program:
-    """A started limiter."""
+    """A running limiter process."""
 
     def __init__(self, process: asyncio.subprocess.Process, listen: str) -> None:
         self.process, self._listen = process, listen
@@ -66,7 +66,7 @@
         return await asyncio.open_connection(host, int(port))
 
     async def health(self) -> str:
-        """The first line of the answer to GET /healthz."""
+        """Return the status line of the response to GET /healthz."""
         reader, writer = await self.connect()
         writer.write(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
         first, _, _ = await read_message(reader)
@@ -148,7 +148,7 @@
                 program.process.send_signal(signal.SIGHUP)
                 while not (agent.watchers and link.ends):
                     await asyncio.sleep(0.01)
-                while not origin.seen:  # the new list names the server's true address
+                while not origin.seen:  # the new list has the server's actual address
                     reader, writer = await program.connect()
                     writer.write(ask())
                     await read_message(reader)
@@ -248,11 +248,11 @@
     limit = LogRateLimiter(3)
     record = logging.LogRecord("x", 20, "", 0, "text", (), None)
     passed = sum(limit.filter(record) for _ in range(1000))
-    assert 3 <= passed <= 9  # three a second, however slow this machine is
+    assert 3 <= passed <= 9  # three per second; a slow machine may span several seconds
 
 
-async def door(address: str, method: str, path: str) -> int:
-    """The status of a call at the operators' door; 0 where nobody listens."""
+async def call_operators(address: str, method: str, path: str) -> int:
+    """Return the status of a call to the operators' interface; 0 if the connection is refused."""
     host, port = address.split(":")
     try:
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -268,7 +268,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    doors = [f"127.0.0.1:{free_port()}" for _ in range(2)]
+    operator_addresses = [f"127.0.0.1:{free_port()}" for _ in range(2)]
 
     async def load(program: Program, stop: asyncio.Event) -> int:
         served = 0
@@ -287,13 +287,13 @@
         origin, stop = Origin(), asyncio.Event()
         async with listening(origin.talk) as dial:
             raw = config(dial)
-            old_raw, new_raw = (raw | {"operator": each} for each in doors)
+            old_raw, new_raw = (raw | {"operator": each} for each in operator_addresses)
             async with started(old_raw, tmp_path) as old:
-                assert await door(doors[0], "GET", "/v1/readyz") == 200
-                assert await door(doors[0], "PUT", "/v1/servers/s9/suspend") == 404
+                assert await call_operators(operator_addresses[0], "GET", "/v1/readyz") == 200
+                assert await call_operators(operator_addresses[0], "PUT", "/v1/servers/s9/suspend") == 404
                 clients = [asyncio.create_task(load(old, stop)) for _ in range(6)]
                 async with started(new_raw, tmp_path) as new:
-                    while await door(doors[1], "GET", "/v1/readyz") != 200:
+                    while await call_operators(operator_addresses[1], "GET", "/v1/readyz") != 200:
                         await asyncio.sleep(0.01)
                     old.process.send_signal(signal.SIGTERM)
                     assert await old.process.wait() == 0
@@ -302,7 +302,7 @@
                         await asyncio.sleep(0.01)
                     stop.set()
                     assert all(await asyncio.gather(*clients))
-                    assert await door(doors[1], "PUT", "/v1/servers/s1/suspend") == 200
+                    assert await call_operators(operator_addresses[1], "PUT", "/v1/servers/s1/suspend") == 200
                     new.process.send_signal(signal.SIGTERM)
                     assert await new.process.wait() == 0
 
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -1,4 +1,4 @@
-"""A restarted process is ready whatever discovery and the counter do: it waits for nobody, and knows its old list."""
+"""Tests that a restarted process is ready while discovery and the counter are down, with its old list of servers."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from tests.test_discovery import HEAD, chunk
 from tests.test_program import WIRE_SETTINGS, config, started
 
-READY = 10.0  # seconds within which nine in ten restarted processes have to be ready
-COUNTED = {"specifics": {"has_counter": True, "count_wait_s": 0.05}}
+READY_SECONDS = 10.0  # nine in ten restarted processes have to be ready within this time
+COUNTER_SETTINGS = {"specifics": {"has_counter": True, "count_wait_s": 0.05}}
 
 
-def refuses(stack: AsyncExitStack) -> str:
-    """Bound and not listening: nobody else gets the port."""
+def refusing_address(stack: AsyncExitStack) -> str:
+    """Return an address that refuses connections: bound but not listening, so that nobody else gets the port."""
     bound = stack.enter_context(socket.socket())
     bound.bind(("127.0.0.1", 0))
     return "{}:{}".format(*bound.getsockname())
 
 
-def hangs(stack: AsyncExitStack) -> str:
-    """A listener with a full queue."""
+def hanging_address(stack: AsyncExitStack) -> str:
+    """Return the address of a listener with a full accept queue."""
     listener = stack.enter_context(socket.socket())
     listener.bind(("127.0.0.1", 0))
     listener.listen(0)
@@ -35,33 +35,33 @@
     return "{}:{}".format(*listener.getsockname())
 
 
-async def mute(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
+async def never_answer(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
     await reader.read()
 
 
-async def discovers(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """A watch on which nothing changes."""
+async def answer_watch(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    """Answer a discovery watch with no changes."""
     await reader.readuntil(b"\r\n\r\n")
     writer.write(HEAD + chunk(b"\n"))
     await reader.read()
 
 
-async def counts(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def answer_counter(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     while line := await reader.readline():
         writer.write(b"pong\r\n" if line.startswith(b"ping") else b"ok 1\r\n")
 
 
-async def address(stack: AsyncExitStack, how: str) -> str:
-    """Where something behaves so."""
-    sockets = {"refuses": refuses, "hangs": hangs}
+async def start_stand_in(stack: AsyncExitStack, how: str) -> str:
+    """Start a stand-in with the behaviour and return its address."""
+    sockets = {"refuses": refusing_address, "hangs": hanging_address}
     if how in sockets:
         return sockets[how](stack)
-    talk = {"mute": mute, "discovers": discovers, "counts": counts}[how]
+    talk = {"mute": never_answer, "discovers": answer_watch, "counts": answer_counter}[how]
     return await stack.enter_async_context(listening(talk))
 
 
-def old_list(dial: str) -> dict[str, Any]:
-    """200 servers of which one is left: the others' machines refuse."""
+def stale_server_list(dial: str) -> dict[str, Any]:
+    """Return a list of 200 servers, of which all but one refuse connections."""
     rows = [
         {
             "host": f"s{at}",
@@ -76,7 +76,7 @@
 
 
 def test_a_process_is_ready_with_discovery_and_the_counter_down_and_an_old_list(tmp_path: Path) -> None:
-    """Six at once: discovery down, the counter down, both, each in another way; with lists pushed and asked for."""
+    """Starts six processes at once with discovery, the counter or both down in different ways, pushed or polled."""
     cases = [
         ("refuses", "counts", "push"), ("hangs", "counts", "ask"), ("discovers", "refuses", "ask"),
         ("discovers", "hangs", "push"), ("hangs", "mute", "push"), ("mute", "hangs", "ask"),
@@ -86,12 +86,15 @@
         loop, origin = asyncio.get_running_loop(), Origin()
         async with listening(origin.talk) as dial, AsyncExitStack() as stack:
 
-            async def begin(number: int, discovery: str, counter: str, mode: str) -> float:
+            async def start_and_measure(number: int, discovery: str, counter: str, mode: str) -> float:
                 folder = tmp_path / str(number)
                 folder.mkdir()
-                raw = config(dial, await address(stack, discovery))
-                raw |= {"known": old_list(dial), "settings": WIRE_SETTINGS | COUNTED | {"discovery": mode}}
-                raw["counter"] = await address(stack, counter)
+                raw = config(dial, await start_stand_in(stack, discovery))
+                raw |= {
+                    "known": stale_server_list(dial),
+                    "settings": WIRE_SETTINGS | COUNTER_SETTINGS | {"discovery": mode},
+                }
+                raw["counter"] = await start_stand_in(stack, counter)
                 began = loop.time()
                 program = await stack.enter_async_context(started(raw, folder))
                 waited = loop.time() - began
@@ -102,7 +105,9 @@
                 assert status.split()[1] in ("200", "429", "503"), "served or refused: it has its old list"
                 return waited
 
-            waits = await asyncio.gather(*(begin(number, *case) for number, case in enumerate(cases)))
-            assert max(waits) < READY
+            waits = await asyncio.gather(
+                *(start_and_measure(number, *case) for number, case in enumerate(cases))
+            )
+            assert max(waits) < READY_SECONDS
 
     run(main())
--- a/tests/test_reload_overlap.py
+++ b/tests/test_reload_overlap.py
@@ -1,4 +1,4 @@
-"""New configurations in a row: requests of clients that have not heard of the newest are on their way for 6 s."""
+"""Tests of consecutive configurations: for 6 s, requests from clients without the newest one still arrive."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def test_each_form_of_a_class_binds_until_its_clients_have_heard_of_the_next() -> None:
-    """Three forms within 2 s: the first one's requests come until 6 s after the first change."""
+    """A class has three records within 2 s; requests under the first arrive until 6 s after the first change."""
     lookup = SETTINGS.classes[0]
     classes = ClassRegistry(SETTINGS)
     classes.apply_settings(
@@ -53,18 +53,18 @@
     now[0] += 0.2
     with pytest.raises(BadRequestError):
         reader.read(b"GET", TARGET, FIELDS)
-    assert requests_let_in_by_a_dropped_plan() <= 4
+    assert count_requests_passed_by_dropped_plan() <= 4
 
 
-def requests_let_in_by_a_dropped_plan() -> int:
-    """Of 30 requests of an account that was not seen before: without its plan's figures it would have no quota."""
+def count_requests_passed_by_dropped_plan() -> int:
+    """Return how many of 30 requests of a new account pass; without its plan's figures it would have no quota."""
     plan = api.Plan("small", rate=1.0, burst=3.0, over_cost=0.5, ceiling_rate=1.0, ceiling_burst=3.0)
     world = w.World(w.settings(plans=(plan,), gateways=1, has_counter=False), now=100.0)
     world.feed(w.servers("s0", "s1", "s2"))
     world.advance(110.0)
     world.feed(api.SettingsChanged(w.settings(plans=(api.Plan("free"),), gateways=1, has_counter=False)))
     for id in range(30):
-        asked = w.request(id, plan="small", account="new")
-        world.feed(replace(asked, gateways=1))
+        request = w.request(id, plan="small", account="new")
+        world.feed(replace(request, gateways=1))
         world.serve(elapsed=0.01)
     return len(world.sends)
--- a/tests/test_reload_shared.py
+++ b/tests/test_reload_shared.py
@@ -1,4 +1,4 @@
-"""New settings reach what limiters share: the counter's calls, messages, and all that is divided by their number."""
+"""Tests that new settings reach what limiters share: counter calls, messages, and values divided by their number."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def test_the_decisions_follow_the_number_of_limiters_and_the_ways_between_them() -> None:
-    """As a gateway has it that began with such settings: what was learnt of the counter goes on in proportion."""
+    """The result equals that of a gateway started with the new settings; the learnt counter rate is scaled."""
     world = w.World(settings())
     world.feed(w.servers("s0", "s1"))
     world.feed(w.request(1, plan="small"))
@@ -43,9 +43,9 @@
     assert account.slots is None
     world.feed(api.SettingsChanged(settings(gateways=200, may_message_peers=True, inbox_rate=40.0)))
     assert quotas.usage_broadcast is not None
-    every = quotas.usage_broadcast.interval
+    interval = quotas.usage_broadcast.interval
     world.feed(api.SettingsChanged(settings(gateways=400, may_message_peers=True, inbox_rate=40.0)))
-    assert quotas.usage_broadcast.interval == pytest.approx(every * 399 / 199)
+    assert quotas.usage_broadcast.interval == pytest.approx(interval * 399 / 199)
     world.feed(api.SettingsChanged(settings(gateways=400)))
     assert quotas.usage_broadcast is None
 
@@ -61,10 +61,10 @@
                 writer.write(b"pong\r\n" if line.startswith(b"ping") else b"ok 1\r\n")
 
         origin = Origin()
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
-            other.bind(("127.0.0.1", 0))
-            other.setblocking(False)
-            address = "{}:{}".format(*other.getsockname())
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer_socket:
+            peer_socket.bind(("127.0.0.1", 0))
+            peer_socket.setblocking(False)
+            address = "{}:{}".format(*peer_socket.getsockname())
             async with listening(origin.talk) as dial, listening(count) as counter:
                 raw = config(dial)
                 async with started(raw, tmp_path) as program:
@@ -89,7 +89,7 @@
                     }
                     (tmp_path / "config.json").write_text(json.dumps(new))
                     program.process.send_signal(signal.SIGHUP)
-                    assert await asyncio.get_running_loop().sock_recv(other, 256)
+                    assert await asyncio.get_running_loop().sock_recv(peer_socket, 256)
                     writer.close()
 
     run(main())
--- a/tests/test_together_off.py
+++ b/tests/test_together_off.py
@@ -1,4 +1,4 @@
-"""What limiters do together is off by itself: not imported; wrong tables end a start with one line."""
+"""Tests that the fleet services are off and not imported by default, and that wrong tables are refused in one line."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from cypresspulley.rehearsal.scenario import load_scenario
 from cypresspulley.settings import parse_settings
 
-ROOMS = ("fleet", "lanes", "closing", "histories", "together")
-# What the rooms alone want: none of it may come with a start that has them off.
+FLEET_SERVICES = ("fleet", "lanes", "closing", "histories", "together")
+# Only the fleet services need these modules; a start without the services must not import them.
 LIBRARIES = ("msgspec", "cachetools", "tzdata", "zoneinfo")
 
 
@@ -25,7 +25,7 @@
     asked = "import sys, cypresspulley.__main__; print(*sys.modules)"
     loaded = subprocess.run([sys.executable, "-c", asked], capture_output=True, text=True, check=True)
     found = {name.removeprefix("cypresspulley.").split(".")[0] for name in loaded.stdout.split()}
-    assert not found & {*ROOMS, *LIBRARIES}
+    assert not found & {*FLEET_SERVICES, *LIBRARIES}
 
 
 @pytest.mark.parametrize("table", ["lanes", "closing", "history"])
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""The wall clock steps by 5 s or an hour, forward or back, and servers tell when they started by it."""
+"""Tests of steps of the wall clock by 5 s or an hour in either direction; servers report their start by that clock."""
 
 from __future__ import annotations
 
@@ -16,28 +16,28 @@
 from tests.test_discovery import HEAD, chunk
 from tests.test_endings_clients import until
 
-START = 100_000.0  # of the decisions' clock, in seconds
+START = 100_000.0  # in seconds of the decisions' clock
 STEPS = [-3600.0, -5.0, 0.0, 5.0, 3600.0]
 NAMES = ("s0", "s1", "s2", "s3")
-WARM_AFTER = 10.0
-QUIET = 7200.0  # seconds since a list told something
-BEAT = 2.0  # seconds between two words of discovery
-REQUESTS = 200  # in the second after a list
+WARM_AFTER_SECONDS = 10.0
+QUIET_SECONDS = 7200.0  # since the last change of the server list
+DISCOVERY_INTERVAL_SECONDS = 2.0  # between two messages of discovery
+REQUESTS = 200  # within a second after a list
 
 
 class Fleet:
     """Four servers that have long been warm, under steady traffic."""
 
     def __init__(self) -> None:
-        self.world = w.World(w.settings(gateways=1, warm_after=WARM_AFTER), now=START)
+        self.world = w.World(w.settings(gateways=1, warm_after=WARM_AFTER_SECONDS), now=START)
         self.world.feed(w.servers(*NAMES))
         self.sent = 0
         self.ask(REQUESTS)
-        self.world.advance(self.world.now + QUIET)
+        self.world.advance(self.world.now + QUIET_SECONDS)
         self.ask(REQUESTS)
 
     def ask(self, count: int, over: float = 1.0) -> dict[str, int]:
-        """Requests, each answered after 20 ms; how many each server got."""
+        """Send requests, each answered after 20 ms; return how many each server got."""
         world = self.world
         seen = len(world.sends)
         for _ in range(count):
@@ -50,24 +50,29 @@
         servers = [server for _, server, _ in world.sends[seen:]]
         return {name: servers.count(name) for name in (*NAMES, "new")}
 
-    def told(self, name: str, birth: float, health: api.Health = api.Health.UP) -> None:
-        """A change of one server, behind a word of discovery that knew nothing of it."""
+    def report(self, name: str, birth: float, health: api.Health = api.Health.UP) -> None:
+        """Report a change of one server after a message of discovery that did not have it."""
         entry = api.ServerEntry(name, health, "a", 0, 1.0, birth)
-        self.world.feed(api.ServerList((entry,), False, previous=self.world.now - BEAT))
+        self.world.feed(api.ServerList((entry,), False, previous=self.world.now - DISCOVERY_INTERVAL_SECONDS))
 
     def cold_at(self, name: str) -> float | None:
         return self.world.gateway.load_balancer.servers[name].cold_since
 
 
 def test_a_start_is_as_old_as_the_last_word_allows_whatever_the_clock_says() -> None:
-    """No younger than the time since it was told, no older than the word of discovery before that."""
+    """A start counts from a time between the previous message of discovery and the one that reported it."""
     for step in STEPS:
         for name in ("s1", "new"):
             fleet = Fleet()
-            told = fleet.world.now
-            fleet.told(name, told + step)
+            reported_at = fleet.world.now
+            fleet.report(name, reported_at + step)
             cold_at = fleet.cold_at(name)
-            assert cold_at is not None and told - BEAT <= cold_at <= told, (step, name)
+            assert (
+                cold_at is not None and reported_at - DISCOVERY_INTERVAL_SECONDS <= cold_at <= reported_at
+            ), (
+                step,
+                name,
+            )
             got = fleet.ask(REQUESTS)
             assert got[name] < 0.6 * max(got.values()), (step, name)
             for _ in range(12):
@@ -79,7 +84,7 @@
 
 def test_a_start_counts_that_the_list_at_the_process_start_or_one_of_a_draining_server_tells() -> None:
     for step in STEPS:
-        world = w.World(w.settings(gateways=1, warm_after=WARM_AFTER), now=START)
+        world = w.World(w.settings(gateways=1, warm_after=WARM_AFTER_SECONDS), now=START)
         world.feed(w.servers(*NAMES, born=START - 60.0))
         world.advance(START + 0.5)
         entry = replace(world.up["s0"], born=world.now + step)
@@ -88,8 +93,8 @@
         assert cold_at is not None and START <= cold_at <= world.now, step
         fleet = Fleet()
         birth = fleet.world.now + step
-        fleet.told("s1", birth, api.Health.DRAINING)
-        fleet.told("s1", birth)
+        fleet.report("s1", birth, api.Health.DRAINING)
+        fleet.report("s1", birth)
         assert fleet.cold_at("s1") is not None, step
 
 
@@ -97,17 +102,17 @@
 def test_what_is_no_new_start_leaves_a_server_warm(birth: float) -> None:
     fleet = Fleet()
     for name in NAMES:
-        fleet.told(name, START - 60.0)
+        fleet.report(name, START - 60.0)
     fleet.world.advance(fleet.world.now + 60.0)
     for _ in range(12):
         fleet.ask(REQUESTS)
     for name in NAMES:
-        fleet.told(name, birth)
+        fleet.report(name, birth)
         assert fleet.cold_at(name) is None
-        fleet.told(name, START - 60.0, api.Health.GONE)
+        fleet.report(name, START - 60.0, api.Health.GONE)
     fleet.world.advance(fleet.world.now + 5.0)
     for name in NAMES:
-        fleet.told(name, START - 60.0)
+        fleet.report(name, START - 60.0)
         assert fleet.cold_at(name) is None, "it was away from the list, and did not restart"
 
 
@@ -118,7 +123,7 @@
             limiter.upstream.update_server("s1", dial, True, birth)
             assert "200" in (await limiter.fetch(ask()))[0]
             for count, step in enumerate((5.0, -5.0, 3600.0, -3600.0), 2):
-                await asyncio.sleep(0.05)  # behind the rest of a kept connection
+                await asyncio.sleep(0.05)  # so that the kept connection is idle and could be reused
                 limiter.upstream.update_server("s1", dial, True, birth + step)
                 birth += step
                 assert "200" in (await limiter.fetch(ask()))[0]
@@ -128,7 +133,7 @@
 
 
 def test_each_list_tells_when_discovery_spoke_before(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Empty lines count: nothing had changed then."""
+    """Empty lines count as contact: they say that nothing has changed."""
 
     async def main() -> None:
         release, said = asyncio.Event(), asyncio.Event()
@@ -195,7 +200,7 @@
             await limiter.fetch(ask())
             kinds = [type(event) for event in script.events if not isinstance(event, api.ServerList)]
             assert kinds == [api.Request, api.WallClockStep, api.Request]
-            (told,) = [event for event in script.events if isinstance(event, api.WallClockStep)]
-            assert told.shift == pytest.approx(step, abs=0.01)
+            (step_event,) = [event for event in script.events if isinstance(event, api.WallClockStep)]
+            assert step_event.shift == pytest.approx(step, abs=0.01)
 
     run(main())
