--- a/cypresspulley/config.py
+++ b/cypresspulley/config.py
@@ -37,7 +37,7 @@
     counter: tuple[str, int] | None
     seed: int
     sockets: int  # descriptors that this process may hold
-    known: Listing | None  # the latest list of servers, used until discovery answers
+    known: Listing | None  # last known list of servers, used until discovery answers
     peers: PeerAddresses | None
     operator: tuple[str, int] | None  # address of the operators' interface; None: off
     settings: api.Settings
