--- a/cypresspulley/rehearsal/virtual/play.py
+++ b/cypresspulley/rehearsal/virtual/play.py
@@ -21,7 +21,7 @@
 import msgspec
 
 from cypresspulley.__main__ import serve
-from cypresspulley.config import Config, config_from
+from cypresspulley.config import Config, parse_config
 from cypresspulley.histories.clock import Shift
 from cypresspulley.histories.events import Kind
 from cypresspulley.histories.read import from_memory
@@ -127,7 +127,7 @@
         return self._shift.at(self._clock())
 
     def _config(self) -> Config:
-        return config_from(json.loads(json.dumps(self._raw)))
+        return parse_config(json.loads(json.dumps(self._raw)))
 
     async def start(self) -> None:
         self.lives += 1
@@ -144,8 +144,8 @@
             history = MemoryHistory(clock, self._wall)
             self.histories.append(history)
         work = serve(
-            self._config(), self._operators, clock=clock, reread=self._config, watched=watched, opened=self._opened,
-            wall=self._wall, history=history,
+            self._config(), self._operators, clock=clock, read_config=self._config, wrap_gateway=watched,
+            on_service_created=self._opened, wall_clock=self._wall, history=history,
         )  # fmt: skip
         task = self._loop.create_task(work, context=context)
         task.add_done_callback(self._done)
