--- a/cypresspulley/capture/day.py
+++ b/cypresspulley/capture/day.py
@@ -11,7 +11,7 @@
 from cypresspulley.capture.model import Entry
 from cypresspulley.capture.retries import PATIENCE, mark_retries
 from cypresspulley.capture.skew import Clock, merge
-from cypresspulley.rehearsal.plan import Plan, draw
+from cypresspulley.rehearsal.plan import Plan, draw_plan
 from cypresspulley.rehearsal.scenario import Scenario
 
 
@@ -55,4 +55,4 @@
 def plan_of(entries: list[Entry], scenario: Scenario, stretch: Stretch, seed: int) -> tuple[Scenario, Plan]:
     arrivals = arrivals_from(entries, scenario, stretch, seed)
     made = captured_scenario(scenario, arrivals[-1].t, stretch.clients)
-    return made, draw(made, seed, tuple(arrivals))
+    return made, draw_plan(made, seed, tuple(arrivals))
--- a/cypresspulley/explore/examine.py
+++ b/cypresspulley/explore/examine.py
@@ -14,7 +14,7 @@
 from cypresspulley.policy.gateway import Gateway
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.judge import judge
-from cypresspulley.rehearsal.limiters import KitError, wire_settings
+from cypresspulley.rehearsal.limiters import HarnessError, wire_settings
 from cypresspulley.rehearsal.play import mean_work
 from cypresspulley.rehearsal.scenario import Scenario
 from cypresspulley.rehearsal.virtual.loop import NothingLeftError, StuckError, VirtualLoop
@@ -169,7 +169,7 @@
         records = play_virtual(scenario, scenario.seed, observer=eyes, most_turns=MOST_TURNS)
     except (NothingLeftError, StuckError) as error:
         eyes.finds.append(Find("stuck", str(error)))
-    except KitError as error:
+    except HarnessError as error:
         eyes.finds.append(Find("kit", str(error)))
     except Exception as error:
         logging.getLogger(__name__).debug("the play failed", exc_info=error)
--- a/cypresspulley/explore/lifecycle.py
+++ b/cypresspulley/explore/lifecycle.py
@@ -14,7 +14,12 @@
 
 from cypresspulley import interface as api
 from cypresspulley.interface import Effect, Scope, Status
-from cypresspulley.rehearsal.rules import CEILING_LATE, CEILING_SLACK, RULES, SOCKETS
+from cypresspulley.rehearsal.rules import (
+    CEILING_LATE_SECONDS,
+    CEILING_SLACK_SHARE,
+    RULES,
+    SOCKET_SLACK_SECONDS,
+)
 from cypresspulley.rehearsal.standins.processor import fall_bound, warmth
 
 LATE = 0.06  # seconds past its time for a final answer
@@ -114,7 +119,10 @@
         left, at = self._left.get(key, (plan.ceiling_burst, now))
         left = min(plan.ceiling_burst, left + plan.ceiling_rate * (now - at)) - request.units
         self._left[key] = left, now
-        slack = max(CEILING_SLACK * plan.ceiling_burst, self._max_units) + CEILING_LATE * plan.ceiling_rate
+        slack = (
+            max(CEILING_SLACK_SHARE * plan.ceiling_burst, self._max_units)
+            + CEILING_LATE_SECONDS * plan.ceiling_rate
+        )
         return -left - slack
 
 
@@ -246,7 +254,10 @@
 
     def _to_server(self, now: float, id: int, life: Life, server: _Server) -> None:
         entry = server.entry
-        if entry.health is not api.Health.UP and now - server.since > self._fleet.grace + SOCKETS:
+        if (
+            entry.health is not api.Health.UP
+            and now - server.since > self._fleet.grace + SOCKET_SLACK_SECONDS
+        ):
             self._say(
                 DRAINS, now, id, f"sent to {entry.name}, {entry.health.value} for {now - server.since:.2f} s"
             )
@@ -272,7 +283,7 @@
             )
 
     def _keyed(self, now: float, action: api.Send, life: Life) -> None:
-        if now - life.maybe_at > life.window + SOCKETS:
+        if now - life.maybe_at > life.window + SOCKET_SLACK_SECONDS:
             text = f"a keyed repeat {now - life.maybe_at:.2f} s later; servers remember {life.window:g} s"
             self._say(TWICE, now, action.id, text)
         first, here = self._servers.get(life.maybe), self._servers.get(action.server)
--- a/cypresspulley/rehearsal/calendars.py
+++ b/cypresspulley/rehearsal/calendars.py
@@ -17,14 +17,14 @@
 SPARE = 0.5  # seconds by which a told version comes into force after its notice is over
 
 
-def keepers(section: Closing, plan: Plan) -> dict[str, str]:
+def caching_accounts(section: Closing, plan: Plan) -> dict[str, str]:
     """Which accounts of the plan ask for keeping, and each one's place, from the plan's seed."""
     rng = random_for(plan.seed, "keepers")
     chosen = [account.id for account in plan.accounts if rng.random() < section.share]
     return {id: section.places[n % len(section.places)].name for n, id in enumerate(sorted(chosen))}
 
 
-class Calendars:
+class CalendarVersions:
     """The versions of one day. ``start`` is the Unix second of its second 0, a whole one."""
 
     def __init__(self, section: Closing, accounts: dict[str, str], start: int) -> None:
@@ -35,7 +35,7 @@
         self.version = TODAY
 
     def __repr__(self) -> str:
-        return f"<Calendars up to version {self.version}, {len(self._accounts)} accounts, from {self._start}>"
+        return f"<CalendarVersions up to version {self.version}, {len(self._accounts)} accounts, from {self._start}>"
 
     def old(self) -> dict[str, Any]:
         """Last week's: it knows none of the day's closings."""
@@ -65,10 +65,10 @@
             table: dict[str, Any] = {
                 "zone": zone,
                 "weekdays": {},
-                "special": local_times(zone, closings[name]),
+                "special": local_times_by_date(zone, closings[name]),
             }
             if name in told:
-                days = local_times(zone, [*closings[name], *told[name]])
+                days = local_times_by_date(zone, [*closings[name], *told[name]])
                 table["changes"] = [{"date": day, "closes": times} for day, times in days.items()]
             places[name] = table
         return {
@@ -77,7 +77,7 @@
         }  # fmt: skip
 
 
-def local_times(zone: str, seconds: Iterable[int]) -> dict[str, list[str]]:
+def local_times_by_date(zone: str, seconds: Iterable[int]) -> dict[str, list[str]]:
     """Unix seconds as a zone's dates, each with its local times."""
     days = defaultdict[str, list[str]](list)
     for second in sorted(set(seconds)):
--- a/cypresspulley/rehearsal/closings.py
+++ b/cypresspulley/rehearsal/closings.py
@@ -7,23 +7,25 @@
 from math import ceil
 from typing import Any
 
-from cypresspulley.rehearsal.calendars import Calendars, keepers
+from cypresspulley.rehearsal.calendars import CalendarVersions, caching_accounts
 from cypresspulley.rehearsal.limiters import LimiterProcess
 from cypresspulley.rehearsal.plan import Plan, PlannedFault
 from cypresspulley.rehearsal.sections import Closing
 
 
-class Closings:
+class ClosingSchedule:
     """``start`` is the Unix second of the day's second 0."""
 
     def __init__(self, section: Closing, plan: Plan, limiters: dict[str, LimiterProcess], start: int) -> None:
         self._section, self._plan, self._limiters, self._start = section, plan, limiters, start
-        self.keepers = keepers(section, plan)  # accounts that ask for keeping, and their places
-        self._calendars = Calendars(section, self.keepers, start)
+        self.caching_accounts = caching_accounts(
+            section, plan
+        )  # accounts that ask for keeping, and their places
+        self._calendars = CalendarVersions(section, self.caching_accounts, start)
         self._told = list[tuple[str, int, int]]()  # on the way: place, Unix second, version
 
     def __repr__(self) -> str:
-        return f"<Closings {self._calendars!r}, {len(self._told)} told on the way>"
+        return f"<ClosingSchedule {self._calendars!r}, {len(self._told)} told on the way>"
 
     def give(self) -> None:
         """Write each limiter the calendar that it starts with: last week's, where a fault at 0 wants it."""
@@ -52,7 +54,7 @@
     def busiest(self) -> str | None:
         """Of the accounts that ask for keeping the one that asks most; None where none does."""
         asked = Counter(arrival.account for arrival in self._plan.arrivals)
-        return max(sorted(self.keepers), key=lambda id: asked[id], default=None)
+        return max(sorted(self.caching_accounts), key=lambda id: asked[id], default=None)
 
     def truth(self, calendars: Iterable[dict[str, Any]]) -> list[list[Any]]:
         """Pairs of an account and the Unix second of a closing; ``calendars`` are the events that limiters wrote.
@@ -65,5 +67,5 @@
             if event["state"] in ("held", "force") and event["mono"] <= event["in_force"] - self._section.notice
         }  # fmt: skip
         told = [[account, float(at)] for place, at, version in self._told if version in taken
-                for account, home in self.keepers.items() if home == place]  # fmt: skip
+                for account, home in self.caching_accounts.items() if home == place]  # fmt: skip
         return sorted([*self._calendars.truth(), *told])
--- a/cypresspulley/rehearsal/command.py
+++ b/cypresspulley/rehearsal/command.py
@@ -17,9 +17,9 @@
 from cypresspulley.console import check_folders, fail
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.judge import judge_timeline
-from cypresspulley.rehearsal.limiters import KitError
-from cypresspulley.rehearsal.plan import Plan, draw
-from cypresspulley.rehearsal.play import Director, keep, play
+from cypresspulley.rehearsal.limiters import HarnessError
+from cypresspulley.rehearsal.plan import Plan, draw_plan
+from cypresspulley.rehearsal.play import ScenarioRunner, keep, play
 from cypresspulley.rehearsal.report import print_verdict
 from cypresspulley.rehearsal.scenario import Scenario, ScenarioError, load_scenario, shipped
 from cypresspulley.rehearsal.timeline import JudgeError, Timeline
@@ -86,9 +86,9 @@
         if self._bar is not None:
             self._bar.stop()
 
-    def __call__(self, now: float, director: Director) -> None:
-        up = sum(limiter.running for limiter in director.limiters.values())
-        text = f"{up} of {len(director.limiters)} limiters up, {director.clients.open} requests open"
+    def __call__(self, now: float, runner: ScenarioRunner) -> None:
+        up = sum(limiter.running for limiter in runner.limiters.values())
+        text = f"{up} of {len(runner.limiters)} limiters up, {runner.clients.open} requests open"
         if self._bar is not None:
             at = min(max(0.0, now), self._seconds)
             self._bar.update(self._task, completed=at, description=text, refresh=True)
@@ -112,7 +112,7 @@
 
 def _planned(scenario: Scenario, seed: int) -> tuple[Scenario, Plan]:
     if scenario.load.capture is None:
-        return scenario, draw(scenario, seed)
+        return scenario, draw_plan(scenario, seed)
     from cypresspulley.capture.day import captured_plan
 
     return captured_plan(scenario, seed)
@@ -134,7 +134,7 @@
 
     try:
         uvloop.run(main())
-    except KitError as error:
+    except HarnessError as error:
         return fail(str(error), BROKEN_KIT)
     except asyncio.CancelledError:
         return _interrupted(records)
@@ -152,7 +152,7 @@
             keep(records, outputs.logs / "records.jsonl")
     except KeyboardInterrupt:
         return INTERRUPTED
-    except (KitError, OSError) as error:
+    except (HarnessError, OSError) as error:
         return fail(str(error), BROKEN_KIT)
     print(f"trace {digest(records)}")
     return _conclude(records, outputs)
--- a/cypresspulley/rehearsal/harness.py
+++ b/cypresspulley/rehearsal/harness.py
@@ -21,7 +21,7 @@
 }  # that a limiter's state begins, until it is ready
 
 
-class Harness:
+class HarnessHistory:
     """Puts records into a history. Faults that end a limiter last until it is ready again."""
 
     def __init__(self, history: AnyHistory, now: float) -> None:
@@ -33,7 +33,7 @@
         history.put(Kind.START, name=NAME, life=int(now * 1000), zone="", period=0.0, bounds={})
 
     def __repr__(self) -> str:
-        return f"<Harness {self._history!r}, down {sorted(self._down)}>"
+        return f"<HarnessHistory {self._history!r}, down {sorted(self._down)}>"
 
     def put(self, kind: Kind, **facts: Any) -> None:
         if not self._over:
@@ -60,7 +60,7 @@
             case log.Answered():
                 kept = record.id in self._kept
                 self._kept.discard(record.id)
-                made = made_at(record.body) if record.status == 200 else None
+                made = read_made_time(record.body) if record.status == 200 else None
                 self.put(Kind.ANSWER, id=record.id, status=record.status, made=made, kept=kept)
             case log.Broke() | log.Left():
                 self.put(Kind.ANSWER, id=record.id, status=0, made=None, kept=False)
@@ -79,7 +79,7 @@
             self.fault(self._down.pop(record.limiter), [record.limiter], False)
 
 
-def made_at(body: str) -> float | None:
+def read_made_time(body: str) -> float | None:
     """When a server made an answer, as it says in it; Unix seconds."""
     try:
         made = json.loads(body)["made"]
--- a/cypresspulley/rehearsal/limiters.py
+++ b/cypresspulley/rehearsal/limiters.py
@@ -27,7 +27,7 @@
 MOST_ANSWER = 64 * 1024  # bytes of a door's answer
 
 
-class KitError(Exception):
+class HarnessError(Exception):
     """The kit itself could not do its work; the text says what to do."""
 
 
@@ -38,7 +38,7 @@
         partial.write_text(text, encoding="utf-8")
         partial.replace(path)
     except OSError as error:
-        raise KitError(f"cannot write {path}: {error.strerror}: free the disk or choose --logs") from None
+        raise HarnessError(f"cannot write {path}: {error.strerror}: free the disk or choose --logs") from None
 
 
 def wire_settings(scenario: Scenario, index: int, hall: str) -> dict[str, Any]:
@@ -92,12 +92,14 @@
         return port
 
 
-def unseen(when: str) -> KitError:
+def unseen(when: str) -> HarnessError:
     """The error of a kill that only a loop in virtual time can see the moment of."""
-    return KitError(f"a limiter-kill with when = {when!r} can be played in virtual time only: add --virtual")
+    return HarnessError(
+        f"a limiter-kill with when = {when!r} can be played in virtual time only: add --virtual"
+    )
 
 
-Strike = Callable[[], object]
+KillCallback = Callable[[], object]
 
 
 class LimiterProcess:
@@ -145,7 +147,7 @@
         path.write_text(f'[plans]\nwriter = "{host}:{port}"\ninstallation = "rehearsal"\n')
         self._command = [*self._command, "--operators", str(path)]
 
-    def equip(self, tables: dict[str, dict[str, Any]], key: str) -> None:
+    def configure_fleet(self, tables: dict[str, dict[str, Any]], key: str) -> None:
         """From its next start on it has these operators' tables, the fleet's key, a history and a clock of its own."""
         import tomli_w  # for days on which limiters do something together only
 
@@ -196,7 +198,7 @@
                 start_new_session=True, preexec_fn=self._limit,
             )  # fmt: skip
         except OSError as error:
-            raise KitError(f"{self.name} does not start: {error}: see {self.log_path}") from None
+            raise HarnessError(f"{self.name} does not start: {error}: see {self.log_path}") from None
         finally:
             if self._file is not None:
                 self._file.close()
@@ -241,14 +243,18 @@
                 while await self.call("GET", "/v1/readyz") != 200:
                     await asyncio.sleep(0.03)
         except TimeoutError:
-            raise KitError(f"{self.name}: the new process gave no yes within {UPGRADE_WITHIN:g} s") from None
+            raise HarnessError(
+                f"{self.name}: the new process gave no yes within {UPGRADE_WITHIN:g} s"
+            ) from None
         old.send_signal(signal.SIGTERM)
         try:
             async with asyncio.timeout(STOP_WITHIN):
                 await old.wait()
         except TimeoutError:
             old.kill()
-            raise KitError(f"{self.name}: the old process ignored SIGTERM for {STOP_WITHIN:g} s") from None
+            raise HarnessError(
+                f"{self.name}: the old process ignored SIGTERM for {STOP_WITHIN:g} s"
+            ) from None
         return True
 
     def _limit(self) -> None:
@@ -262,12 +268,14 @@
                 while not await self._healthy():
                     if not self.running:
                         code = self.process.returncode if self.process else None
-                        raise KitError(
+                        raise HarnessError(
                             f"{self.name} ended with code {code} before it was ready: {self.tail()}"
                         )
                     await asyncio.sleep(0.03)
         except TimeoutError:
-            raise KitError(f"{self.name} was not ready within {READY_WITHIN:g} s: {self.tail()}") from None
+            raise HarnessError(
+                f"{self.name} was not ready within {READY_WITHIN:g} s: {self.tail()}"
+            ) from None
 
     async def _healthy(self) -> bool:
         try:
@@ -315,7 +323,7 @@
         except TimeoutError:
             self.signal(signal.SIGKILL)
             await self.process.wait()
-            raise KitError(f"{self.name} ignored SIGTERM for {within:g} s and was killed") from None
+            raise HarnessError(f"{self.name} ignored SIGTERM for {within:g} s and was killed") from None
 
     def sample(self) -> None:
         """Note what it has used so far."""
@@ -327,6 +335,6 @@
             self.cpu_seconds += max(0.0, now - self._cpu)
             self._cpu, self.memory_mb = max(self._cpu, now), max(self.memory_mb, memory)
 
-    def strike_after(self, when: str, count: int, strike: Strike) -> None:
+    def call_after_steps(self, when: str, count: int, strike: KillCallback) -> None:
         """Call ``strike`` behind so many of its turns or writes. A process's cannot be seen from outside."""
         raise unseen(when)
--- a/cypresspulley/rehearsal/plan.py
+++ b/cypresspulley/rehearsal/plan.py
@@ -106,14 +106,14 @@
     return blake2b(f"{seed}/{number}/{attempt}".encode(), digest_size=8).hexdigest()
 
 
-def work_of(seed: int, id: str, cls: ClassRow) -> float:
+def sample_work(seed: int, id: str, cls: ClassRow) -> float:
     """CPU seconds that a try costs a server, lognormal with the class's mean and coefficient of variation."""
     variance = math.log(1 + cls.spread**2)
     factor = random_for(seed, "work", id).lognormvariate(-variance / 2, math.sqrt(variance))
     return cls.work_ms / 1000 * min(20.0, factor)
 
 
-def draw(scenario: Scenario, seed: int, captured: tuple[Arrival, ...] | None = None) -> Plan:
+def draw_plan(scenario: Scenario, seed: int, captured: tuple[Arrival, ...] | None = None) -> Plan:
     """Everything that does not depend on answers, from one seed; ``captured`` arrivals replace drawn ones."""
     faults = _faults(scenario, random_for(seed, "faults"))
     if captured is not None:
--- a/cypresspulley/rehearsal/play.py
+++ b/cypresspulley/rehearsal/play.py
@@ -26,16 +26,16 @@
 from cypresspulley.net.node import UnixClock
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.limiters import (
-    KitError,
+    HarnessError,
     LimiterProcess,
     free_datagram_port,
     free_port,
     unseen,
     wire_settings,
 )
-from cypresspulley.rehearsal.plan import Plan, PlannedFault, draw, random_for, work_of
+from cypresspulley.rehearsal.plan import Plan, PlannedFault, draw_plan, random_for, sample_work
 from cypresspulley.rehearsal.scenario import VIRTUAL_ONLY, Scenario, limiter_names, server_names
-from cypresspulley.rehearsal.spells import Spells, Value
+from cypresspulley.rehearsal.spells import OverlappingFaults, Value
 from cypresspulley.rehearsal.standins.bagserver import BagServer, RepeatMemory
 from cypresspulley.rehearsal.standins.clients import ClientFleet, Front
 from cypresspulley.rehearsal.standins.discovery import Agent, Host
@@ -46,7 +46,7 @@
 
 if TYPE_CHECKING:
     from cypresspulley.rehearsal.standins.bookkeeper import Bookkeeper
-    from cypresspulley.rehearsal.together import Ground, Side
+    from cypresspulley.rehearsal.together import FleetEnvironment, FleetHarness
 
 SHIPPED_LIMITER = [sys.executable, "-m", "cypresspulley"]
 WARM_UP = 0.3  # seconds between the last limiter's readiness and the first request
@@ -85,7 +85,7 @@
     return load_options(str(OPERATORS)).points_per_unit
 
 
-def operators_of(scenario: Scenario) -> str | None:
+def operators_path(scenario: Scenario) -> str | None:
     """The operators' file of a day's limiters, where there is one."""
     if scenario.graphql is None:
         return None
@@ -95,7 +95,7 @@
 
 
 MakeLimiter = Callable[[str, str], LimiterProcess]  # of a name and the host where it listens
-Progress = Callable[[float, "Director"], None]
+Progress = Callable[[float, "ScenarioRunner"], None]
 
 
 def describe(scenario: Scenario, plan: Plan) -> log.Day:
@@ -130,7 +130,7 @@
     return min((fault.size for fault in scenario.faults if fault.kind == "plan-churn"), default=1.0)
 
 
-class Net:
+class LoopbackNetwork:
     """Addresses in 127.0.0.0/8, and the links between halls."""
 
     def __init__(self, scenario: Scenario, base: str) -> None:
@@ -154,21 +154,21 @@
                 link.cut(now) if cut else link.heal()
 
 
-class Director:
+class ScenarioRunner:
     """All that is on the stage of one play."""
 
     def __init__(
         self, scenario: Scenario, plan: Plan, limiter: MakeLimiter, sink: Callable[[log.Record], None],
         base: str, clock: Callable[[], float] = time.monotonic, unix: Callable[[], float] = time.time,
-        ground: Ground | None = None,
+        environment: FleetEnvironment | None = None,
     ) -> None:  # fmt: skip
         classes = {c.name: c for c in scenario.classes}
         self.scenario, self.plan = scenario, plan
-        self.side: Side | None = None  # what the limiters do together
+        self.fleet_harness: FleetHarness | None = None  # what the limiters do together
         self._sink = sink
-        self.stage = Stage(self._seen, lambda id, cls: work_of(plan.seed, id, classes[cls]), clock, unix)
+        self.stage = Stage(self._seen, lambda id, cls: sample_work(plan.seed, id, classes[cls]), clock, unix)
         self.stage.on_arrival = self._on_arrival
-        self.net, self._spells = Net(scenario, base), Spells()
+        self.net, self._overlapping = LoopbackNetwork(scenario, base), OverlappingFaults()
         self.day = describe(scenario, plan)
         self.halls = scenario.fleet.halls
         k = scenario.keeper
@@ -199,17 +199,19 @@
         self.returning = set[str]()  # limiters that are away and to come back
         self.failed = asyncio.Event()
         self.books: Bookkeeper | None = None
-        if ground is not None:
-            from cypresspulley.rehearsal.together import Side
+        if environment is not None:
+            from cypresspulley.rehearsal.together import FleetHarness
 
-            self.side = Side(scenario, plan, self.stage, self.limiters, self.day.limiters, ground)
-            self.returning |= self.side.late  # away until their time
+            self.fleet_harness = FleetHarness(
+                scenario, plan, self.stage, self.limiters, self.day.limiters, environment
+            )
+            self.returning |= self.fleet_harness.late  # away until their time
 
     def _seen(self, record: log.Record) -> None:
         """Each record goes into the log, and what is of the kit's own history there too."""
         self._sink(record)
-        if self.side is not None:
-            self.side.harness.record(record)
+        if self.fleet_harness is not None:
+            self.fleet_harness.harness.record(record)
 
     # The stage is set.
 
@@ -244,18 +246,20 @@
 
     async def open_side(self) -> None:
         """What the limiters do together has its relay and files, before any of them starts."""
-        if self.side is not None:
-            await self.side.open()
+        if self.fleet_harness is not None:
+            await self.fleet_harness.open()
 
     def begin(self) -> None:
         """All limiters are ready: the day begins, at a whole Unix second where closings are placed by it."""
-        if self.side is None:
+        if self.fleet_harness is None:
             return self.stage.begin(WARM_UP)
-        after = self.side.until_start()
+        after = self.fleet_harness.until_start()
         if after < WARM_UP:
-            raise KitError(f"the limiters were ready {WARM_UP - after:.1f} s too late: give them idle cores")
+            raise HarnessError(
+                f"the limiters were ready {WARM_UP - after:.1f} s too late: give them idle cores"
+            )
         self.stage.begin(after)
-        asyncio.get_running_loop().call_later(after, self.side.begin)
+        asyncio.get_running_loop().call_later(after, self.fleet_harness.begin)
 
     def _add_server(
         self, name: str, hall: str, cell: int, place: int, like: BagServer | None = None
@@ -406,8 +410,8 @@
             self.returning.discard(name)
 
     async def _purge(self, name: str) -> None:
-        if self.side is not None and self.limiters[name].running:
-            await self.side.purge(name)
+        if self.fleet_harness is not None and self.limiters[name].running:
+            await self.fleet_harness.purge(name)
 
     # What operators do at the door.
 
@@ -590,7 +594,7 @@
             return
         if fault.kind == "limiter-kill" and fault.spec.when in VIRTUAL_ONLY:
             for name in fault.targets:
-                self.limiters[name].strike_after(
+                self.limiters[name].call_after_steps(
                     fault.spec.when, fault.spec.after, partial(self._struck, name, fault)
                 )
             return
@@ -599,11 +603,11 @@
         try:
             self._start_fault(fault)
         except OSError as error:
-            self.fail(KitError(f"{fault.kind}: {error}"))
+            self.fail(HarnessError(f"{fault.kind}: {error}"))
 
     def _start_fault(self, fault: PlannedFault) -> None:
-        if self.side is not None:
-            self.side.strike(fault)
+        if self.fleet_harness is not None:
+            self.fleet_harness.strike(fault)
         spec, lasts = fault.spec, fault.until - fault.at
         each: dict[str, Callable[[str], Awaitable[None]]] = {
             "limiter-kill": lambda name: self._kill_and_return(name, spec.known, spec.back_after),
@@ -626,9 +630,9 @@
             value, applied = spell
             for target in fault.targets or ("",):
                 apply = partial(applied, target)
-                self._spells.begin(fault.kind, target, value, apply)
+                self._overlapping.begin(fault.kind, target, value, apply)
                 loop = asyncio.get_running_loop()
-                loop.call_later(lasts, self._spells.end, fault.kind, target, value, apply)
+                loop.call_later(lasts, self._overlapping.end, fault.kind, target, value, apply)
         elif fault.kind == "limiter-reload":
             for target in fault.targets:
                 self._reload(target)
@@ -708,7 +712,7 @@
         async def guarded() -> None:
             try:
                 await work
-            except (KitError, OSError) as error:
+            except (HarnessError, OSError) as error:
                 self.fail(error)
 
         task = asyncio.get_running_loop().create_task(guarded())
@@ -722,7 +726,7 @@
 
     def check(self) -> None:
         if self._failure is not None:
-            raise KitError(str(self._failure))
+            raise HarnessError(str(self._failure))
 
     async def beat(self) -> None:
         """Watch the kit's own lateness and what the limiters use, until cancelled."""
@@ -749,61 +753,61 @@
         for limiter in running:
             limiter.signal(signal.SIGKILL)
         for limiter in running:
-            with contextlib.suppress(KitError):
+            with contextlib.suppress(HarnessError):
                 await limiter.gone()
         for server in self.servers.values():
             server.crash()
         for agent in self.agents.values():
             agent.close()
         self.keeper.close()
-        if self.side is not None:
-            self.side.close()
+        if self.fleet_harness is not None:
+            self.fleet_harness.close()
         if self.books is not None:
             await self.books.close()
 
 
-async def _day(director: Director, progress: Progress | None) -> None:
+async def _day(runner: ScenarioRunner, progress: Progress | None) -> None:
     """From the first limiter's start to the last one's end."""
-    director.clients.prepare(director.plan.arrivals)
-    director.build()
-    director.stage.record(director.day)
-    for plan, least in director.scenario.goal.plans.items():
-        director.stage.record(log.Wanted(director.stage.now(), plan, least))
-    await director.open_books()
-    await director.open_side()
-    early = [name for name in director.limiters if name not in director.returning]
-    await asyncio.gather(*(director.start_limiter(name) for name in early))
-    director.begin()
-    director.keeper.begun = True
-    director.schedule()
-    abuse = director.abuse()
-    await director.clients.play(director.plan.arrivals)
-    await asyncio.sleep(max(0.0, director.scenario.seconds - director.stage.now()))
-    await director.clients.finish(AFTER)
+    runner.clients.prepare(runner.plan.arrivals)
+    runner.build()
+    runner.stage.record(runner.day)
+    for plan, least in runner.scenario.goal.plans.items():
+        runner.stage.record(log.Wanted(runner.stage.now(), plan, least))
+    await runner.open_books()
+    await runner.open_side()
+    early = [name for name in runner.limiters if name not in runner.returning]
+    await asyncio.gather(*(runner.start_limiter(name) for name in early))
+    runner.begin()
+    runner.keeper.begun = True
+    runner.schedule()
+    abuse = runner.abuse()
+    await runner.clients.play(runner.plan.arrivals)
+    await asyncio.sleep(max(0.0, runner.scenario.seconds - runner.stage.now()))
+    await runner.clients.finish(AFTER)
     if abuse is not None:
         await abuse
-    await _stop_limiters(director)
+    await _stop_limiters(runner)
 
 
-async def _stop_limiters(director: Director) -> None:
+async def _stop_limiters(runner: ScenarioRunner) -> None:
     loop = asyncio.get_running_loop()
     limit = loop.time() + READY_FOR_STOP
-    while director.returning and loop.time() < limit:
+    while runner.returning and loop.time() < limit:
         await asyncio.sleep(0.05)  # one that was to come back comes back first: its end is judged too
-    if director.side is not None:
-        director.side.over()
-    for limiter in director.limiters.values():
+    if runner.fleet_harness is not None:
+        runner.fleet_harness.over()
+    for limiter in runner.limiters.values():
         if limiter.running:
-            director.stage.record(log.LimiterState(director.stage.now(), limiter.name, "stopping"))
+            runner.stage.record(log.LimiterState(runner.stage.now(), limiter.name, "stopping"))
             limiter.signal(signal.SIGTERM)
-    await asyncio.gather(*(limiter.gone() for limiter in director.limiters.values()))
-    if director.books is not None:
-        told = sum(director.books.plan_writer.usage_ledger.totals.values())
-        director.stage.record(log.Exported(director.stage.now(), told))
-    for limiter in director.limiters.values():
-        director.stage.record(
+    await asyncio.gather(*(limiter.gone() for limiter in runner.limiters.values()))
+    if runner.books is not None:
+        told = sum(runner.books.plan_writer.usage_ledger.totals.values())
+        runner.stage.record(log.Exported(runner.stage.now(), told))
+    for limiter in runner.limiters.values():
+        runner.stage.record(
             log.Usage(
-                director.stage.now(), limiter.name, limiter.cpu_seconds, limiter.memory_mb, limiter.lives - 1
+                runner.stage.now(), limiter.name, limiter.cpu_seconds, limiter.memory_mb, limiter.lives - 1
             )
         )
 
@@ -817,7 +821,7 @@
     want = DESCRIPTORS if hard == resource.RLIM_INFINITY else min(DESCRIPTORS, hard)
     need = 100 + scenario.limiters.count * (4 * scenario.fleet.servers + 40) + int(2 * scenario.load.inside)
     if want < need:
-        raise KitError(f"this day wants {need} descriptors and may have {hard}: raise `ulimit -n`")
+        raise HarnessError(f"this day wants {need} descriptors and may have {hard}: raise `ulimit -n`")
     if soft < want:
         resource.setrlimit(resource.RLIMIT_NOFILE, (want, hard))
 
@@ -835,32 +839,32 @@
     for fault in scenario.faults:
         if fault.when in VIRTUAL_ONLY:
             raise unseen(fault.when)
-    plan, kept = plan or draw(scenario, seed), records if records is not None else []
+    plan, kept = plan or draw_plan(scenario, seed), records if records is not None else []
     folder = logs or Path(tempfile.mkdtemp(prefix="fawnseam-"))
     try:
         folder.mkdir(parents=True, exist_ok=True)
     except OSError as error:
-        raise KitError(f"cannot make {folder}: {error.strerror}") from None
+        raise HarnessError(f"cannot make {folder}: {error.strerror}") from None
     _raise_descriptors(scenario)
 
     def limiter(name: str, host: str) -> LimiterProcess:
         address, sockets = (host, free_port(host)), scenario.limiters.sockets
         words = list(command or SHIPPED_LIMITER)
-        if (operators := operators_of(scenario)) is not None:
+        if (operators := operators_path(scenario)) is not None:
             words += ["--operators", operators]
         return LimiterProcess(name, address, folder, words, plan.seed, sockets)
 
     # A range of its own for each run: two at once never meet, and no port is asked for by number.
     base = f"127.{16 + (os.getpid() * 7 + next(PLAYS)) % 200}"
-    ground = None if scenario.together is None else _ground(scenario, folder, base)
-    director = Director(scenario, plan, limiter, kept.append, base, ground=ground)
+    environment = None if scenario.together is None else _ground(scenario, folder, base)
+    runner = ScenarioRunner(scenario, plan, limiter, kept.append, base, environment=environment)
     try:
-        with uncollected():
-            await play_day(director, progress)
+        with reduced_gc():
+            await play_day(runner, progress)
     except OSError as error:
-        raise KitError(f"{error.strerror or error}: the kit could not go on") from None
+        raise HarnessError(f"{error.strerror or error}: the kit could not go on") from None
     finally:
-        await director.close()
+        await runner.close()
         if logs is None:
             shutil.rmtree(folder, ignore_errors=True)
     if logs is not None:
@@ -868,20 +872,20 @@
     return kept
 
 
-def _ground(scenario: Scenario, folder: Path, base: str) -> Ground:
+def _ground(scenario: Scenario, folder: Path, base: str) -> FleetEnvironment:
     """On sockets: histories are files, and each address is one of this run's own."""
     from cypresspulley.histories.read import read_folder
     from cypresspulley.histories.writer import History
     from cypresspulley.rehearsal.checks import calendar_events, checked
-    from cypresspulley.rehearsal.together import Ground
+    from cypresspulley.rehearsal.together import FleetEnvironment
 
-    histories, net, names = folder / "histories", Net(scenario, base), limiter_names(scenario)
+    histories, net, names = folder / "histories", LoopbackNetwork(scenario, base), limiter_names(scenario)
     histories.mkdir(exist_ok=True)
     clock = UnixClock()
     hosts = {(name, way_in): net.host(254 if way_in else 250, at)
              for at, name in enumerate(names) for way_in in (False, True)}  # fmt: skip
     ports = {key: free_datagram_port(host) for key, host in hosts.items()}
-    return Ground(
+    return FleetEnvironment(
         History(str(histories / "harness.jsonl"), clock, clock),
         lambda name, way_in: (hosts[name, way_in], ports[name, way_in]),
         lambda wanted: checked(read_folder(histories), wanted, scenario.seconds),
@@ -891,7 +895,7 @@
 
 
 @contextlib.contextmanager
-def uncollected() -> Iterator[None]:
+def reduced_gc() -> Iterator[None]:
     """What was there before is not looked through by the collector, and what comes to stay only seldom."""
     usual = gc.get_threshold()
     gc.collect()
@@ -904,20 +908,20 @@
         gc.unfreeze()
 
 
-async def play_day(director: Director, progress: Progress | None) -> None:
+async def play_day(runner: ScenarioRunner, progress: Progress | None) -> None:
     """The day from its first limiter's start to its end, with the kit's own lateness watched."""
-    day = asyncio.ensure_future(_day(director, progress))
-    beat = asyncio.ensure_future(director.beat())
-    failed = asyncio.ensure_future(director.failed.wait())
-    shown = asyncio.ensure_future(_show(director, progress)) if progress else None
+    day = asyncio.ensure_future(_day(runner, progress))
+    beat = asyncio.ensure_future(runner.beat())
+    failed = asyncio.ensure_future(runner.failed.wait())
+    shown = asyncio.ensure_future(_show(runner, progress)) if progress else None
     try:
         await asyncio.wait((day, failed), return_when=asyncio.FIRST_COMPLETED)
-        director.check()
+        runner.check()
         await day
         beat.cancel()  # the kit is late from here on, and harms nobody by it
-        if director.side is not None:
-            director.side.check()
-        director.stage.record(log.End(director.stage.now(), director.stage.unix_ms(0) / 1000))
+        if runner.fleet_harness is not None:
+            runner.fleet_harness.check()
+        runner.stage.record(log.End(runner.stage.now(), runner.stage.unix_ms(0) / 1000))
     finally:
         tasks = [task for task in (day, beat, failed, shown) if task is not None]
         for task in tasks:
@@ -931,12 +935,12 @@
         with path.open("w", encoding="utf-8") as file:
             log.write_log(file, records)
     except OSError as error:
-        raise KitError(
+        raise HarnessError(
             f"cannot write {path}: {error.strerror}: free the disk or choose another place"
         ) from None
 
 
-async def _show(director: Director, progress: Progress) -> None:
+async def _show(runner: ScenarioRunner, progress: Progress) -> None:
     while True:
-        progress(director.stage.now(), director)
+        progress(runner.stage.now(), runner)
         await asyncio.sleep(0.25)
--- a/cypresspulley/rehearsal/rules.py
+++ b/cypresspulley/rehearsal/rules.py
@@ -17,12 +17,12 @@
 from cypresspulley.rehearsal.standins.processor import fall_bound, warmth
 from cypresspulley.rehearsal.timeline import FOREVER, Attempt, Timeline, Try
 
-SOCKETS = 0.05  # seconds by which each time limit is longer on sockets
+SOCKET_SLACK_SECONDS = 0.05  # seconds by which each time limit is longer on sockets
 ROUND_TRIP = 0.001  # seconds there and back between a client and its limiter
-ANSWER_SLACK = 0.008 + SOCKETS  # past the client's time
-CEILING_SLACK = 0.1  # of the ceiling's burst, one of the largest requests at least
+ANSWER_SLACK = 0.008 + SOCKET_SLACK_SECONDS  # past the client's time
+CEILING_SLACK_SHARE = 0.1  # of the ceiling's burst, one of the largest requests at least
 BOOK_LEASE = LEASE_MS / 1000  # seconds that a limiter may go by a plan book without a word of it
-CEILING_LATE = 0.15  # seconds of the ceiling's rate by which its slack is wider on sockets
+CEILING_LATE_SECONDS = 0.15  # seconds of the ceiling's rate by which its slack is wider on sockets
 TOLD_SHARE = 2 / 3  # of the work that pushed a cold server over must come from limiters that knew
 REFUSALS = (429, 503)
 RULES = (
@@ -86,7 +86,7 @@
     """What one sending of a try owes: an answer, unless the limiter died or the client left first."""
     broke = next((r for r in one.broke if r.t >= sent.t), None)
     until = broke.t if broke else sent.t + sent.ttl + ANSWER_SLACK
-    if line.died_within(sent.limiter, sent.t, until):
+    if line.killed_within(sent.limiter, sent.t, until):
         return
     if broke is not None:
         # The first request of a connection that is closed with nothing sent on has failed, and is not lost;
@@ -96,7 +96,7 @@
         if broke.begun or sent_on or owed:
             part = "after a part of the answer" if broke.begun else "with no answer"
             yield Violation(broke.t, sent.limiter, one.id, f"its connection was ended {part}")
-    elif line.asleep_within(sent.limiter, sent.t - SOCKETS, until):
+    elif line.paused_within(sent.limiter, sent.t - SOCKET_SLACK_SECONDS, until):
         return
     elif not any(r.t >= sent.t for r in one.answers) and any(r.why == "over" for r in one.left):
         yield Violation(until, sent.limiter, one.id, "no answer while the client waited")
@@ -116,14 +116,17 @@
         return
     answer = one.answers[0]
     due = sent.t + sent.ttl + ANSWER_SLACK
-    if answer.t > due and not line.asleep_within(sent.limiter, sent.t - SOCKETS, due):
+    if answer.t > due and not line.paused_within(sent.limiter, sent.t - SOCKET_SLACK_SECONDS, due):
         late = answer.t - sent.t - sent.ttl
         yield Violation(answer.t, sent.limiter, one.id, f"answered {late * 1000:.0f} ms after its time")
     served = any(_made(a, answer) for a in one.attempts) or _may_be_kept(line, one, answer)
     if answer.status == 200 and not served:
         yield Violation(answer.t, sent.limiter, one.id, "served with what no server made for it")
     for attempt in one.attempts:
-        if attempt.arrived.began > answer.t + SOCKETS and attempt.arrived.limiter == sent.limiter:
+        if (
+            attempt.arrived.began > answer.t + SOCKET_SLACK_SECONDS
+            and attempt.arrived.limiter == sent.limiter
+        ):
             yield Violation(attempt.arrived.began, sent.limiter, one.id, "sent on after its final answer")
 
 
@@ -158,14 +161,14 @@
             continue
         ordered = sorted(one.attempts, key=lambda a: (a.arrived.t, a.arrived.attempt))
         for number, attempt in enumerate(ordered):
-            earlier = [a for a in ordered[:number] if a.proved_unrun > attempt.arrived.t]
+            earlier = [a for a in ordered[:number] if a.proved_not_run_at > attempt.arrived.t]
             earlier = [a for a in earlier if _sending(one, a) == _sending(one, attempt)]
             if earlier and (why := _forbidden(line, cls, earlier[0], attempt)):
                 yield Violation(attempt.arrived.t, attempt.arrived.limiter, one.id, why)
         for answer in one.answers:
             sending = sum(sent.t <= answer.t for sent in one.sent)  # the one that it answers
             open_ = [a for a in ordered if _sending(one, a) == sending]
-            open_ = [a for a in open_ if a.arrived.t <= answer.t < a.proved_unrun]
+            open_ = [a for a in open_ if a.arrived.t <= answer.t < a.proved_not_run_at]
             if answer.status in REFUSALS and open_ and (cls.effect, cls.group) != ("keyed", "all"):
                 at = open_[0].arrived.server
                 text = f"refused with {answer.status} though it may have run at {at}"
@@ -189,7 +192,7 @@
     }[cls.group]
     if not same:
         return f"a keyed request went on to {b.server}, outside the {cls.group} of {a.server}"
-    if b.began - a.t > cls.window + SOCKETS:
+    if b.began - a.t > cls.window + SOCKET_SLACK_SECONDS:
         return f"a keyed request was repeated {b.began - a.t:.2f} s later; servers remember {cls.window} s"
     return ""
 
@@ -200,19 +203,19 @@
 def _drains(line: Timeline) -> Iterator[Violation]:
     for attempt in line.attempts.values():
         r = attempt.arrived
-        states = line.told_at(r.limiter, r.server, r.began)
+        states = line.known_states_at(r.limiter, r.server, r.began)
         since, health = FOREVER, ""
         for state in reversed(states):
             if state.health == "ready":
                 break
             since, health = state.t, state.health
         late = r.began - since - line.day.drain_grace
-        if late > SOCKETS:
+        if late > SOCKET_SLACK_SECONDS:
             text = f"new work to {r.server} {late:.2f} s past the grace; told {health} at {since:.2f}"
             yield Violation(r.began, r.limiter, r.id, text)
             continue
         out = r.began - line.banned_since(r.limiter, r.server, r.began) - line.day.drain_grace
-        if out > SOCKETS:
+        if out > SOCKET_SLACK_SECONDS:
             text = f"new work to {r.server}, which was taken out by hand {out + line.day.drain_grace:.2f} s before"
             yield Violation(r.began, r.limiter, r.id, text)
 
@@ -258,7 +261,10 @@
 
 
 def _knew(line: Timeline, sent: log.Arrived, start: log.ServerState) -> bool:
-    return any(s.born >= start.t - SOCKETS for s in line.told_at(sent.limiter, sent.server, sent.t))
+    return any(
+        s.born >= start.t - SOCKET_SLACK_SECONDS
+        for s in line.known_states_at(sent.limiter, sent.server, sent.t)
+    )
 
 
 # 5: ceilings kept.
@@ -296,8 +302,8 @@
             if store.at < move.t <= t:
                 store = store.with_limits(move.t, move.ceiling_rate, move.ceiling_burst)
         store = stores[key] = store.refilled_until(t).with_units_drawn(sent.units)
-        slack = max(CEILING_SLACK * plan.ceiling_burst, line.day.max_units)
-        slack += CEILING_LATE * plan.ceiling_rate + wider.get(sent.account, 0.0)
+        slack = max(CEILING_SLACK_SHARE * plan.ceiling_burst, line.day.max_units)
+        slack += CEILING_LATE_SECONDS * plan.ceiling_rate + wider.get(sent.account, 0.0)
         yield t, one, store.units, slack
 
 
--- a/cypresspulley/rehearsal/service.py
+++ b/cypresspulley/rehearsal/service.py
@@ -112,7 +112,7 @@
         out[key] = [end for end in out[key] if end > t]
         room = not plan.open_limit or len(out[key]) < plan.open_limit
         inside[one.id] = room and stores.setdefault(key, _Store(plan)).take(t, sent.units)
-        out[key] += [a.out_until for a in one.attempts]
+        out[key] += [a.open_until for a in one.attempts]
     return inside
 
 
--- a/cypresspulley/rehearsal/spells.py
+++ b/cypresspulley/rehearsal/spells.py
@@ -9,7 +9,7 @@
 Apply = Callable[[Value], None]
 
 
-class Spells:
+class OverlappingFaults:
     """The values of one fault on one target that have begun and not ended; the latest of them is in force.
 
     ``apply`` takes what is in force whenever that changes, and ``False`` or 0 when the last spell has ended.
@@ -19,7 +19,7 @@
         self._values = defaultdict[tuple[str, str], list[Value]](list)
 
     def __repr__(self) -> str:
-        return f"<Spells {dict(self._values)}>"
+        return f"<OverlappingFaults {dict(self._values)}>"
 
     def begin(self, kind: str, target: str, value: Value, apply: Apply) -> None:
         values = self._values[kind, target]
--- a/cypresspulley/rehearsal/timeline.py
+++ b/cypresspulley/rehearsal/timeline.py
@@ -41,12 +41,12 @@
     ended: log.Ended | None = None
 
     @property
-    def proved_unrun(self) -> float:
+    def proved_not_run_at(self) -> float:
         """When it was proved that it never ran; infinity if never."""
         return self.replied.t if self.replied is not None and self.replied.not_processed else FOREVER
 
     @property
-    def out_until(self) -> float:
+    def open_until(self) -> float:
         ends = [r.t for r in (self.replied, self.ended) if r is not None]
         return min(ends, default=FOREVER)
 
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class KnownState:
     """From ``t`` on a limiter knows a server in this state (or counts as knowing it)."""
 
     t: float
@@ -179,7 +179,7 @@
             lives[name].append(Life(start, FOREVER, ""))
         return lives
 
-    def died_within(self, limiter: str, start: float, end: float) -> bool:
+    def killed_within(self, limiter: str, start: float, end: float) -> bool:
         """Whether a process of the limiter was killed outright in that time, both ends included, or was dead
         at its start: what reached a process after SIGKILL was taken by nobody."""
         lives = self.lives.get(limiter, [])
@@ -195,7 +195,7 @@
                 pauses[r.target].append((r.t, r.until))
         return pauses
 
-    def asleep_within(self, limiter: str, start: float, end: float) -> bool:
+    def paused_within(self, limiter: str, start: float, end: float) -> bool:
         """Whether the limiter was stopped (SIGSTOP) at some time between; a stopped process answers nothing."""
         return any(a <= end and start <= b for a, b in self.pauses.get(limiter, ()))
 
@@ -203,16 +203,16 @@
         """When a limiter can have heard what was written to it at ``t``: once it runs again, if it was stopped."""
         return max([t, *(b + AWAKE for a, b in self.pauses.get(limiter, ()) if a <= t <= b + AWAKE)])
 
-    def _heard(self, limiter: str, states: list[Told]) -> list[Told]:
+    def _heard(self, limiter: str, states: list[KnownState]) -> list[KnownState]:
         """What was told in a pause counts as heard at its end, unless it only gives a server back; and what was told
         later is heard no earlier."""
-        heard, born = list[Told](), 0.0
+        heard, born = list[KnownState](), 0.0
         for one in states:
             gives_back = one.health == "ready" and one.born <= born
-            heard.append(one if gives_back else Told(self.heard(limiter, one.t), one.health, one.born))
+            heard.append(one if gives_back else KnownState(self.heard(limiter, one.t), one.health, one.born))
             born = one.born
         for at in range(len(heard) - 2, -1, -1):
-            heard[at] = Told(min(heard[at].t, heard[at + 1].t), heard[at].health, heard[at].born)
+            heard[at] = KnownState(min(heard[at].t, heard[at + 1].t), heard[at].health, heard[at].born)
         return heard
 
     def _bans(self) -> dict[tuple[str, str], list[tuple[float, float]]]:
@@ -244,20 +244,20 @@
                 return life
         return Life(-FOREVER, FOREVER, "")
 
-    def _told(self) -> dict[tuple[str, float, str], list[Told]]:
+    def _told(self) -> dict[tuple[str, float, str], list[KnownState]]:
         """By limiter, start of its life and server: what it was told, in order of time."""
         lists = defaultdict[str, list[log.Listed]](list)
         for r in self.records:
             if isinstance(r, log.Listed):
                 lists[r.limiter].append(r)
-        told = dict[tuple[str, float, str], list[Told]]()
+        told = dict[tuple[str, float, str], list[KnownState]]()
         for limiter, rows in lists.items():
             for life in self.lives.get(limiter) or [Life(-FOREVER, FOREVER, "")]:
                 for server, states in _states(rows, life).items():
                     told[limiter, life.start, server] = self._heard(limiter, states)
         return told
 
-    def told_at(self, limiter: str, server: str, t: float) -> list[Told]:
+    def known_states_at(self, limiter: str, server: str, t: float) -> list[KnownState]:
         """What the limiter's process of that time had been told of the server by then."""
         states = self.told.get((limiter, self.life_at(limiter, t).start, server), [])
         return states[: bisect_right(states, t, key=lambda s: s.t)]
@@ -279,7 +279,7 @@
         ]
 
 
-def _states(rows: list[log.Listed], life: Life) -> dict[str, list[Told]]:
+def _states(rows: list[log.Listed], life: Life) -> dict[str, list[KnownState]]:
     """What one life was told of each server. What its agent has counts as told some seconds later."""
     events, known = list[tuple[float, bool, dict[str, tuple[str, float]]]](), set[str]()
     direct = [row for row in rows if row.told and life.start <= row.t <= life.end]
@@ -294,7 +294,7 @@
             if not any(r.whole for r in heard):
                 news = {s: state for s, state in row.hosts.items() if not any(s in r.hosts for r in heard)}
                 events.append((since + TOLD_AFTER, row.whole, news))
-    states = defaultdict[str, list[Told]](list)
+    states = defaultdict[str, list[KnownState]](list)
     for t, whole, hosts in sorted(events, key=lambda e: e[0]):
         known |= hosts.keys()
         for server in known:
@@ -305,5 +305,5 @@
             else:
                 continue
             if not states[server] or states[server][-1].health != health or states[server][-1].born != born:
-                states[server].append(Told(t, health, born))
+                states[server].append(KnownState(t, health, born))
     return states
--- a/cypresspulley/rehearsal/together.py
+++ b/cypresspulley/rehearsal/together.py
@@ -13,21 +13,21 @@
 from cypresspulley.histories.read import HistoryError
 from cypresspulley.histories.writer import AnyHistory
 from cypresspulley.rehearsal import records as log
-from cypresspulley.rehearsal.closings import Closings
-from cypresspulley.rehearsal.harness import Harness
+from cypresspulley.rehearsal.closings import ClosingSchedule
+from cypresspulley.rehearsal.harness import HarnessHistory
 from cypresspulley.rehearsal.limiters import LimiterProcess
 from cypresspulley.rehearsal.plan import Plan, PlannedFault
 from cypresspulley.rehearsal.scenario import DATAGRAMS, Scenario
 from cypresspulley.rehearsal.standins.datagrams import Address, Relay, Trouble, ways_between
 from cypresspulley.rehearsal.standins.stage import Stage
-from cypresspulley.rehearsal.troubles import Struck, struck
+from cypresspulley.rehearsal.troubles import DatagramFault, datagram_fault
 
 KEY = "a key of rehearsals only"
 Tables = dict[str, dict[str, Any]]
 
 
 @dataclass(frozen=True, slots=True)
-class Ground:
+class FleetEnvironment:
     """What differs between sockets and virtual time."""
 
     history: AnyHistory  # the kit's own
@@ -37,27 +37,27 @@
     allowance: float  # seconds from now until the day may begin
 
 
-class Side:
+class FleetHarness:
     """One day's. ``halls`` tells each limiter's."""
 
     def __init__(
         self, scenario: Scenario, plan: Plan, stage: Stage, limiters: dict[str, LimiterProcess],
-        halls: dict[str, str], ground: Ground,
+        halls: dict[str, str], environment: FleetEnvironment,
     ) -> None:  # fmt: skip
         assert scenario.together is not None
         self._scenario, self._stage, self._limiters, self._halls = scenario, stage, limiters, halls
-        self._ground = ground
-        self.start = ceil(stage.unix() + ground.allowance)  # Unix second of the day's second 0
-        self.harness = Harness(ground.history, stage.unix())
+        self._ground = environment
+        self.start = ceil(stage.unix() + environment.allowance)  # Unix second of the day's second 0
+        self.harness = HarnessHistory(environment.history, stage.unix())
         self._relay = Relay(plan.seed, self._delay, stage.clock)
-        self._closings: Closings | None = None
+        self._closings: ClosingSchedule | None = None
         if scenario.closing is not None:
             stage.tells_made = True
-            self._closings = Closings(scenario.closing, plan, limiters, self.start)
+            self._closings = ClosingSchedule(scenario.closing, plan, limiters, self.start)
         self.late = {name for fault in plan.faults if fault.kind == "limiter-late" for name in fault.targets}
 
     def __repr__(self) -> str:
-        return f"<Side from {self.start}, {self._relay!r}, {self._closings!r}>"
+        return f"<FleetHarness from {self.start}, {self._relay!r}, {self._closings!r}>"
 
     def _delay(self, one: str, other: str) -> float:
         network = self._scenario.network
@@ -70,7 +70,7 @@
         """Open the relay and give each limiter its tables. OSError names an address that is taken."""
         for name, limiter in self._limiters.items():
             await self._relay.open(name, self._ground.address(name, True), self._ground.address(name, False))
-            limiter.equip(self._tables(name), KEY)
+            limiter.configure_fleet(self._tables(name), KEY)
         if self._closings is not None:
             self._closings.give()
 
@@ -105,7 +105,9 @@
         """The day's second 0 has come."""
         closing = self._scenario.closing
         if closing is not None and self._closings is not None:
-            self._stage.record(log.Keeping(self._stage.now(), tuple(self._closings.keepers), closing.keep))
+            self._stage.record(
+                log.Keeping(self._stage.now(), tuple(self._closings.caching_accounts), closing.keep)
+            )
 
     def over(self) -> None:
         """The day is over: what was true of it. What limiters do from here on is their end."""
@@ -126,7 +128,7 @@
         if fault.kind in DATAGRAMS:
             assert self._scenario.together is not None
             period = self._scenario.together.period_ms / 1000
-            self._spell(struck(fault, list(self._limiters), period, self._stage.clock()), lasts)
+            self._spell(datagram_fault(fault, list(self._limiters), period, self._stage.clock()), lasts)
         elif fault.kind == "hall-cut":
             for hall in fault.targets:
                 self._cut_hall(hall, lasts)
@@ -148,7 +150,7 @@
         others = [name for name in self._limiters if name not in members]
         if members and others:
             cut = Trouble(ways_between((members, others)), lost=1.0)
-            self._spell(Struck("fleet-cut", (tuple(members),), cut), lasts)
+            self._spell(DatagramFault("fleet-cut", (tuple(members),), cut), lasts)
 
     def _note(self, kind: str, targets: Sequence[str], lasts: float) -> None:
         self.harness.fault(kind, targets, True)
@@ -158,7 +160,7 @@
         self._limiters[name].shift(Shift())
         self.harness.fault("limiter-clock", [name], False)
 
-    def _spell(self, fault: Struck, lasts: float) -> None:
+    def _spell(self, fault: DatagramFault, lasts: float) -> None:
         self._relay.begin(fault.trouble)
         asyncio.get_running_loop().call_later(lasts, self._relay.end, fault.trouble)
         for side in fault.sides:
--- a/cypresspulley/rehearsal/troubles.py
+++ b/cypresspulley/rehearsal/troubles.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Struck:
+class DatagramFault:
     """One fault as checkers know it: its kind, and the sides that it touches, or parts from all others."""
 
     kind: str
@@ -22,15 +22,15 @@
     trouble: Trouble
 
 
-def struck(fault: PlannedFault, names: Sequence[str], period: float, now: float) -> Struck:
+def datagram_fault(fault: PlannedFault, names: Sequence[str], period: float, now: float) -> DatagramFault:
     """What a fault whose kind begins with ``datagram-`` does among limiters of these names.
 
     ``period`` is that of probes, ``now`` the time by the relay's clock at which it begins; both in seconds."""
     targets = fault.targets
     if (rough := _rough(fault, _ways(names, targets))) is not None:
         if _mild(rough, period):
-            return Struck(f"fleet-{fault.kind.partition('-')[2]}", (targets,), rough)
-        return Struck("fleet-cut", tuple((name,) for name in targets or names), rough)
+            return DatagramFault(f"fleet-{fault.kind.partition('-')[2]}", (targets,), rough)
+        return DatagramFault("fleet-cut", tuple((name,) for name in targets or names), rough)
     groups = fault.spec.groups
     if not groups and targets:
         groups = targets, tuple(name for name in names if name not in targets)
@@ -40,9 +40,9 @@
     whole = not groups or sorted(name for group in groups for name in group) == sorted(names)
     if fault.kind == "datagram-flap":
         flap = Trouble(between, lost=1.0, every=fault.spec.every, since=now)
-        return Struck("fleet-flap" if whole else "fleet-partial", sides, flap)
+        return DatagramFault("fleet-flap" if whole else "fleet-partial", sides, flap)
     kind = "fleet-oneway" if fault.spec.one_way else "fleet-cut"
-    return Struck(kind if whole else "fleet-partial", sides, Trouble(between, lost=1.0))
+    return DatagramFault(kind if whole else "fleet-partial", sides, Trouble(between, lost=1.0))
 
 
 def _ways(names: Sequence[str], targets: Sequence[str]) -> frozenset[Way] | None:
--- a/cypresspulley/rehearsal/virtual/owner.py
+++ b/cypresspulley/rehearsal/virtual/owner.py
@@ -28,7 +28,7 @@
     def forget(self, task: asyncio.Task[Any]) -> None:
         self.tasks.pop(task, None)
 
-    def strike_after(self, turns: int, writes: int, strike: Callable[[], object]) -> None:
+    def call_after_steps(self, turns: int, writes: int, strike: Callable[[], object]) -> None:
         """Call ``strike`` behind its n-th turn or its n-th write from now; the other number is 0."""
         self.turns_left, self.writes_left, self.strike = turns, writes, strike
 
--- a/cypresspulley/rehearsal/virtual/play.py
+++ b/cypresspulley/rehearsal/virtual/play.py
@@ -32,11 +32,11 @@
 from cypresspulley.policy.gateway import Gateway
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.checks import checked
-from cypresspulley.rehearsal.limiters import KitError, LimiterProcess, Strike
-from cypresspulley.rehearsal.plan import Plan, draw, random_for
-from cypresspulley.rehearsal.play import Director, Net, operators_of, play_day
+from cypresspulley.rehearsal.limiters import HarnessError, KillCallback, LimiterProcess
+from cypresspulley.rehearsal.plan import Plan, draw_plan, random_for
+from cypresspulley.rehearsal.play import LoopbackNetwork, ScenarioRunner, operators_path, play_day
 from cypresspulley.rehearsal.scenario import Scenario, limiter_names
-from cypresspulley.rehearsal.together import KEY, Ground
+from cypresspulley.rehearsal.together import KEY, FleetEnvironment
 from cypresspulley.rehearsal.virtual.loop import VirtualLoop, run_virtual
 from cypresspulley.rehearsal.virtual.owner import OWNER, Owner
 from cypresspulley.service import Service
@@ -107,7 +107,7 @@
     def follow(self, host: str, port: int) -> None:
         self._operators = replace(self._operators, plans=(f"{host}:{port}", "rehearsal"))
 
-    def equip(self, tables: dict[str, dict[str, Any]], key: str) -> None:
+    def configure_fleet(self, tables: dict[str, dict[str, Any]], key: str) -> None:
         where, found = (
             str(self._beside("-operators.toml")),
             {name: dict(table) for name, table in tables.items()},
@@ -164,7 +164,7 @@
         return reply.status, reply.body
 
     async def upgrade(self) -> bool:
-        raise KitError("a limiter-upgrade needs two processes: it can be played on sockets only")
+        raise HarnessError("a limiter-upgrade needs two processes: it can be played on sockets only")
 
     def _clock(self) -> float:
         return UNIX_START + self._loop.time()
@@ -196,10 +196,10 @@
         else:
             self._loop.deliver(self._owner, number)
 
-    def strike_after(self, when: str, count: int, strike: Strike) -> None:
+    def call_after_steps(self, when: str, count: int, strike: KillCallback) -> None:
         if self._owner is not None:
             turns, writes = (count, 0) if when == "turn" else (0, count)
-            self._owner.strike_after(turns, writes, strike)
+            self._owner.call_after_steps(turns, writes, strike)
 
     def tail(self) -> str:
         return self._why
@@ -216,19 +216,19 @@
 class _Errors(logging.Handler):
     """An error in a limiter's log voids the run: it is what an operator would call a fault."""
 
-    def __init__(self, director: Director) -> None:
+    def __init__(self, runner: ScenarioRunner) -> None:
         super().__init__(logging.ERROR)
-        self._director = director
+        self._runner = runner
 
     def emit(self, record: logging.LogRecord) -> None:
-        if record.msg.startswith(REFUSED) and self._director.side is not None:
+        if record.msg.startswith(REFUSED) and self._runner.fleet_harness is not None:
             return  # an operators' mistake that this day may hold: a calendar of last week, or by a clock that is off
-        self._director.stage.complain(f"a limiter logged an error: {record.getMessage()[:200]}")
+        self._runner.stage.complain(f"a limiter logged an error: {record.getMessage()[:200]}")
 
 
 @contextmanager
-def _logged(director: Director) -> Iterator[None]:
-    logger, handler = logging.getLogger("cypresspulley"), _Errors(director)
+def _logged(runner: ScenarioRunner) -> Iterator[None]:
+    logger, handler = logging.getLogger("cypresspulley"), _Errors(runner)
     propagated, logger.propagate = logger.propagate, False
     logger.addHandler(handler)
     try:
@@ -253,7 +253,7 @@
     scenario: Scenario,
     seed: int,
     plan: Plan | None = None,
-    progress: Callable[[float, Director], None] | None = None,
+    progress: Callable[[float, ScenarioRunner], None] | None = None,
     observer: Observer | None = None,
     most_turns: int = 0,
     logs: Path | None = None,
@@ -262,7 +262,7 @@
 
     ``StuckError`` after ``most_turns`` of the loop (0: no bound). ``logs``: a folder that keeps what limiters and the
     kit wrote down of the day, if they wrote any."""
-    plan, kept = plan or draw(scenario, seed), list[log.Record]()
+    plan, kept = plan or draw_plan(scenario, seed), list[log.Record]()
 
     def sink(record: log.Record) -> None:
         kept.append(record)
@@ -273,7 +273,7 @@
         made = list[VirtualLimiter]()
 
         def limiter(name: str, host: str) -> LimiterProcess:
-            sockets, operators = scenario.limiters.sockets, operators_of(scenario)
+            sockets, operators = scenario.limiters.sockets, operators_path(scenario)
             made.append(
                 VirtualLimiter(name, (host, PORT), loop, plan.seed, sockets, observer, operators, folder)
             )
@@ -281,7 +281,7 @@
 
         loop.turns_left = most_turns
 
-        director = Director(
+        runner = ScenarioRunner(
             scenario,
             plan,
             limiter,
@@ -289,15 +289,15 @@
             clock=loop.time,
             unix=lambda: UNIX_START + loop.time(),
             base="127.1",
-            ground=None if scenario.together is None else _ground(scenario, loop, made, logs),
+            environment=None if scenario.together is None else _ground(scenario, loop, made, logs),
         )
         if observer is not None:
-            observer.now = director.stage.now
-        with _logged(director):
+            observer.now = runner.stage.now
+        with _logged(runner):
             try:
-                await play_day(director, progress)
+                await play_day(runner, progress)
             finally:
-                await director.close()
+                await runner.close()
 
     with _seldom_collected(), _folder_of(scenario) as folder:
         run_virtual(main, seed)
@@ -306,13 +306,13 @@
 
 def _ground(
     scenario: Scenario, loop: VirtualLoop, limiters: list[VirtualLimiter], logs: Path | None
-) -> Ground:
+) -> FleetEnvironment:
     """In virtual time: histories are lists."""
 
     def clock() -> float:
         return UNIX_START + loop.time()
 
-    names, net = limiter_names(scenario), Net(scenario, "127.1")
+    names, net = limiter_names(scenario), LoopbackNetwork(scenario, "127.1")
     history = MemoryHistory(clock, clock)
 
     def check(wanted: list[str]) -> list[log.Checked]:
@@ -328,7 +328,7 @@
         lives = (life for each in limiters for one in each.histories for life in one.lives)
         return [event for life in lives for event in life if event["kind"] == Kind.CALENDAR]
 
-    return Ground(history, address, check, calendars, START_AFTER)
+    return FleetEnvironment(history, address, check, calendars, START_AFTER)
 
 
 def _keep_histories(lives: list[list[dict[str, Any]]], folder: Path) -> None:
--- a/tests/explore/test_search.py
+++ b/tests/explore/test_search.py
@@ -21,7 +21,7 @@
 from cypresspulley.explore.shrink import shrink
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.judge import judge
-from cypresspulley.rehearsal.plan import draw
+from cypresspulley.rehearsal.plan import draw_plan
 from cypresspulley.rehearsal.scenario import Scenario, load_scenario, parse_scenario, shipped
 from cypresspulley.rehearsal.virtual.play import digest, play_virtual
 from tests.explore.mutants import MUTANTS, Mutant, applied, scenario_of
@@ -87,7 +87,7 @@
 def test_a_drawn_day_says_all_that_it_plays(tmp_path: Path) -> None:
     day = drawn_day(small_day(load_scenario("wedding-weekend"), 2.0, 10.0), 7, EVEN)
     again = parse_scenario(as_raw(day), "again")
-    assert again == day and draw(again, again.seed).digest() == draw(day, day.seed).digest()
+    assert again == day and draw_plan(again, again.seed).digest() == draw_plan(day, day.seed).digest()
     assert digest(play_virtual(again, 7)) == digest(play_virtual(day, 7))
 
 
@@ -157,7 +157,7 @@
     scenario = small(
         seconds=5, fault=[{"kind": "limiter-pause", "at": 2.0, "lasts": 3, "targets": ["limiter-0"]}]
     )
-    plan = draw(scenario, 3)
+    plan = draw_plan(scenario, 3)
     late = [replace(a, t=a.t + 3600.0, number=a.number + 100_000) for a in plan.arrivals]
     faults = [replace(f, until=f.at + 3600.0) for f in plan.faults]
     long = scenario.model_copy(update={"seconds": 3606.0})
--- a/tests/rehearsal/test_command.py
+++ b/tests/rehearsal/test_command.py
@@ -18,7 +18,7 @@
 
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.judge import judge
-from cypresspulley.rehearsal.limiters import KitError
+from cypresspulley.rehearsal.limiters import HarnessError
 from cypresspulley.rehearsal.page import render
 from cypresspulley.rehearsal.play import play
 from cypresspulley.rehearsal.timeline import Timeline
@@ -157,7 +157,7 @@
 
 def outcome_of(fault: list[str], **changes: Any) -> str:
     """The kit's error for a play with such a limiter; no process may be left."""
-    with pytest.raises(KitError) as error:
+    with pytest.raises(HarnessError) as error:
         uvloop.run(play(small(**{"seconds": 1, "fault": [], **changes}), 1, command=fault))
     assert children() == []
     return str(error.value)
@@ -201,7 +201,7 @@
     async def main() -> None:
         await play(small(seconds=1, fault=[]), 1, logs=tmp_path / "file" / "logs")
 
-    with pytest.raises(KitError, match="cannot make"):
+    with pytest.raises(HarnessError, match="cannot make"):
         uvloop.run(main())
 
 
@@ -213,7 +213,7 @@
     async def main() -> None:
         await play(small(seconds=1, fault=[]), 1, logs=logs, command=command("right"))
 
-    with pytest.raises(KitError, match="No space left on device: free the disk"):
+    with pytest.raises(HarnessError, match="No space left on device: free the disk"):
         uvloop.run(main())
     assert children() == []
 
--- a/tests/rehearsal/test_judge.py
+++ b/tests/rehearsal/test_judge.py
@@ -538,7 +538,7 @@
     story.told(3.0, "n0", False, s1=("draining", -1e9))
     story.told(4.0, "n0", False, s1=("ready", -1e9))
     story.told(4.5, "n0", False, s1=("draining", -1e9))
-    told = Timeline(story.done()).told_at("n0", "s1", 20.0)
+    told = Timeline(story.done()).known_states_at("n0", "s1", 20.0)
     assert [(one.t, one.health) for one in told] == [
         (-0.4, "ready"), (4.0, "draining"), (4.0, "ready"), (5.1, "draining"),
     ]  # fmt: skip
--- a/tests/rehearsal/test_operated.py
+++ b/tests/rehearsal/test_operated.py
@@ -9,7 +9,7 @@
 
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.judge import judge
-from cypresspulley.rehearsal.limiters import KitError
+from cypresspulley.rehearsal.limiters import HarnessError
 from cypresspulley.rehearsal.play import play
 from cypresspulley.rehearsal.virtual.play import play_virtual
 from tests.rehearsal.small import small
@@ -39,7 +39,7 @@
 
 
 def test_an_upgrade_wants_two_processes() -> None:
-    with pytest.raises(KitError, match="sockets only"):
+    with pytest.raises(HarnessError, match="sockets only"):
         play_virtual(small(fault=FAULTS[1:2]), 5)
 
 
--- a/tests/rehearsal/test_scenario.py
+++ b/tests/rehearsal/test_scenario.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from cypresspulley.rehearsal.plan import draw, request_id, work_of
+from cypresspulley.rehearsal.plan import draw_plan, request_id, sample_work
 from cypresspulley.rehearsal.scenario import BOOKED, FAULT_KEYS, FLEET, ScenarioError, load_scenario, shipped
 from tests.rehearsal.small import small
 
@@ -85,8 +85,8 @@
 
 def test_one_seed_gives_one_plan_in_any_process() -> None:
     text = (
-        "from tests.rehearsal.small import small; from cypresspulley.rehearsal.plan import draw;"
-        "print(draw(small(), 7).digest(), draw(small(), 8).digest())"
+        "from tests.rehearsal.small import small; from cypresspulley.rehearsal.plan import draw_plan;"
+        "print(draw_plan(small(), 7).digest(), draw_plan(small(), 8).digest())"
     )
     digests = {
         subprocess.run(
@@ -95,25 +95,25 @@
         ).stdout
         for seed in ("1", "2")
     }  # fmt: skip
-    here = f"{draw(small(), 7).digest()} {draw(small(), 8).digest()}\n"
+    here = f"{draw_plan(small(), 7).digest()} {draw_plan(small(), 8).digest()}\n"
     assert digests == {here} and len(set(here.split())) == 2
 
 
 def test_a_plan_asks_what_the_scenario_says() -> None:
     scenario = small(seconds=60, fault=[])
-    plan = draw(scenario, 3)
+    plan = draw_plan(scenario, 3)
     assert len({a.number for a in plan.arrivals}) == len(plan.arrivals)
     assert all(0 <= a.t < 60 for a in plan.arrivals)
     assert len(plan.arrivals) / 60 == pytest.approx(scenario.load.inside, rel=0.2)
     looks = sum(a.cls == "look" for a in plan.arrivals) / len(plan.arrivals)
     assert looks == pytest.approx(0.6, abs=0.05)
-    works = [work_of(3, request_id(3, n, 0), scenario.classes[0]) for n in range(4000)]
+    works = [sample_work(3, request_id(3, n, 0), scenario.classes[0]) for n in range(4000)]
     assert sum(works) / len(works) == pytest.approx(0.02, rel=0.08)
 
 
 def test_a_flood_comes_from_accounts_that_ask_once() -> None:
     fault = [{"kind": "account-flood", "at": 1, "lasts": 2, "size": 1.0}]
-    calm, flooded = draw(small(fault=[]), 4), draw(small(fault=fault), 4)
+    calm, flooded = draw_plan(small(fault=[]), 4), draw_plan(small(fault=fault), 4)
     known = {a.account for a in calm.arrivals}
     extra = [a for a in flooded.arrivals if a.account not in known]
     assert len(extra) == len({a.account for a in extra}) > 40
--- a/tests/rehearsal/test_spells.py
+++ b/tests/rehearsal/test_spells.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from cypresspulley.rehearsal.play import Net
-from cypresspulley.rehearsal.spells import Spells, Value
+from cypresspulley.rehearsal.play import LoopbackNetwork
+from cypresspulley.rehearsal.spells import OverlappingFaults, Value
 from cypresspulley.rehearsal.standins.network import Link
 from tests.rehearsal.small import small
 
@@ -31,7 +31,7 @@
 
 
 def test_cuts_of_both_halls_of_a_way_are_two() -> None:
-    net = Net(small(), "127.1")
+    net = LoopbackNetwork(small(), "127.1")
     link = net.link("limiter-1", "east", "west")
     net.cut("east", True, 1.0)
     net.cut("west", True, 2.0)
@@ -42,24 +42,24 @@
 
 
 def test_of_spells_that_overlap_the_latest_one_that_lasts_is_in_force() -> None:
-    spells, seen = Spells(), list[Value]()
-    spells.begin("server-slow", "s", 0.1, seen.append)
-    spells.begin("server-slow", "s", 0.3, seen.append)
-    spells.begin("server-slow", "other", 0.2, lambda _: None)
-    spells.end("server-slow", "s", 0.1, seen.append)
+    faults, seen = OverlappingFaults(), list[Value]()
+    faults.begin("server-slow", "s", 0.1, seen.append)
+    faults.begin("server-slow", "s", 0.3, seen.append)
+    faults.begin("server-slow", "other", 0.2, lambda _: None)
+    faults.end("server-slow", "s", 0.1, seen.append)
     assert seen == [0.1, 0.3], "the second one lasts"
-    spells.begin("server-slow", "s", 0.2, seen.append)
-    spells.end("server-slow", "s", 0.2, seen.append)
-    spells.end("server-slow", "s", 0.3, seen.append)
+    faults.begin("server-slow", "s", 0.2, seen.append)
+    faults.end("server-slow", "s", 0.2, seen.append)
+    faults.end("server-slow", "s", 0.3, seen.append)
     assert seen == [0.1, 0.3, 0.2, 0.3, 0.0]
 
 
 def test_a_spell_of_on_and_off_is_switched_once_each_way() -> None:
-    spells, seen = Spells(), list[Value]()
+    faults, seen = OverlappingFaults(), list[Value]()
     for _ in range(3):
-        spells.begin("server-hang", "s", True, seen.append)
+        faults.begin("server-hang", "s", True, seen.append)
     for _ in range(3):
-        spells.end("server-hang", "s", True, seen.append)
+        faults.end("server-hang", "s", True, seen.append)
     assert seen == [True, False]
     with pytest.raises(ValueError):
-        spells.end("server-hang", "s", True, seen.append)
+        faults.end("server-hang", "s", True, seen.append)
--- a/tests/rehearsal/test_together.py
+++ b/tests/rehearsal/test_together.py
@@ -21,11 +21,17 @@
 from cypresspulley.histories.writer import MemoryHistory
 from cypresspulley.operators import OperatorsError, load_operators
 from cypresspulley.rehearsal import records as log
-from cypresspulley.rehearsal.calendars import OLD, TODAY, Calendars, keepers, local_times
-from cypresspulley.rehearsal.closings import Closings
-from cypresspulley.rehearsal.harness import Harness, made_at
+from cypresspulley.rehearsal.calendars import (
+    OLD,
+    TODAY,
+    CalendarVersions,
+    caching_accounts,
+    local_times_by_date,
+)
+from cypresspulley.rehearsal.closings import ClosingSchedule
+from cypresspulley.rehearsal.harness import HarnessHistory, read_made_time
 from cypresspulley.rehearsal.judge import judge
-from cypresspulley.rehearsal.plan import PlannedFault, draw
+from cypresspulley.rehearsal.plan import PlannedFault, draw_plan
 from cypresspulley.rehearsal.report import conclusion
 from cypresspulley.rehearsal.scenario import (
     FLEET,
@@ -38,7 +44,7 @@
     shipped,
 )
 from cypresspulley.rehearsal.standins.datagrams import Address, Relay, Trouble, ways_between
-from cypresspulley.rehearsal.troubles import Struck, struck
+from cypresspulley.rehearsal.troubles import DatagramFault, datagram_fault
 from cypresspulley.rehearsal.virtual.datagrams import BUFFER, OVERHEAD
 from cypresspulley.rehearsal.virtual.loop import VirtualLoop, run_virtual
 from cypresspulley.rehearsal.virtual.owner import OWNER, Owner
@@ -123,7 +129,10 @@
 
 
 def test_days_without_a_fleet_have_the_plan_that_they_had() -> None:
-    assert draw(load_scenario("calm-morning"), 1).digest() == draw(load_scenario("calm-morning"), 1).digest()
+    assert (
+        draw_plan(load_scenario("calm-morning"), 1).digest()
+        == draw_plan(load_scenario("calm-morning"), 1).digest()
+    )
     fault = small().faults[0]
     assert not fault.model_fields_set & {"groups", "offset", "ppm", "place", "one_way"}
 
@@ -365,7 +374,7 @@
 def test_closings_are_written_as_local_times_of_their_zone(zone: str, seconds: list[int]) -> None:
     found = [
         datetime.fromisoformat(f"{day}T{time}").replace(tzinfo=ZoneInfo(zone))
-        for day, times in local_times(zone, seconds).items()
+        for day, times in local_times_by_date(zone, seconds).items()
         for time in times
     ]
     shown = {moment.strftime("%F %T") for moment in found}
@@ -375,12 +384,14 @@
 def test_a_calendar_told_on_the_way_is_a_higher_version_with_all_closings_and_its_notice() -> None:
     scenario = keeping()
     assert scenario.closing is not None
-    accounts = keepers(scenario.closing, draw(scenario, 4))
-    assert accounts == keepers(scenario.closing, draw(scenario, 4)) and set(accounts.values()) == {
+    accounts = caching_accounts(scenario.closing, draw_plan(scenario, 4))
+    assert accounts == caching_accounts(scenario.closing, draw_plan(scenario, 4)) and set(
+        accounts.values()
+    ) == {
         "vadodara",
         "lisbon",
     }
-    calendars = Calendars(scenario.closing, accounts, 1_800_000_000)
+    calendars = CalendarVersions(scenario.closing, accounts, 1_800_000_000)
     old, today = calendars.old(), calendars.today()
     assert (old["version"], today["version"]) == (OLD, TODAY)
     assert old["places"]["vadodara"]["special"] == {}
@@ -420,9 +431,9 @@
         {"kind": "limiter-old-calendar", "at": 0, "targets": ["limiter-2"]},
     ]
     scenario = keeping(fault=faults)
-    plan, limiters = draw(scenario, 4), {name: _Told() for name in limiter_names(scenario)}
+    plan, limiters = draw_plan(scenario, 4), {name: _Told() for name in limiter_names(scenario)}
     assert scenario.closing is not None
-    closings = Closings(scenario.closing, plan, limiters, 1_800_000_000)  # type: ignore[arg-type]
+    closings = ClosingSchedule(scenario.closing, plan, limiters, 1_800_000_000)  # type: ignore[arg-type]
     closings.give()
     for fault in plan.faults:
         closings.strike(fault, 1_800_000_001.0)
@@ -433,16 +444,16 @@
         "limiter-2": [(OLD, False)],
     }
     truth = {at - 1_800_000_000 for account, at in closings.truth([event])
-             if closings.keepers[account] == "vadodara"}  # fmt: skip
+             if closings.caching_accounts[account] == "vadodara"}  # fmt: skip
     assert truth == ({1.0, 3.0, 4.0} if true else {1.0, 3.0})
 
 
 THREE = ["a", "b", "c"]
 
 
-def _struck(**fault: Any) -> Struck:
+def _struck(**fault: Any) -> DatagramFault:
     spec = Fault(at=1, lasts=1, **fault)
-    return struck(PlannedFault(1.0, 2.0, spec.kind, spec.targets, spec), THREE, 0.2, 10.0)
+    return datagram_fault(PlannedFault(1.0, 2.0, spec.kind, spec.targets, spec), THREE, 0.2, 10.0)
 
 
 @pytest.mark.parametrize(
@@ -481,8 +492,8 @@
 
     scenario = keeping()
     assert scenario.closing is not None
-    accounts = keepers(scenario.closing, draw(scenario, 4))
-    calendars, start = Calendars(scenario.closing, accounts, 1_800_000_000), 1_800_000_000
+    accounts = caching_accounts(scenario.closing, draw_plan(scenario, 4))
+    calendars, start = CalendarVersions(scenario.closing, accounts, 1_800_000_000), 1_800_000_000
     calendars.tell("vadodara", start + 4, float(start))
     path = tmp_path / "c.toml"
     path.write_text(tomli_w.dumps(calendars.tell("lisbon", start + 5, float(start))))
@@ -498,7 +509,7 @@
 def test_the_kits_history_holds_calls_answers_and_faults_as_the_checkers_read_them() -> None:
     now = [100.0]
     history = MemoryHistory(lambda: now[0], lambda: now[0])
-    harness = Harness(history, now[0])
+    harness = HarnessHistory(history, now[0])
     harness.record(log.LimiterState(0, "n0", "killed"))
     harness.record(log.Sent(0, "i1", "i1", 0, "n1", "acc", "free", "look", 1.0, 2.0, True))
     harness.record(log.FromKept(0, "i1", 3.0))
@@ -521,7 +532,7 @@
 
 @given(st.text(max_size=60))
 def test_an_answer_that_says_no_time_has_none(text: str) -> None:
-    assert made_at(text) is None or isinstance(made_at(text), float)
+    assert read_made_time(text) is None or isinstance(read_made_time(text), float)
 
 
 BODY = '{"id":"first","made":1.0}'
--- a/tests/rehearsal/virtual/test_play.py
+++ b/tests/rehearsal/virtual/test_play.py
@@ -15,7 +15,7 @@
 from cypresspulley.net.node import Node
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.judge import judge
-from cypresspulley.rehearsal.play import uncollected
+from cypresspulley.rehearsal.play import reduced_gc
 from cypresspulley.rehearsal.scenario import Scenario
 from cypresspulley.rehearsal.virtual.loop import VirtualLoop, run_virtual
 from cypresspulley.rehearsal.virtual.owner import OWNER, Owner
@@ -174,6 +174,6 @@
 
 def test_a_day_leaves_the_collector_as_it_was() -> None:
     before, frozen = gc.get_threshold(), gc.get_freeze_count()
-    with uncollected():
+    with reduced_gc():
         assert gc.get_freeze_count() > frozen and gc.get_threshold() != before
     assert gc.get_threshold() == before and gc.get_freeze_count() == 0
--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -110,6 +110,6 @@
         if not isinstance(record, log.Broke):
             continue
         last = [each for each in sent[record.id] if each.t <= record.t][-1]
-        if last.fresh and not line.died_within(last.limiter, last.t, record.t):
+        if last.fresh and not line.killed_within(last.limiter, last.t, record.t):
             text = f"lost: {last.limiter} ended a new connection with no answer ({record.t:.2f} s)"
             yield Find(text, last.limiter, record.t)
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -10,7 +10,7 @@
 
 import uvloop
 
-from cypresspulley.rehearsal.limiters import KitError
+from cypresspulley.rehearsal.limiters import HarnessError
 from cypresspulley.rehearsal.play import play
 from tests.soak.draw import scenario
 from tests.soak.judge import Result, judged
@@ -35,5 +35,5 @@
         os.environ[FOLDER] = folder
         try:
             return judged(seed, await play(day, seed, command=LIMITER), Path(folder))
-        except KitError as error:
+        except HarnessError as error:
             return Result(seed, 0, 0, (), str(error))
