--- a/cypresspulley/rehearsal/play.py
+++ b/cypresspulley/rehearsal/play.py
@@ -33,9 +33,9 @@
     unseen,
     wire_settings,
 )
+from cypresspulley.rehearsal.overlapping_faults import OverlappingFaults, Value
 from cypresspulley.rehearsal.plan import Plan, PlannedFault, draw_plan, random_for, sample_work
 from cypresspulley.rehearsal.scenario import VIRTUAL_ONLY, Scenario, limiter_names, server_names
-from cypresspulley.rehearsal.spells import OverlappingFaults, Value
 from cypresspulley.rehearsal.standins.bagserver import BagServer, RepeatMemory
 from cypresspulley.rehearsal.standins.clients import ClientFleet, Front
 from cypresspulley.rehearsal.standins.discovery import Agent, Host
--- a/cypresspulley/rehearsal/together.py
+++ b/cypresspulley/rehearsal/together.py
@@ -13,14 +13,14 @@
 from cypresspulley.histories.read import HistoryError
 from cypresspulley.histories.writer import AnyHistory
 from cypresspulley.rehearsal import records as log
-from cypresspulley.rehearsal.closings import ClosingSchedule
-from cypresspulley.rehearsal.harness import HarnessHistory
+from cypresspulley.rehearsal.closing_schedule import ClosingSchedule
+from cypresspulley.rehearsal.datagram_faults import DatagramFault, datagram_fault
+from cypresspulley.rehearsal.harness_history import HarnessHistory
 from cypresspulley.rehearsal.limiters import LimiterProcess
 from cypresspulley.rehearsal.plan import Plan, PlannedFault
 from cypresspulley.rehearsal.scenario import DATAGRAMS, Scenario
 from cypresspulley.rehearsal.standins.datagrams import Address, Relay, Trouble, ways_between
 from cypresspulley.rehearsal.standins.stage import Stage
-from cypresspulley.rehearsal.troubles import DatagramFault, datagram_fault
 
 KEY = "a key of rehearsals only"
 Tables = dict[str, dict[str, Any]]
--- a/tests/rehearsal/test_spells.py
+++ b/tests/rehearsal/test_spells.py
@@ -11,8 +11,8 @@
 
 import pytest
 
+from cypresspulley.rehearsal.overlapping_faults import OverlappingFaults, Value
 from cypresspulley.rehearsal.play import LoopbackNetwork
-from cypresspulley.rehearsal.spells import OverlappingFaults, Value
 from cypresspulley.rehearsal.standins.network import Link
 from tests.rehearsal.small import small
 
--- a/tests/rehearsal/test_together.py
+++ b/tests/rehearsal/test_together.py
@@ -28,8 +28,9 @@
     caching_accounts,
     local_times_by_date,
 )
-from cypresspulley.rehearsal.closings import ClosingSchedule
-from cypresspulley.rehearsal.harness import HarnessHistory, read_made_time
+from cypresspulley.rehearsal.closing_schedule import ClosingSchedule
+from cypresspulley.rehearsal.datagram_faults import DatagramFault, datagram_fault
+from cypresspulley.rehearsal.harness_history import HarnessHistory, read_made_time
 from cypresspulley.rehearsal.judge import judge
 from cypresspulley.rehearsal.plan import PlannedFault, draw_plan
 from cypresspulley.rehearsal.report import conclusion
@@ -44,7 +45,6 @@
     shipped,
 )
 from cypresspulley.rehearsal.standins.datagrams import Address, Relay, Trouble, ways_between
-from cypresspulley.rehearsal.troubles import DatagramFault, datagram_fault
 from cypresspulley.rehearsal.virtual.datagrams import BUFFER, OVERHEAD
 from cypresspulley.rehearsal.virtual.loop import VirtualLoop, run_virtual
 from cypresspulley.rehearsal.virtual.owner import OWNER, Owner
