--- a/cypresspulley/rehearsal/calendars.py
+++ b/cypresspulley/rehearsal/calendars.py
@@ -12,7 +12,8 @@
 from cypresspulley.rehearsal.plan import Plan, random_for
 from cypresspulley.rehearsal.sections import Closing
 
-OLD, TODAY = 1, 2  # versions: last week's, and the one that the day begins with
+OLD = 1  # version of last week's calendar
+TODAY = 2  # version that the run starts with
 DAY = 86_400.0
 SPARE = 0.5  # seconds by which a told version comes into force after its notice is over
 
@@ -28,7 +29,9 @@
     """The versions of one day. ``start`` is the Unix second of its second 0, a whole one."""
 
     def __init__(self, section: Closing, accounts: dict[str, str], start: int) -> None:
-        self._section, self._accounts, self._start = section, accounts, start
+        self._section = section
+        self._accounts = accounts
+        self._start = start
         self._zones = {place.name: place.zone for place in section.places}
         self.closings = {place.name: sorted(start + s for s in place.closes) for place in section.places}
         self._told = dict[str, list[int]]()  # what came at short notice, by place
--- a/cypresspulley/rehearsal/closing_schedule.py
+++ b/cypresspulley/rehearsal/closing_schedule.py
@@ -17,7 +17,10 @@
     """``start`` is the Unix second of the day's second 0."""
 
     def __init__(self, section: Closing, plan: Plan, limiters: dict[str, LimiterProcess], start: int) -> None:
-        self._section, self._plan, self._limiters, self._start = section, plan, limiters, start
+        self._section = section
+        self._plan = plan
+        self._limiters = limiters
+        self._start = start
         self.caching_accounts = caching_accounts(
             section, plan
         )  # accounts that ask for keeping, and their places
--- a/cypresspulley/rehearsal/command.py
+++ b/cypresspulley/rehearsal/command.py
@@ -24,7 +24,11 @@
 from cypresspulley.rehearsal.scenario import Scenario, ScenarioError, load_scenario, shipped
 from cypresspulley.rehearsal.timeline import JudgeError, Timeline
 
-KEPT, MISSED, BAD_INPUT, BROKEN_KIT, INTERRUPTED = 0, 1, 2, 3, 130
+KEPT = 0
+MISSED = 1
+BAD_INPUT = 2
+BROKEN_KIT = 3
+INTERRUPTED = 130
 PLAIN_EVERY = 5.0  # seconds between two lines of progress where there is no terminal
 
 
--- a/cypresspulley/rehearsal/judge.py
+++ b/cypresspulley/rehearsal/judge.py
@@ -12,7 +12,8 @@
 from cypresspulley.rehearsal.timeline import Timeline
 
 # A kit that runs later than this shows its own lateness and not the limiter's: the run is void.
-LATE_OFTEN, LATE_ONCE = 0.03, 0.4  # seconds: of the 99th percentile of the heartbeats; of one of them
+LATE_OFTEN = 0.03  # seconds, of the 99th percentile of the heartbeats
+LATE_ONCE = 0.4  # seconds, of a single heartbeat
 FEWEST_BEATS = 20  # with fewer, the percentile is one stall at the start
 MAX_GAPS = 20
 
--- a/cypresspulley/rehearsal/limiters.py
+++ b/cypresspulley/rehearsal/limiters.py
@@ -108,14 +108,21 @@
     def __init__(
         self, name: str, address: tuple[str, int], folder: Path, command: list[str], seed: int, sockets: int
     ) -> None:  # fmt: skip
-        self.name, self.address, self._folder = name, address, folder
-        self._command, self._seed, self._sockets = command, seed, sockets
+        self.name = name
+        self.address = address
+        self._folder = folder
+        self._command = command
+        self._seed = seed
+        self._sockets = sockets
         self._path = folder / f"{name}.json"
         self.log_path = folder / f"{name}.log"
         self.process: asyncio.subprocess.Process | None = None
         self._seen: psutil.Process | None = None
         self._file: BinaryIO | None = None
-        self.lives, self.cpu_seconds, self.memory_mb, self._cpu = 0, 0.0, 0.0, 0.0
+        self.lives = 0
+        self.cpu_seconds = 0.0
+        self.memory_mb = 0.0
+        self._cpu = 0.0
         self.expected_end = False
         self.operated = False  # whether it has a door
         self._door: tuple[str, int] | None = None
--- a/cypresspulley/rehearsal/play.py
+++ b/cypresspulley/rehearsal/play.py
@@ -53,10 +53,12 @@
 BEAT = 0.05  # seconds between two looks at the kit's own lateness
 # Objects more than before at which the collector looks, and how many such looks until it looks at older ones: a day
 # makes few cycles, and looking through all that it recorded held the kit up for 170 ms.
-YOUNG, SELDOM = 5_000, 100_000
+YOUNG = 5_000
+SELDOM = 100_000
 SAMPLE = 0.5  # and at what the limiters use
 # SIGKILL comes no sooner than so many seconds, or the longest deadline where that is less, and 0.7 s after SIGTERM.
-KILL_AFTER_DEADLINE, KILL_AFTER = 3.0, 0.7
+KILL_AFTER_DEADLINE = 3.0
+KILL_AFTER = 0.7
 AFTER = 12.0  # seconds after the last arrival for what is still open
 CELL = 4  # servers of a cell
 DESCRIPTORS = 8192  # that the kit asks for itself; 64 a server and limiter are plenty
@@ -163,12 +165,14 @@
         environment: FleetEnvironment | None = None,
     ) -> None:  # fmt: skip
         classes = {c.name: c for c in scenario.classes}
-        self.scenario, self.plan = scenario, plan
+        self.scenario = scenario
+        self.plan = plan
         self.fleet_harness: FleetHarness | None = None  # what the limiters do together
         self._sink = sink
         self.stage = Stage(self._seen, lambda id, cls: sample_work(plan.seed, id, classes[cls]), clock, unix)
         self.stage.on_arrival = self._on_arrival
-        self.net, self._overlapping = LoopbackNetwork(scenario, base), OverlappingFaults()
+        self.net = LoopbackNetwork(scenario, base)
+        self._overlapping = OverlappingFaults()
         self.day = describe(scenario, plan)
         self.halls = scenario.fleet.halls
         k = scenario.keeper
--- a/cypresspulley/rehearsal/together.py
+++ b/cypresspulley/rehearsal/together.py
@@ -45,7 +45,10 @@
         halls: dict[str, str], environment: FleetEnvironment,
     ) -> None:  # fmt: skip
         assert scenario.together is not None
-        self._scenario, self._stage, self._limiters, self._halls = scenario, stage, limiters, halls
+        self._scenario = scenario
+        self._stage = stage
+        self._limiters = limiters
+        self._halls = halls
         self._ground = environment
         self.start = ceil(stage.unix() + environment.allowance)  # Unix second of the day's second 0
         self.harness = HarnessHistory(environment.history, stage.unix())
