--- a/cypresspulley/rehearsal/judge.py
+++ b/cypresspulley/rehearsal/judge.py
@@ -106,35 +106,35 @@
     return judge_timeline(Timeline(records))
 
 
-def judge_timeline(line: Timeline) -> Verdict:
-    beats = sorted(r.late for r in line.records if isinstance(r, log.Lateness))
+def judge_timeline(timeline: Timeline) -> Verdict:
+    beats = sorted(r.late for r in timeline.records if isinstance(r, log.Lateness))
     # Of fewer than 100 the percentile would be the worst alone, for which there is a bound of its own.
     p99 = beats[max(0, min(len(beats) - 2, int(0.99 * len(beats))))] if beats else 0.0
     most = beats[-1] if beats else 0.0
     return Verdict(
-        day=line.day, rules=judge_rules(line), service=measure(line),
-        void=_void(line, p99 if len(beats) >= FEWEST_BEATS else 0.0, most),
-        crash=_crash(line), gaps=tuple(line.gaps[:MAX_GAPS]), late_p99=p99, late_max=most,
-        faults=tuple(r for r in line.records if isinstance(r, log.Happened)),
-        limiters=tuple(r for r in line.records if isinstance(r, log.Usage)),
-        kills=sum(isinstance(r, log.LimiterState) and r.what == "killed" for r in line.records),
-        histories=tuple(r for r in line.records if isinstance(r, log.Checked)),
-        wanted=tuple(r for r in line.records if isinstance(r, log.Wanted)),
+        day=timeline.day, rules=judge_rules(timeline), service=measure(timeline),
+        void=_void(timeline, p99 if len(beats) >= FEWEST_BEATS else 0.0, most),
+        crash=_crash(timeline), gaps=tuple(timeline.gaps[:MAX_GAPS]), late_p99=p99, late_max=most,
+        faults=tuple(r for r in timeline.records if isinstance(r, log.Happened)),
+        limiters=tuple(r for r in timeline.records if isinstance(r, log.Usage)),
+        kills=sum(isinstance(r, log.LimiterState) and r.what == "killed" for r in timeline.records),
+        histories=tuple(r for r in timeline.records if isinstance(r, log.Checked)),
+        wanted=tuple(r for r in timeline.records if isinstance(r, log.Wanted)),
     )  # fmt: skip
 
 
-def _void(line: Timeline, p99: float, most: float) -> str:
-    for r in line.records:
+def _void(timeline: Timeline, p99: float, most: float) -> str:
+    for r in timeline.records:
         if isinstance(r, log.Complaint):
             return r.text
     if p99 > LATE_OFTEN or most > LATE_ONCE:
         late = f"99th percentile {p99 * 1000:.0f} ms, once {most * 1000:.0f} ms"
         return f"the kit ran late ({late}): give it idle cores"
-    return f"the log has gaps: {line.gaps[0]}" if line.gaps else ""
+    return f"the log has gaps: {timeline.gaps[0]}" if timeline.gaps else ""
 
 
-def _crash(line: Timeline) -> str:
-    for r in line.records:
+def _crash(timeline: Timeline) -> str:
+    for r in timeline.records:
         if isinstance(r, log.LimiterState) and r.what == "crashed":
             return f"{r.limiter} ended by itself with code {r.code} at {r.t:.2f} s: see its log"
     return ""
--- a/cypresspulley/rehearsal/rules.py
+++ b/cypresspulley/rehearsal/rules.py
@@ -1,7 +1,7 @@
-"""The five rules, one function each: a timeline in, what was checked and what broke it out; free of I/O.
+"""The five rules. Each function takes a timeline and returns what it checked and which violations it found; no I/O.
 
-Every slack is the contract's figure and, on sockets, 50 ms more (``SOCKETS``). Equal times speak for the
-limiter.
+Every time limit is the contract's figure plus 50 ms for sockets (``SOCKET_SLACK_SECONDS``). Events with equal times are
+interpreted in the limiter's favour.
 """
 
 from __future__ import annotations
@@ -10,21 +10,23 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from cypresspulley.plans.bucket_level import BucketLevel
-from cypresspulley.plans.bucket_level import max_ceiling_overshoot as slack_of_change
+from cypresspulley.plans.bucket_level import BucketLevel, max_ceiling_overshoot
 from cypresspulley.plans.lease import LEASE_MS
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.standins.processor import fall_bound, warmth
 from cypresspulley.rehearsal.timeline import FOREVER, Attempt, Timeline, Try
 
-SOCKET_SLACK_SECONDS = 0.05  # seconds by which each time limit is longer on sockets
-ROUND_TRIP = 0.001  # seconds there and back between a client and its limiter
-ANSWER_SLACK = 0.008 + SOCKET_SLACK_SECONDS  # past the client's time
-CEILING_SLACK_SHARE = 0.1  # of the ceiling's burst, one of the largest requests at least
-BOOK_LEASE = LEASE_MS / 1000  # seconds that a limiter may go by a plan book without a word of it
-CEILING_LATE_SECONDS = 0.15  # seconds of the ceiling's rate by which its slack is wider on sockets
-TOLD_SHARE = 2 / 3  # of the work that pushed a cold server over must come from limiters that knew
-REFUSALS = (429, 503)
+SOCKET_SLACK_SECONDS = 0.05  # added to each time limit, because runs use real sockets
+ROUND_TRIP_SECONDS = 0.001  # between a client and its limiter
+ANSWER_SLACK_SECONDS = 0.008 + SOCKET_SLACK_SECONDS  # past the client's deadline
+CEILING_SLACK_SHARE = 0.1  # of the ceiling's burst; the slack is at least one request of the largest size
+# How long a limiter may use its plan book without hearing from the writer.
+BOOK_LEASE_SECONDS = LEASE_MS / 1000
+# The units that a ceiling's rate refills in this time are added to its slack on sockets.
+CEILING_LATE_SECONDS = 0.15
+# Least share of an overload that must come from limiters that knew that the server was cold.
+MIN_KNOWING_SHARE = 2 / 3
+REFUSAL_STATUSES = (429, 503)
 RULES = (
     "no request lost",
     "no effect twice",
@@ -44,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RuleVerdict:
-    """One rule: how many events it was held against, and what broke it."""
+    """The result of one rule: the number of events checked, and the violations found."""
 
     rule: str
     checked: int
@@ -55,13 +57,13 @@
         return not self.violations
 
 
-def judge_rules(line: Timeline) -> tuple[RuleVerdict, ...]:
+def judge_rules(timeline: Timeline) -> tuple[RuleVerdict, ...]:
     checks = (
-        (len(line.tries), _lost(line)),
-        (len(line.attempts), _twice(line)),
-        (len(line.attempts), _drains(line)),
-        _cold(line),
-        _ceilings(line),
+        (len(timeline.tries), _lost_requests(timeline)),
+        (len(timeline.attempts), _repeated_effects(timeline)),
+        (len(timeline.attempts), _drain_violations(timeline)),
+        _cold_overloads(timeline),
+        _ceiling_violations(timeline),
     )
     return tuple(
         RuleVerdict(rule, checked, tuple(sorted(found, key=lambda v: (v.t, v.request, v.text))))
@@ -72,79 +74,96 @@
 # 1: no request lost.
 
 
-def _lost(line: Timeline) -> Iterator[Violation]:
-    for one in line.tries.values():
-        for number, sent in enumerate(one.sent):
-            yield from _unanswered(line, one, sent, is_last=number == len(one.sent) - 1)
-        if one.sent:
-            yield from _answers(line, one)
-    for r in line.surplus:
+def _lost_requests(timeline: Timeline) -> Iterator[Violation]:
+    for client_try in timeline.tries.values():
+        for number, sent in enumerate(client_try.sent):
+            yield from _unanswered_sending(
+                timeline, client_try, sent, is_last=number == len(client_try.sent) - 1
+            )
+        if client_try.sent:
+            yield from _answer_violations(timeline, client_try)
+    for r in timeline.surplus:
         yield Violation(r.t, r.limiter, r.id, f"{r.size} bytes came behind the final answer")
 
 
-def _unanswered(line: Timeline, one: Try, sent: log.Sent, is_last: bool) -> Iterator[Violation]:
-    """What one sending of a try owes: an answer, unless the limiter died or the client left first."""
-    broke = next((r for r in one.broke if r.t >= sent.t), None)
-    until = broke.t if broke else sent.t + sent.ttl + ANSWER_SLACK
-    if line.killed_within(sent.limiter, sent.t, until):
+def _unanswered_sending(
+    timeline: Timeline, client_try: Try, sent: log.Sent, is_last: bool
+) -> Iterator[Violation]:
+    """Yields a violation if a sending got no answer, unless the limiter was killed or the client left first."""
+    broke = next((r for r in client_try.broke if r.t >= sent.t), None)
+    until = broke.t if broke else sent.t + sent.ttl + ANSWER_SLACK_SECONDS
+    if timeline.killed_within(sent.limiter, sent.t, until):
         return
     if broke is not None:
-        # The first request of a connection that is closed with nothing sent on has failed, and is not lost;
-        # one that crosses the end of a kept connection was not read, and its client sends it once more.
-        sent_on = any(sent.t <= a.arrived.t <= broke.t for a in one.attempts)
-        owed = is_last and not sent.fresh and not _crossed_in_vain(one, sent, broke)
+        # If the connection closes on its first request and nothing was forwarded, the request failed but is not lost.
+        # A request that crosses the close of a reused connection was not read, and its client sends it once more.
+        sent_on = any(sent.t <= a.arrived.t <= broke.t for a in client_try.attempts)
+        owed = is_last and not sent.fresh and not _closed_in_transit(client_try, sent, broke)
         if broke.begun or sent_on or owed:
             part = "after a part of the answer" if broke.begun else "with no answer"
-            yield Violation(broke.t, sent.limiter, one.id, f"its connection was ended {part}")
-    elif line.paused_within(sent.limiter, sent.t - SOCKET_SLACK_SECONDS, until):
+            yield Violation(broke.t, sent.limiter, client_try.id, f"its connection was ended {part}")
+    elif timeline.paused_within(sent.limiter, sent.t - SOCKET_SLACK_SECONDS, until):
         return
-    elif not any(r.t >= sent.t for r in one.answers) and any(r.why == "over" for r in one.left):
-        yield Violation(until, sent.limiter, one.id, "no answer while the client waited")
+    elif not any(r.t >= sent.t for r in client_try.answers) and any(r.why == "over" for r in client_try.left):
+        yield Violation(until, sent.limiter, client_try.id, "no answer while the client waited")
 
 
-def _crossed_in_vain(one: Try, sent: log.Sent, broke: log.Broke) -> bool:
-    """Whether a request met the end of its connection on the way, and its client found nobody to send it to again: the
-    limiter restarts. An end that came sooner than a byte can go there and back was sent before the request came."""
-    return broke.t - sent.t < ROUND_TRIP and any(r.t >= broke.t for r in one.unreached)
+def _closed_in_transit(client_try: Try, sent: log.Sent, broke: log.Broke) -> bool:
+    """Returns whether the connection was closed while the request was in transit and the client could not reconnect.
 
+    This happens when the limiter restarts. A close that arrives in less than one round trip was sent before the
+    request arrived.
+    """
+    return broke.t - sent.t < ROUND_TRIP_SECONDS and any(r.t >= broke.t for r in client_try.unreached)
 
-def _answers(line: Timeline, one: Try) -> Iterator[Violation]:
-    sent = one.sent[-1]
-    for extra in one.answers[1:]:
-        yield Violation(extra.t, sent.limiter, one.id, "answered twice")
-    if not one.answers:
+
+def _answer_violations(timeline: Timeline, client_try: Try) -> Iterator[Violation]:
+    sent = client_try.sent[-1]
+    for extra in client_try.answers[1:]:
+        yield Violation(extra.t, sent.limiter, client_try.id, "answered twice")
+    if not client_try.answers:
         return
-    answer = one.answers[0]
-    due = sent.t + sent.ttl + ANSWER_SLACK
-    if answer.t > due and not line.paused_within(sent.limiter, sent.t - SOCKET_SLACK_SECONDS, due):
+    answer = client_try.answers[0]
+    due = sent.t + sent.ttl + ANSWER_SLACK_SECONDS
+    if answer.t > due and not timeline.paused_within(sent.limiter, sent.t - SOCKET_SLACK_SECONDS, due):
         late = answer.t - sent.t - sent.ttl
-        yield Violation(answer.t, sent.limiter, one.id, f"answered {late * 1000:.0f} ms after its time")
-    served = any(_made(a, answer) for a in one.attempts) or _may_be_kept(line, one, answer)
+        yield Violation(
+            answer.t, sent.limiter, client_try.id, f"answered {late * 1000:.0f} ms after its time"
+        )
+    served = any(_produced(a, answer) for a in client_try.attempts) or _is_valid_cached_answer(
+        timeline, client_try, answer
+    )
     if answer.status == 200 and not served:
-        yield Violation(answer.t, sent.limiter, one.id, "served with what no server made for it")
-    for attempt in one.attempts:
+        yield Violation(answer.t, sent.limiter, client_try.id, "served with what no server made for it")
+    for attempt in client_try.attempts:
         if (
             attempt.arrived.began > answer.t + SOCKET_SLACK_SECONDS
             and attempt.arrived.limiter == sent.limiter
         ):
-            yield Violation(attempt.arrived.began, sent.limiter, one.id, "sent on after its final answer")
+            yield Violation(
+                attempt.arrived.began, sent.limiter, client_try.id, "sent on after its final answer"
+            )
 
 
-def _may_be_kept(line: Timeline, one: Try, answer: log.Answered) -> bool:
-    """Whether it says that it was kept, may be, and is what a server made before for the same account and class."""
-    sent = one.sent[-1]
-    asks = any(sent.account in r.accounts and sent.cls in r.classes for r in line.keeping)
-    if one.id not in line.from_kept or not asks or line.classes[sent.cls].effect != "safe":
+def _is_valid_cached_answer(timeline: Timeline, client_try: Try, answer: log.Answered) -> bool:
+    """Returns whether an answer is a permitted answer from the cache.
+
+    It must be marked as cached, its account and class must allow caching, and a server must have produced it earlier
+    for the same account and class.
+    """
+    sent = client_try.sent[-1]
+    asks = any(sent.account in r.accounts and sent.cls in r.classes for r in timeline.keeping)
+    if client_try.id not in timeline.from_kept or not asks or timeline.classes[sent.cls].effect != "safe":
         return False
-    for attempt in line.made(answer.body):
-        first = line.tries[attempt.arrived.id].sent if attempt.arrived.id in line.tries else []
+    for attempt in timeline.made(answer.body):
+        first = timeline.tries[attempt.arrived.id].sent if attempt.arrived.id in timeline.tries else []
         same = bool(first) and (first[0].account, first[0].cls) == (sent.account, sent.cls)
         if same and attempt.replied is not None and attempt.replied.t <= answer.t:
             return True
     return False
 
 
-def _made(attempt: Attempt, answer: log.Answered) -> bool:
+def _produced(attempt: Attempt, answer: log.Answered) -> bool:
     reply = attempt.replied
     return reply is not None and reply.status == 200 and reply.body == answer.body
 
@@ -152,43 +171,47 @@
 # 2: no effect twice.
 
 
-def _twice(line: Timeline) -> Iterator[Violation]:
-    for one in line.tries.values():
-        if not one.sent:
+def _repeated_effects(timeline: Timeline) -> Iterator[Violation]:
+    for client_try in timeline.tries.values():
+        if not client_try.sent:
             continue
-        cls = line.classes[one.sent[0].cls]
+        cls = timeline.classes[client_try.sent[0].cls]
         if cls.effect == "safe":
             continue
-        ordered = sorted(one.attempts, key=lambda a: (a.arrived.t, a.arrived.attempt))
+        ordered = sorted(client_try.attempts, key=lambda a: (a.arrived.t, a.arrived.attempt))
         for number, attempt in enumerate(ordered):
             earlier = [a for a in ordered[:number] if a.proved_not_run_at > attempt.arrived.t]
-            earlier = [a for a in earlier if _sending(one, a) == _sending(one, attempt)]
-            if earlier and (why := _forbidden(line, cls, earlier[0], attempt)):
-                yield Violation(attempt.arrived.t, attempt.arrived.limiter, one.id, why)
-        for answer in one.answers:
-            sending = sum(sent.t <= answer.t for sent in one.sent)  # the one that it answers
-            open_ = [a for a in ordered if _sending(one, a) == sending]
+            earlier = [
+                a for a in earlier if _sending_number(client_try, a) == _sending_number(client_try, attempt)
+            ]
+            if earlier and (why := _repeat_violation(timeline, cls, earlier[0], attempt)):
+                yield Violation(attempt.arrived.t, attempt.arrived.limiter, client_try.id, why)
+        for answer in client_try.answers:
+            sending = sum(
+                sent.t <= answer.t for sent in client_try.sent
+            )  # the number of the sending that this answers
+            open_ = [a for a in ordered if _sending_number(client_try, a) == sending]
             open_ = [a for a in open_ if a.arrived.t <= answer.t < a.proved_not_run_at]
-            if answer.status in REFUSALS and open_ and (cls.effect, cls.group) != ("keyed", "all"):
+            if answer.status in REFUSAL_STATUSES and open_ and (cls.effect, cls.group) != ("keyed", "all"):
                 at = open_[0].arrived.server
                 text = f"refused with {answer.status} though it may have run at {at}"
-                yield Violation(answer.t, one.sent[-1].limiter, one.id, text)
+                yield Violation(answer.t, client_try.sent[-1].limiter, client_try.id, text)
 
 
-def _sending(one: Try, attempt: Attempt) -> int:
-    """Which sending of the client an attempt belongs to: what the client sends again is the client's doing."""
-    return sum(sent.t <= attempt.arrived.t for sent in one.sent)
+def _sending_number(client_try: Try, attempt: Attempt) -> int:
+    """Returns which sending of the client an attempt belongs to. Repeats by the client are not the limiter's fault."""
+    return sum(sent.t <= attempt.arrived.t for sent in client_try.sent)
 
 
-def _forbidden(line: Timeline, cls: log.ClassFacts, first: Attempt, again: Attempt) -> str:
-    """Why a further attempt after one that may have run is against the rule; "" if it is not."""
+def _repeat_violation(timeline: Timeline, cls: log.ClassFacts, first: Attempt, again: Attempt) -> str:
+    """Returns why another attempt after one that may have run breaks the rule, or "" if it does not."""
     a, b = first.arrived, again.arrived
     if cls.effect == "unsafe":
         return f"sent again to {b.server} though it may have run at {a.server}"
     same = {
         "all": True,
-        "zone": line.halls.get(a.server) == line.halls.get(b.server),
-        "cell": line.cells.get(a.server) == line.cells.get(b.server),
+        "zone": timeline.halls.get(a.server) == timeline.halls.get(b.server),
+        "cell": timeline.cells.get(a.server) == timeline.cells.get(b.server),
     }[cls.group]
     if not same:
         return f"a keyed request went on to {b.server}, outside the {cls.group} of {a.server}"
@@ -200,49 +223,55 @@
 # 3: drains kept.
 
 
-def _drains(line: Timeline) -> Iterator[Violation]:
-    for attempt in line.attempts.values():
+def _drain_violations(timeline: Timeline) -> Iterator[Violation]:
+    for attempt in timeline.attempts.values():
         r = attempt.arrived
-        states = line.known_states_at(r.limiter, r.server, r.began)
+        states = timeline.known_states_at(r.limiter, r.server, r.began)
         since, health = FOREVER, ""
         for state in reversed(states):
             if state.health == "ready":
                 break
             since, health = state.t, state.health
-        late = r.began - since - line.day.drain_grace
+        late = r.began - since - timeline.day.drain_grace
         if late > SOCKET_SLACK_SECONDS:
             text = f"new work to {r.server} {late:.2f} s past the grace; told {health} at {since:.2f}"
             yield Violation(r.began, r.limiter, r.id, text)
             continue
-        out = r.began - line.banned_since(r.limiter, r.server, r.began) - line.day.drain_grace
+        out = r.began - timeline.banned_since(r.limiter, r.server, r.began) - timeline.day.drain_grace
         if out > SOCKET_SLACK_SECONDS:
-            text = f"new work to {r.server}, which was taken out by hand {out + line.day.drain_grace:.2f} s before"
+            text = f"new work to {r.server}, which was taken out by hand {out + timeline.day.drain_grace:.2f} s before"
             yield Violation(r.began, r.limiter, r.id, text)
 
 
 # 4: no cold server pushed over.
 
 
-def _cold(line: Timeline) -> tuple[int, list[Violation]]:
+def _cold_overloads(timeline: Timeline) -> tuple[int, list[Violation]]:
     checked, found = 0, list[Violation]()
     by_server = dict[str, list[log.Arrived]]()
-    for attempt in line.attempts.values():
+    for attempt in timeline.attempts.values():
         by_server.setdefault(attempt.arrived.server, []).append(attempt.arrived)
-    for number, start in enumerate(line.servers):
+    for number, start in enumerate(timeline.servers):
         if start.what != "started":
             continue
-        ends = [s.t for s in line.servers[number + 1 :] if s.server == start.server and s.what != "draining"]
+        ends = [
+            s.t for s in timeline.servers[number + 1 :] if s.server == start.server and s.what != "draining"
+        ]
         until = min([*ends, start.t + start.cold_seconds])
         arrivals = [a for a in by_server.get(start.server, []) if start.t <= a.t <= until]
         checked += len(arrivals)
-        if (violation := _pushed(line, start, sorted(arrivals, key=lambda a: (a.t, a.attempt)))) is not None:
+        if (
+            violation := _cold_overload(timeline, start, sorted(arrivals, key=lambda a: (a.t, a.attempt)))
+        ) is not None:
             found.append(violation)
     return checked, found
 
 
-def _pushed(line: Timeline, start: log.ServerState, arrivals: list[log.Arrived]) -> Violation | None:
-    """Whether work within some window was too much for the cold server, most of it sent knowingly."""
-    day, window = line.day, deque[log.Arrived]()
+def _cold_overload(
+    timeline: Timeline, start: log.ServerState, arrivals: list[log.Arrived]
+) -> Violation | None:
+    """Returns a violation if the work in any window overloaded the cold server and most of it was sent knowingly."""
+    day, window = timeline.day, deque[log.Arrived]()
     for last in arrivals:
         window.append(last)
         while window[0].t <= last.t - day.fall_seconds:
@@ -252,74 +281,81 @@
         bound = fall_bound(day.fall_multiple * capacity * day.fall_seconds, day.mean_work)
         if work <= bound:
             continue
-        knowing = sum(a.work for a in window if _knew(line, a, start))
-        if knowing >= TOLD_SHARE * work:
+        knowing = sum(a.work for a in window if _knew_of_start(timeline, a, start))
+        if knowing >= MIN_KNOWING_SHARE * work:
             what = f"{work:.2f} s of work to cold {start.server}"
             text = f"{what} within {day.fall_seconds:g} s; bound {bound:.2f}"
             return Violation(last.t, last.limiter, last.id, text)
     return None
 
 
-def _knew(line: Timeline, sent: log.Arrived, start: log.ServerState) -> bool:
+def _knew_of_start(timeline: Timeline, sent: log.Arrived, start: log.ServerState) -> bool:
     return any(
         s.born >= start.t - SOCKET_SLACK_SECONDS
-        for s in line.known_states_at(sent.limiter, sent.server, sent.t)
+        for s in timeline.known_states_at(sent.limiter, sent.server, sent.t)
     )
 
 
 # 5: ceilings kept.
 
 
-def _ceilings(line: Timeline) -> tuple[int, list[Violation]]:
+def _ceiling_violations(timeline: Timeline) -> tuple[int, list[Violation]]:
     worst = dict[tuple[str, str], Violation]()
     checked = 0
-    for t, one, level, slack in ceiling_levels(line):
-        sent = one.sent[0]
+    for t, client_try, level, slack in ceiling_levels(timeline):
+        sent = client_try.sent[0]
         checked += 1
         key = (sent.plan, sent.account)
         if level < -slack - 1e-9 and key not in worst:
             text = f"account {sent.account} went {-level:.2f} units over its ceiling; slack {slack:.2f}"
-            worst[key] = Violation(t, one.attempts[0].arrived.limiter, one.id, text)
+            worst[key] = Violation(t, client_try.attempts[0].arrived.limiter, client_try.id, text)
     return checked, list(worst.values())
 
 
-def ceiling_levels(line: Timeline) -> Iterator[tuple[float, Try, float, float]]:
-    """For each try under a ceiling that was sent on: when, the try, the ceiling's level behind it, its slack.
+def ceiling_levels(timeline: Timeline) -> Iterator[tuple[float, Try, float, float]]:
+    """Yields time, try, level of the ceiling after it and slack, for each forwarded try under a ceiling.
 
-    Where plans change in service the store is that of the ceiling in force, carried over each change as the design of
-    plans says, and the slack is wider by what the last to hear of a change may let in."""
-    stores = dict[tuple[str, str], BucketLevel]()
-    wider = _wider(line)
-    for t, one in first_sendings(line):
-        sent, plan = one.sent[0], line.plans[one.sent[0].plan]
+    If plans change during the run, the bucket has the limits of the ceiling in force and is carried over each change
+    with ``BucketLevel.with_limits``. The slack then includes what the last limiter to learn of a change may admit.
+    """
+    buckets = dict[tuple[str, str], BucketLevel]()
+    change_slack = _plan_change_slack(timeline)
+    for t, client_try in first_sendings(timeline):
+        sent, plan = client_try.sent[0], timeline.plans[client_try.sent[0].plan]
         if plan.ceiling_rate <= 0:
             continue
         key = (sent.plan, sent.account)
-        store = stores.get(key) or BucketLevel(
+        bucket = buckets.get(key) or BucketLevel(
             plan.ceiling_burst, -1e9, plan.ceiling_rate, plan.ceiling_burst
         )
-        for move in line.moves.get(sent.account, ()):
-            if store.at < move.t <= t:
-                store = store.with_limits(move.t, move.ceiling_rate, move.ceiling_burst)
-        store = stores[key] = store.refilled_until(t).with_units_drawn(sent.units)
-        slack = max(CEILING_SLACK_SHARE * plan.ceiling_burst, line.day.max_units)
-        slack += CEILING_LATE_SECONDS * plan.ceiling_rate + wider.get(sent.account, 0.0)
-        yield t, one, store.units, slack
+        for move in timeline.moves.get(sent.account, ()):
+            if bucket.at < move.t <= t:
+                bucket = bucket.with_limits(move.t, move.ceiling_rate, move.ceiling_burst)
+        bucket = buckets[key] = bucket.refilled_until(t).with_units_drawn(sent.units)
+        slack = max(CEILING_SLACK_SHARE * plan.ceiling_burst, timeline.day.max_units)
+        slack += CEILING_LATE_SECONDS * plan.ceiling_rate + change_slack.get(sent.account, 0.0)
+        yield t, client_try, bucket.units, slack
 
 
-def _wider(line: Timeline) -> dict[str, float]:
-    """Units by account that changes announced less than a lease ahead add to a ceiling's slack."""
+def _plan_change_slack(timeline: Timeline) -> dict[str, float]:
+    """Returns, by account, the units that plan changes announced less than a lease ahead add to the ceiling's slack."""
     found = dict[str, float]()
-    for account, moves in line.moves.items():
+    for account, moves in timeline.moves.items():
         terms = [(move.ceiling_rate, move.ceiling_burst) for move in moves]
-        terms += [(p.ceiling_rate, p.ceiling_burst) for p in line.plans.values() if p.name == moves[0].plan]
+        terms += [
+            (p.ceiling_rate, p.ceiling_burst) for p in timeline.plans.values() if p.name == moves[0].plan
+        ]
         high, low = max(terms), min(terms)
-        late = max(max(0.0, BOOK_LEASE - move.ahead) for move in moves)
-        found[account] = slack_of_change(high, low, late)
+        late = max(max(0.0, BOOK_LEASE_SECONDS - move.ahead) for move in moves)
+        found[account] = max_ceiling_overshoot(high, low, late)
     return found
 
 
-def first_sendings(line: Timeline) -> list[tuple[float, Try]]:
-    """When each try was first sent on, that is: whole at a server; in order of time."""
-    rows = [(min(a.arrived.t for a in one.attempts), one) for one in line.tries.values() if one.attempts]
+def first_sendings(timeline: Timeline) -> list[tuple[float, Try]]:
+    """Returns each forwarded try with the time at which it first arrived whole at a server, ordered by time."""
+    rows = [
+        (min(a.arrived.t for a in client_try.attempts), client_try)
+        for client_try in timeline.tries.values()
+        if client_try.attempts
+    ]
     return sorted(rows, key=lambda row: (row[0], row[1].id))
--- a/cypresspulley/rehearsal/service.py
+++ b/cypresspulley/rehearsal/service.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from cypresspulley.rehearsal import records as log
-from cypresspulley.rehearsal.rules import REFUSALS, first_sendings
+from cypresspulley.rehearsal.rules import REFUSAL_STATUSES, first_sendings
 from cypresspulley.rehearsal.timeline import Timeline, Try
 
 WEIGHTS = {"whole": 0.55, "worst_10s": 0.20, "worst_plan": 0.25}
@@ -77,24 +77,24 @@
         return True
 
 
-def measure(line: Timeline) -> Service:
+def measure(timeline: Timeline) -> Service:
     """The figures of a day."""
-    inside = _inside_when_sent(line)
-    rows = sorted(_rows(line, inside), key=lambda row: row.t)
+    inside = _inside_when_sent(timeline)
+    rows = sorted(_rows(timeline, inside), key=lambda row: row.t)
     offered, earned = sum(r.offered for r in rows), sum(r.earned for r in rows)
     by_plan = _ratio(rows, "plan")
-    worst_at, worst = _worst(rows, line.day.seconds)
+    worst_at, worst = _worst(rows, timeline.day.seconds)
     parts = {
         "whole": _share(earned, offered),
         "worst_10s": worst,
         "worst_plan": min(by_plan.values(), default=1.0),
     }
-    prices = _prices(line, rows, offered)
+    prices = _prices(timeline, rows, offered)
     figure = sum(WEIGHTS[key] * parts[key] for key in WEIGHTS) - sum(prices.values())
     return Service(
         service=max(0.0, figure), whole=parts["whole"], worst_10s=worst, worst_10s_at=worst_at,
         worst_plan=parts["worst_plan"], by_class=_ratio(rows, "cls"), by_plan=by_plan, prices=prices,
-        counts=_counts(line, rows), rows=tuple(rows),
+        counts=_counts(timeline, rows), rows=tuple(rows),
     )  # fmt: skip
 
 
@@ -102,53 +102,55 @@
     return max(0.0, min(1.0, part / whole)) if whole > 0 else 1.0
 
 
-def _inside_when_sent(line: Timeline) -> dict[str, bool]:
+def _inside_when_sent(timeline: Timeline) -> dict[str, bool]:
     """By try: whether it was inside its account's quota when it was first sent on."""
     stores, inside = dict[tuple[str, str], _Store](), dict[str, bool]()
     out = defaultdict[tuple[str, str], list[float]](list)  # ends of the attempts that are out
-    for t, one in first_sendings(line):
-        sent = one.sent[0]
-        plan, key = line.plans[sent.plan], (sent.plan, sent.account)
+    for t, client_try in first_sendings(timeline):
+        sent = client_try.sent[0]
+        plan, key = timeline.plans[sent.plan], (sent.plan, sent.account)
         out[key] = [end for end in out[key] if end > t]
         room = not plan.open_limit or len(out[key]) < plan.open_limit
-        inside[one.id] = room and stores.setdefault(key, _Store(plan)).take(t, sent.units)
-        out[key] += [a.open_until for a in one.attempts]
+        inside[client_try.id] = room and stores.setdefault(key, _Store(plan)).take(t, sent.units)
+        out[key] += [a.open_until for a in client_try.attempts]
     return inside
 
 
-def _rows(line: Timeline, inside: dict[str, bool]) -> list[Row]:
+def _rows(timeline: Timeline, inside: dict[str, bool]) -> list[Row]:
     groups = defaultdict[str, list[Try]](list)
-    for one in line.tries.values():
-        first = (one.sent or one.unreached)[0].first
-        groups[first].append(one)
+    for client_try in timeline.tries.values():
+        first = (client_try.sent or client_try.unreached)[0].first
+        groups[first].append(client_try)
     # What one gateway would let in is decided in the order in which the requests were asked.
-    ordered = sorted(groups.values(), key=lambda tries: min(_asked_at(one) for one in tries))
+    ordered = sorted(groups.values(), key=lambda tries: min(_asked_at(client_try) for client_try in tries))
     stores, rows = dict[tuple[str, str], _Store](), list[Row]()
     for tries in ordered:
         tries.sort(key=_asked_at)
-        sent = next((one.sent[0] for one in tries if one.sent), None)
+        sent = next((client_try.sent[0] for client_try in tries if client_try.sent), None)
         if sent is not None:  # one that reached no limiter ever says neither class nor plan
-            rows.append(_row(line, tries, sent, stores, inside))
+            rows.append(_row(timeline, tries, sent, stores, inside))
     return rows
 
 
-def _asked_at(one: Try) -> float:
-    return (one.sent or one.unreached)[0].t
+def _asked_at(client_try: Try) -> float:
+    return (client_try.sent or client_try.unreached)[0].t
 
 
 def _row(
-    line: Timeline,
+    timeline: Timeline,
     tries: list[Try],
     sent: log.Sent,
     stores: dict[tuple[str, str], _Store],
     inside: dict[str, bool],
 ) -> Row:
-    plan, cls, asked = line.plans[sent.plan], line.classes[sent.cls], _asked_at(tries[0])
+    plan, cls, asked = timeline.plans[sent.plan], timeline.classes[sent.cls], _asked_at(tries[0])
     worth = cls.worth * plan.price * sent.units
     store = stores.setdefault((sent.plan, sent.account), _Store(plan))
     fits = store.room(asked, cls.idle, sent.units)
-    beyond = [one for one in tries if inside.get(one.id) is False]
-    served = next((one for one in tries if any(a.status == 200 for a in one.answers)), None)
+    beyond = [client_try for client_try in tries if inside.get(client_try.id) is False]
+    served = next(
+        (client_try for client_try in tries if any(a.status == 200 for a in client_try.answers)), None
+    )
     earned = earned_inside = 0.0
     outcome = _outcome(tries[-1])
     if served is not None:
@@ -169,7 +171,7 @@
     if not last.sent:
         return "unreached"
     if last.answers:
-        return "refused" if last.answers[0].status in REFUSALS else "failed"
+        return "refused" if last.answers[0].status in REFUSAL_STATUSES else "failed"
     return "left" if any(r.why == "impatient" for r in last.left) else "failed"
 
 
@@ -198,53 +200,59 @@
     return at, worst
 
 
-def _prices(line: Timeline, rows: list[Row], offered: float) -> dict[str, float]:
+def _prices(timeline: Timeline, rows: list[Row], offered: float) -> dict[str, float]:
     """What comes off: work that served nobody, failures past the wanted time, probes, ways across, calls."""
     if not rows:
         return dict.fromkeys(PRICES, 0.0)
-    served = {(a.id, a.body) for one in line.tries.values() for a in one.answers if a.status == 200}
+    served = {
+        (a.id, a.body)
+        for client_try in timeline.tries.values()
+        for a in client_try.answers
+        if a.status == 200
+    }
     spent = useful = 0.0
-    for attempt in line.attempts.values():
+    for attempt in timeline.attempts.values():
         end = attempt.replied or attempt.ended
         spent += end.work if end else 0.0
         if attempt.replied is not None and (attempt.arrived.id, attempt.replied.body) in served:
             useful += attempt.replied.work
-    works = [a.arrived.work for a in line.attempts.values()]
+    works = [a.arrived.work for a in timeline.attempts.values()]
     asked = len(rows) * sum(works) / len(works) if works else 0.0
     late = sum(r.offered for r in rows if r.outcome in ("late", "failed"))
-    halls = line.day.limiters
+    halls = timeline.day.limiters
     crossed = sum(
-        halls.get(a.arrived.limiter) != line.halls.get(a.arrived.server) for a in line.attempts.values()
+        halls.get(a.arrived.limiter) != timeline.halls.get(a.arrived.server)
+        for a in timeline.attempts.values()
     )
     units = {
         "waste": _share(spent - useful, asked) if asked else 0.0,
         "late_fail": _share(late, offered),
-        "probe": len(line.of(log.Probed)) / len(rows),
+        "probe": len(timeline.of(log.Probed)) / len(rows),
         "cross_hall": crossed / len(rows),
-        "counter": len(line.of(log.Tallied)) / len(rows),
+        "counter": len(timeline.of(log.Tallied)) / len(rows),
     }
     return {key: PRICES[key] * units[key] for key in PRICES}
 
 
-def _counts(line: Timeline, rows: list[Row]) -> dict[str, int]:
-    tries = line.tries.values()
+def _counts(timeline: Timeline, rows: list[Row]) -> dict[str, int]:
+    tries = timeline.tries.values()
     effects = defaultdict[str, int](int)
-    for one in tries:
-        if one.sent and line.classes[one.sent[0].cls].effect == "unsafe":
-            effects[one.sent[0].first] += sum(a.ran is not None for a in one.attempts)
+    for client_try in tries:
+        if client_try.sent and timeline.classes[client_try.sent[0].cls].effect == "unsafe":
+            effects[client_try.sent[0].first] += sum(a.ran is not None for a in client_try.attempts)
     return {
         "offered": len(rows),
         "inside": sum(r.inside for r in rows),
-        "tries": sum(len(one.sent) for one in tries),
+        "tries": sum(len(client_try.sent) for client_try in tries),
         "served": sum(r.outcome == "served" for r in rows),
         "late": sum(r.outcome == "late" for r in rows),
         "refused": sum(r.outcome == "refused" for r in rows),
         "failed": sum(r.outcome in ("failed", "unreached") for r in rows),
         "left": sum(r.outcome == "left" for r in rows),
-        "retried": sum(any(s.id != s.first for s in one.sent) for one in tries),
-        "attempts": len(line.attempts),
-        "beyond_quota": sum(not ok for ok in _inside_when_sent(line).values()),
-        **({"from_kept": len(line.from_kept)} if line.keeping else {}),
+        "retried": sum(any(s.id != s.first for s in client_try.sent) for client_try in tries),
+        "attempts": len(timeline.attempts),
+        "beyond_quota": sum(not ok for ok in _inside_when_sent(timeline).values()),
+        **({"from_kept": len(timeline.from_kept)} if timeline.keeping else {}),
         # Asked anew under a new id after a death, a request may run again: the client's choice, no rule.
         "asked_anew_and_ran": sum(n > 1 for n in effects.values()),
     }
