--- a/cypresspulley/rehearsal/command.py
+++ b/cypresspulley/rehearsal/command.py
@@ -204,7 +204,7 @@
         return fail(f"cannot write {error.filename}: {error.strerror}", BROKEN_KIT)
     if verdict.void:
         return BROKEN_KIT
-    return KEPT if verdict.met else MISSED
+    return KEPT if verdict.passed else MISSED
 
 
 def _json(raw: dict[str, Any]) -> str:
--- a/cypresspulley/rehearsal/judge.py
+++ b/cypresspulley/rehearsal/judge.py
@@ -43,26 +43,26 @@
         return all(rule.kept for rule in self.rules) and not any(one.findings for one in self.histories)
 
     @property
-    def met(self) -> bool:
+    def passed(self) -> bool:
         """Whether all rules were kept and the scenario's goal was reached, in a run that counts."""
-        return not self.void and not self.crash and self.kept and not self.missed
+        return not self.void and not self.crash and self.kept and not self.missed_goals
 
     @property
-    def missed(self) -> tuple[str, ...]:
+    def missed_goals(self) -> tuple[str, ...]:
         """The goals that were missed, in words."""
         figures = [("service", self.service.service, self.day.goal)]
         figures += [(r.plan, self.service.by_plan.get(r.plan, 1.0), r.service) for r in self.wanted]
         return tuple(f"{name} {got:.3f} is under {goal:.2f}" for name, got, goal in figures if got < goal)
 
     @property
-    def lost(self) -> int:
+    def lost_requests(self) -> int:
         return len({v.request for v in self.rules[0].violations})
 
     def as_json(self) -> dict[str, Any]:
         """The object that ``--json`` writes."""
         return {
             "scenario": self.day.scenario, "seed": self.day.seed, "plan": self.day.digest,
-            "service": round(self.service.service, 4), "goal": self.day.goal, "met": self.met,
+            "service": round(self.service.service, 4), "goal": self.day.goal, "met": self.passed,
             "void": self.void, "crash": self.crash, "whole": round(self.service.whole, 4),
             "service_by_class": _rounded(self.service.by_class),
             "service_by_plan": _rounded(self.service.by_plan),
@@ -74,7 +74,7 @@
                 for rule in self.rules
             ],
             **({"histories": [_checked(one) for one in self.histories]} if self.histories else {}),
-            "counts": {**self.service.counts, "lost": self.lost},
+            "counts": {**self.service.counts, "lost": self.lost_requests},
             "faults": [asdict(fault) for fault in self.faults],
             "limiters": {u.limiter: {"cpu_seconds": round(u.cpu_seconds, 3) if u.measured else None,
                                      "memory_mb": round(u.memory_mb, 1) if u.measured else None,
--- a/cypresspulley/rehearsal/report.py
+++ b/cypresspulley/rehearsal/report.py
@@ -52,8 +52,8 @@
     broken += [f"what {one.name} promises" for one in verdict.histories if one.findings]
     if broken:
         return f"FAILED: broken: {', '.join(broken)}"
-    if not verdict.met:
-        return f"FAILED: rules kept, but {', '.join(verdict.missed)}"
+    if not verdict.passed:
+        return f"FAILED: rules kept, but {', '.join(verdict.missed_goals)}"
     promises = f", the promises of {', '.join(one.name for one in verdict.histories)} kept"
     return f"PASSED: all five rules kept{promises * bool(verdict.histories)}, the goal met"
 
--- a/tests/rehearsal/test_command.py
+++ b/tests/rehearsal/test_command.py
@@ -231,7 +231,7 @@
         return await play(small(seconds=2, fault=[]), 1, command=[sys.executable, "-c", text])
 
     verdict = judge(uvloop.run(main()))
-    assert "ended by itself with code 9" in verdict.crash and not verdict.met
+    assert "ended by itself with code 9" in verdict.crash and not verdict.passed
 
 
 def test_the_same_seed_meets_the_same_arrivals() -> None:
--- a/tests/rehearsal/test_judge.py
+++ b/tests/rehearsal/test_judge.py
@@ -471,7 +471,7 @@
     story.served(1.0)
     story.records += [log.Lateness(n * 0.05, 0.05) for n in range(100)]
     verdict = judge(story.done())
-    assert "ran late" in verdict.void and not verdict.met and verdict.kept
+    assert "ran late" in verdict.void and not verdict.passed and verdict.kept
 
 
 @pytest.mark.parametrize(("late", "void"), [((0.1,), False), ((0.1, 0.1), True), ((0.45,), True)])
@@ -486,7 +486,7 @@
     story = Story()
     story.limiter(3.0, "n0", "crashed")
     verdict = judge(story.done())
-    assert verdict.crash.startswith("n0 ended by itself") and not verdict.met
+    assert verdict.crash.startswith("n0 ended by itself") and not verdict.passed
 
 
 def paused(story: Story, start: float, end: float, limiter: str = "n0") -> None:
--- a/tests/rehearsal/test_together.py
+++ b/tests/rehearsal/test_together.py
@@ -582,10 +582,10 @@
 def test_a_broken_promise_fails_the_day_as_a_broken_rule_does() -> None:
     records = [*_kept_day()[:-1], log.Checked(20.0, "fleet", 3, ()), log.End(30.0)]
     good = judge(records)
-    assert good.met and conclusion(good).startswith("PASSED: all five rules kept, the promises of fleet kept")
+    assert good.passed and conclusion(good).startswith("PASSED: all five rules kept, the promises of fleet kept")
     text = "detected: n0 knew never that n1 was killed\n4.2 n1 fleet.member"
     bad = judge([*records[:-1], log.Checked(20.0, "lanes", 2, (text,)), log.End(30.0)])
-    assert not bad.met and conclusion(bad) == "FAILED: broken: what lanes promises"
+    assert not bad.passed and conclusion(bad) == "FAILED: broken: what lanes promises"
     assert bad.as_json()["histories"] == [
         {"name": "fleet", "kept": True, "checked": 3, "findings": []},
         {"name": "lanes", "kept": False, "checked": 2, "findings": [text]},
@@ -653,7 +653,7 @@
         Calendar.generation = right  # type: ignore[method-assign]
     closing = next(one for one in verdict.histories if one.name == "closing")
     assert any(text.startswith("gone at close") for text in closing.findings), closing
-    assert not verdict.met
+    assert not verdict.passed
 
 
 @pytest.mark.parametrize("kind", sorted(FLEET))
--- a/tests/rehearsal/virtual/test_fleets.py
+++ b/tests/rehearsal/virtual/test_fleets.py
@@ -27,7 +27,7 @@
 def test_a_large_fleet_keeps_the_rules_and_its_goal(name: str) -> None:
     verdict = played(shortened(name, 12.0))
     assert verdict.kept and not verdict.void and not verdict.crash
-    assert verdict.met
+    assert verdict.passed
 
 
 @pytest.mark.long
@@ -40,4 +40,4 @@
 
     monkeypatch.setattr(LoadBalancer, "record_outcome", forgetful)
     verdict = played(shortened("fleet-release", 12.0))
-    assert verdict.kept and not verdict.met
+    assert verdict.kept and not verdict.passed
