--- a/cypresspulley/rehearsal/page.py
+++ b/cypresspulley/rehearsal/page.py
@@ -144,7 +144,7 @@
 def _history(line: Timeline, violation: Violation) -> dict[str, Any]:
     steps = [
         {"t": r.t, "what": type(r).__name__, "facts": _facts(r)}
-        for r in line.history(violation.request)[:MOST_STEPS]
+        for r in line.records_of_try(violation.request)[:MOST_STEPS]
     ]
     return {"request": violation.request, "text": violation.text, "steps": steps}
 
--- a/cypresspulley/rehearsal/rules.py
+++ b/cypresspulley/rehearsal/rules.py
@@ -152,10 +152,14 @@
     for the same account and class.
     """
     sent = client_try.sent[-1]
-    asks = any(sent.account in r.accounts and sent.cls in r.classes for r in timeline.keeping)
-    if client_try.id not in timeline.from_kept or not asks or timeline.classes[sent.cls].effect != "safe":
+    asks = any(sent.account in r.accounts and sent.cls in r.classes for r in timeline.caching_records)
+    if (
+        client_try.id not in timeline.ids_answered_from_cache
+        or not asks
+        or timeline.classes[sent.cls].effect != "safe"
+    ):
         return False
-    for attempt in timeline.made(answer.body):
+    for attempt in timeline.attempts_answering(answer.body):
         first = timeline.tries[attempt.arrived.id].sent if attempt.arrived.id in timeline.tries else []
         same = bool(first) and (first[0].account, first[0].cls) == (sent.account, sent.cls)
         if same and attempt.replied is not None and attempt.replied.t <= answer.t:
@@ -328,7 +332,7 @@
         bucket = buckets.get(key) or BucketLevel(
             plan.ceiling_burst, -1e9, plan.ceiling_rate, plan.ceiling_burst
         )
-        for move in timeline.moves.get(sent.account, ()):
+        for move in timeline.plan_changes.get(sent.account, ()):
             if bucket.at < move.t <= t:
                 bucket = bucket.with_limits(move.t, move.ceiling_rate, move.ceiling_burst)
         bucket = buckets[key] = bucket.refilled_until(t).with_units_drawn(sent.units)
@@ -340,13 +344,15 @@
 def _plan_change_slack(timeline: Timeline) -> dict[str, float]:
     """Returns, by account, the units that plan changes announced less than a lease ahead add to the ceiling's slack."""
     found = dict[str, float]()
-    for account, moves in timeline.moves.items():
-        terms = [(move.ceiling_rate, move.ceiling_burst) for move in moves]
+    for account, plan_changes in timeline.plan_changes.items():
+        terms = [(move.ceiling_rate, move.ceiling_burst) for move in plan_changes]
         terms += [
-            (p.ceiling_rate, p.ceiling_burst) for p in timeline.plans.values() if p.name == moves[0].plan
+            (p.ceiling_rate, p.ceiling_burst)
+            for p in timeline.plans.values()
+            if p.name == plan_changes[0].plan
         ]
         high, low = max(terms), min(terms)
-        late = max(max(0.0, BOOK_LEASE_SECONDS - move.ahead) for move in moves)
+        late = max(max(0.0, BOOK_LEASE_SECONDS - move.ahead) for move in plan_changes)
         found[account] = max_ceiling_overshoot(high, low, late)
     return found
 
--- a/cypresspulley/rehearsal/service.py
+++ b/cypresspulley/rehearsal/service.py
@@ -227,9 +227,9 @@
     units = {
         "waste": _share(spent - useful, asked) if asked else 0.0,
         "late_fail": _share(late, offered),
-        "probe": len(timeline.of(log.Probed)) / len(rows),
+        "probe": len(timeline.records_of(log.Probed)) / len(rows),
         "cross_hall": crossed / len(rows),
-        "counter": len(timeline.of(log.Tallied)) / len(rows),
+        "counter": len(timeline.records_of(log.Tallied)) / len(rows),
     }
     return {key: PRICES[key] * units[key] for key in PRICES}
 
@@ -252,7 +252,7 @@
         "retried": sum(any(s.id != s.first for s in client_try.sent) for client_try in tries),
         "attempts": len(timeline.attempts),
         "beyond_quota": sum(not ok for ok in _inside_when_sent(timeline).values()),
-        **({"from_kept": len(timeline.from_kept)} if timeline.keeping else {}),
+        **({"from_kept": len(timeline.ids_answered_from_cache)} if timeline.caching_records else {}),
         # Asked anew under a new id after a death, a request may run again: the client's choice, no rule.
         "asked_anew_and_ran": sum(n > 1 for n in effects.values()),
     }
--- a/cypresspulley/rehearsal/timeline.py
+++ b/cypresspulley/rehearsal/timeline.py
@@ -102,22 +102,22 @@
         self.cells = {r.server: (r.hall, r.cell) for r in self.servers}
         self._index_clients()
         self._index_servers()
-        self.from_kept = {r.id for r in self.records if isinstance(r, log.FromKept)}
-        self.keeping = [r for r in self.records if isinstance(r, log.Keeping)]
+        self.ids_answered_from_cache = {r.id for r in self.records if isinstance(r, log.FromKept)}
+        self.caching_records = [r for r in self.records if isinstance(r, log.Keeping)]
         self._made: dict[str, list[Attempt]] | None = None
         self.pauses = self._pauses()
         self.lives = self._lives()
         self.told = self._told()
         self.bans = self._bans()
-        self.moves = defaultdict[str, list[log.PlanMoved]](
+        self.plan_changes = defaultdict[str, list[log.PlanMoved]](
             list
         )  # changes of an account's ceiling, by instant
         for r in sorted((r for r in self.records if isinstance(r, log.PlanMoved)), key=lambda r: r.t):
-            self.moves[r.account].append(r)
+            self.plan_changes[r.account].append(r)
         if not any(isinstance(r, log.End) for r in self.records):
             self.gaps.append("the log has no end record")
 
-    def of(self, kind: type[log.Record]) -> list[log.Record]:
+    def records_of(self, kind: type[log.Record]) -> list[log.Record]:
         return [r for r in self.records if type(r) is kind]
 
     def _index_clients(self) -> None:
@@ -262,7 +262,7 @@
         states = self.told.get((limiter, self.life_at(limiter, t).start, server), [])
         return states[: bisect_right(states, t, key=lambda s: s.t)]
 
-    def made(self, body: str) -> list[Attempt]:
+    def attempts_answering(self, body: str) -> list[Attempt]:
         """The attempts that a server answered with this body."""
         if self._made is None:
             self._made = defaultdict(list)
@@ -271,7 +271,7 @@
                     self._made[attempt.replied.body].append(attempt)
         return self._made.get(body, [])
 
-    def history(self, id: str) -> list[log.Record]:
+    def records_of_try(self, id: str) -> list[log.Record]:
         """All records of one try, for people."""
         numbers = {a.arrived.attempt for a in self.tries[id].attempts} if id in self.tries else set[int]()
         return [
