--- a/cypresspulley/rehearsal/calendars.py
+++ b/cypresspulley/rehearsal/calendars.py
@@ -12,8 +12,8 @@
 from cypresspulley.rehearsal.plan import Plan, random_for
 from cypresspulley.rehearsal.sections import Closing
 
-OLD = 1  # version of last week's calendar
-TODAY = 2  # version that the run starts with
+LAST_WEEK_VERSION = 1  # version of last week's calendar
+INITIAL_VERSION = 2  # version that the run starts with
 DAY = 86_400.0
 SPARE = 0.5  # seconds by which a told version comes into force after its notice is over
 
@@ -35,27 +35,27 @@
         self._zones = {place.name: place.zone for place in section.places}
         self.closings = {place.name: sorted(start + s for s in place.closes) for place in section.places}
         self._told = dict[str, list[int]]()  # what came at short notice, by place
-        self.version = TODAY
+        self.version = INITIAL_VERSION
 
     def __repr__(self) -> str:
         return f"<CalendarVersions up to version {self.version}, {len(self._accounts)} accounts, from {self._start}>"
 
-    def old(self) -> dict[str, Any]:
+    def last_week(self) -> dict[str, Any]:
         """Last week's: it knows none of the day's closings."""
-        return self._file(OLD, self._start - 8 * DAY, dict.fromkeys(self._zones, ()), {})
+        return self._file(LAST_WEEK_VERSION, self._start - 8 * DAY, dict.fromkeys(self._zones, ()), {})
 
-    def today(self) -> dict[str, Any]:
+    def initial(self) -> dict[str, Any]:
         """The file that limiters start with."""
-        return self._file(TODAY, self._start - DAY, self.closings, {})
+        return self._file(INITIAL_VERSION, self._start - DAY, self.closings, {})
 
-    def tell(self, place: str, at: int, now: float) -> dict[str, Any]:
+    def add_closing(self, place: str, at: int, now: float) -> dict[str, Any]:
         """A new version with one more closing at the Unix second ``at``, in force once its notice is over."""
         self._told.setdefault(place, []).append(at)
         self.version += 1
         in_force = ceil(now + self._section.notice + SPARE)
         return self._file(self.version, in_force, self.closings, self._told)
 
-    def truth(self) -> list[list[Any]]:
+    def expected_closings(self) -> list[list[Any]]:
         """Pairs of an account and the Unix second of a closing that the day began with."""
         rows = sorted(self._accounts.items())
         return [[account, float(at)] for account, place in rows for at in self.closings[place]]
--- a/cypresspulley/rehearsal/harness_history.py
+++ b/cypresspulley/rehearsal/harness_history.py
@@ -42,7 +42,7 @@
     def fault(self, kind: str, targets: Iterable[str], on: bool) -> None:
         self.put(Kind.FAULT, kind_of=kind, targets=sorted(targets), on=on)
 
-    def over(self) -> None:
+    def end_day(self) -> None:
         """The day is over: what limiters do from here on is their end."""
         self.put(Kind.END, reason="over")
         self._over = True
--- a/cypresspulley/rehearsal/limiters.py
+++ b/cypresspulley/rehearsal/limiters.py
@@ -119,7 +119,7 @@
         self.process: asyncio.subprocess.Process | None = None
         self._seen: psutil.Process | None = None
         self._file: BinaryIO | None = None
-        self.lives = 0
+        self.start_count = 0
         self.cpu_seconds = 0.0
         self.memory_mb = 0.0
         self._cpu = 0.0
@@ -131,7 +131,7 @@
 
     def __repr__(self) -> str:
         state = f"pid {self.process.pid}" if self.process and self.process.returncode is None else "down"
-        return f"<LimiterProcess {self.name} {state}, life {self.lives}>"
+        return f"<LimiterProcess {self.name} {state}, life {self.start_count}>"
 
     @property
     def running(self) -> bool:
@@ -140,7 +140,7 @@
     def configure(self, raw: dict[str, Any]) -> None:
         """Write its configuration, whole or not at all: a reload may read it at any time."""
         listen = f"{self.address[0]}:{self.address[1]}"
-        seed = f"{random_for(self._seed, 'limiter', self.name, self.lives).getrandbits(64):016x}"
+        seed = f"{random_for(self._seed, 'limiter', self.name, self.start_count).getrandbits(64):016x}"
         self._raw = raw
         if self.operated:
             self._door = self.address[0], free_port(self.address[0])
@@ -148,7 +148,7 @@
         text = json.dumps({"name": self.name, "listen": listen, "seed": seed, **raw}, indent=1)
         write_whole(self._path, text)
 
-    def follow(self, host: str, port: int) -> None:
+    def configure_plan_book(self, host: str, port: int) -> None:
         """From its next start on it follows the plan book whose writer is there."""
         path = self._folder / f"{self.name}-operators.toml"
         path.write_text(f'[plans]\nwriter = "{host}:{port}"\ninstallation = "rehearsal"\n')
@@ -169,17 +169,17 @@
         write_whole(operators, tomli_w.dumps(tables))
         self._command = [*self._command, "--operators", str(operators)]
         self._environment["FAWNSEAM_FLEET_KEY"] = key
-        self.shift(Shift())
+        self.set_clock_shift(Shift())
 
-    def calendar(self, raw: dict[str, Any], told: bool = False) -> None:
+    def write_calendar(self, raw: dict[str, Any], reload: bool = False) -> None:
         """Replace its calendar file; ``told``: it is to read it now."""
         import tomli_w
 
         write_whole(self._beside("-calendars.toml"), tomli_w.dumps(raw))
-        if told:
+        if reload:
             self.signal(signal.SIGHUP)
 
-    def shift(self, shift: Shift) -> None:
+    def set_clock_shift(self, shift: Shift) -> None:
         """Set its wall clock off from now on; the one that never steps stays."""
         write_whole(self._beside(".clock"), shift.line())
 
@@ -187,7 +187,7 @@
         return self._folder / f"{self.name}{ending}"
 
     async def start(self) -> None:
-        self.lives += 1
+        self.start_count += 1
         await self._begin()
 
     async def _begin(self) -> None:
@@ -215,9 +215,9 @@
 
     async def call(self, method: str, path: str) -> int:
         """A call at its operators' door: the answer's status, 0 where there is none within a second."""
-        return (await self.ask(method, path, 1.0))[0]
+        return (await self.call_for_json(method, path, 1.0))[0]
 
-    async def ask(self, method: str, path: str, within: float) -> tuple[int, dict[str, Any]]:
+    async def call_for_json(self, method: str, path: str, within: float) -> tuple[int, dict[str, Any]]:
         """A call at its door: status and object of the answer; 0 and nothing where there is none in so many seconds."""
         if self._door is None:
             return 0, {}
@@ -268,7 +268,7 @@
         """In the child, before the program: it may hold no more descriptors than it is told."""
         resource.setrlimit(resource.RLIMIT_NOFILE, (self._sockets, self._sockets))
 
-    async def ready(self) -> None:
+    async def wait_until_ready(self) -> None:
         """Wait until it answers its health call with 200."""
         try:
             async with asyncio.timeout(READY_WITHIN):
@@ -276,12 +276,12 @@
                     if not self.running:
                         code = self.process.returncode if self.process else None
                         raise HarnessError(
-                            f"{self.name} ended with code {code} before it was ready: {self.tail()}"
+                            f"{self.name} ended with code {code} before it was ready: {self.log_tail()}"
                         )
                     await asyncio.sleep(0.03)
         except TimeoutError:
             raise HarnessError(
-                f"{self.name} was not ready within {READY_WITHIN:g} s: {self.tail()}"
+                f"{self.name} was not ready within {READY_WITHIN:g} s: {self.log_tail()}"
             ) from None
 
     async def _healthy(self) -> bool:
@@ -298,7 +298,7 @@
         finally:
             writer.transport.abort()
 
-    def tail(self) -> str:
+    def log_tail(self) -> str:
         try:
             return (
                 self.log_path.read_bytes()[-LOG_TAIL:].decode("utf-8", "replace").strip()
@@ -309,17 +309,17 @@
 
     def signal(self, number: int) -> None:
         """Send it a signal; one that has ended gets none."""
-        self.sample()
+        self.sample_usage()
         self.expected_end |= number in (signal.SIGKILL, signal.SIGTERM)
         if self.process is not None and self.running:
             with contextlib.suppress(ProcessLookupError):
                 self.process.send_signal(number)
 
-    async def ended(self) -> int:
+    async def wait_for_exit(self) -> int:
         """Wait for its end, however long; its exit code."""
         return await self.process.wait() if self.process is not None else 0
 
-    async def gone(self) -> int:
+    async def wait_or_kill(self) -> int:
         """Wait for its end, with SIGKILL for one that ignores SIGTERM; its exit code."""
         within = STOP_WITHIN
         if self.process is None:
@@ -332,7 +332,7 @@
             await self.process.wait()
             raise HarnessError(f"{self.name} ignored SIGTERM for {within:g} s and was killed") from None
 
-    def sample(self) -> None:
+    def sample_usage(self) -> None:
         """Note what it has used so far."""
         if self._seen is None:
             return
--- a/cypresspulley/rehearsal/play.py
+++ b/cypresspulley/rehearsal/play.py
@@ -246,7 +246,7 @@
             host = self.net.host(253, index)
             self.books.addresses[limiter] = host, free_port(host)
             await self.books.open(limiter)
-            self.limiters[limiter].follow(*self.books.addresses[limiter])
+            self.limiters[limiter].configure_plan_book(*self.books.addresses[limiter])
 
     async def open_side(self) -> None:
         """What the limiters do together has its relay and files, before any of them starts."""
@@ -257,7 +257,7 @@
         """All limiters are ready: the day begins, at a whole Unix second where closings are placed by it."""
         if self.fleet_harness is None:
             return self.stage.begin(WARM_UP)
-        after = self.fleet_harness.until_start()
+        after = self.fleet_harness.seconds_until_start()
         if after < WARM_UP:
             raise HarnessError(
                 f"the limiters were ready {WARM_UP - after:.1f} s too late: give them idle cores"
@@ -336,7 +336,7 @@
         await limiter.start()
         self._watched[name] = limiter.process
         self._spawn(self._watch_end(limiter))
-        await limiter.ready()
+        await limiter.wait_until_ready()
         self.stage.record(log.LimiterState(self.stage.now(), name, "ready"))
         self.front.up(name)
 
@@ -348,7 +348,7 @@
 
     async def _watch_end(self, limiter: LimiterProcess) -> None:
         process = limiter.process
-        code = await limiter.ended()
+        code = await limiter.wait_for_exit()
         if limiter.process is not process:
             # A second process has taken over: the limiter's life goes on, unless this one crashed.
             if code != 0:
@@ -375,7 +375,7 @@
             return  # it is away already, and is started once
         self.returning.add(name)
         self.kill(name)
-        await self.limiters[name].gone()
+        await self.limiters[name].wait_or_kill()
         await asyncio.sleep(back_after)
         await self.start_limiter(name, spec_known)
         self.returning.discard(name)
@@ -391,7 +391,7 @@
         await asyncio.sleep(0.3)  # a planned restart is announced: the front stops a little late
         if not self.scenario.clients.until_closed:
             self.front.down(name)
-        await limiter.gone()
+        await limiter.wait_or_kill()
         self.front.down(name)
         kill.cancel()
         await asyncio.sleep(back_after)
@@ -409,7 +409,7 @@
         await asyncio.gather(*(self._restart(other, back_after) for other in self.limiters if other != name))
 
     async def _start_late(self, name: str) -> None:
-        if self.limiters[name].lives == 0:
+        if self.limiters[name].start_count == 0:
             await self.start_limiter(name)
             self.returning.discard(name)
 
@@ -425,7 +425,7 @@
             return
         self.returning.add(name)
         watch = asyncio.ensure_future(limiter.upgrade())
-        while limiter.process is not None and not watch.done() and limiter.lives:
+        while limiter.process is not None and not watch.done() and limiter.start_count:
             await asyncio.sleep(0.01)
             if self._watched.get(name) is not limiter.process:
                 self._watched[name] = limiter.process
@@ -611,7 +611,7 @@
 
     def _start_fault(self, fault: PlannedFault) -> None:
         if self.fleet_harness is not None:
-            self.fleet_harness.strike(fault)
+            self.fleet_harness.apply_fault(fault)
         spec, lasts = fault.spec, fault.until - fault.at
         each: dict[str, Callable[[str], Awaitable[None]]] = {
             "limiter-kill": lambda name: self._kill_and_return(name, spec.known, spec.back_after),
@@ -747,7 +747,7 @@
             if now - sampled > SAMPLE:
                 sampled = now
                 for limiter in self.limiters.values():
-                    limiter.sample()
+                    limiter.sample_usage()
 
     async def close(self) -> None:
         """End everything; nothing of this play stays behind."""
@@ -758,7 +758,7 @@
             limiter.signal(signal.SIGKILL)
         for limiter in running:
             with contextlib.suppress(HarnessError):
-                await limiter.gone()
+                await limiter.wait_or_kill()
         for server in self.servers.values():
             server.crash()
         for agent in self.agents.values():
@@ -799,19 +799,23 @@
     while runner.returning and loop.time() < limit:
         await asyncio.sleep(0.05)  # one that was to come back comes back first: its end is judged too
     if runner.fleet_harness is not None:
-        runner.fleet_harness.over()
+        runner.fleet_harness.end_day()
     for limiter in runner.limiters.values():
         if limiter.running:
             runner.stage.record(log.LimiterState(runner.stage.now(), limiter.name, "stopping"))
             limiter.signal(signal.SIGTERM)
-    await asyncio.gather(*(limiter.gone() for limiter in runner.limiters.values()))
+    await asyncio.gather(*(limiter.wait_or_kill() for limiter in runner.limiters.values()))
     if runner.books is not None:
         told = sum(runner.books.plan_writer.usage_ledger.totals.values())
         runner.stage.record(log.Exported(runner.stage.now(), told))
     for limiter in runner.limiters.values():
         runner.stage.record(
             log.Usage(
-                runner.stage.now(), limiter.name, limiter.cpu_seconds, limiter.memory_mb, limiter.lives - 1
+                runner.stage.now(),
+                limiter.name,
+                limiter.cpu_seconds,
+                limiter.memory_mb,
+                limiter.start_count - 1,
             )
         )
 
--- a/cypresspulley/rehearsal/together.py
+++ b/cypresspulley/rehearsal/together.py
@@ -75,7 +75,7 @@
             await self._relay.open(name, self._ground.address(name, True), self._ground.address(name, False))
             limiter.configure_fleet(self._tables(name), KEY)
         if self._closings is not None:
-            self._closings.give()
+            self._closings.write_initial_calendars()
 
     def _tables(self, name: str) -> Tables:
         def text(address: Address) -> str:
@@ -100,7 +100,7 @@
             }  # fmt: skip
         return tables
 
-    def until_start(self) -> float:
+    def seconds_until_start(self) -> float:
         """Seconds from now until the day's second 0."""
         return self.start - self._stage.unix()
 
@@ -112,20 +112,20 @@
                 log.Keeping(self._stage.now(), tuple(self._closings.caching_accounts), closing.keep)
             )
 
-    def over(self) -> None:
+    def end_day(self) -> None:
         """The day is over: what was true of it. What limiters do from here on is their end."""
         closing, lanes = self._scenario.closing, self._scenario.lanes
         self.harness.put(
             Kind.TRUTH, seconds=self._scenario.seconds,
-            closings=self._closings.truth(self._ground.calendars()) if self._closings is not None else [],
+            closings=self._closings.expected_closings(self._ground.calendars()) if self._closings is not None else [],
             lanes=[list(lane.plans) for lane in lanes.lanes] if lanes is not None else [],
             clock_bound=closing.clock_bound_ms / 1000 if closing is not None else 0.0,
         )  # fmt: skip
-        self.harness.over()
+        self.harness.end_day()
 
     # Faults.
 
-    def strike(self, fault: PlannedFault) -> None:
+    def apply_fault(self, fault: PlannedFault) -> None:
         """Do what a fault between limiters does, and note what others do to them."""
         spec, lasts = fault.spec, fault.until - fault.at
         if fault.kind in DATAGRAMS:
@@ -140,12 +140,12 @@
                 self._note(fault.kind, [name], lasts)
         elif fault.kind == "limiter-clock":
             for name in fault.targets:
-                self._limiters[name].shift(Shift(spec.offset, spec.ppm, self._stage.unix()))
+                self._limiters[name].set_clock_shift(Shift(spec.offset, spec.ppm, self._stage.unix()))
                 self.harness.fault(fault.kind, [name], True)
                 if spec.lasts:
                     asyncio.get_running_loop().call_later(lasts, self._right, name)
         elif self._closings is not None:
-            self._closings.strike(fault, self._stage.unix())
+            self._closings.apply_fault(fault, self._stage.unix())
 
     def _cut_hall(self, hall: str, lasts: float) -> None:
         """Datagrams go no other way than the rest."""
@@ -160,7 +160,7 @@
         asyncio.get_running_loop().call_later(lasts, self.harness.fault, kind, targets, False)
 
     def _right(self, name: str) -> None:
-        self._limiters[name].shift(Shift())
+        self._limiters[name].set_clock_shift(Shift())
         self.harness.fault("limiter-clock", [name], False)
 
     def _spell(self, fault: DatagramFault, lasts: float) -> None:
@@ -176,7 +176,7 @@
             return
         id = f"purge-{name}-{self._stage.now():.3f}"
         self.harness.put(Kind.PURGE_CALL, id=id, account=account, limiter=name)
-        status, body = await self._limiters[name].ask(
+        status, body = await self._limiters[name].call_for_json(
             "PUT", f"/v1/accounts/{account}/purge", self._purge_within()
         )
         missing = body.get("missing")
--- a/cypresspulley/rehearsal/virtual/play.py
+++ b/cypresspulley/rehearsal/virtual/play.py
@@ -93,7 +93,7 @@
         self._why = "no error was seen"
 
     def __repr__(self) -> str:
-        return f"<VirtualLimiter {self.name} {self._owner!r}, life {self.lives}>"
+        return f"<VirtualLimiter {self.name} {self._owner!r}, life {self.start_count}>"
 
     @property
     def running(self) -> bool:
@@ -101,10 +101,10 @@
 
     def configure(self, raw: dict[str, Any]) -> None:
         listen = f"{self.address[0]}:{self.address[1]}"
-        seed = f"{random_for(self._seed, 'limiter', self.name, self.lives).getrandbits(64):016x}"
+        seed = f"{random_for(self._seed, 'limiter', self.name, self.start_count).getrandbits(64):016x}"
         self._raw = {"name": self.name, "listen": listen, "seed": seed, **raw}
 
-    def follow(self, host: str, port: int) -> None:
+    def configure_plan_book(self, host: str, port: int) -> None:
         self._operators = replace(self._operators, plans=(f"{host}:{port}", "rehearsal"))
 
     def configure_fleet(self, tables: dict[str, dict[str, Any]], key: str) -> None:
@@ -120,7 +120,7 @@
         )
         self._writes = True
 
-    def shift(self, shift: Shift) -> None:
+    def set_clock_shift(self, shift: Shift) -> None:
         self._shift = shift
 
     def _wall(self) -> float:
@@ -130,9 +130,9 @@
         return config_from(json.loads(json.dumps(self._raw)))
 
     async def start(self) -> None:
-        self.lives += 1
+        self.start_count += 1
         self.expected_end = False
-        self._owner, self._end = Owner(f"{self.name}.{self.lives}"), self._loop.create_future()
+        self._owner, self._end = Owner(f"{self.name}.{self.start_count}"), self._loop.create_future()
         self._owner.descriptors = max(0, self._sockets - NOT_CONNECTIONS)
         context = copy_context()
         context.run(OWNER.set, self._owner)
@@ -153,7 +153,7 @@
     def _opened(self, service: Service) -> None:
         self._service = service
 
-    async def ask(self, method: str, path: str, within: float) -> tuple[int, dict[str, Any]]:
+    async def call_for_json(self, method: str, path: str, within: float) -> tuple[int, dict[str, Any]]:
         """As at a door, with no way between that could fail."""
         routed = route(method, path)
         if isinstance(routed, Reply):
@@ -201,16 +201,16 @@
             turns, writes = (count, 0) if when == "turn" else (0, count)
             self._owner.call_after_steps(turns, writes, strike)
 
-    def tail(self) -> str:
+    def log_tail(self) -> str:
         return self._why
 
-    async def ended(self) -> int:
+    async def wait_for_exit(self) -> int:
         return await asyncio.shield(self._end)
 
-    async def gone(self) -> int:
+    async def wait_or_kill(self) -> int:
         return await asyncio.shield(self._end)
 
-    def sample(self) -> None: ...  # its CPU and memory are the whole process's
+    def sample_usage(self) -> None: ...  # its CPU and memory are the whole process's
 
 
 class _Errors(logging.Handler):
--- a/tests/rehearsal/test_together.py
+++ b/tests/rehearsal/test_together.py
@@ -22,8 +22,8 @@
 from cypresspulley.operators import OperatorsError, load_operators
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.calendars import (
-    OLD,
-    TODAY,
+    INITIAL_VERSION,
+    LAST_WEEK_VERSION,
     CalendarVersions,
     caching_accounts,
     local_times_by_date,
@@ -392,15 +392,15 @@
         "lisbon",
     }
     calendars = CalendarVersions(scenario.closing, accounts, 1_800_000_000)
-    old, today = calendars.old(), calendars.today()
-    assert (old["version"], today["version"]) == (OLD, TODAY)
+    old, today = calendars.last_week(), calendars.initial()
+    assert (old["version"], today["version"]) == (LAST_WEEK_VERSION, INITIAL_VERSION)
     assert old["places"]["vadodara"]["special"] == {}
     assert today["places"]["lisbon"]["special"] == {"2027-01-15": ["08:00:03"]}
-    told = calendars.tell("lisbon", 1_800_000_004, 1_800_000_000.2)
-    assert told["version"] == TODAY + 1
+    told = calendars.add_closing("lisbon", 1_800_000_004, 1_800_000_000.2)
+    assert told["version"] == INITIAL_VERSION + 1
     assert told["in_force"].timestamp() >= 1_800_000_000.2 + scenario.closing.notice
     assert told["places"]["lisbon"]["changes"] == [{"date": "2027-01-15", "closes": ["08:00:03", "08:00:04"]}]
-    closings = {at for account, at in calendars.truth() if accounts[account] == "lisbon"}
+    closings = {at for account, at in calendars.expected_closings() if accounts[account] == "lisbon"}
     assert closings == {1_800_000_003.0}
 
 
@@ -410,17 +410,20 @@
     def __init__(self) -> None:
         self.calendars = list[tuple[int, bool]]()
 
-    def calendar(self, raw: dict[str, Any], told: bool = False) -> None:
-        self.calendars.append((raw["version"], told))
+    def write_calendar(self, raw: dict[str, Any], reload: bool = False) -> None:
+        self.calendars.append((raw["version"], reload))
 
 
 @pytest.mark.parametrize(
     ("event", "true"),
     [
-        ({"version": TODAY + 1, "state": "held", "mono": 100.0, "in_force": 101.3}, True),
-        ({"version": TODAY + 1, "state": "held", "mono": 100.0, "in_force": 101.0}, False),  # late: no notice
-        ({"version": TODAY + 1, "state": "refused", "mono": 100.0, "in_force": 200.0}, False),
-        ({"version": TODAY, "state": "held", "mono": 100.0, "in_force": 200.0}, False),
+        ({"version": INITIAL_VERSION + 1, "state": "held", "mono": 100.0, "in_force": 101.3}, True),
+        (
+            {"version": INITIAL_VERSION + 1, "state": "held", "mono": 100.0, "in_force": 101.0},
+            False,
+        ),  # late: no notice
+        ({"version": INITIAL_VERSION + 1, "state": "refused", "mono": 100.0, "in_force": 200.0}, False),
+        ({"version": INITIAL_VERSION, "state": "held", "mono": 100.0, "in_force": 200.0}, False),
     ],
 )
 def test_a_closing_told_on_the_way_is_true_where_a_limiter_took_it_in_time(
@@ -434,16 +437,16 @@
     plan, limiters = draw_plan(scenario, 4), {name: _Told() for name in limiter_names(scenario)}
     assert scenario.closing is not None
     closings = ClosingSchedule(scenario.closing, plan, limiters, 1_800_000_000)  # type: ignore[arg-type]
-    closings.give()
+    closings.write_initial_calendars()
     for fault in plan.faults:
-        closings.strike(fault, 1_800_000_001.0)
+        closings.apply_fault(fault, 1_800_000_001.0)
     found = {name: told.calendars for name, told in limiters.items()}
     assert found == {
-        "limiter-0": [(TODAY, False)],
-        "limiter-1": [(TODAY, False), (TODAY + 1, True)],
-        "limiter-2": [(OLD, False)],
+        "limiter-0": [(INITIAL_VERSION, False)],
+        "limiter-1": [(INITIAL_VERSION, False), (INITIAL_VERSION + 1, True)],
+        "limiter-2": [(LAST_WEEK_VERSION, False)],
     }
-    truth = {at - 1_800_000_000 for account, at in closings.truth([event])
+    truth = {at - 1_800_000_000 for account, at in closings.expected_closings([event])
              if closings.caching_accounts[account] == "vadodara"}  # fmt: skip
     assert truth == ({1.0, 3.0, 4.0} if true else {1.0, 3.0})
 
@@ -494,9 +497,9 @@
     assert scenario.closing is not None
     accounts = caching_accounts(scenario.closing, draw_plan(scenario, 4))
     calendars, start = CalendarVersions(scenario.closing, accounts, 1_800_000_000), 1_800_000_000
-    calendars.tell("vadodara", start + 4, float(start))
+    calendars.add_closing("vadodara", start + 4, float(start))
     path = tmp_path / "c.toml"
-    path.write_text(tomli_w.dumps(calendars.tell("lisbon", start + 5, float(start))))
+    path.write_text(tomli_w.dumps(calendars.add_closing("lisbon", start + 5, float(start))))
     read = load_calendar(str(path))
     for place, expected in (("vadodara", [1, 3, 4]), ("lisbon", [3, 5])):
         ordinals = [read.timeline(place).ordinal(start + s + 0.5) for s in range(-1, 7)]
@@ -518,7 +521,7 @@
     harness.record(log.Left(0, "i2", "impatient"))
     harness.record(log.LimiterState(0, "n0", "ready"))
     harness.record(log.Happened(0, 1.0, "server-hang", "s1"))
-    harness.over()
+    harness.end_day()
     harness.record(log.LimiterState(0, "n0", "stopping"))
     kinds = [(event["kind"], {k: event[k] for k in FACTS[Kind(event["kind"])]}) for event in history.events]
     assert kinds[1] == ("fault", {"kind_of": "limiter-kill", "targets": ["n0"], "on": True})
@@ -582,7 +585,9 @@
 def test_a_broken_promise_fails_the_day_as_a_broken_rule_does() -> None:
     records = [*_kept_day()[:-1], log.Checked(20.0, "fleet", 3, ()), log.End(30.0)]
     good = judge(records)
-    assert good.passed and conclusion(good).startswith("PASSED: all five rules kept, the promises of fleet kept")
+    assert good.passed and conclusion(good).startswith(
+        "PASSED: all five rules kept, the promises of fleet kept"
+    )
     text = "detected: n0 knew never that n1 was killed\n4.2 n1 fleet.member"
     bad = judge([*records[:-1], log.Checked(20.0, "lanes", 2, (text,)), log.End(30.0)])
     assert not bad.passed and conclusion(bad) == "FAILED: broken: what lanes promises"
