--- a/cypresspulley/rehearsal/limiters.py
+++ b/cypresspulley/rehearsal/limiters.py
@@ -20,18 +20,18 @@
 from cypresspulley.rehearsal.plan import random_for
 from cypresspulley.rehearsal.scenario import Scenario
 
-READY_WITHIN = 20.0  # seconds from start to the first good answer
-STOP_WITHIN = 6.0  # seconds from SIGTERM until SIGKILL
-UPGRADE_WITHIN = 6.0  # seconds for a second process to say that it serves
-LOG_TAIL = 400  # bytes of a log that an error shows
-MOST_ANSWER = 64 * 1024  # bytes of a door's answer
+READY_TIMEOUT_SECONDS = 20.0  # seconds from start to the first good answer
+STOP_TIMEOUT_SECONDS = 6.0  # seconds from SIGTERM until SIGKILL
+UPGRADE_TIMEOUT_SECONDS = 6.0  # seconds for a second process to say that it serves
+LOG_TAIL_BYTES = 400  # bytes of a log that an error shows
+MAX_ANSWER_BYTES = 64 * 1024  # bytes of a door's answer
 
 
 class HarnessError(Exception):
     """The kit itself could not do its work; the text says what to do."""
 
 
-def write_whole(path: Path, text: str) -> None:
+def write_atomically(path: Path, text: str) -> None:
     """Write a file so that who reads it meanwhile has the old text or the new, nothing between."""
     partial = path.with_name(path.name + ".part")
     try:
@@ -92,7 +92,7 @@
         return port
 
 
-def unseen(when: str) -> HarnessError:
+def virtual_time_only(when: str) -> HarnessError:
     """The error of a kill that only a loop in virtual time can see the moment of."""
     return HarnessError(
         f"a limiter-kill with when = {when!r} can be played in virtual time only: add --virtual"
@@ -114,19 +114,19 @@
         self._command = command
         self._seed = seed
         self._sockets = sockets
-        self._path = folder / f"{name}.json"
+        self._config_path = folder / f"{name}.json"
         self.log_path = folder / f"{name}.log"
         self.process: asyncio.subprocess.Process | None = None
-        self._seen: psutil.Process | None = None
-        self._file: BinaryIO | None = None
+        self._ps_process: psutil.Process | None = None
+        self._log_file: BinaryIO | None = None
         self.start_count = 0
         self.cpu_seconds = 0.0
         self.memory_mb = 0.0
-        self._cpu = 0.0
+        self._process_cpu_seconds = 0.0
         self.expected_end = False
         self.operated = False  # whether it has a door
-        self._door: tuple[str, int] | None = None
-        self._raw = dict[str, Any]()
+        self._operator_address: tuple[str, int] | None = None
+        self._raw_config = dict[str, Any]()
         self._environment = dict[str, str]()
 
     def __repr__(self) -> str:
@@ -141,12 +141,12 @@
         """Write its configuration, whole or not at all: a reload may read it at any time."""
         listen = f"{self.address[0]}:{self.address[1]}"
         seed = f"{random_for(self._seed, 'limiter', self.name, self.start_count).getrandbits(64):016x}"
-        self._raw = raw
+        self._raw_config = raw
         if self.operated:
-            self._door = self.address[0], free_port(self.address[0])
-            raw = raw | {"operator": f"{self._door[0]}:{self._door[1]}"}
+            self._operator_address = self.address[0], free_port(self.address[0])
+            raw = raw | {"operator": f"{self._operator_address[0]}:{self._operator_address[1]}"}
         text = json.dumps({"name": self.name, "listen": listen, "seed": seed, **raw}, indent=1)
-        write_whole(self._path, text)
+        write_atomically(self._config_path, text)
 
     def configure_plan_book(self, host: str, port: int) -> None:
         """From its next start on it follows the plan book whose writer is there."""
@@ -162,11 +162,11 @@
         histories = self._folder / "histories"
         histories.mkdir(exist_ok=True)
         path = str(histories / f"{self.name}-{{life}}.jsonl")
-        tables["history"] = {"path": path, "clock": str(self._beside(".clock"))}
+        tables["history"] = {"path": path, "clock": str(self._sibling_path(".clock"))}
         if "closing" in tables:
-            tables["closing"]["calendars"] = self._beside("-calendars.toml").name
-        operators = self._beside("-operators.toml")
-        write_whole(operators, tomli_w.dumps(tables))
+            tables["closing"]["calendars"] = self._sibling_path("-calendars.toml").name
+        operators = self._sibling_path("-operators.toml")
+        write_atomically(operators, tomli_w.dumps(tables))
         self._command = [*self._command, "--operators", str(operators)]
         self._environment["FAWNSEAM_FLEET_KEY"] = key
         self.set_clock_shift(Shift())
@@ -175,43 +175,43 @@
         """Replace its calendar file; ``told``: it is to read it now."""
         import tomli_w
 
-        write_whole(self._beside("-calendars.toml"), tomli_w.dumps(raw))
+        write_atomically(self._sibling_path("-calendars.toml"), tomli_w.dumps(raw))
         if reload:
             self.signal(signal.SIGHUP)
 
     def set_clock_shift(self, shift: Shift) -> None:
         """Set its wall clock off from now on; the one that never steps stays."""
-        write_whole(self._beside(".clock"), shift.line())
+        write_atomically(self._sibling_path(".clock"), shift.line())
 
-    def _beside(self, ending: str) -> Path:
+    def _sibling_path(self, ending: str) -> Path:
         return self._folder / f"{self.name}{ending}"
 
     async def start(self) -> None:
         self.start_count += 1
-        await self._begin()
+        await self._start_process()
 
-    async def _begin(self) -> None:
+    async def _start_process(self) -> None:
         self.expected_end = False
-        env = {**os.environ, "LB_CONFIG": str(self._path), "LB_NAME": self.name}
+        env = {**os.environ, "LB_CONFIG": str(self._config_path), "LB_NAME": self.name}
         env |= self._environment
         if self.operated:
             shared = self._folder / f"{self.name}-tmp"
             shared.mkdir(exist_ok=True)
             env["TMPDIR"] = str(shared)
         try:
-            self._file = open(self.log_path, "ab")  # noqa: SIM115 -- the child's for as long as it lives
+            self._log_file = open(self.log_path, "ab")  # noqa: SIM115 -- the child's for as long as it lives
             self.process = await asyncio.create_subprocess_exec(
-                *self._command, env=env, stdin=subprocess.DEVNULL, stdout=self._file, stderr=self._file,
-                start_new_session=True, preexec_fn=self._limit,
+                *self._command, env=env, stdin=subprocess.DEVNULL, stdout=self._log_file, stderr=self._log_file,
+                start_new_session=True, preexec_fn=self._limit_descriptors,
             )  # fmt: skip
         except OSError as error:
             raise HarnessError(f"{self.name} does not start: {error}: see {self.log_path}") from None
         finally:
-            if self._file is not None:
-                self._file.close()
-        self._cpu = 0.0
+            if self._log_file is not None:
+                self._log_file.close()
+        self._process_cpu_seconds = 0.0
         with contextlib.suppress(psutil.Error):
-            self._seen = psutil.Process(self.process.pid)
+            self._ps_process = psutil.Process(self.process.pid)
 
     async def call(self, method: str, path: str) -> int:
         """A call at its operators' door: the answer's status, 0 where there is none within a second."""
@@ -219,17 +219,17 @@
 
     async def call_for_json(self, method: str, path: str, within: float) -> tuple[int, dict[str, Any]]:
         """A call at its door: status and object of the answer; 0 and nothing where there is none in so many seconds."""
-        if self._door is None:
+        if self._operator_address is None:
             return 0, {}
         try:
             async with asyncio.timeout(within):
-                reader, writer = await asyncio.open_connection(*self._door)
+                reader, writer = await asyncio.open_connection(*self._operator_address)
                 try:
                     writer.write(f"{method} {path} HTTP/1.1\r\nHost: door\r\n\r\n".encode())
-                    head, _, body = (await reader.read(MOST_ANSWER)).partition(b"\r\n\r\n")
-                    while more := await reader.read(MOST_ANSWER):
+                    head, _, body = (await reader.read(MAX_ANSWER_BYTES)).partition(b"\r\n\r\n")
+                    while more := await reader.read(MAX_ANSWER_BYTES):
                         body += more
-                        if len(body) > MOST_ANSWER:
+                        if len(body) > MAX_ANSWER_BYTES:
                             break
                     raw = json.loads(body or b"{}")
                     return int(head.split()[1]), raw if isinstance(raw, dict) else {}
@@ -243,36 +243,36 @@
         old = self.process
         if old is None or not self.running:
             return False
-        self.configure(self._raw)  # a door of its own, all else the same
-        await self._begin()
+        self.configure(self._raw_config)  # a door of its own, all else the same
+        await self._start_process()
         try:
-            async with asyncio.timeout(UPGRADE_WITHIN):
+            async with asyncio.timeout(UPGRADE_TIMEOUT_SECONDS):
                 while await self.call("GET", "/v1/readyz") != 200:
                     await asyncio.sleep(0.03)
         except TimeoutError:
             raise HarnessError(
-                f"{self.name}: the new process gave no yes within {UPGRADE_WITHIN:g} s"
+                f"{self.name}: the new process gave no yes within {UPGRADE_TIMEOUT_SECONDS:g} s"
             ) from None
         old.send_signal(signal.SIGTERM)
         try:
-            async with asyncio.timeout(STOP_WITHIN):
+            async with asyncio.timeout(STOP_TIMEOUT_SECONDS):
                 await old.wait()
         except TimeoutError:
             old.kill()
             raise HarnessError(
-                f"{self.name}: the old process ignored SIGTERM for {STOP_WITHIN:g} s"
+                f"{self.name}: the old process ignored SIGTERM for {STOP_TIMEOUT_SECONDS:g} s"
             ) from None
         return True
 
-    def _limit(self) -> None:
+    def _limit_descriptors(self) -> None:
         """In the child, before the program: it may hold no more descriptors than it is told."""
         resource.setrlimit(resource.RLIMIT_NOFILE, (self._sockets, self._sockets))
 
     async def wait_until_ready(self) -> None:
         """Wait until it answers its health call with 200."""
         try:
-            async with asyncio.timeout(READY_WITHIN):
-                while not await self._healthy():
+            async with asyncio.timeout(READY_TIMEOUT_SECONDS):
+                while not await self._is_healthy():
                     if not self.running:
                         code = self.process.returncode if self.process else None
                         raise HarnessError(
@@ -281,10 +281,10 @@
                     await asyncio.sleep(0.03)
         except TimeoutError:
             raise HarnessError(
-                f"{self.name} was not ready within {READY_WITHIN:g} s: {self.log_tail()}"
+                f"{self.name} was not ready within {READY_TIMEOUT_SECONDS:g} s: {self.log_tail()}"
             ) from None
 
-    async def _healthy(self) -> bool:
+    async def _is_healthy(self) -> bool:
         try:
             reader, writer = await asyncio.open_connection(*self.address)
         except OSError:
@@ -301,7 +301,7 @@
     def log_tail(self) -> str:
         try:
             return (
-                self.log_path.read_bytes()[-LOG_TAIL:].decode("utf-8", "replace").strip()
+                self.log_path.read_bytes()[-LOG_TAIL_BYTES:].decode("utf-8", "replace").strip()
                 or "its log is empty"
             )
         except OSError:
@@ -321,7 +321,7 @@
 
     async def wait_or_kill(self) -> int:
         """Wait for its end, with SIGKILL for one that ignores SIGTERM; its exit code."""
-        within = STOP_WITHIN
+        within = STOP_TIMEOUT_SECONDS
         if self.process is None:
             return 0
         try:
@@ -334,14 +334,14 @@
 
     def sample_usage(self) -> None:
         """Note what it has used so far."""
-        if self._seen is None:
+        if self._ps_process is None:
             return
         with contextlib.suppress(psutil.Error):
-            times, memory = self._seen.cpu_times(), self._seen.memory_info().rss / 1e6
+            times, memory = self._ps_process.cpu_times(), self._ps_process.memory_info().rss / 1e6
             now = times.user + times.system
-            self.cpu_seconds += max(0.0, now - self._cpu)
-            self._cpu, self.memory_mb = max(self._cpu, now), max(self.memory_mb, memory)
+            self.cpu_seconds += max(0.0, now - self._process_cpu_seconds)
+            self._process_cpu_seconds, self.memory_mb = max(self._process_cpu_seconds, now), max(self.memory_mb, memory)
 
     def call_after_steps(self, when: str, count: int, strike: KillCallback) -> None:
         """Call ``strike`` behind so many of its turns or writes. A process's cannot be seen from outside."""
-        raise unseen(when)
+        raise virtual_time_only(when)
--- a/cypresspulley/rehearsal/play.py
+++ b/cypresspulley/rehearsal/play.py
@@ -30,7 +30,7 @@
     LimiterProcess,
     free_datagram_port,
     free_port,
-    unseen,
+    virtual_time_only,
     wire_settings,
 )
 from cypresspulley.rehearsal.overlapping_faults import OverlappingFaults, Value
@@ -846,7 +846,7 @@
     """
     for fault in scenario.faults:
         if fault.when in VIRTUAL_ONLY:
-            raise unseen(fault.when)
+            raise virtual_time_only(fault.when)
     plan, kept = plan or draw_plan(scenario, seed), records if records is not None else []
     folder = logs or Path(tempfile.mkdtemp(prefix="fawnseam-"))
     try:
--- a/cypresspulley/rehearsal/virtual/play.py
+++ b/cypresspulley/rehearsal/virtual/play.py
@@ -86,7 +86,7 @@
         self.histories = list[MemoryHistory]()  # of each of its processes
         self._operators = load_operators(operators) if operators else Operators()
         self._observer = observer
-        self._loop, self._raw = loop, dict[str, Any]()
+        self._loop, self._raw_config = loop, dict[str, Any]()
         self._owner: Owner | None = None
         self._service: Service | None = None
         self._end: asyncio.Future[int] = loop.create_future()
@@ -102,18 +102,18 @@
     def configure(self, raw: dict[str, Any]) -> None:
         listen = f"{self.address[0]}:{self.address[1]}"
         seed = f"{random_for(self._seed, 'limiter', self.name, self.start_count).getrandbits(64):016x}"
-        self._raw = {"name": self.name, "listen": listen, "seed": seed, **raw}
+        self._raw_config = {"name": self.name, "listen": listen, "seed": seed, **raw}
 
     def configure_plan_book(self, host: str, port: int) -> None:
         self._operators = replace(self._operators, plans=(f"{host}:{port}", "rehearsal"))
 
     def configure_fleet(self, tables: dict[str, dict[str, Any]], key: str) -> None:
         where, found = (
-            str(self._beside("-operators.toml")),
+            str(self._sibling_path("-operators.toml")),
             {name: dict(table) for name, table in tables.items()},
         )
         if "closing" in found:
-            found["closing"]["calendars"] = self._beside("-calendars.toml").name
+            found["closing"]["calendars"] = self._sibling_path("-calendars.toml").name
         own = {name: (where, table) for name, table in found.items()}
         self._operators = Operators(
             fleet=own.get("fleet"), lanes=own.get("lanes"), closing=own.get("closing")
@@ -127,7 +127,7 @@
         return self._shift.at(self._clock())
 
     def _config(self) -> Config:
-        return config_from(json.loads(json.dumps(self._raw)))
+        return config_from(json.loads(json.dumps(self._raw_config)))
 
     async def start(self) -> None:
         self.start_count += 1
--- a/tests/rehearsal/test_command.py
+++ b/tests/rehearsal/test_command.py
@@ -191,7 +191,7 @@
 
 
 def test_a_limiter_that_ignores_sigterm_is_killed_and_named(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("cypresspulley.rehearsal.limiters.STOP_WITHIN", 0.5)
+    monkeypatch.setattr("cypresspulley.rehearsal.limiters.STOP_TIMEOUT_SECONDS", 0.5)
     assert "ignored SIGTERM for 0.5 s and was killed" in outcome_of(command("ignores-sigterm"))
 
 
