--- a/cypresspulley/rehearsal/limiters.py
+++ b/cypresspulley/rehearsal/limiters.py
@@ -1,4 +1,4 @@
-"""The limiters of a rehearsal: real processes, their configuration files, their ends."""
+"""Runs the limiters of a rehearsal as real processes: writes their configuration, starts, signals and stops them."""
 
 from __future__ import annotations
 
@@ -20,19 +20,22 @@
 from cypresspulley.rehearsal.plan import random_for
 from cypresspulley.rehearsal.scenario import Scenario
 
-READY_TIMEOUT_SECONDS = 20.0  # seconds from start to the first good answer
-STOP_TIMEOUT_SECONDS = 6.0  # seconds from SIGTERM until SIGKILL
-UPGRADE_TIMEOUT_SECONDS = 6.0  # seconds for a second process to say that it serves
-LOG_TAIL_BYTES = 400  # bytes of a log that an error shows
-MAX_ANSWER_BYTES = 64 * 1024  # bytes of a door's answer
+READY_TIMEOUT_SECONDS = 20.0  # from the start to the first 200 from /healthz
+STOP_TIMEOUT_SECONDS = 6.0  # from SIGTERM to SIGKILL
+UPGRADE_TIMEOUT_SECONDS = 6.0  # for the successor process to report ready
+LOG_TAIL_BYTES = 400  # of a limiter's log that an error message quotes
+MAX_ANSWER_BYTES = 64 * 1024  # of an answer on the operator address
 
 
 class HarnessError(Exception):
-    """The kit itself could not do its work; the text says what to do."""
+    """Raised when the rehearsal itself cannot go on. The message says what to do."""
 
 
 def write_atomically(path: Path, text: str) -> None:
-    """Write a file so that who reads it meanwhile has the old text or the new, nothing between."""
+    """Replaces a file atomically, so that a concurrent reader sees either the old text or the new one.
+
+    Raises ``HarnessError`` if it cannot be written.
+    """
     partial = path.with_name(path.name + ".part")
     try:
         partial.write_text(text, encoding="utf-8")
@@ -42,7 +45,7 @@
 
 
 def wire_settings(scenario: Scenario, index: int, hall: str) -> dict[str, Any]:
-    """The settings object of a limiter's configuration, in the protocol's names; times in seconds."""
+    """Returns the settings object of a limiter's configuration, with the protocol's keys and times in seconds."""
     effects = {"safe": "idempotent", "keyed": "deduplicated", "unsafe": "at_most_once"}
     fleet = scenario.fleet
     return {
@@ -77,7 +80,7 @@
 
 
 def free_port(host: str) -> int:
-    """A port of ``host`` that is free now; the address is this run's own, so it stays so."""
+    """Returns a free TCP port of ``host``. It stays free, because no other run uses the address."""
     with socket.socket() as probe:
         probe.bind((host, 0))
         port: int = probe.getsockname()[1]
@@ -85,7 +88,7 @@
 
 
 def free_datagram_port(host: str) -> int:
-    """A port of ``host`` for datagrams that is free now."""
+    """Returns a free UDP port of ``host``."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
         probe.bind((host, 0))
         port: int = probe.getsockname()[1]
@@ -93,7 +96,7 @@
 
 
 def virtual_time_only(when: str) -> HarnessError:
-    """The error of a kill that only a loop in virtual time can see the moment of."""
+    """Returns the error for a kill at a turn or write, which only the virtual event loop can observe."""
     return HarnessError(
         f"a limiter-kill with when = {when!r} can be played in virtual time only: add --virtual"
     )
@@ -103,7 +106,7 @@
 
 
 class LimiterProcess:
-    """One limiter: started from its configuration, ended by signals, followed until it is gone."""
+    """One limiter: starts it from its configuration file, signals it and waits for its exit."""
 
     def __init__(
         self, name: str, address: tuple[str, int], folder: Path, command: list[str], seed: int, sockets: int
@@ -124,7 +127,7 @@
         self.memory_mb = 0.0
         self._process_cpu_seconds = 0.0
         self.expected_end = False
-        self.operated = False  # whether it has a door
+        self.operated = False  # whether it listens for operators' calls
         self._operator_address: tuple[str, int] | None = None
         self._raw_config = dict[str, Any]()
         self._environment = dict[str, str]()
@@ -138,7 +141,7 @@
         return self.process is not None and self.process.returncode is None
 
     def configure(self, raw: dict[str, Any]) -> None:
-        """Write its configuration, whole or not at all: a reload may read it at any time."""
+        """Writes its configuration file atomically, because a reload may read it at any time."""
         listen = f"{self.address[0]}:{self.address[1]}"
         seed = f"{random_for(self._seed, 'limiter', self.name, self.start_count).getrandbits(64):016x}"
         self._raw_config = raw
@@ -149,14 +152,14 @@
         write_atomically(self._config_path, text)
 
     def configure_plan_book(self, host: str, port: int) -> None:
-        """From its next start on it follows the plan book whose writer is there."""
+        """Sets the address of the plan book's writer, which the limiter follows from its next start on."""
         path = self._folder / f"{self.name}-operators.toml"
         path.write_text(f'[plans]\nwriter = "{host}:{port}"\ninstallation = "rehearsal"\n')
         self._command = [*self._command, "--operators", str(path)]
 
     def configure_fleet(self, tables: dict[str, dict[str, Any]], key: str) -> None:
-        """From its next start on it has these operators' tables, the fleet's key, a history and a clock of its own."""
-        import tomli_w  # for days on which limiters do something together only
+        """Sets operators' tables, fleet key, history and clock file, all from the next start on."""
+        import tomli_w  # only needed for scenarios with [together]
 
         tables = {name: dict(table) for name, table in tables.items()}
         histories = self._folder / "histories"
@@ -172,7 +175,7 @@
         self.set_clock_shift(Shift())
 
     def write_calendar(self, raw: dict[str, Any], reload: bool = False) -> None:
-        """Replace its calendar file; ``told``: it is to read it now."""
+        """Replaces its calendar file. With ``reload``, SIGHUP makes the limiter read it now."""
         import tomli_w
 
         write_atomically(self._sibling_path("-calendars.toml"), tomli_w.dumps(raw))
@@ -180,7 +183,7 @@
             self.signal(signal.SIGHUP)
 
     def set_clock_shift(self, shift: Shift) -> None:
-        """Set its wall clock off from now on; the one that never steps stays."""
+        """Shifts its wall clock from now on. Its steady clock stays as it is."""
         write_atomically(self._sibling_path(".clock"), shift.line())
 
     def _sibling_path(self, ending: str) -> Path:
@@ -199,7 +202,7 @@
             shared.mkdir(exist_ok=True)
             env["TMPDIR"] = str(shared)
         try:
-            self._log_file = open(self.log_path, "ab")  # noqa: SIM115 -- the child's for as long as it lives
+            self._log_file = open(self.log_path, "ab")  # noqa: SIM115 -- inherited by the child process
             self.process = await asyncio.create_subprocess_exec(
                 *self._command, env=env, stdin=subprocess.DEVNULL, stdout=self._log_file, stderr=self._log_file,
                 start_new_session=True, preexec_fn=self._limit_descriptors,
@@ -214,11 +217,14 @@
             self._ps_process = psutil.Process(self.process.pid)
 
     async def call(self, method: str, path: str) -> int:
-        """A call at its operators' door: the answer's status, 0 where there is none within a second."""
+        """Sends an operators' call and returns the status, or 0 if there is no answer within a second."""
         return (await self.call_for_json(method, path, 1.0))[0]
 
     async def call_for_json(self, method: str, path: str, within: float) -> tuple[int, dict[str, Any]]:
-        """A call at its door: status and object of the answer; 0 and nothing where there is none in so many seconds."""
+        """Sends an operators' call and returns the answer's status and object.
+
+        Returns 0 and an empty object if there is no valid answer ``within`` so many seconds.
+        """
         if self._operator_address is None:
             return 0, {}
         try:
@@ -239,11 +245,14 @@
             return 0, {}
 
     async def upgrade(self) -> bool:
-        """Start the program once more beside itself, wait for its yes, and end the old process."""
+        """Starts a successor process, waits until it is ready and stops the old process.
+
+        Returns False if the limiter is not running. Raises ``HarnessError`` if either process takes too long.
+        """
         old = self.process
         if old is None or not self.running:
             return False
-        self.configure(self._raw_config)  # a door of its own, all else the same
+        self.configure(self._raw_config)  # the same but for the operator address
         await self._start_process()
         try:
             async with asyncio.timeout(UPGRADE_TIMEOUT_SECONDS):
@@ -251,7 +260,7 @@
                     await asyncio.sleep(0.03)
         except TimeoutError:
             raise HarnessError(
-                f"{self.name}: the new process gave no yes within {UPGRADE_TIMEOUT_SECONDS:g} s"
+                f"{self.name}: the new process was not ready within {UPGRADE_TIMEOUT_SECONDS:g} s"
             ) from None
         old.send_signal(signal.SIGTERM)
         try:
@@ -265,11 +274,11 @@
         return True
 
     def _limit_descriptors(self) -> None:
-        """In the child, before the program: it may hold no more descriptors than it is told."""
+        """Runs in the child before exec: limits its file descriptors to the configured number."""
         resource.setrlimit(resource.RLIMIT_NOFILE, (self._sockets, self._sockets))
 
     async def wait_until_ready(self) -> None:
-        """Wait until it answers its health call with 200."""
+        """Waits until /healthz answers 200. Raises ``HarnessError`` if it exits first or takes too long."""
         try:
             async with asyncio.timeout(READY_TIMEOUT_SECONDS):
                 while not await self._is_healthy():
@@ -308,7 +317,7 @@
             return f"see {self.log_path}"
 
     def signal(self, number: int) -> None:
-        """Send it a signal; one that has ended gets none."""
+        """Sends it a signal, unless it has exited."""
         self.sample_usage()
         self.expected_end |= number in (signal.SIGKILL, signal.SIGTERM)
         if self.process is not None and self.running:
@@ -316,11 +325,14 @@
                 self.process.send_signal(number)
 
     async def wait_for_exit(self) -> int:
-        """Wait for its end, however long; its exit code."""
+        """Waits for its exit without a time limit and returns the exit code."""
         return await self.process.wait() if self.process is not None else 0
 
     async def wait_or_kill(self) -> int:
-        """Wait for its end, with SIGKILL for one that ignores SIGTERM; its exit code."""
+        """Waits for its exit and returns the exit code.
+
+        Kills a process that ignores SIGTERM, and raises ``HarnessError``.
+        """
         within = STOP_TIMEOUT_SECONDS
         if self.process is None:
             return 0
@@ -333,15 +345,18 @@
             raise HarnessError(f"{self.name} ignored SIGTERM for {within:g} s and was killed") from None
 
     def sample_usage(self) -> None:
-        """Note what it has used so far."""
+        """Updates the CPU time and peak memory that it has used so far."""
         if self._ps_process is None:
             return
         with contextlib.suppress(psutil.Error):
             times, memory = self._ps_process.cpu_times(), self._ps_process.memory_info().rss / 1e6
             now = times.user + times.system
             self.cpu_seconds += max(0.0, now - self._process_cpu_seconds)
-            self._process_cpu_seconds, self.memory_mb = max(self._process_cpu_seconds, now), max(self.memory_mb, memory)
+            self._process_cpu_seconds, self.memory_mb = (
+                max(self._process_cpu_seconds, now),
+                max(self.memory_mb, memory),
+            )
 
-    def call_after_steps(self, when: str, count: int, strike: KillCallback) -> None:
-        """Call ``strike`` behind so many of its turns or writes. A process's cannot be seen from outside."""
+    def call_after_steps(self, when: str, count: int, callback: KillCallback) -> None:
+        """Calls ``callback`` after ``count`` turns or writes. A real process does not show them: raises."""
         raise virtual_time_only(when)
--- a/cypresspulley/rehearsal/virtual/play.py
+++ b/cypresspulley/rehearsal/virtual/play.py
@@ -196,10 +196,10 @@
         else:
             self._loop.deliver(self._owner, number)
 
-    def call_after_steps(self, when: str, count: int, strike: KillCallback) -> None:
+    def call_after_steps(self, when: str, count: int, callback: KillCallback) -> None:
         if self._owner is not None:
             turns, writes = (count, 0) if when == "turn" else (0, count)
-            self._owner.call_after_steps(turns, writes, strike)
+            self._owner.call_after_steps(turns, writes, callback)
 
     def log_tail(self) -> str:
         return self._why
