--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -22,7 +22,7 @@
 from cypresspulley.explore.schedule import as_raw, sooner
 from cypresspulley.rehearsal.judge import Verdict, judge
 from cypresspulley.rehearsal.play import play
-from cypresspulley.rehearsal.scenario import Scenario, load_scenario, parse_scenario, shipped
+from cypresspulley.rehearsal.scenario import Scenario, load_scenario, parse_scenario, shipped_scenarios
 from cypresspulley.rehearsal.virtual.play import play_virtual
 
 AGAIN = 2
@@ -70,7 +70,7 @@
     parser.add_argument("--jobs", type=int, default=3)
     parser.add_argument("--json", type=Path)
     options = parser.parse_args()
-    cases = [(name, seed) for name in shipped() for seed in range(1, options.seeds + 1)]
+    cases = [(name, seed) for name in shipped_scenarios() for seed in range(1, options.seeds + 1)]
     rows = list[dict[str, Any]]()
     with ProcessPoolExecutor(options.jobs, mp_context=multiprocessing.get_context("spawn")) as pool:
         for row in pool.map(partial(compare, options.seconds), cases):
--- a/cypresspulley/explore/command.py
+++ b/cypresspulley/explore/command.py
@@ -13,7 +13,7 @@
 from cypresspulley.console import check_folders, fail
 from cypresspulley.explore.examine import examine
 from cypresspulley.explore.search import Result, Wanted, search, write
-from cypresspulley.rehearsal.scenario import Scenario, load_scenario, shipped
+from cypresspulley.rehearsal.scenario import Scenario, load_scenario, shipped_scenarios
 
 NONE_FOUND, FOUND, BAD_INPUT, BROKEN_KIT, INTERRUPTED = 0, 1, 2, 3, 130
 NEVER_SHOWN = 12
@@ -33,7 +33,7 @@
     results = list[Result]()
     try:
         check_folders(outputs.json, outputs.png)
-        scenarios = [load_scenario(each) for each in (shipped() if name == "all" else [name])]
+        scenarios = [load_scenario(each) for each in (shipped_scenarios() if name == "all" else [name])]
         if name == "all":  # what two processes are needed for has no place in virtual time
             scenarios = [each for each in scenarios if not each.on_sockets_only]
         outputs.out.mkdir(parents=True, exist_ok=True)
--- a/cypresspulley/explore/schedule.py
+++ b/cypresspulley/explore/schedule.py
@@ -9,22 +9,22 @@
 
 from cypresspulley.rehearsal.plan import random_for
 from cypresspulley.rehearsal.scenario import (
-    BOOKED,
-    CALENDARS,
+    CLOSING_KINDS,
     FAULT_KEYS,
-    FLEET,
-    ON_LIMITERS,
-    OPERATED,
-    SOCKETS_ONLY,
+    FLEET_KINDS,
+    LIMITER_KIND_PREFIXES,
+    OPERATOR_KINDS,
+    PLAN_BOOK_KINDS,
+    SOCKET_ONLY_KINDS,
     Scenario,
     limiter_names,
     parse_scenario,
     server_names,
 )
 
-KINDS = tuple(sorted(FAULT_KEYS.keys() - OPERATED - BOOKED - FLEET))
+KINDS = tuple(sorted(FAULT_KEYS.keys() - OPERATOR_KINDS - PLAN_BOOK_KINDS - FLEET_KINDS))
 WITH_OPERATORS = tuple(
-    sorted(FAULT_KEYS.keys() - SOCKETS_ONLY - BOOKED - FLEET)
+    sorted(FAULT_KEYS.keys() - SOCKET_ONLY_KINDS - PLAN_BOOK_KINDS - FLEET_KINDS)
 )  # what the door brings beside them
 OFFSETS = (-3600.0, -2.0, -0.3, 0.05, 0.4, 5.0)  # seconds that a drawn clock is off
 LEAST = {
@@ -44,9 +44,9 @@
     """What may be drawn on a scenario's days: faults between limiters where these do something together."""
     kinds = set(WITH_OPERATORS if operators else KINDS)
     if scenario.together is not None:
-        kinds |= FLEET - CALENDARS
+        kinds |= FLEET_KINDS - CLOSING_KINDS
     if scenario.closing is not None:
-        kinds |= CALENDARS
+        kinds |= CLOSING_KINDS
     return tuple(sorted(kinds))
 
 
@@ -96,7 +96,7 @@
     """Faults lose the targets that are no longer there, and go with the last of them."""
     count, kept = raw["limiters"]["count"], list[Raw]()
     for fault in raw["fault"]:
-        if fault["kind"].startswith(ON_LIMITERS) and fault.get("targets"):
+        if fault["kind"].startswith(LIMITER_KIND_PREFIXES) and fault.get("targets"):
             there = [name for name in fault["targets"] if int(name.rpartition("-")[2]) < count]
             if not there:
                 continue
@@ -150,7 +150,7 @@
     keys, at = FAULT_KEYS[kind], round(rng.uniform(0.0, 0.8 * day.seconds), 3)
     fault: Raw = {"kind": kind, "at": at}
     pools = {
-        **{name: limiter_names(day) for name in ON_LIMITERS},
+        **{name: limiter_names(day) for name in LIMITER_KIND_PREFIXES},
         "server": server_names(day),
         "hall": list(day.fleet.halls),
     }
--- a/cypresspulley/rehearsal/command.py
+++ b/cypresspulley/rehearsal/command.py
@@ -21,7 +21,7 @@
 from cypresspulley.rehearsal.plan import Plan, draw_plan
 from cypresspulley.rehearsal.play import ScenarioRunner, keep, play
 from cypresspulley.rehearsal.report import print_verdict
-from cypresspulley.rehearsal.scenario import Scenario, ScenarioError, load_scenario, shipped
+from cypresspulley.rehearsal.scenario import Scenario, ScenarioError, load_scenario, shipped_scenarios
 from cypresspulley.rehearsal.timeline import JudgeError, Timeline
 
 KEPT = 0
@@ -50,7 +50,7 @@
     """Print the shipped scenarios, a line each."""
     console = Console(highlight=False, soft_wrap=True)
     try:
-        for name in shipped():
+        for name in shipped_scenarios():
             scenario = load_scenario(name)
             console.print(f"{name:22} {scenario.seconds:3.0f} s  {scenario.about}", markup=False)
     except ScenarioError as error:
--- a/cypresspulley/rehearsal/harness_history.py
+++ b/cypresspulley/rehearsal/harness_history.py
@@ -12,7 +12,7 @@
 from cypresspulley.histories.events import Kind
 from cypresspulley.histories.writer import AnyHistory
 from cypresspulley.rehearsal import records as log
-from cypresspulley.rehearsal.scenario import FLEET
+from cypresspulley.rehearsal.scenario import FLEET_KINDS
 
 NAME = "harness"
 ENDING = {
@@ -66,7 +66,7 @@
                 self.put(Kind.ANSWER, id=record.id, status=0, made=None, kept=False)
             case log.LimiterState():
                 self._state(record)
-            case log.Happened() if record.kind not in FLEET and not record.kind.startswith("limiter-"):
+            case log.Happened() if record.kind not in FLEET_KINDS and not record.kind.startswith("limiter-"):
                 self.fault(record.kind, [record.target] if record.target else [], True)
             case _:
                 pass
--- a/cypresspulley/rehearsal/limiters.py
+++ b/cypresspulley/rehearsal/limiters.py
@@ -127,7 +127,7 @@
         self.memory_mb = 0.0
         self._process_cpu_seconds = 0.0
         self.expected_end = False
-        self.operated = False  # whether it listens for operators' calls
+        self.has_operator_address = False  # whether it listens for operators' calls
         self._operator_address: tuple[str, int] | None = None
         self._raw_config = dict[str, Any]()
         self._environment = dict[str, str]()
@@ -145,7 +145,7 @@
         listen = f"{self.address[0]}:{self.address[1]}"
         seed = f"{random_for(self._seed, 'limiter', self.name, self.start_count).getrandbits(64):016x}"
         self._raw_config = raw
-        if self.operated:
+        if self.has_operator_address:
             self._operator_address = self.address[0], free_port(self.address[0])
             raw = raw | {"operator": f"{self._operator_address[0]}:{self._operator_address[1]}"}
         text = json.dumps({"name": self.name, "listen": listen, "seed": seed, **raw}, indent=1)
@@ -197,7 +197,7 @@
         self.expected_end = False
         env = {**os.environ, "LB_CONFIG": str(self._config_path), "LB_NAME": self.name}
         env |= self._environment
-        if self.operated:
+        if self.has_operator_address:
             shared = self._folder / f"{self.name}-tmp"
             shared.mkdir(exist_ok=True)
             env["TMPDIR"] = str(shared)
--- a/cypresspulley/rehearsal/plan.py
+++ b/cypresspulley/rehearsal/plan.py
@@ -14,8 +14,8 @@
 from typing import Any
 
 from cypresspulley.rehearsal.scenario import (
-    DATAGRAMS,
-    ON_LIMITERS,
+    DATAGRAM_KINDS,
+    LIMITER_KIND_PREFIXES,
     ClassRow,
     Fault,
     PlanRow,
@@ -210,14 +210,14 @@
 
 def _faults(scenario: Scenario, rng: Random) -> list[PlannedFault]:
     names = {
-        **{kind: limiter_names(scenario) for kind in ON_LIMITERS},
+        **{kind: limiter_names(scenario) for kind in LIMITER_KIND_PREFIXES},
         "server": server_names(scenario),
         "hall": list(scenario.fleet.halls),
     }
     rows = list[PlannedFault]()
     for fault in scenario.faults:
         pool = names.get(fault.kind.partition("-")[0], [])
-        if fault.kind in DATAGRAMS and not fault.targets:
+        if fault.kind in DATAGRAM_KINDS and not fault.targets:
             pool = []  # every way between limiters, or those that its groups say
         targets = fault.targets or tuple(sorted(rng.sample(pool, min(len(pool), fault.count))))
         until = min(scenario.seconds, fault.at + (fault.lasts or 0.0))
--- a/cypresspulley/rehearsal/play.py
+++ b/cypresspulley/rehearsal/play.py
@@ -35,7 +35,7 @@
 )
 from cypresspulley.rehearsal.overlapping_faults import OverlappingFaults, Value
 from cypresspulley.rehearsal.plan import Plan, PlannedFault, draw_plan, random_for, sample_work
-from cypresspulley.rehearsal.scenario import VIRTUAL_ONLY, Scenario, limiter_names, server_names
+from cypresspulley.rehearsal.scenario import VIRTUAL_ONLY_TRIGGERS, Scenario, limiter_names, server_names
 from cypresspulley.rehearsal.standins.bagserver import BagServer, RepeatMemory
 from cypresspulley.rehearsal.standins.clients import ClientFleet, Front
 from cypresspulley.rehearsal.standins.discovery import Agent, Host
@@ -188,7 +188,7 @@
             name: limiter(name, self.net.host(250, i)) for i, name in enumerate(limiter_names(scenario))
         }
         for each in self.limiters.values():
-            each.operated = scenario.operated
+            each.has_operator_address = scenario.uses_operator_calls
         self.front = Front(list(self.limiters))
         self.clients = ClientFleet(
             self.stage, self.front, lambda name: self.limiters[name].address, scenario.clients, classes,
@@ -236,7 +236,7 @@
 
     async def open_books(self) -> None:
         """The plan book's writer, with a way to it for each limiter, before any of them starts."""
-        if not self.scenario.booked:
+        if not self.scenario.uses_plan_book:
             return
         from cypresspulley.rehearsal.standins.bookkeeper import Bookkeeper
 
@@ -596,7 +596,7 @@
         if fault.kind == "limiter-kill" and fault.spec.when == "handover-written":
             self._waiting_kills += [(name, fault) for name in fault.targets]
             return
-        if fault.kind == "limiter-kill" and fault.spec.when in VIRTUAL_ONLY:
+        if fault.kind == "limiter-kill" and fault.spec.when in VIRTUAL_ONLY_TRIGGERS:
             for name in fault.targets:
                 self.limiters[name].call_after_steps(
                     fault.spec.when, fault.spec.after, partial(self._struck, name, fault)
@@ -845,7 +845,7 @@
     Raises ``KitError`` where the kit cannot do its work; no process is left behind either way.
     """
     for fault in scenario.faults:
-        if fault.when in VIRTUAL_ONLY:
+        if fault.when in VIRTUAL_ONLY_TRIGGERS:
             raise virtual_time_only(fault.when)
     plan, kept = plan or draw_plan(scenario, seed), records if records is not None else []
     folder = logs or Path(tempfile.mkdtemp(prefix="fawnseam-"))
--- a/cypresspulley/rehearsal/scenario.py
+++ b/cypresspulley/rehearsal/scenario.py
@@ -15,7 +15,7 @@
 from cypresspulley.rehearsal.fields import Strict as _Strict
 from cypresspulley.rehearsal.sections import Closing, FleetFault, Lanes, Together
 
-SHIPPED = Path(__file__).resolve().parent / "scenarios"  # in a checkout a link to examples/scenarios
+SHIPPED_FOLDER = Path(__file__).resolve().parent / "scenarios"  # in a checkout a link to examples/scenarios
 
 # Which keys a fault may have beside kind and at: the table that `Fault` is checked against.
 FAULT_KEYS: dict[str, frozenset[str]] = {
@@ -66,25 +66,27 @@
 
 
 # What operators do at the door; the search draws them only where it is asked to.
-OPERATED = frozenset(("limiter-drain", "limiter-upgrade", "server-by-hand"))
+OPERATOR_KINDS = frozenset(("limiter-drain", "limiter-upgrade", "server-by-hand"))
 # What changes plans in service: such a day has a plan book, which its limiters follow.
-BOOKED = frozenset(("plan-churn", "plan-reserve", "limiter-off-book", "writer-stop"))
-SOCKETS_ONLY = frozenset(("limiter-upgrade",))  # two processes: not in virtual time
+PLAN_BOOK_KINDS = frozenset(("plan-churn", "plan-reserve", "limiter-off-book", "writer-stop"))
+SOCKET_ONLY_KINDS = frozenset(("limiter-upgrade",))  # two processes: not in virtual time
 # What befalls limiters that do something together: such a day has [together], and the last three [closing].
-DATAGRAMS = frozenset(kind for kind in FAULT_KEYS if kind.startswith("datagram-"))
-CALENDARS = frozenset(("limiter-old-calendar", "closing-told", "purge"))
-FLEET = DATAGRAMS | CALENDARS | {"limiter-clock", "limiter-late", "limiter-restart-all-but-one"}
-ON_LIMITERS = (
+DATAGRAM_KINDS = frozenset(kind for kind in FAULT_KEYS if kind.startswith("datagram-"))
+CLOSING_KINDS = frozenset(("limiter-old-calendar", "closing-told", "purge"))
+FLEET_KINDS = (
+    DATAGRAM_KINDS | CLOSING_KINDS | {"limiter-clock", "limiter-late", "limiter-restart-all-but-one"}
+)
+LIMITER_KIND_PREFIXES = (
     "limiter",
     "datagram",
     "closing",
     "purge",
 )  # what such a kind begins with, the targets are limiters
-MAY_LAST = frozenset(("limiter-clock",))  # without ``lasts`` it stays so
+OPTIONAL_DURATION_KINDS = frozenset(("limiter-clock",))  # without ``lasts`` it stays so
 
 
 # When a kill strikes that only a loop in virtual time can see.
-VIRTUAL_ONLY = ("turn", "write")
+VIRTUAL_ONLY_TRIGGERS = ("turn", "write")
 
 
 class ScenarioError(ValueError):
@@ -222,13 +224,13 @@
         allowed = FAULT_KEYS[self.kind]
         if extra := sorted(self.model_fields_set - {"kind", "at"} - allowed):
             raise ValueError(f"a {self.kind} has no {', '.join(extra)}; expected {sorted(allowed) or 'none'}")
-        if "after" in self.model_fields_set and self.when not in VIRTUAL_ONLY:
+        if "after" in self.model_fields_set and self.when not in VIRTUAL_ONLY_TRIGGERS:
             raise ValueError(
-                f"after counts turns or writes; expected when to be one of {', '.join(VIRTUAL_ONLY)}"
+                f"after counts turns or writes; expected when to be one of {', '.join(VIRTUAL_ONLY_TRIGGERS)}"
             )
         if self.kind == "datagram-cut" and not self.targets and len(self.groups) < 2:
             raise ValueError("a datagram-cut needs targets, or two groups at least")
-        if "lasts" in allowed and self.lasts is None and self.kind not in MAY_LAST:
+        if "lasts" in allowed and self.lasts is None and self.kind not in OPTIONAL_DURATION_KINDS:
             raise ValueError(f"a {self.kind} needs lasts (seconds)")
         return self
 
@@ -269,23 +271,23 @@
     faults: tuple[Fault, ...] = Field((), alias="fault")
 
     @property
-    def operated(self) -> bool:
+    def uses_operator_calls(self) -> bool:
         """Whether operators call on its limiters: then these have a door."""
-        return any(fault.kind in OPERATED or fault.kind == "purge" for fault in self.faults)
+        return any(fault.kind in OPERATOR_KINDS or fault.kind == "purge" for fault in self.faults)
 
     @property
-    def booked(self) -> bool:
+    def uses_plan_book(self) -> bool:
         """Whether its limiters follow a plan book."""
-        return any(fault.kind in BOOKED for fault in self.faults)
+        return any(fault.kind in PLAN_BOOK_KINDS for fault in self.faults)
 
     @property
     def on_sockets_only(self) -> bool:
-        return any(fault.kind in SOCKETS_ONLY for fault in self.faults)
+        return any(fault.kind in SOCKET_ONLY_KINDS for fault in self.faults)
 
     @model_validator(mode="after")
     def _fits(self) -> Scenario:
         known = {
-            **{kind: set(limiter_names(self)) for kind in ON_LIMITERS},
+            **{kind: set(limiter_names(self)) for kind in LIMITER_KIND_PREFIXES},
             "server": set(server_names(self)),
             "hall": set(self.fleet.halls),
         }
@@ -308,7 +310,7 @@
         if self.graphql is not None and self.load.capture is not None:
             raise ValueError("graphql: expected drawn arrivals, not load.capture")
         churns = [fault for fault in self.faults if fault.kind == "plan-churn"]
-        if self.booked and not (churns and any(plan.ceiling > 0 for plan in self.plans)):
+        if self.uses_plan_book and not (churns and any(plan.ceiling > 0 for plan in self.plans)):
             raise ValueError(
                 "fault: a plan book wants a plan-churn, and a plan with a ceiling for it to move"
             )
@@ -325,7 +327,7 @@
         for part in ("lanes", "closing"):
             if getattr(self, part) is not None and self.together is None:
                 raise ValueError(f"{part}: expected [together] beside it")
-        if self.together is not None and (self.graphql is not None or self.booked):
+        if self.together is not None and (self.graphql is not None or self.uses_plan_book):
             raise ValueError("together: expected neither [graphql] nor a plan book beside it")
         plans = {plan.name for plan in self.plans}
         if unknown := self.goal.plans.keys() - plans:
@@ -338,9 +340,9 @@
             raise ValueError(f"closing.keep: {min(wrong)!r} is none of the safe classes {', '.join(safe)}")
         places = [place.name for place in self.closing.places] if self.closing else []
         for number, fault in enumerate(self.faults):
-            if fault.kind in FLEET and self.together is None:
+            if fault.kind in FLEET_KINDS and self.together is None:
                 raise ValueError(f"fault.{number}: a {fault.kind} wants [together]")
-            if fault.kind in CALENDARS and self.closing is None:
+            if fault.kind in CLOSING_KINDS and self.closing is None:
                 raise ValueError(f"fault.{number}: a {fault.kind} wants [closing]")
             if fault.place and fault.place not in places:
                 raise ValueError(f"fault.{number}.place: {fault.place!r} is none of {', '.join(places)}")
@@ -379,16 +381,18 @@
         raise ScenarioError("\n".join(f"{source}: {line}" for line in lines)) from None
 
 
-def shipped() -> dict[str, Path]:
+def shipped_scenarios() -> dict[str, Path]:
     """The scenarios in the box, by name."""
-    return {path.stem: path for path in sorted(SHIPPED.glob("*.toml"))}
+    return {path.stem: path for path in sorted(SHIPPED_FOLDER.glob("*.toml"))}
 
 
 def load_scenario(name: str) -> Scenario:
     """A shipped scenario by its name, or one from a TOML file."""
-    path = shipped().get(name, Path(name))
+    path = shipped_scenarios().get(name, Path(name))
     if not path.is_file():
-        raise ScenarioError(f"{name}: neither a file nor a shipped scenario; expected {', '.join(shipped())}")
+        raise ScenarioError(
+            f"{name}: neither a file nor a shipped scenario; expected {', '.join(shipped_scenarios())}"
+        )
     try:
         raw = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
--- a/cypresspulley/rehearsal/together.py
+++ b/cypresspulley/rehearsal/together.py
@@ -18,7 +18,7 @@
 from cypresspulley.rehearsal.harness_history import HarnessHistory
 from cypresspulley.rehearsal.limiters import LimiterProcess
 from cypresspulley.rehearsal.plan import Plan, PlannedFault
-from cypresspulley.rehearsal.scenario import DATAGRAMS, Scenario
+from cypresspulley.rehearsal.scenario import DATAGRAM_KINDS, Scenario
 from cypresspulley.rehearsal.standins.datagrams import Address, Relay, Trouble, ways_between
 from cypresspulley.rehearsal.standins.stage import Stage
 
@@ -128,7 +128,7 @@
     def apply_fault(self, fault: PlannedFault) -> None:
         """Do what a fault between limiters does, and note what others do to them."""
         spec, lasts = fault.spec, fault.until - fault.at
-        if fault.kind in DATAGRAMS:
+        if fault.kind in DATAGRAM_KINDS:
             assert self._scenario.together is not None
             period = self._scenario.together.period_ms / 1000
             self._spell(datagram_fault(fault, list(self._limiters), period, self._stage.clock()), lasts)
--- a/tests/explore/test_search.py
+++ b/tests/explore/test_search.py
@@ -22,7 +22,7 @@
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.judge import judge
 from cypresspulley.rehearsal.plan import draw_plan
-from cypresspulley.rehearsal.scenario import Scenario, load_scenario, parse_scenario, shipped
+from cypresspulley.rehearsal.scenario import Scenario, load_scenario, parse_scenario, shipped_scenarios
 from cypresspulley.rehearsal.virtual.play import digest, play_virtual
 from tests.explore.mutants import MUTANTS, Mutant, applied, scenario_of
 from tests.rehearsal.small import small
@@ -31,7 +31,7 @@
 # Days of each scenario that are played in CI, with every check; each is a second of a day and more.
 FIXED = [
     (name, seed)
-    for name in sorted(shipped())
+    for name in sorted(shipped_scenarios())
     for seed in range(6 if load_scenario(name).together is None else 2)  # each speaks with each: slower plays
     if not load_scenario(name).on_sockets_only
 ]
--- a/tests/rehearsal/test_scenario.py
+++ b/tests/rehearsal/test_scenario.py
@@ -10,7 +10,14 @@
 import pytest
 
 from cypresspulley.rehearsal.plan import draw_plan, request_id, sample_work
-from cypresspulley.rehearsal.scenario import BOOKED, FAULT_KEYS, FLEET, ScenarioError, load_scenario, shipped
+from cypresspulley.rehearsal.scenario import (
+    FAULT_KEYS,
+    FLEET_KINDS,
+    PLAN_BOOK_KINDS,
+    ScenarioError,
+    load_scenario,
+    shipped_scenarios,
+)
 from tests.rehearsal.small import small
 
 NAMES = (
@@ -20,7 +27,7 @@
 
 
 def test_twelve_scenarios_are_shipped_and_each_stays_in_its_bounds() -> None:
-    assert set(NAMES) <= set(shipped())
+    assert set(NAMES) <= set(shipped_scenarios())
     kinds = set[str]()
     for name in NAMES:
         scenario = load_scenario(name)
@@ -32,12 +39,14 @@
         for k in FAULT_KEYS
         if k.endswith(("pause", "spoilt", "doubled", "break", "server-slow", "server-move", "server-lies"))
     }
-    assert kinds == set(FAULT_KEYS) - {"server-hang"} - drawn_by_explore - BOOKED - FLEET
+    assert kinds == set(FAULT_KEYS) - {"server-hang"} - drawn_by_explore - PLAN_BOOK_KINDS - FLEET_KINDS
 
 
 def test_all_that_changes_plans_is_in_a_shipped_day() -> None:
-    booked = [scenario for name in shipped() if (scenario := load_scenario(name)).booked]
-    assert {fault.kind for scenario in booked for fault in scenario.faults} >= BOOKED and len(booked) == 5
+    booked = [scenario for name in shipped_scenarios() if (scenario := load_scenario(name)).uses_plan_book]
+    assert {fault.kind for scenario in booked for fault in scenario.faults} >= PLAN_BOOK_KINDS and len(
+        booked
+    ) == 5
 
 
 @pytest.mark.parametrize(
--- a/tests/rehearsal/test_together.py
+++ b/tests/rehearsal/test_together.py
@@ -35,14 +35,14 @@
 from cypresspulley.rehearsal.plan import PlannedFault, draw_plan
 from cypresspulley.rehearsal.report import conclusion
 from cypresspulley.rehearsal.scenario import (
-    FLEET,
+    FLEET_KINDS,
     Fault,
     Scenario,
     ScenarioError,
     limiter_names,
     load_scenario,
     parse_scenario,
-    shipped,
+    shipped_scenarios,
 )
 from cypresspulley.rehearsal.standins.datagrams import Address, Relay, Trouble, ways_between
 from cypresspulley.rehearsal.virtual.datagrams import BUFFER, OVERHEAD
@@ -82,14 +82,14 @@
 @pytest.mark.parametrize("name", NEW)
 def test_the_scenarios_of_limiters_together_are_shipped_and_as_large_as_said(name: str) -> None:
     scenario = load_scenario(name)
-    assert name in shipped() and scenario.together is not None
+    assert name in shipped_scenarios() and scenario.together is not None
     assert 12 <= scenario.seconds <= 40 and 3 <= scenario.limiters.count <= 8
     assert bool(scenario.lanes) == (name[:5] in ("lanes", "weddi"))
     assert bool(scenario.closing) == ("clos" in name)
 
 
 def test_each_fault_between_limiters_is_in_a_shipped_day() -> None:
-    assert {fault.kind for name in NEW for fault in load_scenario(name).faults} >= FLEET
+    assert {fault.kind for name in NEW for fault in load_scenario(name).faults} >= FLEET_KINDS
 
 
 @pytest.mark.parametrize(
@@ -661,7 +661,7 @@
     assert not verdict.passed
 
 
-@pytest.mark.parametrize("kind", sorted(FLEET))
+@pytest.mark.parametrize("kind", sorted(FLEET_KINDS))
 def test_each_fault_between_limiters_is_played_in_virtual_time(kind: str) -> None:
     fault: dict[str, Any] = {"kind": kind, "at": 1.0}
     if kind.startswith("datagram"):
--- a/tests/rehearsal/virtual/test_books.py
+++ b/tests/rehearsal/virtual/test_books.py
@@ -72,7 +72,7 @@
 
 @pytest.mark.parametrize("name", ["plan-churn", "downgrade-while-over", "writer-dies", "book-split"])
 def test_the_shipped_days_are_booked(name: str) -> None:
-    assert load_scenario(name).booked
+    assert load_scenario(name).uses_plan_book
 
 
 @pytest.mark.parametrize(
