--- a/cypresspulley/rehearsal/scenario.py
+++ b/cypresspulley/rehearsal/scenario.py
@@ -1,6 +1,6 @@
-"""Scenario files (TOML): what is played, checked key by key before anything starts.
+"""Scenario files (TOML). Every key is validated before anything starts.
 
-Times are seconds unless a name ends in ``_ms``; shares lie in 0..1; rates are requests a second.
+Times are in seconds unless the key ends in ``_ms``. Shares are in 0..1. Rates are in requests per second.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 SHIPPED_FOLDER = Path(__file__).resolve().parent / "scenarios"  # in a checkout a link to examples/scenarios
 
-# Which keys a fault may have beside kind and at: the table that `Fault` is checked against.
+# The keys that each kind of fault may have in addition to ``kind`` and ``at``. ``Fault`` is validated against it.
 FAULT_KEYS: dict[str, frozenset[str]] = {
     "limiter-kill": frozenset(("targets", "count", "back_after", "known", "when", "after")),
     "limiter-pause": frozenset(("targets", "count", "lasts")),
@@ -65,12 +65,12 @@
 }
 
 
-# What operators do at the door; the search draws them only where it is asked to.
+# Operators' calls. The search draws these only on request.
 OPERATOR_KINDS = frozenset(("limiter-drain", "limiter-upgrade", "server-by-hand"))
-# What changes plans in service: such a day has a plan book, which its limiters follow.
+# Changes of plans during a run. A scenario with one of these has a plan book, which its limiters follow.
 PLAN_BOOK_KINDS = frozenset(("plan-churn", "plan-reserve", "limiter-off-book", "writer-stop"))
-SOCKET_ONLY_KINDS = frozenset(("limiter-upgrade",))  # two processes: not in virtual time
-# What befalls limiters that do something together: such a day has [together], and the last three [closing].
+SOCKET_ONLY_KINDS = frozenset(("limiter-upgrade",))  # need two processes, which virtual time does not have
+# Faults between limiters, which need [together]. Those of ``CLOSING_KINDS`` need [closing] as well.
 DATAGRAM_KINDS = frozenset(kind for kind in FAULT_KEYS if kind.startswith("datagram-"))
 CLOSING_KINDS = frozenset(("limiter-old-calendar", "closing-told", "purge"))
 FLEET_KINDS = (
@@ -81,16 +81,16 @@
     "datagram",
     "closing",
     "purge",
-)  # what such a kind begins with, the targets are limiters
-OPTIONAL_DURATION_KINDS = frozenset(("limiter-clock",))  # without ``lasts`` it stays so
+)  # the targets of kinds with these prefixes are limiters
+OPTIONAL_DURATION_KINDS = frozenset(("limiter-clock",))  # lasts until the end of the run without ``lasts``
 
 
-# When a kill strikes that only a loop in virtual time can see.
+# Triggers of a limiter-kill that only the virtual event loop can observe.
 VIRTUAL_ONLY_TRIGGERS = ("turn", "write")
 
 
 class ScenarioError(ValueError):
-    """A scenario that cannot be played; the text names file, key and what was expected."""
+    """Raised for an invalid scenario. The message names the file, the key and the expected value."""
 
 
 class Goal(_Strict):
@@ -101,7 +101,7 @@
 
 
 class Fleet(_Strict):
-    """The bag servers: work is CPU seconds on one core of speed 1."""
+    """The bag servers. Work is measured in CPU seconds on one core of speed 1."""
 
     servers: int = Field(9, ge=1, le=1024)
     halls: tuple[Name, ...] = Field(("east-hall", "west-hall", "dock-hall"), min_length=1, max_length=16)
@@ -196,7 +196,7 @@
 
 
 class GraphQL(_Strict):
-    """Clients ask GraphQL: safe classes queries, unsafe ones mutations; units are true costs."""
+    """GraphQL clients: safe classes send queries, unsafe ones mutations. Units are the true costs of the documents."""
 
     abuse: NotNegative = Field(0.0, description="abusive requests a second beside them", le=200)
 
@@ -218,7 +218,7 @@
     reuse_address: bool = False
 
     @model_validator(mode="after")
-    def _keys(self) -> Fault:
+    def _check_keys(self) -> Fault:
         if self.kind not in FAULT_KEYS:
             raise ValueError(f"kind {self.kind!r} is none of {', '.join(sorted(FAULT_KEYS))}")
         allowed = FAULT_KEYS[self.kind]
@@ -272,20 +272,21 @@
 
     @property
     def uses_operator_calls(self) -> bool:
-        """Whether operators call on its limiters: then these have a door."""
+        """Whether operators call its limiters, which then listen on an operator address."""
         return any(fault.kind in OPERATOR_KINDS or fault.kind == "purge" for fault in self.faults)
 
     @property
     def uses_plan_book(self) -> bool:
-        """Whether its limiters follow a plan book."""
+        """Whether its plans change during the run, so that its limiters follow a plan book."""
         return any(fault.kind in PLAN_BOOK_KINDS for fault in self.faults)
 
     @property
     def on_sockets_only(self) -> bool:
+        """Whether it has a fault that cannot be played in virtual time."""
         return any(fault.kind in SOCKET_ONLY_KINDS for fault in self.faults)
 
     @model_validator(mode="after")
-    def _fits(self) -> Scenario:
+    def _check_consistency(self) -> Scenario:
         known = {
             **{kind: set(limiter_names(self)) for kind in LIMITER_KIND_PREFIXES},
             "server": set(server_names(self)),
@@ -316,14 +317,14 @@
             )
         if any(fault.size > 1 for fault in churns):
             raise ValueError("fault: the size of a plan-churn is the lower plan's part; expected at most 1")
-        self._fit_together()
+        self._check_fleet_tables()
         low, high = self.load.spread
         if not 1 <= low <= high <= self.limiters.count:
             raise ValueError(f"load.spread: {low}..{high}; expected 1 <= low <= high <= limiters.count")
         return self
 
-    def _fit_together(self) -> None:
-        """What lanes, closing and faults between limiters want beside themselves."""
+    def _check_fleet_tables(self) -> None:
+        """Checks that lanes, closing and faults between limiters have the tables and names that they need."""
         for part in ("lanes", "closing"):
             if getattr(self, part) is not None and self.together is None:
                 raise ValueError(f"{part}: expected [together] beside it")
@@ -364,7 +365,7 @@
     return [f"bag-{i:02d}" for i in range(scenario.fleet.servers)]
 
 
-def _place(error: dict[str, Any]) -> str:
+def _error_text(error: dict[str, Any]) -> str:
     where = ".".join(str(part) for part in error["loc"])
     text = str(error["msg"]).removeprefix("Value error, ")
     got = error.get("input")
@@ -373,21 +374,27 @@
 
 
 def parse_scenario(raw: dict[str, Any], source: str) -> Scenario:
-    """A scenario from parsed TOML; ``ScenarioError`` names ``source``, each wrong key and what to write."""
+    """Builds a scenario from parsed TOML.
+
+    Raises ``ScenarioError``, which names ``source``, each invalid key and the expected value.
+    """
     try:
         return Scenario.model_validate(raw)
     except ValidationError as error:
-        lines = [_place(dict(one)) for one in error.errors()]
+        lines = [_error_text(dict(one)) for one in error.errors()]
         raise ScenarioError("\n".join(f"{source}: {line}" for line in lines)) from None
 
 
 def shipped_scenarios() -> dict[str, Path]:
-    """The scenarios in the box, by name."""
+    """Returns the paths of the shipped scenarios by name."""
     return {path.stem: path for path in sorted(SHIPPED_FOLDER.glob("*.toml"))}
 
 
 def load_scenario(name: str) -> Scenario:
-    """A shipped scenario by its name, or one from a TOML file."""
+    """Loads a shipped scenario by name, or any scenario by the path of its TOML file.
+
+    Raises ``ScenarioError`` if it does not exist or is invalid.
+    """
     path = shipped_scenarios().get(name, Path(name))
     if not path.is_file():
         raise ScenarioError(
