--- a/cypresspulley/rehearsal/plan.py
+++ b/cypresspulley/rehearsal/plan.py
@@ -25,7 +25,7 @@
 )
 from cypresspulley.rehearsal.sections import FleetFault
 
-FIRST_ACCOUNT = 0x1000_0000  # account numbers stay below 2**33, and floods use a separate range
+FIRST_ACCOUNT = 0x1000_0000  # account numbers stay below 2**33; floods use a separate range
 FIRST_FLOOD_ACCOUNT = 0x1_0000_0000
 MAX_ARRIVALS = 400_000
 
