--- a/cypresspulley/rehearsal/command.py
+++ b/cypresspulley/rehearsal/command.py
@@ -19,7 +19,7 @@
 from cypresspulley.rehearsal.judge import judge_timeline
 from cypresspulley.rehearsal.limiters import HarnessError
 from cypresspulley.rehearsal.plan import Plan, draw_plan
-from cypresspulley.rehearsal.play import ScenarioRunner, keep, play
+from cypresspulley.rehearsal.play import ScenarioRunner, play, write_records
 from cypresspulley.rehearsal.report import print_verdict
 from cypresspulley.rehearsal.scenario import Scenario, ScenarioError, load_scenario, shipped_scenarios
 from cypresspulley.rehearsal.timeline import JudgeError, Timeline
@@ -153,7 +153,7 @@
             records = play_virtual(scenario, plan.seed, plan, shown, logs=outputs.logs)
         if outputs.logs is not None:
             outputs.logs.mkdir(parents=True, exist_ok=True)
-            keep(records, outputs.logs / "records.jsonl")
+            write_records(records, outputs.logs / "records.jsonl")
     except KeyboardInterrupt:
         return INTERRUPTED
     except (HarnessError, OSError) as error:
--- a/cypresspulley/rehearsal/play.py
+++ b/cypresspulley/rehearsal/play.py
@@ -876,7 +876,7 @@
         if logs is None:
             shutil.rmtree(folder, ignore_errors=True)
     if logs is not None:
-        keep(kept, folder / "records.jsonl")
+        write_records(kept, folder / "records.jsonl")
     return kept
 
 
@@ -937,7 +937,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-def keep(records: list[log.Record], path: Path) -> None:
+def write_records(records: list[log.Record], path: Path) -> None:
     """Write a log that ``fawnseam judge`` reads."""
     try:
         with path.open("w", encoding="utf-8") as file:
