--- a/cypresspulley/rehearsal/play.py
+++ b/cypresspulley/rehearsal/play.py
@@ -1,6 +1,6 @@
-"""One play of a scenario on sockets: stand-ins and clients in this process, limiters in their own.
+"""Plays a scenario on sockets: stand-ins and clients run in this process, each limiter in a process of its own.
 
-The director turns the plan's faults into what happens to limiters, servers, halls, the keeper and discovery.
+``ScenarioRunner`` applies the plan's faults to limiters, servers, halls, the keeper (counter) and discovery.
 """
 
 from __future__ import annotations
@@ -49,25 +49,25 @@
     from cypresspulley.rehearsal.together import FleetEnvironment, FleetHarness
 
 SHIPPED_LIMITER = [sys.executable, "-m", "cypresspulley"]
-WARM_UP = 0.3  # seconds between the last limiter's readiness and the first request
-BEAT = 0.05  # seconds between two looks at the kit's own lateness
-# Objects more than before at which the collector looks, and how many such looks until it looks at older ones: a day
-# makes few cycles, and looking through all that it recorded held the kit up for 170 ms.
-YOUNG = 5_000
-SELDOM = 100_000
-SAMPLE = 0.5  # and at what the limiters use
-# SIGKILL comes no sooner than so many seconds, or the longest deadline where that is less, and 0.7 s after SIGTERM.
-KILL_AFTER_DEADLINE = 3.0
-KILL_AFTER = 0.7
-AFTER = 12.0  # seconds after the last arrival for what is still open
-CELL = 4  # servers of a cell
-DESCRIPTORS = 8192  # that the kit asks for itself; 64 a server and limiter are plenty
-PLAYS = count()
-START_WITHIN = (
+WARM_UP_SECONDS = 0.3  # between the last limiter's readiness and the first request
+HEARTBEAT_SECONDS = 0.05  # between measurements of this process's own lateness
+# Garbage collector thresholds during a run: new objects per young collection, and young collections per older one. A
+# run makes few reference cycles, and a collection of everything that it recorded stalled this process for 170 ms.
+GC_YOUNG_OBJECTS = 5_000
+GC_OLD_THRESHOLD = 100_000
+USAGE_SAMPLE_SECONDS = 0.5  # between samples of the limiters' CPU time and memory
+# SIGKILL follows SIGTERM after the longest deadline, but at most MAX_KILL_WAIT_SECONDS, plus 0.7 s of grace.
+MAX_KILL_WAIT_SECONDS = 3.0
+KILL_GRACE_SECONDS = 0.7
+FINISH_TIMEOUT_SECONDS = 12.0  # after the last arrival, for requests that are still open
+SERVERS_PER_CELL = 4
+MAX_DESCRIPTORS = 8192  # limit that this process sets for itself; 64 per server and limiter are plenty
+RUN_NUMBERS = count()
+START_ALLOWANCE_SECONDS = (
     4.0,
     0.4,
-)  # seconds, and for each limiter, from a day's setting up to its second 0, if that is placed
-# What each fault sets, to its size and back to 0: the share of a server's requests that it strikes.
+)  # from setup to second 0 if that is a fixed Unix second: a base, and an addition per limiter
+# The server attribute that each fault sets to its size, and later back to 0: the share of requests that it affects.
 SERVER_SHARES = {
     "server-errors": "error_share",
     "server-resets": "reset_share",
@@ -78,7 +78,7 @@
 
 
 def points_per_unit(scenario: Scenario) -> float:
-    """Of a GraphQL day, as the operators' file of its limiters says; 0 on a plain day."""
+    """Returns the points per unit from the operators' file of a GraphQL scenario, or 0 for other scenarios."""
     if scenario.graphql is None:
         return 0.0
     from cypresspulley.graphql.options import load_options
@@ -88,7 +88,7 @@
 
 
 def operators_path(scenario: Scenario) -> str | None:
-    """The operators' file of a day's limiters, where there is one."""
+    """Returns the path of the limiters' operators' file, if the scenario has one."""
     if scenario.graphql is None:
         return None
     from cypresspulley.rehearsal.standins.graphql import OPERATORS
@@ -96,12 +96,12 @@
     return str(OPERATORS)
 
 
-MakeLimiter = Callable[[str, str], LimiterProcess]  # of a name and the host where it listens
+MakeLimiter = Callable[[str, str], LimiterProcess]  # from its name and the host that it listens on
 Progress = Callable[[float, "ScenarioRunner"], None]
 
 
-def describe(scenario: Scenario, plan: Plan) -> log.Day:
-    """The facts that the judge goes by."""
+def describe_day(scenario: Scenario, plan: Plan) -> log.Day:
+    """Returns the record of the facts that the judge needs."""
     halls, fleet = scenario.fleet.halls, scenario.fleet
     return log.Day(
         t=-60.0, scenario=scenario.name, seed=plan.seed, digest=plan.digest(), seconds=scenario.seconds,
@@ -123,25 +123,25 @@
 
 
 def mean_work(scenario: Scenario) -> float:
-    """CPU seconds of a request in the mean over the classes, by their shares."""
+    """Returns the mean CPU seconds of a request over all classes, weighted by their shares."""
     return sum(c.share * c.work_ms for c in scenario.classes) / sum(c.share for c in scenario.classes) / 1000
 
 
-def lowest_part(scenario: Scenario) -> float:
-    """Of a plan with a ceiling, the least that a day's changes of plans leave."""
+def min_plan_fraction(scenario: Scenario) -> float:
+    """Returns the smallest fraction of a plan with a ceiling that the scenario's plan changes leave."""
     return min((fault.size for fault in scenario.faults if fault.kind == "plan-churn"), default=1.0)
 
 
 class LoopbackNetwork:
-    """Addresses in 127.0.0.0/8, and the links between halls."""
+    """Addresses in 127.0.0.0/8 and the links between halls."""
 
     def __init__(self, scenario: Scenario, base: str) -> None:
         self._base = base
         self._network = scenario.network
-        self.links = list[tuple[Link, str, str]]()  # with the halls at both ends
+        self.links = list[tuple[Link, str, str]]()  # each with the halls at its ends
 
     def host(self, group: int, number: int) -> str:
-        """An address for stand-in ``number`` (0..249) as a limiter sees it, by group (0..249)."""
+        """Returns the address of stand-in ``number`` (0..249) in address group ``group`` (0..254)."""
         return f"{self._base}.{group}.{number + 1}"
 
     def link(self, limiter: str, here: str, there: str) -> Link:
@@ -157,23 +157,25 @@
 
 
 class ScenarioRunner:
-    """All that is on the stage of one play."""
+    """Runs one play: owns its stand-ins, clients and limiters, and applies the faults."""
 
     def __init__(
-        self, scenario: Scenario, plan: Plan, limiter: MakeLimiter, sink: Callable[[log.Record], None],
+        self, scenario: Scenario, plan: Plan, make_limiter: MakeLimiter, sink: Callable[[log.Record], None],
         base: str, clock: Callable[[], float] = time.monotonic, unix: Callable[[], float] = time.time,
         environment: FleetEnvironment | None = None,
     ) -> None:  # fmt: skip
         classes = {c.name: c for c in scenario.classes}
         self.scenario = scenario
         self.plan = plan
-        self.fleet_harness: FleetHarness | None = None  # what the limiters do together
+        self.fleet_harness: FleetHarness | None = None  # for scenarios with [together]
         self._sink = sink
-        self.stage = Stage(self._seen, lambda id, cls: sample_work(plan.seed, id, classes[cls]), clock, unix)
+        self.stage = Stage(
+            self._record, lambda id, cls: sample_work(plan.seed, id, classes[cls]), clock, unix
+        )
         self.stage.on_arrival = self._on_arrival
         self.net = LoopbackNetwork(scenario, base)
         self._overlapping = OverlappingFaults()
-        self.day = describe(scenario, plan)
+        self.day = describe_day(scenario, plan)
         self.halls = scenario.fleet.halls
         k = scenario.keeper
         self.keeper = Keeper(self.stage, k.parts, k.calls_per_second, k.waiting_ms / 1000, k.call_ms / 1000,
@@ -185,7 +187,7 @@
         self.servers = dict[str, BagServer]()
         self._memories = dict[tuple[str, int], RepeatMemory]()
         self.limiters = {
-            name: limiter(name, self.net.host(250, i)) for i, name in enumerate(limiter_names(scenario))
+            name: make_limiter(name, self.net.host(250, i)) for i, name in enumerate(limiter_names(scenario))
         }
         for each in self.limiters.values():
             each.has_operator_address = scenario.uses_operator_calls
@@ -194,13 +196,13 @@
             self.stage, self.front, lambda name: self.limiters[name].address, scenario.clients, classes,
             plan.seed, scenario.seconds, points_per_unit(scenario),
         )  # fmt: skip
-        self._rng = random_for(plan.seed, "director")
+        self._random = random_for(plan.seed, "director")
         self._tasks = set[asyncio.Task[None]]()
         self._waiting_kills = list[tuple[str, PlannedFault]]()
         self._failure: BaseException | None = None
         self._next_server = scenario.fleet.servers
-        self._watched = dict[str, object]()  # the process of each limiter whose end is watched
-        self.returning = set[str]()  # limiters that are away and to come back
+        self._watched_processes = dict[str, object]()  # by limiter, the process whose exit is awaited
+        self.returning = set[str]()  # limiters that are down and will be started again
         self.failed = asyncio.Event()
         self.books: Bookkeeper | None = None
         if environment is not None:
@@ -209,22 +211,24 @@
             self.fleet_harness = FleetHarness(
                 scenario, plan, self.stage, self.limiters, self.day.limiters, environment
             )
-            self.returning |= self.fleet_harness.late  # away until their time
+            self.returning |= self.fleet_harness.late  # they start at the time of their fault
 
-    def _seen(self, record: log.Record) -> None:
-        """Each record goes into the log, and what is of the kit's own history there too."""
+    def _record(self, record: log.Record) -> None:
+        """Writes a record to the log and, with [together], to the harness's history."""
         self._sink(record)
         if self.fleet_harness is not None:
             self.fleet_harness.harness.record(record)
 
-    # The stage is set.
+    # Setup.
 
-    def build(self) -> None:
-        """Start all stand-ins, with nothing cold and every agent told the whole list."""
+    def start_stand_ins(self) -> None:
+        """Starts all stand-ins. The servers are warm, and every discovery agent has the whole list."""
         fleet = self.scenario.fleet
         for number, name in enumerate(server_names(self.scenario)):
             hall = fleet.halls[number % len(fleet.halls)]
-            self._add_server(name, hall, number // len(fleet.halls) // CELL, number).start(cold=False)
+            self._add_server(name, hall, number // len(fleet.halls) // SERVERS_PER_CELL, number).start(
+                cold=False
+            )
         for index, limiter in enumerate(self.limiters):
             link = self.net.link(limiter, self.day.limiters[limiter], self.halls[-1])
             self._keeper_links[limiter] = link
@@ -234,33 +238,36 @@
             agent.publish(*(self._host(server, limiter, "ready") for server in self.servers.values()))
             agent.told, agent.told_seq = dict(agent.hosts), agent.seq
 
-    async def open_books(self) -> None:
-        """The plan book's writer, with a way to it for each limiter, before any of them starts."""
+    async def start_plan_book(self) -> None:
+        """Starts the plan book's writer, with an address for each limiter, before any limiter starts."""
         if not self.scenario.uses_plan_book:
             return
         from cypresspulley.rehearsal.standins.bookkeeper import Bookkeeper
 
         rng = random_for(self.plan.seed, "books")
-        self.books = Bookkeeper(self.stage, self.scenario.plans, lowest_part(self.scenario), rng)
+        self.books = Bookkeeper(self.stage, self.scenario.plans, min_plan_fraction(self.scenario), rng)
         for index, limiter in enumerate(self.limiters):
             host = self.net.host(253, index)
             self.books.addresses[limiter] = host, free_port(host)
             await self.books.open(limiter)
             self.limiters[limiter].configure_plan_book(*self.books.addresses[limiter])
 
-    async def open_side(self) -> None:
-        """What the limiters do together has its relay and files, before any of them starts."""
+    async def open_fleet_harness(self) -> None:
+        """Opens the datagram relay and writes the limiters' fleet files, before any limiter starts."""
         if self.fleet_harness is not None:
             await self.fleet_harness.open()
 
-    def begin(self) -> None:
-        """All limiters are ready: the day begins, at a whole Unix second where closings are placed by it."""
+    def begin_day(self) -> None:
+        """Starts the clock of the run once all limiters are ready, with [together] at a whole Unix second.
+
+        Raises ``HarnessError`` if the limiters were not ready in time.
+        """
         if self.fleet_harness is None:
-            return self.stage.begin(WARM_UP)
+            return self.stage.begin(WARM_UP_SECONDS)
         after = self.fleet_harness.seconds_until_start()
-        if after < WARM_UP:
+        if after < WARM_UP_SECONDS:
             raise HarnessError(
-                f"the limiters were ready {WARM_UP - after:.1f} s too late: give them idle cores"
+                f"the limiters were ready {WARM_UP_SECONDS - after:.1f} s too late: give them idle cores"
             )
         self.stage.begin(after)
         asyncio.get_running_loop().call_later(after, self.fleet_harness.begin)
@@ -281,7 +288,7 @@
         for index, limiter in enumerate(self.limiters):
             link = self.net.link(limiter, self.day.limiters[limiter], hall)
             host, port = self.net.host(index, place), 0
-            if like is not None:  # another server's address of before
+            if like is not None:  # the former address of another server
                 host, text = like.dial(limiter).rsplit(":", 1)
                 port = int(text)
             server.place(link, host, port)
@@ -304,8 +311,8 @@
 
     def _settings(self, index: int, limiter: str) -> dict[str, Any]:
         settings = wire_settings(self.scenario, index, self.day.limiters[limiter])
-        if self.books is not None:  # what holds until a limiter has its book is the lowest that it may say
-            part = lowest_part(self.scenario)
+        if self.books is not None:  # until a limiter has its plan book, the lowest possible plans apply
+            part = min_plan_fraction(self.scenario)
             for row in settings["tariffs"]:
                 if row["never_over_rate"] > 0:
                     for key in ("quota_rate", "store_size"):
@@ -317,7 +324,10 @@
     # Limiters.
 
     async def start_limiter(self, name: str, known: str = "last") -> None:
-        """Start it with the list that it had last (stale by now), or with one that names only dead ones."""
+        """Starts a limiter and waits until it is ready.
+
+        Its configuration has the last (stale) server list, or for ``known`` "gone" one of servers that do not exist.
+        """
         limiter, agent = self.limiters[name], self.agents[name]
         listed = agent.known()
         if known == "gone":
@@ -334,14 +344,14 @@
         }
         self.stage.record(log.Listed(now, name, True, True, hosts))
         await limiter.start()
-        self._watched[name] = limiter.process
+        self._watched_processes[name] = limiter.process
         self._spawn(self._watch_end(limiter))
         await limiter.wait_until_ready()
         self.stage.record(log.LimiterState(self.stage.now(), name, "ready"))
         self.front.up(name)
 
     def _dead_host(self, limiter: str, number: int) -> Host:
-        """A server that is gone: nobody listens at its address."""
+        """Returns a server that no longer exists: nothing listens on its address."""
         index = list(self.limiters).index(limiter)
         host = self.net.host(index, 240 + number)
         return Host(f"bag-gone-{number}", f"{host}:9", self.halls[0], 0, "ready")
@@ -350,21 +360,21 @@
         process = limiter.process
         code = await limiter.wait_for_exit()
         if limiter.process is not process:
-            # A second process has taken over: the limiter's life goes on, unless this one crashed.
+            # A successor process has taken over, so only a crash of the old process matters.
             if code != 0:
                 self.stage.complain(f"the old process of {limiter.name} ended with {code}")
             return
         what = "exited" if limiter.expected_end else "crashed"
         self.stage.record(log.LimiterState(self.stage.now(), limiter.name, what, code))
-        notice = self._rng.uniform(*self.scenario.clients.notice)
-        asyncio.get_running_loop().call_later(notice, self._front_notices, limiter)
+        notice = self._random.uniform(*self.scenario.clients.notice)
+        asyncio.get_running_loop().call_later(notice, self._notice_exit, limiter)
 
-    def _front_notices(self, limiter: LimiterProcess) -> None:
+    def _notice_exit(self, limiter: LimiterProcess) -> None:
         if not limiter.running:
             self.front.down(limiter.name)
 
     def kill(self, name: str) -> None:
-        """SIGKILL, recorded just before: whatever breaks from now on was held by a dead process."""
+        """Kills a limiter. The record precedes SIGKILL, so that the judge excuses the connections that break."""
         limiter = self.limiters[name]
         if limiter.running and not limiter.expected_end:
             self.stage.record(log.LimiterState(self.stage.now(), name, "killed"))
@@ -372,7 +382,7 @@
 
     async def _kill_and_return(self, name: str, spec_known: str, back_after: float) -> None:
         if name in self.returning:
-            return  # it is away already, and is started once
+            return  # already down, and will be started once
         self.returning.add(name)
         self.kill(name)
         await self.limiters[name].wait_or_kill()
@@ -387,8 +397,10 @@
         self.returning.add(name)
         self.stage.record(log.LimiterState(self.stage.now(), name, "stopping"))
         limiter.signal(signal.SIGTERM)
-        kill = asyncio.get_running_loop().call_later(self._kill_after, limiter.signal, signal.SIGKILL)
-        await asyncio.sleep(0.3)  # a planned restart is announced: the front stops a little late
+        kill = asyncio.get_running_loop().call_later(self._kill_delay, limiter.signal, signal.SIGKILL)
+        await asyncio.sleep(
+            0.3
+        )  # the front stops using the limiter shortly after the announcement of the restart
         if not self.scenario.clients.until_closed:
             self.front.down(name)
         await limiter.wait_or_kill()
@@ -399,13 +411,13 @@
         self.returning.discard(name)
 
     @property
-    def _kill_after(self) -> float:
-        """Seconds after SIGTERM at which the platform may send SIGKILL at the earliest."""
+    def _kill_delay(self) -> float:
+        """Seconds after SIGTERM at which the platform sends SIGKILL at the earliest."""
         longest = max(row.deadline_ms for row in self.scenario.classes) / 1000
-        return min(KILL_AFTER_DEADLINE, longest) + KILL_AFTER
+        return min(MAX_KILL_WAIT_SECONDS, longest) + KILL_GRACE_SECONDS
 
-    async def _restart_but(self, name: str, back_after: float) -> None:
-        """All the others at once."""
+    async def _restart_all_but(self, name: str, back_after: float) -> None:
+        """Restarts all other limiters at once."""
         await asyncio.gather(*(self._restart(other, back_after) for other in self.limiters if other != name))
 
     async def _start_late(self, name: str) -> None:
@@ -417,7 +429,7 @@
         if self.fleet_harness is not None and self.limiters[name].running:
             await self.fleet_harness.purge(name)
 
-    # What operators do at the door.
+    # Operators' calls.
 
     async def _upgrade(self, name: str) -> None:
         limiter = self.limiters[name]
@@ -427,8 +439,8 @@
         watch = asyncio.ensure_future(limiter.upgrade())
         while limiter.process is not None and not watch.done() and limiter.start_count:
             await asyncio.sleep(0.01)
-            if self._watched.get(name) is not limiter.process:
-                self._watched[name] = limiter.process
+            if self._watched_processes.get(name) is not limiter.process:
+                self._watched_processes[name] = limiter.process
                 self._spawn(self._watch_end(limiter))
         if await watch:
             self.stage.record(log.LimiterState(self.stage.now(), name, "upgraded"))
@@ -439,7 +451,7 @@
         if name in self.returning or await limiter.call("PUT", "/v1/limiter/drain") != 200:
             return
         self.stage.record(log.LimiterState(self.stage.now(), name, "drained"))
-        await asyncio.sleep(0.3)  # the front asks again and again, and stops a little late
+        await asyncio.sleep(0.3)  # the front polls readiness, so it stops using the limiter a little later
         self.front.down(name)
         await asyncio.sleep(lasts)
         if limiter.running and await limiter.call("PUT", "/v1/limiter/activate") == 200:
@@ -447,7 +459,7 @@
             self.front.up(name)
 
     async def _server_by_hand(self, name: str, lasts: float) -> None:
-        """Taken out at every limiter, restarted once its work is done, and called back cold."""
+        """Bans a server at every limiter, restarts it once its work is done and lifts the ban while it is cold."""
         server = self.servers[name]
         await asyncio.gather(*(self._ban(limiter, name, True) for limiter in self.limiters.values()))
         await asyncio.sleep(min(lasts / 2, self.scenario.fleet.drain_grace + 1.0))
@@ -462,7 +474,7 @@
     async def _ban(self, limiter: LimiterProcess, server: str, out: bool) -> None:
         if not limiter.running:
             return
-        if not out:  # from the call on it may serve, whenever the answer comes
+        if not out:  # the server may be used from the call on, whenever the answer arrives
             self.stage.record(log.Banned(self.stage.now(), limiter.name, server, False))
         status = await limiter.call("PUT", f"/v1/servers/{server}/{'suspend' if out else 'resume'}")
         if out and status == 200:
@@ -471,7 +483,7 @@
             self.stage.complain(f"{limiter.name} answered {status} to an operators' call on {server}")
 
     def _reload(self, name: str) -> None:
-        """Discovery and keeper move; the file is replaced and the program told."""
+        """Moves discovery and counter to new ports, replaces the limiter's configuration file and sends SIGHUP."""
         index = list(self.limiters).index(name)
         agent, limiter = self.agents[name], self.limiters[name]
         self._agent_at[name] = agent.listen(self.net.host(252, index))
@@ -486,41 +498,41 @@
     # Servers.
 
     def _on_arrival(self, server: BagServer, limiter: str, known: Known) -> None:
-        """An attempt is whole at a server: the moment at which a waiting kill strikes its sender."""
+        """Applies a pending kill to the limiter whose unsafe attempt has arrived whole at a server."""
         for wait in self._waiting_kills:
             name, fault = wait
             if name == limiter and known.effect == "unsafe":
                 self._waiting_kills.remove(wait)
-                self._happened(fault, name)
+                self._record_fault(fault, name)
                 self._spawn(self._kill_and_return(name, fault.spec.known, fault.spec.back_after))
-                self.kill(name)  # now, not when the task has its turn
+                self.kill(name)  # at once, not when the task runs
                 return
 
-    def _struck(self, name: str, fault: PlannedFault) -> None:
-        """A limiter reached the turn or the write behind which it dies: nothing of it runs from here on."""
+    def _kill_at_step(self, name: str, fault: PlannedFault) -> None:
+        """Kills a limiter that has reached the turn or write of its fault. It runs no further code."""
         limiter = self.limiters[name]
         if limiter.running and not limiter.expected_end:
-            self._happened(fault, name)
+            self._record_fault(fault, name)
             self.kill(name)
             self._spawn(self._kill_and_return(name, fault.spec.known, fault.spec.back_after))
 
     def _pause(self, name: str, on: bool) -> None:
-        """Stopped and continued by signals: time goes on, its code does not. SIGCONT to a new one does nothing."""
+        """Stops a limiter with SIGSTOP or continues it with SIGCONT, which has no effect on a new process."""
         limiter = self.limiters[name]
         if limiter.running:
             limiter.signal(signal.SIGSTOP if on else signal.SIGCONT)
 
     def _publish(self, server: BagServer, health: str) -> None:
-        """Discovery learns of it and tells each agent, each at its own time."""
+        """Publishes a server's state to each discovery agent after a random delay of its own."""
         loop = asyncio.get_running_loop()
         for limiter, agent in self.agents.items():
-            notice = self._rng.uniform(*self.scenario.discovery.notice)
-            loop.call_later(notice, self._tell, agent, self._host(server, limiter, health))
+            notice = self._random.uniform(*self.scenario.discovery.notice)
+            loop.call_later(notice, self._deliver_news, agent, self._host(server, limiter, health))
 
-    def _tell(self, agent: Agent, host: Host) -> None:
+    def _deliver_news(self, agent: Agent, host: Host) -> None:
         held = agent.hosts.get(host.host)
         if held is not None and held.born_ms > host.born_ms:
-            host = replace(host, born_ms=held.born_ms)  # the later news came first
+            host = replace(host, born_ms=held.born_ms)  # newer news arrived first
         agent.publish(host)
 
     async def _crash_server(self, name: str, back_after: float) -> None:
@@ -528,12 +540,12 @@
         server.crash()
         await asyncio.sleep(back_after)
         if server.gone or server.alive:
-            return  # another took its place meanwhile, or it is back from another crash
+            return  # it was replaced meanwhile, or is back from another crash
         server.start(cold=True)
         self._publish(server, "ready")
 
     async def _move_server(self, name: str, back_after: float) -> None:
-        """It dies; its id comes back at another address, and another server at its old one."""
+        """Crashes a server. Its id returns at another address, and a new server at its old address."""
         server = self.servers[name]
         server.crash()
         await asyncio.sleep(back_after)
@@ -555,7 +567,7 @@
         self._publish(server, "ready")
 
     async def _replace_servers(self, fault: PlannedFault) -> None:
-        """A rolling release: each drains and goes; a new one comes under a new id, maybe at its address."""
+        """Does a rolling release: each server drains and stops, and a new one with a new id replaces it."""
         for name in fault.targets:
             await self._replace_server(name, fault)
 
@@ -570,7 +582,7 @@
     async def _finish_replacement(self, old: BagServer, fault: PlannedFault, grace: float) -> None:
         await asyncio.sleep(grace)
         if old.gone:
-            return  # it was replaced twice at once: one new server takes its place
+            return  # replaced twice at once: only one new server takes its place
         old.crash("gone")
         self._publish(old, "gone")
         number, self._next_server = self._next_server, self._next_server + 1
@@ -581,35 +593,35 @@
 
     # Faults.
 
-    def schedule(self) -> None:
-        """Set a timer for each fault of the plan."""
+    def schedule_faults(self) -> None:
+        """Sets a timer for each fault of the plan."""
         loop, now = asyncio.get_running_loop(), self.stage.now()
         for fault in self.plan.faults:
-            loop.call_later(max(0.0, fault.at - now), self._strike, fault)
+            loop.call_later(max(0.0, fault.at - now), self._apply_fault, fault)
 
-    def _happened(self, fault: PlannedFault, target: str) -> None:
+    def _record_fault(self, fault: PlannedFault, target: str) -> None:
         now = self.stage.now()
         until = max(now, fault.until if fault.spec.lasts else now)
         self.stage.record(log.Happened(now, until, fault.kind, target))
 
-    def _strike(self, fault: PlannedFault) -> None:
+    def _apply_fault(self, fault: PlannedFault) -> None:
         if fault.kind == "limiter-kill" and fault.spec.when == "handover-written":
             self._waiting_kills += [(name, fault) for name in fault.targets]
             return
         if fault.kind == "limiter-kill" and fault.spec.when in VIRTUAL_ONLY_TRIGGERS:
             for name in fault.targets:
                 self.limiters[name].call_after_steps(
-                    fault.spec.when, fault.spec.after, partial(self._struck, name, fault)
+                    fault.spec.when, fault.spec.after, partial(self._kill_at_step, name, fault)
                 )
             return
         for target in fault.targets or ("",):
-            self._happened(fault, target)
+            self._record_fault(fault, target)
         try:
-            self._start_fault(fault)
+            self._start_effect(fault)
         except OSError as error:
             self.fail(HarnessError(f"{fault.kind}: {error}"))
 
-    def _start_fault(self, fault: PlannedFault) -> None:
+    def _start_effect(self, fault: PlannedFault) -> None:
         if self.fleet_harness is not None:
             self.fleet_harness.apply_fault(fault)
         spec, lasts = fault.spec, fault.until - fault.at
@@ -622,16 +634,16 @@
             "server-by-hand": lambda name: self._server_by_hand(name, lasts),
             "limiter-drain": lambda name: self._drain_limiter(name, lasts),
             "limiter-upgrade": lambda name: self._upgrade(name),
-            "limiter-off-book": lambda name: self._off_book(name, lasts),
+            "limiter-off-book": lambda name: self._cut_plan_book(name, lasts),
             "limiter-late": lambda name: self._start_late(name),
-            "limiter-restart-all-but-one": lambda name: self._restart_but(name, spec.back_after),
+            "limiter-restart-all-but-one": lambda name: self._restart_all_but(name, spec.back_after),
             "purge": lambda name: self._purge(name),
         }
         if fault.kind in each:
             for target in fault.targets:
                 self._spawn(each[fault.kind](target))
-        elif (spell := self._spell(fault)) is not None:
-            value, applied = spell
+        elif (setter := self._lasting_effect(fault)) is not None:
+            value, applied = setter
             for target in fault.targets or ("",):
                 apply = partial(applied, target)
                 self._overlapping.begin(fault.kind, target, value, apply)
@@ -644,12 +656,16 @@
             self._spawn(self._replace_servers(fault))
         elif fault.kind == "plan-churn" and self.books is not None:
             accounts = [(account.id, account.plan) for account in self.plan.accounts]
-            busiest = sorted(accounts, key=lambda a: (-self._asked[a[0]], a[0]))
+            busiest = sorted(accounts, key=lambda a: (-self._arrivals_by_account[a[0]], a[0]))
             few = [a for a in busiest if self._ceiling_of(a[1]) > 0][: spec.count]
             self._spawn(self.books.churn(few, fault.until, spec.every, spec.ahead))
         elif fault.kind == "plan-reserve" and self.books is not None:
-            asked = [(account.id, account.plan) for account in self.plan.accounts if self._asked[account.id]]
-            most = sorted(asked, key=lambda a: (-self._asked[a[0]], a[0]))[: spec.count]
+            asked = [
+                (account.id, account.plan)
+                for account in self.plan.accounts
+                if self._arrivals_by_account[account.id]
+            ]
+            most = sorted(asked, key=lambda a: (-self._arrivals_by_account[a[0]], a[0]))[: spec.count]
             self._spawn(self.books.reserve(most, lasts, spec.size))
         elif fault.kind == "writer-stop" and self.books is not None:
             self._spawn(self.books.stop(spec.back_after))
@@ -657,15 +673,15 @@
             self.keeper.empty()
         elif fault.kind == "keeper-break":
             self.keeper.break_connections()
-        # A flood or a surge is in the arrivals.
+        # Floods and surges are part of the plan's arrivals.
 
-    def _spell(self, fault: PlannedFault) -> tuple[Value, Callable[[str, Value], None]] | None:
-        """Of a fault that lasts, its value while it does, and what sets a target to one; None for others."""
+    def _lasting_effect(self, fault: PlannedFault) -> tuple[Value, Callable[[str, Value], None]] | None:
+        """Returns the value of a lasting fault and the function that sets it on a target, or None for other faults."""
         spec, late = fault.spec, fault.spec.add_ms / 1000
         if fault.kind in SERVER_SHARES:
             share = SERVER_SHARES[fault.kind]
             return spec.size, lambda name, value: setattr(self.servers[name], share, value)
-        spells: dict[str, tuple[Value, Callable[[str, Value], None]]] = {
+        setters: dict[str, tuple[Value, Callable[[str, Value], None]]] = {
             "server-hang": (True, lambda name, on: self.servers[name].hang(bool(on))),
             "server-slow": (late, lambda name, by: setattr(self.servers[name], "slow_by", by)),
             "limiter-pause": (True, lambda name, on: self._pause(name, bool(on))),
@@ -673,32 +689,32 @@
             "hall-cut": (True, lambda hall, on: self.net.cut(hall, bool(on), self.stage.now())),
             "keeper-slow": (late, lambda _, by: setattr(self.keeper, "slow_by", by)),
             "keeper-stop": (True, lambda _, on: setattr(self.keeper, "stopped", on)),
-            "discovery-silent": (True, lambda _, on: self._silence(bool(on))),
+            "discovery-silent": (True, lambda _, on: self._set_discovery_silent(bool(on))),
         }
-        return spells.get(fault.kind)
+        return setters.get(fault.kind)
 
     @property
-    def _asked(self) -> Counter[str]:
+    def _arrivals_by_account(self) -> Counter[str]:
         return Counter(arrival.account for arrival in self.plan.arrivals)
 
     def _ceiling_of(self, plan: str) -> float:
         return next(row.ceiling for row in self.scenario.plans if row.name == plan)
 
-    async def _off_book(self, name: str, lasts: float) -> None:
+    async def _cut_plan_book(self, name: str, lasts: float) -> None:
         if self.books is not None:
             await self.books.shut(name)
             await asyncio.sleep(lasts)
             await self.books.open(name)
 
-    def _silence(self, on: bool) -> None:
+    def _set_discovery_silent(self, on: bool) -> None:
         for agent in self.agents.values():
             if on:
                 agent.silent = True
             else:
                 agent.wake()
 
-    def abuse(self) -> asyncio.Task[None] | None:
-        """Abusive clients beside the usual ones, where the scenario has them."""
+    def start_abuse(self) -> asyncio.Task[None] | None:
+        """Starts the abusive clients, if the scenario has any."""
         graphql = self.scenario.graphql
         if graphql is None or graphql.abuse <= 0:
             return None
@@ -724,33 +740,33 @@
         task.add_done_callback(self._tasks.discard)
 
     def fail(self, error: BaseException) -> None:
-        """The kit cannot go on: the play ends with this."""
+        """Ends the play with this error."""
         self._failure = self._failure or error
         self.failed.set()
 
-    def check(self) -> None:
+    def raise_failure(self) -> None:
         if self._failure is not None:
             raise HarnessError(str(self._failure))
 
-    async def beat(self) -> None:
-        """Watch the kit's own lateness and what the limiters use, until cancelled."""
+    async def watch_lateness(self) -> None:
+        """Records this process's own lateness and samples the limiters' usage, until cancelled."""
         clock = self.stage.clock
-        due, sampled = clock() + BEAT, 0.0
+        due, sampled = clock() + HEARTBEAT_SECONDS, 0.0
         while True:
             await asyncio.sleep(max(0.0, due - clock()))
             now = clock()
             late = max(0.0, now - due)
-            # Until the day begins it sets the stage, in long turns, and keeps no client waiting by that.
+            # Before the start this process sets up the run, in long steps that delay no client.
             if self.keeper.begun and self.stage.now() - late >= 0:
                 self.stage.record(log.Lateness(self.stage.now(), late))
-            due = max(due + BEAT, now)
-            if now - sampled > SAMPLE:
+            due = max(due + HEARTBEAT_SECONDS, now)
+            if now - sampled > USAGE_SAMPLE_SECONDS:
                 sampled = now
                 for limiter in self.limiters.values():
                     limiter.sample_usage()
 
     async def close(self) -> None:
-        """End everything; nothing of this play stays behind."""
+        """Stops everything that the play started."""
         for task in list(self._tasks):
             task.cancel()
         running = [x for x in self.limiters.values() if x.running]
@@ -770,24 +786,24 @@
             await self.books.close()
 
 
-async def _day(runner: ScenarioRunner, progress: Progress | None) -> None:
-    """From the first limiter's start to the last one's end."""
+async def _run_day(runner: ScenarioRunner, progress: Progress | None) -> None:
+    """Plays everything from the first limiter's start to the last one's exit."""
     runner.clients.prepare(runner.plan.arrivals)
-    runner.build()
+    runner.start_stand_ins()
     runner.stage.record(runner.day)
     for plan, least in runner.scenario.goal.plans.items():
         runner.stage.record(log.Wanted(runner.stage.now(), plan, least))
-    await runner.open_books()
-    await runner.open_side()
+    await runner.start_plan_book()
+    await runner.open_fleet_harness()
     early = [name for name in runner.limiters if name not in runner.returning]
     await asyncio.gather(*(runner.start_limiter(name) for name in early))
-    runner.begin()
+    runner.begin_day()
     runner.keeper.begun = True
-    runner.schedule()
-    abuse = runner.abuse()
+    runner.schedule_faults()
+    abuse = runner.start_abuse()
     await runner.clients.play(runner.plan.arrivals)
     await asyncio.sleep(max(0.0, runner.scenario.seconds - runner.stage.now()))
-    await runner.clients.finish(AFTER)
+    await runner.clients.finish(FINISH_TIMEOUT_SECONDS)
     if abuse is not None:
         await abuse
     await _stop_limiters(runner)
@@ -795,9 +811,11 @@
 
 async def _stop_limiters(runner: ScenarioRunner) -> None:
     loop = asyncio.get_running_loop()
-    limit = loop.time() + READY_FOR_STOP
+    limit = loop.time() + RETURN_TIMEOUT_SECONDS
     while runner.returning and loop.time() < limit:
-        await asyncio.sleep(0.05)  # one that was to come back comes back first: its end is judged too
+        await asyncio.sleep(
+            0.05
+        )  # limiters that are being restarted return first, so that their exit is judged too
     if runner.fleet_harness is not None:
         runner.fleet_harness.end_day()
     for limiter in runner.limiters.values():
@@ -820,16 +838,20 @@
         )
 
 
-READY_FOR_STOP = 8.0  # seconds for limiters that are still away at the day's end
+RETURN_TIMEOUT_SECONDS = 8.0  # for limiters that are still down at the end of the run
 
 
-def _raise_descriptors(scenario: Scenario) -> None:
-    """As many as this day may want: both ends of the clients' connections are not ours, the servers' are."""
+def _raise_descriptor_limit(scenario: Scenario) -> None:
+    """Raises the limit of file descriptors to what the run may need.
+
+    This process holds one end of each client connection and of each server connection.
+    Raises ``HarnessError`` if the hard limit is too low.
+    """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    want = DESCRIPTORS if hard == resource.RLIM_INFINITY else min(DESCRIPTORS, hard)
+    want = MAX_DESCRIPTORS if hard == resource.RLIM_INFINITY else min(MAX_DESCRIPTORS, hard)
     need = 100 + scenario.limiters.count * (4 * scenario.fleet.servers + 40) + int(2 * scenario.load.inside)
     if want < need:
-        raise HarnessError(f"this day wants {need} descriptors and may have {hard}: raise `ulimit -n`")
+        raise HarnessError(f"this run needs {need} file descriptors and may have {hard}: raise `ulimit -n`")
     if soft < want:
         resource.setrlimit(resource.RLIMIT_NOFILE, (want, hard))
 
@@ -838,11 +860,11 @@
     scenario: Scenario, seed: int, *, logs: Path | None = None, command: list[str] | None = None,
     progress: Progress | None = None, records: list[log.Record] | None = None, plan: Plan | None = None,
 ) -> list[log.Record]:  # fmt: skip
-    """Play a day (of ``plan``, by default the one drawn from the seed); the records of it.
+    """Plays a scenario and returns the records. Draws the plan from the seed unless ``plan`` is given.
 
-    ``logs`` keeps the limiters' logs, configurations and ``records.jsonl``.
-    ``records`` may be given so that a caller that is interrupted still has what was seen.
-    Raises ``KitError`` where the kit cannot do its work; no process is left behind either way.
+    ``logs`` is a folder that keeps the limiters' logs, configurations and ``records.jsonl``.
+    ``records`` is a list to append to, so that a caller that is interrupted still has the records so far.
+    Raises ``HarnessError`` if the run cannot go on. No process is left behind in either case.
     """
     for fault in scenario.faults:
         if fault.when in VIRTUAL_ONLY_TRIGGERS:
@@ -853,7 +875,7 @@
         folder.mkdir(parents=True, exist_ok=True)
     except OSError as error:
         raise HarnessError(f"cannot make {folder}: {error.strerror}") from None
-    _raise_descriptors(scenario)
+    _raise_descriptor_limit(scenario)
 
     def limiter(name: str, host: str) -> LimiterProcess:
         address, sockets = (host, free_port(host)), scenario.limiters.sockets
@@ -862,15 +884,15 @@
             words += ["--operators", operators]
         return LimiterProcess(name, address, folder, words, plan.seed, sockets)
 
-    # A range of its own for each run: two at once never meet, and no port is asked for by number.
-    base = f"127.{16 + (os.getpid() * 7 + next(PLAYS)) % 200}"
-    environment = None if scenario.together is None else _ground(scenario, folder, base)
+    # Each run has its own address range, so that concurrent runs do not collide. All ports are chosen by the system.
+    base = f"127.{16 + (os.getpid() * 7 + next(RUN_NUMBERS)) % 200}"
+    environment = None if scenario.together is None else _socket_environment(scenario, folder, base)
     runner = ScenarioRunner(scenario, plan, limiter, kept.append, base, environment=environment)
     try:
         with reduced_gc():
             await play_day(runner, progress)
     except OSError as error:
-        raise HarnessError(f"{error.strerror or error}: the kit could not go on") from None
+        raise HarnessError(f"{error.strerror or error}: the rehearsal could not go on") from None
     finally:
         await runner.close()
         if logs is None:
@@ -880,8 +902,8 @@
     return kept
 
 
-def _ground(scenario: Scenario, folder: Path, base: str) -> FleetEnvironment:
-    """On sockets: histories are files, and each address is one of this run's own."""
+def _socket_environment(scenario: Scenario, folder: Path, base: str) -> FleetEnvironment:
+    """Returns the environment of a run on sockets, where histories are files in ``folder``."""
     from cypresspulley.histories.read import read_folder
     from cypresspulley.histories.writer import History
     from cypresspulley.rehearsal.checks import calendar_events, checked
@@ -898,17 +920,17 @@
         lambda name, way_in: (hosts[name, way_in], ports[name, way_in]),
         lambda wanted: checked(read_folder(histories), wanted, scenario.seconds),
         lambda: calendar_events(histories),
-        START_WITHIN[0] + START_WITHIN[1] * len(names),
+        START_ALLOWANCE_SECONDS[0] + START_ALLOWANCE_SECONDS[1] * len(names),
     )
 
 
 @contextlib.contextmanager
 def reduced_gc() -> Iterator[None]:
-    """What was there before is not looked through by the collector, and what comes to stay only seldom."""
+    """Freezes the existing objects and makes garbage collections rare while the context is active."""
     usual = gc.get_threshold()
     gc.collect()
     gc.freeze()
-    gc.set_threshold(YOUNG, SELDOM, SELDOM)
+    gc.set_threshold(GC_YOUNG_OBJECTS, GC_OLD_THRESHOLD, GC_OLD_THRESHOLD)
     try:
         yield
     finally:
@@ -917,28 +939,31 @@
 
 
 async def play_day(runner: ScenarioRunner, progress: Progress | None) -> None:
-    """The day from its first limiter's start to its end, with the kit's own lateness watched."""
-    day = asyncio.ensure_future(_day(runner, progress))
-    beat = asyncio.ensure_future(runner.beat())
+    """Plays a run to its end while measuring this process's own lateness.
+
+    Raises ``HarnessError`` if the run cannot go on.
+    """
+    day = asyncio.ensure_future(_run_day(runner, progress))
+    heartbeat = asyncio.ensure_future(runner.watch_lateness())
     failed = asyncio.ensure_future(runner.failed.wait())
-    shown = asyncio.ensure_future(_show(runner, progress)) if progress else None
+    shown = asyncio.ensure_future(_show_progress(runner, progress)) if progress else None
     try:
         await asyncio.wait((day, failed), return_when=asyncio.FIRST_COMPLETED)
-        runner.check()
+        runner.raise_failure()
         await day
-        beat.cancel()  # the kit is late from here on, and harms nobody by it
+        heartbeat.cancel()  # lateness no longer affects the result
         if runner.fleet_harness is not None:
             runner.fleet_harness.check()
         runner.stage.record(log.End(runner.stage.now(), runner.stage.unix_ms(0) / 1000))
     finally:
-        tasks = [task for task in (day, beat, failed, shown) if task is not None]
+        tasks = [task for task in (day, heartbeat, failed, shown) if task is not None]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
 def write_records(records: list[log.Record], path: Path) -> None:
-    """Write a log that ``fawnseam judge`` reads."""
+    """Writes a log that ``fawnseam judge`` reads. Raises ``HarnessError`` if it cannot be written."""
     try:
         with path.open("w", encoding="utf-8") as file:
             log.write_log(file, records)
@@ -948,7 +973,7 @@
         ) from None
 
 
-async def _show(runner: ScenarioRunner, progress: Progress) -> None:
+async def _show_progress(runner: ScenarioRunner, progress: Progress) -> None:
     while True:
         progress(runner.stage.now(), runner)
         await asyncio.sleep(0.25)
