--- a/cypresspulley/rehearsal/checks.py
+++ b/cypresspulley/rehearsal/checks.py
@@ -19,7 +19,7 @@
 SHOWN = 8  # events of a finding's excerpt
 
 
-def checked(histories: Histories, names: Iterable[str], at: float) -> list[log.Checked]:
+def check_histories(histories: Histories, names: Iterable[str], at: float) -> list[log.Checked]:
     """Recorded at second ``at`` of the day."""
     return [
         log.Checked(at, one.name, one.checked, tuple(_words(finding) for finding in one.findings))
--- a/cypresspulley/rehearsal/play.py
+++ b/cypresspulley/rehearsal/play.py
@@ -906,7 +906,7 @@
     """Returns the environment of a run on sockets, where histories are files in ``folder``."""
     from cypresspulley.histories.read import read_folder
     from cypresspulley.histories.writer import History
-    from cypresspulley.rehearsal.checks import calendar_events, checked
+    from cypresspulley.rehearsal.checks import calendar_events, check_histories
     from cypresspulley.rehearsal.together import FleetEnvironment
 
     histories, net, names = folder / "histories", LoopbackNetwork(scenario, base), limiter_names(scenario)
@@ -918,7 +918,7 @@
     return FleetEnvironment(
         History(str(histories / "harness.jsonl"), clock, clock),
         lambda name, way_in: (hosts[name, way_in], ports[name, way_in]),
-        lambda wanted: checked(read_folder(histories), wanted, scenario.seconds),
+        lambda wanted: check_histories(read_folder(histories), wanted, scenario.seconds),
         lambda: calendar_events(histories),
         START_ALLOWANCE_SECONDS[0] + START_ALLOWANCE_SECONDS[1] * len(names),
     )
--- a/cypresspulley/rehearsal/virtual/play.py
+++ b/cypresspulley/rehearsal/virtual/play.py
@@ -31,7 +31,7 @@
 from cypresspulley.operators import Operators, load_operators
 from cypresspulley.policy.gateway import Gateway
 from cypresspulley.rehearsal import records as log
-from cypresspulley.rehearsal.checks import checked
+from cypresspulley.rehearsal.checks import check_histories
 from cypresspulley.rehearsal.limiters import HarnessError, KillCallback, LimiterProcess
 from cypresspulley.rehearsal.plan import Plan, draw_plan, random_for
 from cypresspulley.rehearsal.play import LoopbackNetwork, ScenarioRunner, operators_path, play_day
@@ -319,7 +319,7 @@
         lives = [life for each in limiters for one in each.histories for life in one.lives]
         if logs is not None:
             _keep_histories([*history.lives, *lives], logs / "histories")
-        return checked(from_memory([*history.lives, *lives]), wanted, scenario.seconds)
+        return check_histories(from_memory([*history.lives, *lives]), wanted, scenario.seconds)
 
     def address(name: str, way_in: bool) -> tuple[str, int]:
         return net.host(254 if way_in else 250, names.index(name)), DATAGRAMS
