--- a/cypresspulley/rehearsal/checks.py
+++ b/cypresspulley/rehearsal/checks.py
@@ -1,4 +1,4 @@
-"""The checkers' verdicts on a day's histories, as records."""
+"""Runs the history checkers on the histories of a run and converts their verdicts to records."""
 
 from __future__ import annotations
 
@@ -15,30 +15,30 @@
 from cypresspulley.histories.verdict import Finding
 from cypresspulley.rehearsal import records as log
 
-MARK = f'"kind":"{Kind.CALENDAR}"'.encode()
-SHOWN = 8  # events of a finding's excerpt
+CALENDAR_MARK = f'"kind":"{Kind.CALENDAR}"'.encode()
+MAX_SHOWN_EVENTS = 8  # of a finding's excerpt
 
 
 def check_histories(histories: Histories, names: Iterable[str], at: float) -> list[log.Checked]:
-    """Recorded at second ``at`` of the day."""
+    """Runs the named checkers and returns their verdicts as records of second ``at``."""
     return [
-        log.Checked(at, one.name, one.checked, tuple(_words(finding) for finding in one.findings))
+        log.Checked(at, one.name, one.checked, tuple(_finding_text(finding) for finding in one.findings))
         for one in check_all(histories, names)
     ]
 
 
 def calendar_events(folder: Path) -> list[dict[str, Any]]:
-    """Events of calendars in a folder's histories so far; a line that is being written is passed over."""
+    """Returns the calendar events in a folder's histories so far, without a line that is still being written."""
     found = list[dict[str, Any]]()
     for file in sorted(folder.glob(PATTERN)):
         for line in file.read_bytes().splitlines():
-            if MARK in line:
+            if CALENDAR_MARK in line:
                 with contextlib.suppress(msgspec.DecodeError):
                     found.append(msgspec.json.decode(line, type=dict[str, Any]))
     return found
 
 
-def _words(finding: Finding) -> str:
-    """What broke, and below it the events that show it."""
-    shown = [repr(line) for line in finding.excerpt[:SHOWN]]
+def _finding_text(finding: Finding) -> str:
+    """Returns the broken promise, followed by the events that show it, one per line."""
+    shown = [repr(line) for line in finding.excerpt[:MAX_SHOWN_EVENTS]]
     return "\n".join([f"{finding.promise}: {finding.text}", *shown])
