--- a/cypresspulley/rehearsal/report.py
+++ b/cypresspulley/rehearsal/report.py
@@ -1,4 +1,4 @@
-"""The verdict for a terminal."""
+"""Prints a verdict for a terminal."""
 
 from __future__ import annotations
 
@@ -7,28 +7,28 @@
 
 from cypresspulley.rehearsal.judge import Verdict
 
-SHOWN = 5  # violations of a rule; the rest is in the JSON and on the page
+MAX_SHOWN = 5  # violations per rule; the JSON output and the HTML page have the rest
 
 
 def print_verdict(verdict: Verdict, console: Console | None = None) -> None:
-    """Rules first, then the figures, then what it means."""
+    """Prints the rules, then the figures, then the conclusion."""
     console = console or Console(highlight=False, markup=False, soft_wrap=True)
     day, service = verdict.day, verdict.service
     console.print(f"{day.scenario}, seed {day.seed}, plan {day.digest}")
     for rule in verdict.rules:
         word = "kept  " if rule.kept else "BROKEN"
         console.print(f"  {word} {rule.rule} (held against {rule.checked} events)")
-        for v in rule.violations[:SHOWN]:
+        for v in rule.violations[:MAX_SHOWN]:
             console.print(f"         {v.t:.3f} s {v.limiter} {v.request}: {v.text}")
-        if len(rule.violations) > SHOWN:
-            console.print(f"         and {len(rule.violations) - SHOWN} more")
+        if len(rule.violations) > MAX_SHOWN:
+            console.print(f"         and {len(rule.violations) - MAX_SHOWN} more")
     for one in verdict.histories:
         word = "BROKEN" if one.findings else "kept  "
         console.print(f"  {word} histories: {one.name} (held against {one.checked} events)")
-        for text in one.findings[:SHOWN]:
+        for text in one.findings[:MAX_SHOWN]:
             console.print("         " + text.replace("\n", "\n           "))
-        if len(one.findings) > SHOWN:
-            console.print(f"         and {len(one.findings) - SHOWN} more")
+        if len(one.findings) > MAX_SHOWN:
+            console.print(f"         and {len(one.findings) - MAX_SHOWN} more")
     console.print(
         f"service {service.service:.3f} (goal {day.goal:.2f}): whole {service.whole:.3f}, worst 10 s "
         f"{service.worst_10s:.3f} from {service.worst_10s_at:.0f} s, worst plan {service.worst_plan:.3f}, "
@@ -43,7 +43,7 @@
 
 
 def conclusion(verdict: Verdict) -> str:
-    """One sentence: what may be concluded."""
+    """Returns the conclusion in one sentence."""
     if verdict.void:
         return f"VOID: {verdict.void}"
     if verdict.crash:
