--- a/cypresspulley/rehearsal/command.py
+++ b/cypresspulley/rehearsal/command.py
@@ -1,4 +1,4 @@
-"""What ``fawnseam rehearse`` and ``fawnseam judge`` do: play, judge, show; their exit codes."""
+"""Implements ``fawnseam rehearse`` and ``fawnseam judge``: plays, judges, reports and returns the exit code."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 from cypresspulley.rehearsal.scenario import Scenario, ScenarioError, load_scenario, shipped_scenarios
 from cypresspulley.rehearsal.timeline import JudgeError, Timeline
 
-KEPT = 0
-MISSED = 1
-BAD_INPUT = 2
-BROKEN_KIT = 3
+EXIT_PASSED = 0
+EXIT_FAILED = 1
+EXIT_BAD_INPUT = 2
+EXIT_HARNESS_ERROR = 3
 INTERRUPTED = 130
-PLAIN_EVERY = 5.0  # seconds between two lines of progress where there is no terminal
+PLAIN_PROGRESS_SECONDS = 5.0  # between lines of progress without a terminal
 
 
 @dataclass(frozen=True, slots=True)
 class Outputs:
-    """Where to write; None for nowhere."""
+    """The files and folder to write to, each None for no output."""
 
     json: Path | None
     html: Path | None
@@ -42,46 +42,46 @@
     har: Path | None = None
 
     def check(self) -> None:
-        """Fail before the day is played, not after it."""
+        """Checks the folders of the outputs, so that a run does not fail only at its end."""
         check_folders(self.json, self.html, self.har)
 
 
 def list_scenarios() -> int:
-    """Print the shipped scenarios, a line each."""
+    """Prints the shipped scenarios, one per line, and returns the exit code."""
     console = Console(highlight=False, soft_wrap=True)
     try:
         for name in shipped_scenarios():
             scenario = load_scenario(name)
             console.print(f"{name:22} {scenario.seconds:3.0f} s  {scenario.about}", markup=False)
     except ScenarioError as error:
-        return fail(str(error), BAD_INPUT)
-    return KEPT
+        return fail(str(error), EXIT_BAD_INPUT)
+    return EXIT_PASSED
 
 
 def check(name: str) -> int:
-    """Validate a scenario without playing; prints its plan's digest."""
+    """Validates a scenario without playing it, prints its plan's digest and returns the exit code."""
     try:
         scenario = load_scenario(name)
-        scenario, plan = _planned(scenario, scenario.seed)
+        scenario, plan = _plan_run(scenario, scenario.seed)
     except ValueError as error:
-        return fail(str(error), BAD_INPUT)
+        return fail(str(error), EXIT_BAD_INPUT)
     print(f"{scenario.name}: good; {len(plan.arrivals)} requests of {len(plan.accounts)} accounts, "
           f"{len(plan.faults)} faults, plan {plan.digest()}")  # fmt: skip
-    return KEPT
+    return EXIT_PASSED
 
 
-class _Shown:
-    """Progress: a bar on a terminal, a plain line now and then elsewhere."""
+class _ProgressDisplay:
+    """Shows progress: a bar on a terminal, otherwise a line every few seconds."""
 
     def __init__(self, scenario: Scenario) -> None:
-        self._seconds, self._next, self._up = scenario.seconds, 0.0, -1
+        self._seconds, self._next, self._shown_up = scenario.seconds, 0.0, -1
         self._bar: Progress | None = None
         if sys.stderr.isatty():
             columns = (TextColumn("{task.description}"), BarColumn(), TimeElapsedColumn())
             self._bar = Progress(*columns, console=Console(stderr=True), auto_refresh=False)
             self._task = self._bar.add_task(scenario.name, total=scenario.seconds)
 
-    def __enter__(self) -> _Shown:
+    def __enter__(self) -> _ProgressDisplay:
         if self._bar is not None:
             self._bar.start()
         return self
@@ -96,25 +96,25 @@
         if self._bar is not None:
             at = min(max(0.0, now), self._seconds)
             self._bar.update(self._task, completed=at, description=text, refresh=True)
-        elif now >= self._next or up != self._up:
-            self._up = up
+        elif now >= self._next or up != self._shown_up:
+            self._shown_up = up
             print(f"{now:6.1f} s of {self._seconds:g}: {text}", file=sys.stderr)
-            self._next = now - now % PLAIN_EVERY + PLAIN_EVERY
+            self._next = now - now % PLAIN_PROGRESS_SECONDS + PLAIN_PROGRESS_SECONDS
 
 
 def rehearse(name: str, seed: int | None, outputs: Outputs, virtual: bool = False) -> int:
-    """Play a scenario, on sockets or in virtual time, print and write what came of it; the exit code."""
+    """Plays a scenario on sockets or in virtual time, reports the verdict and returns the exit code."""
     try:
         outputs.check()
         scenario = load_scenario(name)
         seed = scenario.seed if seed is None else seed
-        scenario, plan = _planned(scenario, seed)  # bad sizes are bad input, said before anything starts
+        scenario, plan = _plan_run(scenario, seed)  # invalid sizes are reported before anything starts
     except ValueError as error:
-        return fail(str(error), BAD_INPUT)
+        return fail(str(error), EXIT_BAD_INPUT)
     return play_and_judge(scenario, plan, outputs, virtual)
 
 
-def _planned(scenario: Scenario, seed: int) -> tuple[Scenario, Plan]:
+def _plan_run(scenario: Scenario, seed: int) -> tuple[Scenario, Plan]:
     if scenario.load.capture is None:
         return scenario, draw_plan(scenario, seed)
     from cypresspulley.capture.day import captured_plan
@@ -123,7 +123,7 @@
 
 
 def play_and_judge(scenario: Scenario, plan: Plan, outputs: Outputs, virtual: bool = False) -> int:
-    """Play a plan against limiters of its own, judge it, write what was asked for; the exit code."""
+    """Plays a plan against its own limiters, reports the verdict and returns the exit code."""
     records = list[log.Record]()
     if virtual:
         return _play_in_virtual_time(scenario, plan, outputs)
@@ -133,37 +133,37 @@
         assert playing is not None
         for number in (signal.SIGINT, signal.SIGTERM):
             loop.add_signal_handler(number, playing.cancel)
-        with _Shown(scenario) as shown:
-            await play(scenario, plan.seed, logs=outputs.logs, progress=shown, records=records, plan=plan)
+        with _ProgressDisplay(scenario) as display:
+            await play(scenario, plan.seed, logs=outputs.logs, progress=display, records=records, plan=plan)
 
     try:
         uvloop.run(main())
     except HarnessError as error:
-        return fail(str(error), BROKEN_KIT)
+        return fail(str(error), EXIT_HARNESS_ERROR)
     except asyncio.CancelledError:
-        return _interrupted(records)
-    return _conclude(records, outputs)
+        return _report_interrupted(records)
+    return _report_verdict(records, outputs)
 
 
 def _play_in_virtual_time(scenario: Scenario, plan: Plan, outputs: Outputs) -> int:
     from cypresspulley.rehearsal.virtual.play import digest, play_virtual
 
     try:
-        with _Shown(scenario) as shown:
-            records = play_virtual(scenario, plan.seed, plan, shown, logs=outputs.logs)
+        with _ProgressDisplay(scenario) as display:
+            records = play_virtual(scenario, plan.seed, plan, display, logs=outputs.logs)
         if outputs.logs is not None:
             outputs.logs.mkdir(parents=True, exist_ok=True)
             write_records(records, outputs.logs / "records.jsonl")
     except KeyboardInterrupt:
         return INTERRUPTED
     except (HarnessError, OSError) as error:
-        return fail(str(error), BROKEN_KIT)
+        return fail(str(error), EXIT_HARNESS_ERROR)
     print(f"trace {digest(records)}")
-    return _conclude(records, outputs)
+    return _report_verdict(records, outputs)
 
 
-def _interrupted(records: list[log.Record]) -> int:
-    """Say what was seen so far; nothing is concluded from it."""
+def _report_interrupted(records: list[log.Record]) -> int:
+    """Prints the figures so far, which are not a verdict, and returns the exit code."""
     print("fawnseam: interrupted; what was seen so far:", file=sys.stderr)
     try:
         print_verdict(judge_timeline(Timeline(records)))
@@ -173,18 +173,18 @@
 
 
 def judge_log(path: Path, outputs: Outputs) -> int:
-    """Judge a kept log; the exit code."""
+    """Judges a saved log and returns the exit code."""
     try:
         outputs.check()
         with path.open(encoding="utf-8") as file:
-            return _conclude(list(log.read_log(file, str(path))), outputs)
+            return _report_verdict(list(log.read_log(file, str(path))), outputs)
     except (OSError, UnicodeDecodeError) as error:
-        return fail(f"{path}: not readable: {error}", BAD_INPUT)
+        return fail(f"{path}: not readable: {error}", EXIT_BAD_INPUT)
     except ValueError as error:
-        return fail(str(error), BAD_INPUT)
+        return fail(str(error), EXIT_BAD_INPUT)
 
 
-def _conclude(records: list[log.Record], outputs: Outputs) -> int:
+def _report_verdict(records: list[log.Record], outputs: Outputs) -> int:
     line = Timeline(records)
     verdict = judge_timeline(line)
     print_verdict(verdict)
@@ -197,14 +197,14 @@
             with outputs.har.open("w", encoding="utf-8") as file:
                 write_har(records, file)
         if outputs.html is not None:
-            from cypresspulley.rehearsal.page import render  # plots load slowly
+            from cypresspulley.rehearsal.page import render  # imports matplotlib, which is slow
 
             outputs.html.write_text(render(line, verdict), encoding="utf-8")
     except OSError as error:
-        return fail(f"cannot write {error.filename}: {error.strerror}", BROKEN_KIT)
+        return fail(f"cannot write {error.filename}: {error.strerror}", EXIT_HARNESS_ERROR)
     if verdict.void:
-        return BROKEN_KIT
-    return KEPT if verdict.passed else MISSED
+        return EXIT_HARNESS_ERROR
+    return EXIT_PASSED if verdict.passed else EXIT_FAILED
 
 
 def _json(raw: dict[str, Any]) -> str:
