--- a/cypresspulley/rehearsal/fields.py
+++ b/cypresspulley/rehearsal/fields.py
@@ -1,4 +1,4 @@
-"""Kinds of values that scenario files have, with their ranges."""
+"""Types of the values in scenario files, with their ranges."""
 
 from __future__ import annotations
 
@@ -13,6 +13,6 @@
 
 
 class Strict(BaseModel):
-    """A table that has no other keys than its own."""
+    """A table that rejects unknown keys."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
