--- a/cypresspulley/rehearsal/overlapping_faults.py
+++ b/cypresspulley/rehearsal/overlapping_faults.py
@@ -1,4 +1,4 @@
-"""Faults that last, and overlap: what is in force of them on each target. No I/O and no clock."""
+"""Tracks lasting faults that may overlap, and which value applies to each target. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class OverlappingFaults:
-    """The values of one fault on one target that have begun and not ended; the latest of them is in force.
+    """The values of the active faults by kind and target. Of several, the one that began last applies.
 
-    ``apply`` takes what is in force whenever that changes, and ``False`` or 0 when the last spell has ended.
+    ``apply`` is called with the new value whenever it changes, and with ``False`` or 0 when the last fault has ended.
     """
 
     def __init__(self) -> None:
@@ -28,7 +28,7 @@
         values.append(value)
 
     def end(self, kind: str, target: str, value: Value, apply: Apply) -> None:
-        """A spell of this value ends; ``ValueError`` where none has begun."""
+        """Ends a fault with this value. Raises ``ValueError`` if none has begun."""
         values = self._values[kind, target]
         before = values[-1] if values else None
         values.remove(value)
