--- a/cypresspulley/rehearsal/datagram_faults.py
+++ b/cypresspulley/rehearsal/datagram_faults.py
@@ -1,4 +1,4 @@
-"""Faults of datagrams: what the relay does to them, and what checkers are to excuse; free of I/O."""
+"""Datagram faults: what the relay does to datagrams, and what the history checkers excuse. No I/O."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from cypresspulley.rehearsal.plan import PlannedFault
 from cypresspulley.rehearsal.standins.datagrams import Trouble, Way, ways_between
 
-# Up to these, datagrams that are lost or late excuse no death; beyond, whom they belong to counts as cut off.
-MILD_LOSS = 0.2  # share of them
-MILD_DELAY = 0.25  # of a period of probes
+# Up to these limits, lost or late datagrams excuse no death verdict. Beyond them the targets count as cut off.
+MAX_MILD_LOSS = 0.2  # share of the datagrams
+MAX_MILD_DELAY = 0.25  # in probe periods
 
 
 @dataclass(frozen=True, slots=True)
 class DatagramFault:
-    """One fault as checkers know it: its kind, and the sides that it touches, or parts from all others."""
+    """A fault as the checkers know it: its kind and the groups that it affects or separates from all others."""
 
     kind: str
     sides: tuple[tuple[str, ...], ...]
@@ -23,20 +23,21 @@
 
 
 def datagram_fault(fault: PlannedFault, names: Sequence[str], period: float, now: float) -> DatagramFault:
-    """What a fault whose kind begins with ``datagram-`` does among limiters of these names.
+    """Converts a fault whose kind begins with ``datagram-`` for limiters of these names.
 
-    ``period`` is that of probes, ``now`` the time by the relay's clock at which it begins; both in seconds."""
+    ``period`` is the probe period, and ``now`` its start by the relay's clock, both in seconds.
+    """
     targets = fault.targets
-    if (rough := _rough(fault, _ways(names, targets))) is not None:
-        if _mild(rough, period):
-            return DatagramFault(f"fleet-{fault.kind.partition('-')[2]}", (targets,), rough)
-        return DatagramFault("fleet-cut", tuple((name,) for name in targets or names), rough)
+    if (degraded := _degraded_links(fault, _links_of_targets(names, targets))) is not None:
+        if _is_mild(degraded, period):
+            return DatagramFault(f"fleet-{fault.kind.partition('-')[2]}", (targets,), degraded)
+        return DatagramFault("fleet-cut", tuple((name,) for name in targets or names), degraded)
     groups = fault.spec.groups
     if not groups and targets:
         groups = targets, tuple(name for name in names if name not in targets)
     between = ways_between(groups, fault.spec.one_way) if groups else None
     sides = groups[:-1] or tuple((name,) for name in names)
-    # Where somebody hears both sides nobody is parted: no death there is excused.
+    # A limiter in no group hears all of them, so no limiter is isolated and no death verdict is excused.
     whole = not groups or sorted(name for group in groups for name in group) == sorted(names)
     if fault.kind == "datagram-flap":
         flap = Trouble(between, lost=1.0, every=fault.spec.every, since=now)
@@ -45,15 +46,15 @@
     return DatagramFault(kind if whole else "fleet-partial", sides, Trouble(between, lost=1.0))
 
 
-def _ways(names: Sequence[str], targets: Sequence[str]) -> frozenset[Way] | None:
-    """Those from and to the targets; None, for all, where there are none."""
+def _links_of_targets(names: Sequence[str], targets: Sequence[str]) -> frozenset[Way] | None:
+    """Returns the links from and to the targets, or None (all links) without targets."""
     if not targets:
         return None
     return frozenset((a, b) for a in names for b in names if a != b and (a in targets or b in targets))
 
 
-def _rough(fault: PlannedFault, ways: frozenset[Way] | None) -> Trouble | None:
-    """What makes ways worse and does not cut them."""
+def _degraded_links(fault: PlannedFault, ways: frozenset[Way] | None) -> Trouble | None:
+    """Returns the effect of a fault that degrades links without cutting them, or None for other faults."""
     share, late = fault.spec.size, fault.spec.add_ms / 1000
     return {
         "datagram-loss": Trouble(ways, lost=share),
@@ -63,6 +64,6 @@
     }.get(fault.kind)
 
 
-def _mild(trouble: Trouble, period: float) -> bool:
-    late = trouble.by > MILD_DELAY * period
-    return trouble.lost <= MILD_LOSS and not (late and trouble.held > MILD_LOSS)
+def _is_mild(trouble: Trouble, period: float) -> bool:
+    late = trouble.by > MAX_MILD_DELAY * period
+    return trouble.lost <= MAX_MILD_LOSS and not (late and trouble.held > MAX_MILD_LOSS)
