--- a/cypresspulley/rehearsal/sections.py
+++ b/cypresspulley/rehearsal/sections.py
@@ -1,6 +1,7 @@
-"""What a scenario's limiters do together: tables ``[together]``, ``[lanes]`` and ``[closing]``, each off by default.
+"""The scenario tables ``[together]``, ``[lanes]`` and ``[closing]`` for limiters as a fleet, each off by default.
 
-They become each limiter's operators' file; see ``fleet/options.py``, ``lanes/options.py`` and ``closing/options.py``.
+They are written to each limiter's operators' file: see ``fleet/options.py``, ``lanes/options.py`` and
+``closing/options.py``.
 """
 
 from __future__ import annotations
@@ -12,12 +13,12 @@
 
 from cypresspulley.rehearsal.fields import Name, Positive, Share, Strict
 
-MOST_CLOSINGS = 6  # of one place on one day; a calendar has 8 times a day, and some may be told on the way
-DRIFT = 1.1  # of a lease, as its keepers reckon it
+MAX_CLOSINGS = 6  # of one place; a calendar has at most 8 times a day, and faults may add some
+LEASE_DRIFT_FACTOR = 1.1  # the limiters' allowance for clock drift, on the lease
 
 
 class Together(Strict):
-    """The limiters are one fleet and keep a view of each other; their datagrams go through the kit's relay."""
+    """The limiters are one fleet and track each other's state. Their datagrams go through the harness's relay."""
 
     installation: Name = "rehearsal"
     period_ms: int = Field(200, ge=50, le=10_000, description="of probes")
@@ -30,7 +31,7 @@
 
 
 class Lanes(Strict):
-    """Who gives way while the whole fleet is pressed: lanes in order, the premium first."""
+    """Lanes in order of priority, highest first. Lower lanes are limited while the whole fleet is overloaded."""
 
     lanes: tuple[Lane, ...] = Field(alias="lane", min_length=2, max_length=8)
     period_ms: int | None = Field(None, ge=100, le=10_000)
@@ -39,15 +40,15 @@
 
 
 class Place(Strict):
-    """A place of business. ``closes`` are whole seconds of the day; the kit writes them as local times of its zone."""
+    """A place of business. ``closes`` are whole seconds of the run, which calendars have as local times of its zone."""
 
     name: Name
     zone: str
-    closes: tuple[Annotated[int, Field(ge=0, le=600)], ...] = Field((), max_length=MOST_CLOSINGS)
+    closes: tuple[Annotated[int, Field(ge=0, le=600)], ...] = Field((), max_length=MAX_CLOSINGS)
 
     @field_validator("zone")
     @classmethod
-    def _known(cls, zone: str) -> str:
+    def _check_zone(cls, zone: str) -> str:
         try:
             ZoneInfo(zone)
         except (ZoneInfoNotFoundError, ValueError, OSError):
@@ -56,7 +57,7 @@
 
 
 class Closing(Strict):
-    """Limiters may keep answers of safe lookups until the account's place of business closes."""
+    """Limiters may cache answers of safe classes until the account's place of business closes."""
 
     keep: tuple[Name, ...] = Field(min_length=1, description="classes whose answers may be kept")
     share: Share = Field(0.5, description="of the accounts, which ask for it")
@@ -69,18 +70,18 @@
 
     @property
     def notice(self) -> float:
-        """Seconds ahead of its instant at which a calendar is told at least, as the limiters reckon it."""
-        return (DRIFT * self.lease_ms + 2 * self.clock_bound_ms) / 1000 + 0.5
+        """The least notice in seconds that limiters require before a calendar version comes into force."""
+        return (LEASE_DRIFT_FACTOR * self.lease_ms + 2 * self.clock_bound_ms) / 1000 + 0.5
 
     @model_validator(mode="after")
-    def _once(self) -> Closing:
+    def _check_unique_places(self) -> Closing:
         if len({place.name for place in self.places}) != len(self.places):
             raise ValueError("place: two have one name; expected each name once")
         return self
 
 
 class FleetFault(Strict):
-    """The keys that only faults of what limiters do together have."""
+    """The keys of faults between limiters."""
 
     groups: tuple[tuple[Name, ...], ...] = Field(
         (), description="that do not hear each other; who is in none hears all"
