--- a/cypresspulley/rehearsal/together.py
+++ b/cypresspulley/rehearsal/together.py
@@ -1,4 +1,4 @@
-"""What a scenario's limiters do together, on the kit's side: their tables, relay, clocks, calendars and histories."""
+"""The harness of a fleet of limiters: their tables, datagram relay, clocks, calendars and histories."""
 
 from __future__ import annotations
 
@@ -28,17 +28,19 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetEnvironment:
-    """What differs between sockets and virtual time."""
+    """The functions that differ between sockets and virtual time."""
 
-    history: AnyHistory  # the kit's own
-    address: Callable[[str, bool], Address]  # of a limiter's socket for datagrams; of its way into the relay
-    check: Callable[[list[str]], list[log.Checked]]  # the verdicts of these checkers
-    calendars: Callable[[], list[dict[str, Any]]]  # the events of calendars that limiters have written so far
-    allowance: float  # seconds from now until the day may begin
+    history: AnyHistory  # of the harness itself
+    address: Callable[
+        [str, bool], Address
+    ]  # a limiter's UDP address, or with True the relay's address for it
+    check: Callable[[list[str]], list[log.Checked]]  # runs the named checkers
+    calendars: Callable[[], list[dict[str, Any]]]  # calendar events that the limiters have written
+    allowance: float  # seconds from now until the run may start
 
 
 class FleetHarness:
-    """One day's. ``halls`` tells each limiter's."""
+    """The fleet harness of one run. ``halls`` gives the hall of each limiter."""
 
     def __init__(
         self, scenario: Scenario, plan: Plan, stage: Stage, limiters: dict[str, LimiterProcess],
@@ -49,10 +51,10 @@
         self._stage = stage
         self._limiters = limiters
         self._halls = halls
-        self._ground = environment
-        self.start = ceil(stage.unix() + environment.allowance)  # Unix second of the day's second 0
+        self._environment = environment
+        self.start = ceil(stage.unix() + environment.allowance)  # second 0 of the run in Unix seconds
         self.harness = HarnessHistory(environment.history, stage.unix())
-        self._relay = Relay(plan.seed, self._delay, stage.clock)
+        self._relay = Relay(plan.seed, self._link_delay, stage.clock)
         self._closings: ClosingSchedule | None = None
         if scenario.closing is not None:
             stage.tells_made = True
@@ -62,17 +64,19 @@
     def __repr__(self) -> str:
         return f"<FleetHarness from {self.start}, {self._relay!r}, {self._closings!r}>"
 
-    def _delay(self, one: str, other: str) -> float:
+    def _link_delay(self, one: str, other: str) -> float:
         network = self._scenario.network
         ms = network.same_ms if self._halls[one] == self._halls[other] else network.cross_ms
         return ms / 1000
 
-    # Before the day.
+    # Setup.
 
     async def open(self) -> None:
-        """Open the relay and give each limiter its tables. OSError names an address that is taken."""
+        """Opens the relay and writes the limiters' tables. Raises ``OSError``, which names an address in use."""
         for name, limiter in self._limiters.items():
-            await self._relay.open(name, self._ground.address(name, True), self._ground.address(name, False))
+            await self._relay.open(
+                name, self._environment.address(name, True), self._environment.address(name, False)
+            )
             limiter.configure_fleet(self._tables(name), KEY)
         if self._closings is not None:
             self._closings.write_initial_calendars()
@@ -81,7 +85,7 @@
         def text(address: Address) -> str:
             return f"{address[0]}:{address[1]}"
 
-        scenario, where = self._scenario, self._ground.address
+        scenario, where = self._scenario, self._environment.address
         assert scenario.together is not None
         tables: Tables = {
             "fleet": {
@@ -101,11 +105,11 @@
         return tables
 
     def seconds_until_start(self) -> float:
-        """Seconds from now until the day's second 0."""
+        """Returns the seconds from now until second 0 of the run."""
         return self.start - self._stage.unix()
 
     def begin(self) -> None:
-        """The day's second 0 has come."""
+        """Records at second 0 which accounts and classes may get cached answers."""
         closing = self._scenario.closing
         if closing is not None and self._closings is not None:
             self._stage.record(
@@ -113,11 +117,12 @@
             )
 
     def end_day(self) -> None:
-        """The day is over: what was true of it. What limiters do from here on is their end."""
+        """Writes the facts of the run to the harness's history and ends it."""
         closing, lanes = self._scenario.closing, self._scenario.lanes
         self.harness.put(
             Kind.TRUTH, seconds=self._scenario.seconds,
-            closings=self._closings.expected_closings(self._ground.calendars()) if self._closings is not None else [],
+            closings=(self._closings.expected_closings(self._environment.calendars())
+                      if self._closings is not None else []),
             lanes=[list(lane.plans) for lane in lanes.lanes] if lanes is not None else [],
             clock_bound=closing.clock_bound_ms / 1000 if closing is not None else 0.0,
         )  # fmt: skip
@@ -126,58 +131,60 @@
     # Faults.
 
     def apply_fault(self, fault: PlannedFault) -> None:
-        """Do what a fault between limiters does, and note what others do to them."""
+        """Applies a fault between limiters, and records those other faults that affect their datagrams."""
         spec, lasts = fault.spec, fault.until - fault.at
         if fault.kind in DATAGRAM_KINDS:
             assert self._scenario.together is not None
             period = self._scenario.together.period_ms / 1000
-            self._spell(datagram_fault(fault, list(self._limiters), period, self._stage.clock()), lasts)
+            self._begin_datagram_fault(
+                datagram_fault(fault, list(self._limiters), period, self._stage.clock()), lasts
+            )
         elif fault.kind == "hall-cut":
             for hall in fault.targets:
                 self._cut_hall(hall, lasts)
         elif fault.kind == "limiter-pause":
             for name in fault.targets:
-                self._note(fault.kind, [name], lasts)
+                self._record_fault_period(fault.kind, [name], lasts)
         elif fault.kind == "limiter-clock":
             for name in fault.targets:
                 self._limiters[name].set_clock_shift(Shift(spec.offset, spec.ppm, self._stage.unix()))
                 self.harness.fault(fault.kind, [name], True)
                 if spec.lasts:
-                    asyncio.get_running_loop().call_later(lasts, self._right, name)
+                    asyncio.get_running_loop().call_later(lasts, self._reset_clock, name)
         elif self._closings is not None:
             self._closings.apply_fault(fault, self._stage.unix())
 
     def _cut_hall(self, hall: str, lasts: float) -> None:
-        """Datagrams go no other way than the rest."""
+        """Cuts a hall's datagrams as its other links are cut."""
         members = [name for name, home in self._halls.items() if home == hall]
         others = [name for name in self._limiters if name not in members]
         if members and others:
             cut = Trouble(ways_between((members, others)), lost=1.0)
-            self._spell(DatagramFault("fleet-cut", (tuple(members),), cut), lasts)
+            self._begin_datagram_fault(DatagramFault("fleet-cut", (tuple(members),), cut), lasts)
 
-    def _note(self, kind: str, targets: Sequence[str], lasts: float) -> None:
+    def _record_fault_period(self, kind: str, targets: Sequence[str], lasts: float) -> None:
         self.harness.fault(kind, targets, True)
         asyncio.get_running_loop().call_later(lasts, self.harness.fault, kind, targets, False)
 
-    def _right(self, name: str) -> None:
+    def _reset_clock(self, name: str) -> None:
         self._limiters[name].set_clock_shift(Shift())
         self.harness.fault("limiter-clock", [name], False)
 
-    def _spell(self, fault: DatagramFault, lasts: float) -> None:
+    def _begin_datagram_fault(self, fault: DatagramFault, lasts: float) -> None:
         self._relay.begin(fault.trouble)
         asyncio.get_running_loop().call_later(lasts, self._relay.end, fault.trouble)
         for side in fault.sides:
-            self._note(fault.kind, side, lasts)
+            self._record_fault_period(fault.kind, side, lasts)
 
     async def purge(self, name: str) -> None:
-        """An operator's purge by hand at one limiter, of the account of those that keep which asks most."""
+        """Purges, at one limiter, the cached answers of the busiest account that uses the cache."""
         account = self._closings.busiest() if self._closings is not None else None
         if account is None:
             return
         id = f"purge-{name}-{self._stage.now():.3f}"
         self.harness.put(Kind.PURGE_CALL, id=id, account=account, limiter=name)
         status, body = await self._limiters[name].call_for_json(
-            "PUT", f"/v1/accounts/{account}/purge", self._purge_within()
+            "PUT", f"/v1/accounts/{account}/purge", self._purge_timeout()
         )
         missing = body.get("missing")
         self.harness.put(
@@ -185,18 +192,18 @@
             missing=[str(each) for each in missing] if isinstance(missing, list) else [],
         )  # fmt: skip
 
-    def _purge_within(self) -> float:
+    def _purge_timeout(self) -> float:
         return self._scenario.closing.purge_ms / 1000 + 1.0 if self._scenario.closing else 1.0
 
-    # After it.
+    # Checks.
 
     def check(self) -> None:
-        """Record what the checkers that apply say of the day's histories."""
+        """Runs the checkers that apply on the run's histories and records their verdicts."""
         self.harness.close()
         names = ["fleet"]
         names += [name for name in ("lanes", "closing") if getattr(self._scenario, name) is not None]
         try:
-            found = self._ground.check(names)
+            found = self._environment.check(names)
         except (HistoryError, OSError) as error:
             return self._stage.complain(f"the histories cannot be read: {error}")
         for one in found:
