--- a/cypresspulley/rehearsal/page.py
+++ b/cypresspulley/rehearsal/page.py
@@ -1,4 +1,4 @@
-"""The verdict as one self-contained HTML page: figures over time with the faults on the same axis."""
+"""Renders a verdict as a self-contained HTML page, with figures and faults on one time axis."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 
 matplotlib.use("svg")
 
-MOST_HISTORIES = 40  # requests behind violations that are shown whole; the log holds all
-MOST_STEPS = 60  # records of one of them
+MAX_HISTORIES = 40  # violating requests shown with their records; the log has all
+MAX_STEPS = 60  # records per request
 COLORS = {
     "served": "#3a7d44",
     "late": "#d8a31a",
@@ -41,20 +41,20 @@
 }
 
 
-def render(line: Timeline, verdict: Verdict) -> str:
-    """The page's text. What came from outside is escaped by the template."""
+def render(timeline: Timeline, verdict: Verdict) -> str:
+    """Returns the page. The template escapes all text from requests and answers."""
     environment = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined)
     template = environment.from_string(
         files("cypresspulley.rehearsal").joinpath("page.html.j2").read_text(encoding="utf-8")
     )
     return template.render(
         verdict=verdict, day=verdict.day, service=verdict.service, sentence=conclusion(verdict),
-        words=PLAIN_WORDS, chart=chart(verdict), histories=_histories(line, verdict), faults=_faults(verdict),
+        words=PLAIN_WORDS, chart=chart(verdict), histories=_histories(timeline, verdict), faults=_faults(verdict),
     )  # fmt: skip
 
 
 def chart(verdict: Verdict) -> str:
-    """Service, outcomes and faults over the day's seconds, as an SVG element."""
+    """Plots service, outcomes and faults over time as an SVG element."""
     rows, seconds = verdict.service.rows, verdict.day.seconds
     figure = Figure(figsize=(10, 7.2), layout="constrained")
     axes = figure.subplots(3, 1, sharex=True, height_ratios=[2, 2, 1.4])
@@ -72,7 +72,7 @@
     return svg.replace("<svg ", '<svg role="img" aria-label="service, outcomes and faults over time" ', 1)
 
 
-def _seconds(rows: tuple[Row, ...]) -> dict[int, list[Row]]:
+def _rows_by_second(rows: tuple[Row, ...]) -> dict[int, list[Row]]:
     by_second = defaultdict[int, list[Row]](list)
     for row in rows:
         by_second[int(row.t)].append(row)
@@ -80,7 +80,7 @@
 
 
 def _draw_service(axis: Axes, rows: tuple[Row, ...], seconds: float, goal: float) -> None:
-    by_second, points = _seconds(rows), list[tuple[float, float]]()
+    by_second, points = _rows_by_second(rows), list[tuple[float, float]]()
     for second in range(int(seconds)):
         near = [row for k in (-1, 0, 1) for row in by_second.get(second + k, [])]
         offered = sum(row.offered for row in near)
@@ -94,7 +94,9 @@
 
 def _draw_outcomes(axis: Axes, rows: tuple[Row, ...], seconds: float) -> None:
     count = max(1, int(seconds))
-    per_second = {second: Counter(row.outcome for row in found) for second, found in _seconds(rows).items()}
+    per_second = {
+        second: Counter(row.outcome for row in found) for second, found in _rows_by_second(rows).items()
+    }
     floor = [0.0] * count
     for outcome, color in COLORS.items():
         wanted = ("failed", "unreached") if outcome == "failed" else (outcome,)
@@ -120,7 +122,7 @@
 
 
 def _faults(verdict: Verdict) -> list[dict[str, Any]]:
-    """One row for each fault, with all targets that it struck at once."""
+    """Returns one row per fault, with all targets that it affected at the same time."""
     rows = dict[tuple[float, float, str], list[str]]()
     for mark in verdict.faults:
         rows.setdefault((round(mark.t, 1), round(mark.until, 1), mark.kind), []).append(mark.target)
@@ -130,21 +132,21 @@
     ]
 
 
-def _histories(line: Timeline, verdict: Verdict) -> list[dict[str, Any]]:
-    """The requests behind each violation: every record of them."""
+def _histories(timeline: Timeline, verdict: Verdict) -> list[dict[str, Any]]:
+    """Returns the requests behind the violations with their records."""
     shown, seen = list[dict[str, Any]](), set[str]()
     for violation in (v for rule in verdict.rules for v in rule.violations):
-        if violation.request in seen or len(shown) >= MOST_HISTORIES:
+        if violation.request in seen or len(shown) >= MAX_HISTORIES:
             continue
         seen.add(violation.request)
-        shown.append(_history(line, violation))
+        shown.append(_history(timeline, violation))
     return shown
 
 
-def _history(line: Timeline, violation: Violation) -> dict[str, Any]:
+def _history(timeline: Timeline, violation: Violation) -> dict[str, Any]:
     steps = [
         {"t": r.t, "what": type(r).__name__, "facts": _facts(r)}
-        for r in line.records_of_try(violation.request)[:MOST_STEPS]
+        for r in timeline.records_of_try(violation.request)[:MAX_STEPS]
     ]
     return {"request": violation.request, "text": violation.text, "steps": steps}
 
