--- a/cypresspulley/rehearsal/records.py
+++ b/cypresspulley/rehearsal/records.py
@@ -1,7 +1,7 @@
-"""What happened in a rehearsal, as typed records: the judge's only input, kept as JSON lines.
+"""The typed records of a run, which are the judge's only input and are saved as JSON lines.
 
-``t`` is seconds from the start of the day (the day's warm-up lies below 0). ``id`` is the id of one try of a
-client; ``first`` the id of the first try that it repeats.
+``t`` is in seconds from the start of the run, and negative during the warm-up. ``id`` identifies one try of a client,
+and ``first`` the first try of the same request.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class RecordError(ValueError):
-    """A line of a log that is no record; the text names the line and what was expected."""
+    """Raised for a line that is not a valid record. The message names the line and the expected value."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +24,7 @@
     effect: str  # safe, keyed or unsafe
     group: str
     window: float
-    idle: float  # seconds that it takes on an idle server, in the mean
+    idle: float  # mean seconds that it takes on an idle server
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Day:
-    """The first record: what the rules and the figures are held against."""
+    """The first record: the facts of the run that the rules and the service figures need."""
 
     t: float
     scenario: str
@@ -57,12 +57,12 @@
     drain_grace: float
     fall_multiple: float
     fall_seconds: float
-    mean_work: float  # CPU seconds of a request in the mean, on a machine of speed 1
+    mean_work: float  # mean CPU seconds of a request on a machine of speed 1
 
 
 @dataclass(frozen=True, slots=True)
 class Sent:
-    """A client's request is whole on a connection that the limiter's machine accepted."""
+    """A client wrote a whole request on a connection that the limiter's machine accepted."""
 
     t: float
     id: str
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """A whole answer; ``t`` is its last byte's."""
+    """A client received a whole answer. ``t`` is the time of its last byte."""
 
     t: float
     id: str
@@ -90,16 +90,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Broke:
-    """The limiter ended the connection of an open request with no whole answer."""
+    """The limiter closed the connection of an open request without a whole answer."""
 
     t: float
     id: str
-    begun: bool  # part of an answer had come
+    begun: bool  # a part of an answer had arrived
 
 
 @dataclass(frozen=True, slots=True)
 class Unreached:
-    """No connection to the limiter came up: it has taken nothing."""
+    """The client could not connect to the limiter, which therefore received nothing."""
 
     t: float
     id: str
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Left:
-    """The client went away; ``why`` is "impatient" (before its time was up) or "over"."""
+    """The client gave up. ``why`` is "impatient" (before its deadline) or "over" (at it)."""
 
     t: float
     id: str
@@ -118,7 +118,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Surplus:
-    """Bytes came that answer nothing."""
+    """A client received bytes that belong to no answer."""
 
     t: float
     limiter: str
@@ -128,8 +128,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LimiterState:
-    """``what``: started, ready, killed (SIGKILL), stopping (SIGTERM), reloaded (SIGHUP), exited, crashed; upgraded: a
-    second process has taken over, and the life goes on. drained, activated: by operators."""
+    """A limiter changed its state.
+
+    ``what`` is started, ready, killed (SIGKILL), stopping (SIGTERM), reloaded (SIGHUP), exited, crashed, upgraded (a
+    successor process took over, and the life goes on), drained or activated (both by operators).
+    """
 
     t: float
     limiter: str
@@ -139,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerState:
-    """``what``: up, started (cold), draining, gone, crashed, fell."""
+    """A server changed its state. ``what`` is up, started (cold), draining, gone, crashed or fell (overloaded)."""
 
     t: float
     server: str
@@ -153,22 +156,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrived:
-    """The last byte of an attempt came to a server; ``began`` is when its first byte was sent at
-    the earliest: when it came, or when the cut began that held it back."""
+    """The last byte of an attempt arrived at a server.
+
+    ``began`` is the earliest time at which its first byte can have been sent: when it arrived, or the start of the
+    network cut that delayed it.
+    """
 
     t: float
-    attempt: int  # of all attempts of the day, from 0
+    attempt: int  # number among all attempts of the run, from 0
     server: str
     limiter: str
     id: str
     work: float
     began: float
-    told: float = -1.0  # seconds that its X-Timeout-Ms says; below 0: it says none
+    told: float = -1.0  # its X-Timeout-Ms in seconds; negative if it has none
 
 
 @dataclass(frozen=True, slots=True)
 class Ran:
-    """A server has begun to run an attempt: its effect happens. ``repeat``: dropped as a keyed repeat."""
+    """A server started to run an attempt, so its effect happens. With ``repeat`` it was dropped as a keyed repeat."""
 
     t: float
     attempt: int
@@ -177,7 +183,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Replied:
-    """A server wrote an answer; ``not_processed`` proves that the attempt never ran."""
+    """A server wrote an answer. ``not_processed`` proves that the attempt never ran."""
 
     t: float
     attempt: int
@@ -189,7 +195,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """An attempt's connection ended with no answer written (either side)."""
+    """An attempt's connection was closed by either side before an answer was written."""
 
     t: float
     attempt: int
@@ -198,7 +204,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Listed:
-    """A limiter's agent got (``told`` false) or wrote (true) a list: server to (health, born)."""
+    """A limiter's discovery agent received a list, or with ``told`` wrote it: server to (health, born)."""
 
     t: float
     limiter: str
@@ -209,7 +215,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Banned:
-    """A limiter has said yes to an operators' call: a server is taken out by hand, or is called back."""
+    """A limiter confirmed an operators' call that bans a server (``out``) or lifts the ban."""
 
     t: float
     limiter: str
@@ -219,7 +225,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanMoved:
-    """From ``t`` on an account has this ceiling; it was announced ``ahead`` seconds before."""
+    """An account has this ceiling from ``t`` on. The change was announced ``ahead`` seconds before."""
 
     t: float
     account: str
@@ -231,7 +237,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Exported:
-    """The use that limiters have told the plan book's writer by the day's end, in micro-units."""
+    """The usage that limiters had reported to the plan book's writer by the end of the run, in micro-units."""
 
     t: float
     units: int
@@ -239,7 +245,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tallied:
-    """The keeper did a call (``added`` false: turned away)."""
+    """The keeper (counter) handled a call. Without ``added`` it was rejected."""
 
     t: float
     limiter: str
@@ -251,7 +257,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Wanted:
-    """The day's goal for one plan: the least service inside quotas."""
+    """The goal for one plan: the least service inside quotas."""
 
     t: float
     plan: str
@@ -260,7 +266,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Keeping:
-    """From ``t`` on these accounts ask for keeping: safe lookups of these classes may be answered from what is kept."""
+    """From ``t`` on, safe requests of these accounts and classes may be answered from the cache."""
 
     t: float
     accounts: tuple[str, ...]
@@ -269,7 +275,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FromKept:
-    """The answer that comes now has an ``Age`` (seconds): a limiter had kept it."""
+    """The next answer of this try came from a limiter's cache. ``age`` is its ``Age`` header in seconds."""
 
     t: float
     id: str
@@ -278,7 +284,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Checked:
-    """What a checker found in the day's histories: how many events it was held against, and each finding in words."""
+    """A checker's result on the run's histories: the number of events checked, and each finding as text."""
 
     t: float
     name: str
@@ -295,7 +301,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Happened:
-    """A fault began, or what it did; for the report's axis."""
+    """A fault took effect, from ``t`` until ``until``. The report plots it."""
 
     t: float
     until: float
@@ -305,7 +311,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Lateness:
-    """How late the kit itself ran, in seconds: its worst heartbeat since the last such record."""
+    """How late a heartbeat of the rehearsal process was, in seconds."""
 
     t: float
     late: float
@@ -313,7 +319,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Complaint:
-    """What no rule covers and no run may hold: the run is void."""
+    """A problem outside the rules that makes the run void."""
 
     t: float
     text: str
@@ -321,8 +327,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What a limiter's processes used over the day; memory is the largest seen. Without a process of its own, as in
-    virtual time, nothing was measured and both are 0."""
+    """The resources that a limiter's processes used during the run. The memory is the peak.
+
+    In virtual time a limiter has no process of its own, so nothing is measured and both are 0.
+    """
 
     t: float
     limiter: str
@@ -335,13 +343,13 @@
         return self.memory_mb > 0
 
     def shown(self) -> tuple[str, str]:
-        """CPU seconds and MB for people."""
+        """Returns CPU seconds and MB as text for people."""
         return (f"{self.cpu_seconds:.2f}", f"{self.memory_mb:.0f}") if self.measured else ("-", "-")
 
 
 @dataclass(frozen=True, slots=True)
 class End:
-    """The day is over. ``unix_start`` is the Unix time of its second 0."""
+    """The end of the run. ``unix_start`` is the Unix time of its second 0."""
 
     t: float
     unix_start: float = 0.0
@@ -356,12 +364,12 @@
 
 
 def to_line(record: Record) -> str:
-    """One JSON object without a line end."""
+    """Encodes a record as one line of JSON without a line end."""
     return json.dumps({"record": type(record).__name__.lower(), **asdict(record)}, separators=(",", ":"))
 
 
 def from_line(line: str, place: str) -> Record:
-    """A record again; ``RecordError`` names ``place`` and what was expected."""
+    """Decodes a record. Raises ``RecordError``, which names ``place`` and the expected value."""
     try:
         raw = json.loads(line)
     except (ValueError, RecursionError) as error:
@@ -373,13 +381,13 @@
     needed = {field.name for field in fields(kind) if field.default is MISSING}
     if not needed <= set(raw) <= names:
         raise RecordError(f"{place}: a {kind.__name__} has {', '.join(sorted(names))}; got {sorted(raw)}")
-    return kind(**{key: _typed(kind, key, value, place) for key, value in raw.items()})
+    return kind(**{key: _convert_value(kind, key, value, place) for key, value in raw.items()})
 
 
-NUMBERS = frozenset(("float", "int"))
+NUMBER_HINTS = frozenset(("float", "int"))
 
 
-def _typed(kind: type[Record], key: str, value: Any, place: str) -> Any:
+def _convert_value(kind: type[Record], key: str, value: Any, place: str) -> Any:
     hint = next(str(field.type) for field in fields(kind) if field.name == key)
     try:
         if kind is Day and key in ("classes", "plans"):
@@ -391,7 +399,7 @@
             "float": (int, float), "int": int, "str": str, "bool": bool,
             "float | None": (int, float, type(None)), "dict[str, str]": dict, "tuple[str, ...]": list,
         }[hint]  # fmt: skip
-        if not isinstance(value, expected) or (hint in NUMBERS and isinstance(value, bool)):
+        if not isinstance(value, expected) or (hint in NUMBER_HINTS and isinstance(value, bool)):
             raise TypeError(f"got {value!r:.40}")
         if expected is list:
             return tuple(str(each) for each in value)
@@ -401,7 +409,7 @@
 
 
 def read_log(file: TextIO, name: str) -> Iterator[Record]:
-    """The records of a kept log, in its order."""
+    """Yields the records of a saved log in order. Raises ``RecordError`` for an invalid line."""
     for number, line in enumerate(file, 1):
         if line.strip():
             yield from_line(line, f"{name}:{number}")
