--- a/tests/rehearsal/broken.py
+++ b/tests/rehearsal/broken.py
@@ -1,6 +1,6 @@
-"""A small limiter of the tests' own, right or broken in one way: what the judge must acquit or convict.
+"""A small test limiter, correct or with one fault that the judge must detect.
 
-Run as a process with LB_CONFIG, like the shipped one; the first argument names the fault, "right" for none.
+It runs as a process with LB_CONFIG, like the shipped one. The first argument names the fault, or "right" for none.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-# What each is broken in, and the rule that it must be convicted of (its place in the judge's list).
+# The faults, and the index of the rule that each must break.
 FAULTS = {
-    "closes-unanswered": 0, "answers-by-half": 0,  # a lost answer
+    "closes-unanswered": 0, "answers-by-half": 0,  # lost answers
     "stays-silent": 0, "makes-answers-up": 0, "answers-late": 0, "answers-twice": 0,
     "repeats-after-reset": 1, "refuses-after-reset": 1,
     "deaf-to-drains": 2, "heeds-drains-late": 2,
     "loves-the-cold": 3, "copies-to-the-cold": 3,
     "without-ceiling": 4, "whole-ceiling-each": 4,
 }  # fmt: skip
-SOME = 0.1  # share of the requests that a fault on answers strikes
+FAULTY_SHARE = 0.1  # share of the requests that a fault of answers affects
 Message = tuple[str, dict[str, str], bytes]
 
 
@@ -40,7 +40,9 @@
 
 
 class Limiter:
-    """Right unless ``fault`` says otherwise: even shares of ceilings, no cold servers, no unsafe repeats."""
+    """Keeps the rules unless ``fault`` says otherwise: it splits ceilings evenly, avoids cold servers and never repeats
+    unsafe requests.
+    """
 
     def __init__(self, raw: dict[str, Any], fault: str) -> None:
         self.raw, self.fault = raw, fault
@@ -60,9 +62,9 @@
         while size := int((await reader.readline()).strip() or b"0", 16):
             line = (await reader.readexactly(size + 2)).strip()
             if line:
-                self.heard(json.loads(line))
+                self.apply_server_list(json.loads(line))
 
-    def heard(self, message: dict[str, Any]) -> None:
+    def apply_server_list(self, message: dict[str, Any]) -> None:
         if message["whole"]:
             self.hosts = {}
         for row in message["hosts"]:
@@ -102,7 +104,7 @@
                 message = await read_message(reader)
                 self.open += 1
                 try:
-                    if not await self.one(message, writer):
+                    if not await self.handle_request(message, writer):
                         break
                 finally:
                     self.open -= 1
@@ -111,8 +113,8 @@
         finally:
             writer.close()
 
-    async def one(self, message: Message, writer: asyncio.StreamWriter) -> bool:
-        """Answer one request; False to end the connection."""
+    async def handle_request(self, message: Message, writer: asyncio.StreamWriter) -> bool:
+        """Answers one request. Returns False to close the connection."""
         first, headers, _ = message
         target = first.split(" ")[1]
         if target == "/healthz":
@@ -126,18 +128,18 @@
             return True
         try:
             async with asyncio.timeout(ttl * 0.9):
-                text = await self.pass_on(message, headers["x-priority-class"] in self.unsafe)
+                text = await self.forward(message, headers["x-priority-class"] in self.unsafe)
         except TimeoutError:
             text = answer(504)
-        struck = text.startswith(b"HTTP/1.1 200") and self.rng.random() < SOME
-        return await self.write(writer, text, ttl) if struck else self.plain(writer, text)
+        is_faulty = text.startswith(b"HTTP/1.1 200") and self.rng.random() < FAULTY_SHARE
+        return await self.write(writer, text, ttl) if is_faulty else self.write_plain(writer, text)
 
-    def plain(self, writer: asyncio.StreamWriter, text: bytes) -> bool:
+    def write_plain(self, writer: asyncio.StreamWriter, text: bytes) -> bool:
         writer.write(text)
         return True
 
     async def write(self, writer: asyncio.StreamWriter, text: bytes, ttl: float) -> bool:
-        """Write an answer as the fault has it."""
+        """Writes an answer with the fault. Returns False to close the connection."""
         if self.fault == "closes-unanswered":
             return False
         if self.fault == "answers-by-half":
@@ -153,7 +155,7 @@
             writer.write(text)
         return True
 
-    async def pass_on(self, message: Message, unsafe: bool) -> bytes:
+    async def forward(self, message: Message, unsafe: bool) -> bytes:
         tried = list[str]()
         for _ in range(3):
             row = self.choose(tried)
@@ -174,7 +176,7 @@
         await asyncio.gather(*(self.attempt(row, message) for row in cold for _ in range(6)))
 
     async def attempt(self, row: dict[str, Any], message: Message) -> tuple[int, bool, bytes]:
-        """Status (0: none), whether it may have run, body."""
+        """Returns the status (0 for none), whether the request may have run, and the body."""
         first, headers, body = message
         host, port = row["dial"].split(":")
         try:
@@ -197,8 +199,8 @@
     with open(os.environ["LB_CONFIG"], encoding="utf-8") as file:
         raw = json.load(file)
     stop = asyncio.Event()
-    heed = (lambda: None) if fault == "ignores-sigterm" else stop.set
-    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, heed)
+    on_sigterm = (lambda: None) if fault == "ignores-sigterm" else stop.set
+    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, on_sigterm)
     limiter = Limiter(raw, fault)
     following = asyncio.ensure_future(limiter.follow())
     host, port = raw["listen"].split(":")
--- a/tests/rehearsal/logs.py
+++ b/tests/rehearsal/logs.py
@@ -1,4 +1,4 @@
-"""Logs made by hand: one good request after another, to be bent by a test."""
+"""Builds logs of correct runs for tests, which then add a violation."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
     return log.Day(**(facts | changes))
 
 
-class Story:
-    """A log under construction; each method adds the records of one thing that happened."""
+class LogBuilder:
+    """A log under construction. Each method adds the records of one event."""
 
     def __init__(self, **changes: Any) -> None:
         self.records: list[log.Record] = [day(**changes)]
@@ -97,7 +97,7 @@
     def served(
         self, t: float, cls: str = "hand", limiter: str = "n0", server: str = "s1", **more: Any
     ) -> str:
-        """A whole, good request, 0.2 s long."""
+        """Adds a request that is served in 0.2 s and returns its id."""
         id = self.sent(t, cls, limiter, **more)
         attempt = self.arrived(t + 0.01, id, server, limiter)
         self.replied(t + 0.19, attempt, body=id)
--- a/tests/rehearsal/small.py
+++ b/tests/rehearsal/small.py
@@ -1,4 +1,4 @@
-"""A short day with every trouble that the tests' own limiters are convicted on."""
+"""A short scenario with the faults that each of the broken test limiters needs to break its rule."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 def small(**changes: Any) -> Scenario:
-    """Five seconds, two limiters, four servers: one resets, one drains, one is cold; a ceiling is pressed."""
+    """Returns a scenario of 5 s with two limiters and four servers.
+
+    One server resets connections, one drains and one is cold; a surge exceeds a ceiling. ``changes`` replace top keys.
+    """
     raw: dict[str, Any] = {
         "name": "small", "about": "a test's day", "seconds": 5,
         "fleet": {"servers": 4, "halls": ["east", "west"], "cold_share": 0.12, "cold_seconds": 20,
@@ -48,5 +51,5 @@
 
 
 if __name__ == "__main__":
-    # A play in a process of its own, so that several side by side are not each other's delay.
+    # Each play runs in its own process, so that concurrent plays do not delay each other.
     uvloop.run(play(small(), int(sys.argv[2]), command=command(sys.argv[1]), logs=Path(sys.argv[3])))
--- a/tests/rehearsal/test_command.py
+++ b/tests/rehearsal/test_command.py
@@ -1,4 +1,4 @@
-"""The command as its users meet it: verdicts, files, exit codes, the kit's own accidents."""
+"""The command line: verdicts, output files, exit codes and failures of the harness itself."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from cypresspulley.rehearsal.page import render
 from cypresspulley.rehearsal.play import play
 from cypresspulley.rehearsal.timeline import Timeline
-from tests.rehearsal.logs import Story
+from tests.rehearsal.logs import LogBuilder
 from tests.rehearsal.small import command, small
 
 DAY = """
@@ -44,16 +44,16 @@
 """
 pytestmark = pytest.mark.timed
 FAWNSEAM = [sys.executable, "-m", "cypresspulley.cli"]
-PLAYS = 3
+MAX_PLAYS = 3
 
 
 def fawnseam(*arguments: str, **more: Any) -> subprocess.CompletedProcess[str]:
     return subprocess.run([*FAWNSEAM, *arguments], capture_output=True, text=True, timeout=60, **more)
 
 
-def played(*arguments: str) -> subprocess.CompletedProcess[str]:
-    """A day's command, played again where the kit says that it was late itself: such a run is no verdict."""
-    for _ in range(PLAYS):
+def rehearse_until_valid(*arguments: str) -> subprocess.CompletedProcess[str]:
+    """Runs the command, and again if the run is void because the harness itself was late."""
+    for _ in range(MAX_PLAYS):
         done = fawnseam("rehearse", *arguments)
         if "VOID: the kit ran late" not in done.stdout:
             break
@@ -73,7 +73,9 @@
 def test_a_day_is_played_judged_written_and_judged_again(tmp_path: Path) -> None:
     day = write_day(tmp_path)
     files = [str(tmp_path / name) for name in ("a.json", "a.html", "logs")]
-    done = played(day, "--seed", "9", "--json", files[0], "--html", files[1], "--logs", files[2])
+    done = rehearse_until_valid(
+        day, "--seed", "9", "--json", files[0], "--html", files[1], "--logs", files[2]
+    )
     assert done.returncode == 0, done.stdout + done.stderr
     assert "PASSED" in done.stdout and "limiters up" in done.stderr
     verdict = json.loads(Path(files[0]).read_text())
@@ -86,7 +88,7 @@
     assert verdict["seed"] == 9 and verdict["limiters"]["limiter-0"]["cpu_seconds"] > 0
     page = Path(files[1]).read_text()
     assert "<svg" in page and "The five rules" in page
-    assert 'src="' not in page and 'href="http' not in page  # one file, nothing fetched
+    assert 'src="' not in page and 'href="http' not in page  # self-contained
     again = fawnseam("judge", f"{files[2]}/records.jsonl", "--json", str(tmp_path / "b.json"))
     assert again.returncode == 0 and json.loads((tmp_path / "b.json").read_text()) == verdict
     assert children() == []
@@ -104,7 +106,7 @@
 
 
 def test_a_missed_goal_is_1(tmp_path: Path) -> None:
-    done = played(write_day(tmp_path, goal=1.0, extra=KILL))
+    done = rehearse_until_valid(write_day(tmp_path, goal=1.0, extra=KILL))
     assert done.returncode == 1 and "is under 1.00" in done.stdout
 
 
@@ -155,8 +157,8 @@
     assert len(inside) == 2 and psutil.wait_procs(inside, timeout=5)[1] == []
 
 
-def outcome_of(fault: list[str], **changes: Any) -> str:
-    """The kit's error for a play with such a limiter; no process may be left."""
+def error_of(fault: list[str], **changes: Any) -> str:
+    """Returns the error of a play with this limiter command. No process may be left."""
     with pytest.raises(HarnessError) as error:
         uvloop.run(play(small(**{"seconds": 1, "fault": [], **changes}), 1, command=fault))
     assert children() == []
@@ -164,8 +166,8 @@
 
 
 def test_a_limiter_that_does_not_start_is_an_error() -> None:
-    assert "does not start" in outcome_of(["/nowhere/limiter"])
-    text = outcome_of([sys.executable, "-c", "import sys; print('no luck'); sys.exit(7)"])
+    assert "does not start" in error_of(["/nowhere/limiter"])
+    text = error_of([sys.executable, "-c", "import sys; print('no luck'); sys.exit(7)"])
     assert "ended with code 7 before it was ready: no luck" in text
 
 
@@ -178,7 +180,7 @@
         return port
 
     monkeypatch.setattr("cypresspulley.rehearsal.play.free_port", taken_port)
-    text = outcome_of([sys.executable, "-m", "cypresspulley"])
+    text = error_of([sys.executable, "-m", "cypresspulley"])
     assert "ended with code 2 before it was ready" in text and "cannot listen" in text
     for one in taken:
         one.close()
@@ -192,7 +194,7 @@
 
 def test_a_limiter_that_ignores_sigterm_is_killed_and_named(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("cypresspulley.rehearsal.limiters.STOP_TIMEOUT_SECONDS", 0.5)
-    assert "ignored SIGTERM for 0.5 s and was killed" in outcome_of(command("ignores-sigterm"))
+    assert "ignored SIGTERM for 0.5 s and was killed" in error_of(command("ignores-sigterm"))
 
 
 def test_a_place_that_takes_no_logs_is_an_error(tmp_path: Path) -> None:
@@ -219,7 +221,7 @@
 
 
 def test_a_crash_is_told_and_fails_the_day() -> None:
-    """A limiter that ends by itself in the middle of the day."""
+    """The limiter exits by itself in the middle of the run."""
     text = f"""
 import runpy, sys, threading, os
 threading.Timer(1.2, os._exit, (9,)).start()
@@ -247,7 +249,7 @@
 
 
 def test_the_page_passes_nothing_on_unescaped() -> None:
-    story = Story(scenario="<script>alert(1)</script>")
+    story = LogBuilder(scenario="<script>alert(1)</script>")
     id = story.sent(2.0, account="<b>x</b>")
     story.answered(2.5, id, 200, "<img src=x>")
     line = Timeline(story.done())
--- a/tests/rehearsal/test_convicts.py
+++ b/tests/rehearsal/test_convicts.py
@@ -1,4 +1,4 @@
-"""The judge against deliberately broken limiters, real processes on one and the same traffic."""
+"""The judge against deliberately broken limiters, which run as real processes on the same traffic."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from tests.rehearsal.broken import FAULTS
 
 pytestmark = pytest.mark.timed
-AT_ONCE = 4  # plays side by side, each a process with two limiters
-PLAYS = 3  # at most: a run in which the kit was late is void and no verdict, as for any user
+CONCURRENT_PLAYS = 4  # each is a process with two limiters
+MAX_PLAYS = 3  # a run is void and repeated if the harness itself was late
 SEED = "5"
 
 
-def one(fault: str, folder: Path) -> Verdict:
-    """The verdict on one play with such a limiter."""
-    for number in range(PLAYS):
+def judge_limiter(fault: str, folder: Path) -> Verdict:
+    """Plays with this limiter and returns the verdict."""
+    for number in range(MAX_PLAYS):
         logs = folder / f"{fault}-{number}"
         line = [sys.executable, "-m", "tests.rehearsal.small", fault, SEED, str(logs)]
         subprocess.run(line, check=True, timeout=60)
@@ -36,8 +36,8 @@
 @pytest.fixture(scope="module")
 def verdicts(tmp_path_factory: pytest.TempPathFactory) -> dict[str, Verdict]:
     folder, faults = tmp_path_factory.mktemp("plays"), ("right", *FAULTS)
-    with ThreadPoolExecutor(AT_ONCE) as pool:
-        return dict(zip(faults, pool.map(lambda fault: one(fault, folder), faults), strict=True))
+    with ThreadPoolExecutor(CONCURRENT_PLAYS) as pool:
+        return dict(zip(faults, pool.map(lambda fault: judge_limiter(fault, folder), faults), strict=True))
 
 
 def test_the_right_one_is_acquitted(verdicts: dict[str, Verdict]) -> None:
--- a/tests/rehearsal/test_graphql.py
+++ b/tests/rehearsal/test_graphql.py
@@ -1,4 +1,4 @@
-"""GraphQL days in virtual time, judged; limiters that are wrong about them convicted of just their rule."""
+"""GraphQL scenarios in virtual time. A limiter that handles them wrongly must break exactly one rule."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 def test_a_limiter_that_charges_a_fraction_is_convicted_by_true_costs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Whatever units the limiter thinks of, the judge counts what the queries truly cost."""
+    """The judge counts the true costs of the queries, whatever units the limiter charges."""
     plans = [{"name": "business", "share": 1, "rate": 1.0, "burst": 6, "ceiling": 1.5}]
     load = {"inside": 6, "spread": [2, 2], "heavy": 1.0}
     surge = [{"kind": "account-surge", "at": 0.1, "lasts": 4.8, "size": 8, "count": 1}]
--- a/tests/rehearsal/test_judge.py
+++ b/tests/rehearsal/test_judge.py
@@ -1,4 +1,4 @@
-"""The judge on logs made by hand: what each rule convicts, what it must acquit, and what no order changes."""
+"""The judge on constructed logs: what breaks each rule, what does not, and that the order of lines is irrelevant."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.judge import Verdict, judge
 from cypresspulley.rehearsal.timeline import JudgeError, Timeline
-from tests.rehearsal.logs import Story, day
+from tests.rehearsal.logs import LogBuilder, day
 
 LOST, TWICE, DRAINS, COLD, CEILINGS = range(5)
-Bend = Callable[[Story], None]
+LogChange = Callable[[LogBuilder], None]
 
 
-def broken(story: Story) -> list[int]:
+def broken(story: LogBuilder) -> list[int]:
     return [place for place, rule in enumerate(judge(story.done()).rules) if not rule.kept]
 
 
-def bent(bend: Bend) -> list[int]:
-    story = Story()
+def broken_after(change: LogChange) -> list[int]:
+    story = LogBuilder()
     story.served(1.0)
-    bend(story)
+    change(story)
     story.served(15.0, "look", "n1", "s2")
     return broken(story)
 
@@ -33,134 +33,134 @@
 # Rule 1.
 
 
-def unanswered(s: Story) -> None:
+def unanswered(s: LogBuilder) -> None:
     s.left(5.1, s.sent(2.0), "over")
 
 
-def left_first(s: Story) -> None:
+def left_first(s: LogBuilder) -> None:
     s.left(2.5, s.sent(2.0), "impatient")
 
 
-def closed(s: Story) -> None:
+def closed(s: LogBuilder) -> None:
     s.broke(2.5, s.sent(2.0))
 
 
-def closed_on_a_new_connection(s: Story) -> None:
+def closed_on_a_new_connection(s: LogBuilder) -> None:
     s.broke(2.5, s.sent(2.0, fresh=True))
 
 
-def closed_on_a_new_connection_after_sending_on(s: Story) -> None:
+def closed_on_a_new_connection_after_sending_on(s: LogBuilder) -> None:
     id = s.sent(2.0, fresh=True)
     s.arrived(2.1, id)
     s.broke(2.5, id)
 
 
-def crossed_and_sent_once_more(s: Story) -> None:
+def crossed_and_sent_once_more(s: LogBuilder) -> None:
     id = s.sent(2.0)
     s.broke(2.001, id)
     s.served(2.002, id=id, fresh=True)
 
 
-def crossed_and_nobody_there(after: float) -> Bend:
-    """A kept connection ends so long after a request was sent on it, and no new one comes up: its limiter restarts."""
+def crossed_and_nobody_there(after: float) -> LogChange:
+    """A reused connection is closed ``after`` seconds from a request, and reconnecting fails: the limiter restarts."""
 
-    def bend(s: Story) -> None:
+    def change(s: LogBuilder) -> None:
         id = s.sent(2.0)
         s.broke(2.0 + after, id)
         s.records.append(log.Unreached(2.01, id, id, "n0"))
 
-    return bend
+    return change
 
 
-def sent_on_and_crossed_and_nobody_there(s: Story) -> None:
+def sent_on_and_crossed_and_nobody_there(s: LogBuilder) -> None:
     id = s.sent(2.0)
     s.arrived(2.0001, id)
     s.broke(2.0002, id)
     s.records.append(log.Unreached(2.01, id, id, "n0"))
 
 
-def sent_on_and_closed_and_sent_once_more(s: Story) -> None:
+def sent_on_and_closed_and_sent_once_more(s: LogBuilder) -> None:
     id = s.sent(2.0)
     s.arrived(2.1, id)
     s.broke(2.2, id)
     s.served(2.3, id=id, fresh=True)
 
 
-def sent_on_and_closed_and_refused_once_more(s: Story) -> None:
+def sent_on_and_closed_and_refused_once_more(s: LogBuilder) -> None:
     id = s.sent(2.0)
     s.arrived(2.1, id)
     s.broke(2.2, id)
     s.answered(2.4, s.sent(2.3, id=id, fresh=True), 429)
 
 
-def closed_half_way(s: Story) -> None:
+def closed_half_way(s: LogBuilder) -> None:
     s.broke(2.5, s.sent(2.0, fresh=True), begun=True)
 
 
-def killed(s: Story) -> None:
+def killed(s: LogBuilder) -> None:
     s.limiter(2.5, "n0", "killed")
     s.broke(2.5, s.sent(2.0))
 
 
-def killed_and_gone_and_back_in_one_tick(s: Story) -> None:
+def killed_and_gone_and_back_in_one_tick(s: LogBuilder) -> None:
     id = s.sent(2.0)
     for what in ("started", "exited", "killed"):
         s.limiter(2.5, "n0", what)
     s.broke(2.5, id)
 
 
-def killed_too_late(s: Story) -> None:
+def killed_too_late(s: LogBuilder) -> None:
     s.broke(2.5, s.sent(2.0))
     s.limiter(2.6, "n0", "killed")
 
 
-def killed_just_before(s: Story) -> None:
+def killed_just_before(s: LogBuilder) -> None:
     s.limiter(2.0, "n0", "killed")
     s.broke(2.2, s.sent(2.1))
 
 
-def back_before_the_break(s: Story) -> None:
+def back_before_the_break(s: LogBuilder) -> None:
     s.limiter(1.5, "n0", "killed")
     s.limiter(2.0, "n0", "started")
     s.broke(2.2, s.sent(2.1))
 
 
-def another_killed(s: Story) -> None:
+def another_killed(s: LogBuilder) -> None:
     s.limiter(2.5, "n1", "killed")
     s.broke(2.5, s.sent(2.0))
 
 
-def answered_in_the_slack(s: Story) -> None:
+def answered_in_the_slack(s: LogBuilder) -> None:
     s.answered(5.058, s.sent(2.0), 504)
 
 
-def answered_past_the_slack(s: Story) -> None:
+def answered_past_the_slack(s: LogBuilder) -> None:
     s.answered(5.06, s.sent(2.0), 504)
 
 
-def answered_twice(s: Story) -> None:
+def answered_twice(s: LogBuilder) -> None:
     id = s.sent(2.0)
     s.answered(2.1, id, 502)
     s.answered(2.1, id, 502)
 
 
-def bytes_behind(s: Story) -> None:
+def bytes_behind(s: LogBuilder) -> None:
     s.records.append(log.Surplus(2.0, "n0", "x", 7))
 
 
-def another_ones_answer(s: Story) -> None:
+def another_ones_answer(s: LogBuilder) -> None:
     id = s.sent(2.0)
     s.replied(2.2, s.arrived(2.1, id), body="mine")
     s.answered(2.3, id, body="yours")
 
 
-def sent_on_after_the_answer(s: Story) -> None:
+def sent_on_after_the_answer(s: LogBuilder) -> None:
     id = s.sent(2.0, "look")
     s.answered(2.1, id, 502)
     s.arrived(2.2, id)
 
 
-def sent_on_in_the_same_tick(s: Story) -> None:
+def sent_on_in_the_same_tick(s: LogBuilder) -> None:
     id = s.sent(2.0, "look")
     s.arrived(2.1, id)
     s.answered(2.1, id, 502)
@@ -169,43 +169,45 @@
 # Rule 2.
 
 
-def again(cls: str, outcome: Callable[[Story, int], None], server: str = "s2", at: float = 2.5) -> Bend:
-    def bend(s: Story) -> None:
+def again(
+    cls: str, outcome: Callable[[LogBuilder, int], None], server: str = "s2", at: float = 2.5
+) -> LogChange:
+    def change(s: LogBuilder) -> None:
         id = s.sent(2.0, cls, ttl=6.0)
         outcome(s, s.arrived(2.1, id))
         s.replied(at + 0.1, s.arrived(at, id, server), body=id)
         s.answered(at + 0.2, id, body=id)
 
-    return bend
+    return change
 
 
-def refused(cls: str, outcome: Callable[[Story, int], None]) -> Bend:
-    def bend(s: Story) -> None:
+def refused(cls: str, outcome: Callable[[LogBuilder, int], None]) -> LogChange:
+    def change(s: LogBuilder) -> None:
         id = s.sent(2.0, cls)
         outcome(s, s.arrived(2.1, id))
         s.answered(2.5, id, 429)
 
-    return bend
+    return change
 
 
-def reset(s: Story, attempt: int) -> None:
+def reset(s: LogBuilder, attempt: int) -> None:
     s.ended(2.2, attempt)
 
 
-def turned_away(s: Story, attempt: int) -> None:
+def turned_away(s: LogBuilder, attempt: int) -> None:
     s.replied(2.2, attempt, 503, "", proof=True)
 
 
-def unmarked(s: Story, attempt: int) -> None:
+def unmarked(s: LogBuilder, attempt: int) -> None:
     s.replied(2.2, attempt, 503, "", proof=False)
 
 
-def silent(s: Story, attempt: int) -> None:
+def silent(s: LogBuilder, attempt: int) -> None:
     pass
 
 
-def asked_anew_after_a_death(s: Story) -> None:
-    """Ran once at a limiter that died; the client asked anew, with a new id, through another."""
+def asked_anew_after_a_death(s: LogBuilder) -> None:
+    """A request ran through a limiter that died, and the client repeated it through another with a new id."""
     id = s.sent(2.0)
     s.replied(2.3, s.arrived(2.1, id), body=id)
     s.limiter(2.2, "n0", "killed")
@@ -216,26 +218,26 @@
 # Rule 3.
 
 
-def drain(at: float, to: str = "s1", health: str = "draining") -> Bend:
-    def bend(s: Story) -> None:
+def drain(at: float, to: str = "s1", health: str = "draining") -> LogChange:
+    def change(s: LogBuilder) -> None:
         s.told(4.0, "n0", False, s1=(health, -1e9))
         s.served(at - 0.01, "look", "n0", to)
 
-    return bend
+    return change
 
 
-def left_out_of_a_whole_list(s: Story) -> None:
+def left_out_of_a_whole_list(s: LogBuilder) -> None:
     s.told(4.0, "n0", True, s2=("ready", -1e9), s3=("ready", -1e9))
     s.served(6.2, "look", "n0", "s1")
 
 
-def drained_and_back(s: Story) -> None:
+def drained_and_back(s: LogBuilder) -> None:
     s.told(4.0, "n0", False, s1=("draining", -1e9))
     s.told(5.0, "n0", False, s1=("ready", -1e9))
     s.served(9.0, "look", "n0", "s1")
 
 
-def back_with_a_stale_list(s: Story) -> None:
+def back_with_a_stale_list(s: LogBuilder) -> None:
     s.told(2.0, "n0", False, s1=("gone", -1e9))
     s.limiter(3.0, "n0", "killed")
     s.limiter(4.0, "n0", "started")
@@ -243,14 +245,14 @@
     s.served(6.0, "look", "n0", "s1")
 
 
-def agent_knew(s: Story) -> None:
-    """The agent had it at 3; it counts as told at 9 though the limiter never read it."""
+def agent_knew(s: LogBuilder) -> None:
+    """The agent had the news at 3 s. The limiter counts as knowing it at 9 s although it never read it."""
     s.records.append(log.Listed(3.0, "n0", False, False, {"s1": ("gone", -1e9)}))
     s.served(11.2, "look", "n0", "s1")
 
 
-def agent_knew_and_told_otherwise_since(s: Story) -> None:
-    """Draining at its agent at 3, read at 3.1; ready again, read at 8: the old must not come back at 9."""
+def agent_knew_and_told_otherwise_since(s: LogBuilder) -> None:
+    """The agent's draining of 3 s was read at 3.1 s, and ready at 8 s: the draining must not apply again at 9 s."""
     s.records.append(log.Listed(3.0, "n0", False, False, {"s1": ("draining", -1e9)}))
     s.told(3.1, "n0", False, s1=("draining", -1e9))
     s.records.append(log.Listed(7.9, "n0", False, False, {"s1": ("ready", -1e9)}))
@@ -258,15 +260,15 @@
     s.served(11.5, "look", "n0", "s1")
 
 
-def ready_news_older_than_the_list(s: Story) -> None:
-    """Its agent had s9 as ready at 3; a whole list without s9, read at 4, is newer: it must not come back at 9."""
+def ready_news_older_than_the_list(s: LogBuilder) -> None:
+    """The agent had s9 as ready at 3 s. A newer whole list without s9 was read at 4 s: s9 must not return at 9 s."""
     s.told(2.0, "n0", False, s9=("ready", -1e9))
     s.records.append(log.Listed(3.0, "n0", False, False, {"s9": ("ready", -1e9)}))
     s.told(4.0, "n0", True, s1=("ready", -1e9), s2=("ready", -1e9), s3=("ready", -1e9))
     s.served(10.0, "look", "n0", "s9")
 
 
-def agent_knew_before_the_start(s: Story) -> None:
+def agent_knew_before_the_start(s: LogBuilder) -> None:
     s.limiter(2.0, "n0", "killed")
     s.records.append(log.Listed(3.0, "n0", False, False, {"s1": ("gone", -1e9)}))
     s.limiter(4.0, "n0", "started")
@@ -274,31 +276,31 @@
     s.served(12.2, "look", "n0", "s1")
 
 
-def agent_knew_not_yet(s: Story) -> None:
+def agent_knew_not_yet(s: LogBuilder) -> None:
     s.records.append(log.Listed(3.0, "n0", False, False, {"s1": ("gone", -1e9)}))
     s.served(10.8, "look", "n0", "s1")
 
 
-# Rule 4: 2 cores at 0.145 half a second after the start, 2.5 times, 2 s: 1.45 s and the largest request.
+# Rule 4: 2 cores at 0.145 of their speed 0.5 s after the start, times 2.5, for 2 s: 1.45 s and the largest request.
 
 
-def by_hand(at: float, back: float | None = None, server: str = "s1", dies: bool = False) -> Bend:
-    def bend(s: Story) -> None:
+def by_hand(at: float, back: float | None = None, server: str = "s1", dies: bool = False) -> LogChange:
+    def change(s: LogBuilder) -> None:
         s.records.append(log.Banned(4.0, "n0", "s1", True))
         if back is not None:
             s.records.append(log.Banned(back, "n0", "s1", False))
-        if dies:  # a limiter that dies has forgotten it
+        if dies:  # a restarted limiter has forgotten the ban
             s.limiter(4.5, "n0", "killed")
             s.limiter(5.0, "n0", "started")
             s.told(5.0, "n0", True, s1=("ready", -1e9))
-        s.told(5.5, "n0", False, s1=("ready", -1e9))  # whatever the list says
+        s.told(5.5, "n0", False, s1=("ready", -1e9))  # a list does not lift the ban
         s.served(at - 0.01, "look", "n0", server)
 
-    return bend
+    return change
 
 
-def cold(count: int, limiter_told: bool = True, at: float = 3.0) -> Bend:
-    def bend(s: Story) -> None:
+def cold(count: int, limiter_told: bool = True, at: float = 3.0) -> LogChange:
+    def change(s: LogBuilder) -> None:
         s.server(2.5, "s3", "started", "west")
         if limiter_told:
             s.told(2.6, "n0", False, s3=("ready", 2.5))
@@ -307,21 +309,21 @@
             s.arrived(at + n * 0.01, id, "s3")
             s.answered(at + 0.5, id, 502)
 
-    return bend
+    return change
 
 
-# Rule 5: 8 units at once, 4 a second; slack 1 unit and 0.6.
+# Rule 5: 8 units at once and 4 per second; the slack is 1 unit plus 0.6.
 
 
-def ceiling(count: int, every: float) -> Bend:
-    def bend(s: Story) -> None:
+def ceiling(count: int, every: float) -> LogChange:
+    def change(s: LogBuilder) -> None:
         for n in range(count):
             s.served(2.0 + n * every, "look", f"n{n % 2}", plan="hard", account="c")
 
-    return bend
+    return change
 
 
-CASES: list[tuple[Bend, list[int]]] = [
+CASES: list[tuple[LogChange, list[int]]] = [
     (lambda s: None, []),
     (unanswered, [LOST]), (left_first, []), (closed, [LOST]), (closed_on_a_new_connection, []),
     (closed_on_a_new_connection_after_sending_on, [LOST]), (closed_half_way, [LOST]), (crossed_and_sent_once_more, []),
@@ -356,8 +358,8 @@
 
 @pytest.mark.parametrize("number", range(len(CASES)))
 def test_each_case_breaks_just_its_rule(number: int) -> None:
-    bend, expected = CASES[number]
-    assert bent(bend) == expected
+    change, expected = CASES[number]
+    assert broken_after(change) == expected
 
 
 def _text(verdict: Verdict) -> str:
@@ -367,7 +369,7 @@
 @given(number=st.integers(0, len(CASES) - 1), seed=st.integers(0, 2**32))
 @settings(max_examples=60, deadline=None)
 def test_the_order_of_the_lines_changes_nothing(number: int, seed: int) -> None:
-    story = Story()
+    story = LogBuilder()
     story.served(1.0)
     CASES[number][0](story)
     records = story.done()
@@ -379,7 +381,7 @@
 @given(number=st.integers(0, len(CASES) - 1), seed=st.integers(0, 2**32), share=st.floats(0.05, 0.5))
 @settings(max_examples=100, deadline=None)
 def test_missing_records_are_gaps_and_no_crash(number: int, seed: int, share: float) -> None:
-    story = Story()
+    story = LogBuilder()
     story.served(1.0)
     CASES[number][0](story)
     rng = random.Random(seed)
@@ -400,7 +402,7 @@
 
 
 def test_a_long_log_counts_each_request_once() -> None:
-    story = Story(seconds=400.0)
+    story = LogBuilder(seconds=400.0)
     for n in range(4000):
         story.served(n * 0.1, "look", f"n{n % 2}", f"s{1 + n % 3}", account=str(n % 40))
     verdict = judge(story.done(500.0))
@@ -409,7 +411,7 @@
 
 
 def test_records_come_back_from_their_lines() -> None:
-    story = Story()
+    story = LogBuilder()
     story.served(1.0)
     story.server(2.0, "s1", "crashed")
     story.records += [
@@ -443,7 +445,7 @@
 
 
 def test_service_counts_what_came_in_time_inside_the_quota() -> None:
-    story = Story()
+    story = LogBuilder()
     story.served(1.0)  # worth 5, in time
     late = story.sent(2.0, "look")  # worth 2, too late
     story.replied(3.3, story.arrived(2.1, late), body="x")
@@ -458,8 +460,8 @@
 
 
 def test_what_is_sent_on_beyond_a_quota_costs() -> None:
-    story = Story()
-    for n in range(6):  # the store of "hard" holds 4 units
+    story = LogBuilder()
+    for n in range(6):  # the bucket of "hard" holds 4 units
         story.served(1.0 + n * 0.001, "look", plan="hard", account="c")
     service = judge(story.done()).service
     assert service.counts["inside"] == 4 and service.counts["beyond_quota"] == 2
@@ -467,7 +469,7 @@
 
 
 def test_a_late_kit_makes_the_run_void() -> None:
-    story = Story()
+    story = LogBuilder()
     story.served(1.0)
     story.records += [log.Lateness(n * 0.05, 0.05) for n in range(100)]
     verdict = judge(story.done())
@@ -476,39 +478,39 @@
 
 @pytest.mark.parametrize(("late", "void"), [((0.1,), False), ((0.1, 0.1), True), ((0.45,), True)])
 def test_one_stall_of_a_short_day_is_no_percentile(late: tuple[float, ...], void: bool) -> None:
-    story = Story()
+    story = LogBuilder()
     story.records += [log.Lateness(n * 0.05, 0.001) for n in range(60)]
     story.records += [log.Lateness(3.0 + n, each) for n, each in enumerate(late)]
     assert bool(judge(story.done()).void) is void
 
 
 def test_a_crashed_limiter_fails_the_day() -> None:
-    story = Story()
+    story = LogBuilder()
     story.limiter(3.0, "n0", "crashed")
     verdict = judge(story.done())
     assert verdict.crash.startswith("n0 ended by itself") and not verdict.passed
 
 
-def paused(story: Story, start: float, end: float, limiter: str = "n0") -> None:
+def paused(story: LogBuilder, start: float, end: float, limiter: str = "n0") -> None:
     story.records.append(log.Happened(start, end, "limiter-pause", limiter))
 
 
-def late_answer(story: Story) -> None:
+def late_answer(story: LogBuilder) -> None:
     id = story.sent(1.0)
     number = story.arrived(1.1, id)
     story.replied(1.2, number)
-    story.records.append(log.Answered(6.0, id, 200, None, "b"))  # it had until 4
+    story.records.append(log.Answered(6.0, id, 200, None, "b"))  # its deadline was 4
 
 
 @pytest.mark.parametrize(("start", "end", "kept"), [(1.5, 5.9, True), (0.5, 1.0, True), (5.0, 5.9, False)])
 def test_an_answer_is_late_without_blame_only_where_the_limiter_was_stopped(
     start: float, end: float, kept: bool
 ) -> None:
-    story = Story()
+    story = LogBuilder()
     late_answer(story)
     paused(story, start, end)
     assert judge(story.done()).rules[0].kept is kept
-    other = Story()
+    other = LogBuilder()
     late_answer(other)
     paused(other, start, end, "n1")
     assert not judge(other.done()).rules[0].kept
@@ -516,15 +518,15 @@
 
 @pytest.mark.parametrize(("arrives", "kept"), [(7.0, True), (7.3, False)])
 def test_a_drain_told_in_a_pause_is_heard_at_its_end(arrives: float, kept: bool) -> None:
-    story = Story()
+    story = LogBuilder()
     paused(story, 2.0, 5.0)
-    story.told(3.0, "n0", False, s1=("draining", -1e9))  # heard by 5.1, heeded by 7.1
+    story.told(3.0, "n0", False, s1=("draining", -1e9))  # known by 5.1, to be obeyed by 7.1
     story.replied(arrives + 0.1, story.arrived(arrives, story.sent(arrives - 0.1)))
     assert judge(story.done()).rules[2].kept is kept
 
 
 def test_a_server_given_back_in_a_pause_is_no_longer_draining() -> None:
-    story = Story()
+    story = LogBuilder()
     paused(story, 2.0, 9.0)
     story.told(1.0, "n0", False, s1=("draining", -1e9))
     story.told(8.0, "n0", False, s1=("ready", -1e9))
@@ -533,7 +535,7 @@
 
 
 def test_what_was_told_in_a_pause_stays_in_order() -> None:
-    story = Story()
+    story = LogBuilder()
     paused(story, 2.0, 5.0)
     story.told(3.0, "n0", False, s1=("draining", -1e9))
     story.told(4.0, "n0", False, s1=("ready", -1e9))
@@ -546,7 +548,7 @@
 
 @pytest.mark.parametrize(("limiter", "kept"), [("n0", True), ("n1", False)])
 def test_no_answer_is_owed_by_a_limiter_that_was_stopped(limiter: str, kept: bool) -> None:
-    story = Story()
+    story = LogBuilder()
     id = story.sent(1.0)
     story.left(4.2, id, "over")
     paused(story, 1.5, 9.0, limiter)
--- a/tests/rehearsal/test_operated.py
+++ b/tests/rehearsal/test_operated.py
@@ -1,4 +1,4 @@
-"""A short day on sockets in which operators upgrade limiters, take a server out and empty a limiter."""
+"""Short runs in which operators upgrade limiters, ban a server and drain a limiter."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
     {"kind": "limiter-drain", "at": 4.0, "targets": ["limiter-1"], "lasts": 0.5},
 ]
 pytestmark = pytest.mark.timed
-PLAYS = 3  # a run in which the kit was late is void and no verdict
+MAX_PLAYS = 3  # a run is void and repeated if the harness itself was late
 
 
 def test_upgrades_and_servers_out_by_hand_keep_all_rules(tmp_path: Path) -> None:
-    for number in range(PLAYS):
+    for number in range(MAX_PLAYS):
         records = uvloop.run(play(small(fault=FAULTS), 5, logs=tmp_path / str(number)))
         verdict = judge(records)
         if not verdict.void:
--- a/tests/rehearsal/test_scenario.py
+++ b/tests/rehearsal/test_scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios and plans: what is shipped is good, what is wrong is named, one seed gives one plan."""
+"""Scenarios and plans: shipped scenarios are valid, errors name the key, and one seed gives one plan."""
 
 from __future__ import annotations
 
--- a/tests/rehearsal/test_spells.py
+++ b/tests/rehearsal/test_spells.py
@@ -1,10 +1,9 @@
-"""Faults of one kind on one target that overlap: the last one that ends ends it, and nothing began later than it did.
+"""Overlapping faults of one kind on one target: the effect starts with the first and ends with the last.
 
-What was seen: ``python -m tests.soak --first 7036 --seeds 1`` blamed a limiter, five times of five at 6.98 s: "told
-bag-00 0.281 s too much". The day cuts east-hall at 5.92 s for 2.77 s, and again at 6.98 s. The second cut overwrote
-the instant since when what a cut holds back may have been under way: attempts of the time before were taken for sent
-at 6.98 s. And the end of the first cut healed the second one. Every other fault that lasts ended with the first spell
-as well.
+``python -m tests.soak --first 7036 --seeds 1`` falsely reported "told bag-00 0.281 s too much" at 6.98 s, in 5 of 5
+runs. The scenario cuts east-hall at 5.92 s for 2.77 s, and again at 6.98 s. The second cut overwrote the start of the
+first, so that attempts delayed since then counted as sent at 6.98 s, and the end of the first cut healed the second
+one. All other lasting faults ended with the first of two overlapping ones as well.
 """
 
 from __future__ import annotations
--- a/tests/rehearsal/test_standins.py
+++ b/tests/rehearsal/test_standins.py
@@ -1,4 +1,4 @@
-"""The stand-ins against the protocol, with scripted peers on loopback."""
+"""The stand-ins follow the protocol; scripted peers connect to them on loopback."""
 
 from __future__ import annotations
 
@@ -23,29 +23,29 @@
 ID = "00000000000000aa"
 
 
-class Recorded(Stage):
-    """A stage that keeps its records and gives each try the same work."""
+class RecordingStage(Stage):
+    """A stage that stores its records and gives each try the same work."""
 
     def __init__(self, work: float = 0.01) -> None:
-        self.kept = list[log.Record]()
-        super().__init__(self.kept.append, lambda _id, _cls: work)
+        self.records = list[log.Record]()
+        super().__init__(self.records.append, lambda _id, _cls: work)
 
-    def of(self, kind: type[log.Record]) -> list[Any]:
-        return [r for r in self.kept if type(r) is kind]
+    def records_of(self, kind: type[log.Record]) -> list[Any]:
+        return [r for r in self.records if type(r) is kind]
 
-    def knows(self, id: str = ID, effect: str = "safe") -> bytes:
-        """A request that a client has sent, as a limiter passes it on."""
+    def add_request(self, id: str = ID, effect: str = "safe") -> bytes:
+        """Registers a request as sent by a client and returns it as a limiter forwards it."""
         method = "GET" if effect == "safe" else "POST"
         self.sent(Known(id, method, "/look?account=1", b"", "look", effect, 5.0))
         length = "" if method == "GET" else "Content-Length: 0\r\n"
         return f"{method} /look?account=1 HTTP/1.1\r\nX-Request-ID: {id}\r\n{length}\r\n".encode()
 
 
-def server(stage: Stage, link: Link, machine: Machine = MACHINE, **more: Any) -> BagServer:
+def make_server(stage: Stage, link: Link, machine: Machine = MACHINE, **more: Any) -> BagServer:
     options: dict[str, Any] = {"report_every": 0.1, "idle": 30.0, "connections": 10, "stops_running": False}
-    made = BagServer(stage, "s1", "east", 0, machine, RepeatMemory(), Random(1), **(options | more))
-    made.place(link, "127.0.0.1")
-    return made
+    server = BagServer(stage, "s1", "east", 0, machine, RepeatMemory(), Random(1), **(options | more))
+    server.place(link, "127.0.0.1")
+    return server
 
 
 async def dial(address: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
@@ -67,14 +67,14 @@
         await asyncio.sleep(0.005)
 
 
-# The machine, in time that is an argument.
+# The machine, with time as an argument.
 
 
 def test_running_jobs_share_the_cores() -> None:
     cpu = Processor(Machine(1.0, 2, 1, 0.0, 0.1, 10.0, 2.5, 1.0, 0.1), 0.0, cold=False)
     jobs = [Job(n, 1.0) for n in range(4)]
     assert [cpu.add(job) for job in jobs[:2]] == [True, True] and len(cpu.admit()) == 2
-    assert cpu.add(jobs[2]) and not cpu.add(jobs[3])  # the waiting room holds one
+    assert cpu.add(jobs[2]) and not cpu.add(jobs[3])  # the queue holds one
     assert cpu.until_next(0.0) == pytest.approx(2.0)
     assert cpu.advance(1.0) == [] and jobs[0].left == pytest.approx(0.5)
     assert cpu.advance(2.0) == jobs[:2] and cpu.admit() == [jobs[2]]
@@ -110,36 +110,36 @@
 
 def test_a_request_is_run_and_answered_with_a_load_report() -> None:
     async def main() -> None:
-        stage, link = Recorded(), Link("n0")
-        made = server(stage, link)
-        made.start(cold=False)
-        status, headers, body = await ask(made.dial("n0"), stage.knows())
+        stage, link = RecordingStage(), Link("n0")
+        server = make_server(stage, link)
+        server.start(cold=False)
+        status, headers, body = await ask(server.dial("n0"), stage.add_request())
         assert " 200 " in status and json.loads(body)["id"] == ID
         assert headers["x-server-load"].startswith("queue=0,qps=")
-        kinds = [type(r).__name__ for r in stage.kept]
+        kinds = [type(r).__name__ for r in stage.records]
         assert kinds == ["ServerState", "Arrived", "Ran", "Replied"]
-        status, _, _ = await ask(made.dial("n0"), stage.knows().replace(b"/look", b"/took"))
+        status, _, _ = await ask(server.dial("n0"), stage.add_request().replace(b"/look", b"/took"))
         assert " 400 " in status and "no client made" in stage.complaints[0]
-        assert " 200 " in (await ask(made.dial("n0"), b"GET /healthz HTTP/1.1\r\n\r\n"))[0]
-        made.crash()
+        assert " 200 " in (await ask(server.dial("n0"), b"GET /healthz HTTP/1.1\r\n\r\n"))[0]
+        server.crash()
 
     run(main())
 
 
 def test_a_full_waiting_room_and_a_full_table_turn_away_with_proof() -> None:
     async def main() -> None:
-        stage, link = Recorded(work=5.0), Link("n0")
-        made = server(stage, link, connections=4)
-        made.start(cold=False)
-        held = [await dial(made.dial("n0")) for _ in range(3)]
+        stage, link = RecordingStage(work=5.0), Link("n0")
+        server = make_server(stage, link, connections=4)
+        server.start(cold=False)
+        held = [await dial(server.dial("n0")) for _ in range(3)]
         for n, (_, writer) in enumerate(held):
-            writer.write(stage.knows(f"{n:016x}"))
-        await until(lambda: len(stage.of(log.Arrived)) == 3)
-        for expected in (1, 2):  # the fourth finds the room full; the fifth the table too
-            status, headers, _ = await ask(made.dial("n0"), stage.knows(f"{expected + 10:016x}"))
+            writer.write(stage.add_request(f"{n:016x}"))
+        await until(lambda: len(stage.records_of(log.Arrived)) == 3)
+        for expected in (1, 2):  # the fourth finds the queue full, the fifth the connection table too
+            status, headers, _ = await ask(server.dial("n0"), stage.add_request(f"{expected + 10:016x}"))
             assert " 503 " in status and headers["x-not-processed"] == "1"
-        assert [r.not_processed for r in stage.of(log.Replied)] == [True, True]
-        made.crash()
+        assert [r.not_processed for r in stage.records_of(log.Replied)] == [True, True]
+        server.crash()
         for reader, _ in held:
             with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
                 await reader.readexactly(1)
@@ -149,56 +149,56 @@
 
 def test_keyed_repeats_are_dropped_and_answered_alike() -> None:
     async def main() -> None:
-        stage, link = Recorded(), Link("n0")
-        made = server(stage, link)
-        made.start(cold=False)
-        request = stage.knows(effect="keyed")
-        first, second = await ask(made.dial("n0"), request), await ask(made.dial("n0"), request)
+        stage, link = RecordingStage(), Link("n0")
+        server = make_server(stage, link)
+        server.start(cold=False)
+        request = stage.add_request(effect="keyed")
+        first, second = await ask(server.dial("n0"), request), await ask(server.dial("n0"), request)
         assert first[2] == second[2]
-        assert [r.repeat for r in stage.of(log.Ran)] == [False, True]
-        made.crash()
+        assert [r.repeat for r in stage.records_of(log.Ran)] == [False, True]
+        server.crash()
 
     run(main())
 
 
 def test_a_crashed_server_refuses_and_returns_at_its_address_cold() -> None:
     async def main() -> None:
-        stage, link = Recorded(), Link("n0")
-        made = server(stage, link)
-        made.start(cold=False)
-        address = made.dial("n0")
-        made.crash()
+        stage, link = RecordingStage(), Link("n0")
+        server = make_server(stage, link)
+        server.start(cold=False)
+        address = server.dial("n0")
+        server.crash()
         with pytest.raises(ConnectionRefusedError):
             await dial(address)
-        made.start(cold=True)
-        assert made.dial("n0") == address and made.born_ms > 0
-        assert " 200 " in (await ask(address, stage.knows()))[0]
-        assert [r.what for r in stage.of(log.ServerState)] == ["up", "crashed", "started"]
-        made.crash()
+        server.start(cold=True)
+        assert server.dial("n0") == address and server.born_ms > 0
+        assert " 200 " in (await ask(address, stage.add_request()))[0]
+        assert [r.what for r in stage.records_of(log.ServerState)] == ["up", "crashed", "started"]
+        server.crash()
 
     run(main())
 
 
 def test_errors_resets_hangs_and_idle_ends() -> None:
     async def main() -> None:
-        stage, link = Recorded(), Link("n0")
-        made = server(stage, link, idle=0.0)
-        made.start(cold=False)
-        made.error_share = 1.0
-        assert " 500 " in (await ask(made.dial("n0"), stage.knows()))[0]
-        made.error_share, made.reset_share = 0.0, 1.0
+        stage, link = RecordingStage(), Link("n0")
+        server = make_server(stage, link, idle=0.0)
+        server.start(cold=False)
+        server.error_share = 1.0
+        assert " 500 " in (await ask(server.dial("n0"), stage.add_request()))[0]
+        server.error_share, server.reset_share = 0.0, 1.0
         with pytest.raises(ConnectionResetError):
-            await ask(made.dial("n0"), stage.knows())
-        made.reset_share = 0.0
-        made.hang(True)
-        waiting = asyncio.ensure_future(ask(made.dial("n0"), stage.knows()))
-        await until(lambda: len(stage.of(log.Arrived)) == 3)
+            await ask(server.dial("n0"), stage.add_request())
+        server.reset_share = 0.0
+        server.hang(True)
+        waiting = asyncio.ensure_future(ask(server.dial("n0"), stage.add_request()))
+        await until(lambda: len(stage.records_of(log.Arrived)) == 3)
         assert not waiting.done()
-        made.hang(False)
+        server.hang(False)
         assert " 200 " in (await waiting)[0]
-        reader, _ = await dial(made.dial("n0"))
+        reader, _ = await dial(server.dial("n0"))
         assert await reader.read() == b""  # idle for too long
-        made.crash()
+        server.crash()
 
     run(main())
 
@@ -208,28 +208,28 @@
 
 def test_a_cut_is_silence_and_no_reset() -> None:
     async def main() -> None:
-        stage, link = Recorded(), Link("n0", 0.001)
-        made = server(stage, link)
-        made.start(cold=False)
-        reader, writer = await dial(made.dial("n0"))
-        writer.write(stage.knows())
+        stage, link = RecordingStage(), Link("n0", 0.001)
+        server = make_server(stage, link)
+        server.start(cold=False)
+        reader, writer = await dial(server.dial("n0"))
+        writer.write(stage.add_request())
         assert " 200 " in (await read_message(reader))[0]
         link.cut(stage.now())
         cut_at = stage.now()
-        writer.write(stage.knows("00000000000000bb"))
+        writer.write(stage.add_request("00000000000000bb"))
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.15):
                 await reader.read(1)
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.15):
-                await dial(made.dial("n0"))
-        assert len(stage.of(log.Arrived)) == 1
+                await dial(server.dial("n0"))
+        assert len(stage.records_of(log.Arrived)) == 1
         link.heal()
         assert " 200 " in (await read_message(reader))[0]
-        # When in the cut it was sent nobody can tell: it counts from the cut's begin.
-        assert stage.of(log.Arrived)[1].began <= cut_at + 0.01 < stage.of(log.Arrived)[1].t
-        assert " 200 " in (await ask(made.dial("n0"), stage.knows("00000000000000cc")))[0]
-        made.crash()
+        # The time of sending during the cut is unknown, so the start of the cut counts.
+        assert stage.records_of(log.Arrived)[1].began <= cut_at + 0.01 < stage.records_of(log.Arrived)[1].t
+        assert " 200 " in (await ask(server.dial("n0"), stage.add_request("00000000000000cc")))[0]
+        server.crash()
 
     run(main())
 
@@ -253,7 +253,7 @@
 
 def test_the_keeper_adds_forgets_and_answers_in_order() -> None:
     async def main() -> None:
-        stage, link = Recorded(), Link("n0")
+        stage, link = RecordingStage(), Link("n0")
         keeper = Keeper(stage, 2, 10_000, 1.0, 0.001)
         reader, writer = await dial(keeper.listen(link, "127.0.0.1").address)
         writer.write(b"tally a 1 50\r\n")
@@ -276,13 +276,13 @@
 
 def test_a_crowded_keeper_turns_calls_away_and_a_stopped_one_is_silent() -> None:
     async def main() -> None:
-        stage, link = Recorded(), Link("n0")
+        stage, link = RecordingStage(), Link("n0")
         keeper = Keeper(stage, 1, 10, 0.15, 0.0)  # a call takes 0.1 s
         keeper.begun = True
         reader, writer = await dial(keeper.listen(link, "127.0.0.1").address)
         writer.write(b"tally a 1 60000\r\n" * 4)
         assert await lines(reader, 4) == [b"ok 1", b"ok 2", b"busy", b"busy"]
-        assert [r.added for r in stage.of(log.Tallied)].count(True) == 2
+        assert [r.added for r in stage.records_of(log.Tallied)].count(True) == 2
         keeper.stopped = True
         writer.write(b"tally a 1 60000\r\nping\r\n")
         with pytest.raises(TimeoutError):
@@ -295,7 +295,7 @@
 
 def test_the_keeper_resets_what_goes_beyond_its_connections() -> None:
     async def main() -> None:
-        keeper, link = Keeper(Recorded(), 1, 1000, 1.0, 0.0), Link("n0")
+        keeper, link = Keeper(RecordingStage(), 1, 1000, 1.0, 0.0), Link("n0")
         address = keeper.listen(link, "127.0.0.1").address
         opened = [await dial(address) for _ in range(33)]
         with pytest.raises(ConnectionResetError):
@@ -322,7 +322,7 @@
 
 def test_a_watch_tells_changes_and_goes_on_from_a_version() -> None:
     async def main() -> None:
-        stage = Recorded()
+        stage = RecordingStage()
         agent = Agent(stage, "n0")
         address = agent.listen("127.0.0.1")
         agent.publish(host("s1"), host("s2"))
@@ -337,7 +337,7 @@
         assert agent.known()["seq"] == change["seq"] and [h["host"] for h in agent.known()["hosts"]] == ["s1"]
         writer.close()
         await until(lambda: not agent.watchers)
-        agent.publish(host("s3"))  # nobody listens: it comes back with the list of before
+        agent.publish(host("s3"))  # nobody watches, so the list that the limiter knows stays as it was
         assert [h["host"] for h in agent.known()["hosts"]] == ["s1"]
         reader, writer = await dial(address)
         writer.write(b"GET /v1/servers?follow=1&since=%d HTTP/1.1\r\n\r\n" % change["seq"])
@@ -345,7 +345,7 @@
         assert [h["host"] for h in (await chunk(reader))["hosts"]] == ["s3"]
         status, _, body = await ask(address, b"GET /v1/servers HTTP/1.1\r\n\r\n")
         assert " 200 " in status and len(json.loads(body)["hosts"]) == 2
-        told = [r.told for r in stage.of(log.Listed)]
+        told = [r.told for r in stage.records_of(log.Listed)]
         assert told == [False, True, False, True, False, True, True]
         agent.close()
 
@@ -354,7 +354,7 @@
 
 def test_a_silent_agent_says_nothing_and_tells_all_when_it_wakes() -> None:
     async def main() -> None:
-        agent = Agent(Recorded(), "n0")
+        agent = Agent(RecordingStage(), "n0")
         address = agent.listen("127.0.0.1")
         agent.publish(host("s1"))
         agent.silent = True
--- a/tests/rehearsal/test_together.py
+++ b/tests/rehearsal/test_together.py
@@ -1,4 +1,4 @@
-"""What limiters do together, as it is rehearsed: sections, relay, datagrams, clocks, calendars, the kit's history."""
+"""The rehearsal of a fleet: scenario tables, relay, datagrams, clocks, calendars and the harness's history."""
 
 from __future__ import annotations
 
@@ -49,11 +49,13 @@
 from cypresspulley.rehearsal.virtual.loop import VirtualLoop, run_virtual
 from cypresspulley.rehearsal.virtual.owner import OWNER, Owner
 from cypresspulley.rehearsal.virtual.play import digest, play_virtual
-from tests.rehearsal.logs import Story
+from tests.rehearsal.logs import LogBuilder
 from tests.rehearsal.small import small
 
-NEW = ("fleet-crash", "fleet-partition", "fleet-paused", "lanes-shed", "lanes-cut", "closing-calm", "closing-cut",
-       "closing-paused", "wedding-close")  # fmt: skip
+FLEET_SCENARIOS = (
+    "fleet-crash", "fleet-partition", "fleet-paused", "lanes-shed", "lanes-cut", "closing-calm", "closing-cut",
+    "closing-paused", "wedding-close",
+)  # fmt: skip
 PLACES = [
     {"name": "vadodara", "zone": "Asia/Kolkata", "closes": [1, 3]},
     {"name": "lisbon", "zone": "Europe/Lisbon", "closes": [3]},
@@ -61,8 +63,8 @@
 LANES = [{"name": "premium", "plans": ["hard"], "floor": 0.5}, {"name": "rest", "plans": ["free"]}]
 
 
-def together(**changes: Any) -> Scenario:
-    """The tests' small day with a fleet of three, and what ``changes`` say beside it."""
+def fleet_scenario(**changes: Any) -> Scenario:
+    """Returns the small scenario with a fleet of three limiters, changed by ``changes``."""
     raw: dict[str, Any] = {
         "together": {"period_ms": 50},
         "limiters": {"count": 3},
@@ -72,14 +74,16 @@
     return small(**(raw | changes))
 
 
-def keeping(**changes: Any) -> Scenario:
-    return together(closing={"keep": ["look"], "lease_ms": 500, "share": 0.8, "place": PLACES}, **changes)
+def caching(**changes: Any) -> Scenario:
+    return fleet_scenario(
+        closing={"keep": ["look"], "lease_ms": 500, "share": 0.8, "place": PLACES}, **changes
+    )
 
 
-# Sections.
+# Scenario tables.
 
 
-@pytest.mark.parametrize("name", NEW)
+@pytest.mark.parametrize("name", FLEET_SCENARIOS)
 def test_the_scenarios_of_limiters_together_are_shipped_and_as_large_as_said(name: str) -> None:
     scenario = load_scenario(name)
     assert name in shipped_scenarios() and scenario.together is not None
@@ -89,7 +93,7 @@
 
 
 def test_each_fault_between_limiters_is_in_a_shipped_day() -> None:
-    assert {fault.kind for name in NEW for fault in load_scenario(name).faults} >= FLEET_KINDS
+    assert {fault.kind for name in FLEET_SCENARIOS for fault in load_scenario(name).faults} >= FLEET_KINDS
 
 
 @pytest.mark.parametrize(
@@ -117,15 +121,15 @@
 )
 def test_a_section_that_cannot_be_played_is_refused_with_its_key(changes: dict[str, Any], said: str) -> None:
     with pytest.raises(ScenarioError) as error:
-        together(**changes)
+        fleet_scenario(**changes)
     assert said in str(error.value)
 
 
 def test_a_closing_is_told_no_later_than_its_notice() -> None:
     fault = {"kind": "closing-told", "at": 1, "ahead": 1.5}
     with pytest.raises(ScenarioError, match=r"fault.0.ahead: expected more than 2.25 s"):
-        keeping(fault=[fault])
-    keeping(fault=[fault | {"ahead": 2.3}])
+        caching(fault=[fault])
+    caching(fault=[fault | {"ahead": 2.3}])
 
 
 def test_days_without_a_fleet_have_the_plan_that_they_had() -> None:
@@ -140,45 +144,45 @@
 # The relay, on sockets and in virtual time.
 
 
-class _Ear(asyncio.DatagramProtocol):
+class _Receiver(asyncio.DatagramProtocol):
     def __init__(self) -> None:
-        self.heard = list[tuple[bytes, Address]]()
+        self.received = list[tuple[bytes, Address]]()
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        self.heard.append((data, addr[:2]))
+        self.received.append((data, addr[:2]))
 
 
-class Bed:
-    """Limiters' sockets round a relay."""
+class RelayBed:
+    """A relay with the UDP sockets of some limiters."""
 
     def __init__(self, virtual: bool) -> None:
         self._virtual = virtual
         loop = asyncio.get_running_loop()
         self.relay = Relay(7, lambda _a, _b: 0.0, loop.time)
-        self.ears = dict[str, _Ear]()
+        self.receivers = dict[str, _Receiver]()
         self.sockets = dict[str, asyncio.DatagramTransport]()
-        self.ways_in = dict[str, Address]()
+        self.relay_addresses = dict[str, Address]()
 
     async def add(self, name: str) -> None:
-        loop, number = asyncio.get_running_loop(), len(self.ears)
-        self.ears[name] = _Ear()
+        loop, number = asyncio.get_running_loop(), len(self.receivers)
+        self.receivers[name] = _Receiver()
         transport, _ = await loop.create_datagram_endpoint(
-            lambda: self.ears[name], local_addr=("127.0.0.1", 0)
+            lambda: self.receivers[name], local_addr=("127.0.0.1", 0)
         )
         own = transport.get_extra_info("sockname")[:2]
         where = ("127.0.0.2", 9000 + number) if self._virtual else ("127.0.0.1", _free())
         await self.relay.open(name, where, own)
-        self.sockets[name], self.ways_in[name] = transport, where
+        self.sockets[name], self.relay_addresses[name] = transport, where
 
-    def say(self, one: str, other: str, data: bytes) -> None:
-        self.sockets[one].sendto(data, self.ways_in[other])
+    def send(self, one: str, other: str, data: bytes) -> None:
+        self.sockets[one].sendto(data, self.relay_addresses[other])
 
-    async def heard(self, name: str, count: int) -> list[bytes]:
-        """What it has heard, once that are ``count`` (bounded by the test's own time)."""
+    async def received(self, name: str, count: int) -> list[bytes]:
+        """Returns what a limiter has received, after waiting at most 5 s for ``count`` datagrams."""
         async with asyncio.timeout(5):
-            while len(self.ears[name].heard) < count:
+            while len(self.receivers[name].received) < count:
                 await asyncio.sleep(0.002)
-        return [data for data, _ in self.ears[name].heard]
+        return [data for data, _ in self.receivers[name].received]
 
     def close(self) -> None:
         self.relay.close()
@@ -192,8 +196,8 @@
     return free_datagram_port("127.0.0.1")
 
 
-async def _bed(virtual: bool) -> Bed:
-    bed = Bed(virtual)
+async def _relay_bed(virtual: bool) -> RelayBed:
+    bed = RelayBed(virtual)
     for name in ("a", "b", "c"):
         await bed.add(name)
     return bed
@@ -202,29 +206,31 @@
 @pytest.mark.parametrize("virtual", [False, True])
 def test_the_relay_passes_on_cuts_doubles_and_delays_by_ordered_pair(virtual: bool) -> None:
     async def main(*_: object) -> None:
-        bed = await _bed(virtual)
-        bed.say("a", "b", b"plain")
-        assert await bed.heard("b", 1) == [b"plain"]
-        assert bed.ears["b"].heard[0][1] == bed.ways_in["a"]  # what answers there comes back to the speaker
+        bed = await _relay_bed(virtual)
+        bed.send("a", "b", b"plain")
+        assert await bed.received("b", 1) == [b"plain"]
+        assert (
+            bed.receivers["b"].received[0][1] == bed.relay_addresses["a"]
+        )  # replies to this address reach the sender
         cut = Trouble(ways_between((["a"], ["b"]), one_way=True), lost=1.0)
         bed.relay.begin(cut)
-        bed.say("a", "b", b"cut")
-        bed.say("b", "a", b"back")
-        bed.say("c", "b", b"others")
-        assert await bed.heard("a", 1) == [b"back"]
-        assert await bed.heard("b", 2) == [b"plain", b"others"]
+        bed.send("a", "b", b"cut")
+        bed.send("b", "a", b"back")
+        bed.send("c", "b", b"others")
+        assert await bed.received("a", 1) == [b"back"]
+        assert await bed.received("b", 2) == [b"plain", b"others"]
         bed.relay.end(cut)
         twice, late = Trouble(None, doubled=1.0), Trouble(ways_between((["a"], ["b"])), held=1.0, by=0.05)
         bed.relay.begin(twice)
-        bed.say("a", "c", b"two")
-        assert await bed.heard("c", 2) == [b"two", b"two"]
+        bed.send("a", "c", b"two")
+        assert await bed.received("c", 2) == [b"two", b"two"]
         bed.relay.end(twice)
         bed.relay.begin(late)
-        bed.say("a", "b", b"late")
-        bed.say("c", "b", b"overtakes")
-        assert (await bed.heard("b", 4))[2:] == [b"overtakes", b"late"]
-        bed.say("a", "c", b"x")
-        assert (await bed.heard("c", 3))[-1] == b"x"
+        bed.send("a", "b", b"late")
+        bed.send("c", "b", b"overtakes")
+        assert (await bed.received("b", 4))[2:] == [b"overtakes", b"late"]
+        bed.send("a", "c", b"x")
+        assert (await bed.received("c", 3))[-1] == b"x"
         bed.close()
 
     if virtual:
@@ -235,12 +241,12 @@
 
 def test_what_no_limiter_says_is_not_passed_on() -> None:
     async def main(_: VirtualLoop) -> None:
-        bed = await _bed(True)
+        bed = await _relay_bed(True)
         loop = asyncio.get_running_loop()
-        stranger, _protocol = await loop.create_datagram_endpoint(_Ear, local_addr=("127.0.0.9", 1))
-        stranger.sendto(b"foreign", bed.ways_in["a"])
+        stranger, _protocol = await loop.create_datagram_endpoint(_Receiver, local_addr=("127.0.0.9", 1))
+        stranger.sendto(b"foreign", bed.relay_addresses["a"])
         await asyncio.sleep(0.1)
-        assert bed.ears["a"].heard == [] and bed.relay.counts["foreign"] == 1
+        assert bed.receivers["a"].received == [] and bed.relay.counts["foreign"] == 1
 
     run_virtual(main)
 
@@ -248,13 +254,13 @@
 def test_a_share_is_lost_and_the_same_ones_for_one_seed() -> None:
     def played() -> list[bytes]:
         async def main(_: VirtualLoop) -> list[bytes]:
-            bed = await _bed(True)
+            bed = await _relay_bed(True)
             bed.relay.begin(Trouble(None, lost=0.3))
             for number in range(400):
-                bed.say("a", "b", b"%d" % number)
+                bed.send("a", "b", b"%d" % number)
                 await asyncio.sleep(0.001)
             await asyncio.sleep(0.1)
-            return [data for data, _ in bed.ears["b"].heard]
+            return [data for data, _ in bed.receivers["b"].received]
 
         return run_virtual(main, 5)
 
@@ -285,35 +291,37 @@
 
 def test_a_killed_owners_socket_is_gone_and_a_stopped_ones_datagrams_wait_in_a_bounded_buffer() -> None:
     async def main(loop: VirtualLoop) -> None:
-        owner, ear, context = Owner("p"), _Ear(), copy_context()
+        owner, receiver, context = Owner("p"), _Receiver(), copy_context()
         context.run(OWNER.set, owner)
 
         async def open_it() -> None:
             await asyncio.get_running_loop().create_datagram_endpoint(
-                lambda: ear, local_addr=("127.0.0.5", 7)
+                lambda: receiver, local_addr=("127.0.0.5", 7)
             )
 
         await loop.create_task(open_it(), context=context)
-        sender, _ = await loop.create_datagram_endpoint(_Ear, local_addr=("127.0.0.6", 7))
+        sender, _ = await loop.create_datagram_endpoint(_Receiver, local_addr=("127.0.0.6", 7))
         sender.sendto(b"one", ("127.0.0.5", 7))
         await asyncio.sleep(0.01)
-        assert [data for data, _ in ear.heard] == [b"one"]
+        assert [data for data, _ in receiver.received] == [b"one"]
         loop.stop_owner(owner)
         for _number in range(500):
             sender.sendto(bytes(1000), ("127.0.0.5", 7))
         await asyncio.sleep(0.01)
-        assert len(ear.heard) == 1
+        assert len(receiver.received) == 1
         loop.wake_owner(owner)
         await asyncio.sleep(0.01)
-        assert len(ear.heard) == 1 + BUFFER // (1000 + OVERHEAD)
+        assert len(receiver.received) == 1 + BUFFER // (1000 + OVERHEAD)
         loop.kill(owner)
-        before = len(ear.heard)
+        before = len(receiver.received)
         sender.sendto(b"late", ("127.0.0.5", 7))
         await asyncio.sleep(0.01)
-        assert len(ear.heard) == before and ("127.0.0.5", 7) not in loop.network.sockets
-        await loop.create_datagram_endpoint(_Ear, local_addr=("127.0.0.5", 7))  # its address is free again
+        assert len(receiver.received) == before and ("127.0.0.5", 7) not in loop.network.sockets
+        await loop.create_datagram_endpoint(
+            _Receiver, local_addr=("127.0.0.5", 7)
+        )  # the address is free again
         with pytest.raises(OSError, match="already in use"):
-            await loop.create_datagram_endpoint(_Ear, local_addr=("127.0.0.5", 7))
+            await loop.create_datagram_endpoint(_Receiver, local_addr=("127.0.0.5", 7))
 
     run_virtual(main, 2)
 
@@ -329,7 +337,7 @@
     other = tmp_path / "other"
     other.write_text(Shift(-3.5, 100_000.0, 990.0).line())
     other.replace(path)
-    assert clock() == 1000.0  # not yet looked at
+    assert clock() == 1000.0  # the file has not been read again yet
     steady[0] += 0.06
     assert clock() == pytest.approx(997.5)
     for broken in ("1 2", "nan 0 0", "a b c"):
@@ -382,7 +390,7 @@
 
 
 def test_a_calendar_told_on_the_way_is_a_higher_version_with_all_closings_and_its_notice() -> None:
-    scenario = keeping()
+    scenario = caching()
     assert scenario.closing is not None
     accounts = caching_accounts(scenario.closing, draw_plan(scenario, 4))
     assert accounts == caching_accounts(scenario.closing, draw_plan(scenario, 4)) and set(
@@ -404,8 +412,8 @@
     assert closings == {1_800_000_003.0}
 
 
-class _Told:
-    """Stands where a limiter stands, for the calendars that it gets."""
+class _CalendarReceiver:
+    """Stands in for a limiter and stores the calendars that it gets."""
 
     def __init__(self) -> None:
         self.calendars = list[tuple[int, bool]]()
@@ -421,7 +429,7 @@
         (
             {"version": INITIAL_VERSION + 1, "state": "held", "mono": 100.0, "in_force": 101.0},
             False,
-        ),  # late: no notice
+        ),  # without the required notice
         ({"version": INITIAL_VERSION + 1, "state": "refused", "mono": 100.0, "in_force": 200.0}, False),
         ({"version": INITIAL_VERSION, "state": "held", "mono": 100.0, "in_force": 200.0}, False),
     ],
@@ -433,8 +441,8 @@
         {"kind": "closing-told", "at": 1, "ahead": 2.5, "targets": ["limiter-1"]},
         {"kind": "limiter-old-calendar", "at": 0, "targets": ["limiter-2"]},
     ]
-    scenario = keeping(fault=faults)
-    plan, limiters = draw_plan(scenario, 4), {name: _Told() for name in limiter_names(scenario)}
+    scenario = caching(fault=faults)
+    plan, limiters = draw_plan(scenario, 4), {name: _CalendarReceiver() for name in limiter_names(scenario)}
     assert scenario.closing is not None
     closings = ClosingSchedule(scenario.closing, plan, limiters, 1_800_000_000)  # type: ignore[arg-type]
     closings.write_initial_calendars()
@@ -454,7 +462,7 @@
 THREE = ["a", "b", "c"]
 
 
-def _struck(**fault: Any) -> DatagramFault:
+def _datagram_fault(**fault: Any) -> DatagramFault:
     spec = Fault(at=1, lasts=1, **fault)
     return datagram_fault(PlannedFault(1.0, 2.0, spec.kind, spec.targets, spec), THREE, 0.2, 10.0)
 
@@ -484,7 +492,7 @@
 def test_what_checkers_excuse_is_what_a_fault_parts(
     fault: dict[str, Any], kind: str, sides: tuple[tuple[str, ...], ...]
 ) -> None:
-    found = _struck(**fault)
+    found = _datagram_fault(**fault)
     assert (found.kind, found.sides) == (kind, sides)
 
 
@@ -493,7 +501,7 @@
 
     from cypresspulley.closing.options import load_calendar
 
-    scenario = keeping()
+    scenario = caching()
     assert scenario.closing is not None
     accounts = caching_accounts(scenario.closing, draw_plan(scenario, 4))
     calendars, start = CalendarVersions(scenario.closing, accounts, 1_800_000_000), 1_800_000_000
@@ -506,7 +514,7 @@
         assert [s - 1 for s in range(1, 8) if ordinals[s] > ordinals[s - 1]] == expected
 
 
-# The kit's own history, and the judge.
+# The harness's own history, and the judge.
 
 
 def test_the_kits_history_holds_calls_answers_and_faults_as_the_checkers_read_them() -> None:
@@ -541,11 +549,11 @@
 BODY = '{"id":"first","made":1.0}'
 
 
-def _kept_day(
+def _cached_answer_log(
     account: str = "a", cls: str = "look", age: bool = True, keeps: bool = True
 ) -> list[log.Record]:
-    """One account's lookup is answered by a server, and a later one from what is kept."""
-    story = Story()
+    """Returns a log in which a server answers one request of an account, and the cache answers a later one."""
+    story = LogBuilder()
     if keeps:
         story.records.append(log.Keeping(0.0, ("a",), ("look",)))
     sent: dict[str, Any] = {
@@ -569,7 +577,7 @@
 
 
 def test_a_kept_answer_is_served_and_is_a_servers() -> None:
-    verdict = judge(_kept_day())
+    verdict = judge(_cached_answer_log())
     assert verdict.kept and verdict.service.counts["served"] == 2
     assert verdict.service.counts["from_kept"] == 1
 
@@ -578,12 +586,12 @@
     "changes", [{"account": "b"}, {"cls": "hand"}, {"age": False}, {"keeps": False}], ids=str
 )
 def test_an_answer_kept_for_others_or_without_its_age_is_nobodys(changes: dict[str, Any]) -> None:
-    violations = judge(_kept_day(**changes)).rules[0].violations
+    violations = judge(_cached_answer_log(**changes)).rules[0].violations
     assert [v.text for v in violations] == ["served with what no server made for it"]
 
 
 def test_a_broken_promise_fails_the_day_as_a_broken_rule_does() -> None:
-    records = [*_kept_day()[:-1], log.Checked(20.0, "fleet", 3, ()), log.End(30.0)]
+    records = [*_cached_answer_log()[:-1], log.Checked(20.0, "fleet", 3, ()), log.End(30.0)]
     good = judge(records)
     assert good.passed and conclusion(good).startswith(
         "PASSED: all five rules kept, the promises of fleet kept"
@@ -605,7 +613,7 @@
         log.from_line('{"record":"keeping","t":0.0,"accounts":"a","classes":[]}', "here")
 
 
-# Whole days.
+# Whole runs.
 
 
 def _histories_of(scenario: Scenario, folder: Path) -> tuple[list[log.Record], Histories]:
@@ -620,7 +628,7 @@
         {"kind": "datagram-loss", "at": 1.0, "lasts": 2.0, "size": 0.1},
         {"kind": "limiter-clock", "at": 2.0, "targets": ["limiter-0"], "offset": -5},
     ]
-    scenario = together(fault=faults)
+    scenario = fleet_scenario(fault=faults)
     records, histories = _histories_of(scenario, tmp_path)
     assert digest(records) == digest(play_virtual(scenario, scenario.seed))
     verdict = judge(records)
@@ -629,13 +637,13 @@
     assert [life.name for life in histories.lives] == ["limiter-0", "limiter-1", "limiter-1", "limiter-2"]
     assert histories.harness is not None
     late = next(life for life in histories.lives if life.name == "limiter-2")
-    assert late.start.mono > histories.harness.start.mono + 3  # the day begins some seconds after the kit
+    assert late.start.mono > histories.harness.start.mono + 3  # the run starts some seconds after the harness
     clocks = [event.wall - event.mono for event in histories.lives[0].events]
     assert clocks[0] == pytest.approx(0.0) and clocks[-1] == pytest.approx(-5.0)
 
 
 def test_lookups_are_kept_until_the_close_in_virtual_time_and_a_purge_has_its_yes(tmp_path: Path) -> None:
-    scenario = keeping(fault=[{"kind": "purge", "at": 2.0, "targets": ["limiter-0"]}])
+    scenario = caching(fault=[{"kind": "purge", "at": 2.0, "targets": ["limiter-0"]}])
     records, histories = _histories_of(scenario, tmp_path)
     verdict = judge(records)
     assert verdict.kept and not verdict.void, verdict
@@ -647,13 +655,13 @@
 
 
 def test_a_checker_convicts_a_day_whose_clocks_the_limiters_do_not_heed(tmp_path: Path) -> None:
-    """Every limiter keeps what it has over each close: the promise has to be found broken."""
+    """Every limiter serves cached answers after the close, which the checker must report."""
     from cypresspulley.closing.calendar import Calendar
 
     right = Calendar.generation
     Calendar.generation = lambda self, place, t: 0  # type: ignore[method-assign]
     try:
-        verdict = judge(play_virtual(keeping(), 3))
+        verdict = judge(play_virtual(caching(), 3))
     finally:
         Calendar.generation = right  # type: ignore[method-assign]
     closing = next(one for one in verdict.histories if one.name == "closing")
@@ -670,7 +678,7 @@
         fault["groups"] = [["limiter-0"], ["limiter-1", "limiter-2"]]
     if kind == "closing-told":
         fault["ahead"] = 2.5
-    verdict = judge(play_virtual(keeping(fault=[fault]), 5))
+    verdict = judge(play_virtual(caching(fault=[fault]), 5))
     assert verdict.kept and not verdict.void and not verdict.crash, verdict
 
 
@@ -682,7 +690,7 @@
         {"kind": "limiter-clock", "at": 1.0, "targets": ["limiter-0"], "offset": -5},
         {"kind": "purge", "at": 2.5, "targets": ["limiter-2"]},
     ]
-    scenario = keeping(fault=faults)
+    scenario = caching(fault=faults)
     records = uvloop.run(play(scenario, scenario.seed, logs=tmp_path))
     checked = {r.name: r for r in records if isinstance(r, log.Checked)}
     assert {name: one.findings for name, one in checked.items()} == {"fleet": (), "closing": ()}
