--- a/cypresspulley/rehearsal/virtual/play.py
+++ b/cypresspulley/rehearsal/virtual/play.py
@@ -31,7 +31,7 @@
 from cypresspulley.operators import Operators, load_operators
 from cypresspulley.policy.gateway import Gateway
 from cypresspulley.rehearsal import records as log
-from cypresspulley.rehearsal.checks import checked
+from cypresspulley.rehearsal.checks import check_histories
 from cypresspulley.rehearsal.limiters import HarnessError, KillCallback, LimiterProcess
 from cypresspulley.rehearsal.plan import Plan, draw_plan, random_for
 from cypresspulley.rehearsal.play import LoopbackNetwork, ScenarioRunner, operators_path, play_day
@@ -86,14 +86,14 @@
         self.histories = list[MemoryHistory]()  # of each of its processes
         self._operators = load_operators(operators) if operators else Operators()
         self._observer = observer
-        self._loop, self._raw = loop, dict[str, Any]()
+        self._loop, self._raw_config = loop, dict[str, Any]()
         self._owner: Owner | None = None
         self._service: Service | None = None
         self._end: asyncio.Future[int] = loop.create_future()
         self._why = "no error was seen"
 
     def __repr__(self) -> str:
-        return f"<VirtualLimiter {self.name} {self._owner!r}, life {self.lives}>"
+        return f"<VirtualLimiter {self.name} {self._owner!r}, life {self.start_count}>"
 
     @property
     def running(self) -> bool:
@@ -101,38 +101,38 @@
 
     def configure(self, raw: dict[str, Any]) -> None:
         listen = f"{self.address[0]}:{self.address[1]}"
-        seed = f"{random_for(self._seed, 'limiter', self.name, self.lives).getrandbits(64):016x}"
-        self._raw = {"name": self.name, "listen": listen, "seed": seed, **raw}
+        seed = f"{random_for(self._seed, 'limiter', self.name, self.start_count).getrandbits(64):016x}"
+        self._raw_config = {"name": self.name, "listen": listen, "seed": seed, **raw}
 
-    def follow(self, host: str, port: int) -> None:
+    def configure_plan_book(self, host: str, port: int) -> None:
         self._operators = replace(self._operators, plans=(f"{host}:{port}", "rehearsal"))
 
     def configure_fleet(self, tables: dict[str, dict[str, Any]], key: str) -> None:
         where, found = (
-            str(self._beside("-operators.toml")),
+            str(self._sibling_path("-operators.toml")),
             {name: dict(table) for name, table in tables.items()},
         )
         if "closing" in found:
-            found["closing"]["calendars"] = self._beside("-calendars.toml").name
+            found["closing"]["calendars"] = self._sibling_path("-calendars.toml").name
         own = {name: (where, table) for name, table in found.items()}
         self._operators = Operators(
             fleet=own.get("fleet"), lanes=own.get("lanes"), closing=own.get("closing")
         )
         self._writes = True
 
-    def shift(self, shift: Shift) -> None:
+    def set_clock_shift(self, shift: Shift) -> None:
         self._shift = shift
 
     def _wall(self) -> float:
         return self._shift.at(self._clock())
 
     def _config(self) -> Config:
-        return parse_config(json.loads(json.dumps(self._raw)))
+        return parse_config(json.loads(json.dumps(self._raw_config)))
 
     async def start(self) -> None:
-        self.lives += 1
+        self.start_count += 1
         self.expected_end = False
-        self._owner, self._end = Owner(f"{self.name}.{self.lives}"), self._loop.create_future()
+        self._owner, self._end = Owner(f"{self.name}.{self.start_count}"), self._loop.create_future()
         self._owner.descriptors = max(0, self._sockets - NOT_CONNECTIONS)
         context = copy_context()
         context.run(OWNER.set, self._owner)
@@ -153,7 +153,7 @@
     def _opened(self, service: Service) -> None:
         self._service = service
 
-    async def ask(self, method: str, path: str, within: float) -> tuple[int, dict[str, Any]]:
+    async def call_for_json(self, method: str, path: str, within: float) -> tuple[int, dict[str, Any]]:
         """As at a door, with no way between that could fail."""
         routed = route(method, path)
         if isinstance(routed, Reply):
@@ -196,21 +196,21 @@
         else:
             self._loop.deliver(self._owner, number)
 
-    def call_after_steps(self, when: str, count: int, strike: KillCallback) -> None:
+    def call_after_steps(self, when: str, count: int, callback: KillCallback) -> None:
         if self._owner is not None:
             turns, writes = (count, 0) if when == "turn" else (0, count)
-            self._owner.call_after_steps(turns, writes, strike)
+            self._owner.call_after_steps(turns, writes, callback)
 
-    def tail(self) -> str:
+    def log_tail(self) -> str:
         return self._why
 
-    async def ended(self) -> int:
+    async def wait_for_exit(self) -> int:
         return await asyncio.shield(self._end)
 
-    async def gone(self) -> int:
+    async def wait_or_kill(self) -> int:
         return await asyncio.shield(self._end)
 
-    def sample(self) -> None: ...  # its CPU and memory are the whole process's
+    def sample_usage(self) -> None: ...  # its CPU and memory are the whole process's
 
 
 class _Errors(logging.Handler):
@@ -319,7 +319,7 @@
         lives = [life for each in limiters for one in each.histories for life in one.lives]
         if logs is not None:
             _keep_histories([*history.lives, *lives], logs / "histories")
-        return checked(from_memory([*history.lives, *lives]), wanted, scenario.seconds)
+        return check_histories(from_memory([*history.lives, *lives]), wanted, scenario.seconds)
 
     def address(name: str, way_in: bool) -> tuple[str, int]:
         return net.host(254 if way_in else 250, names.index(name)), DATAGRAMS
