--- a/cypresspulley/explore/command.py
+++ b/cypresspulley/explore/command.py
@@ -89,7 +89,7 @@
         path = write(found, folder)
         console.print(f"  FOUND {found.find.sort}, seed {found.seed}: {found.find.text}")
         console.print(f"    shrunk by {found.plays} plays to {found.size}: {path}")
-    never = result.coverage.never()
+    never = result.coverage.unmet_pairs()
     if never:
         shown = "; ".join(f"{name} x {kind}" for name, kind in never[:NEVER_SHOWN])
         console.print(f"  never met, {len(never)} pairs: {shown}{' ...' * (len(never) > NEVER_SHOWN)}")
@@ -101,7 +101,7 @@
     if outputs.json is not None:
         outputs.json.write_text(json.dumps([_row(r) for r in results], indent=1) + "\n", encoding="utf-8")
     if outputs.png is not None:
-        from cypresspulley.explore.picture import draw  # plots load slowly
+        from cypresspulley.explore.plot import draw  # plots load slowly
 
         draw([result.coverage for result in results], outputs.png)
 
--- a/cypresspulley/explore/examine.py
+++ b/cypresspulley/explore/examine.py
@@ -9,7 +9,7 @@
 
 from cypresspulley import interface as api
 from cypresspulley.explore.coverage import NO_FAULT, Pair
-from cypresspulley.explore.lifecycle import Ceilings, Fleet, Offence, Watch
+from cypresspulley.explore.lifecycle import CeilingBudgets, LifecycleModel, ServerFacts, Violation
 from cypresspulley.histories.verdict import NOTHING
 from cypresspulley.policy.gateway import Gateway
 from cypresspulley.rehearsal import records as log
@@ -75,12 +75,12 @@
 class _Between:
     """The decisions of a limiter with its watch behind them."""
 
-    def __init__(self, gateway: Gateway, watch: Watch) -> None:
+    def __init__(self, gateway: Gateway, watch: LifecycleModel) -> None:
         self._gateway, self._watch = gateway, watch
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         actions = self._gateway.handle(now, event)
-        self._watch.step(now, event, actions)
+        self._watch.observe(now, event, actions)
         return actions
 
 
@@ -93,19 +93,19 @@
     met: Counter[Pair] = field(default_factory=Counter)
     faults: list[tuple[float, float, str]] = field(default_factory=list)
     now: Callable[[], float] = field(default=lambda: 0.0)
-    _watches: dict[str, tuple[Watch, Gateway]] = field(default_factory=dict)
-    _ceilings: Ceilings | None = None
+    _watches: dict[str, tuple[LifecycleModel, Gateway]] = field(default_factory=dict)
+    _ceilings: CeilingBudgets | None = None
 
     def watched(self, name: str, gateway: Gateway) -> _Between:
         settings = parse_settings(wire_settings(self.scenario, 0, self.scenario.fleet.halls[0]))
         if self._ceilings is None:
-            self._ceilings = Ceilings(settings.plans, settings.max_units)
+            self._ceilings = CeilingBudgets(settings.plans, settings.max_units)
         fleet = self.scenario.fleet
-        facts = Fleet(
+        facts = ServerFacts(
             fleet.cores, {c.name: c.work_ms / 1000 for c in self.scenario.classes}, fleet.drain_grace,
             mean_work(self.scenario),
         )  # fmt: skip
-        watch = Watch(name, settings, facts, self._ceilings, self._offended, self._met)
+        watch = LifecycleModel(name, settings, facts, self._ceilings, self._offended, self._met)
         self._watches[name] = watch, gateway
         return _Between(gateway, watch)
 
@@ -115,14 +115,14 @@
 
     def woke(self, name: str, now: float) -> None:
         if name in self._watches:
-            self._watches[name][0].woke(now)
+            self._watches[name][0].on_resume(now)
 
     def exited(self, name: str, owner: Owner, loop: VirtualLoop) -> None:
         """A limiter ended in order: nothing of its requests may be left."""
         watch, gateway = self._watches.pop(name)
         if left := {what: count for what, count in left_of(gateway).items() if count}:
             self._find("leak", f"{name} ended with {left} still counted as open")
-        if lives := watch.open():
+        if lives := watch.open_requests():
             self._find("leak", f"{name} ended with {len(lives)} requests that had no end")
         timers = Counter(called(handle) for handle in loop.waiting(owner) if not _of_probe(handle))
         if strange := {what: n for what, n in timers.items() if what not in LEFT_OVER}:
@@ -132,7 +132,7 @@
             names = sorted(getattr(task.get_coro(), "__qualname__", "a task") for task in tasks)
             self._find("leak", f"{name} ended with tasks left: {', '.join(names)}")
 
-    def _offended(self, offence: Offence) -> None:
+    def _offended(self, offence: Violation) -> None:
         self._find(offence.rule, f"{offence.limiter}: {offence.text}")
 
     def _find(self, sort: str, text: str) -> None:
--- a/cypresspulley/explore/lifecycle.py
+++ b/cypresspulley/explore/lifecycle.py
@@ -17,21 +17,21 @@
 from cypresspulley.rehearsal.rules import CEILING_LATE, CEILING_SLACK, RULES, SOCKETS
 from cypresspulley.rehearsal.standins.processor import fall_bound, warmth
 
-LATE = 0.06  # seconds past its time for a final answer
-UNRUN = (Status.FULL, Status.UNREACHABLE, Status.DROPPED, Status.NOT_SENT)
+ANSWER_SLACK_SECONDS = 0.06  # seconds past its time for a final answer
+NOT_RUN_STATUSES = (Status.FULL, Status.UNREACHABLE, Status.DROPPED, Status.NOT_SENT)
 
 
-class State(Enum):
+class RequestState(Enum):
     """What a limiter knows of a request."""
 
-    WAITING = "nothing sent"  # held for the counter, or between attempts of which none can have run
-    OUT = "an attempt is out"
-    MAYBE = "may have run, none out"
-    MAYBE_OUT = "may have run, one out"
+    PENDING = "nothing sent"  # held for the counter, or between attempts of which none can have run
+    IN_FLIGHT = "an attempt is out"
+    MAYBE_RAN = "may have run, none out"
+    MAYBE_RAN_IN_FLIGHT = "may have run, one out"
     ENDED = "ended"
 
 
-class Kind(Enum):
+class RepeatKind(Enum):
     """Classes by what a repeat does."""
 
     SAFE = "safe"
@@ -40,30 +40,42 @@
     UNSAFE = "unsafe"
 
 
-LOST, TWICE, DRAINS, COLD, CEILINGS = RULES
-EVERY = frozenset(Kind)
-MAY_NOT_BE_REFUSED = frozenset((Kind.KEYED_PART, Kind.UNSAFE))
-ONCE = frozenset((Kind.UNSAFE,))
+REQUEST_LOST, EFFECT_TWICE, DRAIN_IGNORED, COLD_OVERLOAD, CEILING_EXCEEDED = RULES
+ALL_KINDS = frozenset(RepeatKind)
+NOT_REFUSABLE = frozenset((RepeatKind.KEYED_PART, RepeatKind.UNSAFE))
+AT_MOST_ONCE = frozenset((RepeatKind.UNSAFE,))
 # (state, symbol): the rule that it breaks, for which classes, and how to say it. What is not here may come.
-FORBIDDEN: dict[tuple[State, str], tuple[str, frozenset[Kind], str]] = {
-    (State.OUT, "send"): (TWICE, ONCE, "sent again while an attempt is out"),
-    (State.MAYBE, "send"): (TWICE, ONCE, "sent again though it may have run"),
-    (State.MAYBE_OUT, "send"): (TWICE, ONCE, "sent again though it may have run"),
-    (State.OUT, "refuse"): (TWICE, MAY_NOT_BE_REFUSED, "refused while an attempt is out"),
-    (State.MAYBE, "refuse"): (TWICE, MAY_NOT_BE_REFUSED, "refused though it may have run"),
-    (State.MAYBE_OUT, "refuse"): (TWICE, MAY_NOT_BE_REFUSED, "refused though it may have run"),
-    (State.ENDED, "send"): (LOST, EVERY, "sent on after its end"),
-    (State.ENDED, "refuse"): (LOST, EVERY, "refused after its end"),
-    (State.ENDED, "fail"): (LOST, EVERY, "failed after its end"),
-    (State.WAITING, "take"): (LOST, EVERY, "an id was taken that is still open"),
-    (State.OUT, "take"): (LOST, EVERY, "an id was taken that is still open"),
-    (State.MAYBE, "take"): (LOST, EVERY, "an id was taken that is still open"),
-    (State.MAYBE_OUT, "take"): (LOST, EVERY, "an id was taken that is still open"),
+FORBIDDEN: dict[tuple[RequestState, str], tuple[str, frozenset[RepeatKind], str]] = {
+    (RequestState.IN_FLIGHT, "send"): (EFFECT_TWICE, AT_MOST_ONCE, "sent again while an attempt is out"),
+    (RequestState.MAYBE_RAN, "send"): (EFFECT_TWICE, AT_MOST_ONCE, "sent again though it may have run"),
+    (RequestState.MAYBE_RAN_IN_FLIGHT, "send"): (
+        EFFECT_TWICE,
+        AT_MOST_ONCE,
+        "sent again though it may have run",
+    ),
+    (RequestState.IN_FLIGHT, "refuse"): (EFFECT_TWICE, NOT_REFUSABLE, "refused while an attempt is out"),
+    (RequestState.MAYBE_RAN, "refuse"): (EFFECT_TWICE, NOT_REFUSABLE, "refused though it may have run"),
+    (RequestState.MAYBE_RAN_IN_FLIGHT, "refuse"): (
+        EFFECT_TWICE,
+        NOT_REFUSABLE,
+        "refused though it may have run",
+    ),
+    (RequestState.ENDED, "send"): (REQUEST_LOST, ALL_KINDS, "sent on after its end"),
+    (RequestState.ENDED, "refuse"): (REQUEST_LOST, ALL_KINDS, "refused after its end"),
+    (RequestState.ENDED, "fail"): (REQUEST_LOST, ALL_KINDS, "failed after its end"),
+    (RequestState.PENDING, "take"): (REQUEST_LOST, ALL_KINDS, "an id was taken that is still open"),
+    (RequestState.IN_FLIGHT, "take"): (REQUEST_LOST, ALL_KINDS, "an id was taken that is still open"),
+    (RequestState.MAYBE_RAN, "take"): (REQUEST_LOST, ALL_KINDS, "an id was taken that is still open"),
+    (RequestState.MAYBE_RAN_IN_FLIGHT, "take"): (
+        REQUEST_LOST,
+        ALL_KINDS,
+        "an id was taken that is still open",
+    ),
 }
 
 
 @dataclass(frozen=True, slots=True)
-class Offence:
+class Violation:
     """What a step showed: a rule, who, which request and in words."""
 
     rule: str
@@ -74,11 +86,11 @@
 
 
 @dataclass(slots=True)
-class Life:
+class TrackedRequest:
     """One request in one limiter."""
 
     request: api.Request
-    kind: Kind
+    kind: RepeatKind
     due: float
     window: float = 0.0
     out: dict[int, str] = field(default_factory=dict)  # attempt to server
@@ -89,15 +101,15 @@
     ended: bool = False
 
     @property
-    def state(self) -> State:
+    def state(self) -> RequestState:
         if self.ended:
-            return State.ENDED
+            return RequestState.ENDED
         if self.maybe:
-            return State.MAYBE_OUT if self.out else State.MAYBE
-        return State.OUT if self.out else State.WAITING
+            return RequestState.MAYBE_RAN_IN_FLIGHT if self.out else RequestState.MAYBE_RAN
+        return RequestState.IN_FLIGHT if self.out else RequestState.PENDING
 
 
-class Ceilings:
+class CeilingBudgets:
     """What all limiters together have first sent of each account that has a hard ceiling."""
 
     def __init__(self, plans: Iterable[api.Plan], max_units: float) -> None:
@@ -105,7 +117,7 @@
         self._max_units = max_units
         self._left = dict[tuple[str, str], tuple[float, float]]()  # units left, and when
 
-    def drawn(self, now: float, request: api.Request) -> float:
+    def charge(self, now: float, request: api.Request) -> float:
         """Units that this first sending goes over its ceiling and slack; 0 or less is kept."""
         plan = self._plans.get(request.plan)
         if plan is None or plan.ceiling_rate <= 0:
@@ -119,7 +131,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fleet:
+class ServerFacts:
     """What the model knows of servers beside the list: CPU ``cores`` and the mean work of each class, in seconds."""
 
     cores: float
@@ -135,22 +147,22 @@
     cold: list[tuple[float, float]] = field(default_factory=list)  # when and how much work, while cold
 
 
-class Watch:
+class LifecycleModel:
     """Stands between a limiter's decisions and its node: tells nothing on, holds each step against the model."""
 
     def __init__(
-        self, limiter: str, settings: api.Settings, fleet: Fleet, ceilings: Ceilings,
-        offence: Callable[[Offence], None], met: Callable[[str], None],
+        self, limiter: str, settings: api.Settings, fleet: ServerFacts, ceilings: CeilingBudgets,
+        offence: Callable[[Violation], None], met: Callable[[str], None],
     ) -> None:  # fmt: skip
         self.limiter, self._set, self._fleet, self._ceilings = limiter, settings, fleet, ceilings
         self._offence, self._met = offence, met
         self._classes = {c.name: c for c in settings.classes}
-        self.lives = dict[int, Life]()
+        self.requests = dict[int, TrackedRequest]()
         self._servers = dict[str, _Server]()
         self._bans = dict[str, float]()  # servers taken out by hand, and when
         self._back = dict[str, float]()  # and when they were called back: as good as restarted
 
-    def step(self, now: float, event: api.Event, actions: list[api.Action]) -> None:
+    def observe(self, now: float, event: api.Event, actions: list[api.Action]) -> None:
         """One event and what the decisions made of it."""
         if isinstance(event, api.Request):
             self._take(now, event)
@@ -188,25 +200,25 @@
 
     def _flows(self, now: float, event: api.BodyProgress | api.ResponseStarted) -> None:
         """A body's time counts from its last byte; an answer that has begun takes what it takes."""
-        if (life := self.lives.get(event.id)) is None:
+        if (life := self.requests.get(event.id)) is None:
             return
         if isinstance(event, api.ResponseStarted):
             life.due = float("inf")
         elif event.complete:
             life.due = now + life.request.ttl
 
-    def woke(self, now: float) -> None:
+    def on_resume(self, now: float) -> None:
         """The process was stopped and runs again: what fell due meanwhile is due now."""
-        for life in self.lives.values():
-            life.due = max(life.due, now + LATE)
+        for life in self.requests.values():
+            life.due = max(life.due, now + ANSWER_SLACK_SECONDS)
 
-    def open(self) -> list[Life]:
-        return [life for life in self.lives.values() if not life.ended]
+    def open_requests(self) -> list[TrackedRequest]:
+        return [life for life in self.requests.values() if not life.ended]
 
     def _say(self, rule: str, now: float, request: int, text: str) -> None:
-        self._offence(Offence(rule, now, self.limiter, request, text))
+        self._offence(Violation(rule, now, self.limiter, request, text))
 
-    def _check(self, now: float, id: int, life: Life, symbol: str) -> None:
+    def _check(self, now: float, id: int, life: TrackedRequest, symbol: str) -> None:
         found = FORBIDDEN.get((life.state, symbol))
         if found is not None and life.kind in found[1]:
             self._say(found[0], now, id, f"{found[2]} ({life.kind.value})")
@@ -216,27 +228,31 @@
         cls = self._classes[event.request_class]
         effect = event.effect or cls.effect  # the form in which it came is what its client goes by
         part = effect is Effect.KEYED and cls.scope is not Scope.ALL
-        kind = {Effect.SAFE: Kind.SAFE, Effect.UNSAFE: Kind.UNSAFE, Effect.KEYED: Kind.KEYED}[effect]
-        if (old := self.lives.get(event.id)) is not None and not old.ended:
+        kind = {
+            Effect.SAFE: RepeatKind.SAFE,
+            Effect.UNSAFE: RepeatKind.UNSAFE,
+            Effect.KEYED: RepeatKind.KEYED,
+        }[effect]
+        if (old := self.requests.get(event.id)) is not None and not old.ended:
             self._check(now, event.id, old, "take")
-        kind = Kind.KEYED_PART if part else kind
+        kind = RepeatKind.KEYED_PART if part else kind
         due = float("inf") if event.body_pending else now + event.ttl
-        self.lives[event.id] = Life(event, kind, due, cls.window)
+        self.requests[event.id] = TrackedRequest(event, kind, due, cls.window)
 
     def _send(self, now: float, action: api.Send) -> None:
-        life = self.lives.get(action.id)
+        life = self.requests.get(action.id)
         if life is None:
-            return self._say(LOST, now, action.id, "sent on, and was never taken")
+            return self._say(REQUEST_LOST, now, action.id, "sent on, and was never taken")
         self._check(now, action.id, life, "send")
         self._met("sent" if not life.sent else "split" if life.out else "retried")
         server = self._servers.get(action.server)
         if server is not None:
             self._to_server(now, action.id, life, server)
-        if life.maybe and life.kind in (Kind.KEYED, Kind.KEYED_PART):
+        if life.maybe and life.kind in (RepeatKind.KEYED, RepeatKind.KEYED_PART):
             self._keyed(now, action, life)
-        if not life.sent and (over := self._ceilings.drawn(now, life.request)) > 1e-9:
+        if not life.sent and (over := self._ceilings.charge(now, life.request)) > 1e-9:
             self._say(
-                CEILINGS,
+                CEILING_EXCEEDED,
                 now,
                 action.id,
                 f"account {life.request.account} is {over:.2f} units over ceiling and slack",
@@ -244,16 +260,22 @@
         life.out[life.sent], life.sent_at[life.sent] = action.server, now
         life.sent += 1
 
-    def _to_server(self, now: float, id: int, life: Life, server: _Server) -> None:
+    def _to_server(self, now: float, id: int, life: TrackedRequest, server: _Server) -> None:
         entry = server.entry
         if entry.health is not api.Health.UP and now - server.since > self._fleet.grace + SOCKETS:
             self._say(
-                DRAINS, now, id, f"sent to {entry.name}, {entry.health.value} for {now - server.since:.2f} s"
+                DRAIN_IGNORED,
+                now,
+                id,
+                f"sent to {entry.name}, {entry.health.value} for {now - server.since:.2f} s",
             )
         if entry.name in self._bans:
             out = now - self._bans[entry.name]
             self._say(
-                DRAINS, now, id, f"sent to {entry.name}, which was taken out by hand {out:.2f} s before"
+                DRAIN_IGNORED,
+                now,
+                id,
+                f"sent to {entry.name}, which was taken out by hand {out:.2f} s before",
             )
         born = max(entry.born, self._back.get(entry.name, 0.0))
         age = now - born
@@ -265,24 +287,24 @@
         bound = fall_bound(self._set.fall_multiple * bearable * self._set.fall_window, self._fleet.mean_work)
         if sum(work for _, work in server.cold) > bound:
             self._say(
-                COLD,
+                COLD_OVERLOAD,
                 now,
                 id,
                 f"alone it sent cold {entry.name} more than the {bound:.2f} s of work that fell it",
             )
 
-    def _keyed(self, now: float, action: api.Send, life: Life) -> None:
+    def _keyed(self, now: float, action: api.Send, life: TrackedRequest) -> None:
         if now - life.maybe_at > life.window + SOCKETS:
             text = f"a keyed repeat {now - life.maybe_at:.2f} s later; servers remember {life.window:g} s"
-            self._say(TWICE, now, action.id, text)
+            self._say(EFFECT_TWICE, now, action.id, text)
         first, here = self._servers.get(life.maybe), self._servers.get(action.server)
         scope = self._classes[life.request.request_class].scope
-        if first is None or here is None or life.kind is Kind.KEYED:
+        if first is None or here is None or life.kind is RepeatKind.KEYED:
             return
         same = first.entry.zone == here.entry.zone
         if not same or (scope is Scope.CELL and first.entry.cell != here.entry.cell):
             self._say(
-                TWICE,
+                EFFECT_TWICE,
                 now,
                 action.id,
                 f"a keyed request went on to {action.server}, outside {life.maybe}'s group",
@@ -290,37 +312,37 @@
 
     def _outcome(self, event: api.Outcome) -> None:
         self._met(f"attempt {event.status.value}")
-        life = self.lives.get(event.id)
+        life = self.requests.get(event.id)
         if life is None:
             return
         server = life.out.pop(event.attempt, "")
         if event.status is Status.OK and not life.ended:
             life.ended = True
             self._met("answered")
-        elif event.status not in UNRUN and not life.maybe and server:
+        elif event.status not in NOT_RUN_STATUSES and not life.maybe and server:
             life.maybe, life.maybe_at = server, life.sent_at[event.attempt]
 
     def _gone(self, id: int) -> None:
-        life = self.lives.get(id)
+        life = self.requests.get(id)
         if life is not None and not life.ended:
             self._met("client gone")
             life.ended = True
 
     def _end(self, now: float, id: int, symbol: str, name: str) -> None:
-        life = self.lives.get(id)
+        life = self.requests.get(id)
         if life is None:
-            return self._say(LOST, now, id, f"{symbol} for what was never taken")
+            return self._say(REQUEST_LOST, now, id, f"{symbol} for what was never taken")
         self._check(now, id, life, symbol)
         self._met(name)
         life.ended = True
 
     def _overdue(self, now: float) -> None:
         """Say which requests are open past their time; forget those that ended with nothing out."""
-        for id, life in list(self.lives.items()):
+        for id, life in list(self.requests.items()):
             if life.ended and not life.out:
-                del self.lives[id]
-            elif not life.ended and now > life.due + LATE:
-                self._say(LOST, now, id, f"open {now - life.due:.2f} s after its time")
+                del self.requests[id]
+            elif not life.ended and now > life.due + ANSWER_SLACK_SECONDS:
+                self._say(REQUEST_LOST, now, id, f"open {now - life.due:.2f} s after its time")
                 life.ended = True
 
     def _listed(self, now: float, event: api.ServerList) -> None:
@@ -342,7 +364,7 @@
 
 
 # What coverage counts: every symbol above that a limiter can meet.
-MET = (
+TRANSITIONS = (
     "taken", "taken again", "sent", "split", "retried", "answered", "client gone",
     *(f"attempt {status.value}" for status in Status if status is not Status.MALFORMED),
     *(f"counted {s.value}" for s in (Status.OK, Status.FULL, Status.TIMEOUT, Status.UNREACHABLE)),
@@ -352,4 +374,4 @@
     "refused ceiling", "refused gate", "refused quota", "refused no server", "refused attempts",
     "failed attempts", "failed ",
 )  # fmt: skip
-MET_AT_THE_DOOR = frozenset(("taken out", "called back"))  # where operators call as well
+OPERATOR_TRANSITIONS = frozenset(("taken out", "called back"))  # where operators call as well
--- a/cypresspulley/explore/picture.py
+++ b/cypresspulley/explore/plot.py
@@ -10,7 +10,7 @@
 from matplotlib.figure import Figure
 
 from cypresspulley.explore.coverage import NO_FAULT, Coverage, Pair
-from cypresspulley.explore.lifecycle import MET
+from cypresspulley.explore.lifecycle import TRANSITIONS
 
 
 def draw(coverages: list[Coverage], path: Path) -> None:
@@ -19,13 +19,13 @@
     for coverage in coverages:
         met.update(coverage.met)
     kinds = (NO_FAULT, *coverages[0].kinds)
-    counts = np.array([[met[name, kind] for kind in kinds] for name in MET], dtype=float)
+    counts = np.array([[met[name, kind] for kind in kinds] for name in TRANSITIONS], dtype=float)
     figure = Figure(figsize=(11, 10), layout="constrained")
     axes = figure.add_subplot()
     shown = np.ma.masked_equal(counts, 0)
     image = axes.imshow(shown, norm=LogNorm(1, max(2.0, counts.max())), cmap="Blues", aspect="auto")
     axes.set_xticks(range(len(kinds)), kinds, rotation=60, ha="right")
-    axes.set_yticks(range(len(MET)), [name.strip() for name in MET])
+    axes.set_yticks(range(len(TRANSITIONS)), [name.strip() for name in TRANSITIONS])
     plays = sum(coverage.plays for coverage in coverages)
     axes.set_title(f"Transitions met under each fault, {plays} plays (white: never)")
     figure.colorbar(image, label="times")
--- a/tests/explore/test_lifecycle.py
+++ b/tests/explore/test_lifecycle.py
@@ -5,23 +5,31 @@
 import pytest
 
 from cypresspulley import interface as api
-from cypresspulley.explore.lifecycle import FORBIDDEN, Ceilings, Fleet, Kind, Offence, State, Watch
+from cypresspulley.explore.lifecycle import (
+    FORBIDDEN,
+    CeilingBudgets,
+    LifecycleModel,
+    RepeatKind,
+    RequestState,
+    ServerFacts,
+    Violation,
+)
 from cypresspulley.interface import Effect, Scope, Status
 from cypresspulley.rehearsal.rules import RULES
 
-LOST, TWICE, DRAINS, COLD, CEILINGS = RULES
+REQUEST_LOST, EFFECT_TWICE, DRAIN_IGNORED, COLD_OVERLOAD, CEILING_EXCEEDED = RULES
 CLASSES = {
-    Kind.SAFE: api.RequestClass("safe", 1.0, 1.0, Effect.SAFE),
-    Kind.KEYED: api.RequestClass("keyed", 1.0, 1.0, Effect.KEYED, window=2.0),
-    Kind.KEYED_PART: api.RequestClass("part", 1.0, 1.0, Effect.KEYED, scope=Scope.CELL, window=2.0),
-    Kind.UNSAFE: api.RequestClass("unsafe", 1.0, 1.0, Effect.UNSAFE),
+    RepeatKind.SAFE: api.RequestClass("safe", 1.0, 1.0, Effect.SAFE),
+    RepeatKind.KEYED: api.RequestClass("keyed", 1.0, 1.0, Effect.KEYED, window=2.0),
+    RepeatKind.KEYED_PART: api.RequestClass("part", 1.0, 1.0, Effect.KEYED, scope=Scope.CELL, window=2.0),
+    RepeatKind.UNSAFE: api.RequestClass("unsafe", 1.0, 1.0, Effect.UNSAFE),
 }
 HARD = api.Plan("hard", rate=1.0, burst=2.0, ceiling_rate=1.0, ceiling_burst=3.0)
 SETTINGS = api.Settings(
     0, 2, "a", tuple(CLASSES.values()), (api.Plan("free"), HARD), max_attempts=3, cold_share=0.2, warm_after=10.0,
     fall_multiple=2.0, fall_window=1.0,
 )  # fmt: skip
-FLEET = Fleet(1.0, {c.name: 0.1 for c in CLASSES.values()}, grace=1.0, mean_work=0.1)
+FLEET = ServerFacts(1.0, {c.name: 0.1 for c in CLASSES.values()}, grace=1.0, mean_work=0.1)
 UP, DRAINING = api.Health.UP, api.Health.DRAINING
 
 
@@ -29,44 +37,44 @@
     """A watch with what it said and met."""
 
     def __init__(self) -> None:
-        self.said, self.met = list[Offence](), list[str]()
-        ceilings = Ceilings(SETTINGS.plans, 1.0)
-        self.watch = Watch("limiter-0", SETTINGS, FLEET, ceilings, self.said.append, self.met.append)
+        self.said, self.met = list[Violation](), list[str]()
+        ceilings = CeilingBudgets(SETTINGS.plans, 1.0)
+        self.watch = LifecycleModel("limiter-0", SETTINGS, FLEET, ceilings, self.said.append, self.met.append)
         entries = [api.ServerEntry(f"s{n}", UP, "ab"[n % 2], n) for n in range(3)]
-        self.watch.step(0.0, api.ServerList(tuple(entries), True), [])
+        self.watch.observe(0.0, api.ServerList(tuple(entries), True), [])
 
-    def take(self, kind: Kind, id: int = 1, now: float = 0.0, plan: str = "free") -> None:
-        self.watch.step(now, api.Request(id, CLASSES[kind].name, plan, 4.0, "00"), [])
+    def take(self, kind: RepeatKind, id: int = 1, now: float = 0.0, plan: str = "free") -> None:
+        self.watch.observe(now, api.Request(id, CLASSES[kind].name, plan, 4.0, "00"), [])
 
     def send(self, now: float = 0.0, server: str = "s0", id: int = 1) -> None:
-        self.watch.step(now, api.TimerFired(0), [api.Send(id, server, 1.0)])
+        self.watch.observe(now, api.TimerFired(0), [api.Send(id, server, 1.0)])
 
     def outcome(
         self, status: Status, attempt: int = 0, now: float = 0.1, server: str = "s0", id: int = 1
     ) -> None:
-        self.watch.step(now, api.Outcome(id, attempt, server, status, 0.1, False, {}), [])
+        self.watch.observe(now, api.Outcome(id, attempt, server, status, 0.1, False, {}), [])
 
     def end(self, action: api.Action, now: float = 0.2) -> None:
-        self.watch.step(now, api.TimerFired(0), [action])
+        self.watch.observe(now, api.TimerFired(0), [action])
 
     @property
     def rules(self) -> list[str]:
         return [offence.rule for offence in self.said]
 
 
-def to_state(stand: Stand, kind: Kind, state: State) -> None:
+def to_state(stand: Stand, kind: RepeatKind, state: RequestState) -> None:
     stand.take(kind)
-    if state is State.OUT:
+    if state is RequestState.IN_FLIGHT:
         stand.send()
-    elif state in (State.MAYBE, State.MAYBE_OUT):
+    elif state in (RequestState.MAYBE_RAN, RequestState.MAYBE_RAN_IN_FLIGHT):
         stand.send()
         stand.outcome(Status.BROKEN)
-        if state is State.MAYBE_OUT:
+        if state is RequestState.MAYBE_RAN_IN_FLIGHT:
             stand.send(0.1)
             stand.said.clear()  # for some that was forbidden already
-    elif state is State.ENDED:
+    elif state is RequestState.ENDED:
         stand.send()  # the attempt is still out: an ended request without one is forgotten
-        stand.watch.step(0.1, api.ClientDisconnected(1), [])
+        stand.watch.observe(0.1, api.ClientDisconnected(1), [])
 
 
 ACTIONS: dict[str, api.Action] = {
@@ -76,10 +84,10 @@
 }
 
 
-@pytest.mark.parametrize("kind", Kind)
-@pytest.mark.parametrize("state", State)
+@pytest.mark.parametrize("kind", RepeatKind)
+@pytest.mark.parametrize("state", RequestState)
 @pytest.mark.parametrize("symbol", ["send", "refuse", "fail", "take"])
-def test_the_table_is_what_is_said(state: State, symbol: str, kind: Kind) -> None:
+def test_the_table_is_what_is_said(state: RequestState, symbol: str, kind: RepeatKind) -> None:
     stand = Stand()
     to_state(stand, kind, state)
     if symbol == "take":
@@ -92,34 +100,34 @@
 
 def test_a_life_with_a_retry_after_proof_that_it_never_ran_is_right() -> None:
     stand = Stand()
-    stand.take(Kind.UNSAFE)
+    stand.take(RepeatKind.UNSAFE)
     stand.send()
     stand.outcome(Status.FULL)
     stand.send(0.2, "s1")
     stand.outcome(Status.OK, 1, 0.3, "s1")
-    stand.watch.step(9.0, api.TimerFired(0), [])
+    stand.watch.observe(9.0, api.TimerFired(0), [])
     assert stand.said == [] and stand.met[-3:] == ["retried", "attempt ok", "answered"]
-    assert stand.watch.lives == {}
+    assert stand.watch.requests == {}
 
 
 def test_what_is_open_past_its_time_is_lost_unless_the_process_was_stopped() -> None:
     stand = Stand()
-    stand.take(Kind.SAFE)
-    stand.watch.step(4.05, api.TimerFired(0), [])
+    stand.take(RepeatKind.SAFE)
+    stand.watch.observe(4.05, api.TimerFired(0), [])
     assert stand.said == []
-    stand.watch.step(4.1, api.TimerFired(0), [])
-    assert stand.rules == [LOST]
+    stand.watch.observe(4.1, api.TimerFired(0), [])
+    assert stand.rules == [REQUEST_LOST]
     asleep = Stand()
-    asleep.take(Kind.SAFE)
-    asleep.watch.woke(9.0)
-    asleep.watch.step(9.05, api.TimerFired(0), [])
-    assert asleep.said == [] and len(asleep.watch.open()) == 1
+    asleep.take(RepeatKind.SAFE)
+    asleep.watch.on_resume(9.0)
+    asleep.watch.observe(9.05, api.TimerFired(0), [])
+    assert asleep.said == [] and len(asleep.watch.open_requests()) == 1
 
 
 def test_a_keyed_repeat_past_the_window_or_outside_the_group_is_convicted() -> None:
-    for server, now, rules in (("s0", 1.5, []), ("s1", 1.5, [TWICE]), ("s0", 2.5, [TWICE])):
+    for server, now, rules in (("s0", 1.5, []), ("s1", 1.5, [EFFECT_TWICE]), ("s0", 2.5, [EFFECT_TWICE])):
         stand = Stand()
-        stand.take(Kind.KEYED_PART)
+        stand.take(RepeatKind.KEYED_PART)
         stand.send()
         stand.outcome(Status.BROKEN)
         stand.send(now, server)
@@ -128,38 +136,39 @@
 
 def test_a_drain_has_its_grace_and_no_more() -> None:
     stand = Stand()
-    stand.watch.step(1.0, api.ServerList((api.ServerEntry("s0", DRAINING, "a"),), False), [])
-    stand.take(Kind.SAFE, now=1.5)
+    stand.watch.observe(1.0, api.ServerList((api.ServerEntry("s0", DRAINING, "a"),), False), [])
+    stand.take(RepeatKind.SAFE, now=1.5)
     stand.send(2.0)
     assert stand.said == []
     stand.send(2.1)
-    assert stand.rules == [DRAINS]
-    stand.watch.step(2.2, api.ServerList((api.ServerEntry("s0", UP, "a"),), False), [])
-    stand.take(Kind.SAFE, 2, 2.3)
+    assert stand.rules == [DRAIN_IGNORED]
+    stand.watch.observe(2.2, api.ServerList((api.ServerEntry("s0", UP, "a"),), False), [])
+    stand.take(RepeatKind.SAFE, 2, 2.3)
     stand.send(2.4, id=2)
-    assert stand.rules == [DRAINS]
+    assert stand.rules == [DRAIN_IGNORED]
 
 
 def test_a_cold_server_bears_its_share_and_no_more() -> None:
     stand = Stand()
-    stand.watch.step(1.0, api.ServerList((api.ServerEntry("s0", UP, "a", born=0.9),), False), [])
+    stand.watch.observe(1.0, api.ServerList((api.ServerEntry("s0", UP, "a", born=0.9),), False), [])
     for id in range(1, 12):  # 0.208 of a core, twice over, for a second: N = 4.16, so 10.2 requests of 0.1 s
-        stand.take(Kind.SAFE, id, 1.0)
+        stand.take(RepeatKind.SAFE, id, 1.0)
         stand.send(1.0, id=id)
-    assert stand.rules == [COLD]
+    assert stand.rules == [COLD_OVERLOAD]
     warm = Stand()
     for id in range(1, 20):
-        warm.take(Kind.SAFE, id, 1.0)
+        warm.take(RepeatKind.SAFE, id, 1.0)
         warm.send(1.0, id=id)
     assert warm.said == []
 
 
 def test_a_ceiling_is_one_for_all_limiters() -> None:
-    ceilings, said = Ceilings(SETTINGS.plans, 1.0), list[Offence]()
+    ceilings, said = CeilingBudgets(SETTINGS.plans, 1.0), list[Violation]()
     watches = [
-        Watch(f"limiter-{n}", SETTINGS, FLEET, ceilings, said.append, lambda _: None) for n in range(2)
+        LifecycleModel(f"limiter-{n}", SETTINGS, FLEET, ceilings, said.append, lambda _: None)
+        for n in range(2)
     ]
     for id in range(1, 6):  # 3 of burst, 1.15 of slack
         watch = watches[id % 2]
-        watch.step(0.0, api.Request(id, "safe", "hard", 4.0, "00"), [api.Send(id, "s0", 1.0)])
-    assert [offence.rule for offence in said] == [CEILINGS]
+        watch.observe(0.0, api.Request(id, "safe", "hard", 4.0, "00"), [api.Send(id, "s0", 1.0)])
+    assert [offence.rule for offence in said] == [CEILING_EXCEEDED]
--- a/tests/explore/test_search.py
+++ b/tests/explore/test_search.py
@@ -13,9 +13,9 @@
 from click.testing import CliRunner
 
 from cypresspulley.cli import main
-from cypresspulley.explore.coverage import STEER, Coverage
+from cypresspulley.explore.coverage import UNMET_WEIGHT, Coverage
 from cypresspulley.explore.examine import Examined, Find, examine
-from cypresspulley.explore.lifecycle import MET
+from cypresspulley.explore.lifecycle import TRANSITIONS
 from cypresspulley.explore.schedule import KINDS, as_raw, drawn_day, kinds_of, small_day
 from cypresspulley.explore.search import Wanted, search, write
 from cypresspulley.explore.shrink import shrink
@@ -74,14 +74,14 @@
     one = search(small(), Wanted(seeds=6, seconds=1.5, inside=10.0))
     two = json.loads(report.read_text())[0]
     assert two["coverage"]["met"] == one.coverage.as_json()["met"] and two["tries"] == one.tries > 0
-    assert one.seeds == 6 and one.coverage.strange() == []
+    assert one.seeds == 6 and one.coverage.unlisted_transitions() == []
 
 
 def test_kinds_that_met_little_are_drawn_more_often() -> None:
     coverage = Coverage(("a", "b"))
-    coverage.add([((name, "a"), 1) for name in MET])
-    assert coverage.weights() == {"a": 1.0, "b": 1.0 + STEER}
-    assert coverage.never() == [(name, "b") for name in MET]
+    coverage.add([((name, "a"), 1) for name in TRANSITIONS])
+    assert coverage.weights() == {"a": 1.0, "b": 1.0 + UNMET_WEIGHT}
+    assert coverage.unmet_pairs() == [(name, "b") for name in TRANSITIONS]
 
 
 def test_a_drawn_day_says_all_that_it_plays(tmp_path: Path) -> None:
