--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -28,8 +28,8 @@
     row: dict[str, Any] = {"mutant": mutant.name, "scenario": mutant.scenario, "seeds": result.seeds}
     for found in result.found[:1]:
         row |= {
-            "seed": found.seed, "sort": found.find.sort, "as_expected": found.find.sort in mutant.sorts,
-            "faults": len(found.scenario.faults), "size": found.size, "plays": found.plays, "text": found.find.text,
+            "seed": found.seed, "sort": found.failure.category, "as_expected": found.failure.category in mutant.categories,
+            "faults": len(found.scenario.faults), "size": found.size, "plays": found.plays, "text": found.failure.text,
         }  # fmt: skip
     return row
 
--- a/cypresspulley/explore/command.py
+++ b/cypresspulley/explore/command.py
@@ -59,10 +59,10 @@
         return fail(error, BAD_INPUT)
     except KeyboardInterrupt:
         return INTERRUPTED
-    for find in seen.finds:
-        print(f"{find.sort}: {find.text}")
-    print(f"trace {seen.digest}: {len(seen.finds) or 'nothing'} found in {seen.tries} tries")
-    return FOUND if seen.finds else NONE_FOUND
+    for failure in seen.failures:
+        print(f"{failure.category}: {failure.text}")
+    print(f"trace {seen.digest}: {len(seen.failures) or 'nothing'} found in {seen.tries} tries")
+    return FOUND if seen.failures else NONE_FOUND
 
 
 def _shown(result: Result) -> None:
@@ -83,11 +83,11 @@
         f"{result.name}: {result.seeds} seeds, {result.tries} tries, {result.simulated / max(1e-9, result.wall):.0f} "
         f"simulated seconds a second"
     )
-    for sort, count in sorted(result.sorts.items()):
-        console.print(f"  {sort}: on {count} of {result.seeds} seeds")
+    for category, count in sorted(result.categories.items()):
+        console.print(f"  {category}: on {count} of {result.seeds} seeds")
     for found in result.found:
         path = write(found, folder)
-        console.print(f"  FOUND {found.find.sort}, seed {found.seed}: {found.find.text}")
+        console.print(f"  FOUND {found.failure.category}, seed {found.seed}: {found.failure.text}")
         console.print(f"    shrunk by {found.plays} plays to {found.size}: {path}")
     never = result.coverage.unmet_pairs()
     if never:
@@ -110,7 +110,7 @@
     return {
         "scenario": result.name, "seeds": result.seeds, "tries": result.tries,
         "simulated_seconds": round(result.simulated, 1), "wall_seconds": round(result.wall, 1),
-        "sorts": dict(result.sorts),
-        "found": [{"seed": f.seed, "sort": f.find.sort, "text": f.find.text, "size": f.size} for f in result.found],
+        "sorts": dict(result.categories),
+        "found": [{"seed": f.seed, "sort": f.failure.category, "text": f.failure.text, "size": f.size} for f in result.found],
         "coverage": result.coverage.as_json(),
     }  # fmt: skip
--- a/cypresspulley/explore/examine.py
+++ b/cypresspulley/explore/examine.py
@@ -22,11 +22,11 @@
 from cypresspulley.rehearsal.virtual.play import Observer, digest, play_virtual
 from cypresspulley.settings import parse_settings
 
-AFTERMATH = 2.0  # seconds past its end for which a fault counts as met
-MOST_TURNS = 3_000_000  # of the loop in one play: one that goes on and on is stuck
-MOST_SAID = 5
+FAULT_AFTERMATH_SECONDS = 2.0  # seconds past its end for which a fault counts as met
+MAX_LOOP_TURNS = 3_000_000  # of the loop in one play: one that goes on and on is stuck
+MAX_FAILURES_PER_RULE = 5
 # Timers that an exiting limiter may leave to the end of its process: each does nothing by then.
-LEFT_OVER = (
+HARMLESS_TIMERS = (
     "CounterClient._give_up",
     "CounterClient._redial",
     "Node.feed",
@@ -38,7 +38,7 @@
 )
 
 
-def left_of(gateway: Gateway) -> dict[str, float]:
+def open_counts(gateway: Gateway) -> dict[str, float]:
     """What is left of requests: all 0 once each has had its answer."""
     accounts = gateway.quotas.accounts.values()
     return {
@@ -50,26 +50,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Find:
+class Failure:
     """What is wrong with a day: its sort (what shrinking must keep) and it in words."""
 
-    sort: str
+    category: str
     text: str
 
 
 @dataclass(frozen=True, slots=True)
-class Examined:
+class PlayResult:
     """One play: what was wrong, which pairs of transition and fault were met, and the trace's digest."""
 
     seed: int
-    finds: tuple[Find, ...]
+    failures: tuple[Failure, ...]
     met: tuple[tuple[Pair, int], ...]
     digest: str
     seconds: float = 0.0
     tries: int = 0
 
-    def has(self, sort: str) -> bool:
-        return any(find.sort == sort for find in self.finds)
+    def has_failure(self, category: str) -> bool:
+        return any(failure.category == category for failure in self.failures)
 
 
 class _Between:
@@ -89,7 +89,7 @@
     """What looks on during one play."""
 
     scenario: Scenario
-    finds: list[Find] = field(default_factory=list)
+    failures: list[Failure] = field(default_factory=list)
     met: Counter[Pair] = field(default_factory=Counter)
     faults: list[tuple[float, float, str]] = field(default_factory=list)
     now: Callable[[], float] = field(default=lambda: 0.0)
@@ -111,7 +111,7 @@
 
     def record(self, record: log.Record) -> None:
         if isinstance(record, log.Happened):
-            self.faults.append((record.t, record.until + AFTERMATH, record.kind))
+            self.faults.append((record.t, record.until + FAULT_AFTERMATH_SECONDS, record.kind))
 
     def woke(self, name: str, now: float) -> None:
         if name in self._watches:
@@ -120,12 +120,12 @@
     def exited(self, name: str, owner: Owner, loop: VirtualLoop) -> None:
         """A limiter ended in order: nothing of its requests may be left."""
         watch, gateway = self._watches.pop(name)
-        if left := {what: count for what, count in left_of(gateway).items() if count}:
+        if left := {what: count for what, count in open_counts(gateway).items() if count}:
             self._find("leak", f"{name} ended with {left} still counted as open")
         if lives := watch.open_requests():
             self._find("leak", f"{name} ended with {len(lives)} requests that had no end")
-        timers = Counter(called(handle) for handle in loop.waiting(owner) if not _of_probe(handle))
-        if strange := {what: n for what, n in timers.items() if what not in LEFT_OVER}:
+        timers = Counter(callback_name(handle) for handle in loop.waiting(owner) if not _of_probe(handle))
+        if strange := {what: n for what, n in timers.items() if what not in HARMLESS_TIMERS}:
             self._find("leak", f"{name} ended with timers left: {strange}")
         tasks = [task for task in owner.tasks if not task.done()]
         if tasks:
@@ -135,9 +135,9 @@
     def _offended(self, offence: Violation) -> None:
         self._find(offence.rule, f"{offence.limiter}: {offence.text}")
 
-    def _find(self, sort: str, text: str) -> None:
-        if len(self.finds) < 50:
-            self.finds.append(Find(sort, text))
+    def _find(self, category: str, text: str) -> None:
+        if len(self.failures) < 50:
+            self.failures.append(Failure(category, text))
 
     def _met(self, transition: str) -> None:
         now, kinds = self.now(), list[str]()
@@ -151,10 +151,10 @@
 def _of_probe(handle: VirtualHandle) -> bool:
     """A probe may be out at the end: no request waits for it."""
     done = getattr(handle.args[0], "on_done", None) if handle.args else None
-    return called(handle) == "Upstream._expired" and getattr(done, "__name__", "") == "_probed"
+    return callback_name(handle) == "Upstream._expired" and getattr(done, "__name__", "") == "_probed"
 
 
-def called(handle: VirtualHandle) -> str:
+def callback_name(handle: VirtualHandle) -> str:
     """The name of what a handle would call."""
     callback = handle.callback
     while hasattr(callback, "func"):  # partials
@@ -162,43 +162,43 @@
     return str(getattr(callback, "__qualname__", repr(callback)))
 
 
-def examine(scenario: Scenario) -> Examined:
+def examine(scenario: Scenario) -> PlayResult:
     """Play the scenario with its own seed and say all that is wrong with it. Deterministic."""
     eyes, records = _Eyes(scenario), list[log.Record]()
     try:
-        records = play_virtual(scenario, scenario.seed, observer=eyes, most_turns=MOST_TURNS)
+        records = play_virtual(scenario, scenario.seed, observer=eyes, most_turns=MAX_LOOP_TURNS)
     except (NothingLeftError, StuckError) as error:
-        eyes.finds.append(Find("stuck", str(error)))
+        eyes.failures.append(Failure("stuck", str(error)))
     except KitError as error:
-        eyes.finds.append(Find("kit", str(error)))
+        eyes.failures.append(Failure("kit", str(error)))
     except Exception as error:
         logging.getLogger(__name__).debug("the play failed", exc_info=error)
-        eyes.finds.append(Find("kit", f"{type(error).__name__}: {error}"))
+        eyes.failures.append(Failure("kit", f"{type(error).__name__}: {error}"))
     tries = 0
     if any(isinstance(r, log.End) for r in records):
-        eyes.finds += _judged(records)
+        eyes.failures += _judged(records)
         tries = sum(isinstance(r, log.Sent) for r in records)
     met = tuple(sorted(eyes.met.items()))
-    return Examined(scenario.seed, tuple(eyes.finds), met, digest(records), scenario.seconds, tries)
+    return PlayResult(scenario.seed, tuple(eyes.failures), met, digest(records), scenario.seconds, tries)
 
 
-def _judged(records: list[log.Record]) -> list[Find]:
-    verdict, finds = judge(records), list[Find | None]()
+def _judged(records: list[log.Record]) -> list[Failure]:
+    verdict, failures = judge(records), list[Failure | None]()
     if verdict.crash:
-        finds.append(Find("crash", verdict.crash))
+        failures.append(Failure("crash", verdict.crash))
     if verdict.void:
-        finds.append(Find("log" if "logged an error" in verdict.void else "void", verdict.void))
+        failures.append(Failure("log" if "logged an error" in verdict.void else "void", verdict.void))
     for rule in verdict.rules:
-        finds += [
-            Find(rule.rule, f"{v.limiter} at {v.t:.3f} s, {v.request}: {v.text}")
-            for v in rule.violations[:MOST_SAID]
+        failures += [
+            Failure(rule.rule, f"{v.limiter} at {v.t:.3f} s, {v.request}: {v.text}")
+            for v in rule.violations[:MAX_FAILURES_PER_RULE]
         ]
     for one in verdict.histories:
-        finds += [_promise(one.name, text) for text in one.findings[:MOST_SAID]]
-    return [find for find in finds if find is not None]
+        failures += [_promise(one.name, text) for text in one.findings[:MAX_FAILURES_PER_RULE]]
+    return [failure for failure in failures if failure is not None]
 
 
-def _promise(checker: str, text: str) -> Find | None:
+def _promise(checker: str, text: str) -> Failure | None:
     """A promise of what limiters do together that broke. That a short day put none to the test is no find."""
     promise = text.partition(":")[0]
-    return None if promise == NOTHING else Find(f"{checker} {promise}", text.replace("\n", "; "))
+    return None if promise == NOTHING else Failure(f"{checker} {promise}", text.replace("\n", "; "))
--- a/cypresspulley/explore/search.py
+++ b/cypresspulley/explore/search.py
@@ -15,7 +15,7 @@
 import tomli_w
 
 from cypresspulley.explore.coverage import Coverage
-from cypresspulley.explore.examine import Examined, Find, examine
+from cypresspulley.explore.examine import Failure, PlayResult, examine
 from cypresspulley.explore.schedule import as_raw, drawn_day, kinds_of, small_day
 from cypresspulley.explore.shrink import shrink, size
 from cypresspulley.rehearsal.scenario import Scenario
@@ -46,7 +46,7 @@
     """A find: the seed, what was wrong, and the small scenario that shows it."""
 
     seed: int
-    find: Find
+    failure: Failure
     scenario: Scenario
     plays: int  # that shrinking took
     size: str
@@ -59,7 +59,7 @@
     name: str
     coverage: Coverage
     found: list[Found] = field(default_factory=list)
-    sorts: Counter[str] = field(default_factory=Counter)  # seeds that showed each sort
+    categories: Counter[str] = field(default_factory=Counter)  # seeds that showed each sort
     tries: int = 0
     simulated: float = 0.0  # seconds of days
     wall: float = 0.0
@@ -67,7 +67,7 @@
 
 
 Progress = Callable[[Result], None]
-Play = Callable[[Scenario], Examined]
+Play = Callable[[Scenario], PlayResult]
 
 
 def search(
@@ -95,11 +95,11 @@
     return result
 
 
-def _one(day: Scenario, weights: dict[str, float], play: Play, seed: int) -> Examined:
+def _one(day: Scenario, weights: dict[str, float], play: Play, seed: int) -> PlayResult:
     return play(drawn_day(day, seed, weights))
 
 
-Mapped = Callable[[Callable[[int], Examined], Iterable[int]], Iterable[Examined]]
+Mapped = Callable[[Callable[[int], PlayResult], Iterable[int]], Iterable[PlayResult]]
 
 
 @contextmanager
@@ -115,7 +115,7 @@
     result: Result,
     day: Scenario,
     weights: dict[str, float],
-    examined: list[Examined],
+    examined: list[PlayResult],
     keep_going: bool,
     play: Play,
 ) -> None:
@@ -123,28 +123,29 @@
         result.coverage.add(one.met)
         result.seeds, result.tries = result.seeds + 1, result.tries + one.tries
         result.simulated += one.seconds
-        for sort in dict.fromkeys(find.sort for find in one.finds):
-            result.sorts[sort] += 1
-            known = any(found.find.sort == sort for found in result.found)
+        for category in dict.fromkeys(failure.category for failure in one.failures):
+            result.categories[category] += 1
+            known = any(found.failure.category == category for found in result.found)
             if known or (result.found and not keep_going) or len(result.found) >= MOST_FINDS:
                 continue
-            result.found.append(_shrunk(drawn_day(day, one.seed, weights), one, sort, play))
+            result.found.append(_shrunk(drawn_day(day, one.seed, weights), one, category, play))
 
 
-def _shrunk(scenario: Scenario, one: Examined, sort: str, play: Play) -> Found:
-    small, plays = shrink(scenario, lambda candidate: play(candidate).has(sort))
-    find = next(
-        (f for f in play(small).finds if f.sort == sort), next(f for f in one.finds if f.sort == sort)
+def _shrunk(scenario: Scenario, one: PlayResult, category: str, play: Play) -> Found:
+    small, plays = shrink(scenario, lambda candidate: play(candidate).has_failure(category))
+    failure = next(
+        (f for f in play(small).failures if f.category == category),
+        next(f for f in one.failures if f.category == category),
     )
-    return Found(one.seed, find, small, plays, size(small))
+    return Found(one.seed, failure, small, plays, size(small))
 
 
 def write(found: Found, folder: Path) -> Path:
     """The scenario file that plays a find again."""
-    path = folder / f"{found.scenario.name}-{found.seed}-{found.find.sort.replace(' ', '-')}.toml"
+    path = folder / f"{found.scenario.name}-{found.seed}-{found.failure.category.replace(' ', '-')}.toml"
     lines = [
-        f"# Found by fawnseam explore: {found.find.sort}",
-        f"# {_comment(found.find.text)}",
+        f"# Found by fawnseam explore: {found.failure.category}",
+        f"# {_comment(found.failure.text)}",
         f"# Again: fawnseam explore {path.name} --again; as a rehearsal: fawnseam rehearse {path.name} --virtual",
         f"# {found.size}",
         "",
--- a/tests/explore/mutants.py
+++ b/tests/explore/mutants.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Mutant:
-    """``old`` becomes ``new`` in ``owner.function``; found in ``scenario`` as one of ``sorts``."""
+    """``old`` becomes ``new`` in ``owner.function``; found in ``scenario`` as one of ``categories``."""
 
     name: str
     owner: type | ModuleType
@@ -38,7 +38,7 @@
     old: str
     new: str
     scenario: str
-    sorts: tuple[str, ...]
+    categories: tuple[str, ...]
     shown_by: int = 0  # the first seed, of days drawn evenly, that shows it
     inside: float = 30.0
 
--- a/tests/explore/test_search.py
+++ b/tests/explore/test_search.py
@@ -14,7 +14,7 @@
 
 from cypresspulley.cli import main
 from cypresspulley.explore.coverage import UNMET_WEIGHT, Coverage
-from cypresspulley.explore.examine import Examined, Find, examine
+from cypresspulley.explore.examine import Failure, PlayResult, examine
 from cypresspulley.explore.lifecycle import TRANSITIONS
 from cypresspulley.explore.schedule import KINDS, as_raw, drawn_day, kinds_of, small_day
 from cypresspulley.explore.search import Wanted, search, write
@@ -42,7 +42,7 @@
     scenario = load_scenario(name)
     kinds = dict.fromkeys(kinds_of(scenario), 1.0)
     day = drawn_day(small_day(scenario, 3.0, 15.0), seed, kinds)
-    assert examine(day).finds == ()
+    assert examine(day).failures == ()
 
 
 @pytest.mark.parametrize("mutant", MUTANTS, ids=lambda m: m.name)
@@ -51,8 +51,8 @@
     drawn = drawn_day(day, mutant.shown_by, EVEN)
     with applied(mutant):
         seen = examine(drawn)
-    assert any(find.sort in mutant.sorts for find in seen.finds), seen.finds
-    assert examine(drawn).finds == ()
+    assert any(failure.category in mutant.categories for failure in seen.failures), seen.failures
+    assert examine(drawn).failures == ()
 
 
 def test_the_days_do_not_depend_on_the_number_of_processes(tmp_path: Path) -> None:
@@ -91,17 +91,17 @@
     assert digest(play_virtual(again, 7)) == digest(play_virtual(day, 7))
 
 
-def _needs(scenario: Scenario) -> Examined:
+def _needs(scenario: Scenario) -> PlayResult:
     """Wrong wherever the second limiter is killed."""
     bad = any(f.kind == "limiter-kill" and "limiter-1" in f.targets for f in scenario.faults)
-    return Examined(scenario.seed, (Find("made up", "x"),) if bad else (), (), "")
+    return PlayResult(scenario.seed, (Failure("made up", "x"),) if bad else (), (), "")
 
 
 def test_shrinking_keeps_what_the_find_needs_and_drops_the_rest() -> None:
     kill = {"kind": "limiter-kill", "at": 1.0, "targets": ["limiter-0", "limiter-1"]}
     other = [{"kind": "keeper-stop", "at": t / 2, "lasts": 1} for t in range(5)]
     scenario = small(fault=[*other, kill, *other])
-    least, plays = shrink(scenario, lambda s: _needs(s).has("made up"))
+    least, plays = shrink(scenario, lambda s: _needs(s).has_failure("made up"))
     assert [f.kind for f in least.faults] == ["limiter-kill"] and least.limiters.count == 2
     assert least.load.inside < 4 and 1.0 < least.seconds < 2 and plays <= 150
     assert shrink(scenario, lambda s: True, plays=3)[1] == 3
@@ -112,7 +112,7 @@
     with applied(mutant):
         result = search(small(), Wanted(seeds=2, seconds=2.0, inside=10.0))
         found = result.found[0]
-        assert found.find.sort == "leak" and len(found.scenario.faults) == 0
+        assert found.failure.category == "leak" and len(found.scenario.faults) == 0
         path = write(found, tmp_path)
         run = CliRunner().invoke(main, ["explore", str(path), "--again"])
         assert run.exit_code == 1 and "leak:" in run.output
--- a/tests/fleet/test_final_death.py
+++ b/tests/fleet/test_final_death.py
@@ -58,4 +58,4 @@
 def test_the_day_that_showed_it_shows_nothing() -> None:
     scenario = load_scenario("closing-paused")
     kinds = dict.fromkeys(kinds_of(scenario), 1.0)
-    assert examine(drawn_day(small_day(scenario, 2.0, 12.0), 209, kinds)).finds == ()
+    assert examine(drawn_day(small_day(scenario, 2.0, 12.0), 209, kinds)).failures == ()
--- a/tests/rehearsal/virtual/test_unread.py
+++ b/tests/rehearsal/virtual/test_unread.py
@@ -16,4 +16,4 @@
 def test_the_day_that_showed_it_shows_nothing() -> None:
     scenario = load_scenario("account-flood")
     kinds = dict.fromkeys(kinds_of(scenario), 1.0)
-    assert examine(drawn_day(small_day(scenario, 2.0, 12.0), 52, kinds)).finds == ()
+    assert examine(drawn_day(small_day(scenario, 2.0, 12.0), 52, kinds)).failures == ()
--- a/tests/test_classes.py
+++ b/tests/test_classes.py
@@ -7,7 +7,7 @@
 import pytest
 
 from cypresspulley import interface as api
-from cypresspulley.explore.examine import left_of
+from cypresspulley.explore.examine import open_counts
 from cypresspulley.net.requests import BadRequestError, RequestReader
 from cypresspulley.policy.classes import CLIENT_UPDATE_SECONDS, REPLACED_RECORD_SECONDS, ClassRegistry
 from cypresspulley.settings import SettingsError, check_no_missing_keys, check_positive_figures
@@ -86,9 +86,9 @@
     for id in range(3):
         world.feed(w.request(id, plan="capped"))
     account = world.gateway.quotas.accounts["capped", "x"]
-    before = account.level, account.open_attempts, left_of(world.gateway)["work"]
+    before = account.level, account.open_attempts, open_counts(world.gateway)["work"]
     world.feed(api.SettingsChanged(replace(OTHER, plans=(replace(plan, rate=5.0),))))
-    assert (account.level, account.open_attempts, left_of(world.gateway)["work"]) == before
+    assert (account.level, account.open_attempts, open_counts(world.gateway)["work"]) == before
     assert account.plan.rate == 5.0
 
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -12,7 +12,7 @@
 import pytest
 
 from cypresspulley import interface as api
-from cypresspulley.explore.examine import left_of
+from cypresspulley.explore.examine import open_counts
 from cypresspulley.net import frontend as net_frontend
 from cypresspulley.net import relay as net_relay
 from cypresspulley.net import upstream as net_upstream
@@ -385,7 +385,7 @@
             await ended.wait()
             while limiter.node.open_requests:
                 await asyncio.sleep(0.001)
-            assert not any(left_of(gateway).values())
+            assert not any(open_counts(gateway).values())
             assert next(iter(gateway.quotas.accounts.values())).level <= level + 1.0, "its units stay charged"
             assert sum(isinstance(e, api.Request) for e in script.events) == 1
 
@@ -657,7 +657,7 @@
         server.outstanding_work == 0.0 and server.silent_since is None and request.account.open_attempts == 1
     )
     world.gateway.handle(world.now + 99.0, api.Outcome(1, 0, "s0", api.Status.OK, 0.2, True, {}))
-    assert request.account.open_attempts == 0 and left_of(world.gateway)["work"] == 0
+    assert request.account.open_attempts == 0 and open_counts(world.gateway)["work"] == 0
 
 
 def test_a_body_that_is_spent_is_not_tried_again() -> None:
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -8,7 +8,7 @@
 import pytest
 
 from cypresspulley import interface as api
-from cypresspulley.explore.examine import left_of
+from cypresspulley.explore.examine import open_counts
 from cypresspulley.interface import Status
 from cypresspulley.policy.counts import count_name
 from cypresspulley.policy.slots import PERIOD_SECONDS
@@ -62,7 +62,7 @@
             self.end(at, id)
         self.advance(1.1)
         counted = self.totals.get(count_name("out chain hotel", int(self.now // PERIOD_SECONDS)), 0.0)
-        return counted == 0 and not any(any(left_of(e.gateway).values()) for e in self.worlds)
+        return counted == 0 and not any(any(open_counts(e.gateway).values()) for e in self.worlds)
 
 
 def test_one_gateway_may_use_all_that_the_others_leave() -> None:
