--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -19,7 +19,7 @@
 
 import uvloop
 
-from cypresspulley.explore.schedule import as_raw, sooner
+from cypresspulley.explore.schedule import scale_fault, to_raw
 from cypresspulley.rehearsal.judge import Verdict, judge
 from cypresspulley.rehearsal.play import play
 from cypresspulley.rehearsal.scenario import Scenario, load_scenario, parse_scenario, shipped
@@ -30,9 +30,9 @@
 
 def shorter(scenario: Scenario, seconds: float) -> Scenario:
     """The scenario in ``seconds``, its faults at the same part of the day."""
-    raw, part = as_raw(scenario), min(1.0, seconds / scenario.seconds)
+    raw, part = to_raw(scenario), min(1.0, seconds / scenario.seconds)
     raw["seconds"] = scenario.seconds * part
-    raw["fault"] = [sooner(fault, part) for fault in raw["fault"]]
+    raw["fault"] = [scale_fault(fault, part) for fault in raw["fault"]]
     raw["discovery"]["notice"] = [t * part for t in scenario.discovery.notice]
     raw["clients"]["notice"] = [t * part for t in scenario.clients.notice]
     return parse_scenario(raw, scenario.name)
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-from cypresspulley.explore.search import Wanted, search
+from cypresspulley.explore.search import SearchOptions, search
 from tests.explore.mutants import MUTANTS, applied, scenario_of
 
 
@@ -24,11 +24,12 @@
     """Search for one mutant; its row."""
     mutant = MUTANTS[number]
     with applied(mutant):
-        result = search(scenario_of(mutant), Wanted(seeds=seeds, inside=mutant.inside))
+        result = search(scenario_of(mutant), SearchOptions(seeds=seeds, inside=mutant.inside))
     row: dict[str, Any] = {"mutant": mutant.name, "scenario": mutant.scenario, "seeds": result.seeds}
     for found in result.found[:1]:
         row |= {
-            "seed": found.seed, "sort": found.failure.category, "as_expected": found.failure.category in mutant.categories,
+            "seed": found.seed, "sort": found.failure.category,
+            "as_expected": found.failure.category in mutant.categories,
             "faults": len(found.scenario.faults), "size": found.size, "plays": found.plays, "text": found.failure.text,
         }  # fmt: skip
     return row
--- a/benchmarks/same_trace.py
+++ b/benchmarks/same_trace.py
@@ -12,7 +12,7 @@
 import time
 from collections import Counter
 
-from cypresspulley.explore.schedule import small_day
+from cypresspulley.explore.schedule import scale_down
 from cypresspulley.rehearsal.scenario import load_scenario
 from cypresspulley.rehearsal.virtual.play import digest, play_virtual
 
@@ -24,7 +24,7 @@
     """The digests of some plays, with this process's clock set wrong."""
     real = time.time
     time.time = lambda: real() + days * 86_400
-    day = small_day(load_scenario(name), seconds, 30.0)
+    day = scale_down(load_scenario(name), seconds, 30.0)
     return [digest(play_virtual(day, 1)) for _ in range(plays)]
 
 
--- a/cypresspulley/cli.py
+++ b/cypresspulley/cli.py
@@ -152,12 +152,12 @@
     2 bad input; 3 a file could not be written; 130 interrupted.
     """
     from cypresspulley.explore import command
-    from cypresspulley.explore.search import Wanted
+    from cypresspulley.explore.search import SearchOptions
 
     if again:
-        sys.exit(command.again(scenario))
-    wanted = Wanted(seeds, first, jobs, minutes, seconds, inside, keep_going, operators)
-    sys.exit(command.explore(scenario, wanted, command.Outputs(out, json_file, png)))
+        sys.exit(command.replay(scenario))
+    options = SearchOptions(seeds, first, jobs, minutes, seconds, inside, keep_going, operators)
+    sys.exit(command.explore(scenario, options, command.Outputs(out, json_file, png)))
 
 
 def _inputs(function: Callable[..., None]) -> Callable[..., None]:
--- a/cypresspulley/explore/command.py
+++ b/cypresspulley/explore/command.py
@@ -12,11 +12,11 @@
 
 from cypresspulley.console import check_folders, fail
 from cypresspulley.explore.examine import examine
-from cypresspulley.explore.search import Result, Wanted, search, write
+from cypresspulley.explore.search import SearchOptions, SearchResult, search, write_scenario
 from cypresspulley.rehearsal.scenario import Scenario, load_scenario, shipped
 
-NONE_FOUND, FOUND, BAD_INPUT, BROKEN_KIT, INTERRUPTED = 0, 1, 2, 3, 130
-NEVER_SHOWN = 12
+NONE_FOUND, FOUND, INVALID_INPUT, OUTPUT_FAILED, INTERRUPTED = 0, 1, 2, 3, 130
+MAX_UNMET_SHOWN = 12
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,9 +28,9 @@
     png: Path | None = None
 
 
-def explore(name: str, wanted: Wanted, outputs: Outputs) -> int:
+def explore(name: str, options: SearchOptions, outputs: Outputs) -> int:
     """Search a scenario, or with ``all`` each shipped one; the exit code."""
-    results = list[Result]()
+    results = list[SearchResult]()
     try:
         check_folders(outputs.json, outputs.png)
         scenarios = [load_scenario(each) for each in (shipped() if name == "all" else [name])]
@@ -38,25 +38,25 @@
             scenarios = [each for each in scenarios if not each.on_sockets_only]
         outputs.out.mkdir(parents=True, exist_ok=True)
         for scenario in scenarios:
-            results.append(search(scenario, wanted, _shown))
-            _tell(results[-1], outputs.out)
-        _write(results, outputs)
+            results.append(search(scenario, options, _show_progress))
+            _report(results[-1], outputs.out)
+        _write_outputs(results, outputs)
     except ValueError as error:
-        return fail(error, BAD_INPUT)
+        return fail(error, INVALID_INPUT)
     except KeyboardInterrupt:
         return fail("interrupted; nothing is concluded", INTERRUPTED)
     except OSError as error:
-        return fail(f"cannot write {error.filename}: {error.strerror}", BROKEN_KIT)
+        return fail(f"cannot write {error.filename}: {error.strerror}", OUTPUT_FAILED)
     return FOUND if any(result.found for result in results) else NONE_FOUND
 
 
-def again(name: str) -> int:
+def replay(name: str) -> int:
     """Play one file as it is, with all checks of the search; the exit code."""
     try:
         scenario: Scenario = load_scenario(name)
         seen = examine(scenario)
     except ValueError as error:
-        return fail(error, BAD_INPUT)
+        return fail(error, INVALID_INPUT)
     except KeyboardInterrupt:
         return INTERRUPTED
     for failure in seen.failures:
@@ -65,52 +65,56 @@
     return FOUND if seen.failures else NONE_FOUND
 
 
-def _shown(result: Result) -> None:
+def _show_progress(result: SearchResult) -> None:
     coverage = result.coverage.as_json()
     text = (
-        f"{result.name}: {result.seeds} seeds, {result.tries} tries, {result.simulated:.0f} s simulated in "
-        f"{result.wall:.0f} s; {coverage['pairs_met']} of {coverage['pairs']} pairs met; {len(result.found)} found"
+        f"{result.name}: {result.seeds} seeds, {result.tries} tries, {result.simulated_seconds:.0f} s simulated in "
+        f"{result.wall_seconds:.0f} s; {coverage['pairs_met']} of {coverage['pairs']} pairs met; {len(result.found)} found"
     )
     print(
         f"\r{text}" if sys.stderr.isatty() else text, end="" if sys.stderr.isatty() else "\n", file=sys.stderr
     )
 
 
-def _tell(result: Result, folder: Path) -> None:
+def _report(result: SearchResult, folder: Path) -> None:
     console = Console(highlight=False, markup=False, soft_wrap=True)
     print(file=sys.stderr)
     console.print(
-        f"{result.name}: {result.seeds} seeds, {result.tries} tries, {result.simulated / max(1e-9, result.wall):.0f} "
+        f"{result.name}: {result.seeds} seeds, {result.tries} tries, {result.simulated_seconds / max(1e-9, result.wall_seconds):.0f} "
         f"simulated seconds a second"
     )
     for category, count in sorted(result.categories.items()):
         console.print(f"  {category}: on {count} of {result.seeds} seeds")
     for found in result.found:
-        path = write(found, folder)
+        path = write_scenario(found, folder)
         console.print(f"  FOUND {found.failure.category}, seed {found.seed}: {found.failure.text}")
         console.print(f"    shrunk by {found.plays} plays to {found.size}: {path}")
     never = result.coverage.unmet_pairs()
     if never:
-        shown = "; ".join(f"{name} x {kind}" for name, kind in never[:NEVER_SHOWN])
-        console.print(f"  never met, {len(never)} pairs: {shown}{' ...' * (len(never) > NEVER_SHOWN)}")
+        shown = "; ".join(f"{name} x {kind}" for name, kind in never[:MAX_UNMET_SHOWN])
+        console.print(f"  never met, {len(never)} pairs: {shown}{' ...' * (len(never) > MAX_UNMET_SHOWN)}")
     if not result.found:
         console.print("  nothing found")
 
 
-def _write(results: list[Result], outputs: Outputs) -> None:
+def _write_outputs(results: list[SearchResult], outputs: Outputs) -> None:
     if outputs.json is not None:
-        outputs.json.write_text(json.dumps([_row(r) for r in results], indent=1) + "\n", encoding="utf-8")
+        outputs.json.write_text(
+            json.dumps([_result_json(r) for r in results], indent=1) + "\n", encoding="utf-8"
+        )
     if outputs.png is not None:
         from cypresspulley.explore.plot import draw  # plots load slowly
 
         draw([result.coverage for result in results], outputs.png)
 
 
-def _row(result: Result) -> dict[str, Any]:
+def _result_json(result: SearchResult) -> dict[str, Any]:
     return {
         "scenario": result.name, "seeds": result.seeds, "tries": result.tries,
-        "simulated_seconds": round(result.simulated, 1), "wall_seconds": round(result.wall, 1),
+        "simulated_seconds": round(result.simulated_seconds, 1), "wall_seconds": round(result.wall_seconds, 1),
         "sorts": dict(result.categories),
-        "found": [{"seed": f.seed, "sort": f.failure.category, "text": f.failure.text, "size": f.size} for f in result.found],
+        "found": [
+            {"seed": f.seed, "sort": f.failure.category, "text": f.failure.text, "size": f.size} for f in result.found
+        ],
         "coverage": result.coverage.as_json(),
     }  # fmt: skip
--- a/cypresspulley/explore/schedule.py
+++ b/cypresspulley/explore/schedule.py
@@ -22,27 +22,29 @@
     server_names,
 )
 
-KINDS = tuple(sorted(FAULT_KEYS.keys() - OPERATED - BOOKED - FLEET))
-WITH_OPERATORS = tuple(
+FAULT_KINDS = tuple(sorted(FAULT_KEYS.keys() - OPERATED - BOOKED - FLEET))
+OPERATOR_FAULT_KINDS = tuple(
     sorted(FAULT_KEYS.keys() - SOCKETS_ONLY - BOOKED - FLEET)
 )  # what the door brings beside them
-OFFSETS = (-3600.0, -2.0, -0.3, 0.05, 0.4, 5.0)  # seconds that a drawn clock is off
-LEAST = {
+CLOCK_OFFSETS_SECONDS = (-3600.0, -2.0, -0.3, 0.05, 0.4, 5.0)  # seconds that a drawn clock is off
+MIN_TABLE_VALUES = {
     "period_ms": 50,
     "lease_ms": 500,
     "spell_s": 1.0,
     "lease_s": 1.0,
 }  # of a small day
-MOST_FAULTS = 4
-FEWEST_SERVERS = 4
-MOST_TOGETHER = 5  # limiters of a small day on which they do something together: each speaks with each
-IMPATIENT = 0.03  # share of the clients that go away: more than on a usual day
-Raw = dict[str, Any]
+MAX_DRAWN_FAULTS = 4
+MIN_SERVERS = 4
+MAX_COOPERATING_LIMITERS = (
+    5  # limiters of a small day on which they do something together: each speaks with each
+)
+MIN_IMPATIENT_SHARE = 0.03  # share of the clients that go away: more than on a usual day
+RawScenario = dict[str, Any]
 
 
-def kinds_of(scenario: Scenario, operators: bool = False) -> tuple[str, ...]:
+def drawable_kinds(scenario: Scenario, operators: bool = False) -> tuple[str, ...]:
     """What may be drawn on a scenario's days: faults between limiters where these do something together."""
-    kinds = set(WITH_OPERATORS if operators else KINDS)
+    kinds = set(OPERATOR_FAULT_KINDS if operators else FAULT_KINDS)
     if scenario.together is not None:
         kinds |= FLEET - CALENDARS
     if scenario.closing is not None:
@@ -50,32 +52,32 @@
     return tuple(sorted(kinds))
 
 
-def small_day(scenario: Scenario, seconds: float, inside: float) -> Scenario:
+def scale_down(scenario: Scenario, seconds: float, inside: float) -> Scenario:
     """The scenario in ``seconds`` and with ``inside`` requests a second: as many servers and calls less, its faults
     at the same place of the day. Classes, plans and times of the fleet stay."""
-    raw = as_raw(scenario)
+    raw = to_raw(scenario)
     part, share = min(1.0, seconds / scenario.seconds), min(1.0, inside / scenario.load.inside)
     raw["seconds"] = round(scenario.seconds * part, 3)
     raw["load"]["inside"] = round(scenario.load.inside * share, 3)
     raw["fleet"]["servers"] = servers = max(
-        min(FEWEST_SERVERS, scenario.fleet.servers), ceil(scenario.fleet.servers * share)
+        min(MIN_SERVERS, scenario.fleet.servers), ceil(scenario.fleet.servers * share)
     )
     raw["keeper"]["calls_per_second"] = max(40.0, scenario.keeper.calls_per_second * share)
     raw["discovery"]["notice"] = [0.3 * t for t in scenario.discovery.notice]
     raw["clients"]["notice"] = [0.3 * t for t in scenario.clients.notice]
-    raw["clients"]["impatient"] = max(IMPATIENT, scenario.clients.impatient)
-    raw["fault"] = [_earlier(fault, part, servers) for fault in raw["fault"]]
+    raw["clients"]["impatient"] = max(MIN_IMPATIENT_SHARE, scenario.clients.impatient)
+    raw["fault"] = [_scale_fault_and_targets(fault, part, servers) for fault in raw["fault"]]
     if scenario.together is not None:
-        fewer_limiters(raw, min(MOST_TOGETHER, scenario.limiters.count))
-        _sooner_together(raw, part)
+        reduce_limiters(raw, min(MAX_COOPERATING_LIMITERS, scenario.limiters.count))
+        _scale_cooperation(raw, part)
     return parse_scenario(raw, scenario.name)
 
 
-def _sooner_together(raw: Raw, part: float) -> None:
+def _scale_cooperation(raw: RawScenario, part: float) -> None:
     """Periods, leases and closings of limiters together keep their place in a day of that part."""
     for section in ("together", "lanes", "closing"):
         table = raw.get(section, {})
-        for key, least in LEAST.items():
+        for key, least in MIN_TABLE_VALUES.items():
             if key in table:
                 least = 100 if (section, key) == ("lanes", "period_ms") else least
                 table[key] = max(least, type(least)(part * table[key]))
@@ -85,16 +87,16 @@
         raw["closing"]["clock_bound_ms"] = max(50, int(part * raw["closing"]["clock_bound_ms"]))
 
 
-def fewer_limiters(raw: Raw, count: int) -> None:
+def reduce_limiters(raw: RawScenario, count: int) -> None:
     """Leave that many of a day's limiters."""
     raw["limiters"]["count"] = count
     raw["load"]["spread"] = [min(s, raw["limiters"]["count"]) for s in raw["load"]["spread"]]
-    _keep_targets(raw)
+    _drop_missing_targets(raw)
 
 
-def _keep_targets(raw: Raw) -> None:
+def _drop_missing_targets(raw: RawScenario) -> None:
     """Faults lose the targets that are no longer there, and go with the last of them."""
-    count, kept = raw["limiters"]["count"], list[Raw]()
+    count, kept = raw["limiters"]["count"], list[RawScenario]()
     for fault in raw["fault"]:
         if fault["kind"].startswith(ON_LIMITERS) and fault.get("targets"):
             there = [name for name in fault["targets"] if int(name.rpartition("-")[2]) < count]
@@ -112,14 +114,14 @@
     raw["fault"] = kept
 
 
-def sooner(fault: Raw, part: float) -> Raw:
+def scale_fault(fault: RawScenario, part: float) -> RawScenario:
     """A fault at the same place of a day that lasts that part as long."""
     least = {"ahead": 3.0, "at": 0.0, "lasts": 0.05, "back_after": 0.05, "every": 0.05}
     return {k: round(max(least[k], v * part), 3) if k in least else v for k, v in fault.items()}
 
 
-def _earlier(fault: Raw, part: float, servers: int) -> Raw:
-    changed = sooner(fault, part)
+def _scale_fault_and_targets(fault: RawScenario, part: float, servers: int) -> RawScenario:
+    changed = scale_fault(fault, part)
     if fault["kind"].startswith("server-"):
         changed["count"] = min(servers, fault.get("count", 1))
         changed["targets"] = [
@@ -128,27 +130,27 @@
     return changed
 
 
-def as_raw(scenario: Scenario) -> Raw:
+def to_raw(scenario: Scenario) -> RawScenario:
     """The scenario as its file would say it."""
     raw = scenario.model_dump(by_alias=True, exclude_none=True, mode="json")
     raw["fault"] = [fault.model_dump(exclude_unset=True, mode="json") for fault in scenario.faults]
     return raw
 
 
-def drawn_day(day: Scenario, seed: int, weights: dict[str, float]) -> Scenario:
+def draw_scenario(day: Scenario, seed: int, weights: dict[str, float]) -> Scenario:
     """The day with a seed of its own and faults added: all that the play needs is in the scenario that comes out."""
-    rng, raw = random_for(seed, "explore", day.name), as_raw(day)
+    rng, raw = random_for(seed, "explore", day.name), to_raw(day)
     raw["seed"] = seed
     kinds = list(weights)
-    for _ in range(rng.randint(1, MOST_FAULTS)):
+    for _ in range(rng.randint(1, MAX_DRAWN_FAULTS)):
         kind = rng.choices(kinds, [weights[k] for k in kinds])[0]
-        raw["fault"].append(_fault(kind, day, rng))
+        raw["fault"].append(_draw_fault(kind, day, rng))
     return parse_scenario(raw, f"{day.name}, seed {seed}")
 
 
-def _fault(kind: str, day: Scenario, rng: Random) -> Raw:
+def _draw_fault(kind: str, day: Scenario, rng: Random) -> RawScenario:
     keys, at = FAULT_KEYS[kind], round(rng.uniform(0.0, 0.8 * day.seconds), 3)
-    fault: Raw = {"kind": kind, "at": at}
+    fault: RawScenario = {"kind": kind, "at": at}
     pools = {
         **{name: limiter_names(day) for name in ON_LIMITERS},
         "server": server_names(day),
@@ -165,18 +167,18 @@
         "every": lambda: round(rng.uniform(0.1, 1.0), 3),
         "reuse_address": lambda: rng.random() < 0.5,
         "one_way": lambda: rng.random() < 0.3,
-        "offset": lambda: rng.choice(OFFSETS),
+        "offset": lambda: rng.choice(CLOCK_OFFSETS_SECONDS),
         "ppm": lambda: rng.choice((0.0, 0.0, 500.0, 50_000.0)),
         "ahead": lambda: round(rng.uniform(3.0, 4.0), 3),
         "known": lambda: "gone" if rng.random() < 0.15 else "last",
     }
     fault |= {key: draw() for key, draw in draws.items() if key in keys}
     if kind == "limiter-kill":
-        fault |= _when(rng)
+        fault |= _draw_kill_trigger(rng)
     return fault
 
 
-def _when(rng: Random) -> Raw:
+def _draw_kill_trigger(rng: Random) -> RawScenario:
     when = rng.choice(("time", "handover-written", "turn", "write"))
     after = {"turn": rng.randint(1, 600), "write": rng.randint(1, 120)}
     return {"when": when, "after": after[when]} if when in after else {"when": when}
--- a/cypresspulley/explore/shrink.py
+++ b/cypresspulley/explore/shrink.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterator
 from functools import partial
 
-from cypresspulley.explore.schedule import Raw, as_raw, fewer_limiters
+from cypresspulley.explore.schedule import RawScenario, reduce_limiters, to_raw
 from cypresspulley.rehearsal.scenario import (
     Scenario,
     ScenarioError,
@@ -13,19 +13,19 @@
     parse_scenario,
 )
 
-MOST_PLAYS = 150
-FEWEST_INSIDE = 2.0
-SHORTEST = 1.0
+MAX_PLAYS = 150
+MIN_INSIDE_RATE = 2.0
+MIN_SECONDS = 1.0
 
 
 def shrink(
-    scenario: Scenario, still: Callable[[Scenario], bool], plays: int = MOST_PLAYS
+    scenario: Scenario, still_fails: Callable[[Scenario], bool], plays: int = MAX_PLAYS
 ) -> tuple[Scenario, int]:
     """The smallest scenario found on which ``still`` is true, and the plays that it took; greedy, large cuts first."""
     used, improved = 0, True
     while improved:
         improved = False
-        for raw in _smaller(scenario):
+        for raw in _smaller_scenarios(scenario):
             if used >= plays:
                 return scenario, used
             try:
@@ -33,63 +33,63 @@
             except ScenarioError:
                 continue  # a fault of it names what was cut away
             used += 1
-            if still(candidate):
+            if still_fails(candidate):
                 scenario, improved = candidate, True
                 break
     return scenario, used
 
 
-def _smaller(scenario: Scenario) -> Iterator[Raw]:
+def _smaller_scenarios(scenario: Scenario) -> Iterator[RawScenario]:
     """Scenarios with one thing less each."""
-    return (_changed(scenario, cut) for cut in _cuts(scenario))
+    return (_apply_cut(scenario, cut) for cut in _cuts(scenario))
 
 
-def _cuts(scenario: Scenario) -> Iterator[Callable[[Raw], object]]:
+def _cuts(scenario: Scenario) -> Iterator[Callable[[RawScenario], object]]:
     faults = len(scenario.faults)
     if faults > 3:
-        yield partial(_without, first=0, last=faults // 2)
-        yield partial(_without, first=faults // 2, last=faults)
+        yield partial(_remove_faults, first=0, last=faults // 2)
+        yield partial(_remove_faults, first=faults // 2, last=faults)
     for number in range(faults - 1, -1, -1):
-        yield partial(_without, first=number, last=number + 1)
+        yield partial(_remove_faults, first=number, last=number + 1)
     if scenario.limiters.count > 1:
-        yield _fewer_limiters
-    if scenario.load.inside > FEWEST_INSIDE:
-        yield partial(_with, "load", inside=round(scenario.load.inside / 2, 3))
+        yield _remove_limiter
+    if scenario.load.inside > MIN_INSIDE_RATE:
+        yield partial(_set_values, "load", inside=round(scenario.load.inside / 2, 3))
     for share in (0.5, 0.75, 0.9):
-        if scenario.seconds * share >= SHORTEST:
-            yield partial(_shorter, share=share)
+        if scenario.seconds * share >= MIN_SECONDS:
+            yield partial(_shorten_day, share=share)
     if scenario.clients.retries:
-        yield partial(_with, "clients", retries=0)
+        yield partial(_set_values, "clients", retries=0)
     if scenario.fleet.servers > 1:
-        yield partial(_with, "fleet", servers=max(1, scenario.fleet.servers // 2))
+        yield partial(_set_values, "fleet", servers=max(1, scenario.fleet.servers // 2))
     if scenario.clients.impatient:
-        yield partial(_with, "clients", impatient=0.0)
+        yield partial(_set_values, "clients", impatient=0.0)
 
 
-def _changed(scenario: Scenario, change: Callable[[Raw], object]) -> Raw:
-    raw = as_raw(scenario)
+def _apply_cut(scenario: Scenario, change: Callable[[RawScenario], object]) -> RawScenario:
+    raw = to_raw(scenario)
     change(raw)
     return raw
 
 
-def _without(raw: Raw, first: int, last: int) -> None:
+def _remove_faults(raw: RawScenario, first: int, last: int) -> None:
     del raw["fault"][first:last]
 
 
-def _with(section: str, raw: Raw, **values: float) -> None:
+def _set_values(section: str, raw: RawScenario, **values: float) -> None:
     raw[section].update(values)
 
 
-def _fewer_limiters(raw: Raw) -> None:
-    fewer_limiters(raw, raw["limiters"]["count"] - 1)
+def _remove_limiter(raw: RawScenario) -> None:
+    reduce_limiters(raw, raw["limiters"]["count"] - 1)
 
 
-def _shorter(raw: Raw, share: float) -> None:
+def _shorten_day(raw: RawScenario, share: float) -> None:
     raw["seconds"] = round(raw["seconds"] * share, 3)
     raw["fault"] = [fault for fault in raw["fault"] if fault["at"] < raw["seconds"]]
 
 
-def size(scenario: Scenario) -> str:
+def describe_size(scenario: Scenario) -> str:
     """In words, for the report."""
     return (
         f"{len(scenario.faults)} faults, {len(limiter_names(scenario))} limiters, {scenario.fleet.servers} servers, "
--- a/tests/explore/mutants.py
+++ b/tests/explore/mutants.py
@@ -15,7 +15,7 @@
 from types import ModuleType
 from typing import Any
 
-from cypresspulley.explore.schedule import as_raw
+from cypresspulley.explore.schedule import to_raw
 from cypresspulley.net import discovery
 from cypresspulley.net.node import Node
 from cypresspulley.net.requests import RequestReader
@@ -179,7 +179,7 @@
     spells = [
         {"kind": "server-by-hand", "at": 0.3 + n, "lasts": 1.5, "targets": [f"bag-0{n}"]} for n in range(3)
     ]
-    raw = as_raw(cold(limiters=1)) | {"discovery": {"notice": [50, 60]}, "fault": spells}
+    raw = to_raw(cold(limiters=1)) | {"discovery": {"notice": [50, 60]}, "fault": spells}
     raw["fleet"] |= {
         "cold_share": 0.01
     }  # a lone limiter steers round who answers late: a dozen sent is its most
--- a/tests/explore/test_search.py
+++ b/tests/explore/test_search.py
@@ -16,8 +16,8 @@
 from cypresspulley.explore.coverage import UNMET_WEIGHT, Coverage
 from cypresspulley.explore.examine import Failure, PlayResult, examine
 from cypresspulley.explore.lifecycle import TRANSITIONS
-from cypresspulley.explore.schedule import KINDS, as_raw, drawn_day, kinds_of, small_day
-from cypresspulley.explore.search import Wanted, search, write
+from cypresspulley.explore.schedule import FAULT_KINDS, draw_scenario, drawable_kinds, scale_down, to_raw
+from cypresspulley.explore.search import SearchOptions, search, write_scenario
 from cypresspulley.explore.shrink import shrink
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.judge import judge
@@ -27,7 +27,7 @@
 from tests.explore.mutants import MUTANTS, Mutant, applied, scenario_of
 from tests.rehearsal.small import small
 
-EVEN = dict.fromkeys(KINDS, 1.0)
+EVEN = dict.fromkeys(FAULT_KINDS, 1.0)
 # Days of each scenario that are played in CI, with every check; each is a second of a day and more.
 FIXED = [
     (name, seed)
@@ -40,15 +40,15 @@
 @pytest.mark.parametrize(("name", "seed"), FIXED)
 def test_a_fixed_list_of_seeds_shows_nothing(name: str, seed: int) -> None:
     scenario = load_scenario(name)
-    kinds = dict.fromkeys(kinds_of(scenario), 1.0)
-    day = drawn_day(small_day(scenario, 3.0, 15.0), seed, kinds)
+    kinds = dict.fromkeys(drawable_kinds(scenario), 1.0)
+    day = draw_scenario(scale_down(scenario, 3.0, 15.0), seed, kinds)
     assert examine(day).failures == ()
 
 
 @pytest.mark.parametrize("mutant", MUTANTS, ids=lambda m: m.name)
 def test_a_mutant_is_found_where_the_right_limiter_is_acquitted(mutant: Mutant) -> None:
-    day = small_day(scenario_of(mutant), 6.0, mutant.inside)
-    drawn = drawn_day(day, mutant.shown_by, EVEN)
+    day = scale_down(scenario_of(mutant), 6.0, mutant.inside)
+    drawn = draw_scenario(day, mutant.shown_by, EVEN)
     with applied(mutant):
         seen = examine(drawn)
     assert any(failure.category in mutant.categories for failure in seen.failures), seen.failures
@@ -57,7 +57,7 @@
 
 def test_the_days_do_not_depend_on_the_number_of_processes(tmp_path: Path) -> None:
     scenario, report = tmp_path / "small.toml", tmp_path / "two.json"
-    scenario.write_text(tomli_w.dumps(as_raw(small())))
+    scenario.write_text(tomli_w.dumps(to_raw(small())))
     # In a process of its own, which ends with the helpers that Python starts beside a pool.
     options = ["--seeds", "6", "--seconds", "1.5", "--inside", "10", "--jobs", "2", "--out", str(tmp_path)]
     command = [
@@ -71,7 +71,7 @@
         str(report),
     ]
     subprocess.run(command, check=True, capture_output=True, timeout=60)
-    one = search(small(), Wanted(seeds=6, seconds=1.5, inside=10.0))
+    one = search(small(), SearchOptions(seeds=6, seconds=1.5, inside=10.0))
     two = json.loads(report.read_text())[0]
     assert two["coverage"]["met"] == one.coverage.as_json()["met"] and two["tries"] == one.tries > 0
     assert one.seeds == 6 and one.coverage.unlisted_transitions() == []
@@ -85,8 +85,8 @@
 
 
 def test_a_drawn_day_says_all_that_it_plays(tmp_path: Path) -> None:
-    day = drawn_day(small_day(load_scenario("wedding-weekend"), 2.0, 10.0), 7, EVEN)
-    again = parse_scenario(as_raw(day), "again")
+    day = draw_scenario(scale_down(load_scenario("wedding-weekend"), 2.0, 10.0), 7, EVEN)
+    again = parse_scenario(to_raw(day), "again")
     assert again == day and draw(again, again.seed).digest() == draw(day, day.seed).digest()
     assert digest(play_virtual(again, 7)) == digest(play_virtual(day, 7))
 
@@ -110,10 +110,10 @@
 def test_a_find_is_written_so_that_it_plays_again(tmp_path: Path) -> None:
     mutant = next(m for m in MUTANTS if m.name == "a timer not cancelled")
     with applied(mutant):
-        result = search(small(), Wanted(seeds=2, seconds=2.0, inside=10.0))
+        result = search(small(), SearchOptions(seeds=2, seconds=2.0, inside=10.0))
         found = result.found[0]
         assert found.failure.category == "leak" and len(found.scenario.faults) == 0
-        path = write(found, tmp_path)
+        path = write_scenario(found, tmp_path)
         run = CliRunner().invoke(main, ["explore", str(path), "--again"])
         assert run.exit_code == 1 and "leak:" in run.output
     run = CliRunner().invoke(main, ["explore", str(path), "--again"])
--- a/tests/fleet/test_final_death.py
+++ b/tests/fleet/test_final_death.py
@@ -14,7 +14,7 @@
 import pytest
 
 from cypresspulley.explore.examine import examine
-from cypresspulley.explore.schedule import drawn_day, kinds_of, small_day
+from cypresspulley.explore.schedule import draw_scenario, drawable_kinds, scale_down
 from cypresspulley.fleet.records import Member, MemberState
 from cypresspulley.fleet.view import View
 from cypresspulley.rehearsal.scenario import load_scenario
@@ -57,5 +57,5 @@
 
 def test_the_day_that_showed_it_shows_nothing() -> None:
     scenario = load_scenario("closing-paused")
-    kinds = dict.fromkeys(kinds_of(scenario), 1.0)
-    assert examine(drawn_day(small_day(scenario, 2.0, 12.0), 209, kinds)).failures == ()
+    kinds = dict.fromkeys(drawable_kinds(scenario), 1.0)
+    assert examine(draw_scenario(scale_down(scenario, 2.0, 12.0), 209, kinds)).failures == ()
--- a/tests/rehearsal/test_graphql.py
+++ b/tests/rehearsal/test_graphql.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from cypresspulley.explore.schedule import small_day
+from cypresspulley.explore.schedule import scale_down
 from cypresspulley.graphql import front
 from cypresspulley.graphql.document import Effect
 from cypresspulley.graphql.price import Price
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("name", ["graphql-floor", "graphql-handover-mix", "graphql-abuse"])
 def test_the_shipped_days_keep_the_rules(name: str) -> None:
-    found = judge(play_virtual(small_day(load_scenario(name), 6.0, 25.0), 2))
+    found = judge(play_virtual(scale_down(load_scenario(name), 6.0, 25.0), 2))
     assert not found.void and not broken(found), found
 
 
--- a/tests/rehearsal/virtual/test_unread.py
+++ b/tests/rehearsal/virtual/test_unread.py
@@ -9,11 +9,11 @@
 from __future__ import annotations
 
 from cypresspulley.explore.examine import examine
-from cypresspulley.explore.schedule import drawn_day, kinds_of, small_day
+from cypresspulley.explore.schedule import draw_scenario, drawable_kinds, scale_down
 from cypresspulley.rehearsal.scenario import load_scenario
 
 
 def test_the_day_that_showed_it_shows_nothing() -> None:
     scenario = load_scenario("account-flood")
-    kinds = dict.fromkeys(kinds_of(scenario), 1.0)
-    assert examine(drawn_day(small_day(scenario, 2.0, 12.0), 52, kinds)).failures == ()
+    kinds = dict.fromkeys(drawable_kinds(scenario), 1.0)
+    assert examine(draw_scenario(scale_down(scenario, 2.0, 12.0), 52, kinds)).failures == ()
