--- a/cypresspulley/explore/command.py
+++ b/cypresspulley/explore/command.py
@@ -1,4 +1,4 @@
-"""What ``fawnseam explore`` does; its exit codes."""
+"""The ``fawnseam explore`` command and its exit codes."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outputs:
-    """Where to write; None for nowhere, finds go to ``out``."""
+    """Output paths: failing scenarios go to the folder ``out``; None skips the JSON report or the plot."""
 
     out: Path
     json: Path | None = None
@@ -29,12 +29,12 @@
 
 
 def explore(name: str, options: SearchOptions, outputs: Outputs) -> int:
-    """Search a scenario, or with ``all`` each shipped one; the exit code."""
+    """Searches a scenario, or with ``all`` every shipped one, and returns the exit code."""
     results = list[SearchResult]()
     try:
         check_folders(outputs.json, outputs.png)
         scenarios = [load_scenario(each) for each in (shipped() if name == "all" else [name])]
-        if name == "all":  # what two processes are needed for has no place in virtual time
+        if name == "all":  # virtual time runs in one process, so scenarios that need several are skipped
             scenarios = [each for each in scenarios if not each.on_sockets_only]
         outputs.out.mkdir(parents=True, exist_ok=True)
         for scenario in scenarios:
@@ -51,25 +51,26 @@
 
 
 def replay(name: str) -> int:
-    """Play one file as it is, with all checks of the search; the exit code."""
+    """Plays one scenario file unchanged with all checks of the search and returns the exit code."""
     try:
         scenario: Scenario = load_scenario(name)
-        seen = examine(scenario)
+        played = examine(scenario)
     except ValueError as error:
         return fail(error, INVALID_INPUT)
     except KeyboardInterrupt:
         return INTERRUPTED
-    for failure in seen.failures:
+    for failure in played.failures:
         print(f"{failure.category}: {failure.text}")
-    print(f"trace {seen.digest}: {len(seen.failures) or 'nothing'} found in {seen.tries} tries")
-    return FOUND if seen.failures else NONE_FOUND
+    print(f"trace {played.digest}: {len(played.failures) or 'nothing'} found in {played.tries} tries")
+    return FOUND if played.failures else NONE_FOUND
 
 
 def _show_progress(result: SearchResult) -> None:
     coverage = result.coverage.as_json()
     text = (
         f"{result.name}: {result.seeds} seeds, {result.tries} tries, {result.simulated_seconds:.0f} s simulated in "
-        f"{result.wall_seconds:.0f} s; {coverage['pairs_met']} of {coverage['pairs']} pairs met; {len(result.found)} found"
+        f"{result.wall_seconds:.0f} s; {coverage['pairs_met']} of {coverage['pairs']} pairs met; "
+        f"{len(result.found)} found"
     )
     print(
         f"\r{text}" if sys.stderr.isatty() else text, end="" if sys.stderr.isatty() else "\n", file=sys.stderr
@@ -80,8 +81,8 @@
     console = Console(highlight=False, markup=False, soft_wrap=True)
     print(file=sys.stderr)
     console.print(
-        f"{result.name}: {result.seeds} seeds, {result.tries} tries, {result.simulated_seconds / max(1e-9, result.wall_seconds):.0f} "
-        f"simulated seconds a second"
+        f"{result.name}: {result.seeds} seeds, {result.tries} tries, "
+        f"{result.simulated_seconds / max(1e-9, result.wall_seconds):.0f} simulated seconds a second"
     )
     for category, count in sorted(result.categories.items()):
         console.print(f"  {category}: on {count} of {result.seeds} seeds")
@@ -89,10 +90,10 @@
         path = write_scenario(found, folder)
         console.print(f"  FOUND {found.failure.category}, seed {found.seed}: {found.failure.text}")
         console.print(f"    shrunk by {found.plays} plays to {found.size}: {path}")
-    never = result.coverage.unmet_pairs()
-    if never:
-        shown = "; ".join(f"{name} x {kind}" for name, kind in never[:MAX_UNMET_SHOWN])
-        console.print(f"  never met, {len(never)} pairs: {shown}{' ...' * (len(never) > MAX_UNMET_SHOWN)}")
+    unmet = result.coverage.unmet_pairs()
+    if unmet:
+        shown = "; ".join(f"{name} x {kind}" for name, kind in unmet[:MAX_UNMET_SHOWN])
+        console.print(f"  never met, {len(unmet)} pairs: {shown}{' ...' * (len(unmet) > MAX_UNMET_SHOWN)}")
     if not result.found:
         console.print("  nothing found")
 
@@ -103,7 +104,7 @@
             json.dumps([_result_json(r) for r in results], indent=1) + "\n", encoding="utf-8"
         )
     if outputs.png is not None:
-        from cypresspulley.explore.plot import draw  # plots load slowly
+        from cypresspulley.explore.plot import draw  # imported here because matplotlib loads slowly
 
         draw([result.coverage for result in results], outputs.png)
 
