--- a/cypresspulley/explore/coverage.py
+++ b/cypresspulley/explore/coverage.py
@@ -1,4 +1,4 @@
-"""Which transitions of a request's life met which faults; free of I/O."""
+"""Counts which request lifecycle transitions occurred under which kinds of fault. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 from cypresspulley.explore.lifecycle import OPERATOR_TRANSITIONS, TRANSITIONS
 
 NO_FAULT = "no fault"
-UNMET_WEIGHT = 3.0  # how much likelier a kind is drawn that has met nothing yet than one that has met all
-Pair = tuple[str, str]  # a transition, a kind of fault
+# Extra draw weight, over the base weight of 1, of a fault kind under which no transition has occurred yet.
+UNMET_WEIGHT = 3.0
+Pair = tuple[str, str]  # (transition, fault kind)
 
 
 @dataclass(slots=True)
 class Coverage:
-    """Counts of pairs; ``kinds`` are the faults that can be drawn."""
+    """Counts of (transition, fault kind) pairs over all plays; ``kinds`` are the fault kinds that can be drawn."""
 
     kinds: tuple[str, ...]
     met: Counter[Pair] = field(default_factory=Counter)
@@ -27,16 +28,18 @@
         self.plays += 1
 
     def unmet_pairs(self) -> list[Pair]:
-        """Pairs that no play has met, in a fixed order."""
+        """Returns the pairs that occurred in no play, in a fixed order."""
         return [(name, kind) for kind in self.kinds for name in TRANSITIONS if not self.met[name, kind]]
 
     def weights(self) -> dict[str, float]:
-        """How likely each kind is drawn next: the more of its pairs were never met, the likelier."""
-        missing = Counter(kind for _, kind in self.unmet_pairs())
-        return {kind: round(1.0 + UNMET_WEIGHT * missing[kind] / len(TRANSITIONS), 6) for kind in self.kinds}
+        """Returns the draw weight of each fault kind, which grows with the share of its pairs that are unmet."""
+        unmet_counts = Counter(kind for _, kind in self.unmet_pairs())
+        return {
+            kind: round(1.0 + UNMET_WEIGHT * unmet_counts[kind] / len(TRANSITIONS), 6) for kind in self.kinds
+        }
 
     def unlisted_transitions(self) -> list[str]:
-        """Transitions that were met and that the model's list does not name."""
+        """Returns transitions that occurred but are not in the model's list."""
         return sorted({name for name, _ in self.met} - set(TRANSITIONS) - OPERATOR_TRANSITIONS)
 
     def as_json(self) -> dict[str, object]:
