--- a/cypresspulley/explore/examine.py
+++ b/cypresspulley/explore/examine.py
@@ -1,4 +1,8 @@
-"""One play in virtual time, all looked at: the rules by the judge, each step by the model, ends by what is left."""
+"""Plays one scenario in virtual time with every check.
+
+The judge checks the rules on the recorded trace, the lifecycle model checks each decision as it is made, and every
+limiter that exits is checked for leaked requests, timers and tasks.
+"""
 
 from __future__ import annotations
 
@@ -22,10 +26,10 @@
 from cypresspulley.rehearsal.virtual.play import Observer, digest, play_virtual
 from cypresspulley.settings import parse_settings
 
-FAULT_AFTERMATH_SECONDS = 2.0  # seconds past its end for which a fault counts as met
-MAX_LOOP_TURNS = 3_000_000  # of the loop in one play: one that goes on and on is stuck
+FAULT_AFTERMATH_SECONDS = 2.0  # a transition this soon after a fault's end still counts as under that fault
+MAX_LOOP_TURNS = 3_000_000  # event loop iterations in one play; a play that takes more counts as stuck
 MAX_FAILURES_PER_RULE = 5
-# Timers that an exiting limiter may leave to the end of its process: each does nothing by then.
+# Timers that may still be pending when a limiter exits: by then none of their callbacks has any effect.
 HARMLESS_TIMERS = (
     "CounterClient._give_up",
     "CounterClient._redial",
@@ -39,7 +43,7 @@
 
 
 def open_counts(gateway: Gateway) -> dict[str, float]:
-    """What is left of requests: all 0 once each has had its answer."""
+    """Returns counts of open requests, attempts and work; all are 0 once every request has been answered."""
     accounts = gateway.quotas.accounts.values()
     return {
         "requests": len(gateway._requests),
@@ -51,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """What is wrong with a day: its sort (what shrinking must keep) and it in words."""
+    """A failed check: its category, which shrinking must preserve, and a description."""
 
     category: str
     text: str
@@ -59,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlayResult:
-    """One play: what was wrong, which pairs of transition and fault were met, and the trace's digest."""
+    """The result of one play: failures, counts of (transition, fault kind) pairs, and the digest of the trace."""
 
     seed: int
     failures: tuple[Failure, ...]
@@ -72,74 +76,78 @@
         return any(failure.category == category for failure in self.failures)
 
 
-class _Between:
-    """The decisions of a limiter with its watch behind them."""
+class _ObservedGateway:
+    """Passes events to a limiter's gateway and shows each event with its actions to the lifecycle model."""
 
-    def __init__(self, gateway: Gateway, watch: LifecycleModel) -> None:
-        self._gateway, self._watch = gateway, watch
+    def __init__(self, gateway: Gateway, model: LifecycleModel) -> None:
+        self._gateway, self._model = gateway, model
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         actions = self._gateway.handle(now, event)
-        self._watch.observe(now, event, actions)
+        self._model.observe(now, event, actions)
         return actions
 
 
 @dataclass(slots=True)
-class _Eyes(Observer):
-    """What looks on during one play."""
+class _PlayObserver(Observer):
+    """Collects failures and transition counts during one play."""
 
     scenario: Scenario
     failures: list[Failure] = field(default_factory=list)
     met: Counter[Pair] = field(default_factory=Counter)
     faults: list[tuple[float, float, str]] = field(default_factory=list)
     now: Callable[[], float] = field(default=lambda: 0.0)
-    _watches: dict[str, tuple[LifecycleModel, Gateway]] = field(default_factory=dict)
+    _models: dict[str, tuple[LifecycleModel, Gateway]] = field(default_factory=dict)
     _ceilings: CeilingBudgets | None = None
 
-    def watched(self, name: str, gateway: Gateway) -> _Between:
+    def watched(self, name: str, gateway: Gateway) -> _ObservedGateway:
         settings = parse_settings(wire_settings(self.scenario, 0, self.scenario.fleet.halls[0]))
         if self._ceilings is None:
             self._ceilings = CeilingBudgets(settings.plans, settings.max_units)
         fleet = self.scenario.fleet
-        facts = ServerFacts(
+        server_facts = ServerFacts(
             fleet.cores, {c.name: c.work_ms / 1000 for c in self.scenario.classes}, fleet.drain_grace,
             mean_work(self.scenario),
         )  # fmt: skip
-        watch = LifecycleModel(name, settings, facts, self._ceilings, self._offended, self._met)
-        self._watches[name] = watch, gateway
-        return _Between(gateway, watch)
+        model = LifecycleModel(
+            name, settings, server_facts, self._ceilings, self._add_violation, self._count_transition
+        )
+        self._models[name] = model, gateway
+        return _ObservedGateway(gateway, model)
 
     def record(self, record: log.Record) -> None:
         if isinstance(record, log.Happened):
             self.faults.append((record.t, record.until + FAULT_AFTERMATH_SECONDS, record.kind))
 
     def woke(self, name: str, now: float) -> None:
-        if name in self._watches:
-            self._watches[name][0].on_resume(now)
+        if name in self._models:
+            self._models[name][0].on_resume(now)
 
     def exited(self, name: str, owner: Owner, loop: VirtualLoop) -> None:
-        """A limiter ended in order: nothing of its requests may be left."""
-        watch, gateway = self._watches.pop(name)
-        if left := {what: count for what, count in open_counts(gateway).items() if count}:
-            self._find("leak", f"{name} ended with {left} still counted as open")
-        if lives := watch.open_requests():
-            self._find("leak", f"{name} ended with {len(lives)} requests that had no end")
-        timers = Counter(callback_name(handle) for handle in loop.waiting(owner) if not _of_probe(handle))
-        if strange := {what: n for what, n in timers.items() if what not in HARMLESS_TIMERS}:
-            self._find("leak", f"{name} ended with timers left: {strange}")
+        """Reports requests, timers and tasks that a limiter left behind after an orderly exit."""
+        model, gateway = self._models.pop(name)
+        if open_counters := {what: count for what, count in open_counts(gateway).items() if count}:
+            self._add_failure("leak", f"{name} ended with {open_counters} still counted as open")
+        if unfinished := model.open_requests():
+            self._add_failure("leak", f"{name} ended with {len(unfinished)} requests that had no end")
+        timers = Counter(
+            callback_name(handle) for handle in loop.waiting(owner) if not _is_probe_timeout(handle)
+        )
+        if leaked := {what: n for what, n in timers.items() if what not in HARMLESS_TIMERS}:
+            self._add_failure("leak", f"{name} ended with timers left: {leaked}")
         tasks = [task for task in owner.tasks if not task.done()]
         if tasks:
             names = sorted(getattr(task.get_coro(), "__qualname__", "a task") for task in tasks)
-            self._find("leak", f"{name} ended with tasks left: {', '.join(names)}")
+            self._add_failure("leak", f"{name} ended with tasks left: {', '.join(names)}")
 
-    def _offended(self, offence: Violation) -> None:
-        self._find(offence.rule, f"{offence.limiter}: {offence.text}")
+    def _add_violation(self, violation: Violation) -> None:
+        self._add_failure(violation.rule, f"{violation.limiter}: {violation.text}")
 
-    def _find(self, category: str, text: str) -> None:
+    def _add_failure(self, category: str, text: str) -> None:
         if len(self.failures) < 50:
             self.failures.append(Failure(category, text))
 
-    def _met(self, transition: str) -> None:
+    def _count_transition(self, transition: str) -> None:
         now, kinds = self.now(), list[str]()
         for begin, end, kind in self.faults:
             if begin <= now <= end and kind not in kinds:
@@ -148,41 +156,41 @@
             self.met[transition, kind] += 1
 
 
-def _of_probe(handle: VirtualHandle) -> bool:
-    """A probe may be out at the end: no request waits for it."""
+def _is_probe_timeout(handle: VirtualHandle) -> bool:
+    """Whether the handle is the timeout of a probe, which may be pending at exit since no request waits for it."""
     done = getattr(handle.args[0], "on_done", None) if handle.args else None
     return callback_name(handle) == "Upstream._expired" and getattr(done, "__name__", "") == "_probed"
 
 
 def callback_name(handle: VirtualHandle) -> str:
-    """The name of what a handle would call."""
+    """Returns the qualified name of the function that a handle would call."""
     callback = handle.callback
-    while hasattr(callback, "func"):  # partials
+    while hasattr(callback, "func"):  # unwraps functools.partial
         callback = callback.func
     return str(getattr(callback, "__qualname__", repr(callback)))
 
 
 def examine(scenario: Scenario) -> PlayResult:
-    """Play the scenario with its own seed and say all that is wrong with it. Deterministic."""
-    eyes, records = _Eyes(scenario), list[log.Record]()
+    """Plays the scenario with its own seed and returns every failure found. The result is deterministic."""
+    observer, records = _PlayObserver(scenario), list[log.Record]()
     try:
-        records = play_virtual(scenario, scenario.seed, observer=eyes, most_turns=MAX_LOOP_TURNS)
+        records = play_virtual(scenario, scenario.seed, observer=observer, most_turns=MAX_LOOP_TURNS)
     except (NothingLeftError, StuckError) as error:
-        eyes.failures.append(Failure("stuck", str(error)))
+        observer.failures.append(Failure("stuck", str(error)))
     except KitError as error:
-        eyes.failures.append(Failure("kit", str(error)))
+        observer.failures.append(Failure("kit", str(error)))
     except Exception as error:
-        logging.getLogger(__name__).debug("the play failed", exc_info=error)
-        eyes.failures.append(Failure("kit", f"{type(error).__name__}: {error}"))
+        logging.getLogger(__name__).debug("play raised an exception", exc_info=error)
+        observer.failures.append(Failure("kit", f"{type(error).__name__}: {error}"))
     tries = 0
     if any(isinstance(r, log.End) for r in records):
-        eyes.failures += _judged(records)
+        observer.failures += _failures_of_trace(records)
         tries = sum(isinstance(r, log.Sent) for r in records)
-    met = tuple(sorted(eyes.met.items()))
-    return PlayResult(scenario.seed, tuple(eyes.failures), met, digest(records), scenario.seconds, tries)
+    met = tuple(sorted(observer.met.items()))
+    return PlayResult(scenario.seed, tuple(observer.failures), met, digest(records), scenario.seconds, tries)
 
 
-def _judged(records: list[log.Record]) -> list[Failure]:
+def _failures_of_trace(records: list[log.Record]) -> list[Failure]:
     verdict, failures = judge(records), list[Failure | None]()
     if verdict.crash:
         failures.append(Failure("crash", verdict.crash))
@@ -193,12 +201,12 @@
             Failure(rule.rule, f"{v.limiter} at {v.t:.3f} s, {v.request}: {v.text}")
             for v in rule.violations[:MAX_FAILURES_PER_RULE]
         ]
-    for one in verdict.histories:
-        failures += [_promise(one.name, text) for text in one.findings[:MAX_FAILURES_PER_RULE]]
+    for checked in verdict.histories:
+        failures += [_broken_promise(checked.name, text) for text in checked.findings[:MAX_FAILURES_PER_RULE]]
     return [failure for failure in failures if failure is not None]
 
 
-def _promise(checker: str, text: str) -> Failure | None:
-    """A promise of what limiters do together that broke. That a short day put none to the test is no find."""
+def _broken_promise(checker: str, text: str) -> Failure | None:
+    """Returns the failure for a history checker's finding, or None where the play was too short to check anything."""
     promise = text.partition(":")[0]
     return None if promise == NOTHING else Failure(f"{checker} {promise}", text.replace("\n", "; "))
