--- a/tests/explore/test_lifecycle.py
+++ b/tests/explore/test_lifecycle.py
@@ -29,7 +29,7 @@
     0, 2, "a", tuple(CLASSES.values()), (api.Plan("free"), HARD), max_attempts=3, cold_share=0.2, warm_after=10.0,
     fall_multiple=2.0, fall_window=1.0,
 )  # fmt: skip
-FLEET = ServerFacts(1.0, {c.name: 0.1 for c in CLASSES.values()}, grace=1.0, mean_work=0.1)
+FLEET = ServerFacts(1.0, {c.name: 0.1 for c in CLASSES.values()}, drain_grace=1.0, mean_work=0.1)
 UP, DRAINING = api.Health.UP, api.Health.DRAINING
 
 
