--- a/cypresspulley/explore/plot.py
+++ b/cypresspulley/explore/plot.py
@@ -1,4 +1,4 @@
-"""Coverage to look at: transitions against faults, the darker the more often they met; white was never met."""
+"""Plots coverage as a heat map of transitions against fault kinds; white cells are pairs that never occurred."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def draw(coverages: list[Coverage], path: Path) -> None:
-    """Write the picture as PNG; OSError where it cannot be written."""
+    """Writes the plot of all coverages together as a PNG file. Raises ``OSError`` if it cannot be written."""
     met = Counter[Pair]()
     for coverage in coverages:
         met.update(coverage.met)
@@ -22,8 +22,8 @@
     counts = np.array([[met[name, kind] for kind in kinds] for name in TRANSITIONS], dtype=float)
     figure = Figure(figsize=(11, 10), layout="constrained")
     axes = figure.add_subplot()
-    shown = np.ma.masked_equal(counts, 0)
-    image = axes.imshow(shown, norm=LogNorm(1, max(2.0, counts.max())), cmap="Blues", aspect="auto")
+    masked_counts = np.ma.masked_equal(counts, 0)
+    image = axes.imshow(masked_counts, norm=LogNorm(1, max(2.0, counts.max())), cmap="Blues", aspect="auto")
     axes.set_xticks(range(len(kinds)), kinds, rotation=60, ha="right")
     axes.set_yticks(range(len(TRANSITIONS)), [name.strip() for name in TRANSITIONS])
     plays = sum(coverage.plays for coverage in coverages)
