--- a/cypresspulley/explore/schedule.py
+++ b/cypresspulley/explore/schedule.py
@@ -1,4 +1,4 @@
-"""Days for the search: a scenario made small, and the faults that a seed adds to it; free of I/O."""
+"""Generates the scenarios of a search: a scaled-down scenario plus faults drawn from a seed. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -23,27 +23,26 @@
 )
 
 FAULT_KINDS = tuple(sorted(FAULT_KEYS.keys() - OPERATED - BOOKED - FLEET))
-OPERATOR_FAULT_KINDS = tuple(
-    sorted(FAULT_KEYS.keys() - SOCKETS_ONLY - BOOKED - FLEET)
-)  # what the door brings beside them
-CLOCK_OFFSETS_SECONDS = (-3600.0, -2.0, -0.3, 0.05, 0.4, 5.0)  # seconds that a drawn clock is off
+# Adds the faults that operators cause through the admin server.
+OPERATOR_FAULT_KINDS = tuple(sorted(FAULT_KEYS.keys() - SOCKETS_ONLY - BOOKED - FLEET))
+CLOCK_OFFSETS_SECONDS = (-3600.0, -2.0, -0.3, 0.05, 0.4, 5.0)  # choices of a limiter's wall clock error
+# Lower bounds of the settings of limiters that cooperate when a scenario is scaled down.
 MIN_TABLE_VALUES = {
     "period_ms": 50,
     "lease_ms": 500,
     "spell_s": 1.0,
     "lease_s": 1.0,
-}  # of a small day
+}
 MAX_DRAWN_FAULTS = 4
 MIN_SERVERS = 4
-MAX_COOPERATING_LIMITERS = (
-    5  # limiters of a small day on which they do something together: each speaks with each
-)
-MIN_IMPATIENT_SHARE = 0.03  # share of the clients that go away: more than on a usual day
+# Limiters of a scaled-down scenario in which they cooperate: every one communicates with every other, which is slow.
+MAX_COOPERATING_LIMITERS = 5
+MIN_IMPATIENT_SHARE = 0.03  # share of clients that disconnect early, higher than in most scenarios
 RawScenario = dict[str, Any]
 
 
 def drawable_kinds(scenario: Scenario, operators: bool = False) -> tuple[str, ...]:
-    """What may be drawn on a scenario's days: faults between limiters where these do something together."""
+    """Returns the fault kinds that can be drawn for a scenario, those between limiters only where they cooperate."""
     kinds = set(OPERATOR_FAULT_KINDS if operators else FAULT_KINDS)
     if scenario.together is not None:
         kinds |= FLEET - CALENDARS
@@ -53,8 +52,11 @@
 
 
 def scale_down(scenario: Scenario, seconds: float, inside: float) -> Scenario:
-    """The scenario in ``seconds`` and with ``inside`` requests a second: as many servers and calls less, its faults
-    at the same place of the day. Classes, plans and times of the fleet stay."""
+    """Scales a scenario down to ``seconds`` and to ``inside`` requests per second within quota.
+
+    Servers and counter calls shrink in proportion and faults keep their relative position. Classes, plans and the
+    timing parameters of the servers stay unchanged.
+    """
     raw = to_raw(scenario)
     part, share = min(1.0, seconds / scenario.seconds), min(1.0, inside / scenario.load.inside)
     raw["seconds"] = round(scenario.seconds * part, 3)
@@ -74,13 +76,13 @@
 
 
 def _scale_cooperation(raw: RawScenario, part: float) -> None:
-    """Periods, leases and closings of limiters together keep their place in a day of that part."""
+    """Scales the periods, leases and closing times of limiters that cooperate to a scenario of that length."""
     for section in ("together", "lanes", "closing"):
         table = raw.get(section, {})
-        for key, least in MIN_TABLE_VALUES.items():
+        for key, minimum in MIN_TABLE_VALUES.items():
             if key in table:
-                least = 100 if (section, key) == ("lanes", "period_ms") else least
-                table[key] = max(least, type(least)(part * table[key]))
+                minimum = 100 if (section, key) == ("lanes", "period_ms") else minimum
+                table[key] = max(minimum, type(minimum)(part * table[key]))
     for place in raw.get("closing", {}).get("place", ()):
         place["closes"] = sorted({round(part * at) for at in place["closes"]})
     if "closing" in raw:
@@ -88,21 +90,21 @@
 
 
 def reduce_limiters(raw: RawScenario, count: int) -> None:
-    """Leave that many of a day's limiters."""
+    """Reduces the scenario to ``count`` limiters."""
     raw["limiters"]["count"] = count
     raw["load"]["spread"] = [min(s, raw["limiters"]["count"]) for s in raw["load"]["spread"]]
     _drop_missing_targets(raw)
 
 
 def _drop_missing_targets(raw: RawScenario) -> None:
-    """Faults lose the targets that are no longer there, and go with the last of them."""
-    count, kept = raw["limiters"]["count"], list[RawScenario]()
+    """Drops targets that no longer exist, and faults that have no target left."""
+    count, remaining_faults = raw["limiters"]["count"], list[RawScenario]()
     for fault in raw["fault"]:
         if fault["kind"].startswith(ON_LIMITERS) and fault.get("targets"):
-            there = [name for name in fault["targets"] if int(name.rpartition("-")[2]) < count]
-            if not there:
+            remaining = [name for name in fault["targets"] if int(name.rpartition("-")[2]) < count]
+            if not remaining:
                 continue
-            fault = {**fault, "targets": there}
+            fault = {**fault, "targets": remaining}
         if fault.get("groups"):
             groups = [
                 [name for name in group if int(name.rpartition("-")[2]) < count] for group in fault["groups"]
@@ -110,14 +112,14 @@
             if not all(groups):
                 continue
             fault = {**fault, "groups": groups}
-        kept.append(fault)
-    raw["fault"] = kept
+        remaining_faults.append(fault)
+    raw["fault"] = remaining_faults
 
 
 def scale_fault(fault: RawScenario, part: float) -> RawScenario:
-    """A fault at the same place of a day that lasts that part as long."""
-    least = {"ahead": 3.0, "at": 0.0, "lasts": 0.05, "back_after": 0.05, "every": 0.05}
-    return {k: round(max(least[k], v * part), 3) if k in least else v for k, v in fault.items()}
+    """Scales a fault's start and durations by ``part``, so that it keeps its relative position."""
+    minimums = {"ahead": 3.0, "at": 0.0, "lasts": 0.05, "back_after": 0.05, "every": 0.05}
+    return {k: round(max(minimums[k], v * part), 3) if k in minimums else v for k, v in fault.items()}
 
 
 def _scale_fault_and_targets(fault: RawScenario, part: float, servers: int) -> RawScenario:
@@ -131,14 +133,14 @@
 
 
 def to_raw(scenario: Scenario) -> RawScenario:
-    """The scenario as its file would say it."""
+    """Returns the scenario as the table that its TOML file would hold."""
     raw = scenario.model_dump(by_alias=True, exclude_none=True, mode="json")
     raw["fault"] = [fault.model_dump(exclude_unset=True, mode="json") for fault in scenario.faults]
     return raw
 
 
 def draw_scenario(day: Scenario, seed: int, weights: dict[str, float]) -> Scenario:
-    """The day with a seed of its own and faults added: all that the play needs is in the scenario that comes out."""
+    """Returns the scenario with ``seed`` and the faults drawn from it; playing it needs no other input."""
     rng, raw = random_for(seed, "explore", day.name), to_raw(day)
     raw["seed"] = seed
     kinds = list(weights)
@@ -157,8 +159,8 @@
         "hall": list(day.fleet.halls),
     }
     if (pool := pools.get(kind.partition("-")[0])) is not None:
-        most = {"hall-cut": 1, "limiter-late": len(pool) - 1}.get(kind, len(pool))
-        fault["targets"] = sorted(rng.sample(pool, min(most, 1 + int(rng.expovariate(1.0)))))
+        max_targets = {"hall-cut": 1, "limiter-late": len(pool) - 1}.get(kind, len(pool))
+        fault["targets"] = sorted(rng.sample(pool, min(max_targets, 1 + int(rng.expovariate(1.0)))))
     draws: dict[str, Callable[[], Any]] = {
         "lasts": lambda: round(rng.uniform(0.1, 0.5 * day.seconds), 3),
         "size": lambda: round(rng.uniform(0.1, 1.0 if kind.startswith(("server", "keeper")) else 3.0), 3),
