--- a/cypresspulley/explore/search.py
+++ b/cypresspulley/explore/search.py
@@ -1,4 +1,7 @@
-"""Rounds of seeds over some processes: what was met steers the next round; the lowest seed's find is shrunk."""
+"""Searches a scenario for failures in rounds of seeds spread over worker processes.
+
+The coverage of past rounds weights the faults drawn in the next one. The failure of the lowest seed is shrunk.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +24,7 @@
 from cypresspulley.rehearsal.scenario import Scenario
 
 SEEDS_PER_ROUND = (
-    64  # seeds of a round: a number of its own, so that the draws are the same for any number of processes
+    64  # independent of the number of processes, so that the same faults are drawn for any number
 )
 SEEDS_PER_TASK = 4
 MAX_FAILURES = 20
@@ -29,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SearchOptions:
-    """What is searched. ``minutes`` 0: until the seeds are used up."""
+    """The extent of a search. With ``minutes`` 0 it runs until the seeds are used up."""
 
     seeds: int = 1000
     first: int = 0
@@ -38,30 +41,30 @@
     seconds: float = 6.0
     inside: float = 30.0
     keep_going: bool = False
-    operators: bool = False  # operators drain limiters and take servers out beside the faults
+    operators: bool = False  # also draw the faults in which operators drain limiters and ban servers
 
 
 @dataclass(frozen=True, slots=True)
 class FoundFailure:
-    """A find: the seed, what was wrong, and the small scenario that shows it."""
+    """A failure, the seed that showed it, and the shrunk scenario that reproduces it."""
 
     seed: int
     failure: Failure
     scenario: Scenario
-    plays: int  # that shrinking took
+    plays: int  # number of plays that shrinking took
     size: str
 
 
 @dataclass(slots=True)
 class SearchResult:
-    """What a search did."""
+    """The failures, coverage and totals of one search."""
 
     name: str
     coverage: Coverage
     found: list[FoundFailure] = field(default_factory=list)
-    categories: Counter[str] = field(default_factory=Counter)  # seeds that showed each sort
+    categories: Counter[str] = field(default_factory=Counter)  # number of seeds that showed each category
     tries: int = 0
-    simulated_seconds: float = 0.0  # seconds of days
+    simulated_seconds: float = 0.0  # virtual time of all plays
     wall_seconds: float = 0.0
     seeds: int = 0
 
@@ -73,30 +76,32 @@
 def search(
     scenario: Scenario, options: SearchOptions, progress: Progress = lambda _: None, play: Play = examine
 ) -> SearchResult:
-    """Look for a day that shows something wrong; stops at the first unless ``keep_going``.
+    """Searches for a drawn scenario that fails and stops at the first failure unless ``keep_going``.
 
-    ``play`` is what is called for each day; with one job in this process. The seeds' days do not depend on jobs."""
-    day = scale_down(scenario, options.seconds, options.inside)
+    ``play`` is called for each drawn scenario, in this process if there is one job. What a seed draws does not depend
+    on the number of jobs.
+    """
+    base = scale_down(scenario, options.seconds, options.inside)
     result, start = (
         SearchResult(scenario.name, Coverage(drawable_kinds(scenario, options.operators))),
         time.monotonic(),
     )
-    with _seed_mapper(options.jobs) as mapped:
+    with _seed_mapper(options.jobs) as map_seeds:
         for first in range(options.first, options.first + options.seeds, SEEDS_PER_ROUND):
             seeds = range(first, min(first + SEEDS_PER_ROUND, options.first + options.seeds))
             weights = result.coverage.weights()
-            examined = list(mapped(partial(_play_seed, day, weights, play), seeds))
-            _add_round(result, day, weights, examined, options.keep_going, play)
+            plays = list(map_seeds(partial(_play_seed, base, weights, play), seeds))
+            _add_round(result, base, weights, plays, options.keep_going, play)
             result.wall_seconds = time.monotonic() - start
             progress(result)
-            over = options.minutes > 0 and result.wall_seconds > 60 * options.minutes
-            if over or (result.found and not options.keep_going) or len(result.found) >= MAX_FAILURES:
+            timed_out = options.minutes > 0 and result.wall_seconds > 60 * options.minutes
+            if timed_out or (result.found and not options.keep_going) or len(result.found) >= MAX_FAILURES:
                 break
     return result
 
 
-def _play_seed(day: Scenario, weights: dict[str, float], play: Play, seed: int) -> PlayResult:
-    return play(draw_scenario(day, seed, weights))
+def _play_seed(base: Scenario, weights: dict[str, float], play: Play, seed: int) -> PlayResult:
+    return play(draw_scenario(base, seed, weights))
 
 
 MapSeeds = Callable[[Callable[[int], PlayResult], Iterable[int]], Iterable[PlayResult]]
@@ -113,39 +118,41 @@
 
 def _add_round(
     result: SearchResult,
-    day: Scenario,
+    base: Scenario,
     weights: dict[str, float],
-    examined: list[PlayResult],
+    plays: list[PlayResult],
     keep_going: bool,
     play: Play,
 ) -> None:
-    for one in examined:
-        result.coverage.add(one.met)
-        result.seeds, result.tries = result.seeds + 1, result.tries + one.tries
-        result.simulated_seconds += one.seconds
-        for category in dict.fromkeys(failure.category for failure in one.failures):
+    for played in plays:
+        result.coverage.add(played.met)
+        result.seeds, result.tries = result.seeds + 1, result.tries + played.tries
+        result.simulated_seconds += played.seconds
+        for category in dict.fromkeys(failure.category for failure in played.failures):
             result.categories[category] += 1
             known = any(found.failure.category == category for found in result.found)
             if known or (result.found and not keep_going) or len(result.found) >= MAX_FAILURES:
                 continue
-            result.found.append(_shrink_failure(draw_scenario(day, one.seed, weights), one, category, play))
+            result.found.append(
+                _shrink_failure(draw_scenario(base, played.seed, weights), played, category, play)
+            )
 
 
-def _shrink_failure(scenario: Scenario, one: PlayResult, category: str, play: Play) -> FoundFailure:
+def _shrink_failure(scenario: Scenario, played: PlayResult, category: str, play: Play) -> FoundFailure:
     small, plays = shrink(scenario, lambda candidate: play(candidate).has_failure(category))
     failure = next(
         (f for f in play(small).failures if f.category == category),
-        next(f for f in one.failures if f.category == category),
+        next(f for f in played.failures if f.category == category),
     )
-    return FoundFailure(one.seed, failure, small, plays, describe_size(small))
+    return FoundFailure(played.seed, failure, small, plays, describe_size(small))
 
 
 def write_scenario(found: FoundFailure, folder: Path) -> Path:
-    """The scenario file that plays a find again."""
+    """Writes the scenario file that reproduces a failure and returns its path."""
     path = folder / f"{found.scenario.name}-{found.seed}-{found.failure.category.replace(' ', '-')}.toml"
     lines = [
         f"# Found by fawnseam explore: {found.failure.category}",
-        f"# {_comment(found.failure.text)}",
+        f"# {_printable_line(found.failure.text)}",
         f"# Again: fawnseam explore {path.name} --again; as a rehearsal: fawnseam rehearse {path.name} --virtual",
         f"# {found.size}",
         "",
@@ -156,5 +163,5 @@
     return path
 
 
-def _comment(text: str) -> str:
+def _printable_line(text: str) -> str:
     return "".join(c if c.isprintable() else "?" for c in text)[:300]
