--- a/cypresspulley/explore/shrink.py
+++ b/cypresspulley/explore/shrink.py
@@ -1,4 +1,7 @@
-"""A find made small: fewer faults, limiters and requests, a shorter day; free of I/O but for the plays it asks for."""
+"""Shrinks a failing scenario to fewer faults, limiters and requests and a shorter duration.
+
+Performs no I/O of its own; the caller's predicate plays the candidates.
+"""
 
 from __future__ import annotations
 
@@ -14,14 +17,17 @@
 )
 
 MAX_PLAYS = 150
-MIN_INSIDE_RATE = 2.0
-MIN_SECONDS = 1.0
+MIN_INSIDE_RATE = 2.0  # requests per second within quota
+MIN_SECONDS = 1.0  # duration of the scenario
 
 
 def shrink(
     scenario: Scenario, still_fails: Callable[[Scenario], bool], plays: int = MAX_PLAYS
 ) -> tuple[Scenario, int]:
-    """The smallest scenario found on which ``still`` is true, and the plays that it took; greedy, large cuts first."""
+    """Returns the smallest scenario found on which ``still_fails`` is true, and the number of plays used.
+
+    The search is greedy and tries large cuts first.
+    """
     used, improved = 0, True
     while improved:
         improved = False
@@ -31,7 +37,7 @@
             try:
                 candidate = parse_scenario(raw, scenario.name)
             except ScenarioError:
-                continue  # a fault of it names what was cut away
+                continue  # one of its faults targets something that the cut removed
             used += 1
             if still_fails(candidate):
                 scenario, improved = candidate, True
@@ -40,7 +46,7 @@
 
 
 def _smaller_scenarios(scenario: Scenario) -> Iterator[RawScenario]:
-    """Scenarios with one thing less each."""
+    """Yields variants of the scenario, each with one cut applied."""
     return (_apply_cut(scenario, cut) for cut in _cuts(scenario))
 
 
@@ -90,7 +96,7 @@
 
 
 def describe_size(scenario: Scenario) -> str:
-    """In words, for the report."""
+    """Describes the scenario's size for the report."""
     return (
         f"{len(scenario.faults)} faults, {len(limiter_names(scenario))} limiters, {scenario.fleet.servers} servers, "
         f"{scenario.load.inside:g} requests a second, {scenario.seconds:g} s"
