--- a/benchmarks/together_plays.py
+++ b/benchmarks/together_plays.py
@@ -37,7 +37,7 @@
     history: MemoryHistory, name: str, life: int, bounds: dict[str, float] | None = None
 ) -> MemoryHistory:
     """A life's first event."""
-    history.opened_at(life)
+    history.open_life(life)
     history.put(Kind.START, name=name, life=life, zone="", period=0.5, bounds=bounds or {})
     return history
 
--- a/cypresspulley/explore/examine.py
+++ b/cypresspulley/explore/examine.py
@@ -14,7 +14,7 @@
 from cypresspulley import interface as api
 from cypresspulley.explore.coverage import NO_FAULT, Pair
 from cypresspulley.explore.lifecycle import CeilingBudgets, LifecycleModel, ServerFacts, Violation
-from cypresspulley.histories.verdict import NOTHING
+from cypresspulley.histories.verdict import NOTHING_TO_CHECK
 from cypresspulley.policy.gateway import Gateway
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.judge import judge
@@ -209,4 +209,4 @@
 def _broken_promise(checker: str, text: str) -> Failure | None:
     """Returns the failure for a history checker's finding, or None where the play was too short to check anything."""
     promise = text.partition(":")[0]
-    return None if promise == NOTHING else Failure(f"{checker} {promise}", text.replace("\n", "; "))
+    return None if promise == NOTHING_TO_CHECK else Failure(f"{checker} {promise}", text.replace("\n", "; "))
--- a/cypresspulley/fleet/limiter.py
+++ b/cypresspulley/fleet/limiter.py
@@ -148,7 +148,7 @@
         self._history.put(Kind.SETTLED, settled=action.settled, digest=digest, members=action.members)
 
     def _open_history(self, life: int) -> None:
-        self._history.opened_at(life)
+        self._history.open_life(life)
         period = self._options.period
         own_bounds = {
             "detect": timing.detect_bound(self._size, period),
--- a/cypresspulley/histories/clock.py
+++ b/cypresspulley/histories/clock.py
@@ -15,8 +15,8 @@
 
 log = logging.getLogger(__name__)
 
-LOOK = 0.05  # seconds between two looks at the file
-MOST = 200  # bytes of it
+CHECK_INTERVAL_SECONDS = 0.05  # seconds between two looks at the file
+MAX_FILE_BYTES = 200  # bytes of it
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
         return f"{self.offset!r} {self.ppm!r} {self.since!r}\n"
 
 
-def shift_from(text: str) -> Shift:
+def parse_shift(text: str) -> Shift:
     """``ValueError`` where it is no three finite numbers."""
     words = text.split()
     if len(words) != 3:
@@ -56,26 +56,26 @@
         steady: Callable[[], float] = time.monotonic,
     ) -> None:
         self._path, self._base, self._steady = path, base, steady
-        self._shift, self._stamp, self._next = Shift(), (-1, -1), -math.inf
+        self._shift, self._file_stamp, self._next_check_at = Shift(), (-1, -1), -math.inf
 
     def __repr__(self) -> str:
         return f"<ShiftedClock {self._path} {self._shift}>"
 
     def __call__(self) -> float:
         now = self._steady()
-        if now >= self._next:
-            self._next = now + LOOK
-            self._look()
+        if now >= self._next_check_at:
+            self._next_check_at = now + CHECK_INTERVAL_SECONDS
+            self._reload_file()
         return self._shift.at(self._base())
 
-    def _look(self) -> None:
+    def _reload_file(self) -> None:
         """What cannot be read changes nothing: the clock goes on as it went."""
         try:
             found = os.stat(self._path)
-            if (stamp := (found.st_mtime_ns, found.st_ino)) == self._stamp:
+            if (stamp := (found.st_mtime_ns, found.st_ino)) == self._file_stamp:
                 return
-            self._stamp = stamp
+            self._file_stamp = stamp
             with open(self._path, encoding="ascii") as file:
-                self._shift = shift_from(file.read(MOST))
+                self._shift = parse_shift(file.read(MAX_FILE_BYTES))
         except (OSError, ValueError) as error:
             log.error("the clock of this rehearsal stays as it is: %s: %s", self._path, error)
--- a/cypresspulley/histories/forms.py
+++ b/cypresspulley/histories/forms.py
@@ -167,7 +167,7 @@
     missing: list[str]
 
 
-FORMS: dict[Kind, type[Event]] = {
+EVENT_TYPES: dict[Kind, type[Event]] = {
     Kind.START: Start,
     Kind.END: End,
     Kind.MEMBER: MemberSeen,
--- a/cypresspulley/histories/read.py
+++ b/cypresspulley/histories/read.py
@@ -13,18 +13,18 @@
 
 import msgspec
 
-from cypresspulley.histories.forms import FORMS, Event, Start
+from cypresspulley.histories.forms import EVENT_TYPES, Event, Start
 
 HARNESS = "harness"  # the name in its ``start``
-MOST_FILES = 4096
-MOST_BYTES = 128 * 1024 * 1024  # of one file: twice what a writer writes
-MOST_LINE = 64 * 1024  # bytes, its end included; the harness's truths have a line a play
-MOST_TRUTH = 4 * 1024 * 1024
-MOST_EVENTS = 2_000_000  # of all histories together
-PATTERN = "*.jsonl"
+MAX_FILES = 4096
+MAX_FILE_BYTES = 128 * 1024 * 1024  # of one file: twice what a writer writes
+MAX_LINE_BYTES = 64 * 1024  # bytes, its end included; the harness's truths have a line a play
+MAX_TRUTH_LINE_BYTES = 4 * 1024 * 1024
+MAX_TOTAL_EVENTS = 2_000_000  # of all histories together
+FILE_PATTERN = "*.jsonl"
 
-_FORM = Union[tuple(FORMS.values())]  # type: ignore[valid-type]  # noqa: UP007  # a union of what the table lists
-_decoder: msgspec.json.Decoder[Any] = msgspec.json.Decoder(_FORM)
+_EVENT_UNION = Union[tuple(EVENT_TYPES.values())]  # type: ignore[valid-type]  # noqa: UP007  # a union of what the table lists
+_decoder: msgspec.json.Decoder[Any] = msgspec.json.Decoder(_EVENT_UNION)
 
 
 class HistoryError(ValueError):
@@ -37,7 +37,7 @@
 
     source: str
     events: tuple[Event, ...]
-    cut: bool = False
+    truncated: bool = False
 
     @property
     def start(self) -> Start:
@@ -54,7 +54,7 @@
         return self.start.life
 
     def __repr__(self) -> str:
-        return f"<History of {self.name} life {self.life}, {len(self.events)} events{', cut' if self.cut else ''}>"
+        return f"<History of {self.name} life {self.life}, {len(self.events)} events{', cut' if self.truncated else ''}>"
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,27 +67,27 @@
 
 def read_folder(folder: Path) -> Histories:
     """All histories of a folder (``*.jsonl``). ``HistoryError`` also where it has none, ``OSError`` as it comes."""
-    files = sorted(folder.glob(PATTERN))
+    files = sorted(folder.glob(FILE_PATTERN))
     if not files:
-        raise HistoryError(f"{folder}: expected at least one history {PATTERN}")
+        raise HistoryError(f"{folder}: expected at least one history {FILE_PATTERN}")
     return read_files(files)
 
 
 def read_files(files: Sequence[Path]) -> Histories:
     """Histories of these files, in any order. A file whose writer was killed before its first line is passed over."""
-    if len(files) > MOST_FILES:
-        raise HistoryError(f"{len(files)} histories: expected at most {MOST_FILES}")
-    room, found = MOST_EVENTS, []
+    if len(files) > MAX_FILES:
+        raise HistoryError(f"{len(files)} histories: expected at most {MAX_FILES}")
+    max_events, found = MAX_TOTAL_EVENTS, []
     for file in files:
         size = file.stat().st_size
-        if size > MOST_BYTES:
-            raise HistoryError(f"{file}: {size} bytes: expected at most {MOST_BYTES}")
+        if size > MAX_FILE_BYTES:
+            raise HistoryError(f"{file}: {size} bytes: expected at most {MAX_FILE_BYTES}")
         with file.open("rb") as stream:
-            history = read_lines(_lines(str(file), stream), str(file), room)
-        room -= len(history.events)
+            history = read_lines(_bounded_lines(str(file), stream), str(file), max_events)
+        max_events -= len(history.events)
         if history.events:
             found.append(history)
-    return gathered(found)
+    return merge_histories(found)
 
 
 def from_memory(lives: Iterable[Sequence[dict[str, Any]]]) -> Histories:
@@ -95,15 +95,15 @@
     found = []
     for number, events in enumerate(lives):
         source = f"memory {number}"
-        checked = _checked(
-            source, (_converted(source, at, event) for at, event in enumerate(events)), MOST_EVENTS
+        checked = _validate_events(
+            source, (_convert_event(source, at, event) for at, event in enumerate(events)), MAX_TOTAL_EVENTS
         )
         if checked:
             found.append(History(source, checked))
-    return gathered(found)
+    return merge_histories(found)
 
 
-def gathered(found: Iterable[History]) -> Histories:
+def merge_histories(found: Iterable[History]) -> Histories:
     """Put histories together; ``HistoryError`` where two are of one process and life."""
     by_life: dict[tuple[str, int], History] = {}
     for history in found:
@@ -121,38 +121,38 @@
     return Histories(lives, harness[0] if harness else None)
 
 
-def read_lines(lines: Iterable[bytes], source: str, room: int = MOST_EVENTS) -> History:
+def read_lines(lines: Iterable[bytes], source: str, max_events: int = MAX_TOTAL_EVENTS) -> History:
     """One history from its lines, each with its end; the last may lack it (killed while it was written)."""
-    cut = False
+    truncated = False
 
-    def whole() -> Iterator[Event]:
-        nonlocal cut
+    def complete_events() -> Iterator[Event]:
+        nonlocal truncated
         for number, line in enumerate(lines, 1):
-            if cut:
+            if truncated:
                 raise HistoryError(
                     f"{source}: line {number - 1}: expected an end of line, since others follow"
                 )
             if not line.endswith(b"\n"):
-                cut = True
+                truncated = True
                 continue
-            yield _decoded(source, number, line)
+            yield _decode_event(source, number, line)
 
-    events = _checked(source, whole(), room)
-    return History(source, events, cut)
+    events = _validate_events(source, complete_events(), max_events)
+    return History(source, events, truncated)
 
 
-def _lines(source: str, stream: Any) -> Iterator[bytes]:
+def _bounded_lines(source: str, stream: Any) -> Iterator[bytes]:
     """Lines of a file, none longer than may be."""
     number = 0
-    while line := stream.readline(MOST_TRUTH + 1):
+    while line := stream.readline(MAX_TRUTH_LINE_BYTES + 1):
         number += 1
-        most = MOST_TRUTH if b'"kind":"truth"' in line[:200] else MOST_LINE
+        most = MAX_TRUTH_LINE_BYTES if b'"kind":"truth"' in line[:200] else MAX_LINE_BYTES
         if len(line) > most:
             raise HistoryError(f"{source}: line {number}: over {most} bytes: expected at most that many")
         yield line
 
 
-def _decoded(source: str, number: int, line: bytes) -> Event:
+def _decode_event(source: str, number: int, line: bytes) -> Event:
     try:
         event: Event = _decoder.decode(line)
     except (msgspec.DecodeError, RecursionError) as error:  # a ValidationError is a DecodeError
@@ -160,22 +160,22 @@
     return event
 
 
-def _converted(source: str, at: int, event: dict[str, Any]) -> Event:
+def _convert_event(source: str, at: int, event: dict[str, Any]) -> Event:
     try:
-        converted: Event = msgspec.convert(event, _FORM)
+        converted: Event = msgspec.convert(event, _EVENT_UNION)
     except msgspec.ValidationError as error:
         raise HistoryError(f"{source}: event {at + 1}: {error}") from None
     return converted
 
 
-def _checked(source: str, events: Iterable[Event], room: int) -> tuple[Event, ...]:
+def _validate_events(source: str, events: Iterable[Event], max_events: int) -> tuple[Event, ...]:
     """Events of one life: the first a start and no other, ``seq`` without a gap, ``mono`` never back."""
     kept: list[Event] = []
     for event in events:
         line = len(kept) + 1
-        if line > room:
+        if line > max_events:
             raise HistoryError(
-                f"{source}: line {line}: expected at most {MOST_EVENTS} events in all histories"
+                f"{source}: line {line}: expected at most {MAX_TOTAL_EVENTS} events in all histories"
             )
         if event.seq != len(kept):
             raise HistoryError(f"{source}: line {line}: seq {event.seq}: expected {len(kept)}, without a gap")
--- a/cypresspulley/histories/verdict.py
+++ b/cypresspulley/histories/verdict.py
@@ -13,7 +13,7 @@
 from cypresspulley.histories.read import History
 
 MOST_FINDINGS = 50  # of one checker: a broken promise tends to break all day
-NOTHING = "nothing to check"
+NOTHING_TO_CHECK = "nothing to check"
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,7 +107,9 @@
         findings = sorted(self._found.values(), key=_first)
         checked = sum(self._checked.values())
         if not checked:
-            findings.append(Finding(NOTHING, f"no event here puts a promise of {self._name} to the test"))
+            findings.append(
+                Finding(NOTHING_TO_CHECK, f"no event here puts a promise of {self._name} to the test")
+            )
         return Verdict(
             self._name, checked, tuple(findings[:MOST_FINDINGS]), dict(sorted(self._checked.items()))
         )
--- a/cypresspulley/histories/writer.py
+++ b/cypresspulley/histories/writer.py
@@ -17,14 +17,14 @@
 
 log = logging.getLogger(__name__)
 
-MOST_BYTES = 64 * 1024 * 1024  # of one history: a day's rehearsal writes some MB
-MOST_EVENTS = 1_000_000  # of one life in memory
+MAX_FILE_BYTES = 64 * 1024 * 1024  # of one history: a day's rehearsal writes some MB
+MAX_EVENTS_IN_MEMORY = 1_000_000  # of one life in memory
 
 
 class NoHistory:
     """Where no history is wanted."""
 
-    def opened_at(self, life: int) -> None: ...
+    def open_life(self, life: int) -> None: ...
 
     def put(self, kind: Kind, **facts: Any) -> None: ...
 
@@ -43,7 +43,7 @@
     def __repr__(self) -> str:
         return f"<History {self._path}, {self._seq} events, {'open' if self._file is not None else 'shut'}>"
 
-    def opened_at(self, life: int) -> None:
+    def open_life(self, life: int) -> None:
         """Begin the file of this life. ``OSError`` where it cannot be made."""
         self.close()
         self._seq = self._bytes = 0
@@ -51,15 +51,15 @@
         self._file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o644)
 
     def put(self, kind: Kind, **facts: Any) -> None:
-        """Write one event; see ``events.FACTS`` for what each kind has. Before ``opened_at`` nothing is written."""
+        """Write one event; see ``events.FACTS`` for what each kind has. Before ``open_life`` nothing is written."""
         if self._file is None:
             return
         event = {"seq": self._seq, "wall": self._wall(), "mono": self._clock(), "kind": str(kind), **facts}
         line = self._encoder.encode(event) + b"\n"
         self._seq, self._bytes = self._seq + 1, self._bytes + len(line)
         try:
-            if self._bytes > MOST_BYTES:
-                raise OSError(f"over {MOST_BYTES} bytes")
+            if self._bytes > MAX_FILE_BYTES:
+                raise OSError(f"over {MAX_FILE_BYTES} bytes")
             # One call a line: what is killed between two lines loses none. A full disk takes part of one and no error.
             if os.write(self._file, line) != len(line):
                 raise OSError("a line was written in part")
@@ -93,7 +93,7 @@
         """Those of the last life that was opened."""
         return self.lives[-1] if self.lives else []
 
-    def opened_at(self, life: int) -> None:
+    def open_life(self, life: int) -> None:
         self.lives.append([])
         self._open = True
 
@@ -103,8 +103,8 @@
         events = self.lives[-1]
         event = {"seq": len(events), "wall": self._wall(), "mono": self._clock(), "kind": str(kind), **facts}
         events.append(msgspec.to_builtins(event))  # a copy: what the writer changes later stays out
-        if len(events) >= MOST_EVENTS:
-            log.error("the history ends here: over %d events", MOST_EVENTS)
+        if len(events) >= MAX_EVENTS_IN_MEMORY:
+            log.error("the history ends here: over %d events", MAX_EVENTS_IN_MEMORY)
             self.close()
 
     def close(self) -> None:
--- a/cypresspulley/rehearsal/checks.py
+++ b/cypresspulley/rehearsal/checks.py
@@ -11,7 +11,7 @@
 
 from cypresspulley.histories.check import check_all
 from cypresspulley.histories.events import Kind
-from cypresspulley.histories.read import PATTERN, Histories
+from cypresspulley.histories.read import FILE_PATTERN, Histories
 from cypresspulley.histories.verdict import Finding
 from cypresspulley.rehearsal import records as log
 
@@ -30,7 +30,7 @@
 def calendar_events(folder: Path) -> list[dict[str, Any]]:
     """Events of calendars in a folder's histories so far; a line that is being written is passed over."""
     found = list[dict[str, Any]]()
-    for file in sorted(folder.glob(PATTERN)):
+    for file in sorted(folder.glob(FILE_PATTERN)):
         for line in file.read_bytes().splitlines():
             if MARK in line:
                 with contextlib.suppress(msgspec.DecodeError):
--- a/cypresspulley/rehearsal/harness.py
+++ b/cypresspulley/rehearsal/harness.py
@@ -29,7 +29,7 @@
         self._kept = set[str]()
         self._down = dict[str, str]()
         self._over = False
-        history.opened_at(int(now * 1000))
+        history.open_life(int(now * 1000))
         history.put(Kind.START, name=NAME, life=int(now * 1000), zone="", period=0.0, bounds={})
 
     def __repr__(self) -> str:
--- a/tests/closing/world.py
+++ b/tests/closing/world.py
@@ -36,7 +36,7 @@
     def __init__(self, now: Callable[[], float] = float) -> None:
         self.events, self.times, self._now = list[tuple[Kind, dict[str, Any]]](), list[float](), now
 
-    def opened_at(self, life: int) -> None: ...
+    def open_life(self, life: int) -> None: ...
 
     def put(self, kind: Kind, **facts: Any) -> None:
         assert set(facts) == set(FACTS[kind]), kind
--- a/tests/histories/test_checkers.py
+++ b/tests/histories/test_checkers.py
@@ -13,7 +13,7 @@
 from cypresspulley.histories.check import CHECKERS, as_json, check_all
 from cypresspulley.histories.events import Kind
 from cypresspulley.histories.read import HARNESS, Histories, from_memory
-from cypresspulley.histories.verdict import NOTHING, Verdict
+from cypresspulley.histories.verdict import NOTHING_TO_CHECK, Verdict
 from tests.histories.plays import (
     BEGIN,
     PLAYS,
@@ -178,7 +178,7 @@
 def test_what_has_nothing_to_check_is_a_finding() -> None:
     for verdict in check_all(histories(day(10.0)), CHECKERS):
         assert (verdict.checked, verdict.kept) == (0, False)
-        assert [finding.promise for finding in verdict.findings] == [NOTHING]
+        assert [finding.promise for finding in verdict.findings] == [NOTHING_TO_CHECK]
 
 
 def test_the_json_has_what_the_command_shows() -> None:
--- a/tests/histories/test_read.py
+++ b/tests/histories/test_read.py
@@ -16,7 +16,7 @@
 
 from cypresspulley.histories import read, writer
 from cypresspulley.histories.events import BOUNDS, FACTS, Kind
-from cypresspulley.histories.forms import FORMS, Event
+from cypresspulley.histories.forms import EVENT_TYPES, Event
 from cypresspulley.histories.read import HistoryError, read_files, read_folder, read_lines
 from tests.histories.plays import BOUNDS as PLAYED
 from tests.histories.plays import PLAYS, lists
@@ -33,9 +33,9 @@
 
 def test_forms_have_the_facts_of_each_kind() -> None:
     head = set(get_type_hints(Event))
-    assert set(FORMS) == set(FACTS) == set(Kind)
-    for kind, form in FORMS.items():
-        assert [name for name in form.__struct_fields__ if name not in head] == list(FACTS[kind]), kind
+    assert set(EVENT_TYPES) == set(FACTS) == set(Kind)
+    for kind, event_type in EVENT_TYPES.items():
+        assert [name for name in event_type.__struct_fields__ if name not in head] == list(FACTS[kind]), kind
     assert set(PLAYED) == set(BOUNDS)
 
 
@@ -44,7 +44,7 @@
     assert len(read_lines(lines, "x").events) == 2
     for length in range(len(lines[1])):
         history = read_lines([lines[0], *([lines[1][:length]] if length else [])], "x")
-        assert (len(history.events), history.cut) == (1, length > 0)
+        assert (len(history.events), history.truncated) == (1, length > 0)
     with pytest.raises(HistoryError, match="x: line 1: expected an end of line"):
         read_lines([lines[0][:-1], lines[1]], "x")
 
@@ -82,7 +82,12 @@
     (tmp_path / "twice.jsonl").write_bytes(b"".join(encoded(START)))
     with pytest.raises(HistoryError, match=r"twice.jsonl: a in life 3: expected one .*a.jsonl"):
         read_folder(tmp_path)
-    for name, least in (("MOST_EVENTS", 1), ("MOST_LINE", 99), ("MOST_BYTES", 120), ("MOST_FILES", 0)):
+    for name, least in (
+        ("MAX_TOTAL_EVENTS", 1),
+        ("MAX_LINE_BYTES", 99),
+        ("MAX_FILE_BYTES", 120),
+        ("MAX_FILES", 0),
+    ):
         with (
             monkeypatch.context() as patched,
             pytest.raises(HistoryError, match=f"at most .*{least}|at most that many"),
@@ -112,7 +117,7 @@
 from cypresspulley.histories.events import Kind
 from cypresspulley.histories.writer import History
 history = History(sys.argv[1], time.monotonic, time.time)
-history.opened_at(4)
+history.open_life(4)
 history.put(Kind.START, name="a", life=4, zone="", period=0.5, bounds={})
 number = 0
 while True:
@@ -151,7 +156,7 @@
 def test_a_line_written_in_part_ends_the_history(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     history = writer.History(str(tmp_path / "a.jsonl"), lambda: 1.0, lambda: 1.0)
     history.put(Kind.END, reason="before it is opened nothing is written")
-    history.opened_at(3)
+    history.open_life(3)
     history.put(Kind.START, name="a", life=3, zone="", period=0.5, bounds={})
     whole = os.write
     with monkeypatch.context() as patched:
@@ -159,7 +164,7 @@
         history.put(Kind.END, reason="the disk is full")
     history.put(Kind.END, reason="and has room again")
     (read_back,) = read_folder(tmp_path).lives
-    assert len(read_back.events) == 1 and read_back.cut
+    assert len(read_back.events) == 1 and read_back.truncated
 
 
 def test_memory_keeps_the_same_as_a_file(tmp_path: Path) -> None:
@@ -171,7 +176,7 @@
     for history in (memory, file):
         history.put(Kind.END, reason="unopened")
         for life in (3, 4):
-            history.opened_at(life)
+            history.open_life(life)
             history.put(Kind.START, name="a", life=life, zone="", period=0.5, bounds=passed)
             history.put(Kind.PURGE, account="x", issuer="a", life=3, number=1, what="no", missing=("b", "c"))
         history.close()
--- a/tests/rehearsal/test_together.py
+++ b/tests/rehearsal/test_together.py
@@ -15,7 +15,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cypresspulley.histories.clock import Shift, ShiftedClock, shift_from
+from cypresspulley.histories.clock import Shift, ShiftedClock, parse_shift
 from cypresspulley.histories.events import FACTS, Kind
 from cypresspulley.histories.read import HARNESS, Histories, from_memory, read_folder
 from cypresspulley.histories.writer import MemoryHistory
@@ -335,10 +335,10 @@
 @given(st.text(max_size=40))
 def test_a_clocks_file_is_three_finite_numbers_or_refused(text: str) -> None:
     try:
-        shift = shift_from(text)
+        shift = parse_shift(text)
     except ValueError:
         return
-    assert shift == shift_from(shift.line())
+    assert shift == parse_shift(shift.line())
 
 
 def test_the_operators_file_takes_a_clock_for_rehearsals_and_no_other_key(tmp_path: Path) -> None:
