--- a/cypresspulley/histories/check_closing.py
+++ b/cypresspulley/histories/check_closing.py
@@ -35,8 +35,8 @@
     Served,
 )
 from cypresspulley.histories.read import Histories, History
-from cypresspulley.histories.timeline import APART, Life, Timeline, bound, events_of
-from cypresspulley.histories.verdict import Line, Tally, Verdict, line
+from cypresspulley.histories.timeline import CLOCK_SKEW_SECONDS, Life, Timeline, events_of, stated_bound
+from cypresspulley.histories.verdict import ExcerptLine, Tally, Verdict, excerpt_line
 
 NAME = "closing"
 PROMISES = (
@@ -113,8 +113,8 @@
             if event.status == 200 and event.id in asked
         ]
 
-    def lines(self, *events: Event) -> list[Line]:
-        return [line(self.harness, event) for event in events]
+    def lines(self, *events: Event) -> list[ExcerptLine]:
+        return [excerpt_line(self.harness, event) for event in events]
 
 
 def _gone_at_close(tally: Tally, truth: _Truth, talk: _Talk) -> None:
@@ -122,14 +122,14 @@
         for call, answer, made in answered:
             if not truth.has(account):
                 continue
-            tally.checked("gone at close")
+            tally.count_check("gone at close")
             closing = truth.between(account, made, call.mono - truth.apart)
             if closing is not None:
                 text = (
                     f"a call of {account} began {call.mono - closing:.3f} s after the closing at {closing:.3f} and got "
                     f"an answer made {closing - made:.3f} s before it"
                 )
-                tally.found("gone at close", text, talk.lines(call, answer))
+                tally.add_finding("gone at close", text, talk.lines(call, answer))
 
 
 def _never_back(tally: Tally, truth: _Truth, talk: _Talk) -> None:
@@ -148,14 +148,14 @@
             ended = bisect_left(ends, call.mono)
             if not ended:
                 continue
-            tally.checked("never back")
+            tally.count_check("never back")
             seen, seen_call, seen_answer = highest[ended - 1]
             generation = truth.generation(account, made)
             if generation < seen:
                 text = (
                     f"{account} had an answer of generation {seen}, and a later call got one of {generation}"
                 )
-                tally.found("never back", text, talk.lines(seen_call, seen_answer, call, answer))
+                tally.add_finding("never back", text, talk.lines(seen_call, seen_answer, call, answer))
 
 
 def _yes_means_gone(tally: Tally, talk: _Talk) -> None:
@@ -163,20 +163,22 @@
         for call, answer, made in talk.answered.get(asked.account, ()):
             if call.mono <= yes.mono:
                 continue
-            tally.checked("yes means gone")
+            tally.count_check("yes means gone")
             if made < asked.mono:
                 text = f"after the yes to a purge of {asked.account} a call got what was made before it"
-                tally.found("yes means gone", text, talk.lines(asked, yes, call, answer))
+                tally.add_finding("yes means gone", text, talk.lines(asked, yes, call, answer))
 
 
 def _fired_once(tally: Tally, history: History) -> None:
     noticed: dict[tuple[str, int | str, int], Closed] = {}
     for event in events_of(history, Closed):
-        tally.checked("fired once")
+        tally.count_check("fired once")
         key = event.place, event.version, event.ordinal
         if key in noticed:
             text = f"{history.name} noticed closing {event.ordinal} of {event.place} twice in one life"
-            tally.found("fired once", text, [line(history, noticed[key]), line(history, event)])
+            tally.add_finding(
+                "fired once", text, [excerpt_line(history, noticed[key]), excerpt_line(history, event)]
+            )
         noticed.setdefault(key, event)
 
 
@@ -196,14 +198,16 @@
             since = forced.get(closed.version)
             later = [mono for mono in forced.values() if since is not None and mono > since]
             known = since is not None and since < closed.at - truth.apart
-            begin = closed.at + truth.apart + APART
+            begin = closed.at + truth.apart + CLOCK_SKEW_SECONDS
             if not known or any(mono < begin + SURE for mono in later) or not _sure(times, life, begin):
                 continue
-            tally.checked("lost by none")
+            tally.count_check("lost by none")
             if key not in noticed[life.name, life.history.life]:
                 text = f"{life.name} never noticed closing {closed.ordinal} of {closed.place}, as {history.name} did"
-                tally.found(
-                    "lost by none", text, [line(life.history, life.history.start), line(history, closed)]
+                tally.add_finding(
+                    "lost by none",
+                    text,
+                    [excerpt_line(life.history, life.history.start), excerpt_line(history, closed)],
                 )
 
 
@@ -214,7 +218,7 @@
     for (since, doubt), until in zip(moments, ends, strict=False):
         since, until = max(since, begin), min(until, life.end, times.stop)
         if not doubt and until - since > SURE:
-            return not times.silent(life.name, begin, since + SURE)
+            return not times.was_paused(life.name, begin, since + SURE)
     return False
 
 
@@ -226,11 +230,11 @@
         if isinstance(event, Doubt):
             doubt = event if event.doubt else None
         elif isinstance(event, Kept | Served):
-            tally.checked("doubt")
+            tally.count_check("doubt")
             if doubt is not None:
                 did = "kept" if isinstance(event, Kept) else "served"
                 text = f"{history.name} {did} an answer for {event.account} while it was in doubt"
-                tally.found("doubt", text, [line(history, doubt), line(history, event)])
+                tally.add_finding("doubt", text, [excerpt_line(history, doubt), excerpt_line(history, event)])
 
 
 def _one_generation(tally: Tally, truth: _Truth, history: History) -> None:
@@ -245,20 +249,22 @@
                 _differ(tally, truth, history, before, event)
             kept[event.account, event.key] = newest[event.account] = event
         elif isinstance(event, Served):
-            tally.checked("one generation")
+            tally.count_check("one generation")
             closing = truth.between(event.account, event.made + truth.apart, event.mono - truth.apart)
             if closing is not None:
                 text = (
                     f"{history.name} served {event.account} {event.mono - closing:.3f} s after the closing at "
                     f"{closing:.3f} what was asked for before it"
                 )
-                tally.found("one generation", text, [line(history, event)])
+                tally.add_finding("one generation", text, [excerpt_line(history, event)])
             origin = kept.get((event.account, event.key))
             if origin is not None and origin.sent == event.made and origin.generation != event.generation:
                 text = (
                     f"{history.name} served {event.account} under another generation than it was kept under"
                 )
-                tally.found("one generation", text, [line(history, origin), line(history, event)])
+                tally.add_finding(
+                    "one generation", text, [excerpt_line(history, origin), excerpt_line(history, event)]
+                )
 
 
 def _differ(tally: Tally, truth: _Truth, history: History, before: Kept, after: Kept) -> None:
@@ -267,31 +273,33 @@
     closing = truth.between(early.account, early.sent + truth.apart, late.sent - truth.apart)
     if closing is None:
         return
-    tally.checked("one generation")
+    tally.count_check("one generation")
     if early.generation == late.generation:
         text = f"{history.name} kept answers for {early.account} from both sides of {closing:.3f} in one generation"
-        tally.found("one generation", text, [line(history, before), line(history, after)])
+        tally.add_finding(
+            "one generation", text, [excerpt_line(history, before), excerpt_line(history, after)]
+        )
 
 
 def _purged_in_time(tally: Tally, truth: _Truth, histories: Histories) -> None:
     """Own purges hold at once, the others' from the bound on; a yes ends the wait."""
-    purges: dict[str, list[tuple[Line, Purge, float]]] = defaultdict(
+    purges: dict[str, list[tuple[ExcerptLine, Purge, float]]] = defaultdict(
         list
     )  # by account: asked, and gone everywhere by
     for history in histories.lives:
-        within = bound(history, "purge")
+        within = stated_bound(history, "purge")
         yes = {event.number: event.mono for event in events_of(history, Purge) if event.what == "yes"}
         for event in events_of(history, Purge):
             if event.what == "asked" and within is not None:
                 by = min(event.mono + within, yes.get(event.number, event.mono + within))
-                purges[event.account].append((line(history, event), event, by))
+                purges[event.account].append((excerpt_line(history, event), event, by))
     for history in histories.lives:
         for served in events_of(history, Served):
             for shown, purge, by in purges.get(served.account, ()):
                 own = history.name == purge.issuer and history.life == purge.life
-                if served.mono <= (purge.mono if own else by + APART):
+                if served.mono <= (purge.mono if own else by + CLOCK_SKEW_SECONDS):
                     continue
-                tally.checked("purged in time")
+                tally.count_check("purged in time")
                 if served.made < purge.mono - truth.apart:
                     text = f"{history.name} served {served.account} what was kept before a purge by {purge.issuer}"
-                    tally.found("purged in time", text, [shown, line(history, served)])
+                    tally.add_finding("purged in time", text, [shown, excerpt_line(history, served)])
--- a/cypresspulley/histories/check_fleet.py
+++ b/cypresspulley/histories/check_fleet.py
@@ -19,8 +19,15 @@
 
 from cypresspulley.histories.forms import Event, MemberSeen, RowTaken, Settled
 from cypresspulley.histories.read import Histories
-from cypresspulley.histories.timeline import APART, ENDED, Life, Timeline, bound, events_of
-from cypresspulley.histories.verdict import Line, Tally, Verdict, line
+from cypresspulley.histories.timeline import (
+    CLOCK_SKEW_SECONDS,
+    PROCESS_END_KINDS,
+    Life,
+    Timeline,
+    events_of,
+    stated_bound,
+)
+from cypresspulley.histories.verdict import ExcerptLine, Tally, Verdict, excerpt_line
 
 NAME = "fleet"
 PROMISES = (
@@ -68,8 +75,8 @@
         for event in self.seen:
             self.by_member.setdefault(event.member, []).append(event)
 
-    def line(self, event: Event) -> Line:
-        return line(self.history, event)
+    def excerpt(self, event: Event) -> ExcerptLine:
+        return excerpt_line(self.history, event)
 
 
 def _origins(told: Sequence[_Told]) -> dict[Key, float]:
@@ -90,46 +97,48 @@
         if seen.state == "suspected":
             suspected.add(key)
         elif seen.state == "dead" and seen.cause == "probe":
-            tally.checked("suspected first")
+            tally.count_check("suspected first")
             if key not in suspected:
                 text = f"{one.name} called {seen.member} dead by its own detector without having suspected it"
-                tally.found("suspected first", text, [one.line(seen)])
+                tally.add_finding("suspected first", text, [one.excerpt(seen)])
 
 
 def _false_deaths(tally: Tally, times: Timeline, one: _Told, origins: dict[Key, float]) -> None:
-    within = bound(one.history, "detect")
+    within = stated_bound(one.history, "detect")
     if within is None:
         return
     held = {(seen.member, seen.life) for seen in one.seen if seen.member != one.name}
-    tally.checked("no false death", len(held))
+    tally.count_check("no false death", len(held))
     for seen in one.seen:
         life = times.life(seen.member, seen.life)
         found = origins.get((seen.member, seen.life, seen.incarnation), math.inf)
-        elsewhere = seen.cause != "probe" and found <= seen.mono + APART
+        elsewhere = seen.cause != "probe" and found <= seen.mono + CLOCK_SKEW_SECONDS
         judged = (
             seen.state == "dead" and seen.member != one.name and seen.mono <= times.stop and not elsewhere
         )
         if not judged or life is None:
             continue
         since = max(seen.mono - within, life.begin)
-        if times.answering(one.name, seen.member, seen.life, since, seen.mono):
+        if times.could_answer(one.name, seen.member, seen.life, since, seen.mono):
             text = f"{one.name} called {seen.member} dead, which answered for the {seen.mono - since:.1f} s before"
-            tally.found("no false death", text, [line(life.history, life.history.start), one.line(seen)])
+            tally.add_finding(
+                "no false death", text, [excerpt_line(life.history, life.history.start), one.excerpt(seen)]
+            )
 
 
 def _way_back(tally: Tally, times: Timeline, one: _Told) -> None:
     for member, events in one.by_member.items():
         gone: dict[int, MemberSeen] = {}  # by life: when it was last held left or dead here
         for before, seen in pairwise(events):
-            tally.checked("no way back")
+            tally.count_check("no way back")
             if before.state in GONE:
                 gone[before.life] = before
             if _rank(seen) < _rank(before):
                 text = f"{one.name} held {member} in a rank, and then in a lower one"
-                tally.found("no way back", text, [one.line(before), one.line(seen)])
+                tally.add_finding("no way back", text, [one.excerpt(before), one.excerpt(seen)])
             elif seen.life in gone and seen.state not in GONE and _over(times, seen, gone[seen.life]):
                 text = f"{one.name} held {member} present again in a life that was over"
-                tally.found("no way back", text, [one.line(gone[seen.life]), one.line(seen)])
+                tally.add_finding("no way back", text, [one.excerpt(gone[seen.life]), one.excerpt(seen)])
 
 
 def _rank(seen: MemberSeen) -> tuple[int, int, int]:
@@ -146,7 +155,7 @@
         return False
     own = (event for event in events_of(life.history, MemberSeen) if event.member == seen.member)
     left = min((event.mono for event in own if event.state == "left"), default=math.inf)
-    return min(life.end, left) <= min(gone.mono + APART, times.stop)
+    return min(life.end, left) <= min(gone.mono + CLOCK_SKEW_SECONDS, times.stop)
 
 
 def _leavers(tally: Tally, times: Timeline, one: _Told) -> None:
@@ -158,13 +167,15 @@
                 if (
                     life is not None
                     and life.killed is None
-                    and not times.silent(member, life.begin, life.end)
+                    and not times.was_paused(member, life.begin, life.end)
                 ):
-                    tally.checked("leaver in peace")
+                    tally.count_check("leaver in peace")
                     leaving.setdefault(seen.life, seen)
             elif seen.state in ("suspected", "dead") and seen.life in leaving and seen.mono <= times.stop:
                 text = f"{one.name} held {member} {seen.state} after it had heard that it leaves"
-                tally.found("leaver in peace", text, [one.line(leaving[seen.life]), one.line(seen)])
+                tally.add_finding(
+                    "leaver in peace", text, [one.excerpt(leaving[seen.life]), one.excerpt(seen)]
+                )
 
 
 def _old_rows(tally: Tally, one: _Told) -> None:
@@ -174,11 +185,11 @@
             if event.member not in latest or event.life > latest[event.member].life:
                 latest[event.member] = event
         elif isinstance(event, RowTaken):
-            tally.checked("no old row")
+            tally.count_check("no old row")
             held = latest.get(event.owner)
             if held is not None and event.life < held.life:
                 text = f"{one.name} took a row of {event.owner} in a life below the one that it held"
-                tally.found("no old row", text, [one.line(held), one.line(event)])
+                tally.add_finding("no old row", text, [one.excerpt(held), one.excerpt(event)])
 
 
 def _detected(tally: Tally, times: Timeline, killed: Life, told: Sequence[_Told]) -> None:
@@ -186,24 +197,24 @@
     assert killed.killed is not None and times.harness is not None
     begin = killed.end
     for one in told:
-        within = bound(one.history, "detect")
+        within = stated_bound(one.history, "detect")
         if within is None or one.name == killed.name:
             continue
-        end = begin + within + APART
+        end = begin + within + CLOCK_SKEW_SECONDS
         held = [seen for seen in one.by_member.get(killed.name, ()) if seen.mono <= begin]
         present = held and held[-1].life == killed.history.life and held[-1].state not in GONE
-        hindered = times.silent(one.name, begin, end) or times.cut(begin, end)
-        if not present or hindered or end > times.stop or not one.life.runs(begin, end):
+        hindered = times.was_paused(one.name, begin, end) or times.had_partition(begin, end)
+        if not present or hindered or end > times.stop or not one.life.covers(begin, end):
             continue
-        tally.checked("detected")
+        tally.count_check("detected")
         if not any(_knows(seen, killed) for seen in one.by_member[killed.name] if begin < seen.mono <= end):
             late = next(
                 (seen for seen in one.by_member[killed.name] if seen.mono > end and _knows(seen, killed)),
                 None,
             )
-            shown = [line(times.harness, killed.killed), one.line(late or held[-1])]
+            shown = [excerpt_line(times.harness, killed.killed), one.excerpt(late or held[-1])]
             how = "never" if late is None else f"only after {late.mono - begin:.2f} s"
-            tally.found(
+            tally.add_finding(
                 "detected", f"{one.name} knew {how} that {killed.name} was killed; bound {within:g} s", shown
             )
 
@@ -220,52 +231,57 @@
         moments, ends, strict=False
     ):  # of no moments there is one end too many
         running = [life for life in times.lives if life.begin <= begin and life.end >= end]
-        bounds = [bound(life.history, "settle") for life in running]
-        disturbed = any(span.unsettles and span.begin <= begin < span.end for span in times.faults)
+        bounds = [stated_bound(life.history, "settle") for life in running]
+        disturbed = any(span.may_unsettle and span.begin <= begin < span.end for span in times.faults)
         if len(running) < 2 or disturbed or None in bounds:
             continue
         within = max(limit for limit in bounds if limit is not None)
         if killing:  # it has to be found dead first
-            within += max(bound(life.history, "detect") or 0.0 for life in running)
-        if end - begin > within + APART:
-            tally.checked("settled")
+            within += max(stated_bound(life.history, "detect") or 0.0 for life in running)
+        if end - begin > within + CLOCK_SKEW_SECONDS:
+            tally.count_check("settled")
             _agreed(tally, running, begin, end, within, shown)
 
 
-def _disturbances(times: Timeline) -> Iterator[tuple[float, bool, Line | None]]:
+def _disturbances(times: Timeline) -> Iterator[tuple[float, bool, ExcerptLine | None]]:
     """Moments that may unsettle the view, whether a process ended or woke there, and the event."""
     for span in times.faults:
         assert times.harness is not None
-        if span.unsettles or span.kind in ENDED:
-            yield span.begin, span.kind in ENDED, line(times.harness, span.event)
+        if span.may_unsettle or span.kind in PROCESS_END_KINDS:
+            yield span.begin, span.kind in PROCESS_END_KINDS, excerpt_line(times.harness, span.event)
             if span.end < times.stop:
-                yield span.end, False, line(times.harness, span.event)
+                yield span.end, False, excerpt_line(times.harness, span.event)
     for life in times.lives:
-        yield life.begin, False, line(life.history, life.history.start)
+        yield life.begin, False, excerpt_line(life.history, life.history.start)
         if life.end < times.stop and life.killed is None:
-            yield life.end, True, line(life.history, life.history.events[-1])
+            yield life.end, True, excerpt_line(life.history, life.history.events[-1])
         for seen in events_of(life.history, MemberSeen):
             if seen.member == life.name and seen.state == "leaving" and seen.mono < times.stop:
-                yield seen.mono, False, line(life.history, seen)
+                yield seen.mono, False, excerpt_line(life.history, seen)
 
 
 def _agreed(
-    tally: Tally, running: list[Life], begin: float, end: float, within: float, disturbance: Line | None
+    tally: Tally,
+    running: list[Life],
+    begin: float,
+    end: float,
+    within: float,
+    disturbance: ExcerptLine | None,
 ) -> None:
-    held = {life.name: line(life.history, life.history.start) for life in running}
-    changes: list[tuple[float, str, Line]] = []
+    held = {life.name: excerpt_line(life.history, life.history.start) for life in running}
+    changes: list[tuple[float, str, ExcerptLine]] = []
     for life in running:
         for event in events_of(life.history, Settled):
             if event.mono <= begin:
-                held[life.name] = line(life.history, event)
+                held[life.name] = excerpt_line(life.history, event)
             elif event.mono < end:
-                changes.append((event.mono, life.name, line(life.history, event)))
+                changes.append((event.mono, life.name, excerpt_line(life.history, event)))
     changes.sort(key=lambda change: change[0])
     since, apart = begin, _apart(held)
     for moment, name, shown in [*changes, (end, "", None)]:
-        if apart and moment - since > within + APART:
+        if apart and moment - since > within + CLOCK_SKEW_SECONDS:
             text = f"unsettled for {moment - since:.2f} s with nothing to disturb it; bound {within:g} s"
-            tally.found("settled", text, [*([disturbance] if disturbance else []), *apart])
+            tally.add_finding("settled", text, [*([disturbance] if disturbance else []), *apart])
             return
         if shown is None:
             return
@@ -276,12 +292,12 @@
         apart = now_apart
 
 
-def _apart(held: dict[str, Line]) -> list[Line]:
+def _apart(held: dict[str, ExcerptLine]) -> list[ExcerptLine]:
     """The events that show that not all are settled and equal: one unsettled, or two that differ; none where all are.
 
     Who has said nothing yet is shown by its start.
     """
-    digests: dict[str, Line] = {}
+    digests: dict[str, ExcerptLine] = {}
     for shown in held.values():
         if not isinstance(shown.event, Settled) or not shown.event.settled:
             return [shown]
--- a/cypresspulley/histories/read.py
+++ b/cypresspulley/histories/read.py
@@ -54,7 +54,10 @@
         return self.start.life
 
     def __repr__(self) -> str:
-        return f"<History of {self.name} life {self.life}, {len(self.events)} events{', cut' if self.truncated else ''}>"
+        return (
+            f"<History of {self.name} life {self.life}, "
+            f"{len(self.events)} events{', cut' if self.truncated else ''}>"
+        )
 
 
 @dataclass(frozen=True, slots=True)
--- a/cypresspulley/histories/timeline.py
+++ b/cypresspulley/histories/timeline.py
@@ -22,19 +22,19 @@
 from cypresspulley.histories.forms import End, Event, Fault, Truth
 from cypresspulley.histories.read import Histories, History
 
-KILLED = frozenset(("limiter-kill",))
-ENDED = KILLED | {"limiter-restart"}
-SILENT = frozenset(("limiter-pause",))
-PARTED = frozenset(("fleet-cut", "fleet-oneway", "fleet-flap", "fleet-partition"))
-OF_THE_FLEET = "fleet-"  # how the kinds begin that befall datagrams
-APART = 0.02  # seconds by which two processes' clocks that never step may differ on one machine
+KILL_KINDS = frozenset(("limiter-kill",))
+PROCESS_END_KINDS = KILL_KINDS | {"limiter-restart"}
+PAUSE_KINDS = frozenset(("limiter-pause",))
+PARTITION_KINDS = frozenset(("fleet-cut", "fleet-oneway", "fleet-flap", "fleet-partition"))
+FLEET_KIND_PREFIX = "fleet-"  # how the kinds begin that befall datagrams
+CLOCK_SKEW_SECONDS = 0.02  # seconds by which two processes' clocks that never step may differ on one machine
 
 
 _Kind = TypeVar("_Kind", bound=Event)
 
 
 @dataclass(frozen=True, slots=True)
-class Span:
+class FaultSpan:
     """A fault from ``begin`` to ``end`` (infinite where no end was written), and the event that began it."""
 
     kind: str
@@ -44,11 +44,15 @@
     event: Fault
 
     @property
-    def unsettles(self) -> bool:
+    def may_unsettle(self) -> bool:
         """Whether the view may be unsettled while it lasts. A clock that is off is no reason."""
-        return self.kind in SILENT or self.kind in PARTED or self.kind.startswith(OF_THE_FLEET)
+        return (
+            self.kind in PAUSE_KINDS
+            or self.kind in PARTITION_KINDS
+            or self.kind.startswith(FLEET_KIND_PREFIX)
+        )
 
-    def meets(self, begin: float, end: float) -> bool:
+    def overlaps(self, begin: float, end: float) -> bool:
         return self.begin <= end and begin <= self.end
 
 
@@ -66,7 +70,7 @@
     def name(self) -> str:
         return self.history.name
 
-    def runs(self, begin: float, end: float) -> bool:
+    def covers(self, begin: float, end: float) -> bool:
         return self.begin <= begin and end <= self.end
 
 
@@ -89,31 +93,34 @@
     def life(self, name: str, number: int) -> Life | None:
         return next((life for life in self._by_name.get(name, ()) if life.history.life == number), None)
 
-    def silent(self, name: str, begin: float, end: float) -> bool:
+    def was_paused(self, name: str, begin: float, end: float) -> bool:
         """Whether a process of this name was stopped at some moment from ``begin`` to ``end``."""
         return any(
-            span.kind in SILENT and name in span.targets and span.meets(begin, end) for span in self.faults
+            span.kind in PAUSE_KINDS and name in span.targets and span.overlaps(begin, end)
+            for span in self.faults
         )
 
-    def parted(self, one: str, other: str, begin: float, end: float) -> bool:
+    def was_partitioned(self, one: str, other: str, begin: float, end: float) -> bool:
         """Whether a cut lay between the two at some moment from ``begin`` to ``end``."""
         return any(
-            span.kind in PARTED
+            span.kind in PARTITION_KINDS
             and (one in span.targets) != (other in span.targets)
-            and span.meets(begin, end)
+            and span.overlaps(begin, end)
             for span in self.faults
         )
 
-    def cut(self, begin: float, end: float) -> bool:
+    def had_partition(self, begin: float, end: float) -> bool:
         """Whether there was any cut in that time."""
-        return any(span.kind in PARTED and span.meets(begin, end) for span in self.faults)
+        return any(span.kind in PARTITION_KINDS and span.overlaps(begin, end) for span in self.faults)
 
-    def answering(self, observer: str, member: str, number: int, begin: float, end: float) -> bool:
+    def could_answer(self, observer: str, member: str, number: int, begin: float, end: float) -> bool:
         """Whether this life of the member could answer the observer all the while."""
         life = self.life(member, number)
-        if life is None or not life.runs(begin, end):
+        if life is None or not life.covers(begin, end):
             return False
-        return not self.silent(member, begin, end) and not self.parted(observer, member, begin, end)
+        return not self.was_paused(member, begin, end) and not self.was_partitioned(
+            observer, member, begin, end
+        )
 
     def _lives(self, histories: tuple[History, ...]) -> Iterator[Life]:
         """``histories`` are sorted by name and life, so that the next of one name ends the one before."""
@@ -125,8 +132,10 @@
             end = self.stop if ended is None else ended.mono
             if following is not None and following.name == history.name:
                 end = min(end, following.start.mono)
-            killed = self._ended(KILLED, history.name, begin, end)
-            told = killed or (self._ended(ENDED, history.name, begin, end) if ended is None else None)
+            killed = self._ended(KILL_KINDS, history.name, begin, end)
+            told = killed or (
+                self._ended(PROCESS_END_KINDS, history.name, begin, end) if ended is None else None
+            )
             yield Life(history, begin, told.mono if told else end, killed, ended)
 
     def _ended(self, kinds: frozenset[str], name: str, begin: float, end: float) -> Fault | None:
@@ -144,7 +153,7 @@
     return max((history.events[-1].mono for history in histories.lives), default=0.0)
 
 
-def _spans(harness: History) -> Iterator[Span]:
+def _spans(harness: History) -> Iterator[FaultSpan]:
     """Faults, each begin with the first end after it of the same kind and targets."""
     faults = [event for event in harness.events if isinstance(event, Fault)]
     ends: dict[tuple[str, frozenset[str]], list[float]] = defaultdict(list)
@@ -157,7 +166,7 @@
             at_end = next((moment for moment in ends[key] if moment >= event.mono), None)
             if at_end is not None:
                 ends[key].remove(at_end)
-            yield Span(*key, event.mono, math.inf if at_end is None else at_end, event)
+            yield FaultSpan(*key, event.mono, math.inf if at_end is None else at_end, event)
 
 
 def _truth(harness: History | None) -> Truth | None:
@@ -168,6 +177,6 @@
     return (event for event in history.events if isinstance(event, kind))
 
 
-def bound(history: History, name: str) -> float | None:
+def stated_bound(history: History, name: str) -> float | None:
     """The bound that this process stated at its start, in seconds; None where it stated none."""
     return history.start.bounds.get(name)
--- a/cypresspulley/histories/verdict.py
+++ b/cypresspulley/histories/verdict.py
@@ -12,12 +12,12 @@
 from cypresspulley.histories.forms import Event
 from cypresspulley.histories.read import History
 
-MOST_FINDINGS = 50  # of one checker: a broken promise tends to break all day
+MAX_FINDINGS = 50  # of one checker: a broken promise tends to break all day
 NOTHING_TO_CHECK = "nothing to check"
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class ExcerptLine:
     """One event as its process wrote it."""
 
     process: str
@@ -35,8 +35,8 @@
         return f"{facts['mono']:.3f} {self.process} #{facts['seq']} {facts['kind']}: {said}"
 
 
-def line(history: History, event: Event) -> Line:
-    return Line(history.name, history.life, event)
+def excerpt_line(history: History, event: Event) -> ExcerptLine:
+    return ExcerptLine(history.name, history.life, event)
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,7 +45,7 @@
 
     promise: str
     text: str
-    excerpt: tuple[Line, ...] = ()
+    excerpt: tuple[ExcerptLine, ...] = ()
 
     @property
     def processes(self) -> tuple[str, ...]:
@@ -94,10 +94,10 @@
         self._name, self._found = name, dict[tuple[Any, ...], Finding]()
         self._checked = Counter(dict.fromkeys(promises, 0))
 
-    def checked(self, promise: str, times: int = 1) -> None:
+    def count_check(self, promise: str, times: int = 1) -> None:
         self._checked[promise] += times
 
-    def found(self, promise: str, text: str, excerpt: Iterable[Line] = ()) -> None:
+    def add_finding(self, promise: str, text: str, excerpt: Iterable[ExcerptLine] = ()) -> None:
         """Note a finding; the same events for the same promise count once."""
         finding = Finding(promise, text, tuple(sorted(excerpt, key=_when)))
         key = (promise, text, *((shown.process, shown.life, shown.event.seq) for shown in finding.excerpt))
@@ -111,7 +111,7 @@
                 Finding(NOTHING_TO_CHECK, f"no event here puts a promise of {self._name} to the test")
             )
         return Verdict(
-            self._name, checked, tuple(findings[:MOST_FINDINGS]), dict(sorted(self._checked.items()))
+            self._name, checked, tuple(findings[:MAX_FINDINGS]), dict(sorted(self._checked.items()))
         )
 
 
@@ -119,5 +119,5 @@
     return finding.instants[:1], finding.promise, finding.text
 
 
-def _when(shown: Line) -> tuple[float, str, int]:
+def _when(shown: ExcerptLine) -> tuple[float, str, int]:
     return shown.event.mono, shown.process, shown.event.seq
