--- a/cypresspulley/histories/check.py
+++ b/cypresspulley/histories/check.py
@@ -1,4 +1,4 @@
-"""All checkers by name, over the histories of one play."""
+"""The registry of history checkers, run over the histories of one play."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def check_all(histories: Histories, names: Iterable[str]) -> list[Verdict]:
-    """The verdicts of the checkers of these names, in their order. ``ValueError`` for a name that there is not."""
+    """Runs the named checkers and returns their verdicts in that order. Raises ``ValueError`` for an unknown name."""
     wanted = list(names)
     if unknown := [name for name in wanted if name not in CHECKERS]:
         raise ValueError(f"checker {unknown[0]!r}: expected one of {', '.join(CHECKERS)}")
@@ -23,5 +23,5 @@
 
 
 def as_json(verdicts: Iterable[Verdict]) -> list[dict[str, Any]]:
-    """What ``rehearse --json`` shows under ``histories``."""
+    """Returns what ``rehearse --json`` writes under ``histories``."""
     return [verdict.as_json() for verdict in verdicts]
