--- a/cypresspulley/histories/check_lanes.py
+++ b/cypresspulley/histories/check_lanes.py
@@ -1,15 +1,15 @@
-"""What lanes promise, checked over the histories of a play.
-
-    sums            of no lane more passes than was asked
-    floor           over the fleet and 20 s in force each lane gets its floor, or all it asks where that is
-                    less: who gives way is decided by account, so a floor holds in the sum and not in each second
-    calm            while a limiter is calm no lane turns away what is inside its quota
-    excess first    while what is inside a quota is turned away, period after period, nothing beyond quota passes there
-    no inversion    no longer than the bound is the first lane turned away inside its quota, at any limiter, while over
-                    the fleet a lower one passes above its floor and no less freely, or anything beyond quota passes
-    same verdict    one account has one verdict in one spell, at all limiters alike
-
-Lanes are ranked as the periods list them, premium first.
+"""Checks the guarantees of priority lanes over the histories of a play.
+
+    sums            no lane passes more units than were requested
+    floor           over the fleet and 20 s of shedding, each lane gets its floor, or all it requests where that is
+                    less; accounts are shed as a whole, so a floor holds for the sum and not for each second
+    calm            a calm limiter rejects no request within quota
+    excess first    a limiter that rejects requests within quota in consecutive periods passes none beyond quota
+    no inversion    no limiter rejects the highest lane within quota for longer than the bound while, over the fleet, a
+                    lower lane passes above its floor and with no smaller share, or anything beyond quota passes
+    same verdict    within one spell, all limiters make the same decision for an account
+
+Lanes are ranked in the order in which the periods list them, the highest first.
 """
 
 from __future__ import annotations
@@ -33,28 +33,28 @@
     "same verdict",
 )
 CALM, SHEDDING = "calm", "shedding"
-IN_FORCE = frozenset((SHEDDING, "easing"))  # lanes turn away in both
-ROUNDING = 1e-6  # of sums of floats, as a share
-SLACK_UNITS = 1.0  # of a period's sums: one try more or less
-FLOOR_RUN = 20.0  # seconds of lanes in force on end, five spells, over which the floors are summed
-FLOOR_SHARE = 0.8  # of its floor, in such a sum: accounts ask for more and less than they did
-ABOVE_FLOOR = 1.5  # times its floor over the fleet: surely above it, whichever accounts are let pass
+SHEDDING_STATES = frozenset((SHEDDING, "easing"))  # lanes reject requests in both
+ROUNDING_SHARE = 1e-6  # relative rounding error of sums of floats
+SLACK_UNITS = 1.0  # tolerance of a period's sums: one request more or less
+FLOOR_WINDOW_SECONDS = 20.0  # continuous shedding over which floors are summed; five spells
+MIN_FLOOR_SHARE = 0.8  # of the floor, in such a sum, since the demand of accounts varies from spell to spell
+ABOVE_FLOOR_MULTIPLE = 1.5  # of the floor over the fleet; surely above it, whichever accounts are let pass
 
 
 def check(histories: Histories) -> Verdict:
-    """The verdict on lanes; a play in which no lane judged anything is a finding."""
+    """Returns the verdict on lanes. A play in which no lane decided anything yields a finding."""
     tally = Tally(NAME, PROMISES)
     for history in histories.lives:
-        _sums(tally, history)
-        _calm(tally, history)
-        _excess_first(tally, history)
-    _floors(tally, histories)
-    _inversions(tally, histories)
-    _same_verdict(tally, histories)
+        _check_sums(tally, history)
+        _check_calm(tally, history)
+        _check_excess_first(tally, history)
+    _check_floors(tally, histories)
+    _check_inversions(tally, histories)
+    _check_same_verdict(tally, histories)
     return tally.verdict()
 
 
-def _sums(tally: Tally, history: History) -> None:
+def _check_sums(tally: Tally, history: History) -> None:
     for period in events_of(history, LanesPeriod):
         tally.count_check("sums")
         pairs = [(lane, period.passed[lane], period.asked.get(lane, 0.0)) for lane in period.passed]
@@ -62,58 +62,61 @@
             (lane, period.passed_over[lane], period.asked_over.get(lane, 0.0)) for lane in period.passed_over
         ]
         for lane, passed, asked in pairs:
-            if not 0 <= passed <= asked * (1 + ROUNDING) + ROUNDING:
+            if not 0 <= passed <= asked * (1 + ROUNDING_SHARE) + ROUNDING_SHARE:
                 text = f"{history.name} let {passed:g} units of lane {lane} pass where {asked:g} were asked"
                 tally.add_finding("sums", text, [excerpt_line(history, period)])
 
 
-def _floors(tally: Tally, histories: Histories) -> None:
-    """Each ``FLOOR_RUN`` on end of lanes in force anywhere: what passed of each lane beside what was due to it."""
-    shed = [excerpt_line(history, one) for history in histories.lives for one in _in_force(history)]
-    shed.sort(key=lambda shown: shown.event.mono)
+def _check_floors(tally: Tally, histories: Histories) -> None:
+    """Compares what each lane passed with its floor in every ``FLOOR_WINDOW_SECONDS`` of continuous shedding."""
+    shedding_lines = [
+        excerpt_line(history, period) for history in histories.lives for period in _shedding_periods(history)
+    ]
+    shedding_lines.sort(key=lambda excerpt: excerpt.event.mono)
     run: list[ExcerptLine] = []
-    for shown in shed:
-        if run and _begin(shown) - run[-1].event.mono > _period(shown).seconds / 2:
+    for excerpt in shedding_lines:
+        if run and _begin_of(excerpt) - run[-1].event.mono > _period_of(excerpt).seconds / 2:
             run = []
-        run.append(shown)
-        if shown.event.mono - _begin(run[0]) >= FLOOR_RUN:
-            _floor_of_run(tally, run)
+        run.append(excerpt)
+        if excerpt.event.mono - _begin_of(run[0]) >= FLOOR_WINDOW_SECONDS:
+            _check_floor_of_window(tally, run)
             run = []
 
 
-def _in_force(history: History) -> Iterator[LanesPeriod]:
-    return (period for period in events_of(history, LanesPeriod) if period.state in IN_FORCE)
+def _shedding_periods(history: History) -> Iterator[LanesPeriod]:
+    return (period for period in events_of(history, LanesPeriod) if period.state in SHEDDING_STATES)
 
 
-def _floor_of_run(tally: Tally, run: Sequence[ExcerptLine]) -> None:
-    periods = [_period(shown) for shown in run]
+def _check_floor_of_window(tally: Tally, run: Sequence[ExcerptLine]) -> None:
+    periods = [_period_of(excerpt) for excerpt in run]
     for lane in dict.fromkeys(lane for period in periods for lane in period.floors):
         due = sum(min(one.asked.get(lane, 0.0), one.floors.get(lane, 0.0) * one.seconds) for one in periods)
         passed = sum(one.passed.get(lane, 0.0) for one in periods)
         tally.count_check("floor", 1 if due > 0 else 0)
-        if passed < FLOOR_SHARE * due - SLACK_UNITS:
+        if passed < MIN_FLOOR_SHARE * due - SLACK_UNITS:
             text = (
-                f"of lane {lane} {passed:g} units passed in {FLOOR_RUN:g} s in force; {due:g} were its floor"
+                f"of lane {lane} {passed:g} units passed in {FLOOR_WINDOW_SECONDS:g} s in force; "
+                f"{due:g} were its floor"
             )
-            worst = max(run, key=lambda shown: _short(_period(shown), lane))
+            worst = max(run, key=lambda excerpt: _shortfall(_period_of(excerpt), lane))
             tally.add_finding("floor", text, [worst])
 
 
-def _short(period: LanesPeriod, lane: str) -> float:
+def _shortfall(period: LanesPeriod, lane: str) -> float:
     due = min(period.asked.get(lane, 0.0), period.floors.get(lane, 0.0) * period.seconds)
     return due - period.passed.get(lane, 0.0)
 
 
-def _period(shown: ExcerptLine) -> LanesPeriod:
-    assert isinstance(shown.event, LanesPeriod)
-    return shown.event
+def _period_of(excerpt: ExcerptLine) -> LanesPeriod:
+    assert isinstance(excerpt.event, LanesPeriod)
+    return excerpt.event
 
 
-def _begin(shown: ExcerptLine) -> float:
-    return shown.event.mono - _period(shown).seconds
+def _begin_of(excerpt: ExcerptLine) -> float:
+    return excerpt.event.mono - _period_of(excerpt).seconds
 
 
-def _calm(tally: Tally, history: History) -> None:
+def _check_calm(tally: Tally, history: History) -> None:
     state: LanesState | None = None
     for event in history.events:
         if isinstance(event, LanesState):
@@ -127,143 +130,163 @@
                 )
         elif isinstance(event, LanesPeriod) and event.state == CALM:
             tally.count_check("calm")
-            short = [
-                lane for lane, asked in event.asked.items() if event.passed.get(lane, 0.0) < asked - ROUNDING
+            short_lanes = [
+                lane
+                for lane, asked in event.asked.items()
+                if event.passed.get(lane, 0.0) < asked - ROUNDING_SHARE
             ]
             began = event.mono - event.seconds
-            if short and (state is None or (state.state == CALM and state.mono <= began)):
-                text = f"{history.name} let not all of lane {short[0]} inside quota pass while it was calm"
+            if short_lanes and (state is None or (state.state == CALM and state.mono <= began)):
+                text = (
+                    f"{history.name} let not all of lane {short_lanes[0]} inside quota pass while it was calm"
+                )
                 tally.add_finding("calm", text, [excerpt_line(history, event)])
 
 
-def _excess_first(tally: Tally, history: History) -> None:
+def _check_excess_first(tally: Tally, history: History) -> None:
     before: LanesPeriod | None = None
     for period in events_of(history, LanesPeriod):
         if period.state != SHEDDING:
             before = None
             continue
         turned = sum(period.asked.values()) - sum(period.passed.values())
-        wrong = turned > SLACK_UNITS and sum(period.passed_over.values()) > SLACK_UNITS
+        passes_excess = turned > SLACK_UNITS and sum(period.passed_over.values()) > SLACK_UNITS
         tally.count_check("excess first", 1 if turned > SLACK_UNITS else 0)
-        if wrong and before is not None:
+        if passes_excess and before is not None:
             text = f"{history.name} let excess pass while it turned {turned:g} units inside quota away"
             tally.add_finding(
                 "excess first", text, [excerpt_line(history, before), excerpt_line(history, period)]
             )
-        before = period if wrong else None
+        before = period if passes_excess else None
 
 
 @dataclass(frozen=True, slots=True)
-class _Run:
-    """Seconds on end in all of which what is lower passed; it surely did from ``begin`` to ``end``."""
+class _LowerTrafficRun:
+    """A time span in which lower-ranked traffic passed without interruption, surely so from ``begin`` to ``end``."""
 
     begin: float
     end: float
-    gap: float  # seconds between two refusals that still belong together
+    gap: float  # longest time between two rejections that count as consecutive, in seconds
     first: ExcerptLine
     last: ExcerptLine
 
 
-def _inversions(tally: Tally, histories: Histories) -> None:
+def _check_inversions(tally: Tally, histories: Histories) -> None:
     periods = [
         excerpt_line(history, one) for history in histories.lives for one in events_of(history, LanesPeriod)
     ]
-    ranked = list(dict.fromkeys(lane for shown in periods for lane in _period(shown).floors))
+    ranked = list(dict.fromkeys(lane for excerpt in periods for lane in _period_of(excerpt).floors))
     bounds = [
         limit for history in histories.lives if (limit := stated_bound(history, "inversion")) is not None
     ]
     if not ranked or not bounds:
         return
-    turned = sorted(_turned(histories, ranked[0]), key=lambda shown: shown.event.mono)
-    tally.count_check("no inversion", sum(_period(shown).state in IN_FORCE for shown in periods))
-    for run in _runs(periods, ranked[0], ranked[1:]) if turned else ():
-        _inverted(tally, ranked[0], turned, run, max(bounds))
+    turned = sorted(_rejections(histories, ranked[0]), key=lambda excerpt: excerpt.event.mono)
+    tally.count_check(
+        "no inversion", sum(_period_of(excerpt).state in SHEDDING_STATES for excerpt in periods)
+    )
+    for run in _runs_of_lower_traffic(periods, ranked[0], ranked[1:]) if turned else ():
+        _check_inversion_in_run(tally, ranked[0], turned, run, max(bounds))
 
 
-def _turned(histories: Histories, lane: str) -> Iterator[ExcerptLine]:
-    """What this lane turned away inside its quota, at all limiters."""
+def _rejections(histories: Histories, lane: str) -> Iterator[ExcerptLine]:
+    """Yields the requests of this lane that any limiter rejected within quota."""
     for history in histories.lives:
         for event in events_of(history, LanesTurned):
             if event.inside and event.lane == lane:
                 yield excerpt_line(history, event)
 
 
-def _runs(periods: Sequence[ExcerptLine], first_lane: str, lower: Sequence[str]) -> Iterator[_Run]:
-    """Bins of one period's length over the fleet; a period belongs to the bin in which its middle lies.
+def _runs_of_lower_traffic(
+    periods: Sequence[ExcerptLine], first_lane: str, lower: Sequence[str]
+) -> Iterator[_LowerTrafficRun]:
+    """Yields runs of consecutive bins in which lower-ranked traffic passed anywhere in the fleet.
 
-    So what a bin holds happened within it or half a bin beside it, which the run's ends leave out.
+    A bin is as long as a period and holds the periods whose middle lies in it. Their traffic may have passed up to half
+    a bin outside it, so a run's ends are moved inwards.
     """
-    length = max((_period(shown).seconds for shown in periods), default=0.0)
+    length = max((_period_of(excerpt).seconds for excerpt in periods), default=0.0)
     if length <= 0:
         return
     bins: dict[int, list[ExcerptLine]] = {}
-    for shown in periods:
-        middle = (_begin(shown) + shown.event.mono) / 2
-        bins.setdefault(int(middle // length), []).append(shown)
-    passing = sorted(number for number, shown in bins.items() if _passes(shown, lower, first_lane))
+    for excerpt in periods:
+        middle = (_begin_of(excerpt) + excerpt.event.mono) / 2
+        bins.setdefault(int(middle // length), []).append(excerpt)
+    passing = sorted(
+        number for number, excerpt in bins.items() if _lower_traffic_passes(excerpt, lower, first_lane)
+    )
     first = 0
     for at in range(1, len(passing) + 1):
         if at < len(passing) and passing[at] == passing[at - 1] + 1:
             continue
         begin, end = (passing[first] + 1.5) * length, (passing[at - 1] - 0.5) * length
         if end > begin:
-            most = [
-                max(bins[passing[number]], key=lambda one: _lower(one, lower)) for number in (first, at - 1)
+            boundary_lines = [
+                max(bins[passing[number]], key=lambda one: _units_below(one, lower))
+                for number in (first, at - 1)
             ]
-            yield _Run(begin, end, 2 * length, most[0], most[1])
+            yield _LowerTrafficRun(begin, end, 2 * length, boundary_lines[0], boundary_lines[1])
         first = at
 
 
-def _lower(shown: ExcerptLine, lower: Sequence[str]) -> float:
-    """What passed of the lower lanes and beyond quota, units."""
-    period = _period(shown)
+def _units_below(excerpt: ExcerptLine, lower: Sequence[str]) -> float:
+    """Returns the units that passed in the lower lanes and beyond quota."""
+    period = _period_of(excerpt)
     return sum(period.passed_over.values()) + sum(period.passed.get(lane, 0.0) for lane in lower)
 
 
-def _passes(shown: Sequence[ExcerptLine], lower: Sequence[str], first: str) -> bool:
-    """Whether in these periods a lower lane passed surely above its floor over the fleet, or anything beyond quota.
+def _lower_traffic_passes(excerpt: Sequence[ExcerptLine], lower: Sequence[str], first: str) -> bool:
+    """Whether a lower lane surely passed above its floor over the fleet, or anything beyond quota, in these periods.
 
-    Sums count tries, and a try that passes may be refused behind the lanes and come again: so above the floor is only
-    what passes with no smaller share of its tries than the first lane's.
+    The sums count tries, and a request that passes the lanes may still be refused behind them and be retried. So a lane
+    counts as above its floor only if it passes at least the same share of its tries as the first lane.
     """
-    periods = [_period(one) for one in shown]
+    periods = [_period_of(one) for one in excerpt]
     if sum(sum(period.passed_over.values()) for period in periods) > SLACK_UNITS:
         return True
-    share = _share(periods, first)
+    share = _passed_share(periods, first)
     for lane in lower:
         floor = sum(period.floors.get(lane, 0.0) * period.seconds for period in periods)
-        above = sum(period.passed.get(lane, 0.0) for period in periods) > ABOVE_FLOOR * floor + SLACK_UNITS
-        if above and _share(periods, lane) >= share:
+        above = (
+            sum(period.passed.get(lane, 0.0) for period in periods)
+            > ABOVE_FLOOR_MULTIPLE * floor + SLACK_UNITS
+        )
+        if above and _passed_share(periods, lane) >= share:
             return True
     return False
 
 
-def _share(periods: Sequence[LanesPeriod], lane: str) -> float:
-    """Of the tries inside quota that asked, those that passed."""
+def _passed_share(periods: Sequence[LanesPeriod], lane: str) -> float:
+    """Returns the share of the units requested within quota that passed; 1 if none were requested."""
     asked = sum(period.asked.get(lane, 0.0) for period in periods)
     return sum(period.passed.get(lane, 0.0) for period in periods) / asked if asked else 1.0
 
 
-def _inverted(tally: Tally, lane: str, turned: Sequence[ExcerptLine], run: _Run, within: float) -> None:
-    """Refusals on end, none more than the periods' length from the next, for longer than the bound within the run."""
-    moments = [shown.event.mono for shown in turned]
-    inside = turned[bisect_left(moments, run.begin) : bisect_right(moments, run.end)]
+def _check_inversion_in_run(
+    tally: Tally, lane: str, turned: Sequence[ExcerptLine], run: _LowerTrafficRun, within: float
+) -> None:
+    """Finds consecutive rejections within the run, no two further apart than ``run.gap``, that exceed the bound."""
+    moments = [excerpt.event.mono for excerpt in turned]
+    in_run = turned[bisect_left(moments, run.begin) : bisect_right(moments, run.end)]
     first = 0
-    for number in range(1, len(inside) + 1):
-        if number < len(inside) and inside[number].event.mono - inside[number - 1].event.mono <= run.gap:
+    for number in range(1, len(in_run) + 1):
+        if number < len(in_run) and in_run[number].event.mono - in_run[number - 1].event.mono <= run.gap:
             continue
-        lasted = inside[number - 1].event.mono - inside[first].event.mono
-        if lasted > within + CLOCK_SKEW_SECONDS:
+        duration = in_run[number - 1].event.mono - in_run[first].event.mono
+        if duration > within + CLOCK_SKEW_SECONDS:
             text = (
-                f"lane {lane} was turned away inside its quota for {lasted:.1f} s while what "
+                f"lane {lane} was turned away inside its quota for {duration:.1f} s while what "
                 f"is below it passed; bound {within:g} s"
             )
-            tally.add_finding("no inversion", text, [inside[first], inside[number - 1], run.first, run.last])
+            tally.add_finding("no inversion", text, [in_run[first], in_run[number - 1], run.first, run.last])
         first = number
 
 
-def _same_verdict(tally: Tally, histories: Histories) -> None:
-    """A spell's number stands for one set of thresholds: turned away inside its quota under it, and let pass."""
+def _check_same_verdict(tally: Tally, histories: Histories) -> None:
+    """Finds accounts that were both rejected within quota and let pass under the same spell number.
+
+    A spell number stands for one set of thresholds at all limiters.
+    """
     turned: dict[tuple[str, int], ExcerptLine] = {}
     let: dict[tuple[str, int], ExcerptLine] = {}
     for history in histories.lives:
@@ -275,7 +298,7 @@
                 let.setdefault((event.account, event.spell), excerpt_line(history, event))
                 tally.count_check("same verdict")
     for key in sorted(turned.keys() & let.keys()):
-        shown = [turned[key], let[key]]
-        names = " and ".join(dict.fromkeys(one.process for one in shown))
+        excerpt = [turned[key], let[key]]
+        names = " and ".join(dict.fromkeys(one.process for one in excerpt))
         text = f"account {key[0]} was turned away and let pass in spell {key[1]} by {names}"
-        tally.add_finding("same verdict", text, shown)
+        tally.add_finding("same verdict", text, excerpt)
