--- a/cypresspulley/histories/clock.py
+++ b/cypresspulley/histories/clock.py
@@ -1,7 +1,7 @@
-"""A wall clock that is off as a file says: for rehearsals, in which a limiter's clock is to be wrong. Never in service.
+"""A wall clock shifted by the contents of a file, for rehearsals that give a limiter a wrong clock. Not for production.
 
-The file holds three numbers, ``offset ppm since``: from the Unix second ``since`` on the clock is ahead by ``offset``
-seconds and runs fast by ``ppm`` millionths. It is read anew when it changes, looked at each 50 ms at most.
+The file holds three numbers, ``offset ppm since``: the clock is ahead by ``offset`` seconds and, from the Unix second
+``since`` on, runs fast by ``ppm`` parts per million. The file is checked for changes at most every 50 ms.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 
 log = logging.getLogger(__name__)
 
-CHECK_INTERVAL_SECONDS = 0.05  # seconds between two looks at the file
-MAX_FILE_BYTES = 200  # bytes of it
+CHECK_INTERVAL_SECONDS = 0.05  # shortest time between two checks of the file
+MAX_FILE_BYTES = 200  # read from the file at most
 
 
 @dataclass(frozen=True, slots=True)
 class Shift:
-    """How a clock is off: seconds ahead, millionths fast, and since which true Unix second it runs fast."""
+    """A clock error: seconds ahead, parts per million fast, and the true Unix second since which it runs fast."""
 
     offset: float = 0.0
     ppm: float = 0.0
     since: float = 0.0
 
     def at(self, true: float) -> float:
-        """What the clock shows at a true Unix second."""
+        """Returns what the clock shows at a true Unix second."""
         return true + self.offset + self.ppm * 1e-6 * max(0.0, true - self.since)
 
     def line(self) -> str:
@@ -36,7 +36,7 @@
 
 
 def parse_shift(text: str) -> Shift:
-    """``ValueError`` where it is no three finite numbers."""
+    """Parses the contents of a shift file. Raises ``ValueError`` unless they are three finite numbers."""
     words = text.split()
     if len(words) != 3:
         raise ValueError(f"expected three numbers, offset ppm since; got {text!r:.60}")
@@ -47,7 +47,10 @@
 
 
 class ShiftedClock:
-    """Unix seconds of a wall clock that the file at ``path`` sets off. ``base`` is the true one."""
+    """Returns Unix seconds of the true clock ``base`` shifted by the file at ``path``.
+
+    ``steady`` is a monotonic clock in seconds that limits how often the file is checked.
+    """
 
     def __init__(
         self,
@@ -69,13 +72,13 @@
         return self._shift.at(self._base())
 
     def _reload_file(self) -> None:
-        """What cannot be read changes nothing: the clock goes on as it went."""
+        """Reloads the file if it has changed. An unreadable or invalid file is logged and keeps the current shift."""
         try:
-            found = os.stat(self._path)
-            if (stamp := (found.st_mtime_ns, found.st_ino)) == self._file_stamp:
+            status = os.stat(self._path)
+            if (stamp := (status.st_mtime_ns, status.st_ino)) == self._file_stamp:
                 return
             self._file_stamp = stamp
             with open(self._path, encoding="ascii") as file:
                 self._shift = parse_shift(file.read(MAX_FILE_BYTES))
         except (OSError, ValueError) as error:
-            log.error("the clock of this rehearsal stays as it is: %s: %s", self._path, error)
+            log.error("cannot read clock shift file; keeping the current shift: %s: %s", self._path, error)
