--- a/cypresspulley/histories/events.py
+++ b/cypresspulley/histories/events.py
@@ -1,9 +1,10 @@
-"""The kinds of events of a history, and which facts each has: what processes write and checkers read.
+"""The event kinds of a history and the facts of each kind, which processes write and checkers read.
 
-A history is one file a process and life, JSON lines, each ``{"seq", "wall", "mono", "kind", ...facts}``: ``seq``
-counts from 0 in a life without a gap, ``wall`` is Unix seconds by the process's own wall clock (which may be wrong),
-``mono`` seconds of its clock that never steps. The first event of a file is ``start``. Times of the harness's own
-history are the true ones. Facts are numbers, strings, booleans, and lists or objects of these.
+A history is one file per process and process life. It consists of JSON lines, each
+``{"seq", "wall", "mono", "kind", ...facts}``: ``seq`` counts from 0 in a life without gaps, ``wall`` is Unix seconds by
+the process's own wall clock (which may be wrong), and ``mono`` is seconds of its monotonic clock. The first event of a
+file is ``start``. Times in the harness's own history are true. Facts are numbers, strings, booleans, and lists or
+objects of these.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 
 class Kind(StrEnum):
-    """Names of events. The part before the dot is the room that writes it; those without one are every process's."""
+    """Event names. The part before the dot is the subsystem that writes the event; any process writes those without."""
 
     START = "start"
     END = "end"
@@ -37,25 +38,27 @@
     PURGE_ANSWER = "purge.answer"
 
 
-# The facts that each kind has, all of them always there.
+# The facts of each kind. All of them are always present.
 FACTS: dict[Kind, tuple[str, ...]] = {
-    # Every process. ``name`` is the limiter's or "harness"; ``period`` the fleet's probe period in seconds;
-    # ``bounds`` an object of the promises' bounds in seconds, by name (see ``BOUNDS``).
+    # Written by every process. ``name`` is the limiter's name or "harness"; ``period`` is the fleet's probe period in
+    # seconds; ``bounds`` is an object of the guaranteed bounds in seconds, by name (see ``BOUNDS``).
     Kind.START: ("name", "life", "zone", "period", "bounds"),
     Kind.END: ("reason",),
-    # The view of this process changed: ``state`` is a State's name in lower case, ``cause`` one of self, probe (its own
-    # detector), told (by another) and refuted. A life that rose begins with all that it holds of others, as told.
+    # This process's view of a member changed: ``state`` is a State's name in lower case, ``cause`` is one of self, probe
+    # (its own failure detector), told (learned from another process) and refuted. A process that restarts begins with
+    # all that it knows of others, with cause told.
     Kind.MEMBER: ("member", "life", "incarnation", "state", "cause"),
-    # ``settled`` became true or false; ``digest`` is this process's, ``members`` how many it holds present.
+    # ``settled`` became true or false; ``digest`` is that of this process's view, ``members`` the number present in it.
     Kind.SETTLED: ("settled", "digest", "members"),
-    # A row of another member was taken, of another life than the one held of it in that subsystem (or none was).
+    # A row of another member was accepted whose life differs from that of the row held in that subsystem, or the first.
     Kind.ROW: ("owner", "life", "subsystem"),
-    # ``state``: calm, pressed, shedding or easing; ``pressure`` is the number that the table goes by.
+    # ``state``: calm, pressed, shedding or easing; ``pressure`` is the number that drives the state machine.
     Kind.LANES_STATE: ("state", "pressure"),
-    # Sums of one period at this limiter, each an object by lane in the lanes' order, premium first: units asked and
-    # passed, inside quota and beyond; ``shares`` what this limiter may let pass a second inside quota by lane;
-    # ``floors`` its part of each lane's floor, the same unit; ``bears`` what the whole fleet bears, units a second;
-    # ``state`` the state in which the period was. Written at the period's end, ``seconds`` after its begin.
+    # Sums of one period at this limiter, each an object by lane in rank order, highest first: units requested and
+    # passed, within quota and beyond it; ``shares`` is the units per second within quota that this limiter may pass by
+    # lane; ``floors`` is its part of each lane's floor, in the same unit; ``bears`` is the capacity of the whole fleet
+    # in units per second; ``state`` is the state during the period. Written at the end of the period, which lasted
+    # ``seconds``.
     Kind.LANES_PERIOD: (
         "state",
         "seconds",
@@ -67,46 +70,47 @@
         "floors",
         "bears",
     ),
-    # One try that a lane turned away. ``spell`` is the number of the spell and ``until`` its end (Unix seconds by the
-    # shared reckoning of spells); ``inside`` whether it was inside its quota.
+    # A request that a lane rejected. ``spell`` is the number of the spell and ``until`` its end (Unix seconds, computed
+    # alike by all limiters); ``inside`` is whether the request was within quota.
     Kind.LANES_TURNED: ("id", "account", "lane", "inside", "spell", "until"),
-    # The first try inside its quota that a lane let pass for this account in this spell, while this limiter sheds.
+    # The first request within quota that a lane let pass for this account in this spell, while this limiter sheds.
     Kind.LANES_LET: ("account", "lane", "spell"),
-    # A calendar version is held (``state`` "held"), in force ("force") or refused ("refused", ``why`` says it).
+    # A calendar version is stored (``state`` "held"), in force ("force") or refused ("refused", for the reason ``why``).
     Kind.CALENDAR: ("version", "state", "in_force", "why"),
-    # A closing was noticed: one identity (place, version, ordinal) once in a life; ``at`` the instant, ``dropped`` how
-    # many kept answers went with it.
+    # A closing was noticed, each (place, version, ordinal) once per life; ``at`` is its time, ``dropped`` the number of
+    # cached answers that were dropped.
     Kind.CLOSED: ("place", "version", "ordinal", "at", "dropped"),
-    # An answer is kept from now on: ``key`` names it, ``generation`` that of the moment ``sent`` (wall) at which its
-    # request went to a server.
+    # An answer was cached under ``key``; ``generation`` is that of the time ``sent`` (wall clock) at which its request
+    # was sent to a server.
     Kind.KEPT: ("account", "key", "generation", "sent"),
-    # A kept answer was served, ``made`` being the wall moment at which its request went to a server.
+    # A cached answer was served; ``made`` is the wall time at which its request was sent to a server.
     Kind.SERVED: ("id", "account", "key", "generation", "made"),
-    # ``doubt`` true: from now on nothing is kept or served from what is kept; ``cause`` in a word.
+    # While ``doubt`` is true, no answer is cached or served from the cache; ``cause`` is one word.
     Kind.DOUBT: ("doubt", "cause"),
-    # A purge of ``account``, numbered by its issuer and life. ``what``: asked, applied, yes (all have it), no (with
-    # ``missing``, the names of who may not have it).
+    # A purge of ``account``, numbered by its issuer and life. ``what`` is asked, applied, yes (all limiters have applied
+    # it) or no (``missing`` lists the limiters that may not have).
     Kind.PURGE: ("account", "issuer", "life", "number", "what", "missing"),
-    # The harness. ``on`` true at a fault's begin, false at its end; ``kind_of`` is the scenario's kind of fault.
+    # Written by the harness. ``on`` is true at a fault's start and false at its end; ``kind_of`` is the fault kind of
+    # the scenario.
     Kind.FAULT: ("kind_of", "targets", "on"),
-    # A client's try and its end. ``made`` is the true moment at which a server made the answer, null where none did;
-    # ``kept`` whether it came from what a limiter had kept.
+    # A client's call and its outcome. ``made`` is the true time at which a server made the answer, null where none did;
+    # ``kept`` is whether it came from a limiter's cache.
     Kind.CALL: ("id", "account", "plan", "cls", "limiter"),
     Kind.ANSWER: ("id", "status", "made", "kept"),
-    # What is true of the day, for the checkers: ``closings`` a list of [account, unix second] pairs, each instant at
-    # which what was kept for the account has to be gone; ``lanes`` a list for each lane, of its plans' names, premium
-    # first; ``clock_bound`` and ``seconds`` (of the day) in seconds.
+    # The true facts of the play, for the checkers: ``closings`` is a list of [account, Unix second] pairs, each the time
+    # by which the account's cached answers must be dropped; ``lanes`` has for each lane a list of its plans' names,
+    # highest lane first; ``clock_bound`` and ``seconds`` (the duration of the play) are in seconds.
     Kind.TRUTH: ("closings", "lanes", "clock_bound", "seconds"),
-    # A purge by hand as the operator sees it.
+    # A manual purge as the operator sees it.
     Kind.PURGE_CALL: ("id", "account", "limiter"),
     Kind.PURGE_ANSWER: ("id", "status", "missing"),
 }
 
-# The names of the bounds that ``start`` states, in seconds.
+# The names of the bounds that ``start`` states, each in seconds.
 BOUNDS = (
-    "detect",  # from a death until every survivor has it dead
+    "detect",  # from a death until every survivor has detected it
     "settle",  # from the last fault until all digests agree
-    "inversion",  # of premium inside quota refused while a lower lane passes anywhere
-    "clock",  # by which two wall clocks may differ before keeping stops
-    "purge",  # from a handover at one limiter until all others have dropped what they kept
+    "inversion",  # longest time the highest lane is refused within quota while a lower lane passes anywhere
+    "clock",  # largest difference of two wall clocks before caching stops
+    "purge",  # from a purge request at one limiter until all others have dropped their cached answers
 )
