--- a/cypresspulley/histories/forms.py
+++ b/cypresspulley/histories/forms.py
@@ -1,7 +1,7 @@
-"""The forms of events as read: one record a kind, checked fact by fact, so that checkers may trust what they hold.
+"""Typed records of events, one per kind, which the reader validates so that checkers can rely on them.
 
-``events.FACTS`` says what each fact means; here stands its type alone. A fact that is missing or of another type is an
-error of the reader; facts that are not listed are passed over. Seconds and Unix seconds are floats.
+``events.FACTS`` documents the facts; this module declares their types. The reader rejects an event with a missing fact
+or one of another type and ignores unknown facts. Seconds and Unix seconds are floats.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Event(msgspec.Struct, frozen=True, kw_only=True, tag_field="kind"):
-    """What every event has. ``seq`` counts from 0 in a life; ``mono`` never steps, ``wall`` may be wrong."""
+    """The fields of every event. ``seq`` counts from 0 in a life; ``mono`` is monotonic, ``wall`` may be wrong."""
 
     seq: int
     wall: float
