--- a/cypresspulley/histories/events.py
+++ b/cypresspulley/histories/events.py
@@ -44,9 +44,9 @@
     # seconds; ``bounds`` is an object of the guaranteed bounds in seconds, by name (see ``BOUNDS``).
     Kind.START: ("name", "life", "zone", "period", "bounds"),
     Kind.END: ("reason",),
-    # This process's view of a member changed: ``state`` is a State's name in lower case, ``cause`` is one of self, probe
-    # (its own failure detector), told (learned from another process) and refuted. A process that restarts begins with
-    # all that it knows of others, with cause told.
+    # This process's view of a member changed: ``state`` is a State's name in lower case, ``cause`` is one of self,
+    # probe (its own failure detector), told (learned from another process) and refuted. A process that begins a new
+    # life first writes all that it knows of others, with cause told.
     Kind.MEMBER: ("member", "life", "incarnation", "state", "cause"),
     # ``settled`` became true or false; ``digest`` is that of this process's view, ``members`` the number present in it.
     Kind.SETTLED: ("settled", "digest", "members"),
@@ -75,7 +75,8 @@
     Kind.LANES_TURNED: ("id", "account", "lane", "inside", "spell", "until"),
     # The first request within quota that a lane let pass for this account in this spell, while this limiter sheds.
     Kind.LANES_LET: ("account", "lane", "spell"),
-    # A calendar version is stored (``state`` "held"), in force ("force") or refused ("refused", for the reason ``why``).
+    # A calendar version is stored (``state`` "held"), in force ("force") or refused ("refused", with the reason in
+    # ``why``).
     Kind.CALENDAR: ("version", "state", "in_force", "why"),
     # A closing was noticed, each (place, version, ordinal) once per life; ``at`` is its time, ``dropped`` the number of
     # cached answers that were dropped.
@@ -87,8 +88,8 @@
     Kind.SERVED: ("id", "account", "key", "generation", "made"),
     # While ``doubt`` is true, no answer is cached or served from the cache; ``cause`` is one word.
     Kind.DOUBT: ("doubt", "cause"),
-    # A purge of ``account``, numbered by its issuer and life. ``what`` is asked, applied, yes (all limiters have applied
-    # it) or no (``missing`` lists the limiters that may not have).
+    # A purge of ``account``, numbered by its issuer and life. ``what`` is asked, applied, yes (all limiters have
+    # applied it) or no (``missing`` lists the limiters that may not have).
     Kind.PURGE: ("account", "issuer", "life", "number", "what", "missing"),
     # Written by the harness. ``on`` is true at a fault's start and false at its end; ``kind_of`` is the fault kind of
     # the scenario.
@@ -97,9 +98,9 @@
     # ``kept`` is whether it came from a limiter's cache.
     Kind.CALL: ("id", "account", "plan", "cls", "limiter"),
     Kind.ANSWER: ("id", "status", "made", "kept"),
-    # The true facts of the play, for the checkers: ``closings`` is a list of [account, Unix second] pairs, each the time
-    # by which the account's cached answers must be dropped; ``lanes`` has for each lane a list of its plans' names,
-    # highest lane first; ``clock_bound`` and ``seconds`` (the duration of the play) are in seconds.
+    # The true facts of the play, for the checkers: ``closings`` is a list of [account, Unix second] pairs, each the
+    # time by which the account's cached answers must be dropped; ``lanes`` has for each lane a list of its plans'
+    # names, highest lane first; ``clock_bound`` and ``seconds`` (the duration of the play) are in seconds.
     Kind.TRUTH: ("closings", "lanes", "clock_bound", "seconds"),
     # A manual purge as the operator sees it.
     Kind.PURGE_CALL: ("id", "account", "limiter"),
