--- a/cypresspulley/histories/read.py
+++ b/cypresspulley/histories/read.py
@@ -1,7 +1,7 @@
-"""Reads histories back: files of JSON lines, or lists of events from plays in virtual time.
+"""Reads histories from files of JSON lines or from event lists of plays in virtual time.
 
-Allowed is one thing alone: a last line without its end, as a SIGKILL leaves it; it is dropped. Anything else that is
-wrong ends the reading with a ``HistoryError`` that names file, line and what was expected. Everything is bounded.
+The only defect tolerated is a last line without a line end, which a SIGKILL can leave; that line is dropped. Any other
+defect raises a ``HistoryError`` that names the file, the line and what was expected. All sizes are bounded.
 """
 
 from __future__ import annotations
@@ -15,25 +15,28 @@
 
 from cypresspulley.histories.forms import EVENT_TYPES, Event, Start
 
-HARNESS = "harness"  # the name in its ``start``
+HARNESS = "harness"  # the name in the ``start`` event of the harness
 MAX_FILES = 4096
-MAX_FILE_BYTES = 128 * 1024 * 1024  # of one file: twice what a writer writes
-MAX_LINE_BYTES = 64 * 1024  # bytes, its end included; the harness's truths have a line a play
-MAX_TRUTH_LINE_BYTES = 4 * 1024 * 1024
-MAX_TOTAL_EVENTS = 2_000_000  # of all histories together
+MAX_FILE_BYTES = 128 * 1024 * 1024  # twice the limit of the writer
+MAX_LINE_BYTES = 64 * 1024  # line end included
+MAX_TRUTH_LINE_BYTES = 4 * 1024 * 1024  # the harness writes the truth of a whole play in one line
+MAX_TOTAL_EVENTS = 2_000_000  # in all histories together
 FILE_PATTERN = "*.jsonl"
 
-_EVENT_UNION = Union[tuple(EVENT_TYPES.values())]  # type: ignore[valid-type]  # noqa: UP007  # a union of what the table lists
+_EVENT_UNION = Union[tuple(EVENT_TYPES.values())]  # type: ignore[valid-type]  # noqa: UP007  # built from the table
 _decoder: msgspec.json.Decoder[Any] = msgspec.json.Decoder(_EVENT_UNION)
 
 
 class HistoryError(ValueError):
-    """A history that cannot be read; the text names file, line and what was expected."""
+    """Raised for a history that cannot be read. The message names the file, the line and what was expected."""
 
 
 @dataclass(frozen=True, slots=True)
 class History:
-    """What one process wrote in one life, in order. ``cut`` is whether a last line was lost."""
+    """The events that one process wrote in one life, in order.
+
+    ``truncated`` is whether an incomplete last line was dropped.
+    """
 
     source: str
     events: tuple[Event, ...]
@@ -42,7 +45,7 @@
     @property
     def start(self) -> Start:
         first = self.events[0]
-        assert isinstance(first, Start)  # the reader made sure
+        assert isinstance(first, Start)  # ensured by the reader
         return first
 
     @property
@@ -62,14 +65,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Histories:
-    """One history for each process and life, sorted by name and life, and the harness's own, if there is one."""
+    """One history per process and life, sorted by name and life, and the harness's own if there is one."""
 
     lives: tuple[History, ...]
     harness: History | None
 
 
 def read_folder(folder: Path) -> Histories:
-    """All histories of a folder (``*.jsonl``). ``HistoryError`` also where it has none, ``OSError`` as it comes."""
+    """Reads all histories (``*.jsonl``) of a folder.
+
+    Raises ``HistoryError`` if one is invalid or the folder has none, and ``OSError`` if a file cannot be read.
+    """
     files = sorted(folder.glob(FILE_PATTERN))
     if not files:
         raise HistoryError(f"{folder}: expected at least one history {FILE_PATTERN}")
@@ -77,10 +83,13 @@
 
 
 def read_files(files: Sequence[Path]) -> Histories:
-    """Histories of these files, in any order. A file whose writer was killed before its first line is passed over."""
+    """Reads the histories of these files, in any order.
+
+    A file whose writer was killed before its first line is skipped.
+    """
     if len(files) > MAX_FILES:
         raise HistoryError(f"{len(files)} histories: expected at most {MAX_FILES}")
-    max_events, found = MAX_TOTAL_EVENTS, []
+    max_events, histories = MAX_TOTAL_EVENTS, []
     for file in files:
         size = file.stat().st_size
         if size > MAX_FILE_BYTES:
@@ -89,27 +98,27 @@
             history = read_lines(_bounded_lines(str(file), stream), str(file), max_events)
         max_events -= len(history.events)
         if history.events:
-            found.append(history)
-    return merge_histories(found)
+            histories.append(history)
+    return merge_histories(histories)
 
 
 def from_memory(lives: Iterable[Sequence[dict[str, Any]]]) -> Histories:
-    """Histories from lists of events, as ``MemoryHistory.lives`` has them; empty ones are passed over."""
-    found = []
+    """Builds histories from event lists as in ``MemoryHistory.lives``. Empty lists are skipped."""
+    histories = []
     for number, events in enumerate(lives):
         source = f"memory {number}"
         checked = _validate_events(
             source, (_convert_event(source, at, event) for at, event in enumerate(events)), MAX_TOTAL_EVENTS
         )
         if checked:
-            found.append(History(source, checked))
-    return merge_histories(found)
+            histories.append(History(source, checked))
+    return merge_histories(histories)
 
 
-def merge_histories(found: Iterable[History]) -> Histories:
-    """Put histories together; ``HistoryError`` where two are of one process and life."""
+def merge_histories(histories: Iterable[History]) -> Histories:
+    """Combines histories. Raises ``HistoryError`` if two are of the same process and life."""
     by_life: dict[tuple[str, int], History] = {}
-    for history in found:
+    for history in histories:
         key = history.name, history.life
         if key in by_life:
             raise HistoryError(
@@ -125,7 +134,7 @@
 
 
 def read_lines(lines: Iterable[bytes], source: str, max_events: int = MAX_TOTAL_EVENTS) -> History:
-    """One history from its lines, each with its end; the last may lack it (killed while it was written)."""
+    """Reads one history from its lines, which include their line ends; the last may lack it after a SIGKILL."""
     truncated = False
 
     def complete_events() -> Iterator[Event]:
@@ -145,13 +154,13 @@
 
 
 def _bounded_lines(source: str, stream: Any) -> Iterator[bytes]:
-    """Lines of a file, none longer than may be."""
+    """Yields the lines of a file. Raises ``HistoryError`` for a line over the size limit."""
     number = 0
     while line := stream.readline(MAX_TRUTH_LINE_BYTES + 1):
         number += 1
-        most = MAX_TRUTH_LINE_BYTES if b'"kind":"truth"' in line[:200] else MAX_LINE_BYTES
-        if len(line) > most:
-            raise HistoryError(f"{source}: line {number}: over {most} bytes: expected at most that many")
+        max_bytes = MAX_TRUTH_LINE_BYTES if b'"kind":"truth"' in line[:200] else MAX_LINE_BYTES
+        if len(line) > max_bytes:
+            raise HistoryError(f"{source}: line {number}: over {max_bytes} bytes: expected at most that many")
         yield line
 
 
@@ -172,22 +181,28 @@
 
 
 def _validate_events(source: str, events: Iterable[Event], max_events: int) -> tuple[Event, ...]:
-    """Events of one life: the first a start and no other, ``seq`` without a gap, ``mono`` never back."""
-    kept: list[Event] = []
+    """Validates the events of one life and returns them.
+
+    The first event, and no other, must be a start; ``seq`` must have no gap and ``mono`` must not decrease.
+    """
+    validated: list[Event] = []
     for event in events:
-        line = len(kept) + 1
+        line = len(validated) + 1
         if line > max_events:
             raise HistoryError(
                 f"{source}: line {line}: expected at most {MAX_TOTAL_EVENTS} events in all histories"
             )
-        if event.seq != len(kept):
-            raise HistoryError(f"{source}: line {line}: seq {event.seq}: expected {len(kept)}, without a gap")
-        if isinstance(event, Start) != (not kept):
-            expected = "no second start" if kept else "start as the first event"
+        if event.seq != len(validated):
+            raise HistoryError(
+                f"{source}: line {line}: seq {event.seq}: expected {len(validated)}, without a gap"
+            )
+        if isinstance(event, Start) != (not validated):
+            expected = "no second start" if validated else "start as the first event"
             raise HistoryError(f"{source}: line {line}: expected {expected}")
-        if kept and event.mono < kept[-1].mono:
+        if validated and event.mono < validated[-1].mono:
             raise HistoryError(
-                f"{source}: line {line}: mono {event.mono}: expected at least {kept[-1].mono}, as the line before has"
+                f"{source}: line {line}: mono {event.mono}: "
+                f"expected at least {validated[-1].mono}, as the line before has"
             )
-        kept.append(event)
-    return tuple(kept)
+        validated.append(event)
+    return tuple(validated)
