--- a/cypresspulley/histories/timeline.py
+++ b/cypresspulley/histories/timeline.py
@@ -1,14 +1,14 @@
-"""When what happened: faults as spans, lives from start to end, and who could answer whom.
+"""The timeline of a play: faults as time spans, process lives from start to end, and who could answer whom.
 
-All times are seconds of the clock that never steps (``mono``), on one base for the harness and all processes of a play;
-a process's own wall clock may be wrong and orders nothing.
+All times are seconds of the monotonic clock (``mono``), which the harness and all processes of a play share. A
+process's own wall clock may be wrong and orders nothing.
 
-The names of faults that count here (``kind_of``), with limiters as targets; see ``docs/design/histories.md``:
+The fault kinds (``kind_of``) that matter here have limiters as targets; see ``docs/design/histories.md``:
 
-    ended      SIGKILL or SIGTERM of the targets: no end of its own, a return is the new life's start
-    silent     the targets answer nobody from begin to end
-    parted     the targets are one side: between them and all others nothing is sure to pass
-    any other  excuses no silence; while one of the fleet is on, the view need not be settled
+    process end  SIGKILL or SIGTERM of the targets; it has no end event, a return shows as the start of a new life
+    pause        the targets answer nobody from begin to end
+    partition    the targets are one side; messages between them and all others may be lost
+    any other    excuses no missing answer; while a fleet fault is active, the view need not be settled
 """
 
 from __future__ import annotations
@@ -26,16 +26,16 @@
 PROCESS_END_KINDS = KILL_KINDS | {"limiter-restart"}
 PAUSE_KINDS = frozenset(("limiter-pause",))
 PARTITION_KINDS = frozenset(("fleet-cut", "fleet-oneway", "fleet-flap", "fleet-partition"))
-FLEET_KIND_PREFIX = "fleet-"  # how the kinds begin that befall datagrams
-CLOCK_SKEW_SECONDS = 0.02  # seconds by which two processes' clocks that never step may differ on one machine
+FLEET_KIND_PREFIX = "fleet-"  # prefix of the fault kinds that affect datagrams between limiters
+CLOCK_SKEW_SECONDS = 0.02  # largest difference of two processes' monotonic clocks on one machine
 
 
-_Kind = TypeVar("_Kind", bound=Event)
+_EventT = TypeVar("_EventT", bound=Event)
 
 
 @dataclass(frozen=True, slots=True)
 class FaultSpan:
-    """A fault from ``begin`` to ``end`` (infinite where no end was written), and the event that began it."""
+    """A fault from ``begin`` to ``end`` (infinite if no end was written) and the event that began it."""
 
     kind: str
     targets: frozenset[str]
@@ -45,7 +45,7 @@
 
     @property
     def may_unsettle(self) -> bool:
-        """Whether the view may be unsettled while it lasts. A clock that is off is no reason."""
+        """Whether the membership view may be unsettled during the fault. A wrong clock is no such fault."""
         return (
             self.kind in PAUSE_KINDS
             or self.kind in PARTITION_KINDS
@@ -58,13 +58,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Life:
-    """One process's life: from its start until it ended in order, was killed or ended with the play."""
+    """One process life, from its start until an orderly end, a kill or the end of the play."""
 
     history: History
     begin: float
     end: float
-    killed: Fault | None  # what killed it
-    ended: End | None  # its own last word
+    killed: Fault | None  # the fault that killed it
+    ended: End | None  # the end event that the process wrote itself
 
     @property
     def name(self) -> str:
@@ -75,14 +75,14 @@
 
 
 class Timeline:
-    """A play's faults and lives. Without a harness there are no faults, and nothing is known to have been killed."""
+    """The faults and process lives of a play. Without a harness history there are no faults and no known kills."""
 
     def __init__(self, histories: Histories) -> None:
         self.harness = histories.harness
-        self.stop = _stop(histories)
-        self.faults = tuple(_spans(self.harness)) if self.harness else ()
+        self.stop = _play_end(histories)
+        self.faults = tuple(_fault_spans(self.harness)) if self.harness else ()
         self.lives = tuple(self._lives(histories.lives))
-        self.truth = _truth(self.harness)
+        self.truth = _truth_of(self.harness)
         self._by_name: dict[str, list[Life]] = defaultdict(list)
         for life in self.lives:
             self._by_name[life.name].append(life)
@@ -94,14 +94,14 @@
         return next((life for life in self._by_name.get(name, ()) if life.history.life == number), None)
 
     def was_paused(self, name: str, begin: float, end: float) -> bool:
-        """Whether a process of this name was stopped at some moment from ``begin`` to ``end``."""
+        """Whether the process of this name was paused at any time from ``begin`` to ``end``."""
         return any(
             span.kind in PAUSE_KINDS and name in span.targets and span.overlaps(begin, end)
             for span in self.faults
         )
 
     def was_partitioned(self, one: str, other: str, begin: float, end: float) -> bool:
-        """Whether a cut lay between the two at some moment from ``begin`` to ``end``."""
+        """Whether a partition separated the two at any time from ``begin`` to ``end``."""
         return any(
             span.kind in PARTITION_KINDS
             and (one in span.targets) != (other in span.targets)
@@ -110,11 +110,11 @@
         )
 
     def had_partition(self, begin: float, end: float) -> bool:
-        """Whether there was any cut in that time."""
+        """Whether any partition was active at any time from ``begin`` to ``end``."""
         return any(span.kind in PARTITION_KINDS and span.overlaps(begin, end) for span in self.faults)
 
     def could_answer(self, observer: str, member: str, number: int, begin: float, end: float) -> bool:
-        """Whether this life of the member could answer the observer all the while."""
+        """Whether this life of the member could answer the observer during all of ``begin`` to ``end``."""
         life = self.life(member, number)
         if life is None or not life.covers(begin, end):
             return False
@@ -123,38 +123,38 @@
         )
 
     def _lives(self, histories: tuple[History, ...]) -> Iterator[Life]:
-        """``histories`` are sorted by name and life, so that the next of one name ends the one before."""
+        """Yields the lives. ``histories`` are sorted by name and life, so the next one of a name ends the previous."""
         for number, history in enumerate(histories):
             begin = history.start.mono
             last = history.events[-1]
             ended = last if isinstance(last, End) else None
-            following = histories[number + 1] if number + 1 < len(histories) else None
+            next_history = histories[number + 1] if number + 1 < len(histories) else None
             end = self.stop if ended is None else ended.mono
-            if following is not None and following.name == history.name:
-                end = min(end, following.start.mono)
-            killed = self._ended(KILL_KINDS, history.name, begin, end)
-            told = killed or (
-                self._ended(PROCESS_END_KINDS, history.name, begin, end) if ended is None else None
+            if next_history is not None and next_history.name == history.name:
+                end = min(end, next_history.start.mono)
+            killed = self._first_fault(KILL_KINDS, history.name, begin, end)
+            end_fault = killed or (
+                self._first_fault(PROCESS_END_KINDS, history.name, begin, end) if ended is None else None
             )
-            yield Life(history, begin, told.mono if told else end, killed, ended)
+            yield Life(history, begin, end_fault.mono if end_fault else end, killed, ended)
 
-    def _ended(self, kinds: frozenset[str], name: str, begin: float, end: float) -> Fault | None:
-        """The first fault of these kinds that struck this life."""
+    def _first_fault(self, kinds: frozenset[str], name: str, begin: float, end: float) -> Fault | None:
+        """Returns the first fault of these kinds that hit the process in that time."""
         for span in self.faults:
             if span.kind in kinds and name in span.targets and begin <= span.begin <= end:
                 return span.event
         return None
 
 
-def _stop(histories: Histories) -> float:
-    """When the play ended: the harness's end, else the last event of all."""
+def _play_end(histories: Histories) -> float:
+    """Returns when the play ended: the harness's last event, or without a harness the last event of all."""
     if histories.harness is not None:
         return histories.harness.events[-1].mono
     return max((history.events[-1].mono for history in histories.lives), default=0.0)
 
 
-def _spans(harness: History) -> Iterator[FaultSpan]:
-    """Faults, each begin with the first end after it of the same kind and targets."""
+def _fault_spans(harness: History) -> Iterator[FaultSpan]:
+    """Yields fault spans, pairing each begin with the first later end of the same kind and targets."""
     faults = [event for event in harness.events if isinstance(event, Fault)]
     ends: dict[tuple[str, frozenset[str]], list[float]] = defaultdict(list)
     for event in faults:
@@ -163,20 +163,20 @@
     for event in faults:
         if event.on:
             key = event.kind_of, frozenset(event.targets)
-            at_end = next((moment for moment in ends[key] if moment >= event.mono), None)
-            if at_end is not None:
-                ends[key].remove(at_end)
-            yield FaultSpan(*key, event.mono, math.inf if at_end is None else at_end, event)
+            end = next((moment for moment in ends[key] if moment >= event.mono), None)
+            if end is not None:
+                ends[key].remove(end)
+            yield FaultSpan(*key, event.mono, math.inf if end is None else end, event)
 
 
-def _truth(harness: History | None) -> Truth | None:
+def _truth_of(harness: History | None) -> Truth | None:
     return next((event for event in harness.events if isinstance(event, Truth)), None) if harness else None
 
 
-def events_of(history: History, kind: type[_Kind]) -> Iterator[_Kind]:
+def events_of(history: History, kind: type[_EventT]) -> Iterator[_EventT]:
     return (event for event in history.events if isinstance(event, kind))
 
 
 def stated_bound(history: History, name: str) -> float | None:
-    """The bound that this process stated at its start, in seconds; None where it stated none."""
+    """Returns the bound in seconds that this process stated in its start event, or None."""
     return history.start.bounds.get(name)
