--- a/cypresspulley/histories/verdict.py
+++ b/cypresspulley/histories/verdict.py
@@ -1,4 +1,4 @@
-"""What a checker says: a verdict with findings, each with the few events that show it."""
+"""The verdict of a history checker: its findings, each with the few events that prove it."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from cypresspulley.histories.forms import Event
 from cypresspulley.histories.read import History
 
-MAX_FINDINGS = 50  # of one checker: a broken promise tends to break all day
+MAX_FINDINGS = 50  # per checker, since a guarantee that breaks once tends to break throughout the play
 NOTHING_TO_CHECK = "nothing to check"
 
 
 @dataclass(frozen=True, slots=True)
 class ExcerptLine:
-    """One event as its process wrote it."""
+    """One event with the process and life that wrote it."""
 
     process: str
     life: int
@@ -29,10 +29,10 @@
 
     def __repr__(self) -> str:
         facts = msgspec.to_builtins(self.event)
-        said = ", ".join(
+        facts_text = ", ".join(
             f"{key}={value}" for key, value in facts.items() if key not in ("seq", "wall", "mono", "kind")
         )
-        return f"{facts['mono']:.3f} {self.process} #{facts['seq']} {facts['kind']}: {said}"
+        return f"{facts['mono']:.3f} {self.process} #{facts['seq']} {facts['kind']}: {facts_text}"
 
 
 def excerpt_line(history: History, event: Event) -> ExcerptLine:
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """A promise that broke: who, when (seconds of the clock that never steps), and the events that show it."""
+    """A broken guarantee (``promise``), a description, and the events that prove it."""
 
     promise: str
     text: str
@@ -53,6 +53,7 @@
 
     @property
     def instants(self) -> tuple[float, ...]:
+        """The times of the events, in seconds of the monotonic clock."""
         return tuple(line.event.mono for line in self.excerpt)
 
     def as_json(self) -> dict[str, Any]:
@@ -67,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """One checker's. ``checked`` is how many times a promise was put to the test, ``promises`` the same by promise."""
+    """The verdict of one checker. ``checked`` counts the checks made, ``promises`` the same per guarantee."""
 
     name: str
     checked: int
@@ -79,45 +80,45 @@
         return not self.findings
 
     def as_json(self) -> dict[str, Any]:
-        """``promises`` beside the rest: one with 0 was not put to the test, whatever the verdict says of the others."""
-        found = [finding.as_json() for finding in self.findings]
+        """Returns the verdict as JSON data. A guarantee with 0 in ``promises`` was not checked at all."""
+        findings = [finding.as_json() for finding in self.findings]
         return {
-            "name": self.name, "kept": self.kept, "checked": self.checked, "findings": found,
+            "name": self.name, "kept": self.kept, "checked": self.checked, "findings": findings,
             "promises": self.promises,
         }  # fmt: skip
 
 
 class Tally:
-    """Counts what was checked and gathers what was found, while a checker runs."""
+    """Counts checks and collects findings while a checker runs."""
 
     def __init__(self, name: str, promises: Iterable[str]) -> None:
-        self._name, self._found = name, dict[tuple[Any, ...], Finding]()
-        self._checked = Counter(dict.fromkeys(promises, 0))
+        self._name, self._findings = name, dict[tuple[Any, ...], Finding]()
+        self._checks = Counter(dict.fromkeys(promises, 0))
 
     def count_check(self, promise: str, times: int = 1) -> None:
-        self._checked[promise] += times
+        self._checks[promise] += times
 
     def add_finding(self, promise: str, text: str, excerpt: Iterable[ExcerptLine] = ()) -> None:
-        """Note a finding; the same events for the same promise count once."""
-        finding = Finding(promise, text, tuple(sorted(excerpt, key=_when)))
-        key = (promise, text, *((shown.process, shown.life, shown.event.seq) for shown in finding.excerpt))
-        self._found.setdefault(key, finding)
+        """Adds a finding. The same text with the same events for the same guarantee counts once."""
+        finding = Finding(promise, text, tuple(sorted(excerpt, key=_line_order)))
+        key = (promise, text, *((line.process, line.life, line.event.seq) for line in finding.excerpt))
+        self._findings.setdefault(key, finding)
 
     def verdict(self) -> Verdict:
-        findings = sorted(self._found.values(), key=_first)
-        checked = sum(self._checked.values())
+        findings = sorted(self._findings.values(), key=_finding_order)
+        checked = sum(self._checks.values())
         if not checked:
             findings.append(
                 Finding(NOTHING_TO_CHECK, f"no event here puts a promise of {self._name} to the test")
             )
         return Verdict(
-            self._name, checked, tuple(findings[:MAX_FINDINGS]), dict(sorted(self._checked.items()))
+            self._name, checked, tuple(findings[:MAX_FINDINGS]), dict(sorted(self._checks.items()))
         )
 
 
-def _first(finding: Finding) -> tuple[tuple[float, ...], str, str]:
+def _finding_order(finding: Finding) -> tuple[tuple[float, ...], str, str]:
     return finding.instants[:1], finding.promise, finding.text
 
 
-def _when(shown: ExcerptLine) -> tuple[float, str, int]:
-    return shown.event.mono, shown.process, shown.event.seq
+def _line_order(line: ExcerptLine) -> tuple[float, str, int]:
+    return line.event.mono, line.process, line.event.seq
