--- a/cypresspulley/histories/writer.py
+++ b/cypresspulley/histories/writer.py
@@ -1,7 +1,7 @@
-"""Writes a process's history: one JSON line an event, each handed to the machine whole before the next begins.
+"""Writes a process's history: one JSON line per event, each written completely before the next one begins.
 
-A SIGKILL loses at most the line that is being written. Nothing here is on a request's way unless a history is on; a
-disk that fails ends the history, never the limiter.
+A SIGKILL loses at most the line that is being written. Requests cost nothing here unless a history is enabled. A disk
+error ends the history, never the limiter.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 log = logging.getLogger(__name__)
 
-MAX_FILE_BYTES = 64 * 1024 * 1024  # of one history: a day's rehearsal writes some MB
-MAX_EVENTS_IN_MEMORY = 1_000_000  # of one life in memory
+MAX_FILE_BYTES = 64 * 1024 * 1024  # per history; a rehearsal of a full day writes some MB
+MAX_EVENTS_IN_MEMORY = 1_000_000  # per life
 
 
 class NoHistory:
-    """Where no history is wanted."""
+    """Discards all events, for processes without a history."""
 
     def open_life(self, life: int) -> None: ...
 
@@ -32,7 +32,10 @@
 
 
 class History:
-    """One process's history. ``path`` may hold ``{life}``; the file is made when the life is known."""
+    """The history of one process in a file, created once the process life is known.
+
+    ``path`` may contain the placeholder ``{life}``. ``clock`` is monotonic and ``wall`` returns Unix seconds.
+    """
 
     def __init__(self, path: str, clock: Callable[[], float], wall: Callable[[], float]) -> None:
         self._path, self._clock, self._wall = path, clock, wall
@@ -44,14 +47,14 @@
         return f"<History {self._path}, {self._seq} events, {'open' if self._file is not None else 'shut'}>"
 
     def open_life(self, life: int) -> None:
-        """Begin the file of this life. ``OSError`` where it cannot be made."""
+        """Opens the file of this life. Raises ``OSError`` if it cannot be created."""
         self.close()
         self._seq = self._bytes = 0
         path = self._path.replace("{life}", str(life))
         self._file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o644)
 
     def put(self, kind: Kind, **facts: Any) -> None:
-        """Write one event; see ``events.FACTS`` for what each kind has. Before ``open_life`` nothing is written."""
+        """Writes one event with the facts that ``events.FACTS`` lists. Before ``open_life`` nothing is written."""
         if self._file is None:
             return
         event = {"seq": self._seq, "wall": self._wall(), "mono": self._clock(), "kind": str(kind), **facts}
@@ -59,12 +62,13 @@
         self._seq, self._bytes = self._seq + 1, self._bytes + len(line)
         try:
             if self._bytes > MAX_FILE_BYTES:
-                raise OSError(f"over {MAX_FILE_BYTES} bytes")
-            # One call a line: what is killed between two lines loses none. A full disk takes part of one and no error.
+                raise OSError(f"history exceeds {MAX_FILE_BYTES} bytes")
+            # One system call per line, so that a kill between two lines loses none. A full disk may write part of a line
+            # without an error.
             if os.write(self._file, line) != len(line):
-                raise OSError("a line was written in part")
+                raise OSError("a line was written only in part")
         except OSError as error:
-            log.error("the history ends here: %s: %s", self._path, error)
+            log.error("closing the history after a write error: %s: %s", self._path, error)
             self.close()
 
     def close(self) -> None:
@@ -74,9 +78,9 @@
 
 
 class MemoryHistory:
-    """A history kept in a list, for plays in virtual time: the same events as ``History`` writes, as plain objects.
+    """A history in memory, for plays in virtual time, with the same events as ``History`` writes, as plain objects.
 
-    ``lives`` has one list of events for each life that was opened, in the order in which they were.
+    ``lives`` has one list of events per life, in the order in which the lives were opened.
     """
 
     def __init__(self, clock: Callable[[], float], wall: Callable[[], float]) -> None:
@@ -90,7 +94,7 @@
 
     @property
     def events(self) -> list[dict[str, Any]]:
-        """Those of the last life that was opened."""
+        """The events of the life opened last."""
         return self.lives[-1] if self.lives else []
 
     def open_life(self, life: int) -> None:
@@ -102,9 +106,9 @@
             return
         events = self.lives[-1]
         event = {"seq": len(events), "wall": self._wall(), "mono": self._clock(), "kind": str(kind), **facts}
-        events.append(msgspec.to_builtins(event))  # a copy: what the writer changes later stays out
+        events.append(msgspec.to_builtins(event))  # a copy, which later changes by the caller do not affect
         if len(events) >= MAX_EVENTS_IN_MEMORY:
-            log.error("the history ends here: over %d events", MAX_EVENTS_IN_MEMORY)
+            log.error("closing the history: it has reached the limit of %d events", MAX_EVENTS_IN_MEMORY)
             self.close()
 
     def close(self) -> None:
