--- a/cypresspulley/histories/timeline.py
+++ b/cypresspulley/histories/timeline.py
@@ -5,7 +5,7 @@
 
 The fault kinds (``kind_of``) that matter here have limiters as targets; see ``docs/design/histories.md``:
 
-    process end  SIGKILL or SIGTERM of the targets; the fault has no end event, a return shows as the start of a new life
+    process end  SIGKILL or SIGTERM of the targets; it has no fault end, a return shows as the start of a new life
     pause        the targets answer nobody from begin to end
     partition    the targets are one side; messages between them and all others may be lost
     any other    excuses no missing answer; while a fleet fault is active, the view need not be settled
--- a/cypresspulley/histories/writer.py
+++ b/cypresspulley/histories/writer.py
@@ -63,8 +63,8 @@
         try:
             if self._bytes > MAX_FILE_BYTES:
                 raise OSError(f"history exceeds {MAX_FILE_BYTES} bytes")
-            # One system call per line, so that a kill between two lines loses none. A full disk may write part of a line
-            # without an error.
+            # One system call per line, so that a kill between two lines loses none. A full disk may write part of a
+            # line without an error.
             if os.write(self._file, line) != len(line):
                 raise OSError("a line was written only in part")
         except OSError as error:
