--- a/tests/explore/mutants.py
+++ b/tests/explore/mutants.py
@@ -1,7 +1,7 @@
-"""Limiters with one fault each, made in memory from the shipped one: what a search must find.
+"""Mutants of the limiter with one fault each, which a search must find.
 
-A mutant is a line of a function replaced; ``applied`` recompiles the function and puts it back afterwards. A
-``FINDERS`` row says which scenario shows it, which seed of it, and what is wrong then.
+A mutant replaces text in the source of one function; ``applied`` recompiles the function in memory and restores it
+afterwards. Each row of ``MUTANTS`` names the scenario and the seed that show the fault and the expected failures.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Mutant:
-    """``old`` becomes ``new`` in ``owner.function``; found in ``scenario`` as one of ``categories``."""
+    """Replaces ``old`` by ``new`` in ``owner.function``; found in ``scenario`` as a failure of ``categories``."""
 
     name: str
     owner: type | ModuleType
@@ -39,7 +39,7 @@
     new: str
     scenario: str
     categories: tuple[str, ...]
-    shown_by: int = 0  # the first seed, of days drawn evenly, that shows it
+    shown_by: int = 0  # the first seed that shows it when all fault kinds have the same weight
     inside: float = 30.0
 
 
@@ -133,20 +133,24 @@
 
 
 def scenario_of(mutant: Mutant) -> Scenario:
-    """A shipped scenario, or one of the tests' own: low ceilings, quick work on very cold servers, late answers."""
+    """Returns the mutant's scenario: a shipped one, or one of those defined here."""
     if mutant.scenario == "small":
         return small()
-    own: dict[str, Callable[[], Scenario]] = {
+    local_scenarios: dict[str, Callable[[], Scenario]] = {
         "cold": cold,
         "slow": slow,
         "by hand": by_hand,
         "cold by hand": cold_by_hand,
     }
-    return own[mutant.scenario]() if mutant.scenario in own else load_scenario(mutant.scenario)
+    return (
+        local_scenarios[mutant.scenario]()
+        if mutant.scenario in local_scenarios
+        else load_scenario(mutant.scenario)
+    )
 
 
 def slow() -> Scenario:
-    """Servers answer late again and again: attempts are given up with their answers still to come."""
+    """Servers answer late repeatedly, so attempts are abandoned while their answers are still to come."""
     spells = [
         {"kind": "server-slow", "at": 0.5 + n, "lasts": 0.7, "count": 4, "add_ms": 700} for n in range(4)
     ]
@@ -154,8 +158,11 @@
 
 
 def cold(limiters: int = 6) -> Scenario:
-    """Servers restart one by one. Long aims and late reports would let much work be out at each, were it not for the
-    cold budget; each of the limiters is some tens of requests a second at most."""
+    """Servers restart one by one.
+
+    With long latency aims and late load reports, only the cold budget limits the work sent to each server. Each limiter
+    handles some tens of requests per second at most.
+    """
     fleet = {"servers": 5, "halls": ["east", "west"], "cores": 1, "cold_share": 0.04, "cold_seconds": 30,
              "fall_seconds": 2, "fall_multiple": 1.0, "drain_grace": 0.5, "report_ms": 1500}  # fmt: skip
     crashes = [
@@ -167,7 +174,7 @@
 
 
 def by_hand() -> Scenario:
-    """Operators take one server after another out, and call it back."""
+    """Operators ban one server after another and lift the ban again."""
     spells = [
         {"kind": "server-by-hand", "at": 0.4 + n, "lasts": 3.0, "targets": [f"bag-0{n}"]} for n in range(3)
     ]
@@ -175,23 +182,22 @@
 
 
 def cold_by_hand() -> Scenario:
-    """As ``cold``, restarted by operators; the news of the births comes too late to be of use."""
+    """Like ``cold``, with restarts by operators; discovery reports the new start times too late to be of use."""
     spells = [
         {"kind": "server-by-hand", "at": 0.3 + n, "lasts": 1.5, "targets": [f"bag-0{n}"]} for n in range(3)
     ]
     raw = to_raw(cold(limiters=1)) | {"discovery": {"notice": [50, 60]}, "fault": spells}
-    raw["fleet"] |= {
-        "cold_share": 0.01
-    }  # a lone limiter steers round who answers late: a dozen sent is its most
+    # A single limiter avoids servers that answer late and sends each a dozen requests at most, hence the low share.
+    raw["fleet"] |= {"cold_share": 0.01}
     return parse_scenario(raw, "cold by hand")
 
 
 @contextmanager
 def applied(mutant: Mutant) -> Iterator[None]:
-    """Run with the mutant in place of the shipped function."""
-    right = mutant.owner.__dict__[mutant.function]
-    source = textwrap.dedent(inspect.getsource(right))
-    assert source.count(mutant.old) == 1, f"{mutant.name}: the line is not there any more"
+    """Runs the block with the mutant in place of the original function."""
+    original = mutant.owner.__dict__[mutant.function]
+    source = textwrap.dedent(inspect.getsource(original))
+    assert source.count(mutant.old) == 1, f"{mutant.name}: the line is no longer in the function"
     names: dict[str, Any] = {}
     code = compile(source.replace(mutant.old, mutant.new), f"<{mutant.name}>", "exec")
     module = mutant.owner if isinstance(mutant.owner, ModuleType) else sys.modules[mutant.owner.__module__]
@@ -200,4 +206,4 @@
     try:
         yield
     finally:
-        setattr(mutant.owner, mutant.function, right)
+        setattr(mutant.owner, mutant.function, original)
--- a/tests/explore/mutated.py
+++ b/tests/explore/mutated.py
@@ -1,8 +1,8 @@
-"""A limiter with one of the mutants' faults as a process of its own, for days on sockets.
+"""Runs a limiter with the fault of one mutant as a separate process, for rehearsals on sockets.
 
     python -m tests.explore.mutated "every server taken for a long-running one" [--operators FILE]
 
-As ``python -m cypresspulley`` otherwise: LB_CONFIG names its configuration.
+Otherwise it behaves like ``python -m cypresspulley``: LB_CONFIG names the configuration file.
 """
 
 from __future__ import annotations
--- a/tests/explore/test_lifecycle.py
+++ b/tests/explore/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The model of a request's life convicts each forbidden step, and acquits what a right limiter does."""
+"""The model of the request lifecycle reports every forbidden step and nothing that a correct limiter does."""
 
 from __future__ import annotations
 
@@ -33,48 +33,50 @@
 UP, DRAINING = api.Health.UP, api.Health.DRAINING
 
 
-class Stand:
-    """A watch with what it said and met."""
+class ModelHarness:
+    """A lifecycle model with the violations and transitions that it reported."""
 
     def __init__(self) -> None:
-        self.said, self.met = list[Violation](), list[str]()
+        self.violations, self.met = list[Violation](), list[str]()
         ceilings = CeilingBudgets(SETTINGS.plans, 1.0)
-        self.watch = LifecycleModel("limiter-0", SETTINGS, FLEET, ceilings, self.said.append, self.met.append)
+        self.model = LifecycleModel(
+            "limiter-0", SETTINGS, FLEET, ceilings, self.violations.append, self.met.append
+        )
         entries = [api.ServerEntry(f"s{n}", UP, "ab"[n % 2], n) for n in range(3)]
-        self.watch.observe(0.0, api.ServerList(tuple(entries), True), [])
+        self.model.observe(0.0, api.ServerList(tuple(entries), True), [])
 
     def take(self, kind: RepeatKind, id: int = 1, now: float = 0.0, plan: str = "free") -> None:
-        self.watch.observe(now, api.Request(id, CLASSES[kind].name, plan, 4.0, "00"), [])
+        self.model.observe(now, api.Request(id, CLASSES[kind].name, plan, 4.0, "00"), [])
 
     def send(self, now: float = 0.0, server: str = "s0", id: int = 1) -> None:
-        self.watch.observe(now, api.TimerFired(0), [api.Send(id, server, 1.0)])
+        self.model.observe(now, api.TimerFired(0), [api.Send(id, server, 1.0)])
 
     def outcome(
         self, status: Status, attempt: int = 0, now: float = 0.1, server: str = "s0", id: int = 1
     ) -> None:
-        self.watch.observe(now, api.Outcome(id, attempt, server, status, 0.1, False, {}), [])
+        self.model.observe(now, api.Outcome(id, attempt, server, status, 0.1, False, {}), [])
 
     def end(self, action: api.Action, now: float = 0.2) -> None:
-        self.watch.observe(now, api.TimerFired(0), [action])
+        self.model.observe(now, api.TimerFired(0), [action])
 
     @property
     def rules(self) -> list[str]:
-        return [offence.rule for offence in self.said]
+        return [violation.rule for violation in self.violations]
 
 
-def to_state(stand: Stand, kind: RepeatKind, state: RequestState) -> None:
-    stand.take(kind)
+def bring_to_state(harness: ModelHarness, kind: RepeatKind, state: RequestState) -> None:
+    harness.take(kind)
     if state is RequestState.IN_FLIGHT:
-        stand.send()
+        harness.send()
     elif state in (RequestState.MAYBE_RAN, RequestState.MAYBE_RAN_IN_FLIGHT):
-        stand.send()
-        stand.outcome(Status.BROKEN)
+        harness.send()
+        harness.outcome(Status.BROKEN)
         if state is RequestState.MAYBE_RAN_IN_FLIGHT:
-            stand.send(0.1)
-            stand.said.clear()  # for some that was forbidden already
+            harness.send(0.1)
+            harness.violations.clear()  # that send is already a violation for some kinds
     elif state is RequestState.ENDED:
-        stand.send()  # the attempt is still out: an ended request without one is forgotten
-        stand.watch.observe(0.1, api.ClientDisconnected(1), [])
+        harness.send()  # keeps an attempt in flight, since an ended request without one is dropped
+        harness.model.observe(0.1, api.ClientDisconnected(1), [])
 
 
 ACTIONS: dict[str, api.Action] = {
@@ -88,87 +90,87 @@
 @pytest.mark.parametrize("state", RequestState)
 @pytest.mark.parametrize("symbol", ["send", "refuse", "fail", "take"])
 def test_the_table_is_what_is_said(state: RequestState, symbol: str, kind: RepeatKind) -> None:
-    stand = Stand()
-    to_state(stand, kind, state)
+    harness = ModelHarness()
+    bring_to_state(harness, kind, state)
     if symbol == "take":
-        stand.take(kind, now=0.2)
+        harness.take(kind, now=0.2)
     else:
-        stand.end(ACTIONS[symbol])
+        harness.end(ACTIONS[symbol])
     row = FORBIDDEN.get((state, symbol))
-    assert stand.rules == ([row[0]] if row is not None and kind in row[1] else [])
+    assert harness.rules == ([row[0]] if row is not None and kind in row[1] else [])
 
 
 def test_a_life_with_a_retry_after_proof_that_it_never_ran_is_right() -> None:
-    stand = Stand()
-    stand.take(RepeatKind.UNSAFE)
-    stand.send()
-    stand.outcome(Status.FULL)
-    stand.send(0.2, "s1")
-    stand.outcome(Status.OK, 1, 0.3, "s1")
-    stand.watch.observe(9.0, api.TimerFired(0), [])
-    assert stand.said == [] and stand.met[-3:] == ["retried", "attempt ok", "answered"]
-    assert stand.watch.requests == {}
+    harness = ModelHarness()
+    harness.take(RepeatKind.UNSAFE)
+    harness.send()
+    harness.outcome(Status.FULL)
+    harness.send(0.2, "s1")
+    harness.outcome(Status.OK, 1, 0.3, "s1")
+    harness.model.observe(9.0, api.TimerFired(0), [])
+    assert harness.violations == [] and harness.met[-3:] == ["retried", "attempt ok", "answered"]
+    assert harness.model.requests == {}
 
 
 def test_what_is_open_past_its_time_is_lost_unless_the_process_was_stopped() -> None:
-    stand = Stand()
-    stand.take(RepeatKind.SAFE)
-    stand.watch.observe(4.05, api.TimerFired(0), [])
-    assert stand.said == []
-    stand.watch.observe(4.1, api.TimerFired(0), [])
-    assert stand.rules == [REQUEST_LOST]
-    asleep = Stand()
-    asleep.take(RepeatKind.SAFE)
-    asleep.watch.on_resume(9.0)
-    asleep.watch.observe(9.05, api.TimerFired(0), [])
-    assert asleep.said == [] and len(asleep.watch.open_requests()) == 1
+    harness = ModelHarness()
+    harness.take(RepeatKind.SAFE)
+    harness.model.observe(4.05, api.TimerFired(0), [])
+    assert harness.violations == []
+    harness.model.observe(4.1, api.TimerFired(0), [])
+    assert harness.rules == [REQUEST_LOST]
+    resumed = ModelHarness()
+    resumed.take(RepeatKind.SAFE)
+    resumed.model.on_resume(9.0)
+    resumed.model.observe(9.05, api.TimerFired(0), [])
+    assert resumed.violations == [] and len(resumed.model.open_requests()) == 1
 
 
 def test_a_keyed_repeat_past_the_window_or_outside_the_group_is_convicted() -> None:
     for server, now, rules in (("s0", 1.5, []), ("s1", 1.5, [EFFECT_TWICE]), ("s0", 2.5, [EFFECT_TWICE])):
-        stand = Stand()
-        stand.take(RepeatKind.KEYED_PART)
-        stand.send()
-        stand.outcome(Status.BROKEN)
-        stand.send(now, server)
-        assert stand.rules == rules
+        harness = ModelHarness()
+        harness.take(RepeatKind.KEYED_PART)
+        harness.send()
+        harness.outcome(Status.BROKEN)
+        harness.send(now, server)
+        assert harness.rules == rules
 
 
 def test_a_drain_has_its_grace_and_no_more() -> None:
-    stand = Stand()
-    stand.watch.observe(1.0, api.ServerList((api.ServerEntry("s0", DRAINING, "a"),), False), [])
-    stand.take(RepeatKind.SAFE, now=1.5)
-    stand.send(2.0)
-    assert stand.said == []
-    stand.send(2.1)
-    assert stand.rules == [DRAIN_IGNORED]
-    stand.watch.observe(2.2, api.ServerList((api.ServerEntry("s0", UP, "a"),), False), [])
-    stand.take(RepeatKind.SAFE, 2, 2.3)
-    stand.send(2.4, id=2)
-    assert stand.rules == [DRAIN_IGNORED]
+    harness = ModelHarness()
+    harness.model.observe(1.0, api.ServerList((api.ServerEntry("s0", DRAINING, "a"),), False), [])
+    harness.take(RepeatKind.SAFE, now=1.5)
+    harness.send(2.0)
+    assert harness.violations == []
+    harness.send(2.1)
+    assert harness.rules == [DRAIN_IGNORED]
+    harness.model.observe(2.2, api.ServerList((api.ServerEntry("s0", UP, "a"),), False), [])
+    harness.take(RepeatKind.SAFE, 2, 2.3)
+    harness.send(2.4, id=2)
+    assert harness.rules == [DRAIN_IGNORED]
 
 
 def test_a_cold_server_bears_its_share_and_no_more() -> None:
-    stand = Stand()
-    stand.watch.observe(1.0, api.ServerList((api.ServerEntry("s0", UP, "a", born=0.9),), False), [])
-    for id in range(1, 12):  # 0.208 of a core, twice over, for a second: N = 4.16, so 10.2 requests of 0.1 s
-        stand.take(RepeatKind.SAFE, id, 1.0)
-        stand.send(1.0, id=id)
-    assert stand.rules == [COLD_OVERLOAD]
-    warm = Stand()
+    harness = ModelHarness()
+    harness.model.observe(1.0, api.ServerList((api.ServerEntry("s0", UP, "a", born=0.9),), False), [])
+    for id in range(1, 12):  # 0.208 cores, times 2, for 1 s: N = 4.16, so 10.2 requests of 0.1 s
+        harness.take(RepeatKind.SAFE, id, 1.0)
+        harness.send(1.0, id=id)
+    assert harness.rules == [COLD_OVERLOAD]
+    warm = ModelHarness()
     for id in range(1, 20):
         warm.take(RepeatKind.SAFE, id, 1.0)
         warm.send(1.0, id=id)
-    assert warm.said == []
+    assert warm.violations == []
 
 
 def test_a_ceiling_is_one_for_all_limiters() -> None:
-    ceilings, said = CeilingBudgets(SETTINGS.plans, 1.0), list[Violation]()
-    watches = [
-        LifecycleModel(f"limiter-{n}", SETTINGS, FLEET, ceilings, said.append, lambda _: None)
+    ceilings, violations = CeilingBudgets(SETTINGS.plans, 1.0), list[Violation]()
+    models = [
+        LifecycleModel(f"limiter-{n}", SETTINGS, FLEET, ceilings, violations.append, lambda _: None)
         for n in range(2)
     ]
     for id in range(1, 6):  # 3 of burst, 1.15 of slack
-        watch = watches[id % 2]
-        watch.observe(0.0, api.Request(id, "safe", "hard", 4.0, "00"), [api.Send(id, "s0", 1.0)])
-    assert [offence.rule for offence in said] == [CEILING_EXCEEDED]
+        model = models[id % 2]
+        model.observe(0.0, api.Request(id, "safe", "hard", 4.0, "00"), [api.Send(id, "s0", 1.0)])
+    assert [violation.rule for violation in violations] == [CEILING_EXCEEDED]
--- a/tests/explore/test_search.py
+++ b/tests/explore/test_search.py
@@ -1,4 +1,6 @@
-"""The search: the same for any number of processes, steered by what was never met; finds shrink and play again."""
+"""The search gives the same result for any number of processes, favours unmet pairs, and shrinks failures to scenarios
+that reproduce them.
+"""
 
 from __future__ import annotations
 
@@ -27,17 +29,17 @@
 from tests.explore.mutants import MUTANTS, Mutant, applied, scenario_of
 from tests.rehearsal.small import small
 
-EVEN = dict.fromkeys(FAULT_KINDS, 1.0)
-# Days of each scenario that are played in CI, with every check; each is a second of a day and more.
-FIXED = [
+EQUAL_WEIGHTS = dict.fromkeys(FAULT_KINDS, 1.0)
+# Scenarios and seeds that CI plays with every check.
+FIXED_SEEDS = [
     (name, seed)
     for name in sorted(shipped())
-    for seed in range(6 if load_scenario(name).together is None else 2)  # each speaks with each: slower plays
+    for seed in range(6 if load_scenario(name).together is None else 2)  # cooperating limiters play slower
     if not load_scenario(name).on_sockets_only
 ]
 
 
-@pytest.mark.parametrize(("name", "seed"), FIXED)
+@pytest.mark.parametrize(("name", "seed"), FIXED_SEEDS)
 def test_a_fixed_list_of_seeds_shows_nothing(name: str, seed: int) -> None:
     scenario = load_scenario(name)
     kinds = dict.fromkeys(drawable_kinds(scenario), 1.0)
@@ -48,17 +50,17 @@
 @pytest.mark.parametrize("mutant", MUTANTS, ids=lambda m: m.name)
 def test_a_mutant_is_found_where_the_right_limiter_is_acquitted(mutant: Mutant) -> None:
     day = scale_down(scenario_of(mutant), 6.0, mutant.inside)
-    drawn = draw_scenario(day, mutant.shown_by, EVEN)
+    scenario = draw_scenario(day, mutant.shown_by, EQUAL_WEIGHTS)
     with applied(mutant):
-        seen = examine(drawn)
-    assert any(failure.category in mutant.categories for failure in seen.failures), seen.failures
-    assert examine(drawn).failures == ()
+        played = examine(scenario)
+    assert any(failure.category in mutant.categories for failure in played.failures), played.failures
+    assert examine(scenario).failures == ()
 
 
 def test_the_days_do_not_depend_on_the_number_of_processes(tmp_path: Path) -> None:
     scenario, report = tmp_path / "small.toml", tmp_path / "two.json"
     scenario.write_text(tomli_w.dumps(to_raw(small())))
-    # In a process of its own, which ends with the helpers that Python starts beside a pool.
+    # Runs in a separate process, so that the helper processes that Python starts for a pool end with it.
     options = ["--seeds", "6", "--seconds", "1.5", "--inside", "10", "--jobs", "2", "--out", str(tmp_path)]
     command = [
         sys.executable,
@@ -85,25 +87,25 @@
 
 
 def test_a_drawn_day_says_all_that_it_plays(tmp_path: Path) -> None:
-    day = draw_scenario(scale_down(load_scenario("wedding-weekend"), 2.0, 10.0), 7, EVEN)
+    day = draw_scenario(scale_down(load_scenario("wedding-weekend"), 2.0, 10.0), 7, EQUAL_WEIGHTS)
     again = parse_scenario(to_raw(day), "again")
     assert again == day and draw(again, again.seed).digest() == draw(day, day.seed).digest()
     assert digest(play_virtual(again, 7)) == digest(play_virtual(day, 7))
 
 
-def _needs(scenario: Scenario) -> PlayResult:
-    """Wrong wherever the second limiter is killed."""
-    bad = any(f.kind == "limiter-kill" and "limiter-1" in f.targets for f in scenario.faults)
-    return PlayResult(scenario.seed, (Failure("made up", "x"),) if bad else (), (), "")
+def _play_failing_on_kill(scenario: Scenario) -> PlayResult:
+    """Returns a result that fails if the second limiter is killed."""
+    is_killed = any(f.kind == "limiter-kill" and "limiter-1" in f.targets for f in scenario.faults)
+    return PlayResult(scenario.seed, (Failure("made up", "x"),) if is_killed else (), (), "")
 
 
 def test_shrinking_keeps_what_the_find_needs_and_drops_the_rest() -> None:
     kill = {"kind": "limiter-kill", "at": 1.0, "targets": ["limiter-0", "limiter-1"]}
     other = [{"kind": "keeper-stop", "at": t / 2, "lasts": 1} for t in range(5)]
     scenario = small(fault=[*other, kill, *other])
-    least, plays = shrink(scenario, lambda s: _needs(s).has_failure("made up"))
-    assert [f.kind for f in least.faults] == ["limiter-kill"] and least.limiters.count == 2
-    assert least.load.inside < 4 and 1.0 < least.seconds < 2 and plays <= 150
+    smallest, plays = shrink(scenario, lambda s: _play_failing_on_kill(s).has_failure("made up"))
+    assert [f.kind for f in smallest.faults] == ["limiter-kill"] and smallest.limiters.count == 2
+    assert smallest.load.inside < 4 and 1.0 < smallest.seconds < 2 and plays <= 150
     assert shrink(scenario, lambda s: True, plays=3)[1] == 3
 
 
@@ -143,7 +145,7 @@
 
 
 def test_a_kill_at_a_write_strikes_at_that_write() -> None:
-    """Each write of a limiter's first moments: what was written arrives, nothing more does."""
+    """A kill at each of a limiter's first writes: what was written before arrives, and nothing after it does."""
     for after in range(1, 12):
         kill = {"kind": "limiter-kill", "at": 0.0, "targets": ["limiter-0"], "when": "write", "after": after}
         records = play_virtual(small(seconds=2, fault=[{**kill, "back_after": 0.2}]), 5)
@@ -153,7 +155,7 @@
 
 
 def test_an_hour_asleep_ends_no_rule_and_no_limiter() -> None:
-    """A limiter is stopped for an hour with requests out; what wakes up answers, and serves the new ones."""
+    """A limiter is paused for an hour with requests in flight; once resumed it answers them and serves new ones."""
     scenario = small(
         seconds=5, fault=[{"kind": "limiter-pause", "at": 2.0, "lasts": 3, "targets": ["limiter-0"]}]
     )
