--- a/tests/histories/plays.py
+++ b/tests/histories/plays.py
@@ -1,4 +1,4 @@
-"""Right histories, made from small tables, for the checkers to acquit and for the tests to tamper with."""
+"""Builds correct histories from small tables, which the checkers must accept and the tests tamper with."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from cypresspulley.histories.events import FACTS, Kind
 from cypresspulley.histories.read import HARNESS, Histories, from_memory
 
-BEGIN = 1_000_000.0  # Unix seconds of the plays' second 0
+BEGIN = 1_000_000.0  # Unix time of second 0 of the plays
 BOUNDS = {"detect": 4.0, "settle": 3.0, "inversion": 3.0, "clock": 0.25, "purge": 2.0}
-Row = tuple[float, str, Kind, dict[str, Any]]  # second, process ("name" or "name:life"), kind, facts
+Row = tuple[float, str, Kind, dict[str, Any]]  # (second, process as "name" or "name:life", kind, facts)
 
 
 def row(at: float, process: str, kind: Kind, *facts: Any) -> Row:
-    """One event; facts in the order of ``FACTS``."""
+    """Builds one event; the facts are in the order of ``FACTS``."""
     assert len(facts) == len(FACTS[kind]), (kind, facts)
     return at, process, kind, dict(zip(FACTS[kind], facts, strict=True))
 
@@ -36,16 +36,16 @@
 
 
 def lists(rows: Iterable[Row]) -> list[list[dict[str, Any]]]:
-    """One list of events a process and life, each in order of time, as a ``MemoryHistory`` has them."""
-    found: dict[str, list[Row]] = defaultdict(list)
-    for one in rows:
-        found[one[1]].append(one)
+    """Builds one list of events per process and life, in order of time, as in a ``MemoryHistory``."""
+    by_process: dict[str, list[Row]] = defaultdict(list)
+    for event in rows:
+        by_process[event[1]].append(event)
     return [
         [
             {"seq": seq, "wall": BEGIN + at, "mono": BEGIN + at, "kind": str(kind), **facts}
             for seq, (at, _, kind, facts) in enumerate(sorted(events, key=lambda one: one[0]))
         ]
-        for events in found.values()
+        for events in by_process.values()
     ]
 
 
@@ -54,7 +54,7 @@
 
 
 def day(seconds: float, *closings: tuple[str, float]) -> list[Row]:
-    """The harness's frame: start, truth, end."""
+    """Builds the harness's events of a play: start, truth, end."""
     pairs = [[account, BEGIN + at] for account, at in closings]
     return [
         start(-1.0, HARNESS),
@@ -64,13 +64,13 @@
 
 
 def fleet_play() -> list[Row]:
-    """Four limiters: a kill and return, a pause that is refuted, a leaver, and a cut that heals."""
+    """Four limiters: a kill and restart, a death by pause that is refuted, an orderly leave, and a healed partition."""
     rows = day(100.0)
     for name in "abcd":
         rows.append(start(0.0, name))
         rows += [seen(0.1, name, other, "alive", "probe") for other in "abcd"]
         rows.append(row(1.0, name, Kind.SETTLED, True, "four", 4))
-    # d is killed and comes back in its second life.
+    # d is killed and restarts with its second life.
     rows.append(fault(10.0, "limiter-kill", "d"))
     for name in "abc":
         rows += [seen(11.0, name, "d", "suspected", "probe"), row(11.0, name, Kind.SETTLED, False, "x", 4)]
@@ -80,14 +80,14 @@
     rows += [start(20.0, "d:2"), *(seen(20.2, "d:2", name, "alive") for name in "abc")]
     rows += [row(at, "a", Kind.ROW, "d", life, "lanes") for at, life in ((2.0, 1), (20.5, 2))]
     rows.append(row(21.0, "d:2", Kind.SETTLED, True, "five", 4))
-    # c is stopped for five seconds, is called dead by a, and refutes it.
+    # c is paused for five seconds, a declares it dead, and c refutes that.
     rows += [fault(30.0, "limiter-pause", "c"), fault(35.0, "limiter-pause", "c", False)]
     for name, cause in (("a", "probe"), ("b", "told"), ("d:2", "told")):
         rows += [seen(31.0, name, "c", "suspected", cause), row(31.0, name, Kind.SETTLED, False, "x", 4)]
         rows += [seen(34.0, name, "c", "dead", cause), seen(35.5, name, "c", "alive", "refuted", 1)]
         rows.append(row(36.0, name, Kind.SETTLED, True, "six", 4))
     rows += [seen(35.4, "c", "c", "alive", "self", 1), row(36.0, "c", Kind.SETTLED, True, "six", 4)]
-    # b leaves in order.
+    # b leaves in an orderly way.
     rows += [
         seen(50.0, "b", "b", "leaving", "self"),
         seen(50.9, "b", "b", "left", "self"),
@@ -96,7 +96,7 @@
     for name in ("a", "c", "d:2"):
         rows += [seen(50.1, name, "b", "leaving"), row(50.1, name, Kind.SETTLED, False, "x", 4)]
         rows += [seen(51.1, name, "b", "left"), row(52.0, name, Kind.SETTLED, True, "seven", 3)]
-    # a is cut off from c and d, and all heal.
+    # a is partitioned from c and d, and all recover.
     rows += [fault(60.0, "fleet-cut", "a"), fault(80.0, "fleet-cut", "a", False)]
     for name, others in (("a", (("c", 1, 1), ("d", 0, 2))), ("c", (("a", 0, 1),)), ("d:2", (("a", 0, 1),))):
         rows.append(row(61.0, name, Kind.SETTLED, False, "x", 3))
@@ -116,7 +116,9 @@
     passed: Iterable[float],
     over: tuple[float, float],
 ) -> Row:
-    """One second's sums of three lanes: asked and passed inside, then asked and passed beyond (of the lowest lane)."""
+    """Builds the sums of one second of three lanes: requested and passed within quota by lane, then requested and
+    passed beyond quota in the lowest lane (``over``).
+    """
     lanes = ("gold", "tin", "straw")
     beyond = [dict(zip(lanes, (0.0, 0.0, one), strict=True)) for one in over]
     inside = [dict(zip(lanes, sums, strict=True)) for sums in (asked, passed)]
@@ -126,7 +128,7 @@
 
 
 def lanes_play() -> list[Row]:
-    """Two limiters: calm, then shedding in which tin gives way in part and straw to its floor, then calm."""
+    """Two limiters: calm, then shedding that cuts tin in part and straw to its floor, then calm again."""
     rows = day(60.0)
     for name in "ab":
         rows += [start(0.0, name), row(0.0, name, Kind.LANES_STATE, "calm", 0.2)]
@@ -145,9 +147,8 @@
             row(10.0 * spell + 3, name, Kind.LANES_LET, f"tin-{4 - spell}", "tin", spell) for spell in (1, 3)
         ]
         rows.append(row(40.2, name, Kind.LANES_STATE, "calm", 0.3))
-        rows.append(
-            period(41.0, name, "calm", (40, 40, 40), (40, 38, 30), (10, 10))
-        )  # began before it was calm
+        # This period began before the limiter was calm.
+        rows.append(period(41.0, name, "calm", (40, 40, 40), (40, 38, 30), (10, 10)))
         rows += [period(at, name, "calm", (40, 20, 20), (40, 20, 20), (10, 10)) for at in (42.0, 43.0, 44.0)]
     return rows
 
@@ -163,7 +164,7 @@
 
 
 def closing_play() -> list[Row]:
-    """Two limiters and two accounts: a closing of shop's at 20, a purge by hand of mill's at 30 to 31, doubt at 40."""
+    """Two limiters and two accounts: shop closes at 20 s, mill is purged manually from 30 to 31 s, doubt at 40 s."""
     rows = day(60.0, ("shop", 20.0), ("shop", 50.0))
     for name in "ab":
         rows += [start(0.0, name), row(0.5, name, Kind.DOUBT, False, "ready")]
@@ -183,7 +184,7 @@
             row(45.0, name, Kind.DOUBT, False, "heard"),
         ]
     rows += call(4.9, 1, "shop", 0.1, 4.95) + call(8.0, 2, "shop", 0.01, 4.95, True)
-    rows += call(19.9, 10, "shop", 2.0, 19.95)  # asked for before the close, and comes after it
+    rows += call(19.9, 10, "shop", 2.0, 19.95)  # begun before the closing and answered after it
     rows += call(22.0, 3, "shop", 0.1, 22.05) + call(25.0, 4, "shop", 0.01, 22.05, True)
     rows += call(29.0, 5, "mill", 0.01, 5.95, True)
     rows += [
@@ -193,7 +194,7 @@
     rows += [
         row(30.1, "a", Kind.PURGE, "mill", "a", 1, 1, "asked", []),
         row(30.1, "a", Kind.PURGE, "mill", "a", 1, 1, "applied", []),
-        row(30.3, "b", Kind.SERVED, 6, "mill", "m", 0, BEGIN + 5.9),  # it has not heard of it yet
+        row(30.3, "b", Kind.SERVED, 6, "mill", "m", 0, BEGIN + 5.9),  # b has not received the purge yet
         row(30.5, "b", Kind.PURGE, "mill", "a", 1, 1, "applied", []),
         row(30.9, "a", Kind.PURGE, "mill", "a", 1, 1, "yes", []),
     ]
--- a/tests/histories/test_checkers.py
+++ b/tests/histories/test_checkers.py
@@ -1,4 +1,4 @@
-"""Each checker acquits right histories and convicts tampered ones, of the promise that was broken and of no other."""
+"""Each checker accepts correct histories and reports tampered ones for exactly the guarantee that was broken."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def without(**facts: Any) -> Tamper:
-    """Take out the events that have these facts (and ``process``, ``kind``, ``at``)."""
+    """Removes the events with these facts (``process``, ``kind`` and ``at`` also count as facts)."""
     return lambda rows: [one for one in rows if not _matches(one, facts)]
 
 
@@ -57,7 +57,7 @@
 def shedding(
     name: str, asked: tuple[int, ...], passed: tuple[int, ...], over: tuple[int, int], *at: int
 ) -> Tamper:
-    """Put other sums in place of some periods' of one limiter."""
+    """Replaces the sums of some periods of one limiter."""
 
     def change(rows: list[Row]) -> list[Row]:
         kept = [one for one in rows if not (one[1] == name and one[2] is Kind.LANES_PERIOD and one[0] in at)]
@@ -72,7 +72,7 @@
     for part in (0.0, 0.5)
 ]
 
-# Checker, promise that breaks, what was done to the right history.
+# (checker, guarantee that breaks, description, change to the correct history)
 TAMPERED: list[tuple[str, str, str, Tamper]] = [
     ("fleet", "suspected first", "dead without suspicion", without(process="a", member="d", state="suspected", life=1)),
     ("fleet", "no false death", "a death in peace", plus(
@@ -182,17 +182,17 @@
 
 
 def test_the_json_has_what_the_command_shows() -> None:
-    told = json.loads(json.dumps(as_json(check_all(histories(PLAYS["fleet"]()), ["fleet", "lanes"]))))
-    assert [(one["name"], one["kept"], one["checked"] > 0) for one in told] == [
+    shown = json.loads(json.dumps(as_json(check_all(histories(PLAYS["fleet"]()), ["fleet", "lanes"]))))
+    assert [(one["name"], one["kept"], one["checked"] > 0) for one in shown] == [
         ("fleet", True, True),
         ("lanes", False, False),
     ]
-    assert all(set(one) == {"name", "kept", "checked", "findings", "promises"} for one in told)
+    assert all(set(one) == {"name", "kept", "checked", "findings", "promises"} for one in shown)
     with pytest.raises(ValueError, match="expected one of fleet, lanes, closing"):
         check_all(histories(day(1.0)), ["lane"])
 
 
-def _same(one: Verdict, other: Verdict) -> bool:
+def _has_same_findings(one: Verdict, other: Verdict) -> bool:
     return [(finding.promise, finding.text) for finding in one.findings] == [
         (finding.promise, finding.text) for finding in other.findings
     ]
@@ -207,13 +207,13 @@
     rows = PLAYS[name]()
     rows = tamper(rows) if tampered else rows
     before = CHECKERS[name](histories(rows))
-    noise = [
+    unrelated_rows = [
         row(data.draw(st.floats(0, 9)), process, Kind.CALENDAR, 7, "held", None, "")
         for process in sorted({one[1] for one in rows} - {HARNESS, "d:2"})
         for _ in range(data.draw(st.integers(0, 3)))
     ]
-    found = lists([*rows, *noise])
-    assert _same(before, CHECKERS[name](from_memory(data.draw(st.permutations(found)))))
+    event_lists = lists([*rows, *unrelated_rows])
+    assert _has_same_findings(before, CHECKERS[name](from_memory(data.draw(st.permutations(event_lists)))))
 
 
 def test_a_process_killed_before_its_first_line_and_one_without_harness_are_read() -> None:
--- a/tests/histories/test_read.py
+++ b/tests/histories/test_read.py
@@ -1,4 +1,4 @@
-"""The reader takes what a SIGKILL leaves and names file, line and expectation for all else."""
+"""The reader accepts what a SIGKILL leaves behind and reports anything else with file, line and expectation."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from cypresspulley.histories.events import BOUNDS, FACTS, Kind
 from cypresspulley.histories.forms import EVENT_TYPES, Event
 from cypresspulley.histories.read import HistoryError, read_files, read_folder, read_lines
-from tests.histories.plays import BOUNDS as PLAYED
+from tests.histories.plays import BOUNDS as PLAY_BOUNDS
 from tests.histories.plays import PLAYS, lists
 
 START: dict[str, Any] = {
@@ -36,7 +36,7 @@
     assert set(EVENT_TYPES) == set(FACTS) == set(Kind)
     for kind, event_type in EVENT_TYPES.items():
         assert [name for name in event_type.__struct_fields__ if name not in head] == list(FACTS[kind]), kind
-    assert set(PLAYED) == set(BOUNDS)
+    assert set(PLAY_BOUNDS) == set(BOUNDS)
 
 
 def test_a_last_line_without_its_end_is_dropped_and_no_other() -> None:
@@ -82,7 +82,7 @@
     (tmp_path / "twice.jsonl").write_bytes(b"".join(encoded(START)))
     with pytest.raises(HistoryError, match=r"twice.jsonl: a in life 3: expected one .*a.jsonl"):
         read_folder(tmp_path)
-    for name, least in (
+    for name, limit in (
         ("MAX_TOTAL_EVENTS", 1),
         ("MAX_LINE_BYTES", 99),
         ("MAX_FILE_BYTES", 120),
@@ -90,9 +90,9 @@
     ):
         with (
             monkeypatch.context() as patched,
-            pytest.raises(HistoryError, match=f"at most .*{least}|at most that many"),
+            pytest.raises(HistoryError, match=f"at most .*{limit}|at most that many"),
         ):
-            patched.setattr(read, name, least)
+            patched.setattr(read, name, limit)
             read_files([tmp_path / "a.jsonl"])
 
 
@@ -112,7 +112,7 @@
         assert [event.seq for event in history.events] == list(range(len(history.events)))
 
 
-WRITES = """
+WRITER_PROGRAM = """
 import sys, time
 from cypresspulley.histories.events import Kind
 from cypresspulley.histories.writer import History
@@ -131,15 +131,15 @@
 def test_a_sigkill_loses_at_most_the_last_line(tmp_path: Path) -> None:
     path = str(tmp_path / "a-{life}.jsonl")
     process = subprocess.Popen(
-        [sys.executable, "-c", WRITES, path], stdout=subprocess.PIPE, env={**os.environ}
+        [sys.executable, "-c", WRITER_PROGRAM, path], stdout=subprocess.PIPE, env={**os.environ}
     )
     assert process.stdout is not None
     with process.stdout:
-        told = int([process.stdout.readline() for _ in range(20)][-1])
+        reported = int([process.stdout.readline() for _ in range(20)][-1])
         process.send_signal(signal.SIGKILL)
-        told = max(
+        reported = max(
             [
-                told,
+                reported,
                 *(
                     int(line)
                     for line in process.stdout.read().splitlines(keepends=True)
@@ -150,7 +150,8 @@
     process.wait()
     (history,) = read_folder(tmp_path).lives
     assert history.source.endswith("a-4.jsonl")
-    assert len(history.events) > told  # the start, and all that had been written when it told of them
+    # The start event, and every event that the process had reported as written.
+    assert len(history.events) > reported
 
 
 def test_a_line_written_in_part_ends_the_history(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -158,9 +159,9 @@
     history.put(Kind.END, reason="before it is opened nothing is written")
     history.open_life(3)
     history.put(Kind.START, name="a", life=3, zone="", period=0.5, bounds={})
-    whole = os.write
+    original_write = os.write
     with monkeypatch.context() as patched:
-        patched.setattr(os, "write", lambda file, line: whole(file, line[:-5]))
+        patched.setattr(os, "write", lambda file, line: original_write(file, line[:-5]))
         history.put(Kind.END, reason="the disk is full")
     history.put(Kind.END, reason="and has room again")
     (read_back,) = read_folder(tmp_path).lives
@@ -181,7 +182,7 @@
             history.put(Kind.PURGE, account="x", issuer="a", life=3, number=1, what="no", missing=("b", "c"))
         history.close()
         history.put(Kind.END, reason="shut")
-    passed["gold"] = 9.0  # what the writer changes later stays out
+    passed["gold"] = 9.0  # must not affect the events already recorded
     held, written = read.from_memory(memory.lives), read_folder(tmp_path)
     assert [history.events for history in held.lives] == [history.events for history in written.lives]
     assert repr(memory) == "<MemoryHistory of 2 lives, 2 events, shut>"
