--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -1,8 +1,8 @@
-"""Whether the search finds limiters with one fault each: after how many seeds, and how small it makes the day.
+"""Measures whether the search finds each mutant, after how many seeds, and how far it shrinks the scenario.
 
     python -m benchmarks.mutants [--seeds 500] [--jobs 7] [--json FILE]
 
-The mutants are those of the tests, patched in memory; each is searched in a process of its own.
+The mutants are those of the tests, patched in memory; each is searched for in a process of its own.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from tests.explore.mutants import MUTANTS, applied, scenario_of
 
 
-def hunt(seeds: int, number: int) -> dict[str, Any]:
-    """Search for one mutant; its row."""
+def search_mutant(seeds: int, number: int) -> dict[str, Any]:
+    """Searches for one mutant and returns its row of the report."""
     mutant = MUTANTS[number]
     with applied(mutant):
         result = search(scenario_of(mutant), SearchOptions(seeds=seeds, inside=mutant.inside))
@@ -44,7 +44,7 @@
     parser.add_argument("--json", type=Path)
     options = parser.parse_args()
     with ProcessPoolExecutor(options.jobs, mp_context=multiprocessing.get_context("spawn")) as pool:
-        rows = list(pool.map(partial(hunt, options.seeds), range(len(MUTANTS))))
+        rows = list(pool.map(partial(search_mutant, options.seeds), range(len(MUTANTS))))
     for row in rows:
         print(row if "seed" in row else f"NOT FOUND {row}")
     if options.json:
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A seeded soak on real processes: several faults at a time, drawn from a seed and judged after the fact."""
+"""A soak test on real processes: faults drawn from a seed overlap, and each play is judged afterwards."""
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,8 +1,8 @@
-"""Play the soak: ``python -m tests.soak [--seeds 50] [--first 1] [--jobs 2] [--mutant NAME]``.
+"""Runs the soak test: ``python -m tests.soak [--seeds 50] [--first 1] [--jobs 2] [--mutant NAME]``.
 
-Each seed is a day of 9 s on real processes. A seed with a find prints what it found and the command that plays it
-alone; a void day is the kit's own fault and is played once more. Exit code 0: nothing found; 1: finds; 3: days stayed
-void.
+Each seed is a play of 9 s on real processes. A seed with failures prints them and the command that plays it alone. A
+void play is a fault of the rehearsal kit itself and is repeated once. Exit code 0: no failures; 1: failures; 3: some
+plays stayed void.
 """
 
 from __future__ import annotations
@@ -28,12 +28,12 @@
     seeds = range(options.first, options.first + options.seeds)
     with ProcessPoolExecutor(options.jobs, get_context("spawn"), max_tasks_per_child=1) as pool:
         results = list(pool.map(play_seed, seeds, [options.mutant] * len(seeds)))
-    found, void = [r for r in results if r.finds], [r for r in results if r.void and not r.finds]
+    found, void = [r for r in results if r.failures], [r for r in results if r.void and not r.failures]
     for result in found:
         mutant = f" --mutant {options.mutant!r}" if options.mutant else ""
         print(f"seed {result.seed}: python -m tests.soak --first {result.seed} --seeds 1{mutant}")
-        for find in result.finds[:8]:
-            print(f"    {find}")
+        for failure in result.failures[:8]:
+            print(f"    {failure}")
     for result in void:
         print(f"seed {result.seed} void: {result.void}")
     tries, attempts = sum(r.tries for r in results), sum(r.attempts for r in results)
--- a/tests/soak/crowd.py
+++ b/tests/soak/crowd.py
@@ -1,4 +1,4 @@
-"""Idle clients of one limiter: ``python -m tests.soak.crowd HOST:PORT``. They end with the process that began them."""
+"""Opens idle connections to one limiter: ``python -m tests.soak.crowd HOST:PORT``. Exits with its parent process."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 from cypresspulley.net.http import split_address
 
-EVERY = 0.02  # seconds between two connections
-MOST = 300  # connections that are held at a time
+CONNECT_INTERVAL_SECONDS = 0.02
+MAX_CONNECTIONS = 300  # open at a time
 
 
 def main(address: str) -> None:
-    parent, held = os.getppid(), list[socket.socket]()
+    parent, connections = os.getppid(), list[socket.socket]()
     while os.getppid() == parent:
         client = socket.socket()
         client.setblocking(False)
         with contextlib.suppress(BlockingIOError, ConnectionError):
             client.connect(split_address(address))
-        held.append(client)
-        if len(held) > MOST:
-            held.pop(0).close()
-        time.sleep(EVERY)
+        connections.append(client)
+        if len(connections) > MAX_CONNECTIONS:
+            connections.pop(0).close()
+        time.sleep(CONNECT_INTERVAL_SECONDS)
 
 
 if __name__ == "__main__":
--- a/tests/soak/limiter.py
+++ b/tests/soak/limiter.py
@@ -1,9 +1,9 @@
-"""A limiter whose system calls fail and whose wall clock steps, as SOAK_SEED draws it.
+"""Runs a limiter with failing system calls and a stepping wall clock, as drawn from SOAK_SEED.
 
     python -m tests.soak.limiter
 
-SOAK_CROWD starts a crowd of idle clients beside it; SOAK_MUTANT may name a fault of the limiter's own, for the soak to
-convict. LB_CONFIG is read as usual.
+SOAK_CROWD also starts a process that holds idle connections to it; SOAK_MUTANT may name a fault of the limiter that the
+soak test has to find. LB_CONFIG is read as usual.
 """
 
 from __future__ import annotations
@@ -24,19 +24,20 @@
 
 from cypresspulley.__main__ import main
 from tests.soak.mutants import MUTANTS
-from tests.soak.processor import begin_writing
+from tests.soak.processor import start_wait_writer
 
 ACCEPT_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.ECONNABORTED, errno.EPROTO)
-ACCEPT_FAILS = 0.05  # of the calls
-STEPS = (0.0, 5.0, -5.0, 3600.0, -3600.0)  # seconds, of the wall clock
-STEP_AFTER = (1.0, 6.0)  # seconds after the first limiter's start: all machines read one clock
+ACCEPT_FAILURE_SHARE = 0.05  # of all calls of accept
+CLOCK_STEPS_SECONDS = (0.0, 5.0, -5.0, 3600.0, -3600.0)
+# After the first limiter's start. All limiters step at the same time, as machines with a common time source do.
+CLOCK_STEP_DELAY_SECONDS = (1.0, 6.0)
 
 
 def fail_accept(rng: Random) -> None:
     accept = socket.socket.accept
 
     def failing(listener: socket.socket) -> tuple[socket.socket, Any]:
-        if rng.random() < ACCEPT_FAILS:
+        if rng.random() < ACCEPT_FAILURE_SHARE:
             number = rng.choice(ACCEPT_ERRORS)
             raise OSError(number, os.strerror(number))
         return accept(listener)
@@ -44,15 +45,15 @@
     socket.socket.accept = failing  # type: ignore[method-assign, assignment]
 
 
-def step_clock(seed: int, began: float) -> None:
-    """One step for all limiters, at one instant."""
+def step_clock(seed: int, started_at: float) -> None:
+    """Steps the wall clock once, by the same amount and at the same time in all limiters."""
     rng, now = Random(seed), time.time
-    step, at = rng.choice(STEPS), began + rng.uniform(*STEP_AFTER)
+    step, at = rng.choice(CLOCK_STEPS_SECONDS), started_at + rng.uniform(*CLOCK_STEP_DELAY_SECONDS)
     time.time = lambda: now() + (step if now() >= at else 0.0)
 
 
 def run_out_of_descriptors(rng: Random) -> None:
-    """Now and then there is no descriptor for a moment."""
+    """Repeatedly leaves no free file descriptor for a short time."""
     before = resource.getrlimit(resource.RLIMIT_NOFILE)
     while True:
         time.sleep(rng.uniform(1.0, 4.0))
@@ -64,16 +65,16 @@
 
 
 def listening_address() -> str:
-    """Where the configuration has clients connect."""
+    """Returns the configured address for clients."""
     return str(json.loads(Path(os.environ["LB_CONFIG"]).read_text())["listen"])
 
 
 def run() -> int:
-    seed, began = int(os.environ["SOAK_SEED"]), float(os.environ["SOAK_BEGAN"])
+    seed, started_at = int(os.environ["SOAK_SEED"]), float(os.environ["SOAK_BEGAN"])
     name = os.environ.get("LB_NAME", "")
     rng = Random(f"{seed} {name}")
-    begin_writing(name, time.time)
-    step_clock(seed, began)
+    start_wait_writer(name, time.time)
+    step_clock(seed, started_at)
     fail_accept(rng)
     if seed % 2:
         threading.Thread(target=run_out_of_descriptors, args=(rng,), daemon=True).start()
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -1,4 +1,4 @@
-"""Faults of a limiter that the soak has to find."""
+"""Faults of the limiter that the soak test has to find."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @contextmanager
 def accept_queue_dropped() -> Iterator[None]:
-    """As the event loop's own servers: what waits is accepted and closed when accept fails."""
+    """Accepts and closes waiting connections when accept fails, as the servers of the event loop do."""
     accept = SocketListener._accept
 
     def dropping(listener: SocketListener) -> Step:
@@ -36,7 +36,7 @@
 
 @contextmanager
 def deadline_not_bounded() -> Iterator[None]:
-    """Servers are told a second more than there is, and a held loop takes nothing off."""
+    """Tells servers one second more than remains, and does not deduct the delay of a blocked event loop."""
     start = Upstream.start
 
     def longer(upstream: Upstream, exchange: Exchange) -> None:
@@ -49,7 +49,7 @@
 
 @contextmanager
 def birth_believed() -> Iterator[None]:
-    """A server is as old as the wall clock says, and one that is told as older than before has not restarted."""
+    """Computes a server's age from the wall clock, and treats one reported older than before as not restarted."""
 
     def believed(_fleet: LoadBalancer, now: float, entry: api.ServerEntry, *_: Any) -> float | None:
         return now - entry.born + 100.0 if entry.born else None
@@ -60,7 +60,7 @@
 
 @contextmanager
 def drained_server_used() -> Iterator[None]:
-    """What the list says of a server's health is passed over."""
+    """Ignores the health of servers in the server list."""
     update = Upstream.update_server
 
     def up(upstream: Upstream, name: str, dial: str, _up: bool, born: float = 0.0) -> None:
--- a/tests/soak/processor.py
+++ b/tests/soak/processor.py
@@ -1,4 +1,4 @@
-"""How long a limiter was runnable and did not run, from the kernel's schedstat: load, and no fault of its own."""
+"""Measures from the kernel's schedstat how long a limiter was runnable but did not run: load, not its own fault."""
 
 from __future__ import annotations
 
@@ -9,47 +9,47 @@
 from collections.abc import Callable
 from pathlib import Path
 
-EVERY = 0.02  # seconds between two looks
-LEAST = 0.002  # seconds of waiting that are worth a line
+SAMPLE_INTERVAL_SECONDS = 0.02
+MIN_WAIT_SECONDS = 0.002  # shorter waits are not written
 NANOSECOND = 1e-9
-FOLDER = "SOAK_WAITS"  # the environment's name for where limiters write
+FOLDER_VARIABLE = "SOAK_WAITS"  # environment variable with the folder that limiters write to
 
 
-def waited_so_far(pid: int | str = "self") -> float:
-    """Seconds for which the process's main thread has been runnable and did not run."""
+def cpu_wait_seconds(pid: int | str = "self") -> float:
+    """Returns the seconds for which the process's main thread has been runnable but did not run."""
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[1]) * NANOSECOND
 
 
 def write_waits(folder: Path, name: str, clock: Callable[[], float]) -> None:
-    """Write each wait's end and length, by ``clock`` in Unix seconds, for as long as the process lives."""
+    """Writes the end (Unix seconds by ``clock``) and length of each wait for as long as the process lives."""
     with open(folder / f"{name}-{os.getpid()}", "w", buffering=1) as file:
-        before = waited_so_far()
+        before = cpu_wait_seconds()
         while True:
-            time.sleep(EVERY)
-            if (waited := waited_so_far()) - before >= LEAST:
+            time.sleep(SAMPLE_INTERVAL_SECONDS)
+            if (waited := cpu_wait_seconds()) - before >= MIN_WAIT_SECONDS:
                 file.write(f"{clock():.6f} {waited - before:.6f}\n")
                 before = waited
 
 
-def begin_writing(name: str, clock: Callable[[], float]) -> None:
-    """Write this process's waits beside its work, where the soak wants them."""
-    if folder := os.environ.get(FOLDER):
+def start_wait_writer(name: str, clock: Callable[[], float]) -> None:
+    """Starts a thread that writes this process's waits, if the soak test has set a folder for them."""
+    if folder := os.environ.get(FOLDER_VARIABLE):
         arguments = (Path(folder), name, clock)
         threading.Thread(target=write_waits, args=arguments, daemon=True).start()
 
 
-class Waits:
-    """What the limiters of a day wrote. Instants are seconds of the day."""
+class CpuWaits:
+    """The waits that the limiters of a play wrote. Times are seconds of the play."""
 
-    def __init__(self, folder: Path, day_began: float) -> None:
-        """``day_began`` is the Unix time of the day's second 0."""
+    def __init__(self, folder: Path, play_start: float) -> None:
+        """``play_start`` is the Unix time of second 0 of the play."""
         self._waits = defaultdict[str, list[tuple[float, float]]](list)
         for path in folder.iterdir():
             name = path.name.rpartition("-")[0]
             for line in path.read_text().splitlines():
                 at, length = map(float, line.split())
-                self._waits[name].append((at - day_began, length))
+                self._waits[name].append((at - play_start, length))
 
-    def within(self, name: str, begin: float, end: float) -> float:
-        """Seconds that a limiter waited for a processor between two instants, at the most."""
-        return sum(length for at, length in self._waits[name] if begin <= at <= end + EVERY)
+    def total_between(self, name: str, begin: float, end: float) -> float:
+        """Returns an upper bound of the seconds that a limiter waited for a CPU from ``begin`` to ``end``."""
+        return sum(length for at, length in self._waits[name] if begin <= at <= end + SAMPLE_INTERVAL_SECONDS)
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,4 +1,4 @@
-"""One day of the soak, played and judged in a process of its own."""
+"""Plays and judges one seed of the soak test in the current process."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 
 from cypresspulley.rehearsal.limiters import KitError
 from cypresspulley.rehearsal.play import play
-from tests.soak.draw import scenario
-from tests.soak.judge import Result, judged
-from tests.soak.processor import FOLDER
+from tests.soak.draw import draw_scenario
+from tests.soak.judge import Result, judge_day
+from tests.soak.processor import FOLDER_VARIABLE
 
 LIMITER = [sys.executable, "-m", "tests.soak.limiter"]
-CROWDED = 3  # every third seed has a crowd of idle clients
+CROWD_SEED_DIVISOR = 3  # every third seed has idle connections
 
 
 def play_seed(seed: int, mutant: str) -> Result:
-    """A day and its verdict; a void one is played twice."""
+    """Plays a seed and returns its result. A void play is repeated once."""
     result = uvloop.run(_play(seed, mutant))
-    return uvloop.run(_play(seed, mutant)) if result.void and not result.finds else result
+    return uvloop.run(_play(seed, mutant)) if result.void and not result.failures else result
 
 
 async def _play(seed: int, mutant: str) -> Result:
     os.environ |= {"SOAK_SEED": str(seed), "SOAK_BEGAN": repr(time.time())}
-    os.environ["SOAK_CROWD"] = "1" if seed % CROWDED == 0 else ""
+    os.environ["SOAK_CROWD"] = "1" if seed % CROWD_SEED_DIVISOR == 0 else ""
     os.environ["SOAK_MUTANT"] = mutant
-    day = scenario(seed)
+    day = draw_scenario(seed)
     with TemporaryDirectory() as folder:
-        os.environ[FOLDER] = folder
+        os.environ[FOLDER_VARIABLE] = folder
         try:
-            return judged(seed, await play(day, seed, command=LIMITER), Path(folder))
+            return judge_day(seed, await play(day, seed, command=LIMITER), Path(folder))
         except KitError as error:
             return Result(seed, 0, 0, (), str(error))
--- a/tests/soak/test_waits.py
+++ b/tests/soak/test_waits.py
@@ -1,4 +1,4 @@
-"""A find of tenths of a second is one only where its limiter had a processor; any other is one whatever the load."""
+"""A failure of a timing term counts only if its limiter was not kept waiting for a CPU; any other always counts."""
 
 from __future__ import annotations
 
@@ -11,32 +11,32 @@
 from cypresspulley.rehearsal.virtual.play import play_virtual
 from tests.rehearsal.small import small
 from tests.soak import judge as soak
-from tests.soak.processor import Waits, waited_so_far
+from tests.soak.processor import CpuWaits, cpu_wait_seconds
 
-AT = 2.0  # seconds of the day, of each find
+FAILURE_AT = 2.0  # seconds into the play
 
 
 @pytest.fixture(scope="module")
 def records() -> list[log.Record]:
-    """A day without a find."""
+    """Returns the records of a play without a failure."""
     day = list(play_virtual(small(seconds=3), 1))
     assert judge(day).kept
     return [record for record in day if not isinstance(record, log.End)] + [log.End(3.0, 1000.0)]
 
 
 def verdict(
-    monkeypatch: pytest.MonkeyPatch, folder: Path, records: list[log.Record], timely: bool, waits: str
+    monkeypatch: pytest.MonkeyPatch, folder: Path, records: list[log.Record], is_timing: bool, waits: str
 ) -> soak.Result:
-    find = soak.Find("a find", "limiter-1", AT, timely)
-    for term in ("_begun_for_the_gone", "_closed_without_answer"):
+    failure = soak.Failure("a find", "limiter-1", FAILURE_AT, is_timing)
+    for term in ("_attempts_after_disconnect", "_connections_closed_unanswered"):
         monkeypatch.setattr(soak, term, lambda _: [])
-    monkeypatch.setattr(soak, "_told_too_long", lambda _: [find])
+    monkeypatch.setattr(soak, "_deadline_violations", lambda _: [failure])
     (folder / "limiter-1-77").write_text(waits)
-    return soak.judged(1, records, folder)
+    return soak.judge_day(1, records, folder)
 
 
 @pytest.mark.parametrize(
-    "timely, waits, void",
+    "is_timing, waits, void",
     [
         (True, "", False), (True, "1001.900000 0.140000\n", False),
         (True, "1001.500000 0.080000\n1001.900000 0.080000\n", True), (True, "1000.900000 0.500000\n", False),
@@ -48,23 +48,23 @@
     monkeypatch: pytest.MonkeyPatch,
     tmp_path: Path,
     records: list[log.Record],
-    timely: bool,
+    is_timing: bool,
     waits: str,
     void: bool,
 ) -> None:
-    result = verdict(monkeypatch, tmp_path, records, timely, waits)
-    assert bool(result.void) is void and bool(result.finds) is not void
-    assert "waited" in (result.void + " ".join(result.finds))
+    result = verdict(monkeypatch, tmp_path, records, is_timing, waits)
+    assert bool(result.void) is void and bool(result.failures) is not void
+    assert "waited" in (result.void + " ".join(result.failures))
 
 
 def test_waits_are_kept_apart_by_limiter(tmp_path: Path) -> None:
     (tmp_path / "limiter-1-7").write_text("1001.000000 0.100000\n")
     (tmp_path / "limiter-1-8").write_text("1001.100000 0.200000\n")
     (tmp_path / "limiter-2-9").write_text("1001.000000 0.400000\n")
-    waits = Waits(tmp_path, 1000.0)
-    assert waits.within("limiter-1", 0.5, 1.5) == pytest.approx(0.3)
-    assert waits.within("limiter-3", 0.5, 1.5) == 0.0
+    waits = CpuWaits(tmp_path, 1000.0)
+    assert waits.total_between("limiter-1", 0.5, 1.5) == pytest.approx(0.3)
+    assert waits.total_between("limiter-3", 0.5, 1.5) == 0.0
 
 
 def test_the_kernel_tells_how_long_a_process_waited() -> None:
-    assert 0.0 <= waited_so_far() < 1e6
+    assert 0.0 <= cpu_wait_seconds() < 1e6
