--- a/cypresspulley/explore/lifecycle.py
+++ b/cypresspulley/explore/lifecycle.py
@@ -147,9 +147,8 @@
 class _Server:
     entry: api.ServerEntry
     not_up_since: float  # when the list first showed it as no longer up
-    cold_work: list[tuple[float, float]] = field(
-        default_factory=list
-    )  # (time, work) of requests sent while cold
+    # (time, work) of each request sent while the server was cold.
+    cold_work: list[tuple[float, float]] = field(default_factory=list)
 
 
 class LifecycleModel:
--- a/cypresspulley/explore/schedule.py
+++ b/cypresspulley/explore/schedule.py
@@ -139,30 +139,30 @@
     return raw
 
 
-def draw_scenario(day: Scenario, seed: int, weights: dict[str, float]) -> Scenario:
+def draw_scenario(base: Scenario, seed: int, weights: dict[str, float]) -> Scenario:
     """Returns the scenario with ``seed`` and the faults drawn from it; playing it needs no other input."""
-    rng, raw = random_for(seed, "explore", day.name), to_raw(day)
+    rng, raw = random_for(seed, "explore", base.name), to_raw(base)
     raw["seed"] = seed
     kinds = list(weights)
     for _ in range(rng.randint(1, MAX_DRAWN_FAULTS)):
         kind = rng.choices(kinds, [weights[k] for k in kinds])[0]
-        raw["fault"].append(_draw_fault(kind, day, rng))
-    return parse_scenario(raw, f"{day.name}, seed {seed}")
+        raw["fault"].append(_draw_fault(kind, base, rng))
+    return parse_scenario(raw, f"{base.name}, seed {seed}")
 
 
-def _draw_fault(kind: str, day: Scenario, rng: Random) -> RawScenario:
-    keys, at = FAULT_KEYS[kind], round(rng.uniform(0.0, 0.8 * day.seconds), 3)
+def _draw_fault(kind: str, base: Scenario, rng: Random) -> RawScenario:
+    keys, at = FAULT_KEYS[kind], round(rng.uniform(0.0, 0.8 * base.seconds), 3)
     fault: RawScenario = {"kind": kind, "at": at}
     pools = {
-        **{name: limiter_names(day) for name in ON_LIMITERS},
-        "server": server_names(day),
-        "hall": list(day.fleet.halls),
+        **{name: limiter_names(base) for name in ON_LIMITERS},
+        "server": server_names(base),
+        "hall": list(base.fleet.halls),
     }
     if (pool := pools.get(kind.partition("-")[0])) is not None:
         max_targets = {"hall-cut": 1, "limiter-late": len(pool) - 1}.get(kind, len(pool))
         fault["targets"] = sorted(rng.sample(pool, min(max_targets, 1 + int(rng.expovariate(1.0)))))
     draws: dict[str, Callable[[], Any]] = {
-        "lasts": lambda: round(rng.uniform(0.1, 0.5 * day.seconds), 3),
+        "lasts": lambda: round(rng.uniform(0.1, 0.5 * base.seconds), 3),
         "size": lambda: round(rng.uniform(0.1, 1.0 if kind.startswith(("server", "keeper")) else 3.0), 3),
         "add_ms": lambda: round(rng.choice((30.0, 120.0, 600.0, 2500.0)) * rng.uniform(0.5, 1.5), 1),
         "back_after": lambda: round(rng.uniform(0.05, 1.5), 3),
--- a/cypresspulley/explore/shrink.py
+++ b/cypresspulley/explore/shrink.py
@@ -63,7 +63,7 @@
         yield partial(_set_values, "load", inside=round(scenario.load.inside / 2, 3))
     for share in (0.5, 0.75, 0.9):
         if scenario.seconds * share >= MIN_SECONDS:
-            yield partial(_shorten_day, share=share)
+            yield partial(_shorten_duration, share=share)
     if scenario.clients.retries:
         yield partial(_set_values, "clients", retries=0)
     if scenario.fleet.servers > 1:
@@ -90,7 +90,7 @@
     reduce_limiters(raw, raw["limiters"]["count"] - 1)
 
 
-def _shorten_day(raw: RawScenario, share: float) -> None:
+def _shorten_duration(raw: RawScenario, share: float) -> None:
     raw["seconds"] = round(raw["seconds"] * share, 3)
     raw["fault"] = [fault for fault in raw["fault"] if fault["at"] < raw["seconds"]]
 
--- a/tests/explore/test_search.py
+++ b/tests/explore/test_search.py
@@ -43,14 +43,14 @@
 def test_a_fixed_list_of_seeds_shows_nothing(name: str, seed: int) -> None:
     scenario = load_scenario(name)
     kinds = dict.fromkeys(drawable_kinds(scenario), 1.0)
-    day = draw_scenario(scale_down(scenario, 3.0, 15.0), seed, kinds)
-    assert examine(day).failures == ()
+    drawn = draw_scenario(scale_down(scenario, 3.0, 15.0), seed, kinds)
+    assert examine(drawn).failures == ()
 
 
 @pytest.mark.parametrize("mutant", MUTANTS, ids=lambda m: m.name)
 def test_a_mutant_is_found_where_the_right_limiter_is_acquitted(mutant: Mutant) -> None:
-    day = scale_down(scenario_of(mutant), 6.0, mutant.inside)
-    scenario = draw_scenario(day, mutant.shown_by, EQUAL_WEIGHTS)
+    base = scale_down(scenario_of(mutant), 6.0, mutant.inside)
+    scenario = draw_scenario(base, mutant.shown_by, EQUAL_WEIGHTS)
     with applied(mutant):
         played = examine(scenario)
     assert any(failure.category in mutant.categories for failure in played.failures), played.failures
@@ -87,10 +87,10 @@
 
 
 def test_a_drawn_day_says_all_that_it_plays(tmp_path: Path) -> None:
-    day = draw_scenario(scale_down(load_scenario("wedding-weekend"), 2.0, 10.0), 7, EQUAL_WEIGHTS)
-    again = parse_scenario(to_raw(day), "again")
-    assert again == day and draw(again, again.seed).digest() == draw(day, day.seed).digest()
-    assert digest(play_virtual(again, 7)) == digest(play_virtual(day, 7))
+    drawn = draw_scenario(scale_down(load_scenario("wedding-weekend"), 2.0, 10.0), 7, EQUAL_WEIGHTS)
+    again = parse_scenario(to_raw(drawn), "again")
+    assert again == drawn and draw(again, again.seed).digest() == draw(drawn, drawn.seed).digest()
+    assert digest(play_virtual(again, 7)) == digest(play_virtual(drawn, 7))
 
 
 def _play_failing_on_kill(scenario: Scenario) -> PlayResult:
--- a/tests/histories/test_checkers.py
+++ b/tests/histories/test_checkers.py
@@ -169,8 +169,8 @@
     name: str, promise: str, what: str, tamper: Tamper
 ) -> None:
     verdict = CHECKERS[name](histories(tamper(PLAYS[name]())))
-    convicted = {finding.promise for finding in verdict.findings}
-    assert convicted == {promise}, verdict.findings
+    broken_promises = {finding.promise for finding in verdict.findings}
+    assert broken_promises == {promise}, verdict.findings
     for finding in verdict.findings:
         assert 1 <= len(finding.excerpt) <= 4 and finding.processes and finding.instants
 
