--- a/benchmarks/together_plays.py
+++ b/benchmarks/together_plays.py
@@ -38,7 +38,7 @@
     history: MemoryHistory, name: str, life: int, bounds: dict[str, float] | None = None
 ) -> MemoryHistory:
     """Write the first event of a life."""
-    history.opened_at(life)
+    history.open_life(life)
     history.put(Kind.START, name=name, life=life, zone="", period=0.5, bounds=bounds or {})
     return history
 
--- a/cypresspulley/rehearsal/checks.py
+++ b/cypresspulley/rehearsal/checks.py
@@ -11,7 +11,7 @@
 
 from cypresspulley.histories.check import check_all
 from cypresspulley.histories.events import Kind
-from cypresspulley.histories.read import PATTERN, Histories
+from cypresspulley.histories.read import FILE_PATTERN, Histories
 from cypresspulley.histories.verdict import Finding
 from cypresspulley.rehearsal import records as log
 
@@ -30,7 +30,7 @@
 def calendar_events(folder: Path) -> list[dict[str, Any]]:
     """Returns the calendar events in a folder's histories so far, without a line that is still being written."""
     found = list[dict[str, Any]]()
-    for file in sorted(folder.glob(PATTERN)):
+    for file in sorted(folder.glob(FILE_PATTERN)):
         for line in file.read_bytes().splitlines():
             if CALENDAR_MARK in line:
                 with contextlib.suppress(msgspec.DecodeError):
--- a/cypresspulley/rehearsal/harness_history.py
+++ b/cypresspulley/rehearsal/harness_history.py
@@ -29,7 +29,7 @@
         self._cached_ids = set[str]()
         self._fault_by_limiter = dict[str, str]()
         self._ended = False
-        history.opened_at(int(now * 1000))
+        history.open_life(int(now * 1000))
         history.put(Kind.START, name=HARNESS_NAME, life=int(now * 1000), zone="", period=0.0, bounds={})
 
     def __repr__(self) -> str:
