--- a/cypresspulley/rehearsal/datagram_faults.py
+++ b/cypresspulley/rehearsal/datagram_faults.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DatagramFault:
+class ScheduledDatagramFault:
     """A fault as the checkers know it: its kind and the groups that it affects or separates from all others."""
 
     kind: str
@@ -22,7 +22,9 @@
     trouble: Trouble
 
 
-def datagram_fault(fault: PlannedFault, names: Sequence[str], period: float, now: float) -> DatagramFault:
+def datagram_fault(
+    fault: PlannedFault, names: Sequence[str], period: float, now: float
+) -> ScheduledDatagramFault:
     """Converts a fault whose kind begins with ``datagram-`` for limiters of these names.
 
     ``period`` is the probe period, and ``now`` its start by the relay's clock, both in seconds.
@@ -30,8 +32,8 @@
     targets = fault.targets
     if (degraded := _degraded_links(fault, _links_of_targets(names, targets))) is not None:
         if _is_mild(degraded, period):
-            return DatagramFault(f"fleet-{fault.kind.partition('-')[2]}", (targets,), degraded)
-        return DatagramFault("fleet-cut", tuple((name,) for name in targets or names), degraded)
+            return ScheduledDatagramFault(f"fleet-{fault.kind.partition('-')[2]}", (targets,), degraded)
+        return ScheduledDatagramFault("fleet-cut", tuple((name,) for name in targets or names), degraded)
     groups = fault.spec.groups
     if not groups and targets:
         groups = targets, tuple(name for name in names if name not in targets)
@@ -41,9 +43,9 @@
     whole = not groups or sorted(name for group in groups for name in group) == sorted(names)
     if fault.kind == "datagram-flap":
         flap = Trouble(between, lost=1.0, every=fault.spec.every, since=now)
-        return DatagramFault("fleet-flap" if whole else "fleet-partial", sides, flap)
+        return ScheduledDatagramFault("fleet-flap" if whole else "fleet-partial", sides, flap)
     kind = "fleet-oneway" if fault.spec.one_way else "fleet-cut"
-    return DatagramFault(kind if whole else "fleet-partial", sides, Trouble(between, lost=1.0))
+    return ScheduledDatagramFault(kind if whole else "fleet-partial", sides, Trouble(between, lost=1.0))
 
 
 def _links_of_targets(names: Sequence[str], targets: Sequence[str]) -> frozenset[Way] | None:
--- a/cypresspulley/rehearsal/together.py
+++ b/cypresspulley/rehearsal/together.py
@@ -14,7 +14,7 @@
 from cypresspulley.histories.writer import AnyHistory
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.closing_schedule import ClosingSchedule
-from cypresspulley.rehearsal.datagram_faults import DatagramFault, datagram_fault
+from cypresspulley.rehearsal.datagram_faults import ScheduledDatagramFault, datagram_fault
 from cypresspulley.rehearsal.harness_history import HarnessHistory
 from cypresspulley.rehearsal.limiters import LimiterProcess
 from cypresspulley.rehearsal.plan import Plan, PlannedFault
@@ -160,7 +160,7 @@
         others = [name for name in self._limiters if name not in members]
         if members and others:
             cut = Trouble(ways_between((members, others)), lost=1.0)
-            self._begin_datagram_fault(DatagramFault("fleet-cut", (tuple(members),), cut), lasts)
+            self._begin_datagram_fault(ScheduledDatagramFault("fleet-cut", (tuple(members),), cut), lasts)
 
     def _record_fault_period(self, kind: str, targets: Sequence[str], lasts: float) -> None:
         self.harness.fault(kind, targets, True)
@@ -170,7 +170,7 @@
         self._limiters[name].set_clock_shift(Shift())
         self.harness.fault("limiter-clock", [name], False)
 
-    def _begin_datagram_fault(self, fault: DatagramFault, lasts: float) -> None:
+    def _begin_datagram_fault(self, fault: ScheduledDatagramFault, lasts: float) -> None:
         self._relay.begin(fault.trouble)
         asyncio.get_running_loop().call_later(lasts, self._relay.end, fault.trouble)
         for side in fault.sides:
--- a/tests/rehearsal/test_together.py
+++ b/tests/rehearsal/test_together.py
@@ -29,7 +29,7 @@
     local_times_by_date,
 )
 from cypresspulley.rehearsal.closing_schedule import ClosingSchedule
-from cypresspulley.rehearsal.datagram_faults import DatagramFault, datagram_fault
+from cypresspulley.rehearsal.datagram_faults import ScheduledDatagramFault, datagram_fault
 from cypresspulley.rehearsal.harness_history import HarnessHistory, read_made_time
 from cypresspulley.rehearsal.judge import judge
 from cypresspulley.rehearsal.plan import PlannedFault, draw_plan
@@ -462,7 +462,7 @@
 THREE = ["a", "b", "c"]
 
 
-def _datagram_fault(**fault: Any) -> DatagramFault:
+def _datagram_fault(**fault: Any) -> ScheduledDatagramFault:
     spec = Fault(at=1, lasts=1, **fault)
     return datagram_fault(PlannedFault(1.0, 2.0, spec.kind, spec.targets, spec), THREE, 0.2, 10.0)
 
