--- a/cypresspulley/capture/replay.py
+++ b/cypresspulley/capture/replay.py
@@ -12,7 +12,7 @@
 from cypresspulley.rehearsal.plan import Plan
 from cypresspulley.rehearsal.scenario import Scenario
 from cypresspulley.rehearsal.standins.clients import ClientFleet, Front
-from cypresspulley.rehearsal.standins.stage import Stage
+from cypresspulley.rehearsal.standins.run_context import RunContext
 
 LEAD = 0.3  # seconds until the first request
 AFTER = 10.0  # seconds after the last for answers that are still out
@@ -60,15 +60,15 @@
             report.statuses[record.status] += 1
             report.latency.append((record.t - started.pop(record.id, record.t)) * 1000)
 
-    stage = Stage(sink, lambda _id, _cls: 0.0)
+    context = RunContext(sink, lambda _id, _cls: 0.0)
     front = Front(list(addresses))
     for target in addresses:
         front.up(target)
     classes = {c.name: c for c in scenario.classes}
     fleet = ClientFleet(
-        stage, front, lambda name: addresses[name], scenario.clients, classes, plan.seed, scenario.seconds
+        context, front, lambda name: addresses[name], scenario.clients, classes, plan.seed, scenario.seconds
     )
-    stage.begin(LEAD)
+    context.begin(LEAD)
     await fleet.play(plan.arrivals)
     await fleet.finish(AFTER)
     report.late = [late * 1000 for late in fleet.late]
--- a/cypresspulley/rehearsal/play.py
+++ b/cypresspulley/rehearsal/play.py
@@ -42,7 +42,7 @@
 from cypresspulley.rehearsal.standins.keeper import Keeper
 from cypresspulley.rehearsal.standins.network import Link
 from cypresspulley.rehearsal.standins.processor import Machine
-from cypresspulley.rehearsal.standins.stage import Known, Stage
+from cypresspulley.rehearsal.standins.run_context import KnownRequest, RunContext
 
 if TYPE_CHECKING:
     from cypresspulley.rehearsal.standins.bookkeeper import Bookkeeper
@@ -166,17 +166,19 @@
         self.scenario, self.plan = scenario, plan
         self.side: Side | None = None  # what the limiters do together
         self._sink = sink
-        self.stage = Stage(self._seen, lambda id, cls: work_of(plan.seed, id, classes[cls]), clock, unix)
-        self.stage.on_arrival = self._on_arrival
+        self.context = RunContext(
+            self._seen, lambda id, cls: work_of(plan.seed, id, classes[cls]), clock, unix
+        )
+        self.context.on_arrival = self._on_arrival
         self.net, self._spells = Net(scenario, base), Spells()
         self.day = describe(scenario, plan)
         self.halls = scenario.fleet.halls
         k = scenario.keeper
-        self.keeper = Keeper(self.stage, k.parts, k.calls_per_second, k.waiting_ms / 1000, k.call_ms / 1000,
+        self.keeper = Keeper(self.context, k.parts, k.calls_per_second, k.waiting_ms / 1000, k.call_ms / 1000,
                              random_for(plan.seed, "keeper"))  # fmt: skip
         self._keeper_links = dict[str, Link]()
         self._keeper_at = dict[str, str]()
-        self.agents = {name: Agent(self.stage, name) for name in limiter_names(scenario)}
+        self.agents = {name: Agent(self.context, name) for name in limiter_names(scenario)}
         self._agent_at = dict[str, str]()
         self.servers = dict[str, BagServer]()
         self._memories = dict[tuple[str, int], RepeatMemory]()
@@ -187,7 +189,7 @@
             each.operated = scenario.operated
         self.front = Front(list(self.limiters))
         self.clients = ClientFleet(
-            self.stage, self.front, lambda name: self.limiters[name].address, scenario.clients, classes,
+            self.context, self.front, lambda name: self.limiters[name].address, scenario.clients, classes,
             plan.seed, scenario.seconds, points_per_unit(scenario),
         )  # fmt: skip
         self._rng = random_for(plan.seed, "director")
@@ -202,7 +204,7 @@
         if ground is not None:
             from cypresspulley.rehearsal.together import Side
 
-            self.side = Side(scenario, plan, self.stage, self.limiters, self.day.limiters, ground)
+            self.side = Side(scenario, plan, self.context, self.limiters, self.day.limiters, ground)
             self.returning |= self.side.late  # away until their time
 
     def _seen(self, record: log.Record) -> None:
@@ -235,7 +237,7 @@
         from cypresspulley.rehearsal.standins.bookkeeper import Bookkeeper
 
         rng = random_for(self.plan.seed, "books")
-        self.books = Bookkeeper(self.stage, self.scenario.plans, lowest_part(self.scenario), rng)
+        self.books = Bookkeeper(self.context, self.scenario.plans, lowest_part(self.scenario), rng)
         for index, limiter in enumerate(self.limiters):
             host = self.net.host(253, index)
             self.books.addresses[limiter] = host, free_port(host)
@@ -250,11 +252,11 @@
     def begin(self) -> None:
         """All limiters are ready: the day begins, at a whole Unix second where closings are placed by it."""
         if self.side is None:
-            return self.stage.begin(WARM_UP)
+            return self.context.begin(WARM_UP)
         after = self.side.until_start()
         if after < WARM_UP:
             raise KitError(f"the limiters were ready {WARM_UP - after:.1f} s too late: give them idle cores")
-        self.stage.begin(after)
+        self.context.begin(after)
         asyncio.get_running_loop().call_later(after, self.side.begin)
 
     def _add_server(
@@ -266,7 +268,7 @@
             fleet.fall_multiple, fleet.fall_seconds, self.day.mean_work,
         )  # fmt: skip
         server = BagServer(
-            self.stage, name, hall, cell, machine, self._memories.setdefault((hall, cell), RepeatMemory()),
+            self.context, name, hall, cell, machine, self._memories.setdefault((hall, cell), RepeatMemory()),
             random_for(self.plan.seed, "server", name), fleet.report_ms / 1000, fleet.idle_seconds,
             fleet.connections, fleet.stops_running,
         )  # fmt: skip
@@ -315,21 +317,21 @@
         if known == "gone":
             listed = {"seq": 0, "whole": True, "hosts": [self._dead_host(name, n).row() for n in range(3)]}
         limiter.configure(self._config(name, listed))
-        now = self.stage.now()
-        self.stage.record(log.LimiterState(now, name, "started"))
+        now = self.context.now()
+        self.context.record(log.LimiterState(now, name, "started"))
         hosts = {
             row["host"]: (
                 row["health"],
-                row["born_ms"] / 1000 - self.stage.unix_ms(0) / 1000 if row["born_ms"] else -1e9,
+                row["born_ms"] / 1000 - self.context.unix_ms(0) / 1000 if row["born_ms"] else -1e9,
             )
             for row in listed["hosts"]
         }
-        self.stage.record(log.Listed(now, name, True, True, hosts))
+        self.context.record(log.Listed(now, name, True, True, hosts))
         await limiter.start()
         self._watched[name] = limiter.process
         self._spawn(self._watch_end(limiter))
         await limiter.ready()
-        self.stage.record(log.LimiterState(self.stage.now(), name, "ready"))
+        self.context.record(log.LimiterState(self.context.now(), name, "ready"))
         self.front.up(name)
 
     def _dead_host(self, limiter: str, number: int) -> Host:
@@ -344,10 +346,10 @@
         if limiter.process is not process:
             # A second process has taken over: the limiter's life goes on, unless this one crashed.
             if code != 0:
-                self.stage.complain(f"the old process of {limiter.name} ended with {code}")
+                self.context.complain(f"the old process of {limiter.name} ended with {code}")
             return
         what = "exited" if limiter.expected_end else "crashed"
-        self.stage.record(log.LimiterState(self.stage.now(), limiter.name, what, code))
+        self.context.record(log.LimiterState(self.context.now(), limiter.name, what, code))
         notice = self._rng.uniform(*self.scenario.clients.notice)
         asyncio.get_running_loop().call_later(notice, self._front_notices, limiter)
 
@@ -359,7 +361,7 @@
         """SIGKILL, recorded just before: whatever breaks from now on was held by a dead process."""
         limiter = self.limiters[name]
         if limiter.running and not limiter.expected_end:
-            self.stage.record(log.LimiterState(self.stage.now(), name, "killed"))
+            self.context.record(log.LimiterState(self.context.now(), name, "killed"))
             limiter.signal(signal.SIGKILL)
 
     async def _kill_and_return(self, name: str, spec_known: str, back_after: float) -> None:
@@ -377,7 +379,7 @@
         if name in self.returning:
             return
         self.returning.add(name)
-        self.stage.record(log.LimiterState(self.stage.now(), name, "stopping"))
+        self.context.record(log.LimiterState(self.context.now(), name, "stopping"))
         limiter.signal(signal.SIGTERM)
         kill = asyncio.get_running_loop().call_later(self._kill_after, limiter.signal, signal.SIGKILL)
         await asyncio.sleep(0.3)  # a planned restart is announced: the front stops a little late
@@ -423,19 +425,19 @@
                 self._watched[name] = limiter.process
                 self._spawn(self._watch_end(limiter))
         if await watch:
-            self.stage.record(log.LimiterState(self.stage.now(), name, "upgraded"))
+            self.context.record(log.LimiterState(self.context.now(), name, "upgraded"))
         self.returning.discard(name)
 
     async def _drain_limiter(self, name: str, lasts: float) -> None:
         limiter = self.limiters[name]
         if name in self.returning or await limiter.call("PUT", "/v1/limiter/drain") != 200:
             return
-        self.stage.record(log.LimiterState(self.stage.now(), name, "drained"))
+        self.context.record(log.LimiterState(self.context.now(), name, "drained"))
         await asyncio.sleep(0.3)  # the front asks again and again, and stops a little late
         self.front.down(name)
         await asyncio.sleep(lasts)
         if limiter.running and await limiter.call("PUT", "/v1/limiter/activate") == 200:
-            self.stage.record(log.LimiterState(self.stage.now(), name, "activated"))
+            self.context.record(log.LimiterState(self.context.now(), name, "activated"))
             self.front.up(name)
 
     async def _server_by_hand(self, name: str, lasts: float) -> None:
@@ -455,12 +457,12 @@
         if not limiter.running:
             return
         if not out:  # from the call on it may serve, whenever the answer comes
-            self.stage.record(log.Banned(self.stage.now(), limiter.name, server, False))
+            self.context.record(log.Banned(self.context.now(), limiter.name, server, False))
         status = await limiter.call("PUT", f"/v1/servers/{server}/{'suspend' if out else 'resume'}")
         if out and status == 200:
-            self.stage.record(log.Banned(self.stage.now(), limiter.name, server, True))
+            self.context.record(log.Banned(self.context.now(), limiter.name, server, True))
         elif status != 200 and limiter.running and limiter.name not in self.returning:
-            self.stage.complain(f"{limiter.name} answered {status} to an operators' call on {server}")
+            self.context.complain(f"{limiter.name} answered {status} to an operators' call on {server}")
 
     def _reload(self, name: str) -> None:
         """Discovery and keeper move; the file is replaced and the program told."""
@@ -472,12 +474,12 @@
         ).address
         limiter.configure(self._config(name, agent.known()))
         if limiter.running:
-            self.stage.record(log.LimiterState(self.stage.now(), name, "reloaded"))
+            self.context.record(log.LimiterState(self.context.now(), name, "reloaded"))
             limiter.signal(signal.SIGHUP)
 
     # Servers.
 
-    def _on_arrival(self, server: BagServer, limiter: str, known: Known) -> None:
+    def _on_arrival(self, server: BagServer, limiter: str, known: KnownRequest) -> None:
         """An attempt is whole at a server: the moment at which a waiting kill strikes its sender."""
         for wait in self._waiting_kills:
             name, fault = wait
@@ -575,14 +577,14 @@
 
     def schedule(self) -> None:
         """Set a timer for each fault of the plan."""
-        loop, now = asyncio.get_running_loop(), self.stage.now()
+        loop, now = asyncio.get_running_loop(), self.context.now()
         for fault in self.plan.faults:
             loop.call_later(max(0.0, fault.at - now), self._strike, fault)
 
     def _happened(self, fault: PlannedFault, target: str) -> None:
-        now = self.stage.now()
+        now = self.context.now()
         until = max(now, fault.until if fault.spec.lasts else now)
-        self.stage.record(log.Happened(now, until, fault.kind, target))
+        self.context.record(log.Happened(now, until, fault.kind, target))
 
     def _strike(self, fault: PlannedFault) -> None:
         if fault.kind == "limiter-kill" and fault.spec.when == "handover-written":
@@ -662,7 +664,7 @@
             "server-slow": (late, lambda name, by: setattr(self.servers[name], "slow_by", by)),
             "limiter-pause": (True, lambda name, on: self._pause(name, bool(on))),
             "keeper-spoilt": (spec.size, lambda _, share: setattr(self.keeper, "spoilt_share", share)),
-            "hall-cut": (True, lambda hall, on: self.net.cut(hall, bool(on), self.stage.now())),
+            "hall-cut": (True, lambda hall, on: self.net.cut(hall, bool(on), self.context.now())),
             "keeper-slow": (late, lambda _, by: setattr(self.keeper, "slow_by", by)),
             "keeper-stop": (True, lambda _, on: setattr(self.keeper, "stopped", on)),
             "discovery-silent": (True, lambda _, on: self._silence(bool(on))),
@@ -697,7 +699,7 @@
         from cypresspulley.rehearsal.standins.rude import Abusers
 
         self.abusers = Abusers(
-            self.stage, self.front, lambda name: self.limiters[name].address, self.plan.seed, graphql.abuse,
+            self.context, self.front, lambda name: self.limiters[name].address, self.plan.seed, graphql.abuse,
             self.scenario.seconds, self.scenario.plans[0].name,
         )  # fmt: skip
         return asyncio.get_running_loop().create_task(self.abusers.play())
@@ -726,15 +728,15 @@
 
     async def beat(self) -> None:
         """Watch the kit's own lateness and what the limiters use, until cancelled."""
-        clock = self.stage.clock
+        clock = self.context.clock
         due, sampled = clock() + BEAT, 0.0
         while True:
             await asyncio.sleep(max(0.0, due - clock()))
             now = clock()
             late = max(0.0, now - due)
             # Until the day begins it sets the stage, in long turns, and keeps no client waiting by that.
-            if self.keeper.begun and self.stage.now() - late >= 0:
-                self.stage.record(log.Lateness(self.stage.now(), late))
+            if self.keeper.begun and self.context.now() - late >= 0:
+                self.context.record(log.Lateness(self.context.now(), late))
             due = max(due + BEAT, now)
             if now - sampled > SAMPLE:
                 sampled = now
@@ -766,9 +768,9 @@
     """From the first limiter's start to the last one's end."""
     director.clients.prepare(director.plan.arrivals)
     director.build()
-    director.stage.record(director.day)
+    director.context.record(director.day)
     for plan, least in director.scenario.goal.plans.items():
-        director.stage.record(log.Wanted(director.stage.now(), plan, least))
+        director.context.record(log.Wanted(director.context.now(), plan, least))
     await director.open_books()
     await director.open_side()
     early = [name for name in director.limiters if name not in director.returning]
@@ -778,7 +780,7 @@
     director.schedule()
     abuse = director.abuse()
     await director.clients.play(director.plan.arrivals)
-    await asyncio.sleep(max(0.0, director.scenario.seconds - director.stage.now()))
+    await asyncio.sleep(max(0.0, director.scenario.seconds - director.context.now()))
     await director.clients.finish(AFTER)
     if abuse is not None:
         await abuse
@@ -794,16 +796,20 @@
         director.side.over()
     for limiter in director.limiters.values():
         if limiter.running:
-            director.stage.record(log.LimiterState(director.stage.now(), limiter.name, "stopping"))
+            director.context.record(log.LimiterState(director.context.now(), limiter.name, "stopping"))
             limiter.signal(signal.SIGTERM)
     await asyncio.gather(*(limiter.gone() for limiter in director.limiters.values()))
     if director.books is not None:
         told = sum(director.books.plan_writer.usage_ledger.totals.values())
-        director.stage.record(log.Exported(director.stage.now(), told))
+        director.context.record(log.Exported(director.context.now(), told))
     for limiter in director.limiters.values():
-        director.stage.record(
+        director.context.record(
             log.Usage(
-                director.stage.now(), limiter.name, limiter.cpu_seconds, limiter.memory_mb, limiter.lives - 1
+                director.context.now(),
+                limiter.name,
+                limiter.cpu_seconds,
+                limiter.memory_mb,
+                limiter.lives - 1,
             )
         )
 
@@ -917,7 +923,7 @@
         beat.cancel()  # the kit is late from here on, and harms nobody by it
         if director.side is not None:
             director.side.check()
-        director.stage.record(log.End(director.stage.now(), director.stage.unix_ms(0) / 1000))
+        director.context.record(log.End(director.context.now(), director.context.unix_ms(0) / 1000))
     finally:
         tasks = [task for task in (day, beat, failed, shown) if task is not None]
         for task in tasks:
@@ -938,5 +944,5 @@
 
 async def _show(director: Director, progress: Progress) -> None:
     while True:
-        progress(director.stage.now(), director)
+        progress(director.context.now(), director)
         await asyncio.sleep(0.25)
--- a/cypresspulley/rehearsal/standins/bagserver.py
+++ b/cypresspulley/rehearsal/standins/bagserver.py
@@ -13,7 +13,7 @@
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.standins.network import Link, LinkedProtocol, Listening, listen
 from cypresspulley.rehearsal.standins.processor import Job, Machine, Processor
-from cypresspulley.rehearsal.standins.stage import Known, Stage
+from cypresspulley.rehearsal.standins.run_context import KnownRequest, RunContext
 
 MAX_BODY = 64 * 1024
 NOT_PROCESSED = b"X-Not-Processed: 1\r\n"
@@ -52,7 +52,7 @@
 class _Attempt:
     __slots__ = ("connection", "id", "job", "known", "number")
 
-    def __init__(self, number: int, id: str, known: Known, connection: _Connection, job: Job) -> None:
+    def __init__(self, number: int, id: str, known: KnownRequest, connection: _Connection, job: Job) -> None:
         self.number, self.id, self.known, self.connection, self.job = number, id, known, connection, job
 
 
@@ -72,14 +72,14 @@
 
     def opened(self) -> None:
         self.over_cap = not self.server.opened(self)
-        self.quiet_since = self.server.stage.now()
+        self.quiet_since = self.server.context.now()
 
     def ended(self) -> None:
         self.server.closed(self)
 
     def received(self, data: bytes) -> None:
         if self._began is None:
-            self._began = self.server.stage.now() if self.sent_since is None else self.sent_since
+            self._began = self.server.context.now() if self.sent_since is None else self.sent_since
         self.sent_since = None
         try:
             self._parser.feed_data(data)
@@ -102,7 +102,7 @@
 
     def on_message_complete(self) -> None:
         began, self._began = self._began or 0.0, None
-        self.quiet_since = self.server.stage.now()
+        self.quiet_since = self.server.context.now()
         method, target = self._parser.get_method().decode(), self._url.decode("latin-1")
         id = self._fields.get(b"x-request-id", b"").decode("latin-1").lower()
         told = self._fields.get(b"x-timeout-ms", b"")
@@ -122,10 +122,10 @@
     """One process of a server. ``restart`` begins it anew, cold, at the same addresses."""
 
     def __init__(
-        self, stage: Stage, name: str, hall: str, cell: int, machine: Machine, memory: RepeatMemory,
+        self, context: RunContext, name: str, hall: str, cell: int, machine: Machine, memory: RepeatMemory,
         rng: Random, report_every: float, idle: float, connections: int, stops_running: bool,
     ) -> None:  # fmt: skip
-        self.stage, self.name, self.hall, self.cell = stage, name, hall, cell
+        self.context, self.name, self.hall, self.cell = context, name, hall, cell
         self.machine, self._memory, self._rng = machine, memory, rng
         self._report_every, self._idle, self._cap = report_every, idle, connections
         self._stops_running = stops_running
@@ -139,7 +139,7 @@
         self._recent = deque[float]()
         self._report, self._reported = b"", -1e9
         self._runs = 0
-        self.cpu = Processor(machine, stage.now(), cold=False)
+        self.cpu = Processor(machine, context.now(), cold=False)
         self.error_share = self.reset_share = self.spoilt_share = self.doubled_share = self.lie_share = 0.0
         self.slow_by = 0.0  # seconds that each answer comes later
         self.draining = self.gone = False
@@ -161,8 +161,8 @@
     def start(self, cold: bool) -> None:
         """Listen on all its addresses; OSError names one that is taken."""
         self.alive, self.draining = True, False
-        self.cpu = Processor(self.machine, self.stage.now(), cold)
-        self.born_ms = self.stage.unix_ms() if cold else 0
+        self.cpu = Processor(self.machine, self.context.now(), cold)
+        self.born_ms = self.context.unix_ms() if cold else 0
         for limiter, (host, port) in self._hosts.items():
             listener = listen(host, self._links[limiter], lambda link: _Connection(self, link), port)
             self._listeners[limiter], self._hosts[limiter] = listener, (host, listener.port)
@@ -208,9 +208,16 @@
 
     def _state(self, what: str) -> None:
         m = self.machine
-        self.stage.record(
+        self.context.record(
             log.ServerState(
-                self.stage.now(), self.name, self.hall, self.cell, what, m.cores, m.cold_share, m.cold_seconds
+                self.context.now(),
+                self.name,
+                self.hall,
+                self.cell,
+                what,
+                m.cores,
+                m.cold_share,
+                m.cold_seconds,
             )
         )
 
@@ -234,11 +241,11 @@
         attempt.connection.attempt = None
         spent = attempt.job.work - max(0.0, attempt.job.left)
         self.cpu.drop(attempt.job, self._stops_running)
-        self.stage.record(log.Ended(self.stage.now(), attempt.number, spent))
+        self.context.record(log.Ended(self.context.now(), attempt.number, spent))
 
     def _sweep(self) -> None:
         self._sweeper = asyncio.get_running_loop().call_later(SWEEP, self._sweep)
-        now = self.stage.now()
+        now = self.context.now()
         for connection in list(self._connections):
             if connection.attempt is None and now - connection.quiet_since > self._idle:
                 connection.close()
@@ -249,26 +256,28 @@
         self, connection: _Connection, method: str, target: str, id: str, body: bytes, began: float,
         told: float = -1.0,
     ) -> None:  # fmt: skip
-        path, now, limiter = target.partition("?")[0], self.stage.now(), connection.link.limiter
+        path, now, limiter = target.partition("?")[0], self.context.now(), connection.link.limiter
         if method == "GET" and path in ("/healthz", "/load"):
-            self.stage.record(log.Probed(now, self.name, limiter))
+            self.context.record(log.Probed(now, self.name, limiter))
             if not self.cpu.hung:
                 load = self.load_report() if path == "/load" else b""
                 connection.answer(503 if self.draining else 200, load)
             return
-        known = self.stage.find(id)
+        known = self.context.find(id)
         if not id or known is None or (known.method, known.target, known.body) != (method, target, body):
             # An id that no client sent in this form: answered, and told to whoever reads the report.
-            self.stage.complain(f"{limiter} sent {self.name} a request that no client made: {id or 'no id'}")
+            self.context.complain(
+                f"{limiter} sent {self.name} a request that no client made: {id or 'no id'}"
+            )
             return connection.answer(400 if id else 404, b"", close=True)
-        work = self.stage.work(id, known.cls) * known.units
-        number = self.stage.next_attempt()
-        self.stage.record(log.Arrived(now, number, self.name, limiter, id, work, began, told))
+        work = self.context.work(id, known.cls) * known.units
+        number = self.context.next_attempt()
+        self.context.record(log.Arrived(now, number, self.name, limiter, id, work, began, told))
         self._recent.append(now)
         if self.cpu.pushed(now, work):
             return self.crash("fell")
         attempt = _Attempt(number, id, known, connection, Job(number, work))
-        self.stage.arrived(self, limiter, known)
+        self.context.arrived(self, limiter, known)
         if not self.alive:
             return
         self._take(attempt, now)
@@ -282,14 +291,14 @@
             self.cpu.queue.append(attempt.job)
             return
         if self._rng.random() < self.reset_share:
-            self.stage.record(log.Ran(now, attempt.number, False))
-            self.stage.record(log.Ended(now, attempt.number, 0.0))
+            self.context.record(log.Ran(now, attempt.number, False))
+            self.context.record(log.Ended(now, attempt.number, 0.0))
             return connection.reset()
         if self._rng.random() < self.error_share:
             return self._reply(attempt, 500, b"")
         kept = self._memory.find(now, attempt.id) if attempt.known.effect == "keyed" else None
         if kept is not None:
-            self.stage.record(log.Ran(now, attempt.number, True))
+            self.context.record(log.Ran(now, attempt.number, True))
             return self._reply(attempt, 200, kept.encode())
         self._advance()
         if not self.cpu.add(attempt.job):
@@ -298,13 +307,13 @@
         self._advance()
 
     def _turn_away(self, attempt: _Attempt, close: bool = False) -> None:
-        self.stage.record(log.Replied(self.stage.now(), attempt.number, 503, True, "", 0.0))
+        self.context.record(log.Replied(self.context.now(), attempt.number, 503, True, "", 0.0))
         attempt.connection.answer(503, b"", NOT_PROCESSED + self._load_header(), close)
 
     def _reply(self, attempt: _Attempt, status: int, body: bytes) -> None:
         spent = attempt.job.work if status == 200 and attempt.job.begun else 0.0
         text = body.decode("latin-1")[:SHOWN]
-        self.stage.record(log.Replied(self.stage.now(), attempt.number, status, False, text, spent))
+        self.context.record(log.Replied(self.context.now(), attempt.number, status, False, text, spent))
         headers = self._load_header()
         if self.slow_by > 0:
             asyncio.get_running_loop().call_later(
@@ -322,11 +331,11 @@
 
     def _advance(self) -> None:
         """Move the machine on; answer what is done, begin what has a slot, wake for the next."""
-        now = self.stage.now()
+        now = self.context.now()
         for job in self.cpu.advance(now):
             self._finish(now, job)
         for job in self.cpu.admit():
-            self.stage.record(log.Ran(now, job.number, False))
+            self.context.record(log.Ran(now, job.number, False))
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -342,7 +351,7 @@
         attempt.connection.attempt = None
         attempt.connection.quiet_since = now
         self._runs += 1
-        made = f',"made":{self.stage.unix():.6f}' if self.stage.tells_made else ""
+        made = f',"made":{self.context.unix():.6f}' if self.context.tells_made else ""
         body = f'{{"id":"{attempt.id}","server":"{self.name}","run":{self._runs}{made}}}'
         if attempt.known.reply:
             body = self._graphql_body(attempt.known, body)
@@ -350,7 +359,7 @@
             self._memory.keep(now + attempt.known.window, attempt.id, body)
         self._reply(attempt, 200, body.encode())
 
-    def _graphql_body(self, known: Known, who: str) -> str:
+    def _graphql_body(self, known: KnownRequest, who: str) -> str:
         """Its data and its true cost, or a lie about it; who made it stands in front, for the judge."""
         cost: object = known.points
         if self.lie_share > 0 and self._rng.random() < self.lie_share:
@@ -368,7 +377,7 @@
 
     def load_report(self) -> bytes:
         """The fields queue, qps and inflight, refreshed every ``report_every`` seconds."""
-        now = self.stage.now()
+        now = self.context.now()
         if now - self._reported >= self._report_every:
             while self._recent and self._recent[0] < now - QPS_SPAN:
                 self._recent.popleft()
@@ -381,4 +390,4 @@
         return b"X-Server-Load: %b\r\n" % self.load_report()
 
 
-Arrival = Callable[[BagServer, str, Known], None]
+Arrival = Callable[[BagServer, str, KnownRequest], None]
--- a/cypresspulley/rehearsal/standins/bookkeeper.py
+++ b/cypresspulley/rehearsal/standins/bookkeeper.py
@@ -14,7 +14,7 @@
 from cypresspulley.plans.store import Store
 from cypresspulley.rehearsal.records import PlanMoved
 from cypresspulley.rehearsal.scenario import PlanRow
-from cypresspulley.rehearsal.standins.stage import Stage
+from cypresspulley.rehearsal.standins.run_context import RunContext
 
 INSTALLATION, TOKEN = "rehearsal", "rehearsal"
 LOWER = "-low"  # behind a plan's name: the one that its accounts are moved to and back from
@@ -31,8 +31,8 @@
 class Bookkeeper:
     """``part`` is the lower plan's part of a plan with a ceiling."""
 
-    def __init__(self, stage: Stage, plans: tuple[PlanRow, ...], part: float, rng: Random) -> None:
-        self._stage, self._rng, self._folder = stage, rng, MemoryFolder()
+    def __init__(self, context: RunContext, plans: tuple[PlanRow, ...], part: float, rng: Random) -> None:
+        self._context, self._rng, self._folder = context, rng, MemoryFolder()
         self._plans = {plan.name: plan for plan in plans}
         self._ceilings = {plan.name: plan for plan in plans if plan.ceiling > 0}
         self._part, self._low = part, set[str]()  # accounts that are on the lower plan
@@ -40,7 +40,7 @@
         self._publishers = dict[str, Publisher]()
         os.environ["FAWNSEAM_PLANS_TOKEN"] = TOKEN  # limiters of this process and its children read it there
         self.plan_writer = PlanWriter(Store(self._folder), INSTALLATION)
-        now = stage.unix_ms()
+        now = context.unix_ms()
         for plan in plans:
             self.plan_writer.set_terms(plan.name, terms_of(plan), now, now, "rehearsal")
             if plan.ceiling > 0:
@@ -53,7 +53,7 @@
         """Let a limiter reach the writer, at the same address as before."""
         if limiter in self._publishers:
             return
-        clock = self._stage.unix_ms
+        clock = self._context.unix_ms
         publisher = self._publishers[limiter] = Publisher(self.plan_writer, TOKEN, clock)
         self.addresses[limiter] = await publisher.listen(*self.addresses[limiter])
 
@@ -75,13 +75,13 @@
     async def churn(self, accounts: list[tuple[str, str]], until: float, every: float, ahead: float) -> None:
         """Move accounts (with their plans) down and up again, one each ``every`` seconds."""
         chosen = [(account, plan) for account, plan in accounts if plan in self._ceilings]
-        while chosen and self._stage.now() < until:
+        while chosen and self._context.now() < until:
             self._move(*self._rng.choice(chosen), ahead)
             await asyncio.sleep(every)
 
     async def reserve(self, accounts: list[tuple[str, str]], lasts: float, part: float) -> None:
         """Set allowance aside for accounts, a part of what their plans give meanwhile, and release it half way."""
-        now, keys = self._stage.unix_ms(), list[str]()
+        now, keys = self._context.unix_ms(), list[str]()
         for account, plan in accounts:
             units = round(part * self._plans[plan].rate * lasts * MICRO_PER_UNIT)
             wish = ReservationRequest(
@@ -94,9 +94,9 @@
             )
         self._changed()
         await asyncio.sleep(lasts / 2)
-        self.plan_writer.tick(self._stage.unix_ms())
+        self.plan_writer.tick(self._context.unix_ms())
         for key in keys:
-            self.plan_writer.release(key, self._stage.unix_ms())
+            self.plan_writer.release(key, self._context.unix_ms())
         self._changed()
 
     def _changed(self) -> None:
@@ -106,7 +106,7 @@
     def _move(self, account: str, plan: str, ahead: float) -> None:
         down = account not in self._low
         row, part = self._ceilings[plan], self._part if down else 1.0
-        now = self._stage.unix_ms()
+        now = self._context.unix_ms()
         effective = now + round(ahead * 1000) + 1
         if any(one.effective == effective for one in self.plan_writer.book.accounts.get(account, ())):
             return
@@ -116,8 +116,8 @@
             return  # it has a reservation then
         (self._low.add if down else self._low.discard)(account)
         terms = terms_of(row, part)
-        at = effective / 1000 - self._stage.unix_ms(0) / 1000
-        self._stage.record(PlanMoved(at, account, plan, terms.ceiling_rate, terms.ceiling_burst, ahead))
+        at = effective / 1000 - self._context.unix_ms(0) / 1000
+        self._context.record(PlanMoved(at, account, plan, terms.ceiling_rate, terms.ceiling_burst, ahead))
         self._changed()
 
     async def close(self) -> None:
--- a/cypresspulley/rehearsal/standins/clients.py
+++ b/cypresspulley/rehearsal/standins/clients.py
@@ -14,7 +14,7 @@
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.plan import Arrival, random_for, request_id
 from cypresspulley.rehearsal.scenario import ClassRow, Clients
-from cypresspulley.rehearsal.standins.stage import Known, Stage
+from cypresspulley.rehearsal.standins.run_context import KnownRequest, RunContext
 
 DIAL = 0.5  # seconds that a client waits for a connection
 OVERTIME = 0.1  # seconds past its time that a client stays, so that a late answer is seen
@@ -37,8 +37,8 @@
 class _Connection(asyncio.Protocol):
     """One kept connection to a limiter; one request at a time."""
 
-    def __init__(self, stage: Stage, limiter: str) -> None:
-        self._stage, self._limiter = stage, limiter
+    def __init__(self, context: RunContext, limiter: str) -> None:
+        self._context, self._limiter = context, limiter
         self.transport: asyncio.Transport | None = None
         self.uses, self.reusable = 0, True
         self._id, self._last = "", ""
@@ -57,12 +57,12 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport, self.reusable = None, False
         if self._waiter is not None and not self._waiter.done():
-            self._stage.record(log.Broke(self._stage.now(), self._id, self._begun))
+            self._context.record(log.Broke(self._context.now(), self._id, self._begun))
             self._finish(Outcome(0, broke=True, begun=self._begun))
 
     def data_received(self, data: bytes) -> None:
         if self._waiter is None:
-            self._stage.record(log.Surplus(self._stage.now(), self._limiter, self._last, len(data)))
+            self._context.record(log.Surplus(self._context.now(), self._limiter, self._last, len(data)))
             return self.close()
         self._begun = True
         self._size += len(data)
@@ -111,12 +111,12 @@
         if status < 200:
             return self._reset_answer()
         if self._waiter is None:  # a second answer in the same bytes
-            self._stage.record(log.Surplus(self._stage.now(), self._limiter, self._last, self._size))
+            self._context.record(log.Surplus(self._context.now(), self._limiter, self._last, self._size))
             return None
         text = b"".join(self._body).decode("latin-1")[:400]
         if self._age is not None:
-            self._stage.record(log.FromKept(self._stage.now(), self._id, self._age))
-        self._stage.record(log.Answered(self._stage.now(), self._id, status, self._retry_after, text))
+            self._context.record(log.FromKept(self._context.now(), self._id, self._age))
+        self._context.record(log.Answered(self._context.now(), self._id, status, self._retry_after, text))
         return self._finish(Outcome(status, self._retry_after))
 
     def _finish(self, outcome: Outcome) -> None:
@@ -160,10 +160,10 @@
     """All clients of the day; ``play`` sends each arrival at its time, whatever answers do."""
 
     def __init__(
-        self, stage: Stage, front: Front, address: Dialer, options: Clients,
+        self, context: RunContext, front: Front, address: Dialer, options: Clients,
         classes: dict[str, ClassRow], seed: int, seconds: float, points_per_unit: float = 0.0,
     ) -> None:  # fmt: skip
-        self._stage, self.front, self._address = stage, front, address
+        self._context, self.front, self._address = context, front, address
         self._options, self._classes = options, classes
         self._seed, self._seconds = seed, seconds
         self._points_per_unit = points_per_unit  # of GraphQL requests; 0: plain ones
@@ -187,10 +187,10 @@
     async def play(self, arrivals: tuple[Arrival, ...]) -> None:
         loop = asyncio.get_running_loop()
         for arrival in arrivals:
-            wait = arrival.t - self._stage.now()
+            wait = arrival.t - self._context.now()
             if wait > 0:
                 await asyncio.sleep(wait)
-            self.late.append(max(0.0, self._stage.now() - arrival.t))
+            self.late.append(max(0.0, self._context.now() - arrival.t))
             task = loop.create_task(self._request(arrival))
             self._open.add(task)
             task.add_done_callback(self._open.discard)
@@ -211,13 +211,13 @@
 
     async def _request(self, arrival: Arrival) -> None:
         """All tries of one request."""
-        cls, asked = self._classes[arrival.cls], self._stage.now()
+        cls, asked = self._classes[arrival.cls], self._context.now()
         first = request_id(self._seed, arrival.number if arrival.repeats < 0 else arrival.repeats, 0)
         for own in range(self._options.retries + 1):
             attempt = arrival.attempt + own
             rng = random_for(self._seed, "client", arrival.number, attempt)
             id = request_id(self._seed, arrival.number, own)
-            limiter = self.front.choose(self._seed, arrival, self._stage.now(), attempt)
+            limiter = self.front.choose(self._seed, arrival, self._context.now(), attempt)
             share, impatient = rng.uniform(*self._options.try_share), rng.random()
             leave = rng.uniform(0.1, 0.9) if impatient < self._options.impatient else None
             outcome = await self._try(arrival, cls, limiter, id, first, attempt, share, leave)
@@ -226,7 +226,7 @@
                 return
             if outcome.retry_after is not None and honours:
                 pause = max(pause, min(MAX_WAIT, outcome.retry_after))
-            if self._stage.now() + pause - asked > cls.deadline_ms / 1000:
+            if self._context.now() + pause - asked > cls.deadline_ms / 1000:
                 return
             await asyncio.sleep(pause)
 
@@ -250,13 +250,13 @@
             connection = None if again else self._take(limiter)
             connection = connection or await self._dial(limiter)
             if connection is None:
-                self._stage.record(log.Unreached(self._stage.now(), id, first, limiter))
+                self._context.record(log.Unreached(self._context.now(), id, first, limiter))
                 return Outcome(0, broke=True)
             kept = connection.uses > 0
-            self._stage.sent(known)
-            self._stage.record(
+            self._context.sent(known)
+            self._context.record(
                 log.Sent(
-                    self._stage.now(), id, first, attempt, limiter, arrival.account, arrival.plan, cls.name,
+                    self._context.now(), id, first, attempt, limiter, arrival.account, arrival.plan, cls.name,
                     known.units if self._points_per_unit else arrival.units, ttl / 1000, not kept,
                 )
             )  # fmt: skip
@@ -281,7 +281,7 @@
             raise
         if done:
             return waiter.result()
-        self._stage.record(log.Left(self._stage.now(), id, "over" if leave is None else "impatient"))
+        self._context.record(log.Left(self._context.now(), id, "over" if leave is None else "impatient"))
         connection.leave()
         return Outcome(0)
 
@@ -298,7 +298,7 @@
         return None
 
     async def _dial(self, limiter: str) -> _Connection | None:
-        connection = _Connection(self._stage, limiter)
+        connection = _Connection(self._context, limiter)
         try:
             async with asyncio.timeout(DIAL):
                 await asyncio.get_running_loop().create_connection(
@@ -306,14 +306,14 @@
                 )
         except (OSError, TimeoutError) as error:
             if isinstance(error, OSError) and error.errno in (errno.EMFILE, errno.ENFILE):
-                self._stage.no_descriptors()  # else it would pass for a limiter that refuses
+                self._context.no_descriptors()  # else it would pass for a limiter that refuses
             connection.close()
             return None
         return connection if connection.transport is not None else None
 
     def _request_bytes(
         self, arrival: Arrival, cls: ClassRow, id: str, attempt: int, ttl: int
-    ) -> tuple[bytes, Known]:
+    ) -> tuple[bytes, KnownRequest]:
         if self._points_per_unit:
             return self._graphql_bytes(arrival, cls, id, attempt, ttl)
         target = f"/{cls.name}?account={arrival.account}"
@@ -326,12 +326,12 @@
         head += "X-Retried: 1\r\n" if attempt else ""
         head += f"Idempotency-Key: {id}{id}\r\n" if cls.effect == "keyed" else ""
         head += f"Content-Length: {len(body)}\r\n" if method == "POST" else ""
-        known = Known(id, method, target, body, cls.name, cls.effect, cls.window)
+        known = KnownRequest(id, method, target, body, cls.name, cls.effect, cls.window)
         return f"{head}\r\n".encode() + body, known
 
     def _graphql_bytes(
         self, arrival: Arrival, cls: ClassRow, id: str, attempt: int, ttl: int
-    ) -> tuple[bytes, Known]:
+    ) -> tuple[bytes, KnownRequest]:
         from cypresspulley.rehearsal.standins.graphql import asking  # an extra that plain days do not need
 
         asked = asking(self._seed, arrival, cls.effect == "unsafe")
@@ -344,7 +344,7 @@
         )
         head += "X-Retried: 1\r\n" if attempt else ""
         units = max(asked.points, 1.0) / self._points_per_unit
-        known = Known(
+        known = KnownRequest(
             id,
             "POST",
             target,
--- a/cypresspulley/rehearsal/standins/discovery.py
+++ b/cypresspulley/rehearsal/standins/discovery.py
@@ -9,7 +9,7 @@
 
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.standins.network import Link, LinkedProtocol, Listening, listen
-from cypresspulley.rehearsal.standins.stage import Stage
+from cypresspulley.rehearsal.standins.run_context import RunContext
 
 EMPTY_LINE = 2.0  # seconds between two signs of life of a watch
 MAX_HEAD = 16 * 1024
@@ -59,8 +59,8 @@
 class Agent:
     """What one limiter is told. ``publish`` is discovery's; a silent agent tells nothing until it is not."""
 
-    def __init__(self, stage: Stage, limiter: str) -> None:
-        self.stage, self.limiter = stage, limiter
+    def __init__(self, context: RunContext, limiter: str) -> None:
+        self.context, self.limiter = context, limiter
         self.seq = 1
         self.hosts = dict[str, Host]()
         self.told = dict[str, Host]()  # what the limiter was told last: what it comes back with
@@ -126,9 +126,9 @@
             self.publish(*hosts)
 
     def _note(self, told: bool, whole: bool, hosts: tuple[Host, ...]) -> None:
-        rows = {h.host: (h.health, h.born_ms / 1000 - self.stage.unix_ms(0) / 1000) for h in hosts}
+        rows = {h.host: (h.health, h.born_ms / 1000 - self.context.unix_ms(0) / 1000) for h in hosts}
         rows = {name: (health, -1e9 if born < -1e8 else born) for name, (health, born) in rows.items()}
-        self.stage.record(log.Listed(self.stage.now(), self.limiter, told, whole, rows))
+        self.context.record(log.Listed(self.context.now(), self.limiter, told, whole, rows))
 
     def _tell(self, watcher: _Connection, whole: bool, hosts: tuple[Host, ...]) -> None:
         message = {"seq": self.seq, "whole": whole, "hosts": [host.row() for host in hosts]}
--- a/cypresspulley/rehearsal/standins/keeper.py
+++ b/cypresspulley/rehearsal/standins/keeper.py
@@ -10,7 +10,7 @@
 
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.standins.network import Link, LinkedProtocol, Listening, listen
-from cypresspulley.rehearsal.standins.stage import Stage
+from cypresspulley.rehearsal.standins.run_context import RunContext
 
 MAX_LINE = 256
 CONNECTIONS = 32  # of one limiter; further ones are reset
@@ -50,12 +50,12 @@
         self.used = 0.0
 
     def opened(self) -> None:
-        self.used = self._keeper.stage.now()
+        self.used = self._keeper.context.now()
         if len(self.link.ends) > CONNECTIONS:
             self.reset()
 
     def received(self, data: bytes) -> None:
-        self.used = self._keeper.stage.now()
+        self.used = self._keeper.context.now()
         *lines, self._buffer = (self._buffer + data).split(b"\n")
         for line in lines:
             reply = _Reply()
@@ -77,14 +77,14 @@
 
     def __init__(
         self,
-        stage: Stage,
+        context: RunContext,
         parts: int,
         per_second: float,
         waiting: float,
         call: float,
         rng: Random | None = None,
     ) -> None:
-        self.stage = stage
+        self.context = context
         self._parts = [_Part() for _ in range(parts)]
         self._cost, self._waiting, self._call = parts / per_second, waiting, call
         self._listeners = list[Listening]()
@@ -127,7 +127,7 @@
         self._sweeper = asyncio.get_running_loop().call_later(SWEEP, self._sweep)
         for link in self._links:
             for end in list(link.ends):
-                if isinstance(end, _Connection) and self.stage.now() - end.used > IDLE:
+                if isinstance(end, _Connection) and self.context.now() - end.used > IDLE:
                     end.close()
 
     def called(self, connection: _Connection, reply: _Reply, line: bytes) -> None:
@@ -140,19 +140,19 @@
             return None  # it never answers, and adds nothing
         if not self.begun:
             return connection.done(reply, b"busy")
-        now, part = self.stage.now(), self._parts[crc32(form[1]) % len(self._parts)]
+        now, part = self.context.now(), self._parts[crc32(form[1]) % len(self._parts)]
         start = max(now, part.free_at)
         name, amount, limiter = form[1].decode(), float(form[2]), connection.link.limiter
         if start - now > self._waiting:
-            self.stage.record(log.Tallied(now, limiter, name, amount, 0.0, False))
+            self.context.record(log.Tallied(now, limiter, name, amount, 0.0, False))
             return connection.done(reply, b"busy")
         part.free_at = start + self._cost
         wait = start - now + self._call + self.slow_by
         life = min(int(form[3]), MOST_MS) / 1000
 
         def add() -> None:
-            total = part.add(self.stage.now(), name, amount, life)
-            self.stage.record(log.Tallied(self.stage.now(), limiter, name, amount, total, True))
+            total = part.add(self.context.now(), name, amount, life)
+            self.context.record(log.Tallied(self.context.now(), limiter, name, amount, total, True))
             spoilt = self.spoilt_share > 0 and self._rng.random() < self.spoilt_share
             connection.done(reply, b"ok then" if spoilt else b"ok %.9g" % total)
 
--- a/cypresspulley/rehearsal/standins/rude.py
+++ b/cypresspulley/rehearsal/standins/rude.py
@@ -8,7 +8,7 @@
 from cypresspulley.rehearsal.plan import random_for, request_id
 from cypresspulley.rehearsal.standins.clients import Dialer, Front
 from cypresspulley.rehearsal.standins.graphql import abuses
-from cypresspulley.rehearsal.standins.stage import Stage
+from cypresspulley.rehearsal.standins.run_context import RunContext
 
 OWED_WITHIN = 3.0  # seconds until an error or a close
 FIRST_NUMBER = 1 << 40  # of a request: no usual client has one so high
@@ -18,9 +18,16 @@
     """``rate`` bodies a second for ``seconds``, drawn from the seed. ``answered`` counts statuses by abuse."""
 
     def __init__(
-        self, stage: Stage, front: Front, address: Dialer, seed: int, rate: float, seconds: float, plan: str
+        self,
+        context: RunContext,
+        front: Front,
+        address: Dialer,
+        seed: int,
+        rate: float,
+        seconds: float,
+        plan: str,
     ) -> None:
-        self._stage, self._front, self._address = stage, front, address
+        self._context, self._front, self._address = context, front, address
         self._seed, self._rate, self._seconds, self._plan = seed, rate, seconds, plan
         self._bodies = sorted(abuses().items())
         self._open = set[asyncio.Task[None]]()
@@ -28,7 +35,7 @@
 
     async def play(self) -> None:
         rng, loop, number = random_for(self._seed, "abuse"), asyncio.get_running_loop(), 0
-        while (wait := rng.expovariate(self._rate)) + self._stage.now() < self._seconds:
+        while (wait := rng.expovariate(self._rate)) + self._context.now() < self._seconds:
             await asyncio.sleep(wait)
             name, body = rng.choice(self._bodies)
             task = loop.create_task(self._one(name, body, number := number + 1))
@@ -59,11 +66,11 @@
                     writer.transport.abort()
         except TimeoutError:
             if limiter in self._front.up_now:
-                self._stage.complain(f"{limiter} left {name!r} without an error for {OWED_WITHIN} s")
+                self._context.complain(f"{limiter} left {name!r} without an error for {OWED_WITHIN} s")
             return
         except OSError:
             return
         status = int(line.split()[1]) if line.startswith(b"HTTP/1.1 ") else 0
         self.answered[name, status] += 1
         if status and not 400 <= status < 500:
-            self._stage.complain(f"{limiter} answered {name!r} with {status}; expected a 4xx")
+            self._context.complain(f"{limiter} answered {name!r} with {status}; expected a 4xx")
--- a/cypresspulley/rehearsal/standins/stage.py
+++ b/cypresspulley/rehearsal/standins/run_context.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
+class KnownRequest:
     """A try that a client has sent: what must arrive unchanged, and what its class says."""
 
     id: str
@@ -31,10 +31,10 @@
 class ArrivalHook(Protocol):
     """Told when an attempt is whole at a server, before the server acts on it."""
 
-    def __call__(self, server: Any, limiter: str, known: Known) -> None: ...
+    def __call__(self, server: Any, limiter: str, known: KnownRequest) -> None: ...
 
 
-class Stage:
+class RunContext:
     """One day's clock and log. ``work`` gives the CPU seconds that a try costs, by id and class."""
 
     def __init__(
@@ -47,7 +47,7 @@
         self._sink, self.clock, self.work = sink, clock, work
         self._start = clock()
         self._unix = unix() - self._start
-        self._known = dict[str, Known]()
+        self._known = dict[str, KnownRequest]()
         self._attempts = 0
         self.complaints = list[str]()
         self.on_arrival: ArrivalHook | None = None
@@ -72,10 +72,10 @@
     def record(self, record: Record) -> None:
         self._sink(record)
 
-    def sent(self, known: Known) -> None:
+    def sent(self, known: KnownRequest) -> None:
         self._known[known.id] = known
 
-    def find(self, id: str) -> Known | None:
+    def find(self, id: str) -> KnownRequest | None:
         return self._known.get(id)
 
     def forget(self, id: str) -> None:
@@ -85,7 +85,7 @@
         self._attempts += 1
         return self._attempts - 1
 
-    def arrived(self, server: Any, limiter: str, known: Known) -> None:
+    def arrived(self, server: Any, limiter: str, known: KnownRequest) -> None:
         if self.on_arrival is not None:
             self.on_arrival(server, limiter, known)
 
--- a/cypresspulley/rehearsal/together.py
+++ b/cypresspulley/rehearsal/together.py
@@ -19,7 +19,7 @@
 from cypresspulley.rehearsal.plan import Plan, PlannedFault
 from cypresspulley.rehearsal.scenario import DATAGRAMS, Scenario
 from cypresspulley.rehearsal.standins.datagrams import Address, Relay, Trouble, ways_between
-from cypresspulley.rehearsal.standins.stage import Stage
+from cypresspulley.rehearsal.standins.run_context import RunContext
 from cypresspulley.rehearsal.troubles import Struck, struck
 
 KEY = "a key of rehearsals only"
@@ -41,18 +41,18 @@
     """One day's. ``halls`` tells each limiter's."""
 
     def __init__(
-        self, scenario: Scenario, plan: Plan, stage: Stage, limiters: dict[str, LimiterProcess],
+        self, scenario: Scenario, plan: Plan, context: RunContext, limiters: dict[str, LimiterProcess],
         halls: dict[str, str], ground: Ground,
     ) -> None:  # fmt: skip
         assert scenario.together is not None
-        self._scenario, self._stage, self._limiters, self._halls = scenario, stage, limiters, halls
+        self._scenario, self._context, self._limiters, self._halls = scenario, context, limiters, halls
         self._ground = ground
-        self.start = ceil(stage.unix() + ground.allowance)  # Unix second of the day's second 0
-        self.harness = Harness(ground.history, stage.unix())
-        self._relay = Relay(plan.seed, self._delay, stage.clock)
+        self.start = ceil(context.unix() + ground.allowance)  # Unix second of the day's second 0
+        self.harness = Harness(ground.history, context.unix())
+        self._relay = Relay(plan.seed, self._delay, context.clock)
         self._closings: Closings | None = None
         if scenario.closing is not None:
-            stage.tells_made = True
+            context.tells_made = True
             self._closings = Closings(scenario.closing, plan, limiters, self.start)
         self.late = {name for fault in plan.faults if fault.kind == "limiter-late" for name in fault.targets}
 
@@ -99,13 +99,15 @@
 
     def until_start(self) -> float:
         """Seconds from now until the day's second 0."""
-        return self.start - self._stage.unix()
+        return self.start - self._context.unix()
 
     def begin(self) -> None:
         """The day's second 0 has come."""
         closing = self._scenario.closing
         if closing is not None and self._closings is not None:
-            self._stage.record(log.Keeping(self._stage.now(), tuple(self._closings.keepers), closing.keep))
+            self._context.record(
+                log.Keeping(self._context.now(), tuple(self._closings.keepers), closing.keep)
+            )
 
     def over(self) -> None:
         """The day is over: what was true of it. What limiters do from here on is their end."""
@@ -126,7 +128,7 @@
         if fault.kind in DATAGRAMS:
             assert self._scenario.together is not None
             period = self._scenario.together.period_ms / 1000
-            self._spell(struck(fault, list(self._limiters), period, self._stage.clock()), lasts)
+            self._spell(struck(fault, list(self._limiters), period, self._context.clock()), lasts)
         elif fault.kind == "hall-cut":
             for hall in fault.targets:
                 self._cut_hall(hall, lasts)
@@ -135,12 +137,12 @@
                 self._note(fault.kind, [name], lasts)
         elif fault.kind == "limiter-clock":
             for name in fault.targets:
-                self._limiters[name].shift(Shift(spec.offset, spec.ppm, self._stage.unix()))
+                self._limiters[name].shift(Shift(spec.offset, spec.ppm, self._context.unix()))
                 self.harness.fault(fault.kind, [name], True)
                 if spec.lasts:
                     asyncio.get_running_loop().call_later(lasts, self._right, name)
         elif self._closings is not None:
-            self._closings.strike(fault, self._stage.unix())
+            self._closings.strike(fault, self._context.unix())
 
     def _cut_hall(self, hall: str, lasts: float) -> None:
         """Datagrams go no other way than the rest."""
@@ -169,7 +171,7 @@
         account = self._closings.busiest() if self._closings is not None else None
         if account is None:
             return
-        id = f"purge-{name}-{self._stage.now():.3f}"
+        id = f"purge-{name}-{self._context.now():.3f}"
         self.harness.put(Kind.PURGE_CALL, id=id, account=account, limiter=name)
         status, body = await self._limiters[name].ask(
             "PUT", f"/v1/accounts/{account}/purge", self._purge_within()
@@ -193,9 +195,9 @@
         try:
             found = self._ground.check(names)
         except (HistoryError, OSError) as error:
-            return self._stage.complain(f"the histories cannot be read: {error}")
+            return self._context.complain(f"the histories cannot be read: {error}")
         for one in found:
-            self._stage.record(one)
+            self._context.record(one)
 
     def close(self) -> None:
         self._relay.close()
--- a/cypresspulley/rehearsal/virtual/play.py
+++ b/cypresspulley/rehearsal/virtual/play.py
@@ -223,7 +223,7 @@
     def emit(self, record: logging.LogRecord) -> None:
         if record.msg.startswith(REFUSED) and self._director.side is not None:
             return  # an operators' mistake that this day may hold: a calendar of last week, or by a clock that is off
-        self._director.stage.complain(f"a limiter logged an error: {record.getMessage()[:200]}")
+        self._director.context.complain(f"a limiter logged an error: {record.getMessage()[:200]}")
 
 
 @contextmanager
@@ -292,7 +292,7 @@
             ground=None if scenario.together is None else _ground(scenario, loop, made, logs),
         )
         if observer is not None:
-            observer.now = director.stage.now
+            observer.now = director.context.now
         with _logged(director):
             try:
                 await play_day(director, progress)
--- a/tests/rehearsal/test_standins.py
+++ b/tests/rehearsal/test_standins.py
@@ -16,14 +16,14 @@
 from cypresspulley.rehearsal.standins.keeper import Keeper
 from cypresspulley.rehearsal.standins.network import Link, Listener
 from cypresspulley.rehearsal.standins.processor import Job, Machine, Processor, fall_bound, warmth
-from cypresspulley.rehearsal.standins.stage import Known, Stage
+from cypresspulley.rehearsal.standins.run_context import KnownRequest, RunContext
 from tests.loopback import read_message, run
 
 MACHINE = Machine(2.0, 2, 1, 0.0, 0.1, 10.0, 2.5, 1.0, 0.1)
 ID = "00000000000000aa"
 
 
-class Recorded(Stage):
+class Recorded(RunContext):
     """A stage that keeps its records and gives each try the same work."""
 
     def __init__(self, work: float = 0.01) -> None:
@@ -36,14 +36,14 @@
     def knows(self, id: str = ID, effect: str = "safe") -> bytes:
         """A request that a client has sent, as a limiter passes it on."""
         method = "GET" if effect == "safe" else "POST"
-        self.sent(Known(id, method, "/look?account=1", b"", "look", effect, 5.0))
+        self.sent(KnownRequest(id, method, "/look?account=1", b"", "look", effect, 5.0))
         length = "" if method == "GET" else "Content-Length: 0\r\n"
         return f"{method} /look?account=1 HTTP/1.1\r\nX-Request-ID: {id}\r\n{length}\r\n".encode()
 
 
-def server(stage: Stage, link: Link, machine: Machine = MACHINE, **more: Any) -> BagServer:
+def server(context: RunContext, link: Link, machine: Machine = MACHINE, **more: Any) -> BagServer:
     options: dict[str, Any] = {"report_every": 0.1, "idle": 30.0, "connections": 10, "stops_running": False}
-    made = BagServer(stage, "s1", "east", 0, machine, RepeatMemory(), Random(1), **(options | more))
+    made = BagServer(context, "s1", "east", 0, machine, RepeatMemory(), Random(1), **(options | more))
     made.place(link, "127.0.0.1")
     return made
 
@@ -110,16 +110,16 @@
 
 def test_a_request_is_run_and_answered_with_a_load_report() -> None:
     async def main() -> None:
-        stage, link = Recorded(), Link("n0")
-        made = server(stage, link)
+        context, link = Recorded(), Link("n0")
+        made = server(context, link)
         made.start(cold=False)
-        status, headers, body = await ask(made.dial("n0"), stage.knows())
+        status, headers, body = await ask(made.dial("n0"), context.knows())
         assert " 200 " in status and json.loads(body)["id"] == ID
         assert headers["x-server-load"].startswith("queue=0,qps=")
-        kinds = [type(r).__name__ for r in stage.kept]
+        kinds = [type(r).__name__ for r in context.kept]
         assert kinds == ["ServerState", "Arrived", "Ran", "Replied"]
-        status, _, _ = await ask(made.dial("n0"), stage.knows().replace(b"/look", b"/took"))
-        assert " 400 " in status and "no client made" in stage.complaints[0]
+        status, _, _ = await ask(made.dial("n0"), context.knows().replace(b"/look", b"/took"))
+        assert " 400 " in status and "no client made" in context.complaints[0]
         assert " 200 " in (await ask(made.dial("n0"), b"GET /healthz HTTP/1.1\r\n\r\n"))[0]
         made.crash()
 
@@ -128,17 +128,17 @@
 
 def test_a_full_waiting_room_and_a_full_table_turn_away_with_proof() -> None:
     async def main() -> None:
-        stage, link = Recorded(work=5.0), Link("n0")
-        made = server(stage, link, connections=4)
+        context, link = Recorded(work=5.0), Link("n0")
+        made = server(context, link, connections=4)
         made.start(cold=False)
         held = [await dial(made.dial("n0")) for _ in range(3)]
         for n, (_, writer) in enumerate(held):
-            writer.write(stage.knows(f"{n:016x}"))
-        await until(lambda: len(stage.of(log.Arrived)) == 3)
+            writer.write(context.knows(f"{n:016x}"))
+        await until(lambda: len(context.of(log.Arrived)) == 3)
         for expected in (1, 2):  # the fourth finds the room full; the fifth the table too
-            status, headers, _ = await ask(made.dial("n0"), stage.knows(f"{expected + 10:016x}"))
+            status, headers, _ = await ask(made.dial("n0"), context.knows(f"{expected + 10:016x}"))
             assert " 503 " in status and headers["x-not-processed"] == "1"
-        assert [r.not_processed for r in stage.of(log.Replied)] == [True, True]
+        assert [r.not_processed for r in context.of(log.Replied)] == [True, True]
         made.crash()
         for reader, _ in held:
             with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
@@ -149,13 +149,13 @@
 
 def test_keyed_repeats_are_dropped_and_answered_alike() -> None:
     async def main() -> None:
-        stage, link = Recorded(), Link("n0")
-        made = server(stage, link)
+        context, link = Recorded(), Link("n0")
+        made = server(context, link)
         made.start(cold=False)
-        request = stage.knows(effect="keyed")
+        request = context.knows(effect="keyed")
         first, second = await ask(made.dial("n0"), request), await ask(made.dial("n0"), request)
         assert first[2] == second[2]
-        assert [r.repeat for r in stage.of(log.Ran)] == [False, True]
+        assert [r.repeat for r in context.of(log.Ran)] == [False, True]
         made.crash()
 
     run(main())
@@ -163,8 +163,8 @@
 
 def test_a_crashed_server_refuses_and_returns_at_its_address_cold() -> None:
     async def main() -> None:
-        stage, link = Recorded(), Link("n0")
-        made = server(stage, link)
+        context, link = Recorded(), Link("n0")
+        made = server(context, link)
         made.start(cold=False)
         address = made.dial("n0")
         made.crash()
@@ -172,8 +172,8 @@
             await dial(address)
         made.start(cold=True)
         assert made.dial("n0") == address and made.born_ms > 0
-        assert " 200 " in (await ask(address, stage.knows()))[0]
-        assert [r.what for r in stage.of(log.ServerState)] == ["up", "crashed", "started"]
+        assert " 200 " in (await ask(address, context.knows()))[0]
+        assert [r.what for r in context.of(log.ServerState)] == ["up", "crashed", "started"]
         made.crash()
 
     run(main())
@@ -181,18 +181,18 @@
 
 def test_errors_resets_hangs_and_idle_ends() -> None:
     async def main() -> None:
-        stage, link = Recorded(), Link("n0")
-        made = server(stage, link, idle=0.0)
+        context, link = Recorded(), Link("n0")
+        made = server(context, link, idle=0.0)
         made.start(cold=False)
         made.error_share = 1.0
-        assert " 500 " in (await ask(made.dial("n0"), stage.knows()))[0]
+        assert " 500 " in (await ask(made.dial("n0"), context.knows()))[0]
         made.error_share, made.reset_share = 0.0, 1.0
         with pytest.raises(ConnectionResetError):
-            await ask(made.dial("n0"), stage.knows())
+            await ask(made.dial("n0"), context.knows())
         made.reset_share = 0.0
         made.hang(True)
-        waiting = asyncio.ensure_future(ask(made.dial("n0"), stage.knows()))
-        await until(lambda: len(stage.of(log.Arrived)) == 3)
+        waiting = asyncio.ensure_future(ask(made.dial("n0"), context.knows()))
+        await until(lambda: len(context.of(log.Arrived)) == 3)
         assert not waiting.done()
         made.hang(False)
         assert " 200 " in (await waiting)[0]
@@ -208,27 +208,27 @@
 
 def test_a_cut_is_silence_and_no_reset() -> None:
     async def main() -> None:
-        stage, link = Recorded(), Link("n0", 0.001)
-        made = server(stage, link)
+        context, link = Recorded(), Link("n0", 0.001)
+        made = server(context, link)
         made.start(cold=False)
         reader, writer = await dial(made.dial("n0"))
-        writer.write(stage.knows())
+        writer.write(context.knows())
         assert " 200 " in (await read_message(reader))[0]
-        link.cut(stage.now())
-        cut_at = stage.now()
-        writer.write(stage.knows("00000000000000bb"))
+        link.cut(context.now())
+        cut_at = context.now()
+        writer.write(context.knows("00000000000000bb"))
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.15):
                 await reader.read(1)
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.15):
                 await dial(made.dial("n0"))
-        assert len(stage.of(log.Arrived)) == 1
+        assert len(context.of(log.Arrived)) == 1
         link.heal()
         assert " 200 " in (await read_message(reader))[0]
         # When in the cut it was sent nobody can tell: it counts from the cut's begin.
-        assert stage.of(log.Arrived)[1].began <= cut_at + 0.01 < stage.of(log.Arrived)[1].t
-        assert " 200 " in (await ask(made.dial("n0"), stage.knows("00000000000000cc")))[0]
+        assert context.of(log.Arrived)[1].began <= cut_at + 0.01 < context.of(log.Arrived)[1].t
+        assert " 200 " in (await ask(made.dial("n0"), context.knows("00000000000000cc")))[0]
         made.crash()
 
     run(main())
@@ -253,8 +253,8 @@
 
 def test_the_keeper_adds_forgets_and_answers_in_order() -> None:
     async def main() -> None:
-        stage, link = Recorded(), Link("n0")
-        keeper = Keeper(stage, 2, 10_000, 1.0, 0.001)
+        context, link = Recorded(), Link("n0")
+        keeper = Keeper(context, 2, 10_000, 1.0, 0.001)
         reader, writer = await dial(keeper.listen(link, "127.0.0.1").address)
         writer.write(b"tally a 1 50\r\n")
         assert await lines(reader, 1) == [b"busy"]  # before the day begins
@@ -276,13 +276,13 @@
 
 def test_a_crowded_keeper_turns_calls_away_and_a_stopped_one_is_silent() -> None:
     async def main() -> None:
-        stage, link = Recorded(), Link("n0")
-        keeper = Keeper(stage, 1, 10, 0.15, 0.0)  # a call takes 0.1 s
+        context, link = Recorded(), Link("n0")
+        keeper = Keeper(context, 1, 10, 0.15, 0.0)  # a call takes 0.1 s
         keeper.begun = True
         reader, writer = await dial(keeper.listen(link, "127.0.0.1").address)
         writer.write(b"tally a 1 60000\r\n" * 4)
         assert await lines(reader, 4) == [b"ok 1", b"ok 2", b"busy", b"busy"]
-        assert [r.added for r in stage.of(log.Tallied)].count(True) == 2
+        assert [r.added for r in context.of(log.Tallied)].count(True) == 2
         keeper.stopped = True
         writer.write(b"tally a 1 60000\r\nping\r\n")
         with pytest.raises(TimeoutError):
@@ -322,8 +322,8 @@
 
 def test_a_watch_tells_changes_and_goes_on_from_a_version() -> None:
     async def main() -> None:
-        stage = Recorded()
-        agent = Agent(stage, "n0")
+        context = Recorded()
+        agent = Agent(context, "n0")
         address = agent.listen("127.0.0.1")
         agent.publish(host("s1"), host("s2"))
         reader, writer = await dial(address)
@@ -345,7 +345,7 @@
         assert [h["host"] for h in (await chunk(reader))["hosts"]] == ["s3"]
         status, _, body = await ask(address, b"GET /v1/servers HTTP/1.1\r\n\r\n")
         assert " 200 " in status and len(json.loads(body)["hosts"]) == 2
-        told = [r.told for r in stage.of(log.Listed)]
+        told = [r.told for r in context.of(log.Listed)]
         assert told == [False, True, False, True, False, True, True]
         agent.close()
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -22,7 +22,7 @@
 from cypresspulley.rehearsal.standins.discovery import Agent, Host
 from cypresspulley.rehearsal.standins.keeper import Keeper
 from cypresspulley.rehearsal.standins.network import Link
-from cypresspulley.rehearsal.standins.stage import Stage
+from cypresspulley.rehearsal.standins.run_context import RunContext
 from tests.loopback import Origin, ask, listening, read_message, run
 
 WIRE_SETTINGS: dict[str, Any] = {
@@ -34,9 +34,9 @@
 }  # fmt: skip
 
 
-def stand_in_stage() -> Stage:
+def stand_in_stage() -> RunContext:
     """A stage that keeps nothing, for stand-ins outside a rehearsal."""
-    return Stage(lambda _record: None, lambda _id, _cls: 0.0)
+    return RunContext(lambda _record: None, lambda _id, _cls: 0.0)
 
 
 def free_port() -> int:
@@ -132,8 +132,8 @@
 
 def test_sighup_moves_to_the_new_addresses_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
     async def main() -> None:
-        origin, path, stage, link = Origin(), tmp_path / "config.json", stand_in_stage(), Link("n0")
-        agent, keeper = Agent(stage, "n0"), Keeper(stage, 1, 1000.0, 0.1, 0.001)
+        origin, path, context, link = Origin(), tmp_path / "config.json", stand_in_stage(), Link("n0")
+        agent, keeper = Agent(context, "n0"), Keeper(context, 1, 1000.0, 0.1, 0.001)
         there, count = agent.listen("127.0.0.1"), keeper.listen(link, "127.0.0.1").address
         async with listening(origin.talk) as dial:
             agent.publish(Host("s1", dial, "a", 0, "ready"))
