--- a/cypresspulley/rehearsal/play.py
+++ b/cypresspulley/rehearsal/play.py
@@ -42,7 +42,7 @@
 from cypresspulley.rehearsal.standins.keeper import Keeper
 from cypresspulley.rehearsal.standins.network import Link
 from cypresspulley.rehearsal.standins.processor import Machine
-from cypresspulley.rehearsal.standins.stage import Known, Stage
+from cypresspulley.rehearsal.standins.run_context import KnownRequest, RunContext
 
 if TYPE_CHECKING:
     from cypresspulley.rehearsal.standins.bookkeeper import Bookkeeper
@@ -169,20 +169,20 @@
         self.plan = plan
         self.fleet_harness: FleetHarness | None = None  # for scenarios with [together]
         self._sink = sink
-        self.stage = Stage(
+        self.context = RunContext(
             self._record, lambda id, cls: sample_work(plan.seed, id, classes[cls]), clock, unix
         )
-        self.stage.on_arrival = self._on_arrival
+        self.context.on_arrival = self._on_arrival
         self.net = LoopbackNetwork(scenario, base)
         self._overlapping = OverlappingFaults()
         self.day = describe_day(scenario, plan)
         self.halls = scenario.fleet.halls
         k = scenario.keeper
-        self.keeper = Keeper(self.stage, k.parts, k.calls_per_second, k.waiting_ms / 1000, k.call_ms / 1000,
+        self.keeper = Keeper(self.context, k.parts, k.calls_per_second, k.waiting_ms / 1000, k.call_ms / 1000,
                              random_for(plan.seed, "keeper"))  # fmt: skip
         self._keeper_links = dict[str, Link]()
         self._keeper_at = dict[str, str]()
-        self.agents = {name: Agent(self.stage, name) for name in limiter_names(scenario)}
+        self.agents = {name: Agent(self.context, name) for name in limiter_names(scenario)}
         self._agent_at = dict[str, str]()
         self.servers = dict[str, BagServer]()
         self._memories = dict[tuple[str, int], RepeatMemory]()
@@ -193,7 +193,7 @@
             each.has_operator_address = scenario.uses_operator_calls
         self.front = Front(list(self.limiters))
         self.clients = ClientFleet(
-            self.stage, self.front, lambda name: self.limiters[name].address, scenario.clients, classes,
+            self.context, self.front, lambda name: self.limiters[name].address, scenario.clients, classes,
             plan.seed, scenario.seconds, points_per_unit(scenario),
         )  # fmt: skip
         self._random = random_for(plan.seed, "director")
@@ -209,7 +209,7 @@
             from cypresspulley.rehearsal.together import FleetHarness
 
             self.fleet_harness = FleetHarness(
-                scenario, plan, self.stage, self.limiters, self.day.limiters, environment
+                scenario, plan, self.context, self.limiters, self.day.limiters, environment
             )
             self.returning |= self.fleet_harness.late  # they start at the time of their fault
 
@@ -245,7 +245,7 @@
         from cypresspulley.rehearsal.standins.bookkeeper import Bookkeeper
 
         rng = random_for(self.plan.seed, "books")
-        self.books = Bookkeeper(self.stage, self.scenario.plans, min_plan_fraction(self.scenario), rng)
+        self.books = Bookkeeper(self.context, self.scenario.plans, min_plan_fraction(self.scenario), rng)
         for index, limiter in enumerate(self.limiters):
             host = self.net.host(253, index)
             self.books.addresses[limiter] = host, free_port(host)
@@ -263,13 +263,13 @@
         Raises ``HarnessError`` if the limiters were not ready in time.
         """
         if self.fleet_harness is None:
-            return self.stage.begin(WARM_UP_SECONDS)
+            return self.context.begin(WARM_UP_SECONDS)
         after = self.fleet_harness.seconds_until_start()
         if after < WARM_UP_SECONDS:
             raise HarnessError(
                 f"the limiters were ready {WARM_UP_SECONDS - after:.1f} s too late: give them idle cores"
             )
-        self.stage.begin(after)
+        self.context.begin(after)
         asyncio.get_running_loop().call_later(after, self.fleet_harness.begin)
 
     def _add_server(
@@ -281,7 +281,7 @@
             fleet.fall_multiple, fleet.fall_seconds, self.day.mean_work,
         )  # fmt: skip
         server = BagServer(
-            self.stage, name, hall, cell, machine, self._memories.setdefault((hall, cell), RepeatMemory()),
+            self.context, name, hall, cell, machine, self._memories.setdefault((hall, cell), RepeatMemory()),
             random_for(self.plan.seed, "server", name), fleet.report_ms / 1000, fleet.idle_seconds,
             fleet.connections, fleet.stops_running,
         )  # fmt: skip
@@ -333,21 +333,21 @@
         if known == "gone":
             listed = {"seq": 0, "whole": True, "hosts": [self._dead_host(name, n).row() for n in range(3)]}
         limiter.configure(self._config(name, listed))
-        now = self.stage.now()
-        self.stage.record(log.LimiterState(now, name, "started"))
+        now = self.context.now()
+        self.context.record(log.LimiterState(now, name, "started"))
         hosts = {
             row["host"]: (
                 row["health"],
-                row["born_ms"] / 1000 - self.stage.unix_ms(0) / 1000 if row["born_ms"] else -1e9,
+                row["born_ms"] / 1000 - self.context.unix_ms(0) / 1000 if row["born_ms"] else -1e9,
             )
             for row in listed["hosts"]
         }
-        self.stage.record(log.Listed(now, name, True, True, hosts))
+        self.context.record(log.Listed(now, name, True, True, hosts))
         await limiter.start()
         self._watched_processes[name] = limiter.process
         self._spawn(self._watch_end(limiter))
         await limiter.wait_until_ready()
-        self.stage.record(log.LimiterState(self.stage.now(), name, "ready"))
+        self.context.record(log.LimiterState(self.context.now(), name, "ready"))
         self.front.up(name)
 
     def _dead_host(self, limiter: str, number: int) -> Host:
@@ -362,10 +362,10 @@
         if limiter.process is not process:
             # A successor process has taken over, so only a crash of the old process matters.
             if code != 0:
-                self.stage.complain(f"the old process of {limiter.name} ended with {code}")
+                self.context.complain(f"the old process of {limiter.name} ended with {code}")
             return
         what = "exited" if limiter.expected_end else "crashed"
-        self.stage.record(log.LimiterState(self.stage.now(), limiter.name, what, code))
+        self.context.record(log.LimiterState(self.context.now(), limiter.name, what, code))
         notice = self._random.uniform(*self.scenario.clients.notice)
         asyncio.get_running_loop().call_later(notice, self._notice_exit, limiter)
 
@@ -377,7 +377,7 @@
         """Kills a limiter. The record precedes SIGKILL, so that the judge excuses the connections that break."""
         limiter = self.limiters[name]
         if limiter.running and not limiter.expected_end:
-            self.stage.record(log.LimiterState(self.stage.now(), name, "killed"))
+            self.context.record(log.LimiterState(self.context.now(), name, "killed"))
             limiter.signal(signal.SIGKILL)
 
     async def _kill_and_return(self, name: str, spec_known: str, back_after: float) -> None:
@@ -395,7 +395,7 @@
         if name in self.returning:
             return
         self.returning.add(name)
-        self.stage.record(log.LimiterState(self.stage.now(), name, "stopping"))
+        self.context.record(log.LimiterState(self.context.now(), name, "stopping"))
         limiter.signal(signal.SIGTERM)
         kill = asyncio.get_running_loop().call_later(self._kill_delay, limiter.signal, signal.SIGKILL)
         await asyncio.sleep(
@@ -443,19 +443,19 @@
                 self._watched_processes[name] = limiter.process
                 self._spawn(self._watch_end(limiter))
         if await watch:
-            self.stage.record(log.LimiterState(self.stage.now(), name, "upgraded"))
+            self.context.record(log.LimiterState(self.context.now(), name, "upgraded"))
         self.returning.discard(name)
 
     async def _drain_limiter(self, name: str, lasts: float) -> None:
         limiter = self.limiters[name]
         if name in self.returning or await limiter.call("PUT", "/v1/limiter/drain") != 200:
             return
-        self.stage.record(log.LimiterState(self.stage.now(), name, "drained"))
+        self.context.record(log.LimiterState(self.context.now(), name, "drained"))
         await asyncio.sleep(0.3)  # the front polls readiness, so it stops using the limiter a little later
         self.front.down(name)
         await asyncio.sleep(lasts)
         if limiter.running and await limiter.call("PUT", "/v1/limiter/activate") == 200:
-            self.stage.record(log.LimiterState(self.stage.now(), name, "activated"))
+            self.context.record(log.LimiterState(self.context.now(), name, "activated"))
             self.front.up(name)
 
     async def _server_by_hand(self, name: str, lasts: float) -> None:
@@ -475,12 +475,12 @@
         if not limiter.running:
             return
         if not out:  # the server may be used from the call on, whenever the answer arrives
-            self.stage.record(log.Banned(self.stage.now(), limiter.name, server, False))
+            self.context.record(log.Banned(self.context.now(), limiter.name, server, False))
         status = await limiter.call("PUT", f"/v1/servers/{server}/{'suspend' if out else 'resume'}")
         if out and status == 200:
-            self.stage.record(log.Banned(self.stage.now(), limiter.name, server, True))
+            self.context.record(log.Banned(self.context.now(), limiter.name, server, True))
         elif status != 200 and limiter.running and limiter.name not in self.returning:
-            self.stage.complain(f"{limiter.name} answered {status} to an operators' call on {server}")
+            self.context.complain(f"{limiter.name} answered {status} to an operators' call on {server}")
 
     def _reload(self, name: str) -> None:
         """Moves discovery and counter to new ports, replaces the limiter's configuration file and sends SIGHUP."""
@@ -492,12 +492,12 @@
         ).address
         limiter.configure(self._config(name, agent.known()))
         if limiter.running:
-            self.stage.record(log.LimiterState(self.stage.now(), name, "reloaded"))
+            self.context.record(log.LimiterState(self.context.now(), name, "reloaded"))
             limiter.signal(signal.SIGHUP)
 
     # Servers.
 
-    def _on_arrival(self, server: BagServer, limiter: str, known: Known) -> None:
+    def _on_arrival(self, server: BagServer, limiter: str, known: KnownRequest) -> None:
         """Applies a pending kill to the limiter whose unsafe attempt has arrived whole at a server."""
         for wait in self._waiting_kills:
             name, fault = wait
@@ -595,14 +595,14 @@
 
     def schedule_faults(self) -> None:
         """Sets a timer for each fault of the plan."""
-        loop, now = asyncio.get_running_loop(), self.stage.now()
+        loop, now = asyncio.get_running_loop(), self.context.now()
         for fault in self.plan.faults:
             loop.call_later(max(0.0, fault.at - now), self._apply_fault, fault)
 
     def _record_fault(self, fault: PlannedFault, target: str) -> None:
-        now = self.stage.now()
+        now = self.context.now()
         until = max(now, fault.until if fault.spec.lasts else now)
-        self.stage.record(log.Happened(now, until, fault.kind, target))
+        self.context.record(log.Happened(now, until, fault.kind, target))
 
     def _apply_fault(self, fault: PlannedFault) -> None:
         if fault.kind == "limiter-kill" and fault.spec.when == "handover-written":
@@ -686,7 +686,7 @@
             "server-slow": (late, lambda name, by: setattr(self.servers[name], "slow_by", by)),
             "limiter-pause": (True, lambda name, on: self._pause(name, bool(on))),
             "keeper-spoilt": (spec.size, lambda _, share: setattr(self.keeper, "spoilt_share", share)),
-            "hall-cut": (True, lambda hall, on: self.net.cut(hall, bool(on), self.stage.now())),
+            "hall-cut": (True, lambda hall, on: self.net.cut(hall, bool(on), self.context.now())),
             "keeper-slow": (late, lambda _, by: setattr(self.keeper, "slow_by", by)),
             "keeper-stop": (True, lambda _, on: setattr(self.keeper, "stopped", on)),
             "discovery-silent": (True, lambda _, on: self._set_discovery_silent(bool(on))),
@@ -721,7 +721,7 @@
         from cypresspulley.rehearsal.standins.rude import Abusers
 
         self.abusers = Abusers(
-            self.stage, self.front, lambda name: self.limiters[name].address, self.plan.seed, graphql.abuse,
+            self.context, self.front, lambda name: self.limiters[name].address, self.plan.seed, graphql.abuse,
             self.scenario.seconds, self.scenario.plans[0].name,
         )  # fmt: skip
         return asyncio.get_running_loop().create_task(self.abusers.play())
@@ -750,15 +750,15 @@
 
     async def watch_lateness(self) -> None:
         """Records this process's own lateness and samples the limiters' usage, until cancelled."""
-        clock = self.stage.clock
+        clock = self.context.clock
         due, sampled = clock() + HEARTBEAT_SECONDS, 0.0
         while True:
             await asyncio.sleep(max(0.0, due - clock()))
             now = clock()
             late = max(0.0, now - due)
             # Before the start this process sets up the run, in long steps that delay no client.
-            if self.keeper.begun and self.stage.now() - late >= 0:
-                self.stage.record(log.Lateness(self.stage.now(), late))
+            if self.keeper.begun and self.context.now() - late >= 0:
+                self.context.record(log.Lateness(self.context.now(), late))
             due = max(due + HEARTBEAT_SECONDS, now)
             if now - sampled > USAGE_SAMPLE_SECONDS:
                 sampled = now
@@ -790,9 +790,9 @@
     """Plays everything from the first limiter's start to the last one's exit."""
     runner.clients.prepare(runner.plan.arrivals)
     runner.start_stand_ins()
-    runner.stage.record(runner.day)
+    runner.context.record(runner.day)
     for plan, least in runner.scenario.goal.plans.items():
-        runner.stage.record(log.Wanted(runner.stage.now(), plan, least))
+        runner.context.record(log.Wanted(runner.context.now(), plan, least))
     await runner.start_plan_book()
     await runner.open_fleet_harness()
     early = [name for name in runner.limiters if name not in runner.returning]
@@ -802,7 +802,7 @@
     runner.schedule_faults()
     abuse = runner.start_abuse()
     await runner.clients.play(runner.plan.arrivals)
-    await asyncio.sleep(max(0.0, runner.scenario.seconds - runner.stage.now()))
+    await asyncio.sleep(max(0.0, runner.scenario.seconds - runner.context.now()))
     await runner.clients.finish(FINISH_TIMEOUT_SECONDS)
     if abuse is not None:
         await abuse
@@ -820,16 +820,16 @@
         runner.fleet_harness.end_day()
     for limiter in runner.limiters.values():
         if limiter.running:
-            runner.stage.record(log.LimiterState(runner.stage.now(), limiter.name, "stopping"))
+            runner.context.record(log.LimiterState(runner.context.now(), limiter.name, "stopping"))
             limiter.signal(signal.SIGTERM)
     await asyncio.gather(*(limiter.wait_or_kill() for limiter in runner.limiters.values()))
     if runner.books is not None:
         told = sum(runner.books.plan_writer.usage_ledger.totals.values())
-        runner.stage.record(log.Exported(runner.stage.now(), told))
+        runner.context.record(log.Exported(runner.context.now(), told))
     for limiter in runner.limiters.values():
-        runner.stage.record(
+        runner.context.record(
             log.Usage(
-                runner.stage.now(),
+                runner.context.now(),
                 limiter.name,
                 limiter.cpu_seconds,
                 limiter.memory_mb,
@@ -954,7 +954,7 @@
         heartbeat.cancel()  # lateness no longer affects the result
         if runner.fleet_harness is not None:
             runner.fleet_harness.check()
-        runner.stage.record(log.End(runner.stage.now(), runner.stage.unix_ms(0) / 1000))
+        runner.context.record(log.End(runner.context.now(), runner.context.unix_ms(0) / 1000))
     finally:
         tasks = [task for task in (day, heartbeat, failed, shown) if task is not None]
         for task in tasks:
@@ -975,5 +975,5 @@
 
 async def _show_progress(runner: ScenarioRunner, progress: Progress) -> None:
     while True:
-        progress(runner.stage.now(), runner)
+        progress(runner.context.now(), runner)
         await asyncio.sleep(0.25)
--- a/cypresspulley/rehearsal/together.py
+++ b/cypresspulley/rehearsal/together.py
@@ -20,7 +20,7 @@
 from cypresspulley.rehearsal.plan import Plan, PlannedFault
 from cypresspulley.rehearsal.scenario import DATAGRAM_KINDS, Scenario
 from cypresspulley.rehearsal.standins.datagrams import Address, Relay, Trouble, ways_between
-from cypresspulley.rehearsal.standins.stage import Stage
+from cypresspulley.rehearsal.standins.run_context import RunContext
 
 KEY = "a key of rehearsals only"
 Tables = dict[str, dict[str, Any]]
@@ -43,7 +43,7 @@
     """The fleet harness of one run. ``halls`` gives the hall of each limiter."""
 
     def __init__(
-        self, scenario: Scenario, plan: Plan, stage: Stage, limiters: dict[str, LimiterProcess],
+        self, scenario: Scenario, plan: Plan, context: RunContext, limiters: dict[str, LimiterProcess],
         halls: dict[str, str], environment: FleetEnvironment,
     ) -> None:  # fmt: skip
         assert scenario.together is not None
@@ -52,12 +52,12 @@
         self._limiters = limiters
         self._halls = halls
         self._environment = environment
-        self.start = ceil(stage.unix() + environment.allowance)  # second 0 of the run in Unix seconds
-        self.harness = HarnessHistory(environment.history, stage.unix())
-        self._relay = Relay(plan.seed, self._link_delay, stage.clock)
+        self.start = ceil(context.unix() + environment.allowance)  # second 0 of the run in Unix seconds
+        self.harness = HarnessHistory(environment.history, context.unix())
+        self._relay = Relay(plan.seed, self._link_delay, context.clock)
         self._closings: ClosingSchedule | None = None
         if scenario.closing is not None:
-            stage.tells_made = True
+            context.tells_made = True
             self._closings = ClosingSchedule(scenario.closing, plan, limiters, self.start)
         self.late = {name for fault in plan.faults if fault.kind == "limiter-late" for name in fault.targets}
 
@@ -106,14 +106,14 @@
 
     def seconds_until_start(self) -> float:
         """Returns the seconds from now until second 0 of the run."""
-        return self.start - self._stage.unix()
+        return self.start - self._context.unix()
 
     def begin(self) -> None:
         """Records at second 0 which accounts and classes may get cached answers."""
         closing = self._scenario.closing
         if closing is not None and self._closings is not None:
-            self._stage.record(
-                log.Keeping(self._stage.now(), tuple(self._closings.caching_accounts), closing.keep)
+            self._context.record(
+                log.Keeping(self._context.now(), tuple(self._closings.caching_accounts), closing.keep)
             )
 
     def end_day(self) -> None:
@@ -137,7 +137,7 @@
             assert self._scenario.together is not None
             period = self._scenario.together.period_ms / 1000
             self._begin_datagram_fault(
-                datagram_fault(fault, list(self._limiters), period, self._stage.clock()), lasts
+                datagram_fault(fault, list(self._limiters), period, self._context.clock()), lasts
             )
         elif fault.kind == "hall-cut":
             for hall in fault.targets:
@@ -147,12 +147,12 @@
                 self._record_fault_period(fault.kind, [name], lasts)
         elif fault.kind == "limiter-clock":
             for name in fault.targets:
-                self._limiters[name].set_clock_shift(Shift(spec.offset, spec.ppm, self._stage.unix()))
+                self._limiters[name].set_clock_shift(Shift(spec.offset, spec.ppm, self._context.unix()))
                 self.harness.fault(fault.kind, [name], True)
                 if spec.lasts:
                     asyncio.get_running_loop().call_later(lasts, self._reset_clock, name)
         elif self._closings is not None:
-            self._closings.apply_fault(fault, self._stage.unix())
+            self._closings.apply_fault(fault, self._context.unix())
 
     def _cut_hall(self, hall: str, lasts: float) -> None:
         """Cuts a hall's datagrams as its other links are cut."""
@@ -181,7 +181,7 @@
         account = self._closings.busiest() if self._closings is not None else None
         if account is None:
             return
-        id = f"purge-{name}-{self._stage.now():.3f}"
+        id = f"purge-{name}-{self._context.now():.3f}"
         self.harness.put(Kind.PURGE_CALL, id=id, account=account, limiter=name)
         status, body = await self._limiters[name].call_for_json(
             "PUT", f"/v1/accounts/{account}/purge", self._purge_timeout()
@@ -205,9 +205,9 @@
         try:
             found = self._environment.check(names)
         except (HistoryError, OSError) as error:
-            return self._stage.complain(f"the histories cannot be read: {error}")
+            return self._context.complain(f"the histories cannot be read: {error}")
         for one in found:
-            self._stage.record(one)
+            self._context.record(one)
 
     def close(self) -> None:
         self._relay.close()
--- a/cypresspulley/rehearsal/virtual/play.py
+++ b/cypresspulley/rehearsal/virtual/play.py
@@ -223,7 +223,7 @@
     def emit(self, record: logging.LogRecord) -> None:
         if record.msg.startswith(REFUSED) and self._runner.fleet_harness is not None:
             return  # an operators' mistake that this day may hold: a calendar of last week, or by a clock that is off
-        self._runner.stage.complain(f"a limiter logged an error: {record.getMessage()[:200]}")
+        self._runner.context.complain(f"a limiter logged an error: {record.getMessage()[:200]}")
 
 
 @contextmanager
@@ -292,7 +292,7 @@
             environment=None if scenario.together is None else _ground(scenario, loop, made, logs),
         )
         if observer is not None:
-            observer.now = runner.stage.now
+            observer.now = runner.context.now
         with _logged(runner):
             try:
                 await play_day(runner, progress)
