--- a/cypresspulley/rehearsal/standins/datagrams.py
+++ b/cypresspulley/rehearsal/standins/datagrams.py
@@ -20,32 +20,32 @@
 MOST_WAITING = 20_000  # datagrams that are delayed at once; what is more is lost, as in a full queue
 MOST_SIZE = 64 * 1024  # bytes of one
 Address = tuple[str, int]
-Way = tuple[str, str]  # from whom, to whom
+Route = tuple[str, str]  # from whom, to whom
 
 
 @dataclass(frozen=True, slots=True, eq=False)
-class Trouble:
+class DatagramFault:
     """What befalls datagrams on some ways (None: on all) while it is on. Shares lie in 0..1, times are seconds.
 
     ``lost``, ``doubled``: shares of them. ``held`` of them come ``by`` later than the rest, so that others overtake
     them; with ``held`` 1 all are late alike. ``every``: it is on in the first half of each such span only.
     """
 
-    ways: frozenset[Way] | None = None
-    lost: float = 0.0
-    doubled: float = 0.0
-    held: float = 0.0
-    by: float = 0.0
-    every: float = 0.0
+    routes: frozenset[Route] | None = None
+    loss_share: float = 0.0
+    duplicate_share: float = 0.0
+    delay_share: float = 0.0
+    delay_seconds: float = 0.0
+    flap_period: float = 0.0
     since: float = field(default=0.0)
 
-    def meets(self, way: Way, now: float) -> bool:
-        if self.ways is not None and way not in self.ways:
+    def applies_to(self, way: Route, now: float) -> bool:
+        if self.routes is not None and way not in self.routes:
             return False
-        return not self.every or (now - self.since) % self.every < self.every / 2
+        return not self.flap_period or (now - self.since) % self.flap_period < self.flap_period / 2
 
 
-def ways_between(groups: Iterable[Iterable[str]], one_way: bool = False) -> frozenset[Way]:
+def routes_between(groups: Iterable[Iterable[str]], one_way: bool = False) -> frozenset[Route]:
     """The ways between members of different groups; ``one_way``: only those that lead out of the first group."""
     rows = [tuple(group) for group in groups]
     found = {(a, b) for i, ones in enumerate(rows) for j, others in enumerate(rows) if i != j
@@ -61,8 +61,8 @@
         self._senders = dict[Address, str]()  # limiters by the address that they send from
         self._sockets = dict[str, Address]()  # and back
         self._ways_in = dict[str, asyncio.DatagramTransport]()
-        self._rngs = dict[Way, Random]()
-        self._troubles = dict[Trouble, None]()
+        self._rngs = dict[Route, Random]()
+        self._troubles = dict[DatagramFault, None]()
         self._waiting = 0
         self.counts = Counter[str]()
 
@@ -78,10 +78,10 @@
         self._ways_in[limiter] = transport
         self._senders[socket], self._sockets[limiter] = limiter, socket
 
-    def begin(self, trouble: Trouble) -> None:
+    def begin(self, trouble: DatagramFault) -> None:
         self._troubles[trouble] = None
 
-    def end(self, trouble: Trouble) -> None:
+    def end(self, trouble: DatagramFault) -> None:
         self._troubles.pop(trouble, None)
 
     def came(self, target: str, data: bytes, source: Address) -> None:
@@ -95,18 +95,18 @@
             self._rngs[way] = random_for(self._seed, "datagrams", *way)
         rng, delay, copies = self._rngs[way], self._delay(sender, target), 1
         for trouble in self._troubles:
-            if not trouble.meets(way, now):
+            if not trouble.applies_to(way, now):
                 continue
-            if trouble.lost and (trouble.lost >= 1 or rng.random() < trouble.lost):
+            if trouble.loss_share and (trouble.loss_share >= 1 or rng.random() < trouble.loss_share):
                 self.counts["lost"] += 1
                 return
-            copies += bool(trouble.doubled) and rng.random() < trouble.doubled
-            if trouble.held and (trouble.held >= 1 or rng.random() < trouble.held):
-                delay += trouble.by
+            copies += bool(trouble.duplicate_share) and rng.random() < trouble.duplicate_share
+            if trouble.delay_share and (trouble.delay_share >= 1 or rng.random() < trouble.delay_share):
+                delay += trouble.delay_seconds
         for copy in range(copies):
             self._pass_on(way, data, delay * (1 + copy))
 
-    def _pass_on(self, way: Way, data: bytes, delay: float) -> None:
+    def _pass_on(self, way: Route, data: bytes, delay: float) -> None:
         self.counts["passed"] += 1
         if delay <= 0:
             return self._send(way, data)
@@ -116,11 +116,11 @@
         self._waiting += 1
         asyncio.get_running_loop().call_later(delay, self._late, way, data)
 
-    def _late(self, way: Way, data: bytes) -> None:
+    def _late(self, way: Route, data: bytes) -> None:
         self._waiting -= 1
         self._send(way, data)
 
-    def _send(self, way: Way, data: bytes) -> None:
+    def _send(self, way: Route, data: bytes) -> None:
         way_in = self._ways_in.get(way[0])
         if way_in is not None and not way_in.is_closing():
             with contextlib.suppress(OSError):  # a dead limiter's socket is shut
--- a/cypresspulley/rehearsal/together.py
+++ b/cypresspulley/rehearsal/together.py
@@ -18,7 +18,7 @@
 from cypresspulley.rehearsal.limiters import LimiterProcess
 from cypresspulley.rehearsal.plan import Plan, PlannedFault
 from cypresspulley.rehearsal.scenario import DATAGRAMS, Scenario
-from cypresspulley.rehearsal.standins.datagrams import Address, Relay, Trouble, ways_between
+from cypresspulley.rehearsal.standins.datagrams import Address, DatagramFault, Relay, routes_between
 from cypresspulley.rehearsal.standins.run_context import RunContext
 from cypresspulley.rehearsal.troubles import Struck, struck
 
@@ -149,7 +149,7 @@
         members = [name for name, home in self._halls.items() if home == hall]
         others = [name for name in self._limiters if name not in members]
         if members and others:
-            cut = Trouble(ways_between((members, others)), lost=1.0)
+            cut = DatagramFault(routes_between((members, others)), loss_share=1.0)
             self._spell(Struck("fleet-cut", (tuple(members),), cut), lasts)
 
     def _note(self, kind: str, targets: Sequence[str], lasts: float) -> None:
--- a/tests/rehearsal/test_together.py
+++ b/tests/rehearsal/test_together.py
@@ -37,7 +37,7 @@
     parse_scenario,
     shipped,
 )
-from cypresspulley.rehearsal.standins.datagrams import Address, Relay, Trouble, ways_between
+from cypresspulley.rehearsal.standins.datagrams import Address, DatagramFault, Relay, routes_between
 from cypresspulley.rehearsal.troubles import Struck, struck
 from cypresspulley.rehearsal.virtual.datagrams import BUFFER, OVERHEAD
 from cypresspulley.rehearsal.virtual.loop import VirtualLoop, run_virtual
@@ -197,7 +197,7 @@
         bed.say("a", "b", b"plain")
         assert await bed.heard("b", 1) == [b"plain"]
         assert bed.ears["b"].heard[0][1] == bed.ways_in["a"]  # what answers there comes back to the speaker
-        cut = Trouble(ways_between((["a"], ["b"]), one_way=True), lost=1.0)
+        cut = DatagramFault(routes_between((["a"], ["b"]), one_way=True), loss_share=1.0)
         bed.relay.begin(cut)
         bed.say("a", "b", b"cut")
         bed.say("b", "a", b"back")
@@ -205,7 +205,10 @@
         assert await bed.heard("a", 1) == [b"back"]
         assert await bed.heard("b", 2) == [b"plain", b"others"]
         bed.relay.end(cut)
-        twice, late = Trouble(None, doubled=1.0), Trouble(ways_between((["a"], ["b"])), held=1.0, by=0.05)
+        twice, late = (
+            DatagramFault(None, duplicate_share=1.0),
+            DatagramFault(routes_between((["a"], ["b"])), delay_share=1.0, delay_seconds=0.05),
+        )
         bed.relay.begin(twice)
         bed.say("a", "c", b"two")
         assert await bed.heard("c", 2) == [b"two", b"two"]
@@ -240,7 +243,7 @@
     def played() -> list[bytes]:
         async def main(_: VirtualLoop) -> list[bytes]:
             bed = await _bed(True)
-            bed.relay.begin(Trouble(None, lost=0.3))
+            bed.relay.begin(DatagramFault(None, loss_share=0.3))
             for number in range(400):
                 bed.say("a", "b", b"%d" % number)
                 await asyncio.sleep(0.001)
@@ -255,8 +258,8 @@
 
 
 def test_a_flapping_way_is_cut_in_the_first_half_of_each_span() -> None:
-    flap = Trouble(None, lost=1.0, every=2.0, since=10.0)
-    assert [flap.meets(("a", "b"), t) for t in (10.0, 10.9, 11.0, 11.9, 12.1)] == [
+    flap = DatagramFault(None, loss_share=1.0, flap_period=2.0, since=10.0)
+    assert [flap.applies_to(("a", "b"), t) for t in (10.0, 10.9, 11.0, 11.9, 12.1)] == [
         True,
         True,
         False,
@@ -266,9 +269,9 @@
 
 
 def test_groups_part_their_members_and_nobody_else() -> None:
-    both = ways_between((["a", "b"], ["c"]))
+    both = routes_between((["a", "b"], ["c"]))
     assert both == {("a", "c"), ("b", "c"), ("c", "a"), ("c", "b")}
-    assert ways_between((["a"], ["b", "c"]), one_way=True) == {("a", "b"), ("a", "c")}
+    assert routes_between((["a"], ["b", "c"]), one_way=True) == {("a", "b"), ("a", "c")}
 
 
 # Datagrams in virtual time belong to owners.
