--- a/benchmarks/graphql_cost.py
+++ b/benchmarks/graphql_cost.py
@@ -42,9 +42,9 @@
     FLOOR,
     HIDDEN,
     MORNING,
-    OPERATORS,
+    OPERATORS_PATH,
     SMALL,
-    abuses,
+    abusive_bodies,
     priced_schema,
 )
 
@@ -111,7 +111,9 @@
     found |= {f"on: {kind}": [] for kind in KINDS}
     with tempfile.TemporaryDirectory() as folder:
         operators = Path(folder) / "operators.toml"
-        text = OPERATORS.read_text().replace("floor.graphql", str(OPERATORS.with_name("floor.graphql")))
+        text = OPERATORS_PATH.read_text().replace(
+            "floor.graphql", str(OPERATORS_PATH.with_name("floor.graphql"))
+        )
         operators.write_text(text.replace("points_per_unit = 20", "points_per_unit = 20\nreading = 0.9"))
         children, ports = dict[str, subprocess.Popen[bytes]](), dict[str, int]()
         for who, more in (("off", []), ("on", ["--operators", str(operators)])):
@@ -144,7 +146,7 @@
     """Seconds that each step of reading abuse (and one document at the bound) held the loop."""
     bounds, steps = Bounds(), list[float]()
     full = "{bag(id:1){" + " ".join(f"a{n}:floor{{id}}" for n in range(bounds.aliases)) + " id" * 40 + "}}"
-    bodies = [*abuses().values(), json.dumps({"query": full}).encode()]
+    bodies = [*abusive_bodies().values(), json.dumps({"query": full}).encode()]
     finished(priced_request(Documents(priced_schema(), bounds), [Ask("{__typename}")]))
     gc.collect()
     gc.freeze()  # as the limiter does at its start
--- a/cypresspulley/rehearsal/play.py
+++ b/cypresspulley/rehearsal/play.py
@@ -80,18 +80,18 @@
     if scenario.graphql is None:
         return 0.0
     from cypresspulley.graphql.options import load_options
-    from cypresspulley.rehearsal.standins.graphql import OPERATORS
+    from cypresspulley.rehearsal.standins.graphql import OPERATORS_PATH
 
-    return load_options(str(OPERATORS)).points_per_unit
+    return load_options(str(OPERATORS_PATH)).points_per_unit
 
 
 def operators_of(scenario: Scenario) -> str | None:
     """The operators' file of a day's limiters, where there is one."""
     if scenario.graphql is None:
         return None
-    from cypresspulley.rehearsal.standins.graphql import OPERATORS
+    from cypresspulley.rehearsal.standins.graphql import OPERATORS_PATH
 
-    return str(OPERATORS)
+    return str(OPERATORS_PATH)
 
 
 MakeLimiter = Callable[[str, str], LimiterProcess]  # of a name and the host where it listens
@@ -696,9 +696,9 @@
         graphql = self.scenario.graphql
         if graphql is None or graphql.abuse <= 0:
             return None
-        from cypresspulley.rehearsal.standins.rude import Abusers
+        from cypresspulley.rehearsal.standins.abuse import AbusiveClients
 
-        self.abusers = Abusers(
+        self.abusers = AbusiveClients(
             self.context, self.front, lambda name: self.limiters[name].address, self.plan.seed, graphql.abuse,
             self.scenario.seconds, self.scenario.plans[0].name,
         )  # fmt: skip
--- a/cypresspulley/rehearsal/standins/rude.py
+++ b/cypresspulley/rehearsal/standins/abuse.py
@@ -7,14 +7,14 @@
 
 from cypresspulley.rehearsal.plan import random_for, request_id
 from cypresspulley.rehearsal.standins.clients import Dialer, Front
-from cypresspulley.rehearsal.standins.graphql import abuses
+from cypresspulley.rehearsal.standins.graphql import abusive_bodies
 from cypresspulley.rehearsal.standins.run_context import RunContext
 
 OWED_WITHIN = 3.0  # seconds until an error or a close
 FIRST_NUMBER = 1 << 40  # of a request: no usual client has one so high
 
 
-class Abusers:
+class AbusiveClients:
     """``rate`` bodies a second for ``seconds``, drawn from the seed. ``answered`` counts statuses by abuse."""
 
     def __init__(
@@ -29,7 +29,7 @@
     ) -> None:
         self._context, self._front, self._address = context, front, address
         self._seed, self._rate, self._seconds, self._plan = seed, rate, seconds, plan
-        self._bodies = sorted(abuses().items())
+        self._bodies = sorted(abusive_bodies().items())
         self._open = set[asyncio.Task[None]]()
         self.answered = Counter[tuple[str, int]]()
 
--- a/cypresspulley/rehearsal/standins/clients.py
+++ b/cypresspulley/rehearsal/standins/clients.py
@@ -179,10 +179,12 @@
         """Make what GraphQL clients will ask and get before the day: executing it on the way made the kit late."""
         if not self._points_per_unit:
             return
-        from cypresspulley.rehearsal.standins.graphql import asking  # an extra that plain days do not need
+        from cypresspulley.rehearsal.standins.graphql import (
+            build_request,  # an extra that plain days do not need
+        )
 
         for arrival in arrivals:
-            asking(self._seed, arrival, self._classes[arrival.cls].effect == "unsafe")
+            build_request(self._seed, arrival, self._classes[arrival.cls].effect == "unsafe")
 
     async def play(self, arrivals: tuple[Arrival, ...]) -> None:
         loop = asyncio.get_running_loop()
@@ -332,9 +334,11 @@
     def _graphql_bytes(
         self, arrival: Arrival, cls: ClassRow, id: str, attempt: int, ttl: int
     ) -> tuple[bytes, KnownRequest]:
-        from cypresspulley.rehearsal.standins.graphql import asking  # an extra that plain days do not need
+        from cypresspulley.rehearsal.standins.graphql import (
+            build_request,  # an extra that plain days do not need
+        )
 
-        asked = asking(self._seed, arrival, cls.effect == "unsafe")
+        asked = build_request(self._seed, arrival, cls.effect == "unsafe")
         target = f"/graphql?account={arrival.account}"
         head = (
             f"POST {target} HTTP/1.1\r\nHost: bags.internal\r\nX-Request-ID: {id}\r\nX-Plan: {arrival.plan}\r\n"
--- a/cypresspulley/rehearsal/standins/graphql.py
+++ b/cypresspulley/rehearsal/standins/graphql.py
@@ -20,8 +20,8 @@
 from cypresspulley.graphql.schema import PricedSchema, read_schema
 from cypresspulley.rehearsal.plan import Arrival, random_for
 
-SCHEMA = Path(__file__).with_name("floor.graphql")
-OPERATORS = Path(__file__).with_name("floor.toml")
+SCHEMA_PATH = Path(__file__).with_name("floor.graphql")
+OPERATORS_PATH = Path(__file__).with_name("floor.toml")
 FLOORS, BAGS = 40, 600
 FULL = 0.6  # how full a list is, in the mean, of what was asked for
 
@@ -117,7 +117,7 @@
 
 @lru_cache(maxsize=1)
 def priced_schema() -> PricedSchema:
-    return read_schema(SCHEMA.read_text(encoding="utf-8"), str(SCHEMA))
+    return read_schema(SCHEMA_PATH.read_text(encoding="utf-8"), str(SCHEMA_PATH))
 
 
 def run(
@@ -155,7 +155,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asking:
+class GraphQLRequest:
     """One request of a client: its body, what it truly costs and what a server answers."""
 
     body: bytes
@@ -164,7 +164,7 @@
     answer: str  # the JSON of data, without cost
 
 
-def asking(seed: int, arrival: Arrival, mutation: bool) -> Asking:
+def build_request(seed: int, arrival: Arrival, mutation: bool) -> GraphQLRequest:
     """A real-looking request, decided by the seed and the arrival's number alone."""
     rng = random_for(seed, "graphql", arrival.number)
     rows = _mutation(rng) if mutation else _query(rng)
@@ -179,7 +179,7 @@
     ]
     alone = len(rows) == 1
     body = json.dumps(asked[0] if alone else asked).encode()
-    return Asking(body, mutation, points, json.dumps(answers[0] if alone else answers))
+    return GraphQLRequest(body, mutation, points, json.dumps(answers[0] if alone else answers))
 
 
 Row = tuple[str, dict[str, Any], str | None]
@@ -212,7 +212,7 @@
     return run(query, json.loads(variables), operation)
 
 
-def abuses() -> dict[str, bytes]:
+def abusive_bodies() -> dict[str, bytes]:
     """Bodies that no client means well with; each is owed an error and must reach no server."""
 
     def of(query: str, **more: object) -> bytes:
--- a/tests/graphql/test_front.py
+++ b/tests/graphql/test_front.py
@@ -19,7 +19,7 @@
 from cypresspulley.graphql.options import Options, OptionsError, load_documents, load_options, options_from
 from cypresspulley.net.frontend import Frontend
 from cypresspulley.net.node import UnixClock
-from cypresspulley.rehearsal.standins.graphql import OPERATORS, SCHEMA, abuses
+from cypresspulley.rehearsal.standins.graphql import OPERATORS_PATH, SCHEMA_PATH, abusive_bodies
 from tests.loopback import SETTINGS, Limiter, Origin, Script, ask, forward, listening, read_message, run
 
 LOOK, GIVE = "{bag(id:1){id}}", 'mutation{handover(bag:1,to:"x"){id}}'
@@ -29,7 +29,7 @@
 
 def options(**changes: Any) -> Options:
     return options_from(
-        {"schema": str(SCHEMA), "query": "lookup", "mutation": "post", **changes}, "test.toml"
+        {"schema": str(SCHEMA_PATH), "query": "lookup", "mutation": "post", **changes}, "test.toml"
     )
 
 
@@ -141,10 +141,10 @@
     played(work)
 
 
-@pytest.mark.parametrize("name", abuses())
+@pytest.mark.parametrize("name", abusive_bodies())
 def test_abuse_gets_an_error_at_once(name: str) -> None:
     async def work(limiter: GraphQLLimiter, origin: Origin, script: Script) -> None:
-        first, _, body = await limiter.fetch(post(abuses()[name]))
+        first, _, body = await limiter.fetch(post(abusive_bodies()[name]))
         assert first.split()[1] in ("400", "404", "429") and "data" not in json.loads(body)
         assert not origin.seen
 
@@ -303,7 +303,7 @@
 
 
 def test_shipped_files_load_and_classes_must_fit() -> None:
-    for path in (str(OPERATORS), str(Path(__file__).parents[2] / "deploy" / "graphql.toml")):
+    for path in (str(OPERATORS_PATH), str(Path(__file__).parents[2] / "deploy" / "graphql.toml")):
         load_documents(load_options(path))
 
     async def main() -> None:
--- a/tests/graphql/test_price.py
+++ b/tests/graphql/test_price.py
@@ -18,7 +18,13 @@
 from cypresspulley.graphql.scan import Bounds
 from cypresspulley.graphql.schema import SchemaError, read_schema
 from cypresspulley.rehearsal.plan import Arrival
-from cypresspulley.rehearsal.standins.graphql import SCHEMA, abuses, asking, priced_schema, run
+from cypresspulley.rehearsal.standins.graphql import (
+    SCHEMA_PATH,
+    abusive_bodies,
+    build_request,
+    priced_schema,
+    run,
+)
 
 WIDE = Bounds(tokens=2000, depth=30, aliases=200, roots=100, directives=100, steps=20_000)
 
@@ -254,13 +260,13 @@
         assert caught.value.code is code
 
 
-@pytest.mark.parametrize("name", abuses())
+@pytest.mark.parametrize("name", abusive_bodies())
 def test_no_abuse_is_priced_but_as_too_dear(name: str) -> None:
     from cypresspulley.graphql.request import read_post
 
     documents = Documents(priced_schema(), Bounds())
     try:
-        asked = read_post("application/json", "", abuses()[name])
+        asked = read_post("application/json", "", abusive_bodies()[name])
         found = finished(priced_request(documents, list(asked.asks)))
     except GraphQLRefusedError:
         return
@@ -371,7 +377,7 @@
 def test_the_hotels_true_costs_are_under_their_bounds_and_near_once_learned() -> None:
     documents, samples = Documents(priced_schema(), Bounds()), []
     for number in range(600):
-        asked = asking(3, Arrival(0.0, number, "x", "p", "c", 1.0, 0, 1), number % 4 == 0)
+        asked = build_request(3, Arrival(0.0, number, "x", "p", "c", 1.0, 0, 1), number % 4 == 0)
         raw = json.loads(asked.body)
         asks = [
             Ask(each["query"], operation=each.get("operationName"), variables=each["variables"])
@@ -383,11 +389,13 @@
         samples.append((found.price, asked.points))
     train, test = samples[:400], samples[400:]
     fit = learn(train)
-    learned = read_schema(SCHEMA.read_text(), learned=fit.shares())
+    learned = read_schema(SCHEMA_PATH.read_text(), learned=fit.shares())
     known = Documents(learned, Bounds())
     errors = []
     for number, (_, true) in enumerate(test, 400):
-        raw = json.loads(asking(3, Arrival(0.0, number, "x", "p", "c", 1.0, 0, 1), number % 4 == 0).body)
+        raw = json.loads(
+            build_request(3, Arrival(0.0, number, "x", "p", "c", 1.0, 0, 1), number % 4 == 0).body
+        )
         asks = [
             Ask(each["query"], operation=each.get("operationName"), variables=each["variables"])
             for each in (raw if isinstance(raw, list) else [raw])
