--- a/cypresspulley/rehearsal/together.py
+++ b/cypresspulley/rehearsal/together.py
@@ -19,7 +19,7 @@
 from cypresspulley.rehearsal.limiters import LimiterProcess
 from cypresspulley.rehearsal.plan import Plan, PlannedFault
 from cypresspulley.rehearsal.scenario import DATAGRAM_KINDS, Scenario
-from cypresspulley.rehearsal.standins.datagrams import Address, Relay, Trouble, ways_between
+from cypresspulley.rehearsal.standins.datagrams import Address, DatagramFault, Relay, routes_between
 from cypresspulley.rehearsal.standins.run_context import RunContext
 
 KEY = "a key of rehearsals only"
@@ -159,7 +159,7 @@
         members = [name for name, home in self._halls.items() if home == hall]
         others = [name for name in self._limiters if name not in members]
         if members and others:
-            cut = Trouble(ways_between((members, others)), lost=1.0)
+            cut = DatagramFault(routes_between((members, others)), loss_share=1.0)
             self._begin_datagram_fault(ScheduledDatagramFault("fleet-cut", (tuple(members),), cut), lasts)
 
     def _record_fault_period(self, kind: str, targets: Sequence[str], lasts: float) -> None:
