--- a/cypresspulley/explore/lifecycle.py
+++ b/cypresspulley/explore/lifecycle.py
@@ -15,7 +15,7 @@
 from cypresspulley import interface as api
 from cypresspulley.interface import Effect, Scope, Status
 from cypresspulley.rehearsal.rules import CEILING_LATE, CEILING_SLACK, RULES, SOCKETS
-from cypresspulley.rehearsal.standins.processor import fall_bound, warmth
+from cypresspulley.rehearsal.standins.processor import crash_bound, warm_up_share
 
 LATE = 0.06  # seconds past its time for a final answer
 UNRUN = (Status.FULL, Status.UNREACHABLE, Status.DROPPED, Status.NOT_SENT)
@@ -261,8 +261,8 @@
             return
         work = self._fleet.work[life.request.request_class]
         server.cold = [row for row in server.cold if row[0] > now - self._set.fall_window] + [(now, work)]
-        bearable = self._fleet.cores * warmth(age, self._set.cold_share, self._set.warm_after)
-        bound = fall_bound(self._set.fall_multiple * bearable * self._set.fall_window, self._fleet.mean_work)
+        bearable = self._fleet.cores * warm_up_share(age, self._set.cold_share, self._set.warm_after)
+        bound = crash_bound(self._set.fall_multiple * bearable * self._set.fall_window, self._fleet.mean_work)
         if sum(work for _, work in server.cold) > bound:
             self._say(
                 COLD,
--- a/cypresspulley/rehearsal/rules.py
+++ b/cypresspulley/rehearsal/rules.py
@@ -14,7 +14,7 @@
 from cypresspulley.plans.bucket_level import max_ceiling_overshoot as slack_of_change
 from cypresspulley.plans.lease import LEASE_MS
 from cypresspulley.rehearsal import records as log
-from cypresspulley.rehearsal.standins.processor import fall_bound, warmth
+from cypresspulley.rehearsal.standins.processor import crash_bound, warm_up_share
 from cypresspulley.rehearsal.timeline import FOREVER, Attempt, Timeline, Try
 
 SOCKETS = 0.05  # seconds by which each time limit is longer on sockets
@@ -244,9 +244,9 @@
         window.append(last)
         while window[0].t <= last.t - day.fall_seconds:
             window.popleft()
-        capacity = start.cores * warmth(last.t - start.t, start.cold_share, start.cold_seconds)
+        capacity = start.cores * warm_up_share(last.t - start.t, start.cold_share, start.cold_seconds)
         work = sum(a.work for a in window)
-        bound = fall_bound(day.fall_multiple * capacity * day.fall_seconds, day.mean_work)
+        bound = crash_bound(day.fall_multiple * capacity * day.fall_seconds, day.mean_work)
         if work <= bound:
             continue
         knowing = sum(a.work for a in window if _knew(line, a, start))
--- a/cypresspulley/rehearsal/standins/bagserver.py
+++ b/cypresspulley/rehearsal/standins/bagserver.py
@@ -274,7 +274,7 @@
         number = self.context.next_attempt()
         self.context.record(log.Arrived(now, number, self.name, limiter, id, work, began, told))
         self._recent.append(now)
-        if self.cpu.pushed(now, work):
+        if self.cpu.record_load(now, work):
             return self.crash("fell")
         attempt = _Attempt(number, id, known, connection, Job(number, work))
         self.context.arrived(self, limiter, known)
@@ -339,7 +339,7 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        wait = self.cpu.until_next(now)
+        wait = self.cpu.seconds_until_done(now)
         if wait is not None and self.alive:
             # A cold machine speeds up: looking again soon keeps its finish times right.
             self._timer = asyncio.get_running_loop().call_later(min(wait, 0.25), self._advance)
--- a/cypresspulley/rehearsal/standins/processor.py
+++ b/cypresspulley/rehearsal/standins/processor.py
@@ -29,12 +29,12 @@
     mean_work: float  # CPU seconds of a request in the mean
 
 
-def warmth(age: float, cold_share: float, cold_seconds: float) -> float:
+def warm_up_share(age: float, cold_share: float, cold_seconds: float) -> float:
     """Share of its capacity that a server has ``age`` seconds after its start, 0..1."""
     return min(1.0, cold_share + (1 - cold_share) * max(0.0, age) / cold_seconds)
 
 
-def fall_bound(bearable: float, mean_work: float) -> float:
+def crash_bound(bearable: float, mean_work: float) -> float:
     """CPU seconds within ``fall_seconds`` beyond which a cold server falls, where ``bearable`` are what it may get.
 
     By the operators' page: N + 2 sqrt(N) + 2 requests of mean work, N being what the settings allow at that time.
@@ -71,7 +71,7 @@
         m = self.machine
         if self.started is None:
             return m.cores
-        return m.cores * warmth(now - self.started, m.cold_share, m.cold_seconds)
+        return m.cores * warm_up_share(now - self.started, m.cold_share, m.cold_seconds)
 
     def _share(self, now: float) -> float:
         """The speed of each running job."""
@@ -115,12 +115,12 @@
         elif running_too and job in self.running:
             self.running.remove(job)
 
-    def until_next(self, now: float) -> float | None:
+    def seconds_until_done(self, now: float) -> float | None:
         """Seconds until the next job is done at today's speed; None with none running."""
         speed = self._share(now)
         return max(0.0, min(job.left for job in self.running) / speed) if speed > 0 else None
 
-    def pushed(self, now: float, work: float) -> bool:
+    def record_load(self, now: float, work: float) -> bool:
         """Work has come, taken or not; True if a cold machine falls over by it."""
         if self.started is None or self.capacity(now) >= self.machine.cores:
             return False
@@ -129,4 +129,4 @@
         while window and window[0][0] <= now - m.fall_seconds:
             window.popleft()
         bearable = m.fall_multiple * self.capacity(now) * m.fall_seconds
-        return sum(amount for _, amount in window) > fall_bound(bearable, m.mean_work)
+        return sum(amount for _, amount in window) > crash_bound(bearable, m.mean_work)
--- a/tests/lanes/day.py
+++ b/tests/lanes/day.py
@@ -185,7 +185,7 @@
                 )
         self.cpu.admit()
         self._wake += 1
-        wake, wait = self._wake, self.cpu.until_next(now)
+        wake, wait = self._wake, self.cpu.seconds_until_done(now)
         if wait is not None:
             self._day.schedule(now + wait, lambda: self._advance() if wake == self._wake else None)
 
--- a/tests/rehearsal/test_standins.py
+++ b/tests/rehearsal/test_standins.py
@@ -15,7 +15,7 @@
 from cypresspulley.rehearsal.standins.discovery import Agent, Host
 from cypresspulley.rehearsal.standins.keeper import Keeper
 from cypresspulley.rehearsal.standins.network import Link, Listener
-from cypresspulley.rehearsal.standins.processor import Job, Machine, Processor, fall_bound, warmth
+from cypresspulley.rehearsal.standins.processor import Job, Machine, Processor, crash_bound, warm_up_share
 from cypresspulley.rehearsal.standins.run_context import KnownRequest, RunContext
 from tests.loopback import read_message, run
 
@@ -75,23 +75,25 @@
     jobs = [Job(n, 1.0) for n in range(4)]
     assert [cpu.add(job) for job in jobs[:2]] == [True, True] and len(cpu.admit()) == 2
     assert cpu.add(jobs[2]) and not cpu.add(jobs[3])  # the waiting room holds one
-    assert cpu.until_next(0.0) == pytest.approx(2.0)
+    assert cpu.seconds_until_done(0.0) == pytest.approx(2.0)
     assert cpu.advance(1.0) == [] and jobs[0].left == pytest.approx(0.5)
     assert cpu.advance(2.0) == jobs[:2] and cpu.admit() == [jobs[2]]
-    assert cpu.until_next(2.0) == pytest.approx(1.0)
+    assert cpu.seconds_until_done(2.0) == pytest.approx(1.0)
 
 
 def test_a_cold_machine_is_slow_and_falls_when_pushed() -> None:
     assert (
-        warmth(0, 0.1, 10) == 0.1 and warmth(5, 0.1, 10) == pytest.approx(0.55) and warmth(11, 0.1, 10) == 1
+        warm_up_share(0, 0.1, 10) == 0.1
+        and warm_up_share(5, 0.1, 10) == pytest.approx(0.55)
+        and warm_up_share(11, 0.1, 10) == 1
     )
     cpu = Processor(MACHINE, 0.0, cold=True)
     assert cpu.capacity(0.0) == pytest.approx(0.2)
     # 2.5 times 0.2 in 1 s are N = 5 requests of mean work: 5 + 2 sqrt(5) + 2 = 11.5.
-    assert fall_bound(0.5, 0.1) == pytest.approx(1.1472, abs=1e-4)
-    assert not any(cpu.pushed(0.0, 0.1) for _ in range(11))
-    assert cpu.pushed(0.0, 0.1)
-    assert not Processor(MACHINE, 0.0, cold=False).pushed(0.0, 100.0)
+    assert crash_bound(0.5, 0.1) == pytest.approx(1.1472, abs=1e-4)
+    assert not any(cpu.record_load(0.0, 0.1) for _ in range(11))
+    assert cpu.record_load(0.0, 0.1)
+    assert not Processor(MACHINE, 0.0, cold=False).record_load(0.0, 100.0)
 
 
 def test_what_waits_goes_with_its_limiter_and_what_runs_stays() -> None:
