--- a/cypresspulley/rehearsal/play.py
+++ b/cypresspulley/rehearsal/play.py
@@ -38,8 +38,8 @@
 from cypresspulley.rehearsal.spells import Spells, Value
 from cypresspulley.rehearsal.standins.bagserver import BagServer, RepeatMemory
 from cypresspulley.rehearsal.standins.clients import ClientFleet, Front
+from cypresspulley.rehearsal.standins.counter_server import CounterServer
 from cypresspulley.rehearsal.standins.discovery import Agent, Host
-from cypresspulley.rehearsal.standins.keeper import Keeper
 from cypresspulley.rehearsal.standins.network import Link
 from cypresspulley.rehearsal.standins.processor import Machine
 from cypresspulley.rehearsal.standins.run_context import KnownRequest, RunContext
@@ -174,7 +174,7 @@
         self.day = describe(scenario, plan)
         self.halls = scenario.fleet.halls
         k = scenario.keeper
-        self.keeper = Keeper(self.context, k.parts, k.calls_per_second, k.waiting_ms / 1000, k.call_ms / 1000,
+        self.keeper = CounterServer(self.context, k.parts, k.calls_per_second, k.waiting_ms / 1000, k.call_ms / 1000,
                              random_for(plan.seed, "keeper"))  # fmt: skip
         self._keeper_links = dict[str, Link]()
         self._keeper_at = dict[str, str]()
--- a/cypresspulley/rehearsal/standins/keeper.py
+++ b/cypresspulley/rehearsal/standins/counter_server.py
@@ -42,7 +42,7 @@
 
 
 class _Connection(LinkedProtocol):
-    def __init__(self, keeper: Keeper, link: Link) -> None:
+    def __init__(self, keeper: CounterServer, link: Link) -> None:
         super().__init__(link)
         self._keeper = keeper
         self._buffer = b""
@@ -72,7 +72,7 @@
             self.send(first + b"\r\n")
 
 
-class Keeper:
+class CounterServer:
     """The one thing that limiters share. ``call_seconds`` is what a call costs its part."""
 
     def __init__(
@@ -95,7 +95,7 @@
 
     def __repr__(self) -> str:
         held = sum(len(part.counts) for part in self._parts)
-        return f"<Keeper {len(self._parts)} parts, {held} counts{' stopped' * self.stopped}>"
+        return f"<CounterServer {len(self._parts)} parts, {held} counts{' stopped' * self.stopped}>"
 
     def listen(self, link: Link, host: str) -> Listening:
         listener = listen(host, link, lambda of: _Connection(self, of))
--- a/tests/rehearsal/test_standins.py
+++ b/tests/rehearsal/test_standins.py
@@ -12,8 +12,8 @@
 
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.standins.bagserver import BagServer, RepeatMemory
+from cypresspulley.rehearsal.standins.counter_server import CounterServer
 from cypresspulley.rehearsal.standins.discovery import Agent, Host
-from cypresspulley.rehearsal.standins.keeper import Keeper
 from cypresspulley.rehearsal.standins.network import Link, Listener
 from cypresspulley.rehearsal.standins.processor import Job, Machine, Processor, crash_bound, warm_up_share
 from cypresspulley.rehearsal.standins.run_context import KnownRequest, RunContext
@@ -256,7 +256,7 @@
 def test_the_keeper_adds_forgets_and_answers_in_order() -> None:
     async def main() -> None:
         context, link = Recorded(), Link("n0")
-        keeper = Keeper(context, 2, 10_000, 1.0, 0.001)
+        keeper = CounterServer(context, 2, 10_000, 1.0, 0.001)
         reader, writer = await dial(keeper.listen(link, "127.0.0.1").address)
         writer.write(b"tally a 1 50\r\n")
         assert await lines(reader, 1) == [b"busy"]  # before the day begins
@@ -279,7 +279,7 @@
 def test_a_crowded_keeper_turns_calls_away_and_a_stopped_one_is_silent() -> None:
     async def main() -> None:
         context, link = Recorded(), Link("n0")
-        keeper = Keeper(context, 1, 10, 0.15, 0.0)  # a call takes 0.1 s
+        keeper = CounterServer(context, 1, 10, 0.15, 0.0)  # a call takes 0.1 s
         keeper.begun = True
         reader, writer = await dial(keeper.listen(link, "127.0.0.1").address)
         writer.write(b"tally a 1 60000\r\n" * 4)
@@ -297,7 +297,7 @@
 
 def test_the_keeper_resets_what_goes_beyond_its_connections() -> None:
     async def main() -> None:
-        keeper, link = Keeper(Recorded(), 1, 1000, 1.0, 0.0), Link("n0")
+        keeper, link = CounterServer(Recorded(), 1, 1000, 1.0, 0.0), Link("n0")
         address = keeper.listen(link, "127.0.0.1").address
         opened = [await dial(address) for _ in range(33)]
         with pytest.raises(ConnectionResetError):
--- a/tests/test_accesslog.py
+++ b/tests/test_accesslog.py
@@ -21,7 +21,7 @@
 from cypresspulley.capture.load import load
 from cypresspulley.capture.mapping import Mapping
 from cypresspulley.operators import OperatorsError, load_operators
-from cypresspulley.rehearsal.standins.keeper import Keeper
+from cypresspulley.rehearsal.standins.counter_server import CounterServer
 from cypresspulley.rehearsal.standins.network import Link
 from tests.loopback import Origin, ask, listening, read_message, run
 from tests.test_program import WIRE_SETTINGS, config, stand_in_stage, started
@@ -47,7 +47,7 @@
 def test_each_request_is_a_line_that_the_readers_take(tmp_path: Path) -> None:
     async def main() -> None:
         origin, link = Origin(), Link("n0")
-        keeper = Keeper(stand_in_stage(), 1, 1000.0, 0.1, 0.0)
+        keeper = CounterServer(stand_in_stage(), 1, 1000.0, 0.1, 0.0)
         keeper.begun = True
         async with listening(origin.talk) as dial:
             raw = config(dial) | {"counter": keeper.listen(link, "127.0.0.1").address}
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -19,8 +19,8 @@
 
 from cypresspulley.__main__ import LogLimit
 from cypresspulley.config import config_from
+from cypresspulley.rehearsal.standins.counter_server import CounterServer
 from cypresspulley.rehearsal.standins.discovery import Agent, Host
-from cypresspulley.rehearsal.standins.keeper import Keeper
 from cypresspulley.rehearsal.standins.network import Link
 from cypresspulley.rehearsal.standins.run_context import RunContext
 from tests.loopback import Origin, ask, listening, read_message, run
@@ -133,7 +133,7 @@
 def test_sighup_moves_to_the_new_addresses_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
     async def main() -> None:
         origin, path, context, link = Origin(), tmp_path / "config.json", stand_in_stage(), Link("n0")
-        agent, keeper = Agent(context, "n0"), Keeper(context, 1, 1000.0, 0.1, 0.001)
+        agent, keeper = Agent(context, "n0"), CounterServer(context, 1, 1000.0, 0.1, 0.001)
         there, count = agent.listen("127.0.0.1"), keeper.listen(link, "127.0.0.1").address
         async with listening(origin.talk) as dial:
             agent.publish(Host("s1", dial, "a", 0, "ready"))
