--- a/cypresspulley/explore/lifecycle.py
+++ b/cypresspulley/explore/lifecycle.py
@@ -20,7 +20,7 @@
     RULES,
     SOCKET_SLACK_SECONDS,
 )
-from cypresspulley.rehearsal.standins.processor import fall_bound, warmth
+from cypresspulley.rehearsal.standins.processor import crash_bound, warm_up_share
 
 ANSWER_SLACK_SECONDS = 0.06  # a final answer may come this long after the request's deadline
 NOT_RUN_STATUSES = (Status.FULL, Status.UNREACHABLE, Status.DROPPED, Status.NOT_SENT)
@@ -307,10 +307,10 @@
         server.cold_work = [row for row in server.cold_work if row[0] > now - self._settings.fall_window] + [
             (now, work)
         ]
-        bearable = self._server_facts.cores * warmth(
+        bearable = self._server_facts.cores * warm_up_share(
             age, self._settings.cold_share, self._settings.warm_after
         )
-        bound = fall_bound(
+        bound = crash_bound(
             self._settings.fall_multiple * bearable * self._settings.fall_window, self._server_facts.mean_work
         )
         if sum(work for _, work in server.cold_work) > bound:
--- a/cypresspulley/rehearsal/rules.py
+++ b/cypresspulley/rehearsal/rules.py
@@ -13,7 +13,7 @@
 from cypresspulley.plans.bucket_level import BucketLevel, max_ceiling_overshoot
 from cypresspulley.plans.lease import LEASE_MS
 from cypresspulley.rehearsal import records as log
-from cypresspulley.rehearsal.standins.processor import fall_bound, warmth
+from cypresspulley.rehearsal.standins.processor import crash_bound, warm_up_share
 from cypresspulley.rehearsal.timeline import FOREVER, Attempt, Timeline, Try
 
 SOCKET_SLACK_SECONDS = 0.05  # added to each time limit, because runs use real sockets
@@ -280,9 +280,9 @@
         window.append(last)
         while window[0].t <= last.t - day.fall_seconds:
             window.popleft()
-        capacity = start.cores * warmth(last.t - start.t, start.cold_share, start.cold_seconds)
+        capacity = start.cores * warm_up_share(last.t - start.t, start.cold_share, start.cold_seconds)
         work = sum(a.work for a in window)
-        bound = fall_bound(day.fall_multiple * capacity * day.fall_seconds, day.mean_work)
+        bound = crash_bound(day.fall_multiple * capacity * day.fall_seconds, day.mean_work)
         if work <= bound:
             continue
         knowing = sum(a.work for a in window if _knew_of_start(timeline, a, start))
--- a/tests/rehearsal/test_standins.py
+++ b/tests/rehearsal/test_standins.py
@@ -12,10 +12,10 @@
 
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.standins.bagserver import BagServer, RepeatMemory
+from cypresspulley.rehearsal.standins.counter_server import CounterServer
 from cypresspulley.rehearsal.standins.discovery import Agent, Host
-from cypresspulley.rehearsal.standins.keeper import Keeper
 from cypresspulley.rehearsal.standins.network import Link, Listener
-from cypresspulley.rehearsal.standins.processor import Job, Machine, Processor, fall_bound, warmth
+from cypresspulley.rehearsal.standins.processor import Job, Machine, Processor, crash_bound, warm_up_share
 from cypresspulley.rehearsal.standins.run_context import KnownRequest, RunContext
 from tests.loopback import read_message, run
 
@@ -75,23 +75,25 @@
     jobs = [Job(n, 1.0) for n in range(4)]
     assert [cpu.add(job) for job in jobs[:2]] == [True, True] and len(cpu.admit()) == 2
     assert cpu.add(jobs[2]) and not cpu.add(jobs[3])  # the queue holds one
-    assert cpu.until_next(0.0) == pytest.approx(2.0)
+    assert cpu.seconds_until_done(0.0) == pytest.approx(2.0)
     assert cpu.advance(1.0) == [] and jobs[0].left == pytest.approx(0.5)
     assert cpu.advance(2.0) == jobs[:2] and cpu.admit() == [jobs[2]]
-    assert cpu.until_next(2.0) == pytest.approx(1.0)
+    assert cpu.seconds_until_done(2.0) == pytest.approx(1.0)
 
 
 def test_a_cold_machine_is_slow_and_falls_when_pushed() -> None:
     assert (
-        warmth(0, 0.1, 10) == 0.1 and warmth(5, 0.1, 10) == pytest.approx(0.55) and warmth(11, 0.1, 10) == 1
+        warm_up_share(0, 0.1, 10) == 0.1
+        and warm_up_share(5, 0.1, 10) == pytest.approx(0.55)
+        and warm_up_share(11, 0.1, 10) == 1
     )
     cpu = Processor(MACHINE, 0.0, cold=True)
     assert cpu.capacity(0.0) == pytest.approx(0.2)
     # 2.5 times 0.2 in 1 s are N = 5 requests of mean work: 5 + 2 sqrt(5) + 2 = 11.5.
-    assert fall_bound(0.5, 0.1) == pytest.approx(1.1472, abs=1e-4)
-    assert not any(cpu.pushed(0.0, 0.1) for _ in range(11))
-    assert cpu.pushed(0.0, 0.1)
-    assert not Processor(MACHINE, 0.0, cold=False).pushed(0.0, 100.0)
+    assert crash_bound(0.5, 0.1) == pytest.approx(1.1472, abs=1e-4)
+    assert not any(cpu.record_load(0.0, 0.1) for _ in range(11))
+    assert cpu.record_load(0.0, 0.1)
+    assert not Processor(MACHINE, 0.0, cold=False).record_load(0.0, 100.0)
 
 
 def test_what_waits_goes_with_its_limiter_and_what_runs_stays() -> None:
@@ -254,7 +256,7 @@
 def test_the_keeper_adds_forgets_and_answers_in_order() -> None:
     async def main() -> None:
         context, link = RecordingStage(), Link("n0")
-        keeper = Keeper(context, 2, 10_000, 1.0, 0.001)
+        keeper = CounterServer(context, 2, 10_000, 1.0, 0.001)
         reader, writer = await dial(keeper.listen(link, "127.0.0.1").address)
         writer.write(b"tally a 1 50\r\n")
         assert await lines(reader, 1) == [b"busy"]  # before the day begins
@@ -277,7 +279,7 @@
 def test_a_crowded_keeper_turns_calls_away_and_a_stopped_one_is_silent() -> None:
     async def main() -> None:
         context, link = RecordingStage(), Link("n0")
-        keeper = Keeper(context, 1, 10, 0.15, 0.0)  # a call takes 0.1 s
+        keeper = CounterServer(context, 1, 10, 0.15, 0.0)  # a call takes 0.1 s
         keeper.begun = True
         reader, writer = await dial(keeper.listen(link, "127.0.0.1").address)
         writer.write(b"tally a 1 60000\r\n" * 4)
@@ -295,7 +297,7 @@
 
 def test_the_keeper_resets_what_goes_beyond_its_connections() -> None:
     async def main() -> None:
-        keeper, link = Keeper(RecordingStage(), 1, 1000, 1.0, 0.0), Link("n0")
+        keeper, link = CounterServer(RecordingStage(), 1, 1000, 1.0, 0.0), Link("n0")
         address = keeper.listen(link, "127.0.0.1").address
         opened = [await dial(address) for _ in range(33)]
         with pytest.raises(ConnectionResetError):
