--- a/cypresspulley/capture/replay.py
+++ b/cypresspulley/capture/replay.py
@@ -63,7 +63,7 @@
     context = RunContext(sink, lambda _id, _cls: 0.0)
     front = Front(list(addresses))
     for target in addresses:
-        front.up(target)
+        front.mark_up(target)
     classes = {c.name: c for c in scenario.classes}
     fleet = ClientFleet(
         context, front, lambda name: addresses[name], scenario.clients, classes, plan.seed, scenario.seconds
--- a/cypresspulley/rehearsal/play.py
+++ b/cypresspulley/rehearsal/play.py
@@ -228,7 +228,7 @@
             self._agent_at[limiter] = self.agents[limiter].listen(self.net.host(252, index))
             agent = self.agents[limiter]
             agent.publish(*(self._host(server, limiter, "ready") for server in self.servers.values()))
-            agent.told, agent.told_seq = dict(agent.hosts), agent.seq
+            agent.delivered, agent.delivered_seq = dict(agent.hosts), agent.seq
 
     async def open_books(self) -> None:
         """The plan book's writer, with a way to it for each limiter, before any of them starts."""
@@ -276,14 +276,14 @@
             link = self.net.link(limiter, self.day.limiters[limiter], hall)
             host, port = self.net.host(index, place), 0
             if like is not None:  # another server's address of before
-                host, text = like.dial(limiter).rsplit(":", 1)
+                host, text = like.get_address(limiter).rsplit(":", 1)
                 port = int(text)
-            server.place(link, host, port)
+            server.add_address(link, host, port)
         self.servers[name] = server
         return server
 
     def _host(self, server: BagServer, limiter: str, health: str) -> Host:
-        dial = server.dial(limiter)
+        dial = server.get_address(limiter)
         return Host(server.name, dial, server.hall, server.cell, health, server.born_ms)
 
     def _config(self, limiter: str, known: dict[str, Any]) -> dict[str, Any]:
@@ -313,7 +313,7 @@
     async def start_limiter(self, name: str, known: str = "last") -> None:
         """Start it with the list that it had last (stale by now), or with one that names only dead ones."""
         limiter, agent = self.limiters[name], self.agents[name]
-        listed = agent.known()
+        listed = agent.delivered_list()
         if known == "gone":
             listed = {"seq": 0, "whole": True, "hosts": [self._dead_host(name, n).row() for n in range(3)]}
         limiter.configure(self._config(name, listed))
@@ -332,7 +332,7 @@
         self._spawn(self._watch_end(limiter))
         await limiter.ready()
         self.context.record(log.LimiterState(self.context.now(), name, "ready"))
-        self.front.up(name)
+        self.front.mark_up(name)
 
     def _dead_host(self, limiter: str, number: int) -> Host:
         """A server that is gone: nobody listens at its address."""
@@ -355,7 +355,7 @@
 
     def _front_notices(self, limiter: LimiterProcess) -> None:
         if not limiter.running:
-            self.front.down(limiter.name)
+            self.front.mark_down(limiter.name)
 
     def kill(self, name: str) -> None:
         """SIGKILL, recorded just before: whatever breaks from now on was held by a dead process."""
@@ -384,9 +384,9 @@
         kill = asyncio.get_running_loop().call_later(self._kill_after, limiter.signal, signal.SIGKILL)
         await asyncio.sleep(0.3)  # a planned restart is announced: the front stops a little late
         if not self.scenario.clients.until_closed:
-            self.front.down(name)
+            self.front.mark_down(name)
         await limiter.gone()
-        self.front.down(name)
+        self.front.mark_down(name)
         kill.cancel()
         await asyncio.sleep(back_after)
         await self.start_limiter(name)
@@ -434,11 +434,11 @@
             return
         self.context.record(log.LimiterState(self.context.now(), name, "drained"))
         await asyncio.sleep(0.3)  # the front asks again and again, and stops a little late
-        self.front.down(name)
+        self.front.mark_down(name)
         await asyncio.sleep(lasts)
         if limiter.running and await limiter.call("PUT", "/v1/limiter/activate") == 200:
             self.context.record(log.LimiterState(self.context.now(), name, "activated"))
-            self.front.up(name)
+            self.front.mark_up(name)
 
     async def _server_by_hand(self, name: str, lasts: float) -> None:
         """Taken out at every limiter, restarted once its work is done, and called back cold."""
@@ -472,7 +472,7 @@
         self._keeper_at[name] = self.keeper.listen(
             self._keeper_links[name], self.net.host(251, index)
         ).address
-        limiter.configure(self._config(name, agent.known()))
+        limiter.configure(self._config(name, agent.delivered_list()))
         if limiter.running:
             self.context.record(log.LimiterState(self.context.now(), name, "reloaded"))
             limiter.signal(signal.SIGHUP)
@@ -535,7 +535,7 @@
             return
         number, self._next_server = self._next_server, self._next_server + 1
         other = self._add_server(f"bag-{number:02d}", server.hall, server.cell, number, like=server)
-        server.move()
+        server.release_ports()
         for each in (server, other):
             each.start(cold=True)
             self._publish(each, "ready")
@@ -660,7 +660,7 @@
             share = SERVER_SHARES[fault.kind]
             return spec.size, lambda name, value: setattr(self.servers[name], share, value)
         spells: dict[str, tuple[Value, Callable[[str, Value], None]]] = {
-            "server-hang": (True, lambda name, on: self.servers[name].hang(bool(on))),
+            "server-hang": (True, lambda name, on: self.servers[name].set_hung(bool(on))),
             "server-slow": (late, lambda name, by: setattr(self.servers[name], "slow_by", by)),
             "limiter-pause": (True, lambda name, on: self._pause(name, bool(on))),
             "keeper-spoilt": (spec.size, lambda _, share: setattr(self.keeper, "spoilt_share", share)),
@@ -689,7 +689,7 @@
             if on:
                 agent.silent = True
             else:
-                agent.wake()
+                agent.resume()
 
     def abuse(self) -> asyncio.Task[None] | None:
         """Abusive clients beside the usual ones, where the scenario has them."""
--- a/cypresspulley/rehearsal/standins/bagserver.py
+++ b/cypresspulley/rehearsal/standins/bagserver.py
@@ -150,11 +150,11 @@
         state = "hung" if self.cpu.hung else "draining" if self.draining else "up" if self.alive else "down"
         return f"<BagServer {self.name} {state}, {len(self.cpu.running)} run, {len(self.cpu.queue)} wait>"
 
-    def place(self, link: Link, host: str, port: int = 0) -> None:
+    def add_address(self, link: Link, host: str, port: int = 0) -> None:
         """Where one limiter finds this server, once it is started; port 0 lets the system choose."""
         self._links[link.limiter], self._hosts[link.limiter] = link, (host, port)
 
-    def move(self) -> None:
+    def release_ports(self) -> None:
         """Be found under other ports once it is started again."""
         self._hosts = {limiter: (host, 0) for limiter, (host, _) in self._hosts.items()}
 
@@ -169,7 +169,7 @@
         self._sweep()
         self._state("started" if cold else "up")
 
-    def dial(self, limiter: str) -> str:
+    def get_address(self, limiter: str) -> str:
         host, port = self._hosts[limiter]
         return f"{host}:{port}"
 
@@ -200,7 +200,7 @@
         self.draining = False
         self._state("up")
 
-    def hang(self, hung: bool) -> None:
+    def set_hung(self, hung: bool) -> None:
         """While hung it takes all and does nothing."""
         self._advance()
         self.cpu.hung = hung
--- a/cypresspulley/rehearsal/standins/clients.py
+++ b/cypresspulley/rehearsal/standins/clients.py
@@ -131,10 +131,10 @@
     def __init__(self, limiters: list[str]) -> None:
         self._limiters, self._up = limiters, set[str]()
 
-    def up(self, limiter: str) -> None:
+    def mark_up(self, limiter: str) -> None:
         self._up.add(limiter)
 
-    def down(self, limiter: str) -> None:
+    def mark_down(self, limiter: str) -> None:
         self._up.discard(limiter)
 
     @property
--- a/cypresspulley/rehearsal/standins/discovery.py
+++ b/cypresspulley/rehearsal/standins/discovery.py
@@ -63,8 +63,8 @@
         self.context, self.limiter = context, limiter
         self.seq = 1
         self.hosts = dict[str, Host]()
-        self.told = dict[str, Host]()  # what the limiter was told last: what it comes back with
-        self.told_seq = 0
+        self.delivered = dict[str, Host]()  # what the limiter was told last: what it comes back with
+        self.delivered_seq = 0
         self._changes = list[tuple[int, Host]]()
         self.watchers = dict[_Connection, None]()
         self._held = list[tuple[Host, ...]]()
@@ -97,9 +97,9 @@
         for watcher in list(self.watchers):
             watcher.close()
 
-    def known(self) -> dict[str, Any]:
+    def delivered_list(self) -> dict[str, Any]:
         """The list as the limiter had it last, in discovery's form."""
-        return {"seq": self.told_seq, "whole": True, "hosts": [h.row() for h in self.told.values()]}
+        return {"seq": self.delivered_seq, "whole": True, "hosts": [h.row() for h in self.delivered.values()]}
 
     def publish(self, *hosts: Host) -> None:
         """Discovery sends the agent changed entries; ``gone`` ones are told once and forgotten."""
@@ -118,7 +118,7 @@
         for watcher in list(self.watchers):
             self._tell(watcher, False, hosts)
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """The silence is over: what discovery had to tell comes now."""
         self.silent = False
         held, self._held = self._held, []
@@ -133,18 +133,18 @@
     def _tell(self, watcher: _Connection, whole: bool, hosts: tuple[Host, ...]) -> None:
         message = {"seq": self.seq, "whole": whole, "hosts": [host.row() for host in hosts]}
         watcher.chunk(json.dumps(message, separators=(",", ":")).encode() + b"\n")
-        self.heard(whole, hosts)
+        self.record_delivery(whole, hosts)
 
-    def heard(self, whole: bool, hosts: tuple[Host, ...]) -> None:
+    def record_delivery(self, whole: bool, hosts: tuple[Host, ...]) -> None:
         """The limiter has been told, by the watch or by its configuration."""
-        self.told_seq = self.seq
+        self.delivered_seq = self.seq
         if whole:
-            self.told = {}
+            self.delivered = {}
         for host in hosts:
             if host.health == "gone":
-                self.told.pop(host.host, None)
+                self.delivered.pop(host.host, None)
             else:
-                self.told[host.host] = replace(host)
+                self.delivered[host.host] = replace(host)
         self._note(True, whole, hosts)
 
     def asked(self, connection: _Connection, line: str) -> None:
@@ -159,7 +159,7 @@
         if options.get("follow") != "1":
             body = json.dumps({"seq": self.seq, "whole": True, "hosts": [h.row() for h in whole]}).encode()
             connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
-            return self.heard(True, whole)
+            return self.record_delivery(True, whole)
         connection.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.watchers[connection] = None
         since = options.get("since", "")
--- a/tests/rehearsal/test_standins.py
+++ b/tests/rehearsal/test_standins.py
@@ -44,7 +44,7 @@
 def server(context: RunContext, link: Link, machine: Machine = MACHINE, **more: Any) -> BagServer:
     options: dict[str, Any] = {"report_every": 0.1, "idle": 30.0, "connections": 10, "stops_running": False}
     made = BagServer(context, "s1", "east", 0, machine, RepeatMemory(), Random(1), **(options | more))
-    made.place(link, "127.0.0.1")
+    made.add_address(link, "127.0.0.1")
     return made
 
 
@@ -115,14 +115,14 @@
         context, link = Recorded(), Link("n0")
         made = server(context, link)
         made.start(cold=False)
-        status, headers, body = await ask(made.dial("n0"), context.knows())
+        status, headers, body = await ask(made.get_address("n0"), context.knows())
         assert " 200 " in status and json.loads(body)["id"] == ID
         assert headers["x-server-load"].startswith("queue=0,qps=")
         kinds = [type(r).__name__ for r in context.kept]
         assert kinds == ["ServerState", "Arrived", "Ran", "Replied"]
-        status, _, _ = await ask(made.dial("n0"), context.knows().replace(b"/look", b"/took"))
+        status, _, _ = await ask(made.get_address("n0"), context.knows().replace(b"/look", b"/took"))
         assert " 400 " in status and "no client made" in context.complaints[0]
-        assert " 200 " in (await ask(made.dial("n0"), b"GET /healthz HTTP/1.1\r\n\r\n"))[0]
+        assert " 200 " in (await ask(made.get_address("n0"), b"GET /healthz HTTP/1.1\r\n\r\n"))[0]
         made.crash()
 
     run(main())
@@ -133,12 +133,12 @@
         context, link = Recorded(work=5.0), Link("n0")
         made = server(context, link, connections=4)
         made.start(cold=False)
-        held = [await dial(made.dial("n0")) for _ in range(3)]
+        held = [await dial(made.get_address("n0")) for _ in range(3)]
         for n, (_, writer) in enumerate(held):
             writer.write(context.knows(f"{n:016x}"))
         await until(lambda: len(context.of(log.Arrived)) == 3)
         for expected in (1, 2):  # the fourth finds the room full; the fifth the table too
-            status, headers, _ = await ask(made.dial("n0"), context.knows(f"{expected + 10:016x}"))
+            status, headers, _ = await ask(made.get_address("n0"), context.knows(f"{expected + 10:016x}"))
             assert " 503 " in status and headers["x-not-processed"] == "1"
         assert [r.not_processed for r in context.of(log.Replied)] == [True, True]
         made.crash()
@@ -155,7 +155,7 @@
         made = server(context, link)
         made.start(cold=False)
         request = context.knows(effect="keyed")
-        first, second = await ask(made.dial("n0"), request), await ask(made.dial("n0"), request)
+        first, second = await ask(made.get_address("n0"), request), await ask(made.get_address("n0"), request)
         assert first[2] == second[2]
         assert [r.repeat for r in context.of(log.Ran)] == [False, True]
         made.crash()
@@ -168,12 +168,12 @@
         context, link = Recorded(), Link("n0")
         made = server(context, link)
         made.start(cold=False)
-        address = made.dial("n0")
+        address = made.get_address("n0")
         made.crash()
         with pytest.raises(ConnectionRefusedError):
             await dial(address)
         made.start(cold=True)
-        assert made.dial("n0") == address and made.born_ms > 0
+        assert made.get_address("n0") == address and made.born_ms > 0
         assert " 200 " in (await ask(address, context.knows()))[0]
         assert [r.what for r in context.of(log.ServerState)] == ["up", "crashed", "started"]
         made.crash()
@@ -187,18 +187,18 @@
         made = server(context, link, idle=0.0)
         made.start(cold=False)
         made.error_share = 1.0
-        assert " 500 " in (await ask(made.dial("n0"), context.knows()))[0]
+        assert " 500 " in (await ask(made.get_address("n0"), context.knows()))[0]
         made.error_share, made.reset_share = 0.0, 1.0
         with pytest.raises(ConnectionResetError):
-            await ask(made.dial("n0"), context.knows())
+            await ask(made.get_address("n0"), context.knows())
         made.reset_share = 0.0
-        made.hang(True)
-        waiting = asyncio.ensure_future(ask(made.dial("n0"), context.knows()))
+        made.set_hung(True)
+        waiting = asyncio.ensure_future(ask(made.get_address("n0"), context.knows()))
         await until(lambda: len(context.of(log.Arrived)) == 3)
         assert not waiting.done()
-        made.hang(False)
+        made.set_hung(False)
         assert " 200 " in (await waiting)[0]
-        reader, _ = await dial(made.dial("n0"))
+        reader, _ = await dial(made.get_address("n0"))
         assert await reader.read() == b""  # idle for too long
         made.crash()
 
@@ -213,7 +213,7 @@
         context, link = Recorded(), Link("n0", 0.001)
         made = server(context, link)
         made.start(cold=False)
-        reader, writer = await dial(made.dial("n0"))
+        reader, writer = await dial(made.get_address("n0"))
         writer.write(context.knows())
         assert " 200 " in (await read_message(reader))[0]
         link.cut(context.now())
@@ -224,13 +224,13 @@
                 await reader.read(1)
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.15):
-                await dial(made.dial("n0"))
+                await dial(made.get_address("n0"))
         assert len(context.of(log.Arrived)) == 1
         link.heal()
         assert " 200 " in (await read_message(reader))[0]
         # When in the cut it was sent nobody can tell: it counts from the cut's begin.
         assert context.of(log.Arrived)[1].began <= cut_at + 0.01 < context.of(log.Arrived)[1].t
-        assert " 200 " in (await ask(made.dial("n0"), context.knows("00000000000000cc")))[0]
+        assert " 200 " in (await ask(made.get_address("n0"), context.knows("00000000000000cc")))[0]
         made.crash()
 
     run(main())
@@ -336,11 +336,13 @@
         agent.publish(host("s2", "gone"))
         change = await chunk(reader)
         assert not change["whole"] and change["hosts"][0]["health"] == "gone"
-        assert agent.known()["seq"] == change["seq"] and [h["host"] for h in agent.known()["hosts"]] == ["s1"]
+        assert agent.delivered_list()["seq"] == change["seq"] and [
+            h["host"] for h in agent.delivered_list()["hosts"]
+        ] == ["s1"]
         writer.close()
         await until(lambda: not agent.watchers)
         agent.publish(host("s3"))  # nobody listens: it comes back with the list of before
-        assert [h["host"] for h in agent.known()["hosts"]] == ["s1"]
+        assert [h["host"] for h in agent.delivered_list()["hosts"]] == ["s1"]
         reader, writer = await dial(address)
         writer.write(b"GET /v1/servers?follow=1&since=%d HTTP/1.1\r\n\r\n" % change["seq"])
         await reader.readuntil(b"\r\n\r\n")
@@ -367,7 +369,7 @@
             async with asyncio.timeout(0.1):
                 await reader.read(1)
         assert agent.hosts["s1"].health == "ready"
-        agent.wake()
+        agent.resume()
         assert agent.hosts["s1"].health == "draining"
         agent.close()
 
