--- a/benchmarks/quota_audit.py
+++ b/benchmarks/quota_audit.py
@@ -31,7 +31,7 @@
         self._levels = dict[tuple[str, str], BucketLevel]()
         self.decisions = Counter[tuple[str, str, bool]]()  # plan, decision, whether it was within quota
 
-    def watched(self, name: str, gateway: Gateway) -> DecisionModule:
+    def wrap_gateway(self, name: str, gateway: Gateway) -> DecisionModule:
         return Audited(gateway, self.record_decision)
 
     def record_decision(self, now: float, request: api.Request, decision: str) -> None:
--- a/cypresspulley/explore/examine.py
+++ b/cypresspulley/explore/examine.py
@@ -17,7 +17,7 @@
 from cypresspulley.rehearsal.limiters import KitError, wire_settings
 from cypresspulley.rehearsal.play import mean_work
 from cypresspulley.rehearsal.scenario import Scenario
-from cypresspulley.rehearsal.virtual.loop import NothingLeftError, StuckError, VirtualLoop
+from cypresspulley.rehearsal.virtual.loop import DeadlockError, TurnLimitError, VirtualLoop
 from cypresspulley.rehearsal.virtual.owner import Owner, VirtualHandle
 from cypresspulley.rehearsal.virtual.play import Observer, digest, play_virtual
 from cypresspulley.settings import parse_settings
@@ -96,7 +96,7 @@
     _watches: dict[str, tuple[Watch, Gateway]] = field(default_factory=dict)
     _ceilings: Ceilings | None = None
 
-    def watched(self, name: str, gateway: Gateway) -> _Between:
+    def wrap_gateway(self, name: str, gateway: Gateway) -> _Between:
         settings = parse_settings(wire_settings(self.scenario, 0, self.scenario.fleet.halls[0]))
         if self._ceilings is None:
             self._ceilings = Ceilings(settings.plans, settings.max_units)
@@ -113,18 +113,18 @@
         if isinstance(record, log.Happened):
             self.faults.append((record.t, record.until + AFTERMATH, record.kind))
 
-    def woke(self, name: str, now: float) -> None:
+    def on_resumed(self, name: str, now: float) -> None:
         if name in self._watches:
             self._watches[name][0].woke(now)
 
-    def exited(self, name: str, owner: Owner, loop: VirtualLoop) -> None:
+    def on_exited(self, name: str, owner: Owner, loop: VirtualLoop) -> None:
         """A limiter ended in order: nothing of its requests may be left."""
         watch, gateway = self._watches.pop(name)
         if left := {what: count for what, count in left_of(gateway).items() if count}:
             self._find("leak", f"{name} ended with {left} still counted as open")
         if lives := watch.open():
             self._find("leak", f"{name} ended with {len(lives)} requests that had no end")
-        timers = Counter(called(handle) for handle in loop.waiting(owner) if not _of_probe(handle))
+        timers = Counter(called(handle) for handle in loop.pending_handles(owner) if not _of_probe(handle))
         if strange := {what: n for what, n in timers.items() if what not in LEFT_OVER}:
             self._find("leak", f"{name} ended with timers left: {strange}")
         tasks = [task for task in owner.tasks if not task.done()]
@@ -166,8 +166,8 @@
     """Play the scenario with its own seed and say all that is wrong with it. Deterministic."""
     eyes, records = _Eyes(scenario), list[log.Record]()
     try:
-        records = play_virtual(scenario, scenario.seed, observer=eyes, most_turns=MOST_TURNS)
-    except (NothingLeftError, StuckError) as error:
+        records = play_virtual(scenario, scenario.seed, observer=eyes, max_turns=MOST_TURNS)
+    except (DeadlockError, TurnLimitError) as error:
         eyes.finds.append(Find("stuck", str(error)))
     except KitError as error:
         eyes.finds.append(Find("kit", str(error)))
--- a/cypresspulley/rehearsal/virtual/datagrams.py
+++ b/cypresspulley/rehearsal/virtual/datagrams.py
@@ -12,8 +12,8 @@
 
 from cypresspulley.rehearsal.virtual.owner import OWNER, Owner, VirtualHandle
 
-BUFFER = 212_992  # bytes, each datagram counted with ``OVERHEAD`` beside it
-OVERHEAD = 512
+RECEIVE_BUFFER_BYTES = 212_992  # bytes, each datagram counted with ``OVERHEAD`` beside it
+DATAGRAM_OVERHEAD_BYTES = 512
 Address = tuple[str, int]
 
 
@@ -69,15 +69,15 @@
     def came(self, data: bytes, source: Address) -> None:
         if self.owner is None or not self.owner.asleep:
             return self._tell(data, source)
-        size = len(data) + OVERHEAD
-        if self._waiting + size > BUFFER:
+        size = len(data) + DATAGRAM_OVERHEAD_BYTES
+        if self._waiting + size > RECEIVE_BUFFER_BYTES:
             self.dropped += 1
             return
         self._waiting += size
         self.owner.held.append(self._carrier.handle(self._woken, data, source))
 
     def _woken(self, data: bytes, source: Address) -> None:
-        self._waiting -= len(data) + OVERHEAD
+        self._waiting -= len(data) + DATAGRAM_OVERHEAD_BYTES
         self._tell(data, source)
 
     def _tell(self, data: bytes, source: Address) -> None:
--- a/cypresspulley/rehearsal/virtual/loop.py
+++ b/cypresspulley/rehearsal/virtual/loop.py
@@ -23,11 +23,11 @@
 T = TypeVar("T")
 
 
-class StuckError(RuntimeError):
+class TurnLimitError(RuntimeError):
     """The loop took more turns than a play may: something goes on and on."""
 
 
-class NothingLeftError(RuntimeError):
+class DeadlockError(RuntimeError):
     """Everything waits and nothing will ever happen: a real loop would hang here."""
 
 
@@ -76,7 +76,7 @@
             heappop(timers)
         if not soon:
             if not timers:
-                raise NothingLeftError(f"nothing is left to happen at {self._virtual_now:.6f} s")
+                raise DeadlockError(f"nothing is left to happen at {self._virtual_now:.6f} s")
             self._virtual_now = max(self._virtual_now, timers[0][0])
         while timers and timers[0][0] <= self._virtual_now:
             soon.append(heappop(timers)[2])
@@ -84,7 +84,7 @@
             self.turns_left -= len(soon)
             if self.turns_left <= 0:
                 self.turns_left = 0
-                raise StuckError(f"too many turns of the loop by {self._virtual_now:.6f} s")
+                raise TurnLimitError(f"too many turns of the loop by {self._virtual_now:.6f} s")
         for _ in range(len(soon)):
             handle = soon.popleft()
             if handle._callback is not None:
@@ -127,7 +127,7 @@
         """SIGSTOP: its code does not run, its connections stay, the machine goes on taking bytes for it."""
         owner.asleep = True
 
-    def wake_owner(self, owner: Owner) -> None:
+    def resume_owner(self, owner: Owner) -> None:
         """SIGCONT: all that became due meanwhile runs now, in the order in which it did."""
         owner.asleep = False
         held, owner.held = owner.held, deque()
@@ -181,7 +181,7 @@
             heappush(self._timers, (when, self._count, handle))
         return handle
 
-    def waiting(self, owner: Owner) -> list[VirtualHandle]:
+    def pending_handles(self, owner: Owner) -> list[VirtualHandle]:
         """Handles of an owner that are still to run: what it would leave behind if it ended now."""
         handles = (*self._soon, *(timer[2] for timer in self._timers))
         return [handle for handle in handles if handle.owner is owner and not handle.cancelled()]
--- a/cypresspulley/rehearsal/virtual/play.py
+++ b/cypresspulley/rehearsal/virtual/play.py
@@ -54,16 +54,16 @@
 
     now: Callable[[], float]  # seconds of the day, set once there is one
 
-    def watched(self, name: str, gateway: Gateway) -> DecisionModule:
+    def wrap_gateway(self, name: str, gateway: Gateway) -> DecisionModule:
         """What stands in for a limiter's decisions."""
         return gateway
 
     def record(self, record: log.Record) -> None: ...
 
-    def woke(self, name: str, now: float) -> None:
+    def on_resumed(self, name: str, now: float) -> None:
         """A stopped limiter runs again at this Unix time."""
 
-    def exited(self, name: str, owner: Owner, loop: VirtualLoop) -> None:
+    def on_exited(self, name: str, owner: Owner, loop: VirtualLoop) -> None:
         """A limiter has ended in order; its timers and tasks are still to be seen."""
 
 
@@ -138,7 +138,7 @@
         context.run(OWNER.set, self._owner)
         clock = self._clock
         observer = self._observer
-        watched = partial(observer.watched, self.name) if observer is not None else None
+        watched = partial(observer.wrap_gateway, self.name) if observer is not None else None
         history = None
         if self._writes:
             history = MemoryHistory(clock, self._wall)
@@ -176,7 +176,7 @@
         if failed and not task.cancelled():
             self._why = repr(task.exception())
         if self._observer is not None and not failed:
-            self._observer.exited(self.name, self._owner, self._loop)
+            self._observer.on_exited(self.name, self._owner, self._loop)
         self._loop.kill(self._owner)  # the process is over: its timers go, its connections are closed
         self._end.set_result(1 if failed else 0)
 
@@ -187,9 +187,9 @@
         if number == signal.SIGSTOP:
             self._loop.stop_owner(self._owner)
         elif number == signal.SIGCONT:
-            self._loop.wake_owner(self._owner)
+            self._loop.resume_owner(self._owner)
             if self._observer is not None:
-                self._observer.woke(self.name, self._clock())
+                self._observer.on_resumed(self.name, self._clock())
         elif number == signal.SIGKILL:
             self._loop.kill(self._owner)
             self._end.set_result(-signal.SIGKILL)
@@ -255,7 +255,7 @@
     plan: Plan | None = None,
     progress: Callable[[float, Director], None] | None = None,
     observer: Observer | None = None,
-    most_turns: int = 0,
+    max_turns: int = 0,
     logs: Path | None = None,
 ) -> list[log.Record]:
     """Play a day; the records of it. The same scenario, seed and plan give the same records, byte for byte.
@@ -279,7 +279,7 @@
             )
             return made[-1]
 
-        loop.turns_left = most_turns
+        loop.turns_left = max_turns
 
         director = Director(
             scenario,
--- a/tests/rehearsal/test_together.py
+++ b/tests/rehearsal/test_together.py
@@ -39,7 +39,7 @@
 )
 from cypresspulley.rehearsal.standins.datagrams import Address, DatagramFault, Relay, routes_between
 from cypresspulley.rehearsal.troubles import Struck, struck
-from cypresspulley.rehearsal.virtual.datagrams import BUFFER, OVERHEAD
+from cypresspulley.rehearsal.virtual.datagrams import DATAGRAM_OVERHEAD_BYTES, RECEIVE_BUFFER_BYTES
 from cypresspulley.rehearsal.virtual.loop import VirtualLoop, run_virtual
 from cypresspulley.rehearsal.virtual.owner import OWNER, Owner
 from cypresspulley.rehearsal.virtual.play import digest, play_virtual
@@ -297,9 +297,9 @@
             sender.sendto(bytes(1000), ("127.0.0.5", 7))
         await asyncio.sleep(0.01)
         assert len(ear.heard) == 1
-        loop.wake_owner(owner)
+        loop.resume_owner(owner)
         await asyncio.sleep(0.01)
-        assert len(ear.heard) == 1 + BUFFER // (1000 + OVERHEAD)
+        assert len(ear.heard) == 1 + RECEIVE_BUFFER_BYTES // (1000 + DATAGRAM_OVERHEAD_BYTES)
         loop.kill(owner)
         before = len(ear.heard)
         sender.sendto(b"late", ("127.0.0.5", 7))
--- a/tests/rehearsal/virtual/test_conformance.py
+++ b/tests/rehearsal/virtual/test_conformance.py
@@ -11,7 +11,7 @@
 import pytest
 import uvloop
 
-from cypresspulley.rehearsal.virtual.loop import NothingLeftError, VirtualLoop, run_virtual
+from cypresspulley.rehearsal.virtual.loop import DeadlockError, VirtualLoop, run_virtual
 from cypresspulley.rehearsal.virtual.network import BACKLOG
 from cypresspulley.rehearsal.virtual.owner import OWNER, Owner
 
@@ -364,5 +364,5 @@
     async def main(loop: VirtualLoop) -> None:
         await loop.create_future()
 
-    with pytest.raises(NothingLeftError, match="nothing is left to happen"):
+    with pytest.raises(DeadlockError, match="nothing is left to happen"):
         run_virtual(main)
--- a/tests/test_discovery_budget.py
+++ b/tests/test_discovery_budget.py
@@ -161,7 +161,7 @@
         at = loop.time() + lasts
         if held is not None:
             loop.call_at(at - held[0], loop.stop_owner, owner)
-            loop.call_at(at + held[1], loop.wake_owner, owner)
+            loop.call_at(at + held[1], loop.resume_owner, owner)
         await asyncio.sleep(lasts)
         service.up_at = loop.time()
         await asyncio.wait_for(known.wait(), 60)
--- a/tests/test_watch_clock.py
+++ b/tests/test_watch_clock.py
@@ -184,7 +184,7 @@
             await asyncio.sleep(6.0 + 0.37 * at)
             loop.stop_owner(owner)
             await asyncio.sleep(held)
-            loop.wake_owner(owner)
+            loop.resume_owner(owner)
         await asyncio.sleep(5.0)
         assert len(agent.asked) == 1
         task.cancel()
@@ -204,7 +204,7 @@
         await asyncio.sleep(2 * HEARTBEAT + after)
         loop.stop_owner(owner)
         await asyncio.sleep(held)
-        loop.wake_owner(owner)
+        loop.resume_owner(owner)
         await asyncio.wait_for(known.wait(), 60)
         assert loop.time() - agent.silent_at < max(DELIVERY_LIMIT, held + HEARTBEAT + 0.5)
         task.cancel()
