--- a/cypresspulley/rehearsal/play.py
+++ b/cypresspulley/rehearsal/play.py
@@ -36,7 +36,7 @@
 from cypresspulley.rehearsal.plan import Plan, PlannedFault, draw, random_for, work_of
 from cypresspulley.rehearsal.scenario import VIRTUAL_ONLY, Scenario, limiter_names, server_names
 from cypresspulley.rehearsal.spells import Spells, Value
-from cypresspulley.rehearsal.standins.bagserver import BagServer, RepeatMemory
+from cypresspulley.rehearsal.standins.bagserver import BagServer, KeyedResponseCache
 from cypresspulley.rehearsal.standins.clients import ClientFleet, Front
 from cypresspulley.rehearsal.standins.counter_server import CounterServer
 from cypresspulley.rehearsal.standins.discovery import Agent, Host
@@ -181,7 +181,7 @@
         self.agents = {name: Agent(self.context, name) for name in limiter_names(scenario)}
         self._agent_at = dict[str, str]()
         self.servers = dict[str, BagServer]()
-        self._memories = dict[tuple[str, int], RepeatMemory]()
+        self._memories = dict[tuple[str, int], KeyedResponseCache]()
         self.limiters = {
             name: limiter(name, self.net.host(250, i)) for i, name in enumerate(limiter_names(scenario))
         }
@@ -268,7 +268,7 @@
             fleet.fall_multiple, fleet.fall_seconds, self.day.mean_work,
         )  # fmt: skip
         server = BagServer(
-            self.context, name, hall, cell, machine, self._memories.setdefault((hall, cell), RepeatMemory()),
+            self.context, name, hall, cell, machine, self._memories.setdefault((hall, cell), KeyedResponseCache()),
             random_for(self.plan.seed, "server", name), fleet.report_ms / 1000, fleet.idle_seconds,
             fleet.connections, fleet.stops_running,
         )  # fmt: skip
--- a/cypresspulley/rehearsal/standins/bagserver.py
+++ b/cypresspulley/rehearsal/standins/bagserver.py
@@ -31,7 +31,7 @@
 QPS_SPAN = 2.0  # seconds that the reported rate is a mean of
 
 
-class RepeatMemory:
+class KeyedResponseCache:
     """What a group of servers remembers of keyed requests, by id: the answer, until it is forgotten."""
 
     MOST = 100_000
@@ -122,7 +122,7 @@
     """One process of a server. ``restart`` begins it anew, cold, at the same addresses."""
 
     def __init__(
-        self, context: RunContext, name: str, hall: str, cell: int, machine: Machine, memory: RepeatMemory,
+        self, context: RunContext, name: str, hall: str, cell: int, machine: Machine, memory: KeyedResponseCache,
         rng: Random, report_every: float, idle: float, connections: int, stops_running: bool,
     ) -> None:  # fmt: skip
         self.context, self.name, self.hall, self.cell = context, name, hall, cell
--- a/tests/rehearsal/test_standins.py
+++ b/tests/rehearsal/test_standins.py
@@ -11,7 +11,7 @@
 import pytest
 
 from cypresspulley.rehearsal import records as log
-from cypresspulley.rehearsal.standins.bagserver import BagServer, RepeatMemory
+from cypresspulley.rehearsal.standins.bagserver import BagServer, KeyedResponseCache
 from cypresspulley.rehearsal.standins.counter_server import CounterServer
 from cypresspulley.rehearsal.standins.discovery import Agent, Host
 from cypresspulley.rehearsal.standins.network import Link, Listener
@@ -43,7 +43,7 @@
 
 def server(context: RunContext, link: Link, machine: Machine = MACHINE, **more: Any) -> BagServer:
     options: dict[str, Any] = {"report_every": 0.1, "idle": 30.0, "connections": 10, "stops_running": False}
-    made = BagServer(context, "s1", "east", 0, machine, RepeatMemory(), Random(1), **(options | more))
+    made = BagServer(context, "s1", "east", 0, machine, KeyedResponseCache(), Random(1), **(options | more))
     made.add_address(link, "127.0.0.1")
     return made
 
