--- a/cypresspulley/capture/replay.py
+++ b/cypresspulley/capture/replay.py
@@ -11,7 +11,7 @@
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.plan import Plan
 from cypresspulley.rehearsal.scenario import Scenario
-from cypresspulley.rehearsal.standins.clients import ClientFleet, Front
+from cypresspulley.rehearsal.standins.clients import ClientFleet, FrontBalancer
 from cypresspulley.rehearsal.standins.run_context import RunContext
 
 LEAD = 0.3  # seconds until the first request
@@ -61,7 +61,7 @@
             report.latency.append((record.t - started.pop(record.id, record.t)) * 1000)
 
     context = RunContext(sink, lambda _id, _cls: 0.0)
-    front = Front(list(addresses))
+    front = FrontBalancer(list(addresses))
     for target in addresses:
         front.mark_up(target)
     classes = {c.name: c for c in scenario.classes}
@@ -71,5 +71,5 @@
     context.begin(LEAD)
     await fleet.play(plan.arrivals)
     await fleet.finish(AFTER)
-    report.late = [late * 1000 for late in fleet.late]
+    report.late = [late * 1000 for late in fleet.lateness]
     return report
--- a/cypresspulley/rehearsal/play.py
+++ b/cypresspulley/rehearsal/play.py
@@ -37,7 +37,7 @@
 from cypresspulley.rehearsal.scenario import VIRTUAL_ONLY, Scenario, limiter_names, server_names
 from cypresspulley.rehearsal.spells import Spells, Value
 from cypresspulley.rehearsal.standins.bagserver import BagServer, KeyedResponseCache
-from cypresspulley.rehearsal.standins.clients import ClientFleet, Front
+from cypresspulley.rehearsal.standins.clients import ClientFleet, FrontBalancer
 from cypresspulley.rehearsal.standins.counter_server import CounterServer
 from cypresspulley.rehearsal.standins.discovery import Agent, Host
 from cypresspulley.rehearsal.standins.network import Link
@@ -45,7 +45,7 @@
 from cypresspulley.rehearsal.standins.run_context import KnownRequest, RunContext
 
 if TYPE_CHECKING:
-    from cypresspulley.rehearsal.standins.bookkeeper import Bookkeeper
+    from cypresspulley.rehearsal.standins.plan_book_server import PlanBookServer
     from cypresspulley.rehearsal.together import Ground, Side
 
 SHIPPED_LIMITER = [sys.executable, "-m", "cypresspulley"]
@@ -187,7 +187,7 @@
         }
         for each in self.limiters.values():
             each.operated = scenario.operated
-        self.front = Front(list(self.limiters))
+        self.front = FrontBalancer(list(self.limiters))
         self.clients = ClientFleet(
             self.context, self.front, lambda name: self.limiters[name].address, scenario.clients, classes,
             plan.seed, scenario.seconds, points_per_unit(scenario),
@@ -200,7 +200,7 @@
         self._watched = dict[str, object]()  # the process of each limiter whose end is watched
         self.returning = set[str]()  # limiters that are away and to come back
         self.failed = asyncio.Event()
-        self.books: Bookkeeper | None = None
+        self.books: PlanBookServer | None = None
         if ground is not None:
             from cypresspulley.rehearsal.together import Side
 
@@ -234,10 +234,10 @@
         """The plan book's writer, with a way to it for each limiter, before any of them starts."""
         if not self.scenario.booked:
             return
-        from cypresspulley.rehearsal.standins.bookkeeper import Bookkeeper
+        from cypresspulley.rehearsal.standins.plan_book_server import PlanBookServer
 
         rng = random_for(self.plan.seed, "books")
-        self.books = Bookkeeper(self.context, self.scenario.plans, lowest_part(self.scenario), rng)
+        self.books = PlanBookServer(self.context, self.scenario.plans, lowest_part(self.scenario), rng)
         for index, limiter in enumerate(self.limiters):
             host = self.net.host(253, index)
             self.books.addresses[limiter] = host, free_port(host)
@@ -646,7 +646,7 @@
             most = sorted(asked, key=lambda a: (-self._asked[a[0]], a[0]))[: spec.count]
             self._spawn(self.books.reserve(most, lasts, spec.size))
         elif fault.kind == "writer-stop" and self.books is not None:
-            self._spawn(self.books.stop(spec.back_after))
+            self._spawn(self.books.restart(spec.back_after))
         elif fault.kind == "keeper-empty":
             self.keeper.empty()
         elif fault.kind == "keeper-break":
@@ -680,7 +680,7 @@
 
     async def _off_book(self, name: str, lasts: float) -> None:
         if self.books is not None:
-            await self.books.shut(name)
+            await self.books.disconnect(name)
             await asyncio.sleep(lasts)
             await self.books.open(name)
 
--- a/cypresspulley/rehearsal/standins/abuse.py
+++ b/cypresspulley/rehearsal/standins/abuse.py
@@ -6,7 +6,7 @@
 from collections import Counter
 
 from cypresspulley.rehearsal.plan import random_for, request_id
-from cypresspulley.rehearsal.standins.clients import Dialer, Front
+from cypresspulley.rehearsal.standins.clients import Dialer, FrontBalancer
 from cypresspulley.rehearsal.standins.graphql import abusive_bodies
 from cypresspulley.rehearsal.standins.run_context import RunContext
 
@@ -20,7 +20,7 @@
     def __init__(
         self,
         context: RunContext,
-        front: Front,
+        front: FrontBalancer,
         address: Dialer,
         seed: int,
         rate: float,
--- a/cypresspulley/rehearsal/standins/clients.py
+++ b/cypresspulley/rehearsal/standins/clients.py
@@ -125,7 +125,7 @@
             waiter.set_result(outcome)
 
 
-class Front:
+class FrontBalancer:
     """Which limiters clients are sent to: in from the first good answer on, out some time after a death."""
 
     def __init__(self, limiters: list[str]) -> None:
@@ -160,7 +160,7 @@
     """All clients of the day; ``play`` sends each arrival at its time, whatever answers do."""
 
     def __init__(
-        self, context: RunContext, front: Front, address: Dialer, options: Clients,
+        self, context: RunContext, front: FrontBalancer, address: Dialer, options: Clients,
         classes: dict[str, ClassRow], seed: int, seconds: float, points_per_unit: float = 0.0,
     ) -> None:  # fmt: skip
         self._context, self.front, self._address = context, front, address
@@ -169,7 +169,7 @@
         self._points_per_unit = points_per_unit  # of GraphQL requests; 0: plain ones
         self._idle = defaultdict[str, list[_Connection]](list)
         self._open = set[asyncio.Task[None]]()
-        self.late = list[float]()  # seconds by which each arrival was sent late
+        self.lateness = list[float]()  # seconds by which each arrival was sent late
 
     @property
     def open(self) -> int:
@@ -192,7 +192,7 @@
             wait = arrival.t - self._context.now()
             if wait > 0:
                 await asyncio.sleep(wait)
-            self.late.append(max(0.0, self._context.now() - arrival.t))
+            self.lateness.append(max(0.0, self._context.now() - arrival.t))
             task = loop.create_task(self._request(arrival))
             self._open.add(task)
             task.add_done_callback(self._open.discard)
--- a/cypresspulley/rehearsal/standins/bookkeeper.py
+++ b/cypresspulley/rehearsal/standins/plan_book_server.py
@@ -28,7 +28,7 @@
     )  # fmt: skip
 
 
-class Bookkeeper:
+class PlanBookServer:
     """``part`` is the lower plan's part of a plan with a ceiling."""
 
     def __init__(self, context: RunContext, plans: tuple[PlanRow, ...], part: float, rng: Random) -> None:
@@ -47,7 +47,7 @@
                 self.plan_writer.set_terms(plan.name + LOWER, terms_of(plan, part), now, now, "rehearsal")
 
     def __repr__(self) -> str:
-        return f"<Bookkeeper {self.plan_writer!r}, {len(self._publishers)} ways open>"
+        return f"<PlanBookServer {self.plan_writer!r}, {len(self._publishers)} ways open>"
 
     async def open(self, limiter: str) -> None:
         """Let a limiter reach the writer, at the same address as before."""
@@ -57,16 +57,16 @@
         publisher = self._publishers[limiter] = Publisher(self.plan_writer, TOKEN, clock)
         self.addresses[limiter] = await publisher.listen(*self.addresses[limiter])
 
-    async def shut(self, limiter: str) -> None:
+    async def disconnect(self, limiter: str) -> None:
         """Its connection ends, and new ones are refused."""
         if (publisher := self._publishers.pop(limiter, None)) is not None:
             await publisher.close()
 
-    async def stop(self, back_after: float) -> None:
+    async def restart(self, back_after: float) -> None:
         """The writer dies, and another starts from what was stored: a new epoch."""
         ways = list(self._publishers)
         for limiter in ways:
-            await self.shut(limiter)
+            await self.disconnect(limiter)
         await asyncio.sleep(back_after)
         self.plan_writer = PlanWriter(Store(self._folder), INSTALLATION)
         for limiter in ways:
@@ -122,4 +122,4 @@
 
     async def close(self) -> None:
         for limiter in list(self._publishers):
-            await self.shut(limiter)
+            await self.disconnect(limiter)
