--- a/cypresspulley/explore/examine.py
+++ b/cypresspulley/explore/examine.py
@@ -21,7 +21,7 @@
 from cypresspulley.rehearsal.limiters import HarnessError, wire_settings
 from cypresspulley.rehearsal.play import mean_work
 from cypresspulley.rehearsal.scenario import Scenario
-from cypresspulley.rehearsal.virtual.loop import NothingLeftError, StuckError, VirtualLoop
+from cypresspulley.rehearsal.virtual.loop import DeadlockError, TurnLimitError, VirtualLoop
 from cypresspulley.rehearsal.virtual.owner import Owner, VirtualHandle
 from cypresspulley.rehearsal.virtual.play import Observer, digest, play_virtual
 from cypresspulley.settings import parse_settings
@@ -100,7 +100,7 @@
     _models: dict[str, tuple[LifecycleModel, Gateway]] = field(default_factory=dict)
     _ceilings: CeilingBudgets | None = None
 
-    def watched(self, name: str, gateway: Gateway) -> _ObservedGateway:
+    def wrap_gateway(self, name: str, gateway: Gateway) -> _ObservedGateway:
         settings = parse_settings(wire_settings(self.scenario, 0, self.scenario.fleet.halls[0]))
         if self._ceilings is None:
             self._ceilings = CeilingBudgets(settings.plans, settings.max_units)
@@ -119,11 +119,11 @@
         if isinstance(record, log.Happened):
             self.faults.append((record.t, record.until + FAULT_AFTERMATH_SECONDS, record.kind))
 
-    def woke(self, name: str, now: float) -> None:
+    def on_resumed(self, name: str, now: float) -> None:
         if name in self._models:
             self._models[name][0].on_resume(now)
 
-    def exited(self, name: str, owner: Owner, loop: VirtualLoop) -> None:
+    def on_exited(self, name: str, owner: Owner, loop: VirtualLoop) -> None:
         """Reports requests, timers and tasks that a limiter left behind after an orderly exit."""
         model, gateway = self._models.pop(name)
         if open_counters := {what: count for what, count in open_counts(gateway).items() if count}:
@@ -131,7 +131,7 @@
         if unfinished := model.open_requests():
             self._add_failure("leak", f"{name} ended with {len(unfinished)} requests that had no end")
         timers = Counter(
-            callback_name(handle) for handle in loop.waiting(owner) if not _is_probe_timeout(handle)
+            callback_name(handle) for handle in loop.pending_handles(owner) if not _is_probe_timeout(handle)
         )
         if leaked := {what: n for what, n in timers.items() if what not in HARMLESS_TIMERS}:
             self._add_failure("leak", f"{name} ended with timers left: {leaked}")
@@ -174,8 +174,8 @@
     """Plays the scenario with its own seed and returns every failure found. The result is deterministic."""
     observer, records = _PlayObserver(scenario), list[log.Record]()
     try:
-        records = play_virtual(scenario, scenario.seed, observer=observer, most_turns=MAX_LOOP_TURNS)
-    except (NothingLeftError, StuckError) as error:
+        records = play_virtual(scenario, scenario.seed, observer=observer, max_turns=MAX_LOOP_TURNS)
+    except (DeadlockError, TurnLimitError) as error:
         observer.failures.append(Failure("stuck", str(error)))
     except HarnessError as error:
         observer.failures.append(Failure("kit", str(error)))
--- a/cypresspulley/rehearsal/play.py
+++ b/cypresspulley/rehearsal/play.py
@@ -36,8 +36,8 @@
 from cypresspulley.rehearsal.overlapping_faults import OverlappingFaults, Value
 from cypresspulley.rehearsal.plan import Plan, PlannedFault, draw_plan, random_for, sample_work
 from cypresspulley.rehearsal.scenario import VIRTUAL_ONLY_TRIGGERS, Scenario, limiter_names, server_names
-from cypresspulley.rehearsal.standins.bagserver import BagServer, RepeatMemory
-from cypresspulley.rehearsal.standins.clients import ClientFleet, Front
+from cypresspulley.rehearsal.standins.bagserver import BagServer, KeyedResponseCache
+from cypresspulley.rehearsal.standins.clients import ClientFleet, FrontBalancer
 from cypresspulley.rehearsal.standins.counter_server import CounterServer
 from cypresspulley.rehearsal.standins.discovery import Agent, Host
 from cypresspulley.rehearsal.standins.network import Link
@@ -45,7 +45,7 @@
 from cypresspulley.rehearsal.standins.run_context import KnownRequest, RunContext
 
 if TYPE_CHECKING:
-    from cypresspulley.rehearsal.standins.bookkeeper import Bookkeeper
+    from cypresspulley.rehearsal.standins.plan_book_server import PlanBookServer
     from cypresspulley.rehearsal.together import FleetEnvironment, FleetHarness
 
 SHIPPED_LIMITER = [sys.executable, "-m", "cypresspulley"]
@@ -185,13 +185,13 @@
         self.agents = {name: Agent(self.context, name) for name in limiter_names(scenario)}
         self._agent_at = dict[str, str]()
         self.servers = dict[str, BagServer]()
-        self._memories = dict[tuple[str, int], RepeatMemory]()
+        self._memories = dict[tuple[str, int], KeyedResponseCache]()
         self.limiters = {
             name: make_limiter(name, self.net.host(250, i)) for i, name in enumerate(limiter_names(scenario))
         }
         for each in self.limiters.values():
             each.has_operator_address = scenario.uses_operator_calls
-        self.front = Front(list(self.limiters))
+        self.front = FrontBalancer(list(self.limiters))
         self.clients = ClientFleet(
             self.context, self.front, lambda name: self.limiters[name].address, scenario.clients, classes,
             plan.seed, scenario.seconds, points_per_unit(scenario),
@@ -204,7 +204,7 @@
         self._watched_processes = dict[str, object]()  # by limiter, the process whose exit is awaited
         self.returning = set[str]()  # limiters that are down and will be started again
         self.failed = asyncio.Event()
-        self.books: Bookkeeper | None = None
+        self.books: PlanBookServer | None = None
         if environment is not None:
             from cypresspulley.rehearsal.together import FleetHarness
 
@@ -236,16 +236,16 @@
             self._agent_at[limiter] = self.agents[limiter].listen(self.net.host(252, index))
             agent = self.agents[limiter]
             agent.publish(*(self._host(server, limiter, "ready") for server in self.servers.values()))
-            agent.told, agent.told_seq = dict(agent.hosts), agent.seq
+            agent.delivered, agent.delivered_seq = dict(agent.hosts), agent.seq
 
     async def start_plan_book(self) -> None:
         """Starts the plan book's writer, with an address for each limiter, before any limiter starts."""
         if not self.scenario.uses_plan_book:
             return
-        from cypresspulley.rehearsal.standins.bookkeeper import Bookkeeper
+        from cypresspulley.rehearsal.standins.plan_book_server import PlanBookServer
 
         rng = random_for(self.plan.seed, "books")
-        self.books = Bookkeeper(self.context, self.scenario.plans, min_plan_fraction(self.scenario), rng)
+        self.books = PlanBookServer(self.context, self.scenario.plans, min_plan_fraction(self.scenario), rng)
         for index, limiter in enumerate(self.limiters):
             host = self.net.host(253, index)
             self.books.addresses[limiter] = host, free_port(host)
@@ -281,7 +281,7 @@
             fleet.fall_multiple, fleet.fall_seconds, self.day.mean_work,
         )  # fmt: skip
         server = BagServer(
-            self.context, name, hall, cell, machine, self._memories.setdefault((hall, cell), RepeatMemory()),
+            self.context, name, hall, cell, machine, self._memories.setdefault((hall, cell), KeyedResponseCache()),
             random_for(self.plan.seed, "server", name), fleet.report_ms / 1000, fleet.idle_seconds,
             fleet.connections, fleet.stops_running,
         )  # fmt: skip
@@ -289,14 +289,14 @@
             link = self.net.link(limiter, self.day.limiters[limiter], hall)
             host, port = self.net.host(index, place), 0
             if like is not None:  # the former address of another server
-                host, text = like.dial(limiter).rsplit(":", 1)
+                host, text = like.get_address(limiter).rsplit(":", 1)
                 port = int(text)
-            server.place(link, host, port)
+            server.add_address(link, host, port)
         self.servers[name] = server
         return server
 
     def _host(self, server: BagServer, limiter: str, health: str) -> Host:
-        dial = server.dial(limiter)
+        dial = server.get_address(limiter)
         return Host(server.name, dial, server.hall, server.cell, health, server.born_ms)
 
     def _config(self, limiter: str, known: dict[str, Any]) -> dict[str, Any]:
@@ -329,7 +329,7 @@
         Its configuration has the last (stale) server list, or for ``known`` "gone" one of servers that do not exist.
         """
         limiter, agent = self.limiters[name], self.agents[name]
-        listed = agent.known()
+        listed = agent.delivered_list()
         if known == "gone":
             listed = {"seq": 0, "whole": True, "hosts": [self._dead_host(name, n).row() for n in range(3)]}
         limiter.configure(self._config(name, listed))
@@ -348,7 +348,7 @@
         self._spawn(self._watch_end(limiter))
         await limiter.wait_until_ready()
         self.context.record(log.LimiterState(self.context.now(), name, "ready"))
-        self.front.up(name)
+        self.front.mark_up(name)
 
     def _dead_host(self, limiter: str, number: int) -> Host:
         """Returns a server that no longer exists: nothing listens on its address."""
@@ -371,7 +371,7 @@
 
     def _notice_exit(self, limiter: LimiterProcess) -> None:
         if not limiter.running:
-            self.front.down(limiter.name)
+            self.front.mark_down(limiter.name)
 
     def kill(self, name: str) -> None:
         """Kills a limiter. The record precedes SIGKILL, so that the judge excuses the connections that break."""
@@ -402,9 +402,9 @@
             0.3
         )  # the front stops using the limiter shortly after the announcement of the restart
         if not self.scenario.clients.until_closed:
-            self.front.down(name)
+            self.front.mark_down(name)
         await limiter.wait_or_kill()
-        self.front.down(name)
+        self.front.mark_down(name)
         kill.cancel()
         await asyncio.sleep(back_after)
         await self.start_limiter(name)
@@ -452,11 +452,11 @@
             return
         self.context.record(log.LimiterState(self.context.now(), name, "drained"))
         await asyncio.sleep(0.3)  # the front polls readiness, so it stops using the limiter a little later
-        self.front.down(name)
+        self.front.mark_down(name)
         await asyncio.sleep(lasts)
         if limiter.running and await limiter.call("PUT", "/v1/limiter/activate") == 200:
             self.context.record(log.LimiterState(self.context.now(), name, "activated"))
-            self.front.up(name)
+            self.front.mark_up(name)
 
     async def _server_by_hand(self, name: str, lasts: float) -> None:
         """Bans a server at every limiter, restarts it once its work is done and lifts the ban while it is cold."""
@@ -490,7 +490,7 @@
         self._keeper_at[name] = self.keeper.listen(
             self._keeper_links[name], self.net.host(251, index)
         ).address
-        limiter.configure(self._config(name, agent.known()))
+        limiter.configure(self._config(name, agent.delivered_list()))
         if limiter.running:
             self.context.record(log.LimiterState(self.context.now(), name, "reloaded"))
             limiter.signal(signal.SIGHUP)
@@ -553,7 +553,7 @@
             return
         number, self._next_server = self._next_server, self._next_server + 1
         other = self._add_server(f"bag-{number:02d}", server.hall, server.cell, number, like=server)
-        server.move()
+        server.release_ports()
         for each in (server, other):
             each.start(cold=True)
             self._publish(each, "ready")
@@ -668,7 +668,7 @@
             most = sorted(asked, key=lambda a: (-self._arrivals_by_account[a[0]], a[0]))[: spec.count]
             self._spawn(self.books.reserve(most, lasts, spec.size))
         elif fault.kind == "writer-stop" and self.books is not None:
-            self._spawn(self.books.stop(spec.back_after))
+            self._spawn(self.books.restart(spec.back_after))
         elif fault.kind == "keeper-empty":
             self.keeper.empty()
         elif fault.kind == "keeper-break":
@@ -682,7 +682,7 @@
             share = SERVER_SHARES[fault.kind]
             return spec.size, lambda name, value: setattr(self.servers[name], share, value)
         setters: dict[str, tuple[Value, Callable[[str, Value], None]]] = {
-            "server-hang": (True, lambda name, on: self.servers[name].hang(bool(on))),
+            "server-hang": (True, lambda name, on: self.servers[name].set_hung(bool(on))),
             "server-slow": (late, lambda name, by: setattr(self.servers[name], "slow_by", by)),
             "limiter-pause": (True, lambda name, on: self._pause(name, bool(on))),
             "keeper-spoilt": (spec.size, lambda _, share: setattr(self.keeper, "spoilt_share", share)),
@@ -702,7 +702,7 @@
 
     async def _cut_plan_book(self, name: str, lasts: float) -> None:
         if self.books is not None:
-            await self.books.shut(name)
+            await self.books.disconnect(name)
             await asyncio.sleep(lasts)
             await self.books.open(name)
 
@@ -711,7 +711,7 @@
             if on:
                 agent.silent = True
             else:
-                agent.wake()
+                agent.resume()
 
     def start_abuse(self) -> asyncio.Task[None] | None:
         """Starts the abusive clients, if the scenario has any."""
--- a/tests/rehearsal/test_together.py
+++ b/tests/rehearsal/test_together.py
@@ -45,7 +45,7 @@
     shipped_scenarios,
 )
 from cypresspulley.rehearsal.standins.datagrams import Address, DatagramFault, Relay, routes_between
-from cypresspulley.rehearsal.virtual.datagrams import BUFFER, OVERHEAD
+from cypresspulley.rehearsal.virtual.datagrams import DATAGRAM_OVERHEAD_BYTES, RECEIVE_BUFFER_BYTES
 from cypresspulley.rehearsal.virtual.loop import VirtualLoop, run_virtual
 from cypresspulley.rehearsal.virtual.owner import OWNER, Owner
 from cypresspulley.rehearsal.virtual.play import digest, play_virtual
@@ -312,9 +312,9 @@
             sender.sendto(bytes(1000), ("127.0.0.5", 7))
         await asyncio.sleep(0.01)
         assert len(receiver.received) == 1
-        loop.wake_owner(owner)
+        loop.resume_owner(owner)
         await asyncio.sleep(0.01)
-        assert len(receiver.received) == 1 + BUFFER // (1000 + OVERHEAD)
+        assert len(receiver.received) == 1 + RECEIVE_BUFFER_BYTES // (1000 + DATAGRAM_OVERHEAD_BYTES)
         loop.kill(owner)
         before = len(receiver.received)
         sender.sendto(b"late", ("127.0.0.5", 7))
