--- a/cypresspulley/rehearsal/standins/clients.py
+++ b/cypresspulley/rehearsal/standins/clients.py
@@ -1,4 +1,4 @@
-"""Scripted clients: open-loop arrivals through a front, kept connections, retries of their own."""
+"""Scripted clients: open-loop arrivals through a load balancer, reused connections and client-side retries."""
 
 from __future__ import annotations
 
@@ -16,38 +16,38 @@
 from cypresspulley.rehearsal.scenario import ClassRow, Clients
 from cypresspulley.rehearsal.standins.run_context import KnownRequest, RunContext
 
-DIAL = 0.5  # seconds that a client waits for a connection
-OVERTIME = 0.1  # seconds past its time that a client stays, so that a late answer is seen
-MAX_WAIT = 2.0  # seconds of Retry-After that a client honours at most
-SHIFT = 12.0  # seconds after which an account's requests come through other limiters more than others
-LENGTHS = (24, 240)  # bytes of a body
-MAX_ANSWER = 256 * 1024
+CONNECT_TIMEOUT = 0.5  # seconds that a client waits for a connection
+ANSWER_GRACE = 0.1  # seconds past its timeout that a client still waits, so that a late answer is recorded
+MAX_RETRY_AFTER = 2.0  # longest Retry-After, in seconds, that a client honours
+WEIGHT_PERIOD = 12.0  # seconds after which an account's requests are weighted anew among its limiters
+BODY_LENGTH_RANGE = (24, 240)  # least and most bytes of a request body
+MAX_RESPONSE_BYTES = 256 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """How one sending ended: an HTTP status, or 0 for a connection that broke or was left."""
+    """How one attempt ended: an HTTP status, or 0 if the connection broke or the client abandoned the request."""
 
     status: int
     retry_after: float | None = None
-    broke: bool = False
-    begun: bool = False  # part of an answer had come
+    is_broken: bool = False
+    has_data: bool = False  # part of a response had been received
 
 
 class _Connection(asyncio.Protocol):
-    """One kept connection to a limiter; one request at a time."""
+    """One keep-alive connection to a limiter, which carries one request at a time."""
 
     def __init__(self, context: RunContext, limiter: str) -> None:
         self._context, self._limiter = context, limiter
         self.transport: asyncio.Transport | None = None
         self.uses, self.reusable = 0, True
-        self._id, self._last = "", ""
+        self._id, self._previous_id = "", ""
         self._waiter: asyncio.Future[Outcome] | None = None
         self._reset_answer()
 
     def _reset_answer(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
-        self._body, self._size, self._begun = list[bytes](), 0, False
+        self._body, self._received_size, self._has_data = list[bytes](), 0, False
         self._retry_after: float | None = None
         self._age: float | None = None
 
@@ -57,23 +57,25 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport, self.reusable = None, False
         if self._waiter is not None and not self._waiter.done():
-            self._context.record(log.Broke(self._context.now(), self._id, self._begun))
-            self._finish(Outcome(0, broke=True, begun=self._begun))
+            self._context.record(log.Broke(self._context.now(), self._id, self._has_data))
+            self._finish(Outcome(0, is_broken=True, has_data=self._has_data))
 
     def data_received(self, data: bytes) -> None:
         if self._waiter is None:
-            self._context.record(log.Surplus(self._context.now(), self._limiter, self._last, len(data)))
+            self._context.record(
+                log.Surplus(self._context.now(), self._limiter, self._previous_id, len(data))
+            )
             return self.close()
-        self._begun = True
-        self._size += len(data)
+        self._has_data = True
+        self._received_size += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self.close()
-        if self._size > MAX_ANSWER:
+        if self._received_size > MAX_RESPONSE_BYTES:
             self.close()
 
-    def ask(self, id: str, request: bytes) -> asyncio.Future[Outcome]:
+    def send_request(self, id: str, request: bytes) -> asyncio.Future[Outcome]:
         assert self.transport is not None
         self.uses += 1
         self._id = id
@@ -87,8 +89,8 @@
         if self.transport is not None:
             self.transport.abort()
 
-    def leave(self) -> None:
-        """The client goes away with its request open."""
+    def abandon(self) -> None:
+        """Close the connection with its request open, as a client does that no longer waits."""
         self._waiter = None
         self.close()
 
@@ -110,8 +112,10 @@
         status = self._parser.get_status_code()
         if status < 200:
             return self._reset_answer()
-        if self._waiter is None:  # a second answer in the same bytes
-            self._context.record(log.Surplus(self._context.now(), self._limiter, self._last, self._size))
+        if self._waiter is None:  # a second response to one request
+            self._context.record(
+                log.Surplus(self._context.now(), self._limiter, self._previous_id, self._received_size)
+            )
             return None
         text = b"".join(self._body).decode("latin-1")[:400]
         if self._age is not None:
@@ -120,13 +124,13 @@
         return self._finish(Outcome(status, self._retry_after))
 
     def _finish(self, outcome: Outcome) -> None:
-        waiter, self._waiter, self._last = self._waiter, None, self._id
+        waiter, self._waiter, self._previous_id = self._waiter, None, self._id
         if waiter is not None and not waiter.done():
             waiter.set_result(outcome)
 
 
 class FrontBalancer:
-    """Which limiters clients are sent to: in from the first good answer on, out some time after a death."""
+    """Chooses the limiter for each attempt. The director marks limiters up once they answer and down after they die."""
 
     def __init__(self, limiters: list[str]) -> None:
         self._limiters, self._up = limiters, set[str]()
@@ -142,14 +146,14 @@
         return self._up
 
     def choose(self, seed: int, arrival: Arrival, now: float, attempt: int) -> str:
-        """A member of the account's set, unevenly, the uneven shares changing every ``SHIFT`` seconds."""
+        """Choose a limiter of the account's set at random, by weights that change every ``WEIGHT_PERIOD`` seconds."""
         count = len(self._limiters)
         members = [self._limiters[(arrival.first + k) % count] for k in range(arrival.spread)]
-        shares = random_for(seed, "shares", arrival.account, int(max(0.0, now) / SHIFT))
+        shares = random_for(seed, "shares", arrival.account, int(max(0.0, now) / WEIGHT_PERIOD))
         weights = {name: 0.15 + shares.random() ** 2 for name in members}
-        there = [name for name in members if name in self._up] or members
+        available = [name for name in members if name in self._up] or members
         rng = random_for(seed, "front", arrival.number, attempt)
-        return rng.choices(there, [weights[name] for name in there])[0]
+        return rng.choices(available, [weights[name] for name in available])[0]
 
 
 class Dialer(Protocol):
@@ -157,7 +161,7 @@
 
 
 class ClientFleet:
-    """All clients of the day; ``play`` sends each arrival at its time, whatever answers do."""
+    """All clients of the run; ``play`` sends each arrival at its time, whether or not earlier ones were answered."""
 
     def __init__(
         self, context: RunContext, front: FrontBalancer, address: Dialer, options: Clients,
@@ -166,22 +170,21 @@
         self._context, self.front, self._address = context, front, address
         self._options, self._classes = options, classes
         self._seed, self._seconds = seed, seconds
-        self._points_per_unit = points_per_unit  # of GraphQL requests; 0: plain ones
+        self._points_per_unit = points_per_unit  # of GraphQL requests; 0 for plain ones
         self._idle = defaultdict[str, list[_Connection]](list)
         self._open = set[asyncio.Task[None]]()
-        self.lateness = list[float]()  # seconds by which each arrival was sent late
+        self.lateness = list[float]()  # seconds by which each arrival was sent after its time
 
     @property
     def open(self) -> int:
         return len(self._open)
 
     def prepare(self, arrivals: tuple[Arrival, ...]) -> None:
-        """Make what GraphQL clients will ask and get before the day: executing it on the way made the kit late."""
+        """Build the GraphQL requests and their answers before the run: executing queries during it delayed arrivals."""
         if not self._points_per_unit:
             return
-        from cypresspulley.rehearsal.standins.graphql import (
-            build_request,  # an extra that plain days do not need
-        )
+        # Imported here because plain scenarios do not need the graphql extra.
+        from cypresspulley.rehearsal.standins.graphql import build_request
 
         for arrival in arrivals:
             build_request(self._seed, arrival, self._classes[arrival.cls].effect == "unsafe")
@@ -198,7 +201,7 @@
             task.add_done_callback(self._open.discard)
 
     async def finish(self, within: float) -> int:
-        """Wait for the requests that are open; gives how many still were and were left."""
+        """Wait up to ``within`` seconds for open requests; cancels the rest and returns their number."""
         if self._open:
             await asyncio.wait(self._open, timeout=within)
         left = list(self._open)
@@ -212,82 +215,87 @@
         return len(left)
 
     async def _request(self, arrival: Arrival) -> None:
-        """All tries of one request."""
-        cls, asked = self._classes[arrival.cls], self._context.now()
+        """Send one request, with all its retries."""
+        cls, started_at = self._classes[arrival.cls], self._context.now()
         first = request_id(self._seed, arrival.number if arrival.repeats < 0 else arrival.repeats, 0)
-        for own in range(self._options.retries + 1):
-            attempt = arrival.attempt + own
+        for try_number in range(self._options.retries + 1):
+            attempt = arrival.attempt + try_number
             rng = random_for(self._seed, "client", arrival.number, attempt)
-            id = request_id(self._seed, arrival.number, own)
+            id = request_id(self._seed, arrival.number, try_number)
             limiter = self.front.choose(self._seed, arrival, self._context.now(), attempt)
             share, impatient = rng.uniform(*self._options.try_share), rng.random()
-            leave = rng.uniform(0.1, 0.9) if impatient < self._options.impatient else None
-            outcome = await self._try(arrival, cls, limiter, id, first, attempt, share, leave)
-            pause, honours = self._pause(own, rng.random()), rng.random() < self._options.honour
-            if outcome.status == 200 or leave is not None or not self._may_repeat(cls, outcome):
+            abandon_share = rng.uniform(0.1, 0.9) if impatient < self._options.impatient else None
+            outcome = await self._try(arrival, cls, limiter, id, first, attempt, share, abandon_share)
+            backoff, honors_retry_after = (
+                self._draw_backoff(try_number, rng.random()),
+                rng.random() < self._options.honour,
+            )
+            if outcome.status == 200 or abandon_share is not None or not self._may_repeat(cls, outcome):
                 return
-            if outcome.retry_after is not None and honours:
-                pause = max(pause, min(MAX_WAIT, outcome.retry_after))
-            if self._context.now() + pause - asked > cls.deadline_ms / 1000:
+            if outcome.retry_after is not None and honors_retry_after:
+                backoff = max(backoff, min(MAX_RETRY_AFTER, outcome.retry_after))
+            if self._context.now() + backoff - started_at > cls.deadline_ms / 1000:
                 return
-            await asyncio.sleep(pause)
+            await asyncio.sleep(backoff)
 
-    def _pause(self, attempt: int, draw: float) -> float:
+    def _draw_backoff(self, attempt: int, draw: float) -> float:
         base = self._options.backoff_ms / 1000 * (0.5 + draw)
         return {"none": 0.0, "fixed": base, "exp": base * float(2**attempt)}[self._options.backoff]
 
     def _may_repeat(self, cls: ClassRow, outcome: Outcome) -> bool:
-        """A refusal is harmless to repeat; a broken connection the client repeats at its own risk."""
-        if outcome.status in (429, 503) or outcome.broke:
+        """True if the client may retry. A refusal had no effect; a broken connection may have had one."""
+        if outcome.status in (429, 503) or outcome.is_broken:
             return True
         return cls.effect == "safe" or (cls.effect == "keyed" and cls.group == "all")
 
     async def _try(
         self, arrival: Arrival, cls: ClassRow, limiter: str, id: str, first: str, attempt: int,
-        share: float, leave: float | None,
+        share: float, abandon_share: float | None,
     ) -> Outcome:  # fmt: skip
         ttl = max(1, int(cls.deadline_ms * share))
         head, known = self._request_bytes(arrival, cls, id, attempt, ttl)
         for again in (False, True):
-            connection = None if again else self._take(limiter)
-            connection = connection or await self._dial(limiter)
+            connection = None if again else self._take_idle(limiter)
+            connection = connection or await self._connect(limiter)
             if connection is None:
                 self._context.record(log.Unreached(self._context.now(), id, first, limiter))
-                return Outcome(0, broke=True)
-            kept = connection.uses > 0
+                return Outcome(0, is_broken=True)
+            is_reused = connection.uses > 0
             self._context.sent(known)
             self._context.record(
                 log.Sent(
                     self._context.now(), id, first, attempt, limiter, arrival.account, arrival.plan, cls.name,
-                    known.units if self._points_per_unit else arrival.units, ttl / 1000, not kept,
+                    known.units if self._points_per_unit else arrival.units, ttl / 1000, not is_reused,
                 )
             )  # fmt: skip
-            outcome = await self._wait(connection, id, head, ttl / 1000, leave)
+            outcome = await self._await_outcome(connection, id, head, ttl / 1000, abandon_share)
             if connection.reusable and connection.transport is not None:
                 self._idle[limiter].append(connection)
-            # A kept connection may have been closed just then, with the request unread: it goes once more on a
-            # new one. What the limiter had read and sent on before it closed is the judge's matter.
-            if not (outcome.broke and kept and not outcome.begun):
+            # The limiter may have closed a reused connection before it read the request: the client sends it
+            # once more on a new one. The judge checks whether the limiter had forwarded it before it closed.
+            if not (outcome.is_broken and is_reused and not outcome.has_data):
                 return outcome
         return outcome
 
-    async def _wait(
-        self, connection: _Connection, id: str, request: bytes, ttl: float, leave: float | None
+    async def _await_outcome(
+        self, connection: _Connection, id: str, request: bytes, ttl: float, abandon_share: float | None
     ) -> Outcome:
-        waiter = connection.ask(id, request)
-        limit = ttl * leave if leave is not None else ttl + OVERTIME
+        waiter = connection.send_request(id, request)
+        limit = ttl * abandon_share if abandon_share is not None else ttl + ANSWER_GRACE
         try:
             done, _ = await asyncio.wait((waiter,), timeout=limit)
         except asyncio.CancelledError:
-            connection.leave()
+            connection.abandon()
             raise
         if done:
             return waiter.result()
-        self._context.record(log.Left(self._context.now(), id, "over" if leave is None else "impatient"))
-        connection.leave()
+        self._context.record(
+            log.Left(self._context.now(), id, "over" if abandon_share is None else "impatient")
+        )
+        connection.abandon()
         return Outcome(0)
 
-    def _take(self, limiter: str) -> _Connection | None:
+    def _take_idle(self, limiter: str) -> _Connection | None:
         idle = self._idle[limiter]
         while idle:
             connection = idle.pop()
@@ -299,16 +307,16 @@
                 return connection
         return None
 
-    async def _dial(self, limiter: str) -> _Connection | None:
+    async def _connect(self, limiter: str) -> _Connection | None:
         connection = _Connection(self._context, limiter)
         try:
-            async with asyncio.timeout(DIAL):
+            async with asyncio.timeout(CONNECT_TIMEOUT):
                 await asyncio.get_running_loop().create_connection(
                     lambda: connection, *self._address(limiter)
                 )
         except (OSError, TimeoutError) as error:
             if isinstance(error, OSError) and error.errno in (errno.EMFILE, errno.ENFILE):
-                self._context.no_descriptors()  # else it would pass for a limiter that refuses
+                self._context.no_descriptors()  # without this it would count as a limiter that refuses connections
             connection.close()
             return None
         return connection if connection.transport is not None else None
@@ -334,34 +342,33 @@
     def _graphql_bytes(
         self, arrival: Arrival, cls: ClassRow, id: str, attempt: int, ttl: int
     ) -> tuple[bytes, KnownRequest]:
-        from cypresspulley.rehearsal.standins.graphql import (
-            build_request,  # an extra that plain days do not need
-        )
+        # Imported here because plain scenarios do not need the graphql extra.
+        from cypresspulley.rehearsal.standins.graphql import build_request
 
-        asked = build_request(self._seed, arrival, cls.effect == "unsafe")
+        request = build_request(self._seed, arrival, cls.effect == "unsafe")
         target = f"/graphql?account={arrival.account}"
         head = (
             f"POST {target} HTTP/1.1\r\nHost: bags.internal\r\nX-Request-ID: {id}\r\nX-Plan: {arrival.plan}\r\n"
             f"X-Timeout-Ms: {ttl}\r\nX-Quota: units=1,spread={arrival.spread},first={arrival.first}\r\n"
             "Content-Type: application/json\r\nAccept: application/graphql-response+json\r\n"
-            f"Content-Length: {len(asked.body)}\r\n"
+            f"Content-Length: {len(request.body)}\r\n"
         )
         head += "X-Retried: 1\r\n" if attempt else ""
-        units = max(asked.points, 1.0) / self._points_per_unit
+        units = max(request.points, 1.0) / self._points_per_unit
         known = KnownRequest(
             id,
             "POST",
             target,
-            asked.body,
+            request.body,
             cls.name,
             cls.effect,
             cls.window,
             units,
-            asked.answer,
-            asked.points,
+            request.answer,
+            request.points,
         )
-        return f"{head}\r\n".encode() + asked.body, known
+        return f"{head}\r\n".encode() + request.body, known
 
     def _body(self, arrival: Arrival) -> bytes:
         rng = random_for(self._seed, "body", arrival.number)
-        return rng.randbytes(rng.randint(*LENGTHS)).hex().encode()
+        return rng.randbytes(rng.randint(*BODY_LENGTH_RANGE)).hex().encode()
--- a/cypresspulley/rehearsal/standins/discovery.py
+++ b/cypresspulley/rehearsal/standins/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery's agent on a limiter's machine: the list of servers and the watch on it."""
+"""A simulated discovery agent on a limiter's machine, which serves the list of servers and watches on it."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from cypresspulley.rehearsal.standins.network import Link, LinkedProtocol, Listening, listen
 from cypresspulley.rehearsal.standins.run_context import RunContext
 
-EMPTY_LINE = 2.0  # seconds between two signs of life of a watch
-MAX_HEAD = 16 * 1024
-KEPT = 1000  # changes that a watch may go on from; from an older version it gets the whole list
+HEARTBEAT_INTERVAL = 2.0  # seconds between two heartbeats (empty lines) of a watch
+MAX_HEAD_BYTES = 16 * 1024
+MAX_CHANGES = 1000  # changes from which a watch can resume; one from an older version gets the whole list
 
 
 @dataclass(frozen=True, slots=True)
 class Host:
-    """One server as discovery lists it; ``dial`` is this limiter's way to it."""
+    """One server as discovery lists it; ``dial`` is the address at which this limiter reaches it."""
 
     host: str
     dial: str
@@ -45,66 +45,66 @@
         self._buffer += data
         while (end := self._buffer.find(b"\r\n\r\n")) >= 0:
             head, self._buffer = self._buffer[:end], self._buffer[end + 4 :]
-            self._agent.asked(self, head.split(b"\r\n")[0].decode("latin-1"))
-        if len(self._buffer) > MAX_HEAD:
+            self._agent.handle_request(self, head.split(b"\r\n")[0].decode("latin-1"))
+        if len(self._buffer) > MAX_HEAD_BYTES:
             self.close()
 
     def ended(self) -> None:
         self._agent.watchers.pop(self, None)
 
-    def chunk(self, line: bytes) -> None:
+    def send_chunk(self, line: bytes) -> None:
         self.send(b"%x\r\n%b\r\n" % (len(line), line))
 
 
 class Agent:
-    """What one limiter is told. ``publish`` is discovery's; a silent agent tells nothing until it is not."""
+    """The agent of one limiter. ``publish`` takes changes from discovery; a silent agent withholds them."""
 
     def __init__(self, context: RunContext, limiter: str) -> None:
         self.context, self.limiter = context, limiter
         self.seq = 1
         self.hosts = dict[str, Host]()
-        self.delivered = dict[str, Host]()  # what the limiter was told last: what it comes back with
+        self.delivered = dict[str, Host]()  # as last sent to the limiter, which restarts with this list
         self.delivered_seq = 0
         self._changes = list[tuple[int, Host]]()
         self.watchers = dict[_Connection, None]()
-        self._held = list[tuple[Host, ...]]()
+        self._withheld = list[tuple[Host, ...]]()
         self._listener: Listening | None = None
-        self._beat: asyncio.TimerHandle | None = None
+        self._heartbeat_timer: asyncio.TimerHandle | None = None
         self.silent = False
 
     def __repr__(self) -> str:
         return f"<Agent {self.limiter} seq {self.seq}, {len(self.hosts)} hosts{' silent' * self.silent}>"
 
     def listen(self, host: str) -> str:
-        """Listen at a new address; the one before takes nobody new and ends its watches after 1.5 s."""
-        old, leaving = self._listener, list(self.watchers)
+        """Listen at a new address and return it. The old one accepts no connections; its watches end after 1.5 s."""
+        old_listener, old_watchers = self._listener, list(self.watchers)
         link = Link(self.limiter)
         self._listener = listen(host, link, lambda of: _Connection(self, of))
-        if old is not None:
-            old.close()
+        if old_listener is not None:
+            old_listener.close()
             loop = asyncio.get_running_loop()
-            for watcher in leaving:
+            for watcher in old_watchers:
                 loop.call_later(1.5, watcher.close)
-        if self._beat is None:
-            self._empty_line()
+        if self._heartbeat_timer is None:
+            self._send_heartbeats()
         return self._listener.address
 
     def close(self) -> None:
-        if self._beat is not None:
-            self._beat.cancel()
+        if self._heartbeat_timer is not None:
+            self._heartbeat_timer.cancel()
         if self._listener is not None:
             self._listener.close()
         for watcher in list(self.watchers):
             watcher.close()
 
     def delivered_list(self) -> dict[str, Any]:
-        """The list as the limiter had it last, in discovery's form."""
+        """The list as last sent to the limiter, in the form of the protocol."""
         return {"seq": self.delivered_seq, "whole": True, "hosts": [h.row() for h in self.delivered.values()]}
 
     def publish(self, *hosts: Host) -> None:
-        """Discovery sends the agent changed entries; ``gone`` ones are told once and forgotten."""
+        """Accept changed entries from discovery and send them on; ``gone`` ones are sent once and then removed."""
         if self.silent:
-            self._held.append(hosts)
+            self._withheld.append(hosts)
             return
         self.seq += 1
         for host in hosts:
@@ -113,30 +113,30 @@
             else:
                 self.hosts[host.host] = host
             self._changes.append((self.seq, host))
-        del self._changes[:-KEPT]
-        self._note(False, False, hosts)
+        del self._changes[:-MAX_CHANGES]
+        self._record_listing(False, False, hosts)
         for watcher in list(self.watchers):
-            self._tell(watcher, False, hosts)
+            self._send_update(watcher, False, hosts)
 
     def resume(self) -> None:
-        """The silence is over: what discovery had to tell comes now."""
+        """End the silence and publish what was withheld meanwhile."""
         self.silent = False
-        held, self._held = self._held, []
-        for hosts in held:
+        withheld, self._withheld = self._withheld, []
+        for hosts in withheld:
             self.publish(*hosts)
 
-    def _note(self, told: bool, whole: bool, hosts: tuple[Host, ...]) -> None:
+    def _record_listing(self, told: bool, whole: bool, hosts: tuple[Host, ...]) -> None:
         rows = {h.host: (h.health, h.born_ms / 1000 - self.context.unix_ms(0) / 1000) for h in hosts}
         rows = {name: (health, -1e9 if born < -1e8 else born) for name, (health, born) in rows.items()}
         self.context.record(log.Listed(self.context.now(), self.limiter, told, whole, rows))
 
-    def _tell(self, watcher: _Connection, whole: bool, hosts: tuple[Host, ...]) -> None:
+    def _send_update(self, watcher: _Connection, whole: bool, hosts: tuple[Host, ...]) -> None:
         message = {"seq": self.seq, "whole": whole, "hosts": [host.row() for host in hosts]}
-        watcher.chunk(json.dumps(message, separators=(",", ":")).encode() + b"\n")
+        watcher.send_chunk(json.dumps(message, separators=(",", ":")).encode() + b"\n")
         self.record_delivery(whole, hosts)
 
     def record_delivery(self, whole: bool, hosts: tuple[Host, ...]) -> None:
-        """The limiter has been told, by the watch or by its configuration."""
+        """Record that the limiter was sent these hosts."""
         self.delivered_seq = self.seq
         if whole:
             self.delivered = {}
@@ -145,15 +145,15 @@
                 self.delivered.pop(host.host, None)
             else:
                 self.delivered[host.host] = replace(host)
-        self._note(True, whole, hosts)
+        self._record_listing(True, whole, hosts)
 
-    def asked(self, connection: _Connection, line: str) -> None:
+    def handle_request(self, connection: _Connection, line: str) -> None:
         method, _, rest = line.partition(" ")
         path, _, query = rest.partition(" ")[0].partition("?")
         if method != "GET" or path != "/v1/servers":
             return connection.send(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
         if self.silent:
-            return None  # down: it says nothing
+            return None  # a silent agent sends no response
         options = dict(part.partition("=")[::2] for part in query.split("&"))
         whole = tuple(self.hosts.values())
         if options.get("follow") != "1":
@@ -166,11 +166,13 @@
         oldest = self._changes[0][0] if self._changes else self.seq + 1
         if since.isdigit() and oldest - 1 <= int(since) <= self.seq:
             changed = tuple(host for seq, host in self._changes if seq > int(since))
-            return self._tell(connection, False, changed) if changed else None
-        return self._tell(connection, True, whole)
+            return self._send_update(connection, False, changed) if changed else None
+        return self._send_update(connection, True, whole)
 
-    def _empty_line(self) -> None:
-        self._beat = asyncio.get_running_loop().call_later(EMPTY_LINE, self._empty_line)
+    def _send_heartbeats(self) -> None:
+        self._heartbeat_timer = asyncio.get_running_loop().call_later(
+            HEARTBEAT_INTERVAL, self._send_heartbeats
+        )
         if not self.silent:
             for watcher in list(self.watchers):
-                watcher.chunk(b"\n")
+                watcher.send_chunk(b"\n")
--- a/cypresspulley/rehearsal/standins/plan_book_server.py
+++ b/cypresspulley/rehearsal/standins/plan_book_server.py
@@ -1,4 +1,4 @@
-"""A day's plan book: the shipped writer, at an address for each limiter, with changes drawn from the day's seed."""
+"""Serves the plan book of a run: the production writer at one address per limiter, with changes drawn from the seed."""
 
 from __future__ import annotations
 
@@ -17,40 +17,42 @@
 from cypresspulley.rehearsal.standins.run_context import RunContext
 
 INSTALLATION, TOKEN = "rehearsal", "rehearsal"
-LOWER = "-low"  # behind a plan's name: the one that its accounts are moved to and back from
+LOWER_PLAN_SUFFIX = "-low"  # of the name of the lower plan to which accounts of a plan are moved for a time
 
 
-def terms_of(plan: PlanRow, part: float = 1.0) -> Terms:
-    """A plan's terms, or a part of them; a ceiling never stands under its quota."""
-    ceiling = plan.ceiling * part
+def terms_of(plan: PlanRow, share: float = 1.0) -> Terms:
+    """The terms of a plan, scaled by ``share``; a ceiling scales with its quota and never falls below it."""
+    ceiling = plan.ceiling * share
     return Terms(
-        plan.rate * part, plan.burst * part, plan.rate * ceiling, plan.burst * ceiling, plan.price, plan.open_limit
+        plan.rate * share, plan.burst * share, plan.rate * ceiling, plan.burst * ceiling, plan.price, plan.open_limit
     )  # fmt: skip
 
 
 class PlanBookServer:
-    """``part`` is the lower plan's part of a plan with a ceiling."""
+    """Runs the plan writer. ``share`` is what a lower plan grants of the plan with a ceiling that it belongs to."""
 
-    def __init__(self, context: RunContext, plans: tuple[PlanRow, ...], part: float, rng: Random) -> None:
+    def __init__(self, context: RunContext, plans: tuple[PlanRow, ...], share: float, rng: Random) -> None:
         self._context, self._rng, self._folder = context, rng, MemoryFolder()
         self._plans = {plan.name: plan for plan in plans}
         self._ceilings = {plan.name: plan for plan in plans if plan.ceiling > 0}
-        self._part, self._low = part, set[str]()  # accounts that are on the lower plan
-        self.addresses = dict[str, tuple[str, int]]()  # of a limiter's way to the writer
+        self._lower_share, self._on_lower_plan = share, set[str]()
+        self.addresses = dict[str, tuple[str, int]]()  # at which each limiter reaches the writer
         self._publishers = dict[str, Publisher]()
-        os.environ["FAWNSEAM_PLANS_TOKEN"] = TOKEN  # limiters of this process and its children read it there
+        os.environ["FAWNSEAM_PLANS_TOKEN"] = TOKEN  # read by limiters in this process and its children
         self.plan_writer = PlanWriter(Store(self._folder), INSTALLATION)
         now = context.unix_ms()
         for plan in plans:
             self.plan_writer.set_terms(plan.name, terms_of(plan), now, now, "rehearsal")
             if plan.ceiling > 0:
-                self.plan_writer.set_terms(plan.name + LOWER, terms_of(plan, part), now, now, "rehearsal")
+                self.plan_writer.set_terms(
+                    plan.name + LOWER_PLAN_SUFFIX, terms_of(plan, share), now, now, "rehearsal"
+                )
 
     def __repr__(self) -> str:
-        return f"<PlanBookServer {self.plan_writer!r}, {len(self._publishers)} ways open>"
+        return f"<PlanBookServer {self.plan_writer!r}, {len(self._publishers)} addresses open>"
 
     async def open(self, limiter: str) -> None:
-        """Let a limiter reach the writer, at the same address as before."""
+        """Let a limiter reach the writer, at the same address as before a ``disconnect``."""
         if limiter in self._publishers:
             return
         clock = self._context.unix_ms
@@ -58,67 +60,73 @@
         self.addresses[limiter] = await publisher.listen(*self.addresses[limiter])
 
     async def disconnect(self, limiter: str) -> None:
-        """Its connection ends, and new ones are refused."""
+        """Close the connection of a limiter and refuse new ones."""
         if (publisher := self._publishers.pop(limiter, None)) is not None:
             await publisher.close()
 
     async def restart(self, back_after: float) -> None:
-        """The writer dies, and another starts from what was stored: a new epoch."""
-        ways = list(self._publishers)
-        for limiter in ways:
+        """Stop the writer; ``back_after`` seconds later another starts from the stored state, in a new epoch."""
+        limiters = list(self._publishers)
+        for limiter in limiters:
             await self.disconnect(limiter)
         await asyncio.sleep(back_after)
         self.plan_writer = PlanWriter(Store(self._folder), INSTALLATION)
-        for limiter in ways:
+        for limiter in limiters:
             await self.open(limiter)
 
-    async def churn(self, accounts: list[tuple[str, str]], until: float, every: float, ahead: float) -> None:
-        """Move accounts (with their plans) down and up again, one each ``every`` seconds."""
+    async def churn(
+        self, accounts: list[tuple[str, str]], until: float, interval: float, ahead: float
+    ) -> None:
+        """Move accounts to their lower plan and back, one every ``interval`` seconds."""
         chosen = [(account, plan) for account, plan in accounts if plan in self._ceilings]
         while chosen and self._context.now() < until:
-            self._move(*self._rng.choice(chosen), ahead)
-            await asyncio.sleep(every)
+            self._move_account(*self._rng.choice(chosen), ahead)
+            await asyncio.sleep(interval)
 
-    async def reserve(self, accounts: list[tuple[str, str]], lasts: float, part: float) -> None:
-        """Set allowance aside for accounts, a part of what their plans give meanwhile, and release it half way."""
+    async def reserve(self, accounts: list[tuple[str, str]], duration: float, share: float) -> None:
+        """Reserve a share of what the plans grant within ``duration`` seconds; release the reservations half way."""
         now, keys = self._context.unix_ms(), list[str]()
         for account, plan in accounts:
-            units = round(part * self._plans[plan].rate * lasts * MICRO_PER_UNIT)
-            wish = ReservationRequest(
-                f"ev-{account}", account, now + 300, now + round(lasts * 1000), units, "rehearsal"
+            units = round(share * self._plans[plan].rate * duration * MICRO_PER_UNIT)
+            request = ReservationRequest(
+                f"ev-{account}", account, now + 300, now + round(duration * 1000), units, "rehearsal"
             )
             if self.plan_writer.book.assignment_at(account, now) is None:
                 self.plan_writer.assign_plan(account, plan, now, now, "rehearsal")
             keys += (
-                [wish.key] if self.plan_writer.reserve(wish, now, 1e6).state is ReservationState.HELD else []
+                [request.key]
+                if self.plan_writer.reserve(request, now, 1e6).state is ReservationState.HELD
+                else []
             )
-        self._changed()
-        await asyncio.sleep(lasts / 2)
+        self._notify_followers()
+        await asyncio.sleep(duration / 2)
         self.plan_writer.tick(self._context.unix_ms())
         for key in keys:
             self.plan_writer.release(key, self._context.unix_ms())
-        self._changed()
+        self._notify_followers()
 
-    def _changed(self) -> None:
+    def _notify_followers(self) -> None:
         for publisher in self._publishers.values():
             publisher.notify_followers()
 
-    def _move(self, account: str, plan: str, ahead: float) -> None:
-        down = account not in self._low
-        row, part = self._ceilings[plan], self._part if down else 1.0
+    def _move_account(self, account: str, plan: str, ahead: float) -> None:
+        down = account not in self._on_lower_plan
+        row, share = self._ceilings[plan], self._lower_share if down else 1.0
         now = self._context.unix_ms()
         effective = now + round(ahead * 1000) + 1
         if any(one.effective == effective for one in self.plan_writer.book.accounts.get(account, ())):
             return
         try:
-            self.plan_writer.assign_plan(account, plan + LOWER * down, effective, now, "rehearsal", "churn")
+            self.plan_writer.assign_plan(
+                account, plan + LOWER_PLAN_SUFFIX * down, effective, now, "rehearsal", "churn"
+            )
         except BookError:
-            return  # it has a reservation then
-        (self._low.add if down else self._low.discard)(account)
-        terms = terms_of(row, part)
+            return  # the account has a reservation at that time
+        (self._on_lower_plan.add if down else self._on_lower_plan.discard)(account)
+        terms = terms_of(row, share)
         at = effective / 1000 - self._context.unix_ms(0) / 1000
         self._context.record(PlanMoved(at, account, plan, terms.ceiling_rate, terms.ceiling_burst, ahead))
-        self._changed()
+        self._notify_followers()
 
     async def close(self) -> None:
         for limiter in list(self._publishers):
