--- a/tests/test_bad_lists.py
+++ b/tests/test_bad_lists.py
@@ -77,7 +77,7 @@
                     while not agent.watchers:
                         await asyncio.sleep(0.005)
                     for watcher in list(agent.watchers):
-                        watcher.chunk(text.encode() + b"\n")
+                        watcher.send_chunk(text.encode() + b"\n")
                     assert await fetch_status(program) == 200
                 agent.publish(Host("s1", dial, "a", 0, "gone"))
                 await wait_for_status(program, 429)  # the next message is applied
