--- a/cypresspulley/rehearsal/standins/engine.py
+++ b/cypresspulley/rehearsal/standins/engine.py
@@ -40,10 +40,10 @@
         self.scripts = dict[str, str]()
         self.loading = self.out_of_memory = self.replica = self.silent = self.garbled = False
         self.delay, self.drop, self.drops_left = 0.0, "", 0
-        self.owns: set[int] | None = None  # None: no cluster
-        self.moved, self.asking = dict[int, tuple[str, int]](), dict[int, tuple[str, int]]()
-        self.taking = set[int]()  # slots on their way here: only after ASKING
-        self.layout: list[tuple[int, int, str, int]] = []  # what CLUSTER SLOTS tells
+        self.owned_slots: set[int] | None = None  # None: no cluster
+        self.moved_slots, self.migrating_slots = dict[int, tuple[str, int]](), dict[int, tuple[str, int]]()
+        self.importing_slots = set[int]()  # slots on their way here: only after ASKING
+        self.slot_ranges: list[tuple[int, int, str, int]] = []  # what CLUSTER SLOTS tells
         self.calls = 0
         self._server: asyncio.Server | None = None
         self._writers = set[asyncio.StreamWriter]()
@@ -68,7 +68,7 @@
         value, until = self.values.get(key, (0.0, None))
         return 0.0 if until is not None and until <= self._clock() else value
 
-    def take_over(self, primary: EngineNode, lost: int) -> None:
+    def promote(self, primary: EngineNode, lost: int) -> None:
         """Failover: this replica becomes the primary, without the last ``lost`` additions."""
         self.replica, self.values = False, {}
         for key, amount in primary.history[: len(primary.history) - lost]:
@@ -117,12 +117,16 @@
         if self.loading:
             raise RespError("LOADING the data set is being read")
         slot = key_slot(key.encode())
-        if self.owns is not None and slot not in self.owns and not (asked and slot in self.taking):
-            if slot not in self.moved:
+        if (
+            self.owned_slots is not None
+            and slot not in self.owned_slots
+            and not (asked and slot in self.importing_slots)
+        ):
+            if slot not in self.moved_slots:
                 raise RespError("CLUSTERDOWN nobody serves this slot")
-            raise RespError("MOVED {} {}:{}".format(slot, *self.moved[slot]))
-        if slot in self.asking and key not in self.values:
-            raise RespError("ASK {} {}:{}".format(slot, *self.asking[slot]))
+            raise RespError("MOVED {} {}:{}".format(slot, *self.moved_slots[slot]))
+        if slot in self.migrating_slots and key not in self.values:
+            raise RespError("ASK {} {}:{}".format(slot, *self.migrating_slots[slot]))
         if self.replica:
             raise RespError("READONLY writes go to the primary")
         if self.out_of_memory:
@@ -158,7 +162,7 @@
         if name in ("EVAL", "EVALSHA"):
             return self._script(name, words[1:], asked)
         if name == "CLUSTER" and len(words) > 1 and words[1].upper() == "SLOTS":
-            return [[low, high, [host, port, "node"]] for low, high, host, port in self._node.layout]
+            return [[low, high, [host, port, "node"]] for low, high, host, port in self._node.slot_ranges]
         if name == "PING":
             return "PONG"
         if name in ("CLIENT", "SELECT", "ASKING", "AUTH", "READONLY"):
--- a/tests/keeper/test_engine.py
+++ b/tests/keeper/test_engine.py
@@ -147,7 +147,7 @@
         old, new = nodes
         new.replica = True
         totals = [(await caller.add())[1] for _ in range(5)]
-        new.take_over(old, lost=3)
+        new.promote(old, lost=3)
         old.replica = True
         assert (await caller.add())[0] is Status.UNREACHABLE  # READONLY: nothing was added
         assert totals == [1.0, 2.0, 3.0, 4.0, 5.0] and await caller.add() == (Status.OK, 3.0)
@@ -181,10 +181,10 @@
     half = SLOTS // 2
     rows = [(0, half - 1, "127.0.0.1", nodes[0].port), (half, SLOTS - 1, "127.0.0.1", nodes[1].port)]
     for n, node in enumerate(nodes):
-        node.layout = rows
-        node.owns = set(range(half * n, half * (n + 1)))
+        node.slot_ranges = rows
+        node.owned_slots = set(range(half * n, half * (n + 1)))
         other = nodes[1 - n]
-        node.moved = dict.fromkeys(set(range(SLOTS)) - node.owns, ("127.0.0.1", other.port))
+        node.moved_slots = dict.fromkeys(set(range(SLOTS)) - node.owned_slots, ("127.0.0.1", other.port))
 
 
 def slot_of(name: int) -> int:
@@ -198,7 +198,9 @@
             assert await caller.add(name) == (Status.OK, 1.0)
         assert all(len(node.values) > 5 for node in nodes)
         for node in nodes:
-            assert node.owns is not None and all(key_slot(key.encode()) in node.owns for key in node.values)
+            assert node.owned_slots is not None and all(
+                key_slot(key.encode()) in node.owned_slots for key in node.values
+            )
 
     run_with_engines(scenario, count=2, query="?cluster=1")
 
@@ -209,10 +211,10 @@
         name = next(n for n in range(100) if slot_of(n) < SLOTS // 2)
         await caller.add(name)
         slot, (here, there) = slot_of(name), nodes
-        assert here.owns is not None and there.owns is not None
-        here.owns.discard(slot)
-        here.moved[slot] = ("127.0.0.1", there.port)
-        there.owns.add(slot)
+        assert here.owned_slots is not None and there.owned_slots is not None
+        here.owned_slots.discard(slot)
+        here.moved_slots[slot] = ("127.0.0.1", there.port)
+        there.owned_slots.add(slot)
         assert await caller.add(name) == (Status.OK, 1.0)  # the value was not migrated
         before = here.calls
         assert await caller.add(name) == (Status.OK, 2.0) and here.calls == before
@@ -225,8 +227,8 @@
         form_cluster(nodes)
         name = next(n for n in range(100) if slot_of(n) < SLOTS // 2)
         slot, (here, there) = slot_of(name), nodes
-        here.asking[slot] = ("127.0.0.1", there.port)
-        there.taking.add(slot)
+        here.migrating_slots[slot] = ("127.0.0.1", there.port)
+        there.importing_slots.add(slot)
         assert await caller.add(name) == (Status.OK, 1.0)
         assert there.total(f"fawnseam:{{{name}}}") == 1.0 and here.calls >= 1
         calls = here.calls
@@ -240,7 +242,7 @@
     async def scenario(nodes: list[EngineNode], caller: Caller) -> None:
         form_cluster(nodes)
         for node, other in zip(nodes, reversed(nodes), strict=True):
-            node.owns, node.moved = set(), dict.fromkeys(range(SLOTS), ("127.0.0.1", other.port))
+            node.owned_slots, node.moved_slots = set(), dict.fromkeys(range(SLOTS), ("127.0.0.1", other.port))
         assert (await caller.add())[0] is Status.UNREACHABLE
 
     run_with_engines(scenario, count=2, query="?cluster=1")
@@ -250,7 +252,7 @@
     async def scenario(nodes: list[EngineNode], caller: Caller) -> None:
         form_cluster(nodes)
         for node in nodes:
-            node.owns, node.moved = set(), {}
+            node.owned_slots, node.moved_slots = set(), {}
         assert (await caller.add())[0] is Status.UNREACHABLE
 
     run_with_engines(scenario, count=2, query="?cluster=1")
