--- a/cypresspulley/rehearsal/standins/graphql.py
+++ b/cypresspulley/rehearsal/standins/graphql.py
@@ -1,7 +1,7 @@
-"""A GraphQL server's data and clients' queries, made up from a seed; true costs counted by resolvers.
+"""Simulated GraphQL data and queries, generated from a seed, with true costs counted by the resolvers.
 
-The executor is graphql-core's; nothing here knows how the limiter prices a query. Each object that a resolver gives
-counts its field's weight, each mutation the schema's points for one.
+graphql-core executes the queries; nothing here uses the limiter's estimate of a cost. Each object that a resolver
+returns costs the weight of its field, and each mutation costs the schema's points for a mutation.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 
 SCHEMA_PATH = Path(__file__).with_name("floor.graphql")
 OPERATORS_PATH = Path(__file__).with_name("floor.toml")
-FLOORS, BAGS = 40, 600
-FULL = 0.6  # how full a list is, in the mean, of what was asked for
+FLOOR_COUNT, BAG_COUNT = 40, 600
+MEAN_LIST_FILL = 0.6  # mean share of the requested items that a list has
 
 
-def number(*what: object) -> int:
-    """A number that only its words decide: the data of one hotel, the same in every process."""
+def hash_number(*what: object) -> int:
+    """Hash the arguments to a number, so that the data are the same in every process."""
     return int.from_bytes(blake2b("/".join(map(str, what)).encode(), digest_size=6).digest(), "big")
 
 
@@ -35,8 +35,8 @@
     return {
         "__typename": "Bag",
         "id": f"b{id}",
-        "grams": 500 + number("grams", id) % 4000,
-        "at": number("at", id) % FLOORS,
+        "grams": 500 + hash_number("grams", id) % 4000,
+        "at": hash_number("at", id) % FLOOR_COUNT,
     }
 
 
@@ -48,24 +48,24 @@
     return {
         "__typename": "Handover",
         "id": f"h{id}",
-        "of": number("of", id) % BAGS,
-        "to": f"cart-{number('to', id) % 9}",
+        "of": hash_number("of", id) % BAG_COUNT,
+        "to": f"cart-{hash_number('to', id) % 9}",
     }
 
 
-def _some(most: int, *what: object) -> int:
-    """How many there are of at most so many."""
-    return min(most, round(most * FULL * (0.5 + number("some", *what) % 1000 / 1000)))
+def _list_length(most: int, *what: object) -> int:
+    """Length of a list of at most ``most`` items, decided by the other arguments."""
+    return min(most, round(most * MEAN_LIST_FILL * (0.5 + hash_number("some", *what) % 1000 / 1000)))
 
 
-class Hotel:
-    """The resolvers of one request, with the points they come to."""
+class Resolvers:
+    """The resolvers of one request, which add up its points."""
 
     def __init__(self, priced: PricedSchema) -> None:
         self.priced, self.points = priced, 0.0
 
     def resolve(self, source: Any, info: GraphQLResolveInfo[Any], **arguments: Any) -> Any:
-        """Every field's resolver: gives its value and counts what it gives."""
+        """Resolve any field: returns its value and adds its cost."""
         parent, name = str(info.parent_type), info.field_name
         value = self._value(source, parent, name, arguments)
         price = self.priced.price(parent, name)
@@ -75,7 +75,7 @@
             points for key, points in price.arguments.items() if arguments.get(key) is not None
         )
         if parent == "Mutation":
-            self.points += self.priced.mutation / _roots(info)
+            self.points += self.priced.mutation / _count_root_fields(info)
         return value
 
     def _value(self, source: Any, parent: str, name: str, arguments: Mapping[str, Any]) -> Any:
@@ -84,34 +84,39 @@
         if parent == "Mutation":
             return handover(arguments["bag"]) if name == "handover" else bag(arguments["bag"])
         if parent == "Floor" and name == "bags":
-            count = _some(arguments.get("first") or 0, source["id"])
-            return [bag(number(source["id"], n) % BAGS) for n in range(count)]
+            count = _list_length(arguments.get("first") or 0, source["id"])
+            return [bag(hash_number(source["id"], n) % BAG_COUNT) for n in range(count)]
         if parent == "Floor" and name == "pending":
-            return [handover((source["id"], n)) for n in range(_some(8, "pending", source["id"]))]
+            return [handover((source["id"], n)) for n in range(_list_length(8, "pending", source["id"]))]
         if parent == "Floor" and name == "counts":
             return {
-                "clean": number("clean", source["id"]) % 90,
-                "soiled": number("soiled", source["id"]) % 90,
+                "clean": hash_number("clean", source["id"]) % 90,
+                "soiled": hash_number("soiled", source["id"]) % 90,
             }
         if parent == "Bag" and name == "floor":
             return floor(source["at"])
         if parent == "Bag" and name == "history":
-            return [handover((source["id"], n)) for n in range(_some(arguments["first"], source["id"]))]
+            return [
+                handover((source["id"], n)) for n in range(_list_length(arguments["first"], source["id"]))
+            ]
         if parent == "Handover" and name == "bag":
             return bag(source["of"])
         return source[name]
 
     def _query(self, name: str, arguments: Mapping[str, Any]) -> Any:
         if name == "floors":
-            return [floor(n) for n in range(_some(arguments.get("first") or 0, "floors"))]
+            return [floor(n) for n in range(_list_length(arguments.get("first") or 0, "floors"))]
         if name == "search":
-            count = _some(arguments.get("first") or 10, arguments["text"])
-            return [(floor if n % 3 else bag)(number(arguments["text"], n) % FLOORS) for n in range(count)]
+            count = _list_length(arguments.get("first") or 10, arguments["text"])
+            return [
+                (floor if n % 3 else bag)(hash_number(arguments["text"], n) % FLOOR_COUNT)
+                for n in range(count)
+            ]
         return floor(arguments["id"]) if name == "floor" else bag(arguments["id"])
 
 
-def _roots(info: GraphQLResolveInfo[Any]) -> int:
-    """Fields at the root: the points of a mutation count once for the operation, a part with each."""
+def _count_root_fields(info: GraphQLResolveInfo[Any]) -> int:
+    """Number of root fields. A mutation's points count once for the operation, an equal part with each root field."""
     return max(1, len(info.operation.selection_set.selections))
 
 
@@ -123,22 +128,22 @@
 def run(
     query: str, variables: Mapping[str, Any] | None, operation: str | None
 ) -> tuple[dict[str, Any], float]:
-    """What a server answers (``data`` or ``errors``) and its true points."""
+    """Execute a query; returns the response (``data``, ``errors``) and its true cost in points."""
     priced = priced_schema()
-    hotel = Hotel(priced)
+    resolvers = Resolvers(priced)
     done = graphql_sync(
         priced.schema, query, variable_values=dict(variables or {}), operation_name=operation,
-        field_resolver=hotel.resolve, type_resolver=lambda value, _info, _kind: value["__typename"],
+        field_resolver=resolvers.resolve, type_resolver=lambda value, _info, _kind: value["__typename"],
     )  # fmt: skip
     answer = dict[str, Any]()
     if isinstance(done.data, dict):
         answer["data"] = done.data
     if done.errors:
         answer["errors"] = [error.formatted for error in done.errors]
-    return answer, hotel.points
+    return answer, resolvers.points
 
 
-# What clients ask.
+# Queries of clients.
 
 FLOOR = """query Floor($id: ID!, $n: Int = 10) { floor(id: $id) { ...Head bags(first: $n) { id grams }
  pending { id to } } }
@@ -156,37 +161,37 @@
 
 @dataclass(frozen=True, slots=True)
 class GraphQLRequest:
-    """One request of a client: its body, what it truly costs and what a server answers."""
+    """One request of a client: its body, its true cost in points and the response of a server."""
 
     body: bytes
     mutation: bool
     points: float
-    answer: str  # the JSON of data, without cost
+    answer: str  # JSON of the response, without the cost
 
 
 def build_request(seed: int, arrival: Arrival, mutation: bool) -> GraphQLRequest:
-    """A real-looking request, decided by the seed and the arrival's number alone."""
+    """Build a realistic request, decided only by the seed and the number of the arrival."""
     rng = random_for(seed, "graphql", arrival.number)
     rows = _mutation(rng) if mutation else _query(rng)
     answers, points = list[dict[str, Any]](), 0.0
     for query, variables, operation in rows:
-        answer, cost = _kept(query, json.dumps(variables, sort_keys=True), operation)
+        answer, cost = _execute_cached(query, json.dumps(variables, sort_keys=True), operation)
         answers.append(answer)
         points += cost
-    asked = [
+    operations = [
         {"query": query, "variables": variables, **({"operationName": name} if name else {})}
         for query, variables, name in rows
     ]
-    alone = len(rows) == 1
-    body = json.dumps(asked[0] if alone else asked).encode()
-    return GraphQLRequest(body, mutation, points, json.dumps(answers[0] if alone else answers))
+    is_single = len(rows) == 1
+    body = json.dumps(operations[0] if is_single else operations).encode()
+    return GraphQLRequest(body, mutation, points, json.dumps(answers[0] if is_single else answers))
 
 
 Row = tuple[str, dict[str, Any], str | None]
 
 
 def _query(rng: Random) -> list[Row]:
-    floor_id, bag_id = str(rng.randrange(FLOORS)), str(rng.randrange(BAGS))
+    floor_id, bag_id = str(rng.randrange(FLOOR_COUNT)), str(rng.randrange(BAG_COUNT))
     kinds: list[Row] = [
         (FLOOR, {"id": floor_id, "n": rng.choice((5, 10, 20))}, None), (MORNING, {}, None),
         (DEEP, {"id": floor_id, "full": rng.random() < 0.5}, "Deep"),
@@ -198,7 +203,7 @@
 
 
 def _mutation(rng: Random) -> list[Row]:
-    values = {"b": str(rng.randrange(BAGS)), "to": f"cart-{rng.randrange(9)}"}
+    values = {"b": str(rng.randrange(BAG_COUNT)), "to": f"cart-{rng.randrange(9)}"}
     kind = rng.random()
     if kind < 0.6:
         return [(HANDOVER, values, None)]
@@ -208,12 +213,12 @@
 
 
 @lru_cache(maxsize=20_000)
-def _kept(query: str, variables: str, operation: str | None) -> tuple[dict[str, Any], float]:
+def _execute_cached(query: str, variables: str, operation: str | None) -> tuple[dict[str, Any], float]:
     return run(query, json.loads(variables), operation)
 
 
 def abusive_bodies() -> dict[str, bytes]:
-    """Bodies that no client means well with; each is owed an error and must reach no server."""
+    """Abusive request bodies by name. Each must be answered with an error and must not reach a server."""
 
     def of(query: str, **more: object) -> bytes:
         return json.dumps({"query": query, **more}).encode()
