--- a/cypresspulley/rehearsal/play.py
+++ b/cypresspulley/rehearsal/play.py
@@ -648,7 +648,7 @@
         elif fault.kind == "writer-stop" and self.books is not None:
             self._spawn(self.books.restart(spec.back_after))
         elif fault.kind == "keeper-empty":
-            self.keeper.empty()
+            self.keeper.clear()
         elif fault.kind == "keeper-break":
             self.keeper.break_connections()
         # A flood or a surge is in the arrivals.
@@ -735,7 +735,7 @@
             now = clock()
             late = max(0.0, now - due)
             # Until the day begins it sets the stage, in long turns, and keeps no client waiting by that.
-            if self.keeper.begun and self.context.now() - late >= 0:
+            if self.keeper.is_serving and self.context.now() - late >= 0:
                 self.context.record(log.Lateness(self.context.now(), late))
             due = max(due + BEAT, now)
             if now - sampled > SAMPLE:
@@ -776,7 +776,7 @@
     early = [name for name in director.limiters if name not in director.returning]
     await asyncio.gather(*(director.start_limiter(name) for name in early))
     director.begin()
-    director.keeper.begun = True
+    director.keeper.is_serving = True
     director.schedule()
     abuse = director.abuse()
     await director.clients.play(director.plan.arrivals)
--- a/cypresspulley/rehearsal/standins/counter_server.py
+++ b/cypresspulley/rehearsal/standins/counter_server.py
@@ -51,7 +51,7 @@
 
     def opened(self) -> None:
         self.used = self._keeper.context.now()
-        if len(self.link.ends) > CONNECTIONS:
+        if len(self.link.connections) > CONNECTIONS:
             self.reset()
 
     def received(self, data: bytes) -> None:
@@ -90,7 +90,7 @@
         self._listeners = list[Listening]()
         self._links = dict[Link, None]()
         self._sweeper: asyncio.TimerHandle | None = None
-        self.slow_by, self.stopped, self.begun = 0.0, False, False
+        self.slow_by, self.stopped, self.is_serving = 0.0, False, False
         self.spoilt_share, self._rng = 0.0, rng or Random(0)
 
     def __repr__(self) -> str:
@@ -105,7 +105,7 @@
             self._sweep()
         return listener
 
-    def empty(self) -> None:
+    def clear(self) -> None:
         """Replaced by one that knows nothing: connections are reset, counts gone."""
         for part in self._parts:
             part.counts.clear()
@@ -114,7 +114,7 @@
     def break_connections(self) -> None:
         """All connections are reset, with what calls are out on them; counts stay."""
         for link in self._links:
-            for end in list(link.ends):
+            for end in list(link.connections):
                 end.reset()
 
     def close(self) -> None:
@@ -126,7 +126,7 @@
     def _sweep(self) -> None:
         self._sweeper = asyncio.get_running_loop().call_later(SWEEP, self._sweep)
         for link in self._links:
-            for end in list(link.ends):
+            for end in list(link.connections):
                 if isinstance(end, _Connection) and self.context.now() - end.used > IDLE:
                     end.close()
 
@@ -138,7 +138,7 @@
             return connection.done(reply, b"error")
         if self.stopped:
             return None  # it never answers, and adds nothing
-        if not self.begun:
+        if not self.is_serving:
             return connection.done(reply, b"busy")
         now, part = self.context.now(), self._parts[crc32(form[1]) % len(self._parts)]
         start = max(now, part.free_at)
--- a/cypresspulley/rehearsal/standins/network.py
+++ b/cypresspulley/rehearsal/standins/network.py
@@ -28,12 +28,12 @@
         self.limiter, self.delay = limiter, delay
         self.cut_at = 0.0  # when the silence began
         self._cuts = 0  # that last: cuts of one hall or of both ends' halls may overlap
-        self.ends = dict[LinkedProtocol, None]()  # in the order of their coming, as all tables here
+        self.connections = dict[LinkedProtocol, None]()  # in the order of their coming, as all tables here
         self.listeners = dict[Listening, None]()
 
     def __repr__(self) -> str:
         return (
-            f"<Link {self.limiter} {self.delay * 1000:.1f} ms{' cut' * self.is_cut}, {len(self.ends)} open>"
+            f"<Link {self.limiter} {self.delay * 1000:.1f} ms{' cut' * self.is_cut}, {len(self.connections)} open>"
         )
 
     @property
@@ -47,7 +47,7 @@
         if self._cuts > 1:
             return
         self.cut_at = now
-        for end in list(self.ends):
+        for end in list(self.connections):
             end.hold()
         for listener in self.listeners:
             listener.block()
@@ -59,7 +59,7 @@
             return
         for listener in self.listeners:
             listener.unblock()
-        for end in list(self.ends):
+        for end in list(self.connections):
             end.release()
 
 
@@ -83,7 +83,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.link.ends[self] = None
+        self.link.connections[self] = None
         if self.link.is_cut:
             self.hold()
         self.opened()
@@ -132,7 +132,7 @@
 
     def _hand(self, data: bytes | None) -> None:
         if data is None:
-            self.link.ends.pop(self, None)
+            self.link.connections.pop(self, None)
             self.ended()
         elif self.transport is not None:
             self.received(data)
--- a/tests/rehearsal/test_standins.py
+++ b/tests/rehearsal/test_standins.py
@@ -260,7 +260,7 @@
         reader, writer = await dial(keeper.listen(link, "127.0.0.1").address)
         writer.write(b"tally a 1 50\r\n")
         assert await lines(reader, 1) == [b"busy"]  # before the day begins
-        keeper.begun = True
+        keeper.is_serving = True
         writer.write(
             b"tally a 1.5 60\r\ntally b 2 60000\r\nping\r\ntally a -0.5 60\r\nsum a\r\ntally a 1 0\r\n"
         )
@@ -268,7 +268,7 @@
         await asyncio.sleep(0.07)
         writer.write(b"tally a 0 60\r\ntally b 0 60\r\n")
         assert await lines(reader, 2) == [b"ok 0", b"ok 2"]
-        keeper.empty()
+        keeper.clear()
         with pytest.raises(ConnectionResetError):
             await reader.readline()
         keeper.close()
@@ -280,7 +280,7 @@
     async def main() -> None:
         context, link = Recorded(), Link("n0")
         keeper = CounterServer(context, 1, 10, 0.15, 0.0)  # a call takes 0.1 s
-        keeper.begun = True
+        keeper.is_serving = True
         reader, writer = await dial(keeper.listen(link, "127.0.0.1").address)
         writer.write(b"tally a 1 60000\r\n" * 4)
         assert await lines(reader, 4) == [b"ok 1", b"ok 2", b"busy", b"busy"]
--- a/tests/test_accesslog.py
+++ b/tests/test_accesslog.py
@@ -48,7 +48,7 @@
     async def main() -> None:
         origin, link = Origin(), Link("n0")
         keeper = CounterServer(stand_in_stage(), 1, 1000.0, 0.1, 0.0)
-        keeper.begun = True
+        keeper.is_serving = True
         async with listening(origin.talk) as dial:
             raw = config(dial) | {"counter": keeper.listen(link, "127.0.0.1").address}
             tight = [{"name": "basic", "quota_rate": 0.1, "store_size": 2.0}]
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -146,7 +146,7 @@
                     assert " 200 " in await program.health()
                 path.write_text(json.dumps(raw | {"discovery": there, "counter": count}))
                 program.process.send_signal(signal.SIGHUP)
-                while not (agent.watchers and link.ends):
+                while not (agent.watchers and link.connections):
                     await asyncio.sleep(0.01)
                 while not origin.seen:  # the new list names the server's true address
                     reader, writer = await program.connect()
