--- a/cypresspulley/rehearsal/standins/abuse.py
+++ b/cypresspulley/rehearsal/standins/abuse.py
@@ -1,4 +1,4 @@
-"""Clients that mean no good: abusive GraphQL bodies at a steady rate, each owed an error at once."""
+"""Abusive clients: GraphQL bodies that must each be answered with an error, sent at a steady rate."""
 
 from __future__ import annotations
 
@@ -10,12 +10,15 @@
 from cypresspulley.rehearsal.standins.graphql import abusive_bodies
 from cypresspulley.rehearsal.standins.run_context import RunContext
 
-OWED_WITHIN = 3.0  # seconds until an error or a close
-FIRST_NUMBER = 1 << 40  # of a request: no usual client has one so high
+ERROR_DEADLINE = 3.0  # seconds within which an abusive request must get an error or a close
+FIRST_NUMBER = 1 << 40  # of a request; above the numbers of all other clients
 
 
 class AbusiveClients:
-    """``rate`` bodies a second for ``seconds``, drawn from the seed. ``answered`` counts statuses by abuse."""
+    """Send ``rate`` bodies per second until second ``seconds`` of the run, drawn from the seed.
+
+    ``answered`` counts responses by name of the body and status.
+    """
 
     def __init__(
         self,
@@ -30,7 +33,7 @@
         self._context, self._front, self._address = context, front, address
         self._seed, self._rate, self._seconds, self._plan = seed, rate, seconds, plan
         self._bodies = sorted(abusive_bodies().items())
-        self._open = set[asyncio.Task[None]]()
+        self._tasks = set[asyncio.Task[None]]()
         self.answered = Counter[tuple[str, int]]()
 
     async def play(self) -> None:
@@ -38,18 +41,18 @@
         while (wait := rng.expovariate(self._rate)) + self._context.now() < self._seconds:
             await asyncio.sleep(wait)
             name, body = rng.choice(self._bodies)
-            task = loop.create_task(self._one(name, body, number := number + 1))
-            self._open.add(task)
-            task.add_done_callback(self._open.discard)
-        if self._open:
-            await asyncio.wait(self._open)
+            task = loop.create_task(self._send_one(name, body, number := number + 1))
+            self._tasks.add(task)
+            task.add_done_callback(self._tasks.discard)
+        if self._tasks:
+            await asyncio.wait(self._tasks)
 
-    async def _one(self, name: str, body: bytes, number: int) -> None:
-        """Send one and see its error; a limiter that dies or is dead owes nothing."""
-        names = sorted(self._front.up_now) or None
-        if names is None:
+    async def _send_one(self, name: str, body: bytes, number: int) -> None:
+        """Send one body and check that it gets an error, unless the limiter is down or dies meanwhile."""
+        limiters = sorted(self._front.up_now) or None
+        if limiters is None:
             return
-        limiter = names[number % len(names)]
+        limiter = limiters[number % len(limiters)]
         head = (
             f"POST /graphql?account={1 + number % 7:016x} HTTP/1.1\r\nHost: x\r\n"
             f"X-Request-ID: {request_id(self._seed, FIRST_NUMBER + number, 0)}\r\nX-Plan: {self._plan}\r\n"
@@ -57,7 +60,7 @@
             f"Content-Length: {len(body)}\r\n\r\n"
         )
         try:
-            async with asyncio.timeout(OWED_WITHIN):
+            async with asyncio.timeout(ERROR_DEADLINE):
                 reader, writer = await asyncio.open_connection(*self._address(limiter))
                 try:
                     writer.write(head.encode() + body)
@@ -66,7 +69,7 @@
                     writer.transport.abort()
         except TimeoutError:
             if limiter in self._front.up_now:
-                self._context.complain(f"{limiter} left {name!r} without an error for {OWED_WITHIN} s")
+                self._context.complain(f"{limiter} left {name!r} without an error for {ERROR_DEADLINE} s")
             return
         except OSError:
             return
--- a/cypresspulley/rehearsal/standins/network.py
+++ b/cypresspulley/rehearsal/standins/network.py
@@ -1,8 +1,8 @@
-"""The network between a limiter and a stand-in: delay, and silence that is no reset.
+"""The network between a limiter and a stand-in: delays, and cuts that drop traffic without a reset.
 
-Silence on loopback needs no privileges. An open connection is cut by reading nothing from it and writing
-nothing to it. A new one does not come up while its listener's queue is full: Linux drops the SYN then. So a
-cut stops accepting, shrinks the queue to one and fills it with connections of its own.
+A cut on loopback needs no privileges. An open connection is cut by reading nothing from it and writing nothing
+to it. A new connection is not established while the accept queue of its listener is full, because Linux then
+drops the SYN. So a cut stops accepting, shrinks the queue to one and fills it with connections of its own.
 """
 
 from __future__ import annotations
@@ -15,64 +15,63 @@
 from collections.abc import Callable
 from typing import Protocol, cast
 
-BACKLOG = 256
-FILLERS = 4  # connections that fill a listener's queue of one, with room for what the kernel counts otherwise
-MAX_HELD = 1 << 20  # bytes a cut connection may owe its peer; a real one's buffers are no larger
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER with no time: close sends RST
+ACCEPT_BACKLOG = 256
+# Connections that fill an accept queue of one, with spare ones because the kernel counts its length differently.
+FILLER_COUNT = 4
+MAX_HELD_BYTES = 1 << 20  # bytes held for the peer of a cut connection; socket buffers hold no more
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of 0: close sends RST
 
 
 class Link:
-    """The way between one limiter and one stand-in; ``delay`` is one way, in seconds."""
+    """The path between one limiter and one stand-in; ``delay`` is the one-way delay in seconds."""
 
     def __init__(self, limiter: str, delay: float = 0.0) -> None:
         self.limiter, self.delay = limiter, delay
-        self.cut_at = 0.0  # when the silence began
-        self._cuts = 0  # that last: cuts of one hall or of both ends' halls may overlap
-        self.connections = dict[LinkedProtocol, None]()  # in the order of their coming, as all tables here
+        self.cut_at = 0.0  # when the cut began, in seconds of the run
+        self._cut_count = 0  # cuts in force: those of one hall or of both ends' halls may overlap
+        self.connections = dict[LinkedProtocol, None]()  # in the order of arrival
         self.listeners = dict[Listening, None]()
 
     def __repr__(self) -> str:
-        return (
-            f"<Link {self.limiter} {self.delay * 1000:.1f} ms{' cut' * self.is_cut}, {len(self.connections)} open>"
-        )
+        return f"<Link {self.limiter} {self.delay * 1000:.1f} ms{' cut' * self.is_cut}, {len(self.connections)} open>"
 
     @property
     def is_cut(self) -> bool:
-        return self._cuts > 0
+        return self._cut_count > 0
 
     def cut(self, now: float) -> None:
-        """Silence from ``now`` (seconds of the day) on. One that begins in another lengthens it: what is held back may
-        have been sent since the first began."""
-        self._cuts += 1
-        if self._cuts > 1:
+        """Cut the link at ``now``, in seconds of the run. A cut that begins during another extends it: held data may
+        have been sent at any time since the first began."""
+        self._cut_count += 1
+        if self._cut_count > 1:
             return
         self.cut_at = now
-        for end in list(self.connections):
-            end.hold()
+        for connection in list(self.connections):
+            connection.pause()
         for listener in self.listeners:
             listener.block()
 
     def heal(self) -> None:
-        """A cut ends. With the last one what was held flows on, as after retransmission."""
-        self._cuts -= 1
+        """End one cut. With the last one, held data are delivered, as after a retransmission."""
+        self._cut_count -= 1
         if self.is_cut:
             return
         for listener in self.listeners:
             listener.unblock()
-        for end in list(self.connections):
-            end.release()
+        for connection in list(self.connections):
+            connection.resume()
 
 
 class LinkedProtocol(asyncio.Protocol):
-    """One accepted connection behind a link. Subclasses see ``opened``, ``received`` and ``ended``."""
+    """One accepted connection on a link. Subclasses implement ``opened``, ``received`` and ``ended``."""
 
     def __init__(self, link: Link) -> None:
         self.link = link
         self.transport: asyncio.Transport | None = None
-        self._coming, self._going = deque[bytes | None](), deque[bytes]()
-        self._held = 0
-        # Since when the bytes that come next may have been under way; None: they were sent just now. What a
-        # cut held back tells nothing of when in the cut it was sent.
+        self._incoming, self._outgoing = deque[bytes | None](), deque[bytes]()
+        self._held_size = 0
+        # Earliest time at which the next bytes may have been sent; None if they were sent just now. The time within a
+        # cut at which held data were sent is unknown.
         self.sent_since: float | None = None
 
     def opened(self) -> None: ...
@@ -85,28 +84,28 @@
         self.transport = cast(asyncio.Transport, transport)
         self.link.connections[self] = None
         if self.link.is_cut:
-            self.hold()
+            self.pause()
         self.opened()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
         if self.link.is_cut:
-            self._coming.append(None)  # the peer's end is as silent as the rest
+            self._incoming.append(None)  # a cut hides the peer's close as well
         else:
-            self._later(None)
+            self._schedule_delivery(None)
 
     def data_received(self, data: bytes) -> None:
         if self.link.is_cut:
-            self._coming.append(data)  # it was under way in the loop when the cut came
+            self._incoming.append(data)  # read by the loop before the cut began
         else:
-            self._later(data)
+            self._schedule_delivery(data)
 
     def send(self, data: bytes) -> None:
-        """Write after the link's delay; in a cut it is held."""
+        """Write after the delay of the link; during a cut the data are held."""
         if self.link.is_cut:
-            self._held += len(data)
-            if self._held <= MAX_HELD:
-                self._going.append(data)
+            self._held_size += len(data)
+            if self._held_size <= MAX_HELD_BYTES:
+                self._outgoing.append(data)
         elif self.link.delay > 0:
             asyncio.get_running_loop().call_later(self.link.delay, self._write, data)
         else:
@@ -114,56 +113,56 @@
 
     def _write(self, data: bytes) -> None:
         if self.link.is_cut:
-            self._going.append(data)
+            self._outgoing.append(data)
         elif self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
-    def _later(self, data: bytes | None) -> None:
+    def _schedule_delivery(self, data: bytes | None) -> None:
         if self.link.delay > 0:
-            self._coming.append(data)
+            self._incoming.append(data)
             asyncio.get_running_loop().call_later(self.link.delay, self._deliver)
         else:
-            self._hand(data)
+            self._deliver_now(data)
 
     def _deliver(self) -> None:
-        # Each timer takes the oldest: what came first is heard first, whatever the timers' order.
-        if self._coming and not self.link.is_cut:
-            self._hand(self._coming.popleft())
+        # Each timer delivers the oldest data, so that the order of arrival is kept whatever the order of the timers.
+        if self._incoming and not self.link.is_cut:
+            self._deliver_now(self._incoming.popleft())
 
-    def _hand(self, data: bytes | None) -> None:
+    def _deliver_now(self, data: bytes | None) -> None:
         if data is None:
             self.link.connections.pop(self, None)
             self.ended()
         elif self.transport is not None:
             self.received(data)
 
-    def hold(self) -> None:
+    def pause(self) -> None:
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
 
-    def release(self) -> None:
+    def resume(self) -> None:
         self.sent_since = self.link.cut_at
         if self.transport is not None and not self.transport.is_closing():
-            with contextlib.suppress(RuntimeError):  # it was not paused
+            with contextlib.suppress(RuntimeError):  # reading was not paused
                 self.transport.resume_reading()
-        coming, self._coming = self._coming, deque()
-        for data in coming:
-            self._hand(data)
-        going, self._going, self._held = self._going, deque(), 0
-        for data in going:
+        incoming, self._incoming = self._incoming, deque()
+        for data in incoming:
+            self._deliver_now(data)
+        outgoing, self._outgoing, self._held_size = self._outgoing, deque(), 0
+        for data in outgoing:
             self._write(data)
 
     def close(self) -> None:
-        """End in order: what was written still goes out."""
+        """Close in order: data already written are still sent."""
         if self.transport is not None:
             self.transport.close()
 
     def reset(self) -> None:
-        """End as a dead process's connection does."""
+        """Reset the connection, as the kernel does when a process dies."""
         if self.transport is not None and not self.transport.is_closing():
             raw = self.transport.get_extra_info("socket")
             with contextlib.suppress(OSError):
-                raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
             self.transport.abort()
 
 
@@ -171,7 +170,7 @@
 
 
 class Listening(Protocol):
-    """What stands behind a link's addresses: a listener on sockets, or one in memory."""
+    """A listener behind an address of a link: on a socket, or in memory on the virtual loop."""
 
     host: str
     port: int
@@ -187,14 +186,16 @@
 
 
 def listen(host: str, link: Link, factory: Factory, port: int = 0) -> Listening:
-    """Listen with what the running loop listens with; OSError names an address that is taken."""
-    make = getattr(asyncio.get_running_loop(), "make_listener", None)
-    made: Listening = make(host, link, factory, port) if make else Listener(host, link, factory, port)
-    return made
+    """Listen with the listener of the running loop. Raises OSError if the address is in use."""
+    make_listener = getattr(asyncio.get_running_loop(), "make_listener", None)
+    listener: Listening = (
+        make_listener(host, link, factory, port) if make_listener else Listener(host, link, factory, port)
+    )
+    return listener
 
 
 class Listener:
-    """A listening socket behind a link; gives each accepted connection a protocol of the factory's."""
+    """A listening socket on a link, which gives each accepted connection a protocol of the factory."""
 
     def __init__(self, host: str, link: Link, factory: Factory, port: int = 0) -> None:
         self._link, self._factory = link, factory
@@ -206,7 +207,7 @@
             self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             self._socket.setblocking(False)
             self._socket.bind((host, port))
-            self._socket.listen(BACKLOG)
+            self._socket.listen(ACCEPT_BACKLOG)
         except OSError as error:
             self._socket.close()
             raise OSError(error.errno, f"cannot listen on {host}:{port}: {error.strerror}") from None
@@ -221,32 +222,32 @@
         return f"{self.host}:{self.port}"
 
     def _accept(self) -> None:
-        for _ in range(BACKLOG):
+        for _ in range(ACCEPT_BACKLOG):
             try:
                 accepted, _peer = self._socket.accept()
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
-                return  # reset before it was accepted, or no descriptor left: the dialer's side tells
+                return  # reset before it was accepted, or no descriptor left; the connecting side reports it
             accepted.setblocking(False)
             accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            task = self._loop.create_task(self._adopt(accepted))
+            task = self._loop.create_task(self._attach(accepted))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _adopt(self, accepted: socket.socket) -> None:
+    async def _attach(self, accepted: socket.socket) -> None:
         try:
             await self._loop.connect_accepted_socket(lambda: self._factory(self._link), accepted)
         except OSError:
-            accepted.close()  # it was reset before it was looked at
+            accepted.close()  # reset before it was attached
 
     def block(self) -> None:
-        """From now on no connection comes up, and none is refused."""
+        """Neither establish nor refuse new connections."""
         if self._fillers or self._socket.fileno() < 0:
             return
         self._loop.remove_reader(self._socket.fileno())
         self._socket.listen(0)
-        for _ in range(FILLERS):
+        for _ in range(FILLER_COUNT):
             filler = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             filler.setblocking(False)
             with contextlib.suppress(BlockingIOError, OSError):
@@ -257,7 +258,7 @@
         if not self._fillers or self._socket.fileno() < 0:
             return
         self._drop_fillers()
-        self._socket.listen(BACKLOG)
+        self._socket.listen(ACCEPT_BACKLOG)
         self._loop.add_reader(self._socket.fileno(), self._accept)
 
     def _drop_fillers(self) -> None:
@@ -266,7 +267,7 @@
         self._fillers = []
 
     def close(self) -> None:
-        """From now on connections are refused; those that are open stay."""
+        """Refuse new connections; open ones stay."""
         self._link.listeners.pop(self, None)
         self._drop_fillers()
         if self._socket.fileno() >= 0:
--- a/cypresspulley/rehearsal/standins/processor.py
+++ b/cypresspulley/rehearsal/standins/processor.py
@@ -1,8 +1,8 @@
-"""A bag server's machine: processor sharing with slots, a waiting room, a cold start and a fall; no I/O.
+"""The processor model of a bag server: processor sharing with slots, a queue, a cold start and overload crashes.
 
-Work is CPU seconds on one core. ``n`` jobs in slots share ``cores`` of speed 1, each at most one core; every
-job beyond two a core costs ``thrash`` of the capacity. Cold, the machine has ``cold_share`` of its capacity,
-rising evenly to the whole within ``cold_seconds``. Time comes in as an argument.
+It does no I/O and takes the time as an argument. Work is CPU seconds on one core. ``n`` jobs in slots share ``cores``
+of speed 1, each at most one core; every job beyond two per core costs ``thrash`` of the capacity. A cold server starts
+with ``cold_share`` of its capacity, which rises linearly to the whole within ``cold_seconds``.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 from collections import deque
 from dataclasses import dataclass
 
-BUSY_A_CORE = 2.0
+JOBS_PER_CORE = 2.0  # jobs in slots per core beyond which thrashing begins
 
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """What a server is made of; times in seconds."""
+    """The parameters of a server; times are in seconds."""
 
     cores: float
     slots: int
@@ -26,26 +26,27 @@
     cold_seconds: float
     fall_multiple: float
     fall_seconds: float
-    mean_work: float  # CPU seconds of a request in the mean
+    mean_work: float  # mean CPU seconds of a request
 
 
 def warm_up_share(age: float, cold_share: float, cold_seconds: float) -> float:
-    """Share of its capacity that a server has ``age`` seconds after its start, 0..1."""
+    """The share of its capacity, 0..1, that a server has ``age`` seconds after its start."""
     return min(1.0, cold_share + (1 - cold_share) * max(0.0, age) / cold_seconds)
 
 
 def crash_bound(bearable: float, mean_work: float) -> float:
-    """CPU seconds within ``fall_seconds`` beyond which a cold server falls, where ``bearable`` are what it may get.
+    """The CPU seconds of work within ``fall_seconds`` beyond which a cold server crashes.
 
-    By the operators' page: N + 2 sqrt(N) + 2 requests of mean work, N being what the settings allow at that time.
-    Two standard deviations of a Poisson count, and two requests for a count that is next to none.
+    ``bearable`` are the CPU seconds that the settings allow at that time. As the operators' page says, the limit is
+    N + 2 sqrt(N) + 2 requests of mean work, N being the allowed number of them: two standard deviations of a Poisson
+    count, and two requests more for an N near 0.
     """
     allowed = bearable / mean_work
     return (allowed + 2 * math.sqrt(allowed) + 2) * mean_work
 
 
 class Job:
-    """One attempt in the machine."""
+    """The work of one attempt on a server."""
 
     __slots__ = ("begun", "left", "number", "work")
 
@@ -57,41 +58,41 @@
 
 
 class Processor:
-    """The jobs of one server, moved on by ``advance``."""
+    """The jobs of one server. ``advance`` brings them up to date."""
 
     def __init__(self, machine: Machine, now: float, cold: bool) -> None:
-        self.machine, self._at = machine, now
+        self.machine, self._advanced_to = machine, now
         self.started: float | None = now if cold else None
         self.running, self.queue = list[Job](), deque[Job]()
         self.hung = False
-        self._pressure = deque[tuple[float, float]]()  # when and how much work came while cold
+        self._cold_arrivals = deque[tuple[float, float]]()  # time and work of each arrival while cold
 
     def capacity(self, now: float) -> float:
-        """CPU seconds a second that the machine can do now."""
-        m = self.machine
+        """CPU seconds per second that the server can do at ``now``."""
+        machine = self.machine
         if self.started is None:
-            return m.cores
-        return m.cores * warm_up_share(now - self.started, m.cold_share, m.cold_seconds)
+            return machine.cores
+        return machine.cores * warm_up_share(now - self.started, machine.cold_share, machine.cold_seconds)
 
-    def _share(self, now: float) -> float:
-        """The speed of each running job."""
-        n, m = len(self.running), self.machine
+    def _job_speed(self, now: float) -> float:
+        """The speed of each running job, in CPU seconds per second."""
+        n, machine = len(self.running), self.machine
         if not n or self.hung:
             return 0.0
-        worn = 1 / (1 + m.thrash * max(0.0, n - BUSY_A_CORE * m.cores))
-        return min(self.capacity(now) / m.cores, self.capacity(now) * worn / n)
+        efficiency = 1 / (1 + machine.thrash * max(0.0, n - JOBS_PER_CORE * machine.cores))
+        return min(self.capacity(now) / machine.cores, self.capacity(now) * efficiency / n)
 
     def advance(self, now: float) -> list[Job]:
-        """Bring all jobs to ``now``; gives those that are done, oldest first."""
-        speed, dt, self._at = self._share(self._at), now - self._at, now
+        """Advance all running jobs to ``now``; returns those that are done, oldest first."""
+        speed, elapsed, self._advanced_to = self._job_speed(self._advanced_to), now - self._advanced_to, now
         for job in self.running:
-            job.left -= speed * dt
+            job.left -= speed * elapsed
         done = [job for job in self.running if job.left <= 1e-9]
         self.running = [job for job in self.running if job.left > 1e-9]
         return done
 
     def admit(self) -> list[Job]:
-        """Fill free slots from the waiting room; gives the jobs that begin now."""
+        """Fill free slots from the queue; returns the jobs that start now."""
         begun = list[Job]()
         while self.queue and len(self.running) < self.machine.slots:
             job = self.queue.popleft()
@@ -101,7 +102,7 @@
         return begun
 
     def add(self, job: Job) -> bool:
-        """Take a job, or say False: the waiting room is full."""
+        """Queue a job; returns False if the queue is full."""
         free = len(self.running) < self.machine.slots
         if not free and len(self.queue) >= self.machine.waiting:
             return False
@@ -109,24 +110,24 @@
         return True
 
     def drop(self, job: Job, running_too: bool) -> None:
-        """A job that nobody waits for: waiting work goes, running work where the machine stops it."""
+        """Drop a job whose limiter is gone: from the queue, and if ``running_too`` also from its slot."""
         if job in self.queue:
             self.queue.remove(job)
         elif running_too and job in self.running:
             self.running.remove(job)
 
     def seconds_until_done(self, now: float) -> float | None:
-        """Seconds until the next job is done at today's speed; None with none running."""
-        speed = self._share(now)
+        """Seconds until the next job is done at the current speed; None if none is running."""
+        speed = self._job_speed(now)
         return max(0.0, min(job.left for job in self.running) / speed) if speed > 0 else None
 
     def record_load(self, now: float, work: float) -> bool:
-        """Work has come, taken or not; True if a cold machine falls over by it."""
+        """Record the work of an arrival, accepted or not; returns True if a cold server crashes from it."""
         if self.started is None or self.capacity(now) >= self.machine.cores:
             return False
-        m, window = self.machine, self._pressure
+        machine, window = self.machine, self._cold_arrivals
         window.append((now, work))
-        while window and window[0][0] <= now - m.fall_seconds:
+        while window and window[0][0] <= now - machine.fall_seconds:
             window.popleft()
-        bearable = m.fall_multiple * self.capacity(now) * m.fall_seconds
-        return sum(amount for _, amount in window) > crash_bound(bearable, m.mean_work)
+        bearable = machine.fall_multiple * self.capacity(now) * machine.fall_seconds
+        return sum(amount for _, amount in window) > crash_bound(bearable, machine.mean_work)
--- a/cypresspulley/rehearsal/standins/run_context.py
+++ b/cypresspulley/rehearsal/standins/run_context.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: the day's clock, the log of records, and what clients have sent."""
+"""What the stand-ins of a run share: its clock, its log of records, and the requests that clients have sent."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownRequest:
-    """A try that a client has sent: what must arrive unchanged, and what its class says."""
+    """An attempt that a client has sent: what must arrive unchanged, and what its request class says."""
 
     id: str
     method: str
@@ -22,20 +22,20 @@
     body: bytes
     cls: str
     effect: str
-    window: float  # seconds for which a server's group drops keyed repeats
-    units: float = 1.0  # what it truly costs, in units of the quota; work grows with them
-    reply: str = ""  # what a GraphQL server answers it, without the cost; "": the plain answer
-    points: float = 0.0  # its true cost as a GraphQL server tells it
+    window: float  # seconds for which a group of servers answers keyed repeats without running them
+    units: float = 1.0  # its true cost in units of the quota; its work is proportional to it
+    reply: str = ""  # response of a GraphQL server, without the cost; "" for a plain response
+    points: float = 0.0  # its true cost as a GraphQL server reports it
 
 
 class ArrivalHook(Protocol):
-    """Told when an attempt is whole at a server, before the server acts on it."""
+    """Called when a server has received a whole attempt, before it acts on it."""
 
     def __call__(self, server: Any, limiter: str, known: KnownRequest) -> None: ...
 
 
 class RunContext:
-    """One day's clock and log. ``work`` gives the CPU seconds that a try costs, by id and class."""
+    """The clock and the log of one run. ``work`` gives the CPU seconds of an attempt, by id and class."""
 
     def __init__(
         self,
@@ -51,22 +51,22 @@
         self._attempts = 0
         self.complaints = list[str]()
         self.on_arrival: ArrivalHook | None = None
-        self.tells_made = False  # whether servers say in their answers when these were made
+        self.tells_made = False  # whether servers put the time of a response into its body
 
     def begin(self, after: float) -> None:
-        """The day starts ``after`` seconds from now."""
+        """Start the run ``after`` seconds from now."""
         self._start = self.clock() + after
 
     def now(self) -> float:
-        """Seconds from the day's start."""
+        """Seconds since the start of the run; negative before it."""
         return self.clock() - self._start
 
     def unix_ms(self, t: float | None = None) -> int:
-        """Unix time in milliseconds of a time of the day, today's by default."""
+        """Unix time in milliseconds of second ``t`` of the run, by default of now."""
         return int((self._unix + self._start + (self.now() if t is None else t)) * 1000)
 
     def unix(self) -> float:
-        """Unix seconds now, by the day's clock, which never steps."""
+        """Unix time in seconds, by the clock of the run, which is never stepped."""
         return self._unix + self.clock()
 
     def record(self, record: Record) -> None:
@@ -93,7 +93,7 @@
         self.complain("the kit has no descriptors left: raise `ulimit -n`")
 
     def complain(self, text: str) -> None:
-        """What no limiter may do and no rule covers: it voids the run."""
+        """Record an error that no rule covers. It voids the run."""
         if len(self.complaints) < MAX_COMPLAINTS:
             self.complaints.append(text)
             self.record(Complaint(self.now(), text))
