--- a/cypresspulley/rehearsal/virtual/listener.py
+++ b/cypresspulley/rehearsal/virtual/listener.py
@@ -1,4 +1,4 @@
-"""A stand-in's listener on the virtual network: what ``standins.network.Listener`` is on sockets."""
+"""A listener of a stand-in on the virtual network; on sockets ``standins.network.Listener`` takes its place."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class VirtualListener:
-    """Blocked, it answers no dial."""
+    """A listener in memory. While it is blocked, connection attempts to it get no answer."""
 
     def __init__(self, network: VirtualNetwork, host: str, link: Link, factory: Factory, port: int) -> None:
         self._link = link
--- a/cypresspulley/rehearsal/virtual/owner.py
+++ b/cypresspulley/rehearsal/virtual/owner.py
@@ -1,4 +1,4 @@
-"""Who owns what on a virtual loop: handles, tasks and connections of one process, which end with it."""
+"""Simulated processes on a virtual loop. Each owns handles, tasks and connections, which end with it."""
 
 from __future__ import annotations
 
@@ -10,46 +10,48 @@
 
 
 class Owner:
-    """One made-up process. Killed, nothing of it runs again and nothing of it is told so."""
+    """One simulated process. Once it is killed, none of its code runs again and none is notified."""
 
     def __init__(self, name: str) -> None:
-        self.name, self.dead = name, False
+        self.name, self.is_killed = name, False
         self.tasks = dict[asyncio.Task[Any], None]()
-        self.connections, self.descriptors = 0, 0  # that it has open, and may have; 0: no bound
-        self.asleep = False  # stopped as SIGSTOP does: what is due waits here, in order
-        self.held: deque[VirtualHandle] = deque()
-        # What strikes after so many of its turns on the loop, or of its writes; 0 counts nothing.
+        self.connections, self.descriptors = 0, 0  # open ones, and the limit on them; 0 for no limit
+        self.is_stopped = False  # as by SIGSTOP; handles that become due wait in ``deferred``, in order
+        self.deferred: deque[VirtualHandle] = deque()
+        # Turns on the loop or writes until ``on_countdown`` is called; 0 counts none.
         self.turns_left = self.writes_left = 0
-        self.strike: Callable[[], object] | None = None
+        self.on_countdown: Callable[[], object] | None = None
 
     def __repr__(self) -> str:
-        return f"<Owner {self.name}{' dead' * self.dead}{' asleep' * self.asleep}, {len(self.tasks)} tasks>"
+        return f"<Owner {self.name}{' killed' * self.is_killed}{' stopped' * self.is_stopped}, {len(self.tasks)} tasks>"
 
     def forget(self, task: asyncio.Task[Any]) -> None:
         self.tasks.pop(task, None)
 
-    def strike_after(self, turns: int, writes: int, strike: Callable[[], object]) -> None:
-        """Call ``strike`` behind its n-th turn or its n-th write from now; the other number is 0."""
-        self.turns_left, self.writes_left, self.strike = turns, writes, strike
+    def set_countdown(self, turns: int, writes: int, on_countdown: Callable[[], object]) -> None:
+        """Call ``on_countdown`` after that many turns or writes from now; the other number is 0."""
+        self.turns_left, self.writes_left, self.on_countdown = turns, writes, on_countdown
 
-    def turned(self) -> None:
-        """One turn is over: every await that is reached ends one."""
+    def count_turn(self) -> None:
+        """Count the end of one turn on the loop; every await that suspends ends a turn."""
         self.turns_left -= 1
-        if self.turns_left == 0 and self.strike is not None:
-            Context().run(self.strike)  # what it starts is not this owner's
+        if self.turns_left == 0 and self.on_countdown is not None:
+            Context().run(
+                self.on_countdown
+            )  # in an empty context: what it starts does not belong to this owner
 
-    def wrote(self) -> None:
-        """One write has left for the machine, which delivers it whatever becomes of the process."""
+    def count_write(self) -> None:
+        """Count one write, which is delivered even if the process is killed afterwards."""
         self.writes_left -= 1
-        if self.writes_left == 0 and self.strike is not None:
-            Context().run(self.strike)
+        if self.writes_left == 0 and self.on_countdown is not None:
+            Context().run(self.on_countdown)
 
 
 OWNER: ContextVar[Owner | None] = ContextVar("owner", default=None)
 
 
 class VirtualHandle:
-    """What asyncio's Handle and TimerHandle are to a program, with the owner whose code it runs."""
+    """Replaces asyncio's Handle and TimerHandle, and knows the owner whose code it runs."""
 
     __slots__ = ("_args", "_callback", "_context", "_when", "owner")
 
--- a/cypresspulley/rehearsal/virtual/play.py
+++ b/cypresspulley/rehearsal/virtual/play.py
@@ -97,7 +97,7 @@
 
     @property
     def running(self) -> bool:
-        return self._owner is not None and not self._owner.dead and not self._end.done()
+        return self._owner is not None and not self._owner.is_killed and not self._end.done()
 
     def configure(self, raw: dict[str, Any]) -> None:
         listen = f"{self.address[0]}:{self.address[1]}"
@@ -194,12 +194,12 @@
             self._loop.kill(self._owner)
             self._end.set_result(-signal.SIGKILL)
         else:
-            self._loop.deliver(self._owner, number)
+            self._loop.deliver_signal(self._owner, number)
 
     def strike_after(self, when: str, count: int, strike: Strike) -> None:
         if self._owner is not None:
             turns, writes = (count, 0) if when == "turn" else (0, count)
-            self._owner.strike_after(turns, writes, strike)
+            self._owner.set_countdown(turns, writes, strike)
 
     def tail(self) -> str:
         return self._why
--- a/tests/rehearsal/virtual/test_conformance.py
+++ b/tests/rehearsal/virtual/test_conformance.py
@@ -12,7 +12,7 @@
 import uvloop
 
 from cypresspulley.rehearsal.virtual.loop import DeadlockError, VirtualLoop, run_virtual
-from cypresspulley.rehearsal.virtual.network import BACKLOG
+from cypresspulley.rehearsal.virtual.network import MAX_BACKLOG
 from cypresspulley.rehearsal.virtual.owner import OWNER, Owner
 
 LOOPS = ("asyncio", "uvloop", "virtual")
@@ -296,7 +296,7 @@
         context.run(OWNER.set, process)
         server = await loop.create_task(loop.create_server(factory, "127.0.0.1", 0), context=context)
         address = server.sockets[0].getsockname()
-        dialed = [(await loop.create_connection(Seen, *address))[0] for _ in range(BACKLOG + 1)]
+        dialed = [(await loop.create_connection(Seen, *address))[0] for _ in range(MAX_BACKLOG + 1)]
         dialed[1].write(b"early")
         await asyncio.sleep(1)
         assert len(accepted) == 1
--- a/tests/test_endings_discovery.py
+++ b/tests/test_endings_discovery.py
@@ -98,7 +98,7 @@
 
 def count_connections(loop: VirtualLoop, address: tuple[str, int]) -> int:
     """Return the number of connections to an address that a limiter has open."""
-    return sum(end.peer_address == address and not end._closing for end in loop.network.open)
+    return sum(end.peer_address == address and not end._closing for end in loop.network.open_ends)
 
 
 @each_draw
--- a/tests/test_watch_clock.py
+++ b/tests/test_watch_clock.py
@@ -238,7 +238,7 @@
         await asyncio.sleep(0.1)
         assert received == [42, 44, 45, 46] and received_at[1] < 8.1
         assert all(line.endswith("since=42") for line in asked[1:]), "version 43 may have been missed"
-        mine = [end for end in loop.network.open if end.peer_address == ADDRESS and not end._closing]
+        mine = [end for end in loop.network.open_ends if end.peer_address == ADDRESS and not end._closing]
         assert len(mine) == 1, "only the newest watch is open"
         task.cancel()
 
