--- a/cypresspulley/rehearsal/virtual/play.py
+++ b/cypresspulley/rehearsal/virtual/play.py
@@ -1,4 +1,4 @@
-"""One play of a scenario in virtual time: limiters and stand-ins on one loop, the same director and judge."""
+"""Runs a scenario in virtual time: limiters and stand-ins on one loop, with the same director and judge."""
 
 from __future__ import annotations
 
@@ -41,34 +41,34 @@
 from cypresspulley.rehearsal.virtual.owner import OWNER, Owner
 from cypresspulley.service import Service
 
-UNIX_START = 1_800_000_000.0  # of every virtual day: no wall clock
-PORT, DATAGRAMS = 7000, 8700
-START_AFTER = 2.5  # seconds from a day's setting up to its second 0, where that is placed
-REFUSED = "closing: the calendar was not reloaded"
-COLLECT_AFTER = 100_000  # objects more than before
-NOT_CONNECTIONS = 16  # descriptors of a limiter that are none: its log, its loop's own, its listener
+UNIX_START = 1_800_000_000.0  # at second 0 of the virtual loop; the wall clock is not used
+LIMITER_PORT, DATAGRAM_PORT = 7000, 8700
+START_DELAY = 2.5  # seconds between the setup of a run and its second 0, if limiters act together
+CALENDAR_NOT_RELOADED = "closing: the calendar was not reloaded"
+GC_THRESHOLD = 100_000  # net allocations of objects before a collection of the youngest generation
+RESERVED_DESCRIPTORS = 16  # descriptors of a limiter that are not connections: log, event loop and listener
 
 
 class Observer:
-    """What may look on; this one does not."""
+    """Receives the events of a run; this one ignores them."""
 
-    now: Callable[[], float]  # seconds of the day, set once there is one
+    now: Callable[[], float]  # seconds of the run; set when the run begins
 
     def wrap_gateway(self, name: str, gateway: Gateway) -> DecisionModule:
-        """What stands in for a limiter's decisions."""
+        """Return the decision module for a limiter: its gateway or a wrapper of it."""
         return gateway
 
     def record(self, record: log.Record) -> None: ...
 
     def on_resumed(self, name: str, now: float) -> None:
-        """A stopped limiter runs again at this Unix time."""
+        """Called when a stopped limiter resumes, with the Unix time."""
 
     def on_exited(self, name: str, owner: Owner, loop: VirtualLoop) -> None:
-        """A limiter has ended in order; its timers and tasks are still to be seen."""
+        """Called when a limiter has exited in order, before its timers and tasks are dropped."""
 
 
 class VirtualLimiter(LimiterProcess):
-    """The shipped limiter as an owner on the loop: its start, its signals, its end."""
+    """The production limiter as an owner on the loop, with its start, signals and exit."""
 
     def __init__(
         self,
@@ -82,27 +82,27 @@
         folder: Path | None = None,
     ) -> None:
         super().__init__(name, address, folder or Path(), [], seed, sockets)
-        self._shift, self._writes = Shift(), False
-        self.histories = list[MemoryHistory]()  # of each of its processes
+        self._shift, self._writes_history = Shift(), False
+        self.histories = list[MemoryHistory]()  # one for each of its processes
         self._operators = load_operators(operators) if operators else Operators()
         self._observer = observer
-        self._loop, self._raw = loop, dict[str, Any]()
+        self._loop, self._raw_config = loop, dict[str, Any]()
         self._owner: Owner | None = None
         self._service: Service | None = None
-        self._end: asyncio.Future[int] = loop.create_future()
-        self._why = "no error was seen"
+        self._exit_code: asyncio.Future[int] = loop.create_future()
+        self._end_reason = "no error was seen"
 
     def __repr__(self) -> str:
         return f"<VirtualLimiter {self.name} {self._owner!r}, life {self.lives}>"
 
     @property
     def running(self) -> bool:
-        return self._owner is not None and not self._owner.is_killed and not self._end.done()
+        return self._owner is not None and not self._owner.is_killed and not self._exit_code.done()
 
     def configure(self, raw: dict[str, Any]) -> None:
         listen = f"{self.address[0]}:{self.address[1]}"
         seed = f"{random_for(self._seed, 'limiter', self.name, self.lives).getrandbits(64):016x}"
-        self._raw = {"name": self.name, "listen": listen, "seed": seed, **raw}
+        self._raw_config = {"name": self.name, "listen": listen, "seed": seed, **raw}
 
     def follow(self, host: str, port: int) -> None:
         self._operators = replace(self._operators, plans=(f"{host}:{port}", "rehearsal"))
@@ -118,43 +118,43 @@
         self._operators = Operators(
             fleet=own.get("fleet"), lanes=own.get("lanes"), closing=own.get("closing")
         )
-        self._writes = True
+        self._writes_history = True
 
     def shift(self, shift: Shift) -> None:
         self._shift = shift
 
-    def _wall(self) -> float:
-        return self._shift.at(self._clock())
+    def _wall_time(self) -> float:
+        return self._shift.at(self._unix_time())
 
     def _config(self) -> Config:
-        return config_from(json.loads(json.dumps(self._raw)))
+        return config_from(json.loads(json.dumps(self._raw_config)))
 
     async def start(self) -> None:
         self.lives += 1
         self.expected_end = False
-        self._owner, self._end = Owner(f"{self.name}.{self.lives}"), self._loop.create_future()
-        self._owner.descriptors = max(0, self._sockets - NOT_CONNECTIONS)
+        self._owner, self._exit_code = Owner(f"{self.name}.{self.lives}"), self._loop.create_future()
+        self._owner.descriptors = max(0, self._sockets - RESERVED_DESCRIPTORS)
         context = copy_context()
         context.run(OWNER.set, self._owner)
-        clock = self._clock
+        clock = self._unix_time
         observer = self._observer
         watched = partial(observer.wrap_gateway, self.name) if observer is not None else None
         history = None
-        if self._writes:
-            history = MemoryHistory(clock, self._wall)
+        if self._writes_history:
+            history = MemoryHistory(clock, self._wall_time)
             self.histories.append(history)
         work = serve(
-            self._config(), self._operators, clock=clock, reread=self._config, watched=watched, opened=self._opened,
-            wall=self._wall, history=history,
+            self._config(), self._operators, clock=clock, reread=self._config, watched=watched,
+            opened=self._on_service_opened, wall=self._wall_time, history=history,
         )  # fmt: skip
         task = self._loop.create_task(work, context=context)
-        task.add_done_callback(self._done)
+        task.add_done_callback(self._on_task_done)
 
-    def _opened(self, service: Service) -> None:
+    def _on_service_opened(self, service: Service) -> None:
         self._service = service
 
     async def ask(self, method: str, path: str, within: float) -> tuple[int, dict[str, Any]]:
-        """As at a door, with no way between that could fail."""
+        """Call the admin interface directly, without a connection that could fail."""
         routed = route(method, path)
         if isinstance(routed, Reply):
             return routed.status, routed.body
@@ -166,19 +166,20 @@
     async def upgrade(self) -> bool:
         raise KitError("a limiter-upgrade needs two processes: it can be played on sockets only")
 
-    def _clock(self) -> float:
+    def _unix_time(self) -> float:
         return UNIX_START + self._loop.time()
 
-    def _done(self, task: asyncio.Task[None]) -> None:
-        if self._end.done() or self._owner is None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
+        if self._exit_code.done() or self._owner is None:
             return
         failed = task.cancelled() or task.exception() is not None
         if failed and not task.cancelled():
-            self._why = repr(task.exception())
+            self._end_reason = repr(task.exception())
         if self._observer is not None and not failed:
             self._observer.on_exited(self.name, self._owner, self._loop)
-        self._loop.kill(self._owner)  # the process is over: its timers go, its connections are closed
-        self._end.set_result(1 if failed else 0)
+        # The process has exited: its timers are dropped and its connections closed.
+        self._loop.kill(self._owner)
+        self._exit_code.set_result(1 if failed else 0)
 
     def signal(self, number: int) -> None:
         self.expected_end |= number in (signal.SIGKILL, signal.SIGTERM)
@@ -189,10 +190,10 @@
         elif number == signal.SIGCONT:
             self._loop.resume_owner(self._owner)
             if self._observer is not None:
-                self._observer.on_resumed(self.name, self._clock())
+                self._observer.on_resumed(self.name, self._unix_time())
         elif number == signal.SIGKILL:
             self._loop.kill(self._owner)
-            self._end.set_result(-signal.SIGKILL)
+            self._exit_code.set_result(-signal.SIGKILL)
         else:
             self._loop.deliver_signal(self._owner, number)
 
@@ -202,33 +203,33 @@
             self._owner.set_countdown(turns, writes, strike)
 
     def tail(self) -> str:
-        return self._why
+        return self._end_reason
 
     async def ended(self) -> int:
-        return await asyncio.shield(self._end)
+        return await asyncio.shield(self._exit_code)
 
     async def gone(self) -> int:
-        return await asyncio.shield(self._end)
+        return await asyncio.shield(self._exit_code)
 
-    def sample(self) -> None: ...  # its CPU and memory are the whole process's
+    def sample(self) -> None: ...  # CPU and memory are not measurable per limiter in one process
 
 
-class _Errors(logging.Handler):
-    """An error in a limiter's log voids the run: it is what an operator would call a fault."""
+class _ErrorHandler(logging.Handler):
+    """Records an error in the log of a limiter as a complaint, which voids the run."""
 
     def __init__(self, director: Director) -> None:
         super().__init__(logging.ERROR)
         self._director = director
 
     def emit(self, record: logging.LogRecord) -> None:
-        if record.msg.startswith(REFUSED) and self._director.side is not None:
-            return  # an operators' mistake that this day may hold: a calendar of last week, or by a clock that is off
+        if record.msg.startswith(CALENDAR_NOT_RELOADED) and self._director.side is not None:
+            return  # expected: a scenario may hold an outdated calendar or a clock that is off
         self._director.context.complain(f"a limiter logged an error: {record.getMessage()[:200]}")
 
 
 @contextmanager
-def _logged(director: Director) -> Iterator[None]:
-    logger, handler = logging.getLogger("cypresspulley"), _Errors(director)
+def _errors_void_run(director: Director) -> Iterator[None]:
+    logger, handler = logging.getLogger("cypresspulley"), _ErrorHandler(director)
     propagated, logger.propagate = logger.propagate, False
     logger.addHandler(handler)
     try:
@@ -239,14 +240,14 @@
 
 
 @contextmanager
-def _seldom_collected() -> Iterator[None]:
-    """A play makes few cycles and many objects: the collector's usual rounds cost a fifth of it."""
-    usual = gc.get_threshold()
-    gc.set_threshold(COLLECT_AFTER, *usual[1:])
+def _rare_gc() -> Iterator[None]:
+    """Collect garbage rarely: runs make many objects and few cycles; the default threshold cost a fifth of the time."""
+    previous = gc.get_threshold()
+    gc.set_threshold(GC_THRESHOLD, *previous[1:])
     try:
         yield
     finally:
-        gc.set_threshold(*usual)
+        gc.set_threshold(*previous)
 
 
 def play_virtual(
@@ -258,26 +259,28 @@
     max_turns: int = 0,
     logs: Path | None = None,
 ) -> list[log.Record]:
-    """Play a day; the records of it. The same scenario, seed and plan give the same records, byte for byte.
+    """Run a scenario and return its records. The same scenario, seed and plan give the same records, byte for byte.
 
-    ``StuckError`` after ``most_turns`` of the loop (0: no bound). ``logs``: a folder that keeps what limiters and the
-    kit wrote down of the day, if they wrote any."""
-    plan, kept = plan or draw(scenario, seed), list[log.Record]()
+    Raises TurnLimitError after ``max_turns`` of the loop (0 for no limit). ``logs`` is a folder for the histories that
+    limiters and the kit write, if any."""
+    plan, records = plan or draw(scenario, seed), list[log.Record]()
 
     def sink(record: log.Record) -> None:
-        kept.append(record)
+        records.append(record)
         if observer is not None:
             observer.record(record)
 
     async def main(loop: VirtualLoop) -> None:
-        made = list[VirtualLimiter]()
+        limiters = list[VirtualLimiter]()
 
         def limiter(name: str, host: str) -> LimiterProcess:
             sockets, operators = scenario.limiters.sockets, operators_of(scenario)
-            made.append(
-                VirtualLimiter(name, (host, PORT), loop, plan.seed, sockets, observer, operators, folder)
+            limiters.append(
+                VirtualLimiter(
+                    name, (host, LIMITER_PORT), loop, plan.seed, sockets, observer, operators, folder
+                )
             )
-            return made[-1]
+            return limiters[-1]
 
         loop.turns_left = max_turns
 
@@ -289,25 +292,25 @@
             clock=loop.time,
             unix=lambda: UNIX_START + loop.time(),
             base="127.1",
-            ground=None if scenario.together is None else _ground(scenario, loop, made, logs),
+            ground=None if scenario.together is None else _make_ground(scenario, loop, limiters, logs),
         )
         if observer is not None:
             observer.now = director.context.now
-        with _logged(director):
+        with _errors_void_run(director):
             try:
                 await play_day(director, progress)
             finally:
                 await director.close()
 
-    with _seldom_collected(), _folder_of(scenario) as folder:
+    with _rare_gc(), _temporary_folder(scenario) as folder:
         run_virtual(main, seed)
-    return kept
+    return records
 
 
-def _ground(
+def _make_ground(
     scenario: Scenario, loop: VirtualLoop, limiters: list[VirtualLimiter], logs: Path | None
 ) -> Ground:
-    """In virtual time: histories are lists."""
+    """The environment of limiters that act together; in virtual time histories are lists."""
 
     def clock() -> float:
         return UNIX_START + loop.time()
@@ -318,21 +321,21 @@
     def check(wanted: list[str]) -> list[log.Checked]:
         lives = [life for each in limiters for one in each.histories for life in one.lives]
         if logs is not None:
-            _keep_histories([*history.lives, *lives], logs / "histories")
+            _write_histories([*history.lives, *lives], logs / "histories")
         return checked(from_memory([*history.lives, *lives]), wanted, scenario.seconds)
 
-    def address(name: str, way_in: bool) -> tuple[str, int]:
-        return net.host(254 if way_in else 250, names.index(name)), DATAGRAMS
+    def address(name: str, in_relay: bool) -> tuple[str, int]:
+        return net.host(254 if in_relay else 250, names.index(name)), DATAGRAM_PORT
 
     def calendars() -> list[dict[str, Any]]:
         lives = (life for each in limiters for one in each.histories for life in one.lives)
         return [event for life in lives for event in life if event["kind"] == Kind.CALENDAR]
 
-    return Ground(history, address, check, calendars, START_AFTER)
+    return Ground(history, address, check, calendars, START_DELAY)
 
 
-def _keep_histories(lives: list[list[dict[str, Any]]], folder: Path) -> None:
-    """As on sockets: a file for each process and life."""
+def _write_histories(lives: list[list[dict[str, Any]]], folder: Path) -> None:
+    """Write one file for each process and life, as a run on sockets does."""
     folder.mkdir(parents=True, exist_ok=True)
     encoder = msgspec.json.Encoder()
     for events in lives:
@@ -342,25 +345,24 @@
 
 
 @contextmanager
-def _folder_of(scenario: Scenario) -> Iterator[Path | None]:
-    """Where calendars stand, which are read as files, and the fleet's key: for days on which limiters do something
-    together only."""
+def _temporary_folder(scenario: Scenario) -> Iterator[Path | None]:
+    """Provide a folder for the calendar files and set the fleet's key, if the scenario lets limiters act together."""
     if scenario.together is None:
         yield None
         return
-    usual = os.environ.get("FAWNSEAM_FLEET_KEY")
+    previous = os.environ.get("FAWNSEAM_FLEET_KEY")
     os.environ["FAWNSEAM_FLEET_KEY"] = KEY
     try:
         with tempfile.TemporaryDirectory(prefix="fawnseam-") as folder:
             yield Path(folder)
     finally:
         del os.environ["FAWNSEAM_FLEET_KEY"]
-        if usual is not None:
-            os.environ["FAWNSEAM_FLEET_KEY"] = usual
+        if previous is not None:
+            os.environ["FAWNSEAM_FLEET_KEY"] = previous
 
 
 def digest(records: list[log.Record]) -> str:
-    """16 hex digits over a whole trace, in its order."""
+    """Hash a whole trace, in its order, to 16 hex digits."""
     state = blake2b(digest_size=8)
     for record in records:
         state.update(log.to_line(record).encode() + b"\n")
