--- a/tests/rehearsal/virtual/test_books.py
+++ b/tests/rehearsal/virtual/test_books.py
@@ -1,4 +1,4 @@
-"""Plans that change in service, played whole: the judge knows the book and convicts who does not go by it."""
+"""Whole runs with plans that change meanwhile: the judge knows the book and finds limiters that do not follow it."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     return small(seconds=12, fault=[CHURN, SURGE, *faults], **changes)
 
 
-def broken(scenario: Scenario, seed: int) -> list[str]:
+def broken_rules(scenario: Scenario, seed: int) -> list[str]:
     verdict = judge(play_virtual(scenario, seed))
     assert not verdict.void and not verdict.crash, verdict.void or verdict.crash
     return [rule.rule for rule in verdict.rules if not rule.kept]
@@ -35,7 +35,7 @@
         {"kind": "limiter-kill", "at": 5.0, "targets": ["limiter-0"], "back_after": 0.5},
         {"kind": "limiter-off-book", "at": 8.0, "targets": ["limiter-1"], "lasts": 2.0},
     ]
-    assert broken(day(*lost), seed) == []
+    assert broken_rules(day(*lost), seed) == []
 
 
 def test_one_seed_is_one_trace_with_a_book() -> None:
@@ -46,7 +46,7 @@
 
 
 class Forgiving(limiter.PlanBookDecisions):
-    """An account starts anew with each plan."""
+    """Forgets the bucket levels of an account at a change of plan."""
 
     def _carry_level(self, now: float, ev: api.Request) -> None:
         for key in list(self._account_keys(ev)):
@@ -54,7 +54,7 @@
 
 
 class Deaf(limiter.PlanBookDecisions):
-    """Whatever the book says, the higher plan holds."""
+    """Ignores the plan book, so that the higher plan stays in force."""
 
     def _bind_request(self, now: float, ev: api.Request) -> api.Request:
         return ev
@@ -65,9 +65,9 @@
 def test_a_limiter_that_does_not_go_by_the_book_is_convicted(
     mutant: type[limiter.PlanBookDecisions], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    assert broken(day(), 1) == []
+    assert broken_rules(day(), 1) == []
     monkeypatch.setattr(limiter, "PlanBookDecisions", mutant)
-    assert broken(day(), 1) == ["ceilings kept"]
+    assert broken_rules(day(), 1) == ["ceilings kept"]
 
 
 @pytest.mark.parametrize("name", ["plan-churn", "downgrade-while-over", "writer-dies", "book-split"])
--- a/tests/rehearsal/virtual/test_conformance.py
+++ b/tests/rehearsal/virtual/test_conformance.py
@@ -1,4 +1,4 @@
-"""One suite for three loops: asyncio and uvloop on real loopback sockets, and the virtual one in memory."""
+"""Conformance tests for three event loops: asyncio and uvloop on loopback sockets, and the virtual loop in memory."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from cypresspulley.rehearsal.virtual.owner import OWNER, Owner
 
 LOOPS = ("asyncio", "uvloop", "virtual")
-Pair = tuple["Seen", "Seen"]
+Pair = tuple["RecordingProtocol", "RecordingProtocol"]
 
 
-class Seen(asyncio.Protocol):
-    """Keeps what its transport told it."""
+class RecordingProtocol(asyncio.Protocol):
+    """Records the callbacks of its transport."""
 
     def __init__(self) -> None:
         self.events = list[str]()
@@ -29,13 +29,13 @@
         self.keep_open = False
         self._changed = asyncio.Event()
 
-    def _note(self, event: str) -> None:
+    def _record_event(self, event: str) -> None:
         self.events.append(event)
         self._changed.set()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self._note("made")
+        self._record_event("made")
 
     def data_received(self, data: bytes) -> None:
         assert data
@@ -43,17 +43,17 @@
         self._changed.set()
 
     def eof_received(self) -> bool:
-        self._note("eof")
+        self._record_event("eof")
         return self.keep_open
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._note("lost" if exc is None else f"lost {type(exc).__name__}")
+        self._record_event("lost" if exc is None else f"lost {type(exc).__name__}")
 
     def pause_writing(self) -> None:
-        self._note("pause")
+        self._record_event("pause")
 
     def resume_writing(self) -> None:
-        self._note("resume")
+        self._record_event("resume")
 
     async def until(self, condition: Callable[[], object]) -> None:
         while not condition():
@@ -62,11 +62,11 @@
 
 
 async def pair() -> tuple[Pair, Any]:
-    """Two ends of a connection, the dialing one first, and the server."""
-    loop, accepted = asyncio.get_running_loop(), Seen()
+    """Connect two ends; returns the connecting one, the accepted one and the server."""
+    loop, accepted = asyncio.get_running_loop(), RecordingProtocol()
     server = await loop.create_server(lambda: accepted, "127.0.0.1", 0)
     address = server.sockets[0].getsockname()
-    _, dialed = await loop.create_connection(Seen, *address)
+    _, dialed = await loop.create_connection(RecordingProtocol, *address)
     await accepted.until(lambda: accepted.events)
     return (dialed, accepted), server
 
@@ -83,10 +83,10 @@
         asyncio.run(bounded())
 
 
-on_each = pytest.mark.parametrize("kind", LOOPS)
+on_each_loop = pytest.mark.parametrize("kind", LOOPS)
 
 
-@on_each
+@on_each_loop
 def test_bytes_come_whole_and_in_order(kind: str) -> None:
     async def main() -> None:
         (near, far), server = await pair()
@@ -103,7 +103,7 @@
         play(kind, main, seed)
 
 
-@on_each
+@on_each_loop
 def test_close_sends_what_was_written_then_the_end(kind: str) -> None:
     async def main() -> None:
         (near, far), server = await pair()
@@ -120,7 +120,7 @@
     play(kind, main)
 
 
-@on_each
+@on_each_loop
 def test_a_half_closed_end_can_still_answer(kind: str) -> None:
     async def main() -> None:
         (near, far), server = await pair()
@@ -138,14 +138,14 @@
     play(kind, main)
 
 
-@on_each
+@on_each_loop
 def test_abort_is_heard_by_both_and_not_inside_the_call(kind: str) -> None:
     async def main() -> None:
         (near, far), server = await pair()
         far.transport.pause_reading()
         near.transport.write(
             b"x" * 1000
-        )  # never read: what a reset does to it differs, that it ends does not
+        )  # never read: loops differ in what a reset does to it, but not in that the connection ends
         far.transport.abort()
         assert "lost" not in far.events
         await far.until(lambda: "lost" in far.events)
@@ -153,7 +153,7 @@
         await near.until(lambda: near.events[-1].startswith("lost"))
         assert far.data == b"" and len([e for e in near.events if e.startswith("lost")]) == 1
         far.transport.abort()
-        near.transport.close()  # again: nothing more is told
+        near.transport.close()  # a second close must not call back again
         await asyncio.sleep(0.01)
         assert len([e for e in near.events + far.events if e.startswith("lost")]) == 2
         server.close()
@@ -161,7 +161,7 @@
     play(kind, main)
 
 
-@on_each
+@on_each_loop
 def test_a_full_buffer_pauses_its_writer_until_it_is_read(kind: str) -> None:
     async def main() -> None:
         (near, far), server = await pair()
@@ -179,12 +179,12 @@
     play(kind, main)
 
 
-@on_each
+@on_each_loop
 def test_with_no_room_at_all_writing_pauses_only_while_something_waits(kind: str) -> None:
     async def main() -> None:
         (near, far), server = await pair()
         near.transport.set_write_buffer_limits(high=0)
-        near.transport.write(b"small")  # goes out at once
+        near.transport.write(b"small")  # sent at once
         await far.until(lambda: far.data == b"small")
         assert near.events.count("pause") == near.events.count("resume")
         server.close()
@@ -192,23 +192,23 @@
     play(kind, main)
 
 
-@on_each
+@on_each_loop
 def test_nobody_there_is_refused_and_a_taken_address_too(kind: str) -> None:
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        server = await loop.create_server(Seen, "127.0.0.1", 0)
+        server = await loop.create_server(RecordingProtocol, "127.0.0.1", 0)
         address = server.sockets[0].getsockname()
         with pytest.raises(OSError):
-            await loop.create_server(Seen, *address)
+            await loop.create_server(RecordingProtocol, *address)
         server.close()
         await asyncio.sleep(0.01)
         with pytest.raises(ConnectionRefusedError):
-            await loop.create_connection(Seen, *address)
+            await loop.create_connection(RecordingProtocol, *address)
 
     play(kind, main)
 
 
-@on_each
+@on_each_loop
 def test_streams_work_on_it(kind: str) -> None:
     async def main() -> None:
         async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -228,7 +228,7 @@
     play(kind, main)
 
 
-# What only the virtual loop can do.
+# Features of the virtual loop only.
 
 
 def test_time_jumps_and_one_seed_is_one_trace() -> None:
@@ -252,7 +252,7 @@
         near.transport.write(b"lost in between")
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(100):
-                await loop.create_connection(Seen, *server.sockets[0].getsockname())
+                await loop.create_connection(RecordingProtocol, *server.sockets[0].getsockname())
         assert far.data == b"" and far.events == ["made"]
         loop.network.heal("127.0.0.1", "127.0.0.1")
         await far.until(lambda: far.data == b"lost in between")
@@ -267,8 +267,8 @@
         dialer = Owner("dialer")
         dialer.descriptors = 1
 
-        async def dial() -> Seen:
-            return (await loop.create_connection(Seen, *address))[1]  # type: ignore[return-value]
+        async def dial() -> RecordingProtocol:
+            return (await loop.create_connection(RecordingProtocol, *address))[1]  # type: ignore[return-value]
 
         context = copy_context()
         context.run(OWNER.set, dialer)
@@ -285,24 +285,26 @@
 
 def test_what_a_process_cannot_accept_waits_and_past_the_backlog_nothing_comes_up() -> None:
     async def main(loop: VirtualLoop) -> None:
-        process, accepted = Owner("server"), list[Seen]()
+        process, accepted = Owner("server"), list[RecordingProtocol]()
         process.descriptors = 1
 
-        def factory() -> Seen:
-            accepted.append(Seen())
+        def factory() -> RecordingProtocol:
+            accepted.append(RecordingProtocol())
             return accepted[-1]
 
         context = copy_context()
         context.run(OWNER.set, process)
         server = await loop.create_task(loop.create_server(factory, "127.0.0.1", 0), context=context)
         address = server.sockets[0].getsockname()
-        dialed = [(await loop.create_connection(Seen, *address))[0] for _ in range(MAX_BACKLOG + 1)]
+        dialed = [
+            (await loop.create_connection(RecordingProtocol, *address))[0] for _ in range(MAX_BACKLOG + 1)
+        ]
         dialed[1].write(b"early")
         await asyncio.sleep(1)
         assert len(accepted) == 1
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(5):
-                await loop.create_connection(Seen, *address)
+                await loop.create_connection(RecordingProtocol, *address)
         dialed[0].close()
         await asyncio.sleep(1)
         assert len(accepted) == 2 and accepted[1].data == b"early"
@@ -316,11 +318,16 @@
         process.descriptors = 1
         context = copy_context()
         context.run(OWNER.set, process)
-        server = await loop.create_task(loop.create_server(Seen, "127.0.0.1", 0), context=context)
-        dialed = [(await loop.create_connection(Seen, *server.sockets[0].getsockname()))[1] for _ in range(3)]
+        server = await loop.create_task(
+            loop.create_server(RecordingProtocol, "127.0.0.1", 0), context=context
+        )
+        dialed = [
+            (await loop.create_connection(RecordingProtocol, *server.sockets[0].getsockname()))[1]
+            for _ in range(3)
+        ]
         loop.kill(process)
         for end in dialed:
-            await cast(Seen, end).until(lambda end=end: "lost" in " ".join(end.events))  # type: ignore[misc]
+            await cast(RecordingProtocol, end).until(lambda end=end: "lost" in " ".join(end.events))  # type: ignore[misc]
 
     run_virtual(main)
 
--- a/tests/rehearsal/virtual/test_fleets.py
+++ b/tests/rehearsal/virtual/test_fleets.py
@@ -1,4 +1,4 @@
-"""Forty limiters and sixty servers in virtual time: what is harmless on one limiter and hurts on all."""
+"""Forty limiters and sixty servers in virtual time: guards against effects that only show in a large fleet."""
 
 from __future__ import annotations
 
--- a/tests/rehearsal/virtual/test_play.py
+++ b/tests/rehearsal/virtual/test_play.py
@@ -1,4 +1,4 @@
-"""Whole days in virtual time: one seed is one trace; kills, cuts and reloads keep the rules; broken ones are seen."""
+"""Whole runs in virtual time: a seed gives one trace, the rules hold through faults, and broken limiters are found."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
 
 
 def test_a_refusal_after_a_reset_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A limiter that answers 429 where it ought to answer 502: patched in memory, convicted of rule 2."""
+    """A limiter patched to answer 429 instead of 502 after a reset breaks rule 2."""
     monkeypatch.setattr(Node, "_fail", lambda self, action: _refuse_in_place_of(self, action))
     verdict = judge(play_virtual(rough(), 1))
     assert [rule.rule for rule in verdict.rules if not rule.kept] == ["no effect twice"]
@@ -93,7 +93,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_an_id_at_another_address_and_another_server_at_its_old_one(seed: int) -> None:
-    """Connections in the pools lead to the old addresses; each server gets only what was meant for it."""
+    """Pooled connections lead to the old addresses; still each server must only get requests meant for it."""
     moves = [
         {"kind": "server-move", "at": 1.0 + n, "targets": [f"bag-0{n}"], "back_after": 0.1} for n in range(3)
     ]
@@ -145,7 +145,7 @@
 
         async def turn() -> None:
             loop.kill(process)
-            loop.create_task(begun())  # its code goes on to the end of the turn
+            loop.create_task(begun())  # the code of a killed process still runs to the end of its turn
             loop.call_later(1.0, ran.append, "timer")
 
         context = copy_context()
--- a/tests/rehearsal/virtual/test_settings_read_wrong.py
+++ b/tests/rehearsal/virtual/test_settings_read_wrong.py
@@ -1,9 +1,9 @@
-"""A limiter that reads a key of its settings wrongly is convicted of the rule that the key is for, and of no other.
+"""A limiter that misreads a key of its settings breaks the rule for that key, and no other.
 
-Why two of them had been let go. On account-flood a limiter that reads each ceiling's rate four times as high passed: a
-ceiling is above its quota, and where a plan's excess costs more than it earns, quotas refuse before the ceiling is
-reached. So the day here has a plan whose excess earns. And a limiter that reads each class as safe to repeat breaks no
-rule: the method of a request says what it is (GET is safe), and one whose form its class does not have is refused.
+The scenario account-flood does not show a ceiling's rate read four times too high: a ceiling is above its quota, and
+where a plan's excess costs more than it earns, quotas refuse before the ceiling is reached. So the plan here has an
+excess that earns. A limiter that reads each class as safe to repeat breaks no rule: the method of a request says what
+it is (GET is safe), and a request whose form does not match its class is refused.
 """
 
 from __future__ import annotations
@@ -26,8 +26,8 @@
 Read = Callable[[api.Settings], api.Settings]
 
 
-def pressed() -> Scenario:
-    """A day on which half of the accounts are under a ceiling, ask far beyond it, and beyond quota earn."""
+def ceiling_scenario() -> Scenario:
+    """A scenario in which half of the accounts have a ceiling, exceed it by far, and earn beyond their quota."""
     return small(
         seconds=8,
         load={"inside": 30, "heavy": 0.0, "full": 0.5, "spiky": 0, "spread": [2, 2]},
@@ -40,7 +40,7 @@
 
 
 def plans(**times: float) -> Read:
-    """Each plan's figures are read so many times as high."""
+    """Multiply figures of each plan by the given factors."""
 
     def read(settings: api.Settings) -> api.Settings:
         changed = [
@@ -61,13 +61,13 @@
         return read(parse_settings(raw)) if read is not None else parse_settings(raw)
 
     monkeypatch.setattr("cypresspulley.config.parse_settings", wrong)
-    found = judge(play_virtual(day, seed))
-    assert not found.void and not found.crash, found.void or found.crash
-    return found
+    result = judge(play_virtual(day, seed))
+    assert not result.void and not result.crash, result.void or result.crash
+    return result
 
 
-def broken(found: Verdict) -> list[str]:
-    return [rule.rule for rule in found.rules if not rule.kept]
+def broken_rules(result: Verdict) -> list[str]:
+    return [rule.rule for rule in result.rules if not rule.kept]
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -75,20 +75,20 @@
 def test_one_that_reads_ceilings_too_high_passes_them(
     monkeypatch: pytest.MonkeyPatch, read: Read, seed: int
 ) -> None:
-    assert broken(verdict(monkeypatch, pressed(), seed, read)) == ["ceilings kept"]
+    assert broken_rules(verdict(monkeypatch, ceiling_scenario(), seed, read)) == ["ceilings kept"]
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_the_shipped_one_keeps_them(monkeypatch: pytest.MonkeyPatch, seed: int) -> None:
-    assert broken(verdict(monkeypatch, pressed(), seed, None)) == []
+    assert broken_rules(verdict(monkeypatch, ceiling_scenario(), seed, None)) == []
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_one_that_takes_every_class_for_safe_serves_none_that_is_not(
     monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
-    """No rule convicts it, as it never sends what it takes for something else; its service does."""
-    found = verdict(monkeypatch, pressed(), seed, each_class_safe)
-    assert broken(found) == []
-    assert found.service.by_class["hand"] == 0.0
-    assert found.service.by_class["look"] > 0.5
+    """It breaks no rule, because it refuses requests whose form does not match; the service figures show it."""
+    result = verdict(monkeypatch, ceiling_scenario(), seed, each_class_safe)
+    assert broken_rules(result) == []
+    assert result.service.by_class["hand"] == 0.0
+    assert result.service.by_class["look"] > 0.5
--- a/tests/rehearsal/virtual/test_shipped.py
+++ b/tests/rehearsal/virtual/test_shipped.py
@@ -1,4 +1,4 @@
-"""The shipped days that stand for a rule convict who breaks it, and acquit the shipped limiter on the same seeds."""
+"""A bundled scenario finds a limiter that breaks its rule, and passes the unchanged limiter on the same seeds."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from cypresspulley.rehearsal.virtual.play import play_virtual
 from tests.explore.mutants import MUTANTS, applied
 
-# What each limiter is broken in, the day that shows it, its rule, and how much of the day is played, in seconds.
+# The mutant, the scenario that shows it, the rule that it breaks, and the seconds of the scenario that are run.
 ROWS = (
     ("every server taken for a long-running one", "rolling-release", RULES[3], 11.0),
     ("every class taken for safe to repeat", "killed-mid-handover", RULES[1], 10.0),
@@ -18,8 +18,8 @@
 SEEDS = (8, 424242)
 
 
-def begun(name: str, seconds: float) -> Scenario:
-    """The first seconds of a shipped day."""
+def first_seconds(name: str, seconds: float) -> Scenario:
+    """The first seconds of a bundled scenario."""
     whole = load_scenario(name)
     faults = tuple(fault for fault in whole.faults if fault.at < seconds)
     return whole.model_copy(update={"seconds": seconds, "faults": faults})
@@ -31,7 +31,7 @@
 def test_the_day_convicts_the_mutant_and_acquits_the_right_one(
     name: str, day: str, rule: str, seconds: float, seed: int
 ) -> None:
-    scenario, mutant = begun(day, seconds), next(m for m in MUTANTS if m.name == name)
+    scenario, mutant = first_seconds(day, seconds), next(m for m in MUTANTS if m.name == name)
     with applied(mutant):
         broken = judge(play_virtual(scenario, seed))
     assert [row.rule for row in broken.rules if not row.kept] == [rule] and not broken.void
--- a/tests/rehearsal/virtual/test_unread.py
+++ b/tests/rehearsal/virtual/test_unread.py
@@ -1,9 +1,8 @@
-"""In virtual time a stopped process's connections show the bytes that came meanwhile, as a machine's do.
+"""In virtual time the connections of a stopped process report bytes that arrived meanwhile, as a kernel does.
 
-What was seen: ``fawnseam explore account-flood --first 52 --seeds 1 --seconds 2 --inside 12`` blamed limiter-2 at
-1.369 s: "its connection was ended with no answer". The limiter had been stopped, and on waking it closed a connection
-that had long been silent. It asks its machine before whether bytes lie unread there (FIONREAD); the kit's network
-answered by a descriptor on which nothing ever lay, whatever had come.
+``fawnseam explore account-flood --first 52 --seeds 1 --seconds 2 --inside 12`` blamed limiter-2 at 1.369 s: "its
+connection was ended with no answer". The limiter had been stopped and on resuming closed an idle connection. Before
+that it asks for unread bytes (FIONREAD), and the virtual network answered with a descriptor that never had any.
 """
 
 from __future__ import annotations
