--- a/cypresspulley/rehearsal/standins/counter_server.py
+++ b/cypresspulley/rehearsal/standins/counter_server.py
@@ -14,11 +14,10 @@
 
 MAX_LINE_BYTES = 256
 MAX_CONNECTIONS = 32  # of one limiter; further ones are reset
-IDLE_TIMEOUT, IDLE_SWEEP_INTERVAL = (
-    10.0,
-    1.0,
-)  # seconds until an idle connection is closed; between two checks
-MAX_TTL_MS, MAX_AMOUNT = 60_000, 1e9
+IDLE_TIMEOUT = 10.0  # seconds until an idle connection is closed
+IDLE_SWEEP_INTERVAL = 1.0  # seconds between two checks for idle connections
+MAX_TTL_MS = 60_000  # longer ones are shortened to it
+MAX_AMOUNT = 1e9  # calls beyond it get an error
 CALL_PATTERN = re.compile(rb"tally ([!-~]{1,64}) ([+-]?[0-9]{1,12}(?:\.[0-9]{1,9})?) ([0-9]{1,9})")
 
 
--- a/cypresspulley/rehearsal/standins/engine.py
+++ b/cypresspulley/rehearsal/standins/engine.py
@@ -14,7 +14,8 @@
 
 from redis.crc import key_slot
 
-MAX_WORDS, MAX_WORD_BYTES = 64, 64 * 1024
+MAX_WORDS = 64  # of a command
+MAX_WORD_BYTES = 64 * 1024
 SLOTS = 16384
 
 
--- a/cypresspulley/rehearsal/standins/graphql.py
+++ b/cypresspulley/rehearsal/standins/graphql.py
@@ -22,7 +22,8 @@
 
 SCHEMA_PATH = Path(__file__).with_name("floor.graphql")
 OPERATORS_PATH = Path(__file__).with_name("floor.toml")
-FLOOR_COUNT, BAG_COUNT = 40, 600
+FLOOR_COUNT = 40
+BAG_COUNT = 600
 MEAN_LIST_FILL = 0.6  # mean share of the requested items that a list has
 
 
--- a/cypresspulley/rehearsal/virtual/network.py
+++ b/cypresspulley/rehearsal/virtual/network.py
@@ -28,7 +28,9 @@
 
 HIGH_WATER_BYTES = 64 * 1024  # bytes in the write buffer of a transport above which it calls pause_writing
 SOCKET_BUFFER_BYTES = 128 * 1024  # bytes in flight to a reader that reads nothing
-MIN_DELAY, MAX_DELAY = 1e-4, 4e-4  # one-way delay in seconds
+# One-way delay in seconds.
+MIN_DELAY = 1e-4
+MAX_DELAY = 4e-4
 MAX_BACKLOG = 128  # connections that the process of a listener has not accepted yet
 DRAIN_POLL_INTERVAL = 0.02  # seconds between two checks whether the backlog of a closing listener is empty
 FIRST_PORT = 40_000
@@ -92,9 +94,8 @@
             data = data[:at]
         self.size -= len(data)
         if self._network.bandwidth:
-            self._pacing_delay = (
-                len(data) / self._network.bandwidth
-            )  # the next piece waits until this one is transmitted
+            # The next piece waits until this one is transmitted.
+            self._pacing_delay = len(data) / self._network.bandwidth
         self._reader.receive_data(data)
         self.wake()
 
--- a/cypresspulley/rehearsal/virtual/owner.py
+++ b/cypresspulley/rehearsal/virtual/owner.py
@@ -36,9 +36,8 @@
         """Count the end of one turn on the loop; every await that suspends ends a turn."""
         self.turns_left -= 1
         if self.turns_left == 0 and self.on_countdown is not None:
-            Context().run(
-                self.on_countdown
-            )  # in an empty context: what it starts does not belong to this owner
+            # In an empty context, because what it starts does not belong to this owner.
+            Context().run(self.on_countdown)
 
     def count_write(self) -> None:
         """Count one write, which is delivered even if the process is killed afterwards."""
--- a/cypresspulley/rehearsal/virtual/play.py
+++ b/cypresspulley/rehearsal/virtual/play.py
@@ -42,7 +42,8 @@
 from cypresspulley.service import Service
 
 UNIX_START = 1_800_000_000.0  # at second 0 of the virtual loop; the wall clock is not used
-LIMITER_PORT, DATAGRAM_PORT = 7000, 8700
+LIMITER_PORT = 7000
+DATAGRAM_PORT = 8700
 START_DELAY = 2.5  # seconds between the setup of a run and its second 0, if limiters act together
 CALENDAR_NOT_RELOADED = "closing: the calendar was not reloaded"
 GC_THRESHOLD = 100_000  # net allocations of objects before a collection of the youngest generation
