--- a/cypresspulley/rehearsal/standins/bagserver.py
+++ b/cypresspulley/rehearsal/standins/bagserver.py
@@ -267,7 +267,7 @@
                 load = self.load_report() if path == "/load" else b""
                 connection.answer(503 if self.draining else 200, load)
             return
-        request = self.context.find(id)
+        request = self.context.find_request(id)
         if (
             not id
             or request is None
@@ -359,7 +359,7 @@
         attempt.connection.attempt = None
         attempt.connection.idle_since = now
         self._completed_count += 1
-        made = f',"made":{self.context.unix():.6f}' if self.context.tells_made else ""
+        made = f',"made":{self.context.unix():.6f}' if self.context.includes_time_made else ""
         body = f'{{"id":"{attempt.id}","server":"{self.name}","run":{self._completed_count}{made}}}'
         if attempt.request.reply:
             body = self._graphql_body(attempt.request, body)
--- a/cypresspulley/rehearsal/standins/clients.py
+++ b/cypresspulley/rehearsal/standins/clients.py
@@ -261,7 +261,7 @@
                 self._context.record(log.Unreached(self._context.now(), id, first, limiter))
                 return Outcome(0, is_broken=True)
             is_reused = connection.uses > 0
-            self._context.sent(known)
+            self._context.add_request(known)
             self._context.record(
                 log.Sent(
                     self._context.now(), id, first, attempt, limiter, arrival.account, arrival.plan, cls.name,
--- a/cypresspulley/rehearsal/standins/run_context.py
+++ b/cypresspulley/rehearsal/standins/run_context.py
@@ -47,11 +47,11 @@
         self._sink, self.clock, self.work = sink, clock, work
         self._start = clock()
         self._unix = unix() - self._start
-        self._known = dict[str, KnownRequest]()
+        self._requests = dict[str, KnownRequest]()
         self._attempts = 0
         self.complaints = list[str]()
         self.on_arrival: ArrivalHook | None = None
-        self.tells_made = False  # whether servers put the time of a response into its body
+        self.includes_time_made = False  # whether servers put the time of a response into its body
 
     def begin(self, after: float) -> None:
         """Start the run ``after`` seconds from now."""
@@ -72,22 +72,22 @@
     def record(self, record: Record) -> None:
         self._sink(record)
 
-    def sent(self, known: KnownRequest) -> None:
-        self._known[known.id] = known
+    def add_request(self, request: KnownRequest) -> None:
+        self._requests[request.id] = request
 
-    def find(self, id: str) -> KnownRequest | None:
-        return self._known.get(id)
+    def find_request(self, id: str) -> KnownRequest | None:
+        return self._requests.get(id)
 
-    def forget(self, id: str) -> None:
-        self._known.pop(id, None)
+    def forget_request(self, id: str) -> None:
+        self._requests.pop(id, None)
 
     def next_attempt(self) -> int:
         self._attempts += 1
         return self._attempts - 1
 
-    def arrived(self, server: Any, limiter: str, known: KnownRequest) -> None:
+    def arrived(self, server: Any, limiter: str, request: KnownRequest) -> None:
         if self.on_arrival is not None:
-            self.on_arrival(server, limiter, known)
+            self.on_arrival(server, limiter, request)
 
     def no_descriptors(self) -> None:
         self.complain("the kit has no descriptors left: raise `ulimit -n`")
--- a/cypresspulley/rehearsal/together.py
+++ b/cypresspulley/rehearsal/together.py
@@ -52,7 +52,7 @@
         self._relay = Relay(plan.seed, self._delay, context.clock)
         self._closings: Closings | None = None
         if scenario.closing is not None:
-            context.tells_made = True
+            context.includes_time_made = True
             self._closings = Closings(scenario.closing, plan, limiters, self.start)
         self.late = {name for fault in plan.faults if fault.kind == "limiter-late" for name in fault.targets}
 
--- a/tests/rehearsal/test_standins.py
+++ b/tests/rehearsal/test_standins.py
@@ -36,7 +36,7 @@
     def register_request(self, id: str = ID, effect: str = "safe") -> bytes:
         """Register a request as sent by a client; returns it as a limiter forwards it."""
         method = "GET" if effect == "safe" else "POST"
-        self.sent(KnownRequest(id, method, "/look?account=1", b"", "look", effect, 5.0))
+        self.add_request(KnownRequest(id, method, "/look?account=1", b"", "look", effect, 5.0))
         length = "" if method == "GET" else "Content-Length: 0\r\n"
         return f"{method} /look?account=1 HTTP/1.1\r\nX-Request-ID: {id}\r\n{length}\r\n".encode()
 
