--- a/cypresspulley/rehearsal/standins/clients.py
+++ b/cypresspulley/rehearsal/standins/clients.py
@@ -172,12 +172,12 @@
         self._seed, self._seconds = seed, seconds
         self._points_per_unit = points_per_unit  # of GraphQL requests; 0 for plain ones
         self._idle = defaultdict[str, list[_Connection]](list)
-        self._open = set[asyncio.Task[None]]()
+        self._tasks = set[asyncio.Task[None]]()
         self.lateness = list[float]()  # seconds by which each arrival was sent after its time
 
     @property
     def open(self) -> int:
-        return len(self._open)
+        return len(self._tasks)
 
     def prepare(self, arrivals: tuple[Arrival, ...]) -> None:
         """Build the GraphQL requests and their answers before the run: executing queries during it delayed arrivals."""
@@ -196,15 +196,15 @@
             if wait > 0:
                 await asyncio.sleep(wait)
             self.lateness.append(max(0.0, self._context.now() - arrival.t))
-            task = loop.create_task(self._request(arrival))
-            self._open.add(task)
-            task.add_done_callback(self._open.discard)
+            task = loop.create_task(self._run_request(arrival))
+            self._tasks.add(task)
+            task.add_done_callback(self._tasks.discard)
 
     async def finish(self, within: float) -> int:
         """Wait up to ``within`` seconds for open requests; cancels the rest and returns their number."""
-        if self._open:
-            await asyncio.wait(self._open, timeout=within)
-        left = list(self._open)
+        if self._tasks:
+            await asyncio.wait(self._tasks, timeout=within)
+        left = list(self._tasks)
         for task in left:
             task.cancel()
         if left:
@@ -214,7 +214,7 @@
                 connection.close()
         return len(left)
 
-    async def _request(self, arrival: Arrival) -> None:
+    async def _run_request(self, arrival: Arrival) -> None:
         """Send one request, with all its retries."""
         cls, started_at = self._classes[arrival.cls], self._context.now()
         first = request_id(self._seed, arrival.number if arrival.repeats < 0 else arrival.repeats, 0)
@@ -225,12 +225,14 @@
             limiter = self.front.choose(self._seed, arrival, self._context.now(), attempt)
             share, impatient = rng.uniform(*self._options.try_share), rng.random()
             abandon_share = rng.uniform(0.1, 0.9) if impatient < self._options.impatient else None
-            outcome = await self._try(arrival, cls, limiter, id, first, attempt, share, abandon_share)
+            outcome = await self._send_attempt(
+                arrival, cls, limiter, id, first, attempt, share, abandon_share
+            )
             backoff, honors_retry_after = (
                 self._draw_backoff(try_number, rng.random()),
                 rng.random() < self._options.honour,
             )
-            if outcome.status == 200 or abandon_share is not None or not self._may_repeat(cls, outcome):
+            if outcome.status == 200 or abandon_share is not None or not self._may_retry(cls, outcome):
                 return
             if outcome.retry_after is not None and honors_retry_after:
                 backoff = max(backoff, min(MAX_RETRY_AFTER, outcome.retry_after))
@@ -242,13 +244,13 @@
         base = self._options.backoff_ms / 1000 * (0.5 + draw)
         return {"none": 0.0, "fixed": base, "exp": base * float(2**attempt)}[self._options.backoff]
 
-    def _may_repeat(self, cls: ClassRow, outcome: Outcome) -> bool:
+    def _may_retry(self, cls: ClassRow, outcome: Outcome) -> bool:
         """True if the client may retry. A refusal had no effect; a broken connection may have had one."""
         if outcome.status in (429, 503) or outcome.is_broken:
             return True
         return cls.effect == "safe" or (cls.effect == "keyed" and cls.group == "all")
 
-    async def _try(
+    async def _send_attempt(
         self, arrival: Arrival, cls: ClassRow, limiter: str, id: str, first: str, attempt: int,
         share: float, abandon_share: float | None,
     ) -> Outcome:  # fmt: skip
