--- a/cypresspulley/rehearsal/play.py
+++ b/cypresspulley/rehearsal/play.py
@@ -670,7 +670,7 @@
         elif fault.kind == "writer-stop" and self.books is not None:
             self._spawn(self.books.restart(spec.back_after))
         elif fault.kind == "keeper-empty":
-            self.keeper.empty()
+            self.keeper.clear()
         elif fault.kind == "keeper-break":
             self.keeper.break_connections()
         # Floods and surges are part of the plan's arrivals.
@@ -757,7 +757,7 @@
             now = clock()
             late = max(0.0, now - due)
             # Before the start this process sets up the run, in long steps that delay no client.
-            if self.keeper.begun and self.context.now() - late >= 0:
+            if self.keeper.is_serving and self.context.now() - late >= 0:
                 self.context.record(log.Lateness(self.context.now(), late))
             due = max(due + HEARTBEAT_SECONDS, now)
             if now - sampled > USAGE_SAMPLE_SECONDS:
@@ -798,7 +798,7 @@
     early = [name for name in runner.limiters if name not in runner.returning]
     await asyncio.gather(*(runner.start_limiter(name) for name in early))
     runner.begin_day()
-    runner.keeper.begun = True
+    runner.keeper.is_serving = True
     runner.schedule_faults()
     abuse = runner.start_abuse()
     await runner.clients.play(runner.plan.arrivals)
--- a/cypresspulley/rehearsal/together.py
+++ b/cypresspulley/rehearsal/together.py
@@ -57,7 +57,7 @@
         self._relay = Relay(plan.seed, self._link_delay, context.clock)
         self._closings: ClosingSchedule | None = None
         if scenario.closing is not None:
-            context.tells_made = True
+            context.includes_time_made = True
             self._closings = ClosingSchedule(scenario.closing, plan, limiters, self.start)
         self.late = {name for fault in plan.faults if fault.kind == "limiter-late" for name in fault.targets}
 
