--- a/cypresspulley/rehearsal/datagram_faults.py
+++ b/cypresspulley/rehearsal/datagram_faults.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from cypresspulley.rehearsal.plan import PlannedFault
-from cypresspulley.rehearsal.standins.datagrams import Trouble, Way, ways_between
+from cypresspulley.rehearsal.standins.datagrams import DatagramFault, Route, routes_between
 
 # Up to these limits, lost or late datagrams excuse no death verdict. Beyond them the targets count as cut off.
 MAX_MILD_LOSS = 0.2  # share of the datagrams
@@ -19,7 +19,7 @@
 
     kind: str
     sides: tuple[tuple[str, ...], ...]
-    trouble: Trouble
+    trouble: DatagramFault
 
 
 def datagram_fault(
@@ -37,35 +37,37 @@
     groups = fault.spec.groups
     if not groups and targets:
         groups = targets, tuple(name for name in names if name not in targets)
-    between = ways_between(groups, fault.spec.one_way) if groups else None
+    between = routes_between(groups, fault.spec.one_way) if groups else None
     sides = groups[:-1] or tuple((name,) for name in names)
     # A limiter in no group hears all of them, so no limiter is isolated and no death verdict is excused.
     whole = not groups or sorted(name for group in groups for name in group) == sorted(names)
     if fault.kind == "datagram-flap":
-        flap = Trouble(between, lost=1.0, every=fault.spec.every, since=now)
+        flap = DatagramFault(between, loss_share=1.0, flap_period=fault.spec.every, since=now)
         return ScheduledDatagramFault("fleet-flap" if whole else "fleet-partial", sides, flap)
     kind = "fleet-oneway" if fault.spec.one_way else "fleet-cut"
-    return ScheduledDatagramFault(kind if whole else "fleet-partial", sides, Trouble(between, lost=1.0))
+    return ScheduledDatagramFault(
+        kind if whole else "fleet-partial", sides, DatagramFault(between, loss_share=1.0)
+    )
 
 
-def _links_of_targets(names: Sequence[str], targets: Sequence[str]) -> frozenset[Way] | None:
+def _links_of_targets(names: Sequence[str], targets: Sequence[str]) -> frozenset[Route] | None:
     """Returns the links from and to the targets, or None (all links) without targets."""
     if not targets:
         return None
     return frozenset((a, b) for a in names for b in names if a != b and (a in targets or b in targets))
 
 
-def _degraded_links(fault: PlannedFault, ways: frozenset[Way] | None) -> Trouble | None:
+def _degraded_links(fault: PlannedFault, ways: frozenset[Route] | None) -> DatagramFault | None:
     """Returns the effect of a fault that degrades links without cutting them, or None for other faults."""
     share, late = fault.spec.size, fault.spec.add_ms / 1000
     return {
-        "datagram-loss": Trouble(ways, lost=share),
-        "datagram-delay": Trouble(ways, held=1.0, by=late),
-        "datagram-double": Trouble(ways, doubled=share),
-        "datagram-reorder": Trouble(ways, held=share, by=late),
+        "datagram-loss": DatagramFault(ways, loss_share=share),
+        "datagram-delay": DatagramFault(ways, delay_share=1.0, delay_seconds=late),
+        "datagram-double": DatagramFault(ways, duplicate_share=share),
+        "datagram-reorder": DatagramFault(ways, delay_share=share, delay_seconds=late),
     }.get(fault.kind)
 
 
-def _is_mild(trouble: Trouble, period: float) -> bool:
-    late = trouble.by > MAX_MILD_DELAY * period
-    return trouble.lost <= MAX_MILD_LOSS and not (late and trouble.held > MAX_MILD_LOSS)
+def _is_mild(trouble: DatagramFault, period: float) -> bool:
+    late = trouble.delay_seconds > MAX_MILD_DELAY * period
+    return trouble.loss_share <= MAX_MILD_LOSS and not (late and trouble.delay_share > MAX_MILD_LOSS)
--- a/cypresspulley/rehearsal/together.py
+++ b/cypresspulley/rehearsal/together.py
@@ -48,7 +48,7 @@
     ) -> None:  # fmt: skip
         assert scenario.together is not None
         self._scenario = scenario
-        self._stage = stage
+        self._context = context
         self._limiters = limiters
         self._halls = halls
         self._environment = environment
--- a/tests/rehearsal/test_standins.py
+++ b/tests/rehearsal/test_standins.py
@@ -24,14 +24,14 @@
 
 
 class RecordingContext(RunContext):
-    """A run context that stores its records and gives each attempt the same work."""
+    """A run context that keeps its records and gives each attempt the same work."""
 
     def __init__(self, work: float = 0.01) -> None:
-        self.records = list[log.Record]()
-        super().__init__(self.records.append, lambda _id, _cls: work)
+        self.kept = list[log.Record]()
+        super().__init__(self.kept.append, lambda _id, _cls: work)
 
     def records_of(self, kind: type[log.Record]) -> list[Any]:
-        return [r for r in self.records if type(r) is kind]
+        return [r for r in self.kept if type(r) is kind]
 
     def register_request(self, id: str = ID, effect: str = "safe") -> bytes:
         """Register a request as sent by a client; returns it as a limiter forwards it."""
@@ -41,7 +41,7 @@
         return f"{method} /look?account=1 HTTP/1.1\r\nX-Request-ID: {id}\r\n{length}\r\n".encode()
 
 
-def make_server(context: RunContext, link: Link, machine: Machine = MACHINE, **more: Any) -> BagServer:
+def server(context: RunContext, link: Link, machine: Machine = MACHINE, **more: Any) -> BagServer:
     options: dict[str, Any] = {"report_every": 0.1, "idle": 30.0, "connections": 10, "stops_running": False}
     bag_server = BagServer(
         context, "s1", "east", 0, machine, KeyedResponseCache(), Random(1), **(options | more)
@@ -115,12 +115,12 @@
 def test_a_request_is_run_and_answered_with_a_load_report() -> None:
     async def main() -> None:
         context, link = RecordingContext(), Link("n0")
-        bag_server = make_server(context, link)
+        bag_server = server(context, link)
         bag_server.start(cold=False)
         status, headers, body = await ask(bag_server.get_address("n0"), context.register_request())
         assert " 200 " in status and json.loads(body)["id"] == ID
         assert headers["x-server-load"].startswith("queue=0,qps=")
-        kinds = [type(r).__name__ for r in context.records]
+        kinds = [type(r).__name__ for r in context.kept]
         assert kinds == ["ServerState", "Arrived", "Ran", "Replied"]
         status, _, _ = await ask(
             bag_server.get_address("n0"), context.register_request().replace(b"/look", b"/took")
@@ -135,7 +135,7 @@
 def test_a_full_waiting_room_and_a_full_table_turn_away_with_proof() -> None:
     async def main() -> None:
         context, link = RecordingContext(work=5.0), Link("n0")
-        bag_server = make_server(context, link, connections=4)
+        bag_server = server(context, link, connections=4)
         bag_server.start(cold=False)
         held = [await dial(bag_server.get_address("n0")) for _ in range(3)]
         for n, (_, writer) in enumerate(held):
@@ -161,7 +161,7 @@
 def test_keyed_repeats_are_dropped_and_answered_alike() -> None:
     async def main() -> None:
         context, link = RecordingContext(), Link("n0")
-        bag_server = make_server(context, link)
+        bag_server = server(context, link)
         bag_server.start(cold=False)
         request = context.register_request(effect="keyed")
         first, second = (
@@ -178,7 +178,7 @@
 def test_a_crashed_server_refuses_and_returns_at_its_address_cold() -> None:
     async def main() -> None:
         context, link = RecordingContext(), Link("n0")
-        bag_server = make_server(context, link)
+        bag_server = server(context, link)
         bag_server.start(cold=False)
         address = bag_server.get_address("n0")
         bag_server.crash()
@@ -196,7 +196,7 @@
 def test_errors_resets_hangs_and_idle_ends() -> None:
     async def main() -> None:
         context, link = RecordingContext(), Link("n0")
-        bag_server = make_server(context, link, idle=0.0)
+        bag_server = server(context, link, idle=0.0)
         bag_server.start(cold=False)
         bag_server.error_share = 1.0
         assert " 500 " in (await ask(bag_server.get_address("n0"), context.register_request()))[0]
@@ -223,7 +223,7 @@
 def test_a_cut_is_silence_and_no_reset() -> None:
     async def main() -> None:
         context, link = RecordingContext(), Link("n0", 0.001)
-        bag_server = make_server(context, link)
+        bag_server = server(context, link)
         bag_server.start(cold=False)
         reader, writer = await dial(bag_server.get_address("n0"))
         writer.write(context.register_request())
@@ -240,7 +240,7 @@
         assert len(context.records_of(log.Arrived)) == 1
         link.heal()
         assert " 200 " in (await read_message(reader))[0]
-        # The time within of sending at which it the cut is unknown, so the start of the start of the cut.
+        # The time within the cut at which it was sent is unknown, so it counts from the start of the cut.
         assert (
             context.records_of(log.Arrived)[1].began <= cut_at + 0.01 < context.records_of(log.Arrived)[1].t
         )
