--- a/cypresspulley/graphql/command.py
+++ b/cypresspulley/graphql/command.py
@@ -19,7 +19,10 @@
 from cypresspulley.graphql.scan import Bounds
 from cypresspulley.graphql.schema import SchemaError, read_schema
 
-DONE, REFUSED, BAD_INPUT = 0, 1, 2
+DONE = 0
+REFUSED = 1
+BAD_INPUT = 2
+
 Result = TypeVar("Result")
 
 
@@ -107,7 +110,8 @@
 
 
 def _samples(documents: Documents, capture: Path) -> tuple[list[tuple[Price, float]], dict[str, int]]:
-    samples, skipped = list[tuple[Price, float]](), dict[str, int]()
+    samples = list[tuple[Price, float]]()
+    skipped = dict[str, int]()
     for ask, true in _rows(capture):
         if true is None:
             skipped["no true cost"] = skipped.get("no true cost", 0) + 1
--- a/cypresspulley/graphql/document.py
+++ b/cypresspulley/graphql/document.py
@@ -95,11 +95,15 @@
         self, priced: PricedSchema, bounds: Bounds, most_bytes: int = 4 << 20,
         persisted: Mapping[str, str] | None = None, only_persisted: bool = False,
     ) -> None:  # fmt: skip
-        self.priced, self.bounds = priced, bounds
-        self._most, self._used = most_bytes, 0
+        self.priced = priced
+        self.bounds = bounds
+        self._most = most_bytes
+        self._used = 0
         self._kept = OrderedDict[str, Document]()
-        self._persisted, self._only = dict(persisted or {}), only_persisted
-        self.hits = self.misses = 0
+        self._persisted = dict(persisted or {})
+        self._only = only_persisted
+        self.hits = 0
+        self.misses = 0
 
     def __repr__(self) -> str:
         return f"<Documents {len(self._kept)} kept, {self._used} of {self._most} bytes, {self.hits} hits>"
@@ -201,7 +205,8 @@
 
     A walk costs per token and rule; a short document is through in two or three, one at the bound takes a rule each.
     """
-    info, errors = TypeInfo(priced.schema), list[GraphQLError]()
+    info = TypeInfo(priced.schema)
+    errors = list[GraphQLError]()
     context = ValidationContext(priced.schema, tree, info, errors.append)
     together = max(1, TOKENS_A_WALK // max(1, tokens))
     for first in range(0, len(specified_rules), together):
@@ -261,7 +266,8 @@
         raise GraphQLRefusedError(
             Code.TOO_COMPLEX, f"more than {documents.bounds.batch} operations in a batch"
         )
-    counts, whole = Counts(documents.bounds), list[Priced]()
+    counts = Counts(documents.bounds)
+    whole = list[Priced]()
     for ask in asks:
         document = yield from documents.read(documents.text_of(ask))
         whole.append(priced_operation(documents, document, ask, counts, introspection, explain))
--- a/cypresspulley/graphql/errors.py
+++ b/cypresspulley/graphql/errors.py
@@ -46,4 +46,5 @@
 
     def __init__(self, code: Code, text: str) -> None:
         super().__init__(f"{code.word}: {text}")
-        self.code, self.text = code, text
+        self.code = code
+        self.text = text
--- a/cypresspulley/graphql/front.py
+++ b/cypresspulley/graphql/front.py
@@ -25,7 +25,8 @@
 
 log = logging.getLogger(__name__)
 
-ACCEPT, CONTENT_TYPE = b"accept", b"content-type"
+ACCEPT = b"accept"
+CONTENT_TYPE = b"content-type"
 TURN = (
     0.001  # seconds that reading may hold the loop before others have their turn (one step may take longer)
 )
@@ -48,7 +49,8 @@
     __slots__ = ("_options", "media", "priced")
 
     def __init__(self, options: Options) -> None:
-        self._options, self.media = options, RESPONSE
+        self._options = options
+        self.media = RESPONSE
         self.priced: Priced | None = None
 
     def format_error(
@@ -123,8 +125,11 @@
     def __init__(
         self, settings: api.Settings, options: Options, documents: Documents, clock: Callable[[], float]
     ) -> None:
-        self.path, self._options, self._documents = options.path, options, documents
-        self._clock, self._budget = clock, ReadingBudget(options.reading)
+        self.path = options.path
+        self._options = options
+        self._documents = documents
+        self._clock = clock
+        self._budget = ReadingBudget(options.reading)
         self._classes = _classes(settings, options)
         self._ids = 0
         self._loop = asyncio.get_running_loop()
--- a/cypresspulley/graphql/learn.py
+++ b/cypresspulley/graphql/learn.py
@@ -16,7 +16,9 @@
 
 from cypresspulley.graphql.price import Price
 
-ROUNDS, LOW, HIGH = 100, 5.0, 95.0
+ROUNDS = 100
+LOW = 5.0
+HIGH = 95.0
 FEWEST = 10  # queries
 
 
@@ -60,7 +62,8 @@
     if not places:
         raise LearnError("no field of these queries costs anything by the schema")
     at = {place: n for n, place in enumerate(places)}
-    parts, fixed = np.zeros((len(samples), len(places))), np.zeros(len(samples))
+    parts = np.zeros((len(samples), len(places)))
+    fixed = np.zeros(len(samples))
     for n, (price, _) in enumerate(samples):
         for row in price.rows:
             if row.place in at:
--- a/cypresspulley/graphql/price.py
+++ b/cypresspulley/graphql/price.py
@@ -114,8 +114,12 @@
         self, priced: PricedSchema, fragments: Mapping[str, FragmentDefinitionNode], variables: VariableValues,
         counts: Counts, introspection: bool = True, explain: bool = False,
     ) -> None:  # fmt: skip
-        self._priced, self._fragments, self._variables = priced, fragments, variables
-        self._counts, self._introspection, self._explain = counts, introspection, explain
+        self._priced = priced
+        self._fragments = fragments
+        self._variables = variables
+        self._counts = counts
+        self._introspection = introspection
+        self._explain = explain
         self._rows = list[Row]()
 
     def operation(self, node: OperationDefinitionNode) -> Price:
--- a/cypresspulley/graphql/request.py
+++ b/cypresspulley/graphql/request.py
@@ -16,7 +16,8 @@
 from cypresspulley.graphql.document import Ask
 from cypresspulley.graphql.errors import Code, GraphQLRefusedError
 
-RESPONSE, JSON = "application/graphql-response+json", "application/json"
+RESPONSE = "application/graphql-response+json"
+JSON = "application/json"
 HASH_DIGITS = 64
 FIELDS = ("query", "operationName", "variables", "extensions")
 
