--- a/benchmarks/graphql_cost.py
+++ b/benchmarks/graphql_cost.py
@@ -31,7 +31,7 @@
 from graphql import parse
 
 from benchmarks.cpu_per_request import CONNECTIONS, HOST, limiter_config, request, up
-from cypresspulley.graphql.command import finished
+from cypresspulley.graphql.command import run_to_completion
 from cypresspulley.graphql.document import Ask, Documents, priced_request
 from cypresspulley.graphql.errors import GraphQLRefusedError
 from cypresspulley.graphql.request import read_post
@@ -145,7 +145,7 @@
     bounds, steps = Bounds(), list[float]()
     full = "{bag(id:1){" + " ".join(f"a{n}:floor{{id}}" for n in range(bounds.aliases)) + " id" * 40 + "}}"
     bodies = [*abuses().values(), json.dumps({"query": full}).encode()]
-    finished(priced_request(Documents(priced_schema(), bounds), [Ask("{__typename}")]))
+    run_to_completion(priced_request(Documents(priced_schema(), bounds), [Ask("{__typename}")]))
     gc.collect()
     gc.freeze()  # as the limiter does at its start
     for _ in range(rounds):
@@ -177,7 +177,7 @@
         assert kept.definitions
         for _ in range(rounds):
             documents, began = Documents(priced, Bounds()), perf_counter()
-            finished(documents.read(text))
+            run_to_completion(documents.read(text))
             times.append((perf_counter() - began) / scan(text, Bounds()))
     return max(sizes), statistics.median(times)
 
--- a/cypresspulley/cli.py
+++ b/cypresspulley/cli.py
@@ -301,7 +301,7 @@
     """
     from cypresspulley.graphql import command
 
-    sys.exit(command.cost(schema, query, operation, variables, as_json))
+    sys.exit(command.print_cost(schema, query, operation, variables, as_json))
 
 
 @main.command(name="graphql-learn")
@@ -320,7 +320,7 @@
     """
     from cypresspulley.graphql import command
 
-    sys.exit(command.learn_from(schema, capture, out))
+    sys.exit(command.learn_from_capture(schema, capture, out))
 
 
 @main.group()
--- a/cypresspulley/graphql/command.py
+++ b/cypresspulley/graphql/command.py
@@ -19,24 +19,24 @@
 from cypresspulley.graphql.scan import Bounds
 from cypresspulley.graphql.schema import SchemaError, read_schema
 
-DONE = 0
-REFUSED = 1
-BAD_INPUT = 2
+EXIT_DONE = 0
+EXIT_REFUSED = 1
+EXIT_BAD_INPUT = 2
 
-Result = TypeVar("Result")
+ResultT = TypeVar("ResultT")
 
 
-def finished(steps: Generator[None, None, Result]) -> Result:
+def run_to_completion(steps: Generator[None, None, ResultT]) -> ResultT:
     """Run a reading to its end, with nothing in between."""
     while True:
         try:
             next(steps)
         except StopIteration as done:
-            result: Result = done.value
+            result: ResultT = done.value
             return result
 
 
-def _documents(schema: str, bounds: Bounds | None = None) -> Documents:
+def _load_cache(schema: str, bounds: Bounds | None = None) -> Documents:
     """SCHEMA is an operators' file (.toml) or SDL."""
     if schema.endswith(".toml"):
         return load_documents(load_options(schema))
@@ -47,24 +47,24 @@
     return Documents(read_schema(text, schema), bounds or Bounds())
 
 
-def cost(schema: str, query: Path, operation: str | None, variables: Path | None, as_json: bool) -> int:
+def print_cost(schema: str, query: Path, operation: str | None, variables: Path | None, as_json: bool) -> int:
     """Print where the price of a query comes from; the exit code."""
     try:
-        documents = _documents(schema)
+        documents = _load_cache(schema)
         values = json.loads(variables.read_text(encoding="utf-8")) if variables is not None else {}
         if not isinstance(values, dict):
             raise OptionsError(f"{variables}: expected an object of variables")
         ask = Ask(query.read_text(encoding="utf-8"), operation=operation, variables=values)
-        priced = finished(priced_request(documents, [ask], explain=True))
+        priced = run_to_completion(priced_request(documents, [ask], explain=True))
     except GraphQLRefusedError as error:
-        return fail(f"{query}: {error}", REFUSED)
+        return fail(f"{query}: {error}", EXIT_REFUSED)
     except (OptionsError, SchemaError, ValueError, OSError) as error:
-        return fail(error, BAD_INPUT)
+        return fail(error, EXIT_BAD_INPUT)
     if as_json:
         print(json.dumps(_as_json(priced), indent=1))
     else:
         Console().print(_table(priced))
-    return DONE
+    return EXIT_DONE
 
 
 def _as_json(priced: Priced) -> dict[str, Any]:
@@ -94,36 +94,36 @@
 # Learning.
 
 
-def learn_from(schema: str, capture: Path, out: Path | None) -> int:
+def learn_from_capture(schema: str, capture: Path, out: Path | None) -> int:
     """Fit shares from a capture; the exit code."""
     try:
         check_folders(out)
-        documents = _documents(schema)
-        samples, skipped = _samples(documents, capture)
+        documents = _load_cache(schema)
+        samples, skipped = _price_samples(documents, capture)
         fit = learn(samples)
     except (OptionsError, SchemaError, LearnError, ValueError, OSError) as error:
-        return fail(error, BAD_INPUT)
-    _tell(fit, skipped)
+        return fail(error, EXIT_BAD_INPUT)
+    _print_fit(fit, skipped)
     if out is not None:
         out.write_text(json.dumps(fit.shares(), indent=1) + "\n", encoding="utf-8")
-    return DONE
+    return EXIT_DONE
 
 
-def _samples(documents: Documents, capture: Path) -> tuple[list[tuple[Price, float]], dict[str, int]]:
+def _price_samples(documents: Documents, capture: Path) -> tuple[list[tuple[Price, float]], dict[str, int]]:
     samples = list[tuple[Price, float]]()
     skipped = dict[str, int]()
-    for ask, true in _rows(capture):
-        if true is None:
+    for ask, actual in _capture_rows(capture):
+        if actual is None:
             skipped["no true cost"] = skipped.get("no true cost", 0) + 1
             continue
         try:
-            samples.append((finished(priced_request(documents, [ask], explain=True)).price, true))
+            samples.append((run_to_completion(priced_request(documents, [ask], explain=True)).price, actual))
         except GraphQLRefusedError as error:
             skipped[error.code.word] = skipped.get(error.code.word, 0) + 1
     return samples, skipped
 
 
-def _rows(capture: Path) -> Iterator[tuple[Ask, float | None]]:
+def _capture_rows(capture: Path) -> Iterator[tuple[Ask, float | None]]:
     """Rows of a HAR file (POST bodies, ``extensions.cost.actual`` of the answers), or JSON lines of
     ``query``, ``variables``, ``operationName`` and ``actual``."""
     text = capture.read_text(encoding="utf-8")
@@ -133,7 +133,7 @@
             body = entry.get("request", {}).get("postData", {}).get("text")
             answer = entry.get("response", {}).get("content", {}).get("text")
             if body:
-                yield _row(json.loads(body), _told(answer), capture, 0)
+                yield _parse_sample(json.loads(body), _actual_cost(answer), capture, 0)
         return
     for number, line in enumerate(text.splitlines(), 1):
         if line.strip():
@@ -141,10 +141,10 @@
                 raw = json.loads(line)
             except ValueError as error:
                 raise OptionsError(f"{capture}:{number}: not JSON: {error}") from None
-            yield _row(raw, raw.get("actual") if isinstance(raw, dict) else None, capture, number)
+            yield _parse_sample(raw, raw.get("actual") if isinstance(raw, dict) else None, capture, number)
 
 
-def _told(answer: str | None) -> float | None:
+def _actual_cost(answer: str | None) -> float | None:
     try:
         found: Any = json.loads(answer or "{}")
     except ValueError:
@@ -154,15 +154,15 @@
     return float(found) if isinstance(found, int | float) else None
 
 
-def _row(raw: Any, true: Any, capture: Path, number: int) -> tuple[Ask, float | None]:
+def _parse_sample(raw: Any, actual: Any, capture: Path, number: int) -> tuple[Ask, float | None]:
     if not isinstance(raw, dict) or not isinstance(raw.get("query"), str):
         raise OptionsError(f"{capture}:{number}: expected an object with query, variables and actual")
-    if true is not None and (isinstance(true, bool) or not isinstance(true, int | float)):
-        raise OptionsError(f"{capture}:{number}: actual: {true!r:.40}; expected points, a number")
-    return Ask(raw["query"], operation=raw.get("operationName"), variables=raw.get("variables")), true
+    if actual is not None and (isinstance(actual, bool) or not isinstance(actual, int | float)):
+        raise OptionsError(f"{capture}:{number}: actual: {actual!r:.40}; expected points, a number")
+    return Ask(raw["query"], operation=raw.get("operationName"), variables=raw.get("variables")), actual
 
 
-def _tell(fit: Fit, skipped: dict[str, int]) -> None:
+def _print_fit(fit: Fit, skipped: dict[str, int]) -> None:
     table = Table("field", "queries", "share of its bound", "90 % interval")
     for column in table.columns[1:]:
         column.justify = "right"
--- a/tests/graphql/test_price.py
+++ b/tests/graphql/test_price.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from hypothesis_graphql import queries
 
-from cypresspulley.graphql.command import finished
+from cypresspulley.graphql.command import run_to_completion
 from cypresspulley.graphql.document import Ask, Documents, Effect, Priced, priced_request
 from cypresspulley.graphql.errors import Code, GraphQLRefusedError
 from cypresspulley.graphql.learn import LearnError, learn
@@ -26,7 +26,7 @@
 def price(schema: str, query: str, bounds: Bounds = WIDE, longest: int = 10, **more: Any) -> Priced:
     documents = Documents(read_schema(schema, longest=longest), bounds)
     ask = Ask(query, operation=more.pop("operation", None), variables=more)
-    return finished(priced_request(documents, [ask], explain=True))
+    return run_to_completion(priced_request(documents, [ask], explain=True))
 
 
 def refusal(schema: str, query: str, **more: Any) -> Code:
@@ -220,11 +220,11 @@
 def test_one_mutation_makes_a_batch_unsafe_and_prices_add_up() -> None:
     documents = Documents(read_schema(BAGS), WIDE)
     look, give = Ask("{ floor { id } }"), Ask("mutation { weigh(bag: 1, key: 2) { id } }")
-    both = finished(priced_request(documents, [look, look, give]))
+    both = run_to_completion(priced_request(documents, [look, look, give]))
     assert both.effect is Effect.MUTATION and both.price.bound == 1 + 1 + 11
-    assert finished(priced_request(documents, [look, look])).effect is Effect.QUERY
+    assert run_to_completion(priced_request(documents, [look, look])).effect is Effect.QUERY
     with pytest.raises(GraphQLRefusedError, match="batch"):
-        finished(priced_request(documents, [look] * 11))
+        run_to_completion(priced_request(documents, [look] * 11))
 
 
 # Documents.
@@ -233,7 +233,7 @@
 def test_the_cache_is_bounded_in_bytes_and_gives_way_to_the_new() -> None:
     documents = Documents(read_schema(BAGS), WIDE, most_bytes=10_000)
     for n in range(50):
-        finished(documents.read(f"query A{n} {{ floor {{ id }} }}"))
+        run_to_completion(documents.read(f"query A{n} {{ floor {{ id }} }}"))
         assert documents.used <= 10_000
     assert documents.find("query A49 { floor { id } }") is not None
     assert documents.find("query A0 { floor { id } }") is None
@@ -261,7 +261,7 @@
     documents = Documents(priced_schema(), Bounds())
     try:
         asked = read_post("application/json", "", abuses()[name])
-        found = finished(priced_request(documents, list(asked.asks)))
+        found = run_to_completion(priced_request(documents, list(asked.asks)))
     except GraphQLRefusedError:
         return
     assert name.startswith("huge list") and found.price.bound >= 1e6
@@ -272,7 +272,7 @@
 def test_any_text_is_priced_or_refused(text: str) -> None:
     documents = Documents(read_schema(BAGS), Bounds())
     try:
-        finished(priced_request(documents, [Ask(text)]))
+        run_to_completion(priced_request(documents, [Ask(text)]))
     except GraphQLRefusedError as error:
         assert error.text
 
@@ -338,7 +338,7 @@
     rng = data.draw(st.randoms(use_true_random=False))
     documents = Documents(priced, WIDE)
     try:
-        bound = finished(priced_request(documents, [Ask(query)])).price.bound
+        bound = run_to_completion(priced_request(documents, [Ask(query)])).price.bound
     except GraphQLRefusedError:
         return  # past a bound on its size, or a negative list size: it is not sent
     spent = 0.0
@@ -377,7 +377,7 @@
             Ask(each["query"], operation=each.get("operationName"), variables=each["variables"])
             for each in (raw if isinstance(raw, list) else [raw])
         ]
-        found = finished(priced_request(documents, asks, explain=True))
+        found = run_to_completion(priced_request(documents, asks, explain=True))
         assert asked.points <= found.price.bound + 1e-9
         assert (found.effect is Effect.MUTATION) == asked.mutation
         samples.append((found.price, asked.points))
@@ -392,7 +392,9 @@
             Ask(each["query"], operation=each.get("operationName"), variables=each["variables"])
             for each in (raw if isinstance(raw, list) else [raw])
         ]
-        errors.append(abs(finished(priced_request(known, asks)).price.expected - true) / max(true, 1.0))
+        errors.append(
+            abs(run_to_completion(priced_request(known, asks)).price.expected - true) / max(true, 1.0)
+        )
     assert sum(errors) / len(errors) < 0.2 < fit.mean_before
     assert all(each.low <= each.share <= each.high + 1e-6 for each in fit.fields if each.queries > 50)
 
