--- a/cypresspulley/graphql/command.py
+++ b/cypresspulley/graphql/command.py
@@ -119,7 +119,7 @@
         try:
             samples.append((run_to_completion(priced_request(documents, [ask], explain=True)).price, actual))
         except GraphQLRefusedError as error:
-            skipped[error.code.word] = skipped.get(error.code.word, 0) + 1
+            skipped[error.code.wire_name] = skipped.get(error.code.wire_name, 0) + 1
     return samples, skipped
 
 
--- a/cypresspulley/graphql/document.py
+++ b/cypresspulley/graphql/document.py
@@ -32,7 +32,7 @@
 )
 from graphql.execution.values import VariableValues, get_variable_values
 
-from cypresspulley.graphql.errors import Code, GraphQLRefusedError
+from cypresspulley.graphql.errors import ErrorCode, GraphQLRefusedError
 from cypresspulley.graphql.price import Counts, Price, Pricer, keyed_values
 from cypresspulley.graphql.scan import Bounds, scan
 from cypresspulley.graphql.schema import PricedSchema
@@ -116,17 +116,21 @@
         """The text that a request means; ``GraphQLRefusedError`` where its hash and text do not belong together."""
         if ask.text is None:
             if ask.hash is None:
-                raise GraphQLRefusedError(Code.BAD_REQUEST, "query is missing")
+                raise GraphQLRefusedError(ErrorCode.BAD_REQUEST, "query is missing")
             known = self._persisted.get(ask.hash)
             if known is None and not self._only and ask.hash in self._kept:
                 known = self._kept[ask.hash].text
             if known is None:
-                raise GraphQLRefusedError(Code.PERSISTED_UNKNOWN, "no document of this hash is known here")
+                raise GraphQLRefusedError(
+                    ErrorCode.PERSISTED_NOT_FOUND, "no document of this hash is known here"
+                )
             return known
         if ask.hash is not None and hash_of(ask.text) != ask.hash:
-            raise GraphQLRefusedError(Code.PERSISTED_MISMATCH, "the text is not the one of the hash")
+            raise GraphQLRefusedError(
+                ErrorCode.PERSISTED_HASH_MISMATCH, "the text is not the one of the hash"
+            )
         if self._only and hash_of(ask.text) not in self._persisted:
-            raise GraphQLRefusedError(Code.PERSISTED_ONLY, "only persisted documents are taken here")
+            raise GraphQLRefusedError(ErrorCode.PERSISTED_ONLY, "only persisted documents are taken here")
         return ask.text
 
     def find(self, text: str) -> Document | None:
@@ -147,7 +151,7 @@
         try:
             tree = parse(text, max_tokens=self.bounds.tokens)
         except (GraphQLSyntaxError, RecursionError) as error:
-            raise GraphQLRefusedError(Code.PARSE_FAILED, _text(error)) from None
+            raise GraphQLRefusedError(ErrorCode.PARSE_FAILED, _text(error)) from None
         yield
         _same_keys(tree, self.bounds)
         yield from validated(self.priced, tree, tokens)
@@ -196,7 +200,7 @@
                     keys[name.value] = keys.get(name.value, 0) + 1
             if max(keys.values(), default=0) > bounds.roots:
                 raise GraphQLRefusedError(
-                    Code.TOO_COMPLEX, f"one field more than {bounds.roots} times in one place"
+                    ErrorCode.TOO_COMPLEX, f"one field more than {bounds.roots} times in one place"
                 )
 
 
@@ -214,25 +218,25 @@
         try:
             visit(tree, TypeInfoVisitor(info, ParallelVisitor(rules)))
         except RecursionError:
-            raise GraphQLRefusedError(Code.TOO_COMPLEX, "nested too deeply") from None
+            raise GraphQLRefusedError(ErrorCode.TOO_COMPLEX, "nested too deeply") from None
         if errors:
             said = "; ".join(error.message for error in errors[:KEPT_ERRORS])
-            raise GraphQLRefusedError(Code.VALIDATION_FAILED, said)
+            raise GraphQLRefusedError(ErrorCode.VALIDATION_FAILED, said)
         yield
 
 
 def select(document: Document, name: str | None) -> OperationDefinitionNode:
     """The operation that a request means (GraphQL specification, 6.1): only this one counts."""
     if not document.operations:
-        raise GraphQLRefusedError(Code.OPERATION_UNKNOWN, "the document holds no operation")
+        raise GraphQLRefusedError(ErrorCode.OPERATION_UNKNOWN, "the document holds no operation")
     if name is None:
         if len(document.operations) > 1:
             raise GraphQLRefusedError(
-                Code.OPERATION_UNKNOWN, "operationName is needed: there are several operations"
+                ErrorCode.OPERATION_UNKNOWN, "operationName is needed: there are several operations"
             )
         return next(iter(document.operations.values()))
     if name not in document.operations or not name:
-        raise GraphQLRefusedError(Code.OPERATION_UNKNOWN, f"no operation {name[:60]!r} in the document")
+        raise GraphQLRefusedError(ErrorCode.OPERATION_UNKNOWN, f"no operation {name[:60]!r} in the document")
     return document.operations[name]
 
 
@@ -245,7 +249,9 @@
     priced = documents.priced
     values = get_variable_values(priced.schema, node.variable_definitions or (), dict(ask.variables or {}))
     if not isinstance(values, VariableValues):
-        raise GraphQLRefusedError(Code.VARIABLES_WRONG, "; ".join(e.message for e in values[:KEPT_ERRORS]))
+        raise GraphQLRefusedError(
+            ErrorCode.VARIABLES_WRONG, "; ".join(e.message for e in values[:KEPT_ERRORS])
+        )
     price = Pricer(priced, document.fragments, values, counts, introspection, explain).operation(node)
     if node.operation is not OperationType.MUTATION:
         return Priced(price, Effect.QUERY)
@@ -264,7 +270,7 @@
     """
     if len(asks) > documents.bounds.batch:
         raise GraphQLRefusedError(
-            Code.TOO_COMPLEX, f"more than {documents.bounds.batch} operations in a batch"
+            ErrorCode.TOO_COMPLEX, f"more than {documents.bounds.batch} operations in a batch"
         )
     counts = Counts(documents.bounds)
     whole = list[Priced]()
--- a/cypresspulley/graphql/front.py
+++ b/cypresspulley/graphql/front.py
@@ -16,7 +16,7 @@
 from cypresspulley.graphql.answers import believed, read_answer
 from cypresspulley.graphql.budget import ReadingBudget
 from cypresspulley.graphql.document import Ask, Documents, Effect, Priced, priced_request
-from cypresspulley.graphql.errors import Code, GraphQLRefusedError
+from cypresspulley.graphql.errors import ErrorCode, GraphQLRefusedError
 from cypresspulley.graphql.options import Options, OptionsError
 from cypresspulley.graphql.request import RESPONSE, Asked, error_body, read_get, read_post
 from cypresspulley.net.frontend import ClientRequest, ParsedRequest
@@ -30,15 +30,21 @@
 TURN = (
     0.001  # seconds that reading may hold the loop before others have their turn (one step may take longer)
 )
-CODES = {429: Code.REFUSED, 502: Code.FAILED, 504: Code.TIMED_OUT, 500: Code.BROKEN, 405: Code.METHOD}
+CODES = {
+    429: ErrorCode.COST_LIMITED,
+    502: ErrorCode.MAY_HAVE_RUN,
+    504: ErrorCode.TIMED_OUT,
+    500: ErrorCode.INTERNAL_ERROR,
+    405: ErrorCode.METHOD_NOT_ALLOWED,
+}
 TEXTS = {
-    Code.REFUSED: "turned away; trying again later is harmless",
-    Code.TOO_DEAR: "its upper bound is more than this account's ceiling or quota can ever hold here",
-    Code.FAILED: "failed; it may have run",
-    Code.TIMED_OUT: "no answer in time; it may have run",
-    Code.BROKEN: "a fault of the limiter",
-    Code.METHOD: "mutations need POST",
-    Code.BUSY: "too many unknown documents at once; known ones are taken",
+    ErrorCode.COST_LIMITED: "turned away; trying again later is harmless",
+    ErrorCode.TOO_DEAR: "its upper bound is more than this account's ceiling or quota can ever hold here",
+    ErrorCode.MAY_HAVE_RUN: "failed; it may have run",
+    ErrorCode.TIMED_OUT: "no answer in time; it may have run",
+    ErrorCode.INTERNAL_ERROR: "a fault of the limiter",
+    ErrorCode.METHOD_NOT_ALLOWED: "mutations need POST",
+    ErrorCode.ANALYSIS_BUSY: "too many unknown documents at once; known ones are taken",
 }
 BUSY_RETRY = 1.0  # seconds until the next budget
 
@@ -57,30 +63,35 @@
         self, status: int, retry_after: float | None, why: str, units_left: float
     ) -> tuple[int, bytes, bytes, float | None]:
         """Status, headers, body and ``Retry-After`` of an answer that is not a server's."""
-        code = Code.TOO_DEAR if why == "too dear" else CODES.get(status, Code.BAD_REQUEST)
-        if code is Code.TOO_DEAR:
+        code = ErrorCode.TOO_DEAR if why == "too dear" else CODES.get(status, ErrorCode.BAD_REQUEST)
+        if code is ErrorCode.TOO_DEAR:
             retry_after = None  # it would never be taken
         extensions = dict[str, object]()
         if self.priced is not None:
             price = self.priced.price
             extensions["cost"] = {"expected": round(price.expected, 3), "bound": round(price.bound, 3)}
-            if code is Code.REFUSED and units_left >= 0:
+            if code is ErrorCode.COST_LIMITED and units_left >= 0:
                 extensions["left"] = round(units_left * self._options.points_per_unit, 3)
         if retry_after is not None:
             extensions["retryAfter"] = round(retry_after, 3)
         return self._answer(
-            code, status if code is not Code.TOO_DEAR else code.status, extensions, "", retry_after
+            code, status if code is not ErrorCode.TOO_DEAR else code.status, extensions, "", retry_after
         )
 
     def refused(self, error: GraphQLRefusedError) -> tuple[int, bytes, bytes, float | None]:
-        retry = BUSY_RETRY if error.code is Code.BUSY else None
+        retry = BUSY_RETRY if error.code is ErrorCode.ANALYSIS_BUSY else None
         return self._answer(error.code, error.code.status, {}, error.text, retry)
 
     def _answer(
-        self, code: Code, status: int, extensions: dict[str, object], text: str, retry_after: float | None
+        self,
+        code: ErrorCode,
+        status: int,
+        extensions: dict[str, object],
+        text: str,
+        retry_after: float | None,
     ) -> tuple[int, bytes, bytes, float | None]:
         headers = f"Content-Type: {self.media}; charset=utf-8\r\n".encode()
-        if code is Code.METHOD:
+        if code is ErrorCode.METHOD_NOT_ALLOWED:
             headers += b"Allow: POST\r\n"
         return (
             status,
@@ -157,14 +168,14 @@
         else:
             asked = read_post(came.fields.get(CONTENT_TYPE, b"").decode("latin-1"), accept, request.body)
         if asked.batch and self._options.batch == "refuse":
-            raise GraphQLRefusedError(Code.BATCH_OFF, "one operation a request")
+            raise GraphQLRefusedError(ErrorCode.BATCH_OFF, "one operation a request")
         return asked
 
     def _afford(self, customer: RequestMetadata, asked: Asked) -> None:
         """Time for the documents that are not known yet."""
         if len(asked.asks) > self._options.bounds.batch:
             raise GraphQLRefusedError(
-                Code.TOO_COMPLEX, f"more than {self._options.bounds.batch} operations in a batch"
+                ErrorCode.TOO_COMPLEX, f"more than {self._options.bounds.batch} operations in a batch"
             )
         seconds = 0.0
         for ask in asked.asks:
@@ -172,7 +183,7 @@
             if self._documents.find(text) is None:
                 seconds += self._budget.estimate(len(text), self._options.bounds.tokens)
         if seconds and not self._budget.take(self._clock(), customer.account, seconds):
-            raise GraphQLRefusedError(Code.BUSY, TEXTS[Code.BUSY])
+            raise GraphQLRefusedError(ErrorCode.ANALYSIS_BUSY, TEXTS[ErrorCode.ANALYSIS_BUSY])
 
     def _go_on(self, reading: _Reading) -> None:
         """Some steps of reading; then others' turn."""
--- a/cypresspulley/graphql/price.py
+++ b/cypresspulley/graphql/price.py
@@ -36,7 +36,7 @@
 from graphql.execution.values import VariableValues, get_argument_values, get_directive_values
 from graphql.type import GraphQLIncludeDirective, GraphQLSkipDirective
 
-from cypresspulley.graphql.errors import Code, GraphQLRefusedError
+from cypresspulley.graphql.errors import ErrorCode, GraphQLRefusedError
 from cypresspulley.graphql.scan import Bounds
 from cypresspulley.graphql.schema import Composite, FieldPrice, PricedSchema
 
@@ -100,7 +100,7 @@
 
 def _within(what: str, count: int, most: int) -> None:
     if count > most:
-        raise GraphQLRefusedError(Code.TOO_COMPLEX, f"more than {most} {what}")
+        raise GraphQLRefusedError(ErrorCode.TOO_COMPLEX, f"more than {most} {what}")
 
 
 Grouped = dict[str, list[FieldNode]]
@@ -126,9 +126,11 @@
         """The price of a whole operation; ``GraphQLRefusedError`` where it cannot be priced."""
         root = self._priced.schema.get_root_type(node.operation)
         if root is None:
-            raise GraphQLRefusedError(Code.VALIDATION_FAILED, f"the schema has no {node.operation.value}")
+            raise GraphQLRefusedError(
+                ErrorCode.VALIDATION_FAILED, f"the schema has no {node.operation.value}"
+            )
         if node.operation is OperationType.SUBSCRIPTION:
-            raise GraphQLRefusedError(Code.VALIDATION_FAILED, "subscriptions are not passed on")
+            raise GraphQLRefusedError(ErrorCode.VALIDATION_FAILED, "subscriptions are not passed on")
         grouped = self._collect(root, [node.selection_set])
         self._counts.root(len(grouped))
         bound, expected = self._fields(root, grouped, 1.0, {}, "", 1)
@@ -165,7 +167,7 @@
                 visited.add(node.name.value)  # cycles end here, too
                 found = self._fragments.get(node.name.value)
                 if found is None:
-                    raise GraphQLRefusedError(Code.VALIDATION_FAILED, f"no fragment {node.name.value}")
+                    raise GraphQLRefusedError(ErrorCode.VALIDATION_FAILED, f"no fragment {node.name.value}")
                 if self._applies(found.type_condition.name.value, kind):
                     self._gather(kind, found.selection_set, grouped, visited)
 
@@ -176,7 +178,7 @@
         if isinstance(known, GraphQLInterfaceType | GraphQLUnionType):
             return self._priced.schema.is_sub_type(known, kind)
         if known is None:
-            raise GraphQLRefusedError(Code.VALIDATION_FAILED, f"no type {condition}")
+            raise GraphQLRefusedError(ErrorCode.VALIDATION_FAILED, f"no type {condition}")
         return False
 
     def _included(self, node: Any) -> bool:
@@ -186,7 +188,7 @@
             skip = get_directive_values(GraphQLSkipDirective, node, self._variables)
             include = get_directive_values(GraphQLIncludeDirective, node, self._variables)
         except GraphQLError as error:
-            raise GraphQLRefusedError(Code.VARIABLES_WRONG, error.message) from None
+            raise GraphQLRefusedError(ErrorCode.VARIABLES_WRONG, error.message) from None
         return not (skip and skip["if"]) and not (include is not None and not include["if"])
 
     # Pricing.
@@ -221,12 +223,12 @@
         self._counts.field(node, depth)
         name = node.name.value
         if any(other.name.value != name for other in nodes):
-            raise GraphQLRefusedError(Code.VALIDATION_FAILED, f"{path[1:]}: one key for two fields")
+            raise GraphQLRefusedError(ErrorCode.VALIDATION_FAILED, f"{path[1:]}: one key for two fields")
         if name.startswith("__"):
             return self._introspected(name, path)
         found = kind.fields.get(name) if isinstance(kind, GraphQLObjectType | GraphQLInterfaceType) else None
         if found is None:
-            raise GraphQLRefusedError(Code.VALIDATION_FAILED, f"{path[1:]}: {kind} has no field {name}")
+            raise GraphQLRefusedError(ErrorCode.VALIDATION_FAILED, f"{path[1:]}: {kind} has no field {name}")
         price = self._priced.price(str(kind), name)
         values = self._arguments(kind, node, path)
         size = given if given is not None and price.is_list else self._length(price, values, path)
@@ -243,7 +245,9 @@
         if name == "__typename":
             return 0.0, 0.0
         if not self._introspection:
-            raise GraphQLRefusedError(Code.INTROSPECTION_OFF, f"{path[1:]}: introspection is not open here")
+            raise GraphQLRefusedError(
+                ErrorCode.INTROSPECTION_OFF, f"{path[1:]}: introspection is not open here"
+            )
         points = self._priced.introspection
         self._row(path[1:], name, 1.0, points, points)
         return points, points
@@ -254,12 +258,12 @@
         for argument in node.arguments or ():
             if argument.name.value not in found.args:
                 raise GraphQLRefusedError(
-                    Code.VALIDATION_FAILED, f"{path[1:]}: no argument {argument.name.value}"
+                    ErrorCode.VALIDATION_FAILED, f"{path[1:]}: no argument {argument.name.value}"
                 )
         try:
             return get_argument_values(found, node, self._variables)
         except GraphQLError as error:
-            raise GraphQLRefusedError(Code.VARIABLES_WRONG, f"{path[1:]}: {error.message}") from None
+            raise GraphQLRefusedError(ErrorCode.VARIABLES_WRONG, f"{path[1:]}: {error.message}") from None
 
     def _below(
         self,
@@ -273,10 +277,10 @@
         sets = [node.selection_set for node in nodes if node.selection_set is not None]
         if isinstance(inner, GraphQLObjectType | GraphQLInterfaceType | GraphQLUnionType):
             if not sets:
-                raise GraphQLRefusedError(Code.VALIDATION_FAILED, f"{path[1:]}: needs fields of {inner}")
+                raise GraphQLRefusedError(ErrorCode.VALIDATION_FAILED, f"{path[1:]}: needs fields of {inner}")
             return self._composite(inner, sets, count, sized, path, depth + 1)
         if sets:
-            raise GraphQLRefusedError(Code.VALIDATION_FAILED, f"{path[1:]}: {inner} has no fields")
+            raise GraphQLRefusedError(ErrorCode.VALIDATION_FAILED, f"{path[1:]}: {inner} has no fields")
         return 0.0, 0.0
 
     def _composite(
@@ -316,11 +320,11 @@
         numbers = [v for v in given if isinstance(v, int) and not isinstance(v, bool)]
         if len(numbers) != len(given) or any(n < 0 for n in numbers):
             raise GraphQLRefusedError(
-                Code.VARIABLES_WRONG, f"{path[1:]}: a list size below 0, or no whole number"
+                ErrorCode.VARIABLES_WRONG, f"{path[1:]}: a list size below 0, or no whole number"
             )
         if size.require_one and len(numbers) != 1 and (numbers or size.assumed is None):
             raise GraphQLRefusedError(
-                Code.VALIDATION_FAILED, f"{path[1:]}: exactly one of {', '.join(size.slicing)} is needed"
+                ErrorCode.VALIDATION_FAILED, f"{path[1:]}: exactly one of {', '.join(size.slicing)} is needed"
             )
         if numbers:
             return float(max(numbers))
--- a/cypresspulley/graphql/request.py
+++ b/cypresspulley/graphql/request.py
@@ -14,7 +14,7 @@
 from urllib.parse import parse_qsl
 
 from cypresspulley.graphql.document import Ask
-from cypresspulley.graphql.errors import Code, GraphQLRefusedError
+from cypresspulley.graphql.errors import ErrorCode, GraphQLRefusedError
 
 RESPONSE = "application/graphql-response+json"
 JSON = "application/json"
@@ -32,7 +32,7 @@
 
 
 def _bad(text: str) -> GraphQLRefusedError:
-    return GraphQLRefusedError(Code.BAD_REQUEST, text)
+    return GraphQLRefusedError(ErrorCode.BAD_REQUEST, text)
 
 
 def media_for(accept: str) -> str:
@@ -43,7 +43,7 @@
         return RESPONSE
     if JSON in names:
         return JSON
-    raise GraphQLRefusedError(Code.NOT_ACCEPTABLE, f"answers come as {RESPONSE} or {JSON}")
+    raise GraphQLRefusedError(ErrorCode.NOT_ACCEPTABLE, f"answers come as {RESPONSE} or {JSON}")
 
 
 def read_post(content_type: str, accept: str, body: bytes) -> Asked:
@@ -52,7 +52,7 @@
     name, _, rest = content_type.lower().partition(";")
     charset = rest.partition("charset=")[2].strip(' "')
     if name.strip() != JSON or charset not in ("", "utf-8", "utf8"):
-        raise GraphQLRefusedError(Code.MEDIA_TYPE, f"the body must be {JSON} in UTF-8")
+        raise GraphQLRefusedError(ErrorCode.UNSUPPORTED_MEDIA_TYPE, f"the body must be {JSON} in UTF-8")
     raw = _json(body, "the body")
     if isinstance(raw, list):
         if not raw:
@@ -124,9 +124,9 @@
     return value
 
 
-def error_body(code: Code, text: str, extensions: Mapping[str, Any] | None = None) -> bytes:
+def error_body(code: ErrorCode, text: str, extensions: Mapping[str, Any] | None = None) -> bytes:
     """A response with one ``errors`` entry and no ``data`` (nothing was executed, or nobody can say)."""
-    entry = {"message": text, "extensions": {"code": code.word, **(extensions or {})}}
+    entry = {"message": text, "extensions": {"code": code.wire_name, **(extensions or {})}}
     return json.dumps({"errors": [entry]}, separators=(",", ":")).encode()
 
 
--- a/cypresspulley/graphql/scan.py
+++ b/cypresspulley/graphql/scan.py
@@ -10,7 +10,7 @@
 import re
 from dataclasses import dataclass
 
-from cypresspulley.graphql.errors import Code, GraphQLRefusedError
+from cypresspulley.graphql.errors import ErrorCode, GraphQLRefusedError
 
 MAX_TEXT = 64 * 1024  # bytes: a body's bound
 TOKEN = re.compile(
@@ -42,14 +42,14 @@
     (twice the selections' depth, and room for lists in arguments).
     """
     if len(text) > MAX_TEXT:
-        raise GraphQLRefusedError(Code.TOO_COMPLEX, f"{len(text)} characters; at most {MAX_TEXT}")
+        raise GraphQLRefusedError(ErrorCode.TOO_COMPLEX, f"{len(text)} characters; at most {MAX_TEXT}")
     tokens = depth = directives = at = 0
     deepest = 2 * bounds.depth + 8
     while at < len(text):
         found = TOKEN.match(text, at)
         if found is None:
             raise GraphQLRefusedError(
-                Code.PARSE_FAILED, f"no token at character {at}: {text[at : at + 12]!r}"
+                ErrorCode.PARSE_FAILED, f"no token at character {at}: {text[at : at + 12]!r}"
             )
         at = found.end()
         kind = found.lastgroup
@@ -70,4 +70,4 @@
 
 def _within(what: str, count: int, most: int) -> None:
     if count > most:
-        raise GraphQLRefusedError(Code.TOO_COMPLEX, f"more than {most} {what}")
+        raise GraphQLRefusedError(ErrorCode.TOO_COMPLEX, f"more than {most} {what}")
--- a/tests/graphql/test_price.py
+++ b/tests/graphql/test_price.py
@@ -13,7 +13,7 @@
 
 from cypresspulley.graphql.command import run_to_completion
 from cypresspulley.graphql.document import Ask, Documents, Effect, Priced, priced_request
-from cypresspulley.graphql.errors import Code, GraphQLRefusedError
+from cypresspulley.graphql.errors import ErrorCode, GraphQLRefusedError
 from cypresspulley.graphql.learn import LearnError, learn
 from cypresspulley.graphql.scan import Bounds
 from cypresspulley.graphql.schema import SchemaError, read_schema
@@ -29,7 +29,7 @@
     return run_to_completion(priced_request(documents, [ask], explain=True))
 
 
-def refusal(schema: str, query: str, **more: Any) -> Code:
+def refusal(schema: str, query: str, **more: Any) -> ErrorCode:
     with pytest.raises(GraphQLRefusedError) as caught:
         price(schema, query, **more)
     return caught.value.code
@@ -155,22 +155,22 @@
 @pytest.mark.parametrize(
     "query, code",
     [
-        ("{ floor { id }", Code.PARSE_FAILED),
-        ("{ flor { id } }", Code.VALIDATION_FAILED),
-        ("{ floor }", Code.VALIDATION_FAILED),
-        ("{ bags { id } }", Code.VALIDATION_FAILED),  # the draft: exactly one slicing argument
-        ("{ bags(first: 1, last: 2) { id } }", Code.VALIDATION_FAILED),
-        ("{ bags(first: -1) { id } }", Code.VARIABLES_WRONG),
-        ("query($n: Int!) { bags(first: $n) { id } }", Code.VARIABLES_WRONG),
+        ("{ floor { id }", ErrorCode.PARSE_FAILED),
+        ("{ flor { id } }", ErrorCode.VALIDATION_FAILED),
+        ("{ floor }", ErrorCode.VALIDATION_FAILED),
+        ("{ bags { id } }", ErrorCode.VALIDATION_FAILED),  # the draft: exactly one slicing argument
+        ("{ bags(first: 1, last: 2) { id } }", ErrorCode.VALIDATION_FAILED),
+        ("{ bags(first: -1) { id } }", ErrorCode.VARIABLES_WRONG),
+        ("query($n: Int!) { bags(first: $n) { id } }", ErrorCode.VARIABLES_WRONG),
         (
             "{ floor { ...A } } fragment A on Floor { ...B } fragment B on Floor { ...A }",
-            Code.VALIDATION_FAILED,
+            ErrorCode.VALIDATION_FAILED,
         ),
-        ("fragment A on Floor { id }", Code.VALIDATION_FAILED),
-        ("query A { floor { id } } query B { floor { id } }", Code.OPERATION_UNKNOWN),
+        ("fragment A on Floor { id }", ErrorCode.VALIDATION_FAILED),
+        ("query A { floor { id } } query B { floor { id } }", ErrorCode.OPERATION_UNKNOWN),
     ],
 )
-def test_what_cannot_be_priced_says_why(query: str, code: Code) -> None:
+def test_what_cannot_be_priced_says_why(query: str, code: ErrorCode) -> None:
     assert refusal(BAGS, query) is code
 
 
@@ -185,7 +185,7 @@
     ],
 )
 def test_each_bound_refuses_before_anything_is_sent(query: str) -> None:
-    assert refusal(BAGS, query, bounds=Bounds()) is Code.TOO_COMPLEX
+    assert refusal(BAGS, query, bounds=Bounds()) is ErrorCode.TOO_COMPLEX
 
 
 def test_fragments_that_double_are_stopped_by_steps() -> None:
@@ -195,7 +195,7 @@
         for n in range(12)
     )
     query = "{ floor { ...F0 } } " + spreads + " fragment F12 on Floor { id }"
-    assert refusal(BAGS, query, bounds=Bounds(tokens=5000, depth=100, aliases=1000)) is Code.TOO_COMPLEX
+    assert refusal(BAGS, query, bounds=Bounds(tokens=5000, depth=100, aliases=1000)) is ErrorCode.TOO_COMPLEX
 
 
 # Effects.
@@ -246,8 +246,8 @@
     documents = Documents(read_schema(BAGS), WIDE, persisted={hash_of(text): text}, only_persisted=True)
     assert documents.text_of(Ask(None, hash_of(text))) == text
     for ask, code in (
-        (Ask(None, hash_of("x")), Code.PERSISTED_UNKNOWN), (Ask("{ things { id } }"), Code.PERSISTED_ONLY),
-        (Ask(text, hash_of("x")), Code.PERSISTED_MISMATCH), (Ask(None), Code.BAD_REQUEST),
+        (Ask(None, hash_of("x")), ErrorCode.PERSISTED_NOT_FOUND), (Ask("{ things { id } }"), ErrorCode.PERSISTED_ONLY),
+        (Ask(text, hash_of("x")), ErrorCode.PERSISTED_HASH_MISMATCH), (Ask(None), ErrorCode.BAD_REQUEST),
     ):  # fmt: skip
         with pytest.raises(GraphQLRefusedError) as caught:
             documents.text_of(ask)
