--- a/benchmarks/graphql_cost.py
+++ b/benchmarks/graphql_cost.py
@@ -32,7 +32,7 @@
 
 from benchmarks.cpu_per_request import CONNECTIONS, HOST, limiter_config, request, up
 from cypresspulley.graphql.command import run_to_completion
-from cypresspulley.graphql.document import Ask, Documents, priced_request
+from cypresspulley.graphql.document import DocumentCache, OperationRequest, price_request
 from cypresspulley.graphql.errors import GraphQLRefusedError
 from cypresspulley.graphql.request import read_post
 from cypresspulley.graphql.scan import Bounds, scan
@@ -145,16 +145,18 @@
     bounds, steps = Bounds(), list[float]()
     full = "{bag(id:1){" + " ".join(f"a{n}:floor{{id}}" for n in range(bounds.aliases)) + " id" * 40 + "}}"
     bodies = [*abuses().values(), json.dumps({"query": full}).encode()]
-    run_to_completion(priced_request(Documents(priced_schema(), bounds), [Ask("{__typename}")]))
+    run_to_completion(
+        price_request(DocumentCache(priced_schema(), bounds), [OperationRequest("{__typename}")])
+    )
     gc.collect()
     gc.freeze()  # as the limiter does at its start
     for _ in range(rounds):
-        documents = Documents(priced_schema(), bounds)
+        documents = DocumentCache(priced_schema(), bounds)
         for body in bodies:
             began = perf_counter()
             try:
                 asked = read_post("application/json", "", body)
-                work = priced_request(documents, list(asked.asks))
+                work = price_request(documents, list(asked.asks))
                 while True:
                     next(work)
                     now = perf_counter()
@@ -176,7 +178,7 @@
         tracemalloc.stop()
         assert kept.definitions
         for _ in range(rounds):
-            documents, began = Documents(priced, Bounds()), perf_counter()
+            documents, began = DocumentCache(priced, Bounds()), perf_counter()
             run_to_completion(documents.read(text))
             times.append((perf_counter() - began) / scan(text, Bounds()))
     return max(sizes), statistics.median(times)
--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -329,7 +329,7 @@
         return None
     try:
         from cypresspulley.graphql.front import GraphQLFront
-        from cypresspulley.graphql.options import load_documents, options_from
+        from cypresspulley.graphql.options import load_document_cache, options_from
     except ImportError as error:
         raise ConfigError(
             f"graphql needs its extra: pip install 'cypresspulley[graphql]' ({error})"
@@ -337,7 +337,7 @@
     path, table = operators.graphql
     try:
         options = options_from(table, path)
-        return GraphQLFront(settings, options, load_documents(options), clock)
+        return GraphQLFront(settings, options, load_document_cache(options), clock)
     except ValueError as error:
         raise ConfigError(str(error)) from None
 
--- a/cypresspulley/graphql/command.py
+++ b/cypresspulley/graphql/command.py
@@ -11,10 +11,10 @@
 from rich.table import Table
 
 from cypresspulley.console import check_folders, fail
-from cypresspulley.graphql.document import Ask, Documents, Priced, priced_request
+from cypresspulley.graphql.document import DocumentCache, OperationRequest, PricedRequest, price_request
 from cypresspulley.graphql.errors import GraphQLRefusedError
 from cypresspulley.graphql.learn import Fit, LearnError, learn
-from cypresspulley.graphql.options import OptionsError, load_documents, load_options
+from cypresspulley.graphql.options import OptionsError, load_document_cache, load_options
 from cypresspulley.graphql.price import Price
 from cypresspulley.graphql.scan import Bounds
 from cypresspulley.graphql.schema import SchemaError, read_schema
@@ -36,15 +36,15 @@
             return result
 
 
-def _load_cache(schema: str, bounds: Bounds | None = None) -> Documents:
+def _load_cache(schema: str, bounds: Bounds | None = None) -> DocumentCache:
     """SCHEMA is an operators' file (.toml) or SDL."""
     if schema.endswith(".toml"):
-        return load_documents(load_options(schema))
+        return load_document_cache(load_options(schema))
     try:
         text = Path(schema).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
         raise OptionsError(f"{schema}: cannot be read: {error}") from None
-    return Documents(read_schema(text, schema), bounds or Bounds())
+    return DocumentCache(read_schema(text, schema), bounds or Bounds())
 
 
 def print_cost(schema: str, query: Path, operation: str | None, variables: Path | None, as_json: bool) -> int:
@@ -54,8 +54,8 @@
         values = json.loads(variables.read_text(encoding="utf-8")) if variables is not None else {}
         if not isinstance(values, dict):
             raise OptionsError(f"{variables}: expected an object of variables")
-        ask = Ask(query.read_text(encoding="utf-8"), operation=operation, variables=values)
-        priced = run_to_completion(priced_request(documents, [ask], explain=True))
+        ask = OperationRequest(query.read_text(encoding="utf-8"), operation_name=operation, variables=values)
+        priced = run_to_completion(price_request(documents, [ask], explain=True))
     except GraphQLRefusedError as error:
         return fail(f"{query}: {error}", EXIT_REFUSED)
     except (OptionsError, SchemaError, ValueError, OSError) as error:
@@ -67,14 +67,14 @@
     return EXIT_DONE
 
 
-def _as_json(priced: Priced) -> dict[str, Any]:
+def _as_json(priced: PricedRequest) -> dict[str, Any]:
     price = priced.price
     keys = ("path", "place", "times", "each", "bound", "expected")
     rows = [{key: getattr(row, key) for key in keys} for row in price.rows]
     return {"bound": price.bound, "expected": price.expected, "effect": priced.effect.value, "fields": rows}
 
 
-def _table(priced: Priced) -> Table:
+def _table(priced: PricedRequest) -> Table:
     price = priced.price
     table = Table(
         "field", "times", "points each", "at most", "expected", caption="fields without points are left out"
@@ -109,7 +109,9 @@
     return EXIT_DONE
 
 
-def _price_samples(documents: Documents, capture: Path) -> tuple[list[tuple[Price, float]], dict[str, int]]:
+def _price_samples(
+    documents: DocumentCache, capture: Path
+) -> tuple[list[tuple[Price, float]], dict[str, int]]:
     samples = list[tuple[Price, float]]()
     skipped = dict[str, int]()
     for ask, actual in _capture_rows(capture):
@@ -117,13 +119,13 @@
             skipped["no true cost"] = skipped.get("no true cost", 0) + 1
             continue
         try:
-            samples.append((run_to_completion(priced_request(documents, [ask], explain=True)).price, actual))
+            samples.append((run_to_completion(price_request(documents, [ask], explain=True)).price, actual))
         except GraphQLRefusedError as error:
             skipped[error.code.wire_name] = skipped.get(error.code.wire_name, 0) + 1
     return samples, skipped
 
 
-def _capture_rows(capture: Path) -> Iterator[tuple[Ask, float | None]]:
+def _capture_rows(capture: Path) -> Iterator[tuple[OperationRequest, float | None]]:
     """Rows of a HAR file (POST bodies, ``extensions.cost.actual`` of the answers), or JSON lines of
     ``query``, ``variables``, ``operationName`` and ``actual``."""
     text = capture.read_text(encoding="utf-8")
@@ -154,12 +156,14 @@
     return float(found) if isinstance(found, int | float) else None
 
 
-def _parse_sample(raw: Any, actual: Any, capture: Path, number: int) -> tuple[Ask, float | None]:
+def _parse_sample(raw: Any, actual: Any, capture: Path, number: int) -> tuple[OperationRequest, float | None]:
     if not isinstance(raw, dict) or not isinstance(raw.get("query"), str):
         raise OptionsError(f"{capture}:{number}: expected an object with query, variables and actual")
     if actual is not None and (isinstance(actual, bool) or not isinstance(actual, int | float)):
         raise OptionsError(f"{capture}:{number}: actual: {actual!r:.40}; expected points, a number")
-    return Ask(raw["query"], operation=raw.get("operationName"), variables=raw.get("variables")), actual
+    return OperationRequest(
+        raw["query"], operation_name=raw.get("operationName"), variables=raw.get("variables")
+    ), actual
 
 
 def _print_fit(fit: Fit, skipped: dict[str, int]) -> None:
--- a/cypresspulley/graphql/document.py
+++ b/cypresspulley/graphql/document.py
@@ -38,9 +38,9 @@
 from cypresspulley.graphql.schema import PricedSchema
 
 # Bytes that a parsed document takes for each byte of its text, rounded up (benchmarks/graphql_cost.py measures it).
-PARSED_TIMES = 200
-KEPT_ERRORS = 3
-TOKENS_A_WALK = 400  # tokens times rules that one step of validation may walk
+PARSED_BYTES_PER_TEXT_BYTE = 200
+MAX_REPORTED_ERRORS = 3
+MAX_TOKEN_RULES_PER_STEP = 400  # tokens times rules that one step of validation may walk
 
 
 class Effect(Enum):
@@ -59,21 +59,21 @@
     text: str
     operations: Mapping[str, OperationDefinitionNode]
     fragments: Mapping[str, FragmentDefinitionNode]
-    size: int  # bytes that it counts in the cache
+    size_bytes: int  # bytes that it counts in the cache
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class OperationRequest:
     """One operation of a request as it came."""
 
     text: str | None
     hash: str | None = None
-    operation: str | None = None
+    operation_name: str | None = None
     variables: Mapping[str, Any] | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Priced:
+class PricedRequest:
     """A whole request: one operation, or a batch. ``key`` is of a keyed mutation."""
 
     price: Price
@@ -81,63 +81,66 @@
     key: str | None = None
 
 
-def hash_of(text: str) -> str:
+def document_hash(text: str) -> str:
     return sha256(text.encode()).hexdigest()
 
 
-class Documents:
+class DocumentCache:
     """Documents that were read, the least recently used giving way; persisted ones stay for good.
 
     ``persisted`` is the operators' allow-list (hash to text); with ``only_persisted`` nothing else is taken.
     """
 
     def __init__(
-        self, priced: PricedSchema, bounds: Bounds, most_bytes: int = 4 << 20,
+        self, priced_schema: PricedSchema, bounds: Bounds, max_bytes: int = 4 << 20,
         persisted: Mapping[str, str] | None = None, only_persisted: bool = False,
     ) -> None:  # fmt: skip
-        self.priced = priced
+        self.priced_schema = priced_schema
         self.bounds = bounds
-        self._most = most_bytes
-        self._used = 0
-        self._kept = OrderedDict[str, Document]()
+        self._max_bytes = max_bytes
+        self._used_bytes = 0
+        self._documents = OrderedDict[str, Document]()
         self._persisted = dict(persisted or {})
-        self._only = only_persisted
+        self._only_persisted = only_persisted
         self.hits = 0
         self.misses = 0
 
     def __repr__(self) -> str:
-        return f"<Documents {len(self._kept)} kept, {self._used} of {self._most} bytes, {self.hits} hits>"
+        return (
+            f"<DocumentCache {len(self._documents)} kept, {self._used_bytes} of {self._max_bytes} bytes, "
+            f"{self.hits} hits>"
+        )
 
     @property
-    def used(self) -> int:
-        return self._used
+    def used_bytes(self) -> int:
+        return self._used_bytes
 
-    def text_of(self, ask: Ask) -> str:
+    def resolve_text(self, operation: OperationRequest) -> str:
         """The text that a request means; ``GraphQLRefusedError`` where its hash and text do not belong together."""
-        if ask.text is None:
-            if ask.hash is None:
+        if operation.text is None:
+            if operation.hash is None:
                 raise GraphQLRefusedError(ErrorCode.BAD_REQUEST, "query is missing")
-            known = self._persisted.get(ask.hash)
-            if known is None and not self._only and ask.hash in self._kept:
-                known = self._kept[ask.hash].text
+            known = self._persisted.get(operation.hash)
+            if known is None and not self._only_persisted and operation.hash in self._documents:
+                known = self._documents[operation.hash].text
             if known is None:
                 raise GraphQLRefusedError(
                     ErrorCode.PERSISTED_NOT_FOUND, "no document of this hash is known here"
                 )
             return known
-        if ask.hash is not None and hash_of(ask.text) != ask.hash:
+        if operation.hash is not None and document_hash(operation.text) != operation.hash:
             raise GraphQLRefusedError(
                 ErrorCode.PERSISTED_HASH_MISMATCH, "the text is not the one of the hash"
             )
-        if self._only and hash_of(ask.text) not in self._persisted:
+        if self._only_persisted and document_hash(operation.text) not in self._persisted:
             raise GraphQLRefusedError(ErrorCode.PERSISTED_ONLY, "only persisted documents are taken here")
-        return ask.text
+        return operation.text
 
     def find(self, text: str) -> Document | None:
         """A document that is in the cache."""
-        found = self._kept.get(key := hash_of(text))
+        found = self._documents.get(key := document_hash(text))
         if found is not None:
-            self._kept.move_to_end(key)
+            self._documents.move_to_end(key)
             self.hits += 1
         return found
 
@@ -151,22 +154,22 @@
         try:
             tree = parse(text, max_tokens=self.bounds.tokens)
         except (GraphQLSyntaxError, RecursionError) as error:
-            raise GraphQLRefusedError(ErrorCode.PARSE_FAILED, _text(error)) from None
+            raise GraphQLRefusedError(ErrorCode.PARSE_FAILED, _error_text(error)) from None
         yield
-        _same_keys(tree, self.bounds)
-        yield from validated(self.priced, tree, tokens)
+        _check_repeated_keys(tree, self.bounds)
+        yield from validate(self.priced_schema, tree, tokens)
         document = _document(text, tree)
-        self._keep(document)
+        self._store(document)
         return document
 
-    def _keep(self, document: Document) -> None:
-        if document.size > self._most:
+    def _store(self, document: Document) -> None:
+        if document.size_bytes > self._max_bytes:
             return
-        self._kept[document.hash] = document
-        self._used += document.size
-        while self._used > self._most:
-            _, gone = self._kept.popitem(last=False)
-            self._used -= gone.size
+        self._documents[document.hash] = document
+        self._used_bytes += document.size_bytes
+        while self._used_bytes > self._max_bytes:
+            _, evicted = self._documents.popitem(last=False)
+            self._used_bytes -= evicted.size_bytes
 
 
 def _document(text: str, tree: DocumentNode) -> Document:
@@ -177,14 +180,16 @@
             operations[node.name.value if node.name else ""] = node
         elif isinstance(node, FragmentDefinitionNode):
             fragments[node.name.value] = node
-    return Document(hash_of(text), text, operations, fragments, len(text.encode()) * PARSED_TIMES)
+    return Document(
+        document_hash(text), text, operations, fragments, len(text.encode()) * PARSED_BYTES_PER_TEXT_BYTE
+    )
 
 
-def _text(error: BaseException) -> str:
+def _error_text(error: BaseException) -> str:
     return error.message if isinstance(error, GraphQLError) else "nested too deeply"
 
 
-def _same_keys(tree: DocumentNode, bounds: Bounds) -> None:
+def _check_repeated_keys(tree: DocumentNode, bounds: Bounds) -> None:
     """One rule of the validator compares all pairs of one response key: a floor under its squares."""
     for node in tree.definitions:
         stack: list[Any] = [node]
@@ -204,28 +209,30 @@
                 )
 
 
-def validated(priced: PricedSchema, tree: DocumentNode, tokens: int) -> Generator[None, None, None]:
+def validate(priced_schema: PricedSchema, tree: DocumentNode, tokens: int) -> Generator[None, None, None]:
     """The specification's rules, a few in each walk with a pause behind it: the longest holds the loop, not all.
 
     A walk costs per token and rule; a short document is through in two or three, one at the bound takes a rule each.
     """
-    info = TypeInfo(priced.schema)
+    info = TypeInfo(priced_schema.schema)
     errors = list[GraphQLError]()
-    context = ValidationContext(priced.schema, tree, info, errors.append)
-    together = max(1, TOKENS_A_WALK // max(1, tokens))
-    for first in range(0, len(specified_rules), together):
-        rules: list[ASTValidationRule] = [rule(context) for rule in specified_rules[first : first + together]]
+    context = ValidationContext(priced_schema.schema, tree, info, errors.append)
+    rules_per_step = max(1, MAX_TOKEN_RULES_PER_STEP // max(1, tokens))
+    for first in range(0, len(specified_rules), rules_per_step):
+        rules: list[ASTValidationRule] = [
+            rule(context) for rule in specified_rules[first : first + rules_per_step]
+        ]
         try:
             visit(tree, TypeInfoVisitor(info, ParallelVisitor(rules)))
         except RecursionError:
             raise GraphQLRefusedError(ErrorCode.TOO_COMPLEX, "nested too deeply") from None
         if errors:
-            said = "; ".join(error.message for error in errors[:KEPT_ERRORS])
-            raise GraphQLRefusedError(ErrorCode.VALIDATION_FAILED, said)
+            messages = "; ".join(error.message for error in errors[:MAX_REPORTED_ERRORS])
+            raise GraphQLRefusedError(ErrorCode.VALIDATION_FAILED, messages)
         yield
 
 
-def select(document: Document, name: str | None) -> OperationDefinitionNode:
+def select_operation(document: Document, name: str | None) -> OperationDefinitionNode:
     """The operation that a request means (GraphQL specification, 6.1): only this one counts."""
     if not document.operations:
         raise GraphQLRefusedError(ErrorCode.OPERATION_UNKNOWN, "the document holds no operation")
@@ -240,48 +247,55 @@
     return document.operations[name]
 
 
-def priced_operation(
-    documents: Documents, document: Document, ask: Ask, counts: Counts,
+def price_operation(
+    documents: DocumentCache, document: Document, operation: OperationRequest, counts: Counts,
     introspection: bool = True, explain: bool = False,
-) -> Priced:  # fmt: skip
+) -> PricedRequest:  # fmt: skip
     """The price and effect of one operation with its variables."""
-    node = select(document, ask.operation)
-    priced = documents.priced
-    values = get_variable_values(priced.schema, node.variable_definitions or (), dict(ask.variables or {}))
+    node = select_operation(document, operation.operation_name)
+    priced_schema = documents.priced_schema
+    values = get_variable_values(
+        priced_schema.schema, node.variable_definitions or (), dict(operation.variables or {})
+    )
     if not isinstance(values, VariableValues):
         raise GraphQLRefusedError(
-            ErrorCode.VARIABLES_WRONG, "; ".join(e.message for e in values[:KEPT_ERRORS])
+            ErrorCode.VARIABLES_WRONG, "; ".join(e.message for e in values[:MAX_REPORTED_ERRORS])
         )
-    price = Pricer(priced, document.fragments, values, counts, introspection, explain).operation(node)
+    price = Pricer(priced_schema, document.fragments, values, counts, introspection, explain).operation(node)
     if node.operation is not OperationType.MUTATION:
-        return Priced(price, Effect.QUERY)
-    keys = list(keyed_values(priced, node, document.fragments, values, counts))
+        return PricedRequest(price, Effect.QUERY)
+    keys = list(keyed_values(priced_schema, node, document.fragments, values, counts))
     if keys and all(key is not None for key in keys):
-        return Priced(price, Effect.KEYED, "/".join(map(str, keys)))
-    return Priced(price, Effect.MUTATION)
+        return PricedRequest(price, Effect.KEYED, "/".join(map(str, keys)))
+    return PricedRequest(price, Effect.MUTATION)
 
 
-def priced_request(
-    documents: Documents, asks: list[Ask], introspection: bool = True, explain: bool = False
-) -> Generator[None, None, Priced]:
+def price_request(
+    documents: DocumentCache,
+    operations: list[OperationRequest],
+    introspection: bool = True,
+    explain: bool = False,
+) -> Generator[None, None, PricedRequest]:
     """A request's operations priced as a sum; one mutation among several makes the whole unsafe.
 
     Keys are not joined over a batch: servers drop repeats of one operation, not of a row of them.
     """
-    if len(asks) > documents.bounds.batch:
+    if len(operations) > documents.bounds.batch:
         raise GraphQLRefusedError(
             ErrorCode.TOO_COMPLEX, f"more than {documents.bounds.batch} operations in a batch"
         )
     counts = Counts(documents.bounds)
-    whole = list[Priced]()
-    for ask in asks:
-        document = yield from documents.read(documents.text_of(ask))
-        whole.append(priced_operation(documents, document, ask, counts, introspection, explain))
+    priced_operations = list[PricedRequest]()
+    for operation in operations:
+        document = yield from documents.read(documents.resolve_text(operation))
+        priced_operations.append(
+            price_operation(documents, document, operation, counts, introspection, explain)
+        )
         yield
-    price = sum((each.price for each in whole), Price(0.0, 0.0))
-    effects = {each.effect for each in whole}
+    price = sum((each.price for each in priced_operations), Price(0.0, 0.0))
+    effects = {each.effect for each in priced_operations}
     if effects == {Effect.QUERY}:
-        return Priced(price, Effect.QUERY)
-    if len(whole) == 1:
-        return Priced(price, whole[0].effect, whole[0].key)
-    return Priced(price, Effect.MUTATION)
+        return PricedRequest(price, Effect.QUERY)
+    if len(priced_operations) == 1:
+        return PricedRequest(price, priced_operations[0].effect, priced_operations[0].key)
+    return PricedRequest(price, Effect.MUTATION)
--- a/cypresspulley/graphql/front.py
+++ b/cypresspulley/graphql/front.py
@@ -15,7 +15,13 @@
 from cypresspulley import interface as api
 from cypresspulley.graphql.answers import believed, read_answer
 from cypresspulley.graphql.budget import ReadingBudget
-from cypresspulley.graphql.document import Ask, Documents, Effect, Priced, priced_request
+from cypresspulley.graphql.document import (
+    DocumentCache,
+    Effect,
+    OperationRequest,
+    PricedRequest,
+    price_request,
+)
 from cypresspulley.graphql.errors import ErrorCode, GraphQLRefusedError
 from cypresspulley.graphql.options import Options, OptionsError
 from cypresspulley.graphql.request import RESPONSE, Asked, error_body, read_get, read_post
@@ -57,7 +63,7 @@
     def __init__(self, options: Options) -> None:
         self._options = options
         self.media = RESPONSE
-        self.priced: Priced | None = None
+        self.priced: PricedRequest | None = None
 
     def format_error(
         self, status: int, retry_after: float | None, why: str, units_left: float
@@ -124,7 +130,7 @@
     customer: RequestMetadata
     came: ParsedRequest
     asked: Asked
-    steps: Generator[None, None, Priced]
+    steps: Generator[None, None, PricedRequest]
     since: float
 
 
@@ -134,7 +140,7 @@
     headers = frozenset((ACCEPT, CONTENT_TYPE))
 
     def __init__(
-        self, settings: api.Settings, options: Options, documents: Documents, clock: Callable[[], float]
+        self, settings: api.Settings, options: Options, documents: DocumentCache, clock: Callable[[], float]
     ) -> None:
         self.path = options.path
         self._options = options
@@ -158,7 +164,7 @@
             self._afford(customer, asked)
         except GraphQLRefusedError as error:
             return request.send_response(*dialect.refused(error))
-        steps = priced_request(self._documents, list(asked.asks), self._options.introspection)
+        steps = price_request(self._documents, list(asked.asks), self._options.introspection)
         self._go_on(_Reading(request, dialect, customer, came, asked, steps, self._clock()))
 
     def _asked(self, came: ParsedRequest, request: ClientRequest) -> Asked:
@@ -179,7 +185,7 @@
             )
         seconds = 0.0
         for ask in asked.asks:
-            text = self._documents.text_of(ask)
+            text = self._documents.resolve_text(ask)
             if self._documents.find(text) is None:
                 seconds += self._budget.estimate(len(text), self._options.bounds.tokens)
         if seconds and not self._budget.take(self._clock(), customer.account, seconds):
@@ -205,7 +211,7 @@
             self._loop.call_soon(self._go_on, reading)
         self.longest = max(self.longest, self._loop.time() - began)
 
-    def _priced(self, reading: _Reading, priced: Priced) -> None:
+    def _priced(self, reading: _Reading, priced: PricedRequest) -> None:
         request, customer, came = reading.request, reading.customer, reading.came
         reading.dialect.priced = priced
         if came.method == b"GET" and priced.effect is not Effect.QUERY:
@@ -224,7 +230,7 @@
         came.submit(request)
         return None
 
-    def _key(self, priced: Priced, customer: RequestMetadata) -> bytes | None:
+    def _key(self, priced: PricedRequest, customer: RequestMetadata) -> bytes | None:
         """Of a keyed mutation: the same for the same key of the same account, whichever limiter it comes through."""
         if priced.effect is not Effect.KEYED or not self._options.keyed:
             return None
@@ -245,8 +251,8 @@
     return {Effect.QUERY: options.query, Effect.KEYED: keyed, Effect.MUTATION: options.mutation}
 
 
-def _warm(documents: Documents) -> None:
+def _warm(documents: DocumentCache) -> None:
     """The first document of a schema pays for tables that the library makes once: not a client's."""
-    steps = priced_request(documents, [Ask("{__typename}")])
+    steps = price_request(documents, [OperationRequest("{__typename}")])
     while next(steps, StopIteration) is not StopIteration:
         pass
--- a/cypresspulley/graphql/options.py
+++ b/cypresspulley/graphql/options.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from cypresspulley.graphql.document import Documents, hash_of
+from cypresspulley.graphql.document import DocumentCache, document_hash
 from cypresspulley.graphql.scan import Bounds
 from cypresspulley.graphql.schema import PricedSchema, SchemaError, read_schema
 
@@ -123,7 +123,7 @@
     return options_from(raw["graphql"], path)
 
 
-def load_schema(options: Options) -> PricedSchema:
+def load_priced_schema(options: Options) -> PricedSchema:
     """The priced schema that the options name. Raises OptionsError, SchemaError."""
     learned = _json_file(options.learned, "graphql.learned") if options.learned else {}
     if not isinstance(learned, dict) or not all(isinstance(each, dict) for each in learned.values()):
@@ -137,18 +137,18 @@
     )
 
 
-def load_documents(options: Options) -> Documents:
+def load_document_cache(options: Options) -> DocumentCache:
     """An empty cache over the priced schema, with the persisted documents of the file that the options name."""
     persisted = _json_file(options.persisted, "graphql.persisted") if options.persisted else {}
     if not isinstance(persisted, dict) or not all(isinstance(text, str) for text in persisted.values()):
         raise OptionsError(f"{options.persisted}: expected an object of SHA-256 to text")
     for key, text in persisted.items():
-        if hash_of(text) != key:
+        if document_hash(text) != key:
             raise OptionsError(f"{options.persisted}: {key:.20}...: is not the SHA-256 of its text")
     if options.only_persisted and not persisted:
         raise OptionsError("graphql.only_persisted: takes no request at all without graphql.persisted")
-    schema = load_schema(options)
-    return Documents(
+    schema = load_priced_schema(options)
+    return DocumentCache(
         schema, options.bounds, int(options.cache_mb * (1 << 20)), persisted, options.only_persisted
     )
 
@@ -171,8 +171,8 @@
     "Options",
     "OptionsError",
     "SchemaError",
-    "load_documents",
+    "load_document_cache",
     "load_options",
-    "load_schema",
+    "load_priced_schema",
     "options_from",
 ]
--- a/cypresspulley/graphql/request.py
+++ b/cypresspulley/graphql/request.py
@@ -13,7 +13,7 @@
 from typing import Any
 from urllib.parse import parse_qsl
 
-from cypresspulley.graphql.document import Ask
+from cypresspulley.graphql.document import OperationRequest
 from cypresspulley.graphql.errors import ErrorCode, GraphQLRefusedError
 
 RESPONSE = "application/graphql-response+json"
@@ -26,7 +26,7 @@
 class Asked:
     """``batch``: it came as an array. ``media``: what the client reads."""
 
-    asks: tuple[Ask, ...]
+    asks: tuple[OperationRequest, ...]
     batch: bool
     media: str
 
@@ -102,14 +102,14 @@
     raise _bad(f"{word} is no JSON number")
 
 
-def _ask(raw: Any, where: str) -> Ask:
+def _ask(raw: Any, where: str) -> OperationRequest:
     if not isinstance(raw, dict):
         raise _bad(f"{where}: expected an object")
     kinds: dict[str, type] = {"query": str, "operationName": str, "variables": dict, "extensions": dict}
     for key, kind in kinds.items():
         if raw.get(key) is not None and not isinstance(raw[key], kind):
             raise _bad(f"{where}: {key} must be {'a text' if kind is str else 'an object'}")
-    return Ask(
+    return OperationRequest(
         raw.get("query"), _hash(raw.get("extensions"), where), raw.get("operationName"), raw.get("variables")
     )
 
@@ -130,7 +130,7 @@
     return json.dumps({"errors": [entry]}, separators=(",", ":")).encode()
 
 
-def plain(asks: Sequence[Ask]) -> str:
+def plain(asks: Sequence[OperationRequest]) -> str:
     """One line for a log: never a text or a variable, which may hold what is secret."""
-    names = ", ".join(ask.operation or "-" for ask in asks)
+    names = ", ".join(ask.operation_name or "-" for ask in asks)
     return f"{len(asks)} operation(s): {names:.80}"
--- a/tests/graphql/test_price.py
+++ b/tests/graphql/test_price.py
@@ -12,7 +12,13 @@
 from hypothesis_graphql import queries
 
 from cypresspulley.graphql.command import run_to_completion
-from cypresspulley.graphql.document import Ask, Documents, Effect, Priced, priced_request
+from cypresspulley.graphql.document import (
+    DocumentCache,
+    Effect,
+    OperationRequest,
+    PricedRequest,
+    price_request,
+)
 from cypresspulley.graphql.errors import ErrorCode, GraphQLRefusedError
 from cypresspulley.graphql.learn import LearnError, learn
 from cypresspulley.graphql.scan import Bounds
@@ -23,10 +29,10 @@
 WIDE = Bounds(tokens=2000, depth=30, aliases=200, roots=100, directives=100, steps=20_000)
 
 
-def price(schema: str, query: str, bounds: Bounds = WIDE, longest: int = 10, **more: Any) -> Priced:
-    documents = Documents(read_schema(schema, longest=longest), bounds)
-    ask = Ask(query, operation=more.pop("operation", None), variables=more)
-    return run_to_completion(priced_request(documents, [ask], explain=True))
+def price(schema: str, query: str, bounds: Bounds = WIDE, longest: int = 10, **more: Any) -> PricedRequest:
+    documents = DocumentCache(read_schema(schema, longest=longest), bounds)
+    ask = OperationRequest(query, operation_name=more.pop("operation", None), variables=more)
+    return run_to_completion(price_request(documents, [ask], explain=True))
 
 
 def refusal(schema: str, query: str, **more: Any) -> ErrorCode:
@@ -218,39 +224,46 @@
 
 
 def test_one_mutation_makes_a_batch_unsafe_and_prices_add_up() -> None:
-    documents = Documents(read_schema(BAGS), WIDE)
-    look, give = Ask("{ floor { id } }"), Ask("mutation { weigh(bag: 1, key: 2) { id } }")
-    both = run_to_completion(priced_request(documents, [look, look, give]))
+    documents = DocumentCache(read_schema(BAGS), WIDE)
+    look, give = (
+        OperationRequest("{ floor { id } }"),
+        OperationRequest("mutation { weigh(bag: 1, key: 2) { id } }"),
+    )
+    both = run_to_completion(price_request(documents, [look, look, give]))
     assert both.effect is Effect.MUTATION and both.price.bound == 1 + 1 + 11
-    assert run_to_completion(priced_request(documents, [look, look])).effect is Effect.QUERY
+    assert run_to_completion(price_request(documents, [look, look])).effect is Effect.QUERY
     with pytest.raises(GraphQLRefusedError, match="batch"):
-        run_to_completion(priced_request(documents, [look] * 11))
+        run_to_completion(price_request(documents, [look] * 11))
 
 
 # Documents.
 
 
 def test_the_cache_is_bounded_in_bytes_and_gives_way_to_the_new() -> None:
-    documents = Documents(read_schema(BAGS), WIDE, most_bytes=10_000)
+    documents = DocumentCache(read_schema(BAGS), WIDE, max_bytes=10_000)
     for n in range(50):
         run_to_completion(documents.read(f"query A{n} {{ floor {{ id }} }}"))
-        assert documents.used <= 10_000
+        assert documents.used_bytes <= 10_000
     assert documents.find("query A49 { floor { id } }") is not None
     assert documents.find("query A0 { floor { id } }") is None
 
 
 def test_persisted_documents_alone_are_taken_where_the_operators_say_so() -> None:
-    from cypresspulley.graphql.document import hash_of
+    from cypresspulley.graphql.document import document_hash
 
     text = "{ floor { id } }"
-    documents = Documents(read_schema(BAGS), WIDE, persisted={hash_of(text): text}, only_persisted=True)
-    assert documents.text_of(Ask(None, hash_of(text))) == text
+    documents = DocumentCache(
+        read_schema(BAGS), WIDE, persisted={document_hash(text): text}, only_persisted=True
+    )
+    assert documents.resolve_text(OperationRequest(None, document_hash(text))) == text
     for ask, code in (
-        (Ask(None, hash_of("x")), ErrorCode.PERSISTED_NOT_FOUND), (Ask("{ things { id } }"), ErrorCode.PERSISTED_ONLY),
-        (Ask(text, hash_of("x")), ErrorCode.PERSISTED_HASH_MISMATCH), (Ask(None), ErrorCode.BAD_REQUEST),
+        (OperationRequest(None, document_hash("x")), ErrorCode.PERSISTED_NOT_FOUND),
+        (OperationRequest("{ things { id } }"), ErrorCode.PERSISTED_ONLY),
+        (OperationRequest(text, document_hash("x")), ErrorCode.PERSISTED_HASH_MISMATCH),
+        (OperationRequest(None), ErrorCode.BAD_REQUEST),
     ):  # fmt: skip
         with pytest.raises(GraphQLRefusedError) as caught:
-            documents.text_of(ask)
+            documents.resolve_text(ask)
         assert caught.value.code is code
 
 
@@ -258,10 +271,10 @@
 def test_no_abuse_is_priced_but_as_too_dear(name: str) -> None:
     from cypresspulley.graphql.request import read_post
 
-    documents = Documents(priced_schema(), Bounds())
+    documents = DocumentCache(priced_schema(), Bounds())
     try:
         asked = read_post("application/json", "", abuses()[name])
-        found = run_to_completion(priced_request(documents, list(asked.asks)))
+        found = run_to_completion(price_request(documents, list(asked.asks)))
     except GraphQLRefusedError:
         return
     assert name.startswith("huge list") and found.price.bound >= 1e6
@@ -270,9 +283,9 @@
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=300)
 @hypothesis.given(st.one_of(st.text(max_size=400), st.text('{}()[]@:$"#.!aé0 \n\\', max_size=200)))
 def test_any_text_is_priced_or_refused(text: str) -> None:
-    documents = Documents(read_schema(BAGS), Bounds())
+    documents = DocumentCache(read_schema(BAGS), Bounds())
     try:
-        run_to_completion(priced_request(documents, [Ask(text)]))
+        run_to_completion(price_request(documents, [OperationRequest(text)]))
     except GraphQLRefusedError as error:
         assert error.text
 
@@ -336,9 +349,9 @@
     priced = read_schema(text, longest=3)
     query = data.draw(queries(print_schema(priced.schema)))
     rng = data.draw(st.randoms(use_true_random=False))
-    documents = Documents(priced, WIDE)
+    documents = DocumentCache(priced, WIDE)
     try:
-        bound = run_to_completion(priced_request(documents, [Ask(query)])).price.bound
+        bound = run_to_completion(price_request(documents, [OperationRequest(query)])).price.bound
     except GraphQLRefusedError:
         return  # past a bound on its size, or a negative list size: it is not sent
     spent = 0.0
@@ -369,31 +382,35 @@
 
 
 def test_the_hotels_true_costs_are_under_their_bounds_and_near_once_learned() -> None:
-    documents, samples = Documents(priced_schema(), Bounds()), []
+    documents, samples = DocumentCache(priced_schema(), Bounds()), []
     for number in range(600):
         asked = asking(3, Arrival(0.0, number, "x", "p", "c", 1.0, 0, 1), number % 4 == 0)
         raw = json.loads(asked.body)
         asks = [
-            Ask(each["query"], operation=each.get("operationName"), variables=each["variables"])
+            OperationRequest(
+                each["query"], operation_name=each.get("operationName"), variables=each["variables"]
+            )
             for each in (raw if isinstance(raw, list) else [raw])
         ]
-        found = run_to_completion(priced_request(documents, asks, explain=True))
+        found = run_to_completion(price_request(documents, asks, explain=True))
         assert asked.points <= found.price.bound + 1e-9
         assert (found.effect is Effect.MUTATION) == asked.mutation
         samples.append((found.price, asked.points))
     train, test = samples[:400], samples[400:]
     fit = learn(train)
     learned = read_schema(SCHEMA.read_text(), learned=fit.shares())
-    known = Documents(learned, Bounds())
+    known = DocumentCache(learned, Bounds())
     errors = []
     for number, (_, true) in enumerate(test, 400):
         raw = json.loads(asking(3, Arrival(0.0, number, "x", "p", "c", 1.0, 0, 1), number % 4 == 0).body)
         asks = [
-            Ask(each["query"], operation=each.get("operationName"), variables=each["variables"])
+            OperationRequest(
+                each["query"], operation_name=each.get("operationName"), variables=each["variables"]
+            )
             for each in (raw if isinstance(raw, list) else [raw])
         ]
         errors.append(
-            abs(run_to_completion(priced_request(known, asks)).price.expected - true) / max(true, 1.0)
+            abs(run_to_completion(price_request(known, asks)).price.expected - true) / max(true, 1.0)
         )
     assert sum(errors) / len(errors) < 0.2 < fit.mean_before
     assert all(each.low <= each.share <= each.high + 1e-6 for each in fit.fields if each.queries > 50)
