--- a/benchmarks/graphql_cost.py
+++ b/benchmarks/graphql_cost.py
@@ -34,7 +34,7 @@
 from cypresspulley.graphql.command import run_to_completion
 from cypresspulley.graphql.document import DocumentCache, OperationRequest, price_request
 from cypresspulley.graphql.errors import GraphQLRefusedError
-from cypresspulley.graphql.request import read_post
+from cypresspulley.graphql.request import parse_post
 from cypresspulley.graphql.scan import Bounds, scan
 from cypresspulley.rehearsal.limiters import free_port
 from cypresspulley.rehearsal.standins.graphql import (
@@ -155,8 +155,8 @@
         for body in bodies:
             began = perf_counter()
             try:
-                asked = read_post("application/json", "", body)
-                work = price_request(documents, list(asked.asks))
+                asked = parse_post("application/json", "", body)
+                work = price_request(documents, list(asked.operations))
                 while True:
                     next(work)
                     now = perf_counter()
@@ -192,10 +192,10 @@
     parser.add_argument("--rounds", type=int, default=3)
     options = parser.parse_args()
     found = uvloop.run(measure(options.requests, options.rounds))
-    plain = statistics.median(found["on: plain"])
+    log_summary = statistics.median(found["on: plain"])
     for name, figures in found.items():
         middle = statistics.median(figures)
-        ratio = f"{middle / plain:6.2f} times a plain one" if ":" in name else ""
+        ratio = f"{middle / log_summary:6.2f} times a plain one" if ":" in name else ""
         print(f"{name:18} {' '.join(f'{x:8.1f}' for x in figures)}  {ratio}")
     size, token = parsed(50)
     print(f"a parsed document: {size:.0f} bytes for each of its text; reading: {token * 1e3:.3f} ms a token")
--- a/cypresspulley/graphql/front.py
+++ b/cypresspulley/graphql/front.py
@@ -24,7 +24,13 @@
 )
 from cypresspulley.graphql.errors import ErrorCode, GraphQLRefusedError
 from cypresspulley.graphql.options import Options, OptionsError
-from cypresspulley.graphql.request import RESPONSE, Asked, error_body, read_get, read_post
+from cypresspulley.graphql.request import (
+    RESPONSE_MEDIA_TYPE,
+    GraphQLRequest,
+    error_body,
+    parse_get,
+    parse_post,
+)
 from cypresspulley.net.frontend import ClientRequest, ParsedRequest
 from cypresspulley.net.requests import RequestMetadata
 from cypresspulley.net.upstream import Exchange
@@ -62,7 +68,7 @@
 
     def __init__(self, options: Options) -> None:
         self._options = options
-        self.media = RESPONSE
+        self.media = RESPONSE_MEDIA_TYPE
         self.priced: PricedRequest | None = None
 
     def format_error(
@@ -129,7 +135,7 @@
     dialect: Dialect
     customer: RequestMetadata
     came: ParsedRequest
-    asked: Asked
+    asked: GraphQLRequest
     steps: Generator[None, None, PricedRequest]
     since: float
 
@@ -164,27 +170,27 @@
             self._afford(customer, asked)
         except GraphQLRefusedError as error:
             return request.send_response(*dialect.refused(error))
-        steps = price_request(self._documents, list(asked.asks), self._options.introspection)
+        steps = price_request(self._documents, list(asked.operations), self._options.introspection)
         self._go_on(_Reading(request, dialect, customer, came, asked, steps, self._clock()))
 
-    def _asked(self, came: ParsedRequest, request: ClientRequest) -> Asked:
+    def _asked(self, came: ParsedRequest, request: ClientRequest) -> GraphQLRequest:
         accept = came.fields.get(ACCEPT, b"").decode("latin-1")
         if came.method == b"GET":
-            asked = read_get(came.query, accept)
+            asked = parse_get(came.query, accept)
         else:
-            asked = read_post(came.fields.get(CONTENT_TYPE, b"").decode("latin-1"), accept, request.body)
+            asked = parse_post(came.fields.get(CONTENT_TYPE, b"").decode("latin-1"), accept, request.body)
         if asked.batch and self._options.batch == "refuse":
             raise GraphQLRefusedError(ErrorCode.BATCH_OFF, "one operation a request")
         return asked
 
-    def _afford(self, customer: RequestMetadata, asked: Asked) -> None:
+    def _afford(self, customer: RequestMetadata, asked: GraphQLRequest) -> None:
         """Time for the documents that are not known yet."""
-        if len(asked.asks) > self._options.bounds.batch:
+        if len(asked.operations) > self._options.bounds.batch:
             raise GraphQLRefusedError(
                 ErrorCode.TOO_COMPLEX, f"more than {self._options.bounds.batch} operations in a batch"
             )
         seconds = 0.0
-        for ask in asked.asks:
+        for ask in asked.operations:
             text = self._documents.resolve_text(ask)
             if self._documents.find(text) is None:
                 seconds += self._budget.estimate(len(text), self._options.bounds.tokens)
--- a/cypresspulley/graphql/request.py
+++ b/cypresspulley/graphql/request.py
@@ -16,111 +16,126 @@
 from cypresspulley.graphql.document import OperationRequest
 from cypresspulley.graphql.errors import ErrorCode, GraphQLRefusedError
 
-RESPONSE = "application/graphql-response+json"
-JSON = "application/json"
+RESPONSE_MEDIA_TYPE = "application/graphql-response+json"
+JSON_MEDIA_TYPE = "application/json"
 HASH_DIGITS = 64
-FIELDS = ("query", "operationName", "variables", "extensions")
+REQUEST_KEYS = ("query", "operationName", "variables", "extensions")
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class GraphQLRequest:
     """``batch``: it came as an array. ``media``: what the client reads."""
 
-    asks: tuple[OperationRequest, ...]
+    operations: tuple[OperationRequest, ...]
     batch: bool
-    media: str
+    media_type: str
 
 
-def _bad(text: str) -> GraphQLRefusedError:
+def _bad_request(text: str) -> GraphQLRefusedError:
     return GraphQLRefusedError(ErrorCode.BAD_REQUEST, text)
 
 
-def media_for(accept: str) -> str:
+def response_media_type(accept: str) -> str:
     """The media type to answer in; ``GraphQLRefusedError`` (406) where the client reads none that there is."""
     wanted = [part.partition(";") for part in accept.lower().split(",") if part.strip()]
     names = [name.strip() for name, _, rest in wanted if "q=0" not in rest.replace(" ", "").split(";")]
-    if not wanted or RESPONSE in names or "*/*" in names or "application/*" in names:
-        return RESPONSE
-    if JSON in names:
-        return JSON
-    raise GraphQLRefusedError(ErrorCode.NOT_ACCEPTABLE, f"answers come as {RESPONSE} or {JSON}")
+    if not wanted or RESPONSE_MEDIA_TYPE in names or "*/*" in names or "application/*" in names:
+        return RESPONSE_MEDIA_TYPE
+    if JSON_MEDIA_TYPE in names:
+        return JSON_MEDIA_TYPE
+    raise GraphQLRefusedError(
+        ErrorCode.NOT_ACCEPTABLE, f"answers come as {RESPONSE_MEDIA_TYPE} or {JSON_MEDIA_TYPE}"
+    )
 
 
-def read_post(content_type: str, accept: str, body: bytes) -> Asked:
+def parse_post(content_type: str, accept: str, body: bytes) -> GraphQLRequest:
     """A POST. Raises GraphQLRefusedError."""
-    media = media_for(accept)
+    media_type = response_media_type(accept)
     name, _, rest = content_type.lower().partition(";")
     charset = rest.partition("charset=")[2].strip(' "')
-    if name.strip() != JSON or charset not in ("", "utf-8", "utf8"):
-        raise GraphQLRefusedError(ErrorCode.UNSUPPORTED_MEDIA_TYPE, f"the body must be {JSON} in UTF-8")
-    raw = _json(body, "the body")
+    if name.strip() != JSON_MEDIA_TYPE or charset not in ("", "utf-8", "utf8"):
+        raise GraphQLRefusedError(
+            ErrorCode.UNSUPPORTED_MEDIA_TYPE, f"the body must be {JSON_MEDIA_TYPE} in UTF-8"
+        )
+    raw = _parse_json(body, "the body")
     if isinstance(raw, list):
         if not raw:
-            raise _bad("an empty batch")
-        return Asked(tuple(_ask(each, f"batch[{n}]") for n, each in enumerate(raw)), True, media)
-    return Asked((_ask(raw, "the body"),), False, media)
+            raise _bad_request("an empty batch")
+        return GraphQLRequest(
+            tuple(_parse_operation(each, f"batch[{n}]") for n, each in enumerate(raw)), True, media_type
+        )
+    return GraphQLRequest((_parse_operation(raw, "the body"),), False, media_type)
 
 
-def read_get(query: str, accept: str) -> Asked:
+def parse_get(query: str, accept: str) -> GraphQLRequest:
     """A GET's query string; ``account`` in it is the limiter's. Raises GraphQLRefusedError."""
-    media = media_for(accept)
+    media_type = response_media_type(accept)
     try:
         pairs = parse_qsl(
             query, keep_blank_values=True, strict_parsing=True, errors="strict", max_num_fields=16
         )
     except ValueError as error:
-        raise _bad(f"the query string: {error}") from None
+        raise _bad_request(f"the query string: {error}") from None
     found = dict[str, Any]()
     for key, value in pairs:
         if key in found:
-            raise _bad(f"{key} stands twice")
+            raise _bad_request(f"{key} stands twice")
         found[key] = value
     for key in ("variables", "extensions"):
         if key in found:
-            found[key] = _json(found[key].encode(), key)
-    return Asked((_ask({k: v for k, v in found.items() if k in FIELDS}, "the query string"),), False, media)
+            found[key] = _parse_json(found[key].encode(), key)
+    return GraphQLRequest(
+        (_parse_operation({k: v for k, v in found.items() if k in REQUEST_KEYS}, "the query string"),),
+        False,
+        media_type,
+    )
 
 
-def _json(text: bytes, what: str) -> Any:
+def _parse_json(text: bytes, source: str) -> Any:
     try:  # decoded here: the library would guess at UTF-16, and a server might guess otherwise
-        return json.loads(text.decode("utf-8"), object_pairs_hook=_once, parse_constant=_no_constant)
+        return json.loads(
+            text.decode("utf-8"), object_pairs_hook=_reject_duplicate_keys, parse_constant=_reject_constant
+        )
     except GraphQLRefusedError:
         raise
     except (ValueError, RecursionError) as error:
-        raise _bad(f"{what} is not JSON: {error}") from None
+        raise _bad_request(f"{source} is not JSON: {error}") from None
 
 
-def _once(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     """Two readers may each take another of two equal keys: priced by one, run by the other."""
     found = dict(pairs)
     if len(found) != len(pairs):
-        raise _bad("a key stands twice in one object")
+        raise _bad_request("a key stands twice in one object")
     return found
 
 
-def _no_constant(word: str) -> Any:
-    raise _bad(f"{word} is no JSON number")
+def _reject_constant(word: str) -> Any:
+    raise _bad_request(f"{word} is no JSON number")
 
 
-def _ask(raw: Any, where: str) -> OperationRequest:
+def _parse_operation(raw: Any, source: str) -> OperationRequest:
     if not isinstance(raw, dict):
-        raise _bad(f"{where}: expected an object")
+        raise _bad_request(f"{source}: expected an object")
     kinds: dict[str, type] = {"query": str, "operationName": str, "variables": dict, "extensions": dict}
     for key, kind in kinds.items():
         if raw.get(key) is not None and not isinstance(raw[key], kind):
-            raise _bad(f"{where}: {key} must be {'a text' if kind is str else 'an object'}")
+            raise _bad_request(f"{source}: {key} must be {'a text' if kind is str else 'an object'}")
     return OperationRequest(
-        raw.get("query"), _hash(raw.get("extensions"), where), raw.get("operationName"), raw.get("variables")
+        raw.get("query"),
+        _persisted_hash(raw.get("extensions"), source),
+        raw.get("operationName"),
+        raw.get("variables"),
     )
 
 
-def _hash(extensions: Mapping[str, Any] | None, where: str) -> str | None:
+def _persisted_hash(extensions: Mapping[str, Any] | None, source: str) -> str | None:
     persisted = (extensions or {}).get("persistedQuery")
     if persisted is None:
         return None
     value = persisted.get("sha256Hash") if isinstance(persisted, dict) else None
     if not isinstance(value, str) or len(value) != HASH_DIGITS or not set(value) <= set("0123456789abcdef"):
-        raise _bad(f"{where}: persistedQuery.sha256Hash must be {HASH_DIGITS} hex digits")
+        raise _bad_request(f"{source}: persistedQuery.sha256Hash must be {HASH_DIGITS} hex digits")
     return value
 
 
@@ -130,7 +145,7 @@
     return json.dumps({"errors": [entry]}, separators=(",", ":")).encode()
 
 
-def plain(asks: Sequence[OperationRequest]) -> str:
+def log_summary(operations: Sequence[OperationRequest]) -> str:
     """One line for a log: never a text or a variable, which may hold what is secret."""
-    names = ", ".join(ask.operation_name or "-" for ask in asks)
-    return f"{len(asks)} operation(s): {names:.80}"
+    names = ", ".join(operation.operation_name or "-" for operation in operations)
+    return f"{len(operations)} operation(s): {names:.80}"
--- a/tests/graphql/test_price.py
+++ b/tests/graphql/test_price.py
@@ -269,12 +269,12 @@
 
 @pytest.mark.parametrize("name", abuses())
 def test_no_abuse_is_priced_but_as_too_dear(name: str) -> None:
-    from cypresspulley.graphql.request import read_post
+    from cypresspulley.graphql.request import parse_post
 
     documents = DocumentCache(priced_schema(), Bounds())
     try:
-        asked = read_post("application/json", "", abuses()[name])
-        found = run_to_completion(price_request(documents, list(asked.asks)))
+        asked = parse_post("application/json", "", abuses()[name])
+        found = run_to_completion(price_request(documents, list(asked.operations)))
     except GraphQLRefusedError:
         return
     assert name.startswith("huge list") and found.price.bound >= 1e6
