--- a/cypresspulley/graphql/front.py
+++ b/cypresspulley/graphql/front.py
@@ -13,7 +13,6 @@
 from hashlib import sha256
 
 from cypresspulley import interface as api
-from cypresspulley.graphql.answers import believed, read_answer
 from cypresspulley.graphql.budget import ReadingBudget
 from cypresspulley.graphql.document import (
     DocumentCache,
@@ -31,6 +30,7 @@
     parse_get,
     parse_post,
 )
+from cypresspulley.graphql.responses import parse_response, valid_cost
 from cypresspulley.net.frontend import ClientRequest, ParsedRequest
 from cypresspulley.net.requests import RequestMetadata
 from cypresspulley.net.upstream import Exchange
@@ -119,14 +119,16 @@
         most = max(self.priced.price.bound, self._options.minimum_points)
         inside = self._options.cost == "extensions"
         if inside or self._options.never_ran_codes:
-            told = read_answer(exchange.response_body, frozenset(self._options.never_ran_codes), most, inside)
-            if told.never_ran:
+            told = parse_response(
+                exchange.response_body, frozenset(self._options.never_ran_codes), most, inside
+            )
+            if told.not_executed:
                 exchange.status, exchange.charged_units = api.Status.FULL, None
                 return
             if inside:
                 exchange.charged_units = None if told.cost is None else told.cost / points
         if not inside:
-            exchange.charged_units = believed(exchange.charged_units, most / points)
+            exchange.charged_units = valid_cost(exchange.charged_units, most / points)
 
 
 @dataclass(slots=True)
