--- a/benchmarks/graphql_cost.py
+++ b/benchmarks/graphql_cost.py
@@ -31,10 +31,10 @@
 from graphql import parse
 
 from benchmarks.cpu_per_request import CONNECTIONS, HOST, limiter_config, request, up
-from cypresspulley.graphql.command import finished
-from cypresspulley.graphql.document import Ask, Documents, priced_request
+from cypresspulley.graphql.command import run_to_completion
+from cypresspulley.graphql.document import DocumentCache, OperationRequest, price_request
 from cypresspulley.graphql.errors import GraphQLRefusedError
-from cypresspulley.graphql.request import read_post
+from cypresspulley.graphql.request import parse_post
 from cypresspulley.graphql.scan import Bounds, scan
 from cypresspulley.rehearsal.limiters import free_port
 from cypresspulley.rehearsal.standins.graphql import (
@@ -147,16 +147,18 @@
     bounds, steps = Bounds(), list[float]()
     full = "{bag(id:1){" + " ".join(f"a{n}:floor{{id}}" for n in range(bounds.aliases)) + " id" * 40 + "}}"
     bodies = [*abusive_bodies().values(), json.dumps({"query": full}).encode()]
-    finished(priced_request(Documents(priced_schema(), bounds), [Ask("{__typename}")]))
+    run_to_completion(
+        price_request(DocumentCache(priced_schema(), bounds), [OperationRequest("{__typename}")])
+    )
     gc.collect()
     gc.freeze()  # as the limiter does at its start
     for _ in range(rounds):
-        documents = Documents(priced_schema(), bounds)
+        documents = DocumentCache(priced_schema(), bounds)
         for body in bodies:
             began = perf_counter()
             try:
-                asked = read_post("application/json", "", body)
-                work = priced_request(documents, list(asked.asks))
+                asked = parse_post("application/json", "", body)
+                work = price_request(documents, list(asked.operations))
                 while True:
                     next(work)
                     now = perf_counter()
@@ -178,8 +180,8 @@
         tracemalloc.stop()
         assert kept.definitions
         for _ in range(rounds):
-            documents, began = Documents(priced, Bounds()), perf_counter()
-            finished(documents.read(text))
+            documents, began = DocumentCache(priced, Bounds()), perf_counter()
+            run_to_completion(documents.read(text))
             times.append((perf_counter() - began) / scan(text, Bounds()))
     return max(sizes), statistics.median(times)
 
@@ -192,10 +194,10 @@
     parser.add_argument("--rounds", type=int, default=3)
     options = parser.parse_args()
     found = uvloop.run(measure(options.requests, options.rounds))
-    plain = statistics.median(found["on: plain"])
+    log_summary = statistics.median(found["on: plain"])
     for name, figures in found.items():
         middle = statistics.median(figures)
-        ratio = f"{middle / plain:6.2f} times a plain one" if ":" in name else ""
+        ratio = f"{middle / log_summary:6.2f} times a plain one" if ":" in name else ""
         print(f"{name:18} {' '.join(f'{x:8.1f}' for x in figures)}  {ratio}")
     size, token = parsed(50)
     print(f"a parsed document: {size:.0f} bytes for each of its text; reading: {token * 1e3:.3f} ms a token")
--- a/cypresspulley/graphql/front.py
+++ b/cypresspulley/graphql/front.py
@@ -13,31 +13,50 @@
 from hashlib import sha256
 
 from cypresspulley import interface as api
-from cypresspulley.graphql.answers import believed, read_answer
 from cypresspulley.graphql.budget import ReadingBudget
-from cypresspulley.graphql.document import Ask, Documents, Effect, Priced, priced_request
-from cypresspulley.graphql.errors import Code, GraphQLRefusedError
+from cypresspulley.graphql.document import (
+    DocumentCache,
+    Effect,
+    OperationRequest,
+    PricedRequest,
+    price_request,
+)
+from cypresspulley.graphql.errors import ErrorCode, GraphQLRefusedError
 from cypresspulley.graphql.options import Options, OptionsError
-from cypresspulley.graphql.request import RESPONSE, Asked, error_body, read_get, read_post
+from cypresspulley.graphql.request import (
+    RESPONSE_MEDIA_TYPE,
+    GraphQLRequest,
+    error_body,
+    parse_get,
+    parse_post,
+)
+from cypresspulley.graphql.responses import parse_response, valid_cost
 from cypresspulley.net.frontend import ClientRequest, ParsedRequest
 from cypresspulley.net.requests import RequestMetadata
 from cypresspulley.net.upstream import Exchange
 
 log = logging.getLogger(__name__)
 
-ACCEPT, CONTENT_TYPE = b"accept", b"content-type"
+ACCEPT = b"accept"
+CONTENT_TYPE = b"content-type"
 TURN = (
     0.001  # seconds that reading may hold the loop before others have their turn (one step may take longer)
 )
-CODES = {429: Code.REFUSED, 502: Code.FAILED, 504: Code.TIMED_OUT, 500: Code.BROKEN, 405: Code.METHOD}
+CODES = {
+    429: ErrorCode.COST_LIMITED,
+    502: ErrorCode.MAY_HAVE_RUN,
+    504: ErrorCode.TIMED_OUT,
+    500: ErrorCode.INTERNAL_ERROR,
+    405: ErrorCode.METHOD_NOT_ALLOWED,
+}
 TEXTS = {
-    Code.REFUSED: "turned away; trying again later is harmless",
-    Code.TOO_DEAR: "its upper bound is more than this account's ceiling or quota can ever hold here",
-    Code.FAILED: "failed; it may have run",
-    Code.TIMED_OUT: "no answer in time; it may have run",
-    Code.BROKEN: "a fault of the limiter",
-    Code.METHOD: "mutations need POST",
-    Code.BUSY: "too many unknown documents at once; known ones are taken",
+    ErrorCode.COST_LIMITED: "turned away; trying again later is harmless",
+    ErrorCode.TOO_DEAR: "its upper bound is more than this account's ceiling or quota can ever hold here",
+    ErrorCode.MAY_HAVE_RUN: "failed; it may have run",
+    ErrorCode.TIMED_OUT: "no answer in time; it may have run",
+    ErrorCode.INTERNAL_ERROR: "a fault of the limiter",
+    ErrorCode.METHOD_NOT_ALLOWED: "mutations need POST",
+    ErrorCode.ANALYSIS_BUSY: "too many unknown documents at once; known ones are taken",
 }
 BUSY_RETRY = 1.0  # seconds until the next budget
 
@@ -48,37 +67,43 @@
     __slots__ = ("_options", "media", "priced")
 
     def __init__(self, options: Options) -> None:
-        self._options, self.media = options, RESPONSE
-        self.priced: Priced | None = None
+        self._options = options
+        self.media = RESPONSE_MEDIA_TYPE
+        self.priced: PricedRequest | None = None
 
     def format_error(
         self, status: int, retry_after: float | None, why: str, units_left: float
     ) -> tuple[int, bytes, bytes, float | None]:
         """Status, headers, body and ``Retry-After`` of an answer that is not a server's."""
-        code = Code.TOO_DEAR if why == "too dear" else CODES.get(status, Code.BAD_REQUEST)
-        if code is Code.TOO_DEAR:
+        code = ErrorCode.TOO_DEAR if why == "too dear" else CODES.get(status, ErrorCode.BAD_REQUEST)
+        if code is ErrorCode.TOO_DEAR:
             retry_after = None  # it would never be taken
         extensions = dict[str, object]()
         if self.priced is not None:
             price = self.priced.price
             extensions["cost"] = {"expected": round(price.expected, 3), "bound": round(price.bound, 3)}
-            if code is Code.REFUSED and units_left >= 0:
+            if code is ErrorCode.COST_LIMITED and units_left >= 0:
                 extensions["left"] = round(units_left * self._options.points_per_unit, 3)
         if retry_after is not None:
             extensions["retryAfter"] = round(retry_after, 3)
         return self._answer(
-            code, status if code is not Code.TOO_DEAR else code.status, extensions, "", retry_after
+            code, status if code is not ErrorCode.TOO_DEAR else code.status, extensions, "", retry_after
         )
 
     def refused(self, error: GraphQLRefusedError) -> tuple[int, bytes, bytes, float | None]:
-        retry = BUSY_RETRY if error.code is Code.BUSY else None
+        retry = BUSY_RETRY if error.code is ErrorCode.ANALYSIS_BUSY else None
         return self._answer(error.code, error.code.status, {}, error.text, retry)
 
     def _answer(
-        self, code: Code, status: int, extensions: dict[str, object], text: str, retry_after: float | None
+        self,
+        code: ErrorCode,
+        status: int,
+        extensions: dict[str, object],
+        text: str,
+        retry_after: float | None,
     ) -> tuple[int, bytes, bytes, float | None]:
         headers = f"Content-Type: {self.media}; charset=utf-8\r\n".encode()
-        if code is Code.METHOD:
+        if code is ErrorCode.METHOD_NOT_ALLOWED:
             headers += b"Allow: POST\r\n"
         return (
             status,
@@ -94,14 +119,16 @@
         most = max(self.priced.price.bound, self._options.minimum_points)
         inside = self._options.cost == "extensions"
         if inside or self._options.never_ran_codes:
-            told = read_answer(exchange.response_body, frozenset(self._options.never_ran_codes), most, inside)
-            if told.never_ran:
+            told = parse_response(
+                exchange.response_body, frozenset(self._options.never_ran_codes), most, inside
+            )
+            if told.not_executed:
                 exchange.status, exchange.charged_units = api.Status.FULL, None
                 return
             if inside:
                 exchange.charged_units = None if told.cost is None else told.cost / points
         if not inside:
-            exchange.charged_units = believed(exchange.charged_units, most / points)
+            exchange.charged_units = valid_cost(exchange.charged_units, most / points)
 
 
 @dataclass(slots=True)
@@ -110,8 +137,8 @@
     dialect: Dialect
     customer: RequestMetadata
     came: ParsedRequest
-    asked: Asked
-    steps: Generator[None, None, Priced]
+    asked: GraphQLRequest
+    steps: Generator[None, None, PricedRequest]
     since: float
 
 
@@ -121,10 +148,13 @@
     headers = frozenset((ACCEPT, CONTENT_TYPE))
 
     def __init__(
-        self, settings: api.Settings, options: Options, documents: Documents, clock: Callable[[], float]
+        self, settings: api.Settings, options: Options, documents: DocumentCache, clock: Callable[[], float]
     ) -> None:
-        self.path, self._options, self._documents = options.path, options, documents
-        self._clock, self._budget = clock, ReadingBudget(options.reading)
+        self.path = options.path
+        self._options = options
+        self._documents = documents
+        self._clock = clock
+        self._budget = ReadingBudget(options.reading)
         self._classes = _classes(settings, options)
         self._ids = 0
         self._loop = asyncio.get_running_loop()
@@ -142,32 +172,32 @@
             self._afford(customer, asked)
         except GraphQLRefusedError as error:
             return request.send_response(*dialect.refused(error))
-        steps = priced_request(self._documents, list(asked.asks), self._options.introspection)
+        steps = price_request(self._documents, list(asked.operations), self._options.introspection)
         self._go_on(_Reading(request, dialect, customer, came, asked, steps, self._clock()))
 
-    def _asked(self, came: ParsedRequest, request: ClientRequest) -> Asked:
+    def _asked(self, came: ParsedRequest, request: ClientRequest) -> GraphQLRequest:
         accept = came.fields.get(ACCEPT, b"").decode("latin-1")
         if came.method == b"GET":
-            asked = read_get(came.query, accept)
+            asked = parse_get(came.query, accept)
         else:
-            asked = read_post(came.fields.get(CONTENT_TYPE, b"").decode("latin-1"), accept, request.body)
+            asked = parse_post(came.fields.get(CONTENT_TYPE, b"").decode("latin-1"), accept, request.body)
         if asked.batch and self._options.batch == "refuse":
-            raise GraphQLRefusedError(Code.BATCH_OFF, "one operation a request")
+            raise GraphQLRefusedError(ErrorCode.BATCH_OFF, "one operation a request")
         return asked
 
-    def _afford(self, customer: RequestMetadata, asked: Asked) -> None:
+    def _afford(self, customer: RequestMetadata, asked: GraphQLRequest) -> None:
         """Time for the documents that are not known yet."""
-        if len(asked.asks) > self._options.bounds.batch:
+        if len(asked.operations) > self._options.bounds.batch:
             raise GraphQLRefusedError(
-                Code.TOO_COMPLEX, f"more than {self._options.bounds.batch} operations in a batch"
+                ErrorCode.TOO_COMPLEX, f"more than {self._options.bounds.batch} operations in a batch"
             )
         seconds = 0.0
-        for ask in asked.asks:
-            text = self._documents.text_of(ask)
+        for ask in asked.operations:
+            text = self._documents.resolve_text(ask)
             if self._documents.find(text) is None:
                 seconds += self._budget.estimate(len(text), self._options.bounds.tokens)
         if seconds and not self._budget.take(self._clock(), customer.account, seconds):
-            raise GraphQLRefusedError(Code.BUSY, TEXTS[Code.BUSY])
+            raise GraphQLRefusedError(ErrorCode.ANALYSIS_BUSY, TEXTS[ErrorCode.ANALYSIS_BUSY])
 
     def _go_on(self, reading: _Reading) -> None:
         """Some steps of reading; then others' turn."""
@@ -189,7 +219,7 @@
             self._loop.call_soon(self._go_on, reading)
         self.longest = max(self.longest, self._loop.time() - began)
 
-    def _priced(self, reading: _Reading, priced: Priced) -> None:
+    def _priced(self, reading: _Reading, priced: PricedRequest) -> None:
         request, customer, came = reading.request, reading.customer, reading.came
         reading.dialect.priced = priced
         if came.method == b"GET" and priced.effect is not Effect.QUERY:
@@ -208,7 +238,7 @@
         came.submit(request)
         return None
 
-    def _key(self, priced: Priced, customer: RequestMetadata) -> bytes | None:
+    def _key(self, priced: PricedRequest, customer: RequestMetadata) -> bytes | None:
         """Of a keyed mutation: the same for the same key of the same account, whichever limiter it comes through."""
         if priced.effect is not Effect.KEYED or not self._options.keyed:
             return None
@@ -229,8 +259,8 @@
     return {Effect.QUERY: options.query, Effect.KEYED: keyed, Effect.MUTATION: options.mutation}
 
 
-def _warm(documents: Documents) -> None:
+def _warm(documents: DocumentCache) -> None:
     """The first document of a schema pays for tables that the library makes once: not a client's."""
-    steps = priced_request(documents, [Ask("{__typename}")])
+    steps = price_request(documents, [OperationRequest("{__typename}")])
     while next(steps, StopIteration) is not StopIteration:
         pass
