--- a/cypresspulley/graphql/budget.py
+++ b/cypresspulley/graphql/budget.py
@@ -8,37 +8,39 @@
 from __future__ import annotations
 
 # Seconds of reading a token costs, twice what benchmarks/graphql_cost.py measures, for slower cores.
-TOKEN_SECONDS = 2e-4
-CHARACTERS_A_TOKEN = 4
-ACCOUNT_SHARE = 0.5
+SECONDS_PER_TOKEN = 2e-4
+CHARACTERS_PER_TOKEN = 4
+MAX_ACCOUNT_SHARE = 0.5
 
 
-class ReadingBudget:
+class AnalysisBudget:
     """``share``: seconds of reading for each second, above 0."""
 
-    def __init__(self, share: float) -> None:
-        self._share = share
-        self._second = 0
-        self._spent = 0.0
-        self._of = dict[str, float]()  # by account, of this second; each entry took some, so they are few
+    def __init__(self, limit_s: float) -> None:
+        self._limit_s = limit_s
+        self._current_second = 0
+        self._spent_s = 0.0
+        self._spent_by_account = dict[
+            str, float
+        ]()  # by account, of this second; each entry took some, so they are few
 
     def __repr__(self) -> str:
-        return f"<ReadingBudget {self._spent:.3f} of {self._share:.3f} s, {len(self._of)} accounts>"
+        return f"<AnalysisBudget {self._spent_s:.3f} of {self._limit_s:.3f} s, {len(self._spent_by_account)} accounts>"
 
     @staticmethod
-    def estimate(characters: int, most_tokens: int) -> float:
+    def estimate(characters: int, max_tokens: int) -> float:
         """Seconds that reading a text takes at most: past the bound on tokens it is not read."""
-        return (1 + min(most_tokens, characters // CHARACTERS_A_TOKEN)) * TOKEN_SECONDS
+        return (1 + min(max_tokens, characters // CHARACTERS_PER_TOKEN)) * SECONDS_PER_TOKEN
 
-    def take(self, now: float, account: str, seconds: float) -> bool:
+    def try_spend(self, now: float, account: str, seconds: float) -> bool:
         """Whether there is time; a second's first document is always read, however long."""
-        if int(now) != self._second:
-            self._second, self._spent, self._of = int(now), 0.0, {}
-        own = self._of.get(account, 0.0)
-        if self._spent > 0 and self._spent + seconds > self._share:
+        if int(now) != self._current_second:
+            self._current_second, self._spent_s, self._spent_by_account = int(now), 0.0, {}
+        account_spent = self._spent_by_account.get(account, 0.0)
+        if self._spent_s > 0 and self._spent_s + seconds > self._limit_s:
             return False
-        if own > 0 and own + seconds > ACCOUNT_SHARE * self._share:
+        if account_spent > 0 and account_spent + seconds > MAX_ACCOUNT_SHARE * self._limit_s:
             return False
-        self._spent += seconds
-        self._of[account] = own + seconds
+        self._spent_s += seconds
+        self._spent_by_account[account] = account_spent + seconds
         return True
--- a/cypresspulley/graphql/front.py
+++ b/cypresspulley/graphql/front.py
@@ -13,7 +13,7 @@
 from hashlib import sha256
 
 from cypresspulley import interface as api
-from cypresspulley.graphql.budget import ReadingBudget
+from cypresspulley.graphql.budget import AnalysisBudget
 from cypresspulley.graphql.document import (
     DocumentCache,
     Effect,
@@ -154,7 +154,7 @@
         self._options = options
         self._documents = documents
         self._clock = clock
-        self._budget = ReadingBudget(options.reading)
+        self._budget = AnalysisBudget(options.reading)
         self._classes = _classes(settings, options)
         self._ids = 0
         self._loop = asyncio.get_running_loop()
@@ -196,7 +196,7 @@
             text = self._documents.resolve_text(ask)
             if self._documents.find(text) is None:
                 seconds += self._budget.estimate(len(text), self._options.bounds.tokens)
-        if seconds and not self._budget.take(self._clock(), customer.account, seconds):
+        if seconds and not self._budget.try_spend(self._clock(), customer.account, seconds):
             raise GraphQLRefusedError(ErrorCode.ANALYSIS_BUSY, TEXTS[ErrorCode.ANALYSIS_BUSY])
 
     def _go_on(self, reading: _Reading) -> None:
--- a/tests/graphql/test_front.py
+++ b/tests/graphql/test_front.py
@@ -14,7 +14,7 @@
 import pytest
 
 from cypresspulley import interface as api
-from cypresspulley.graphql.budget import ReadingBudget
+from cypresspulley.graphql.budget import AnalysisBudget
 from cypresspulley.graphql.front import GraphQLFront
 from cypresspulley.graphql.options import (
     Options,
@@ -236,12 +236,12 @@
 
 
 def test_the_budget_leaves_room_for_others_and_begins_anew_each_second() -> None:
-    budget = ReadingBudget(0.1)
-    taken = [budget.take(5.0, "one", 0.02) for _ in range(10)]
+    budget = AnalysisBudget(0.1)
+    taken = [budget.try_spend(5.0, "one", 0.02) for _ in range(10)]
     assert taken == [True] * 2 + [False] * 8
-    assert [budget.take(5.5, f"other {n}", 0.02) for n in range(5)] == [True] * 3 + [False] * 2
-    assert budget.take(6.0, "one", 5.0) and not budget.take(6.1, "two", 0.02)
-    assert ReadingBudget.estimate(1_000_000, 250) == ReadingBudget.estimate(1000, 250)
+    assert [budget.try_spend(5.5, f"other {n}", 0.02) for n in range(5)] == [True] * 3 + [False] * 2
+    assert budget.try_spend(6.0, "one", 5.0) and not budget.try_spend(6.1, "two", 0.02)
+    assert AnalysisBudget.estimate(1_000_000, 250) == AnalysisBudget.estimate(1000, 250)
 
 
 def test_a_client_that_leaves_while_its_document_is_read_is_not_sent_on() -> None:
