--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -328,7 +328,7 @@
     if operators.graphql is None:
         return None
     try:
-        from cypresspulley.graphql.front import GraphQLFront
+        from cypresspulley.graphql.handler import GraphQLHandler
         from cypresspulley.graphql.options import load_document_cache, options_from
     except ImportError as error:
         raise ConfigError(
@@ -337,7 +337,7 @@
     path, table = operators.graphql
     try:
         options = options_from(table, path)
-        return GraphQLFront(settings, options, load_document_cache(options), clock)
+        return GraphQLHandler(settings, options, load_document_cache(options), clock)
     except ValueError as error:
         raise ConfigError(str(error)) from None
 
--- a/cypresspulley/graphql/front.py
+++ b/cypresspulley/graphql/handler.py
@@ -37,19 +37,19 @@
 
 log = logging.getLogger(__name__)
 
-ACCEPT = b"accept"
-CONTENT_TYPE = b"content-type"
-TURN = (
+ACCEPT_HEADER = b"accept"
+CONTENT_TYPE_HEADER = b"content-type"
+MAX_TURN_S = (
     0.001  # seconds that reading may hold the loop before others have their turn (one step may take longer)
 )
-CODES = {
+CODES_BY_STATUS = {
     429: ErrorCode.COST_LIMITED,
     502: ErrorCode.MAY_HAVE_RUN,
     504: ErrorCode.TIMED_OUT,
     500: ErrorCode.INTERNAL_ERROR,
     405: ErrorCode.METHOD_NOT_ALLOWED,
 }
-TEXTS = {
+ERROR_TEXTS = {
     ErrorCode.COST_LIMITED: "turned away; trying again later is harmless",
     ErrorCode.TOO_DEAR: "its upper bound is more than this account's ceiling or quota can ever hold here",
     ErrorCode.MAY_HAVE_RUN: "failed; it may have run",
@@ -58,24 +58,24 @@
     ErrorCode.METHOD_NOT_ALLOWED: "mutations need POST",
     ErrorCode.ANALYSIS_BUSY: "too many unknown documents at once; known ones are taken",
 }
-BUSY_RETRY = 1.0  # seconds until the next budget
+BUSY_RETRY_AFTER_S = 1.0  # seconds until the next budget
 
 
-class Dialect:
+class GraphQLDialect:
     """How one request's client is spoken to, and what its server's answer means."""
 
-    __slots__ = ("_options", "media", "priced")
+    __slots__ = ("_options", "media_type", "priced")
 
     def __init__(self, options: Options) -> None:
         self._options = options
-        self.media = RESPONSE_MEDIA_TYPE
+        self.media_type = RESPONSE_MEDIA_TYPE
         self.priced: PricedRequest | None = None
 
     def format_error(
         self, status: int, retry_after: float | None, why: str, units_left: float
     ) -> tuple[int, bytes, bytes, float | None]:
         """Status, headers, body and ``Retry-After`` of an answer that is not a server's."""
-        code = ErrorCode.TOO_DEAR if why == "too dear" else CODES.get(status, ErrorCode.BAD_REQUEST)
+        code = ErrorCode.TOO_DEAR if why == "too dear" else CODES_BY_STATUS.get(status, ErrorCode.BAD_REQUEST)
         if code is ErrorCode.TOO_DEAR:
             retry_after = None  # it would never be taken
         extensions = dict[str, object]()
@@ -86,15 +86,15 @@
                 extensions["left"] = round(units_left * self._options.points_per_unit, 3)
         if retry_after is not None:
             extensions["retryAfter"] = round(retry_after, 3)
-        return self._answer(
+        return self._format_response(
             code, status if code is not ErrorCode.TOO_DEAR else code.status, extensions, "", retry_after
         )
 
-    def refused(self, error: GraphQLRefusedError) -> tuple[int, bytes, bytes, float | None]:
-        retry = BUSY_RETRY if error.code is ErrorCode.ANALYSIS_BUSY else None
-        return self._answer(error.code, error.code.status, {}, error.text, retry)
+    def format_refusal(self, error: GraphQLRefusedError) -> tuple[int, bytes, bytes, float | None]:
+        retry_after = BUSY_RETRY_AFTER_S if error.code is ErrorCode.ANALYSIS_BUSY else None
+        return self._format_response(error.code, error.code.status, {}, error.text, retry_after)
 
-    def _answer(
+    def _format_response(
         self,
         code: ErrorCode,
         status: int,
@@ -102,13 +102,13 @@
         text: str,
         retry_after: float | None,
     ) -> tuple[int, bytes, bytes, float | None]:
-        headers = f"Content-Type: {self.media}; charset=utf-8\r\n".encode()
+        headers = f"Content-Type: {self.media_type}; charset=utf-8\r\n".encode()
         if code is ErrorCode.METHOD_NOT_ALLOWED:
             headers += b"Allow: POST\r\n"
         return (
             status,
             headers,
-            error_body(code, text or TEXTS.get(code, "not a GraphQL request"), extensions),
+            error_body(code, text or ERROR_TEXTS.get(code, "not a GraphQL request"), extensions),
             retry_after,
         )
 
@@ -116,36 +116,39 @@
         """Read a server's 200: its cost becomes units, and what is proved not to have run is no answer."""
         assert self.priced is not None
         points = self._options.points_per_unit
-        most = max(self.priced.price.bound, self._options.minimum_points)
-        inside = self._options.cost == "extensions"
-        if inside or self._options.never_ran_codes:
-            told = parse_response(
-                exchange.response_body, frozenset(self._options.never_ran_codes), most, inside
+        max_points = max(self.priced.price.bound, self._options.minimum_points)
+        cost_in_extensions = self._options.cost == "extensions"
+        if cost_in_extensions or self._options.never_ran_codes:
+            info = parse_response(
+                exchange.response_body,
+                frozenset(self._options.never_ran_codes),
+                max_points,
+                cost_in_extensions,
             )
-            if told.not_executed:
+            if info.not_executed:
                 exchange.status, exchange.charged_units = api.Status.FULL, None
                 return
-            if inside:
-                exchange.charged_units = None if told.cost is None else told.cost / points
-        if not inside:
-            exchange.charged_units = valid_cost(exchange.charged_units, most / points)
+            if cost_in_extensions:
+                exchange.charged_units = None if info.cost is None else info.cost / points
+        if not cost_in_extensions:
+            exchange.charged_units = valid_cost(exchange.charged_units, max_points / points)
 
 
 @dataclass(slots=True)
-class _Reading:
+class _PendingAnalysis:
     request: ClientRequest
-    dialect: Dialect
-    customer: RequestMetadata
-    came: ParsedRequest
-    asked: GraphQLRequest
+    dialect: GraphQLDialect
+    metadata: RequestMetadata
+    parsed: ParsedRequest
+    graphql_request: GraphQLRequest
     steps: Generator[None, None, PricedRequest]
-    since: float
+    received_at: float
 
 
-class GraphQLFront:
+class GraphQLHandler:
     """Takes what comes to the options' path. ``headers``: those that it reads beside the protocol's."""
 
-    headers = frozenset((ACCEPT, CONTENT_TYPE))
+    headers = frozenset((ACCEPT_HEADER, CONTENT_TYPE_HEADER))
 
     def __init__(
         self, settings: api.Settings, options: Options, documents: DocumentCache, clock: Callable[[], float]
@@ -155,111 +158,120 @@
         self._documents = documents
         self._clock = clock
         self._budget = AnalysisBudget(options.reading)
-        self._classes = _classes(settings, options)
+        self._classes_by_effect = _classes_by_effect(settings, options)
         self._ids = 0
         self._loop = asyncio.get_running_loop()
-        self.longest = 0.0  # seconds that one turn of reading held the loop
-        _warm(documents)
+        self.longest_turn_s = 0.0  # seconds that one turn of reading held the loop
+        _warm_up(documents)
 
-    def handle_request(self, request: ClientRequest, came: ParsedRequest) -> None:
+    def handle_request(self, request: ClientRequest, parsed: ParsedRequest) -> None:
         """A request has come whole. It gets its answer here, or goes on to the decisions, maybe some turns later."""
-        request.dialect = dialect = Dialect(self._options)
-        customer = came.reader.read_metadata(came.query, came.fields)
-        came.claim_request_id(request)
+        request.dialect = dialect = GraphQLDialect(self._options)
+        metadata = parsed.reader.read_metadata(parsed.query, parsed.fields)
+        parsed.claim_request_id(request)
         try:
-            asked = self._asked(came, request)
-            dialect.media = asked.media
-            self._afford(customer, asked)
+            graphql_request = self._parse_request(parsed, request)
+            dialect.media_type = graphql_request.media_type
+            self._spend_budget(metadata, graphql_request)
         except GraphQLRefusedError as error:
-            return request.send_response(*dialect.refused(error))
-        steps = price_request(self._documents, list(asked.operations), self._options.introspection)
-        self._go_on(_Reading(request, dialect, customer, came, asked, steps, self._clock()))
+            return request.send_response(*dialect.format_refusal(error))
+        steps = price_request(self._documents, list(graphql_request.operations), self._options.introspection)
+        self._continue_analysis(
+            _PendingAnalysis(request, dialect, metadata, parsed, graphql_request, steps, self._clock())
+        )
 
-    def _asked(self, came: ParsedRequest, request: ClientRequest) -> GraphQLRequest:
-        accept = came.fields.get(ACCEPT, b"").decode("latin-1")
-        if came.method == b"GET":
-            asked = parse_get(came.query, accept)
+    def _parse_request(self, parsed: ParsedRequest, request: ClientRequest) -> GraphQLRequest:
+        accept = parsed.fields.get(ACCEPT_HEADER, b"").decode("latin-1")
+        if parsed.method == b"GET":
+            graphql_request = parse_get(parsed.query, accept)
         else:
-            asked = parse_post(came.fields.get(CONTENT_TYPE, b"").decode("latin-1"), accept, request.body)
-        if asked.batch and self._options.batch == "refuse":
+            graphql_request = parse_post(
+                parsed.fields.get(CONTENT_TYPE_HEADER, b"").decode("latin-1"), accept, request.body
+            )
+        if graphql_request.batch and self._options.batch == "refuse":
             raise GraphQLRefusedError(ErrorCode.BATCH_OFF, "one operation a request")
-        return asked
+        return graphql_request
 
-    def _afford(self, customer: RequestMetadata, asked: GraphQLRequest) -> None:
+    def _spend_budget(self, metadata: RequestMetadata, graphql_request: GraphQLRequest) -> None:
         """Time for the documents that are not known yet."""
-        if len(asked.operations) > self._options.bounds.batch:
+        if len(graphql_request.operations) > self._options.bounds.batch:
             raise GraphQLRefusedError(
                 ErrorCode.TOO_COMPLEX, f"more than {self._options.bounds.batch} operations in a batch"
             )
         seconds = 0.0
-        for ask in asked.operations:
+        for ask in graphql_request.operations:
             text = self._documents.resolve_text(ask)
             if self._documents.find(text) is None:
                 seconds += self._budget.estimate(len(text), self._options.bounds.tokens)
-        if seconds and not self._budget.try_spend(self._clock(), customer.account, seconds):
-            raise GraphQLRefusedError(ErrorCode.ANALYSIS_BUSY, TEXTS[ErrorCode.ANALYSIS_BUSY])
+        if seconds and not self._budget.try_spend(self._clock(), metadata.account, seconds):
+            raise GraphQLRefusedError(ErrorCode.ANALYSIS_BUSY, ERROR_TEXTS[ErrorCode.ANALYSIS_BUSY])
 
-    def _go_on(self, reading: _Reading) -> None:
+    def _continue_analysis(self, analysis: _PendingAnalysis) -> None:
         """Some steps of reading; then others' turn."""
-        request = reading.request
+        request = analysis.request
         if request.client_gone:
-            return reading.steps.close()
-        began = self._loop.time()
+            return analysis.steps.close()
+        started_at = self._loop.time()
         try:
-            while self._loop.time() - began < TURN:
-                next(reading.steps)
+            while self._loop.time() - started_at < MAX_TURN_S:
+                next(analysis.steps)
         except StopIteration as done:
-            self._priced(reading, done.value)
+            self._submit(analysis, done.value)
         except GraphQLRefusedError as error:
-            request.send_response(*reading.dialect.refused(error))
+            request.send_response(*analysis.dialect.format_refusal(error))
         except Exception:
             log.exception("a GraphQL request could not be read")
             request.respond(500)
         else:
-            self._loop.call_soon(self._go_on, reading)
-        self.longest = max(self.longest, self._loop.time() - began)
+            self._loop.call_soon(self._continue_analysis, analysis)
+        self.longest_turn_s = max(self.longest_turn_s, self._loop.time() - started_at)
 
-    def _priced(self, reading: _Reading, priced: PricedRequest) -> None:
-        request, customer, came = reading.request, reading.customer, reading.came
-        reading.dialect.priced = priced
-        if came.method == b"GET" and priced.effect is not Effect.QUERY:
+    def _submit(self, analysis: _PendingAnalysis, priced: PricedRequest) -> None:
+        request, metadata, parsed = analysis.request, analysis.metadata, analysis.parsed
+        analysis.dialect.priced = priced
+        if parsed.method == b"GET" and priced.effect is not Effect.QUERY:
             return request.respond(405)
-        ttl = customer.ttl - (self._clock() - reading.since)
+        ttl = metadata.ttl - (self._clock() - analysis.received_at)
         if ttl <= 0:
             return request.respond(504)
-        name = self._classes[priced.effect]
+        name = self._classes_by_effect[priced.effect]
         bound = max(priced.price.bound, self._options.minimum_points) / self._options.points_per_unit
         units = max(priced.price.expected, self._options.minimum_points) / self._options.points_per_unit
         request.event = api.Request(
-            came.reader.next_id(), name, customer.plan, ttl, customer.account, min(units, bound), customer.spread,
-            customer.repeat, bound,
+            parsed.reader.next_id(), name, metadata.plan, ttl, metadata.account, min(units, bound), metadata.spread,
+            metadata.repeat, bound,
         )  # fmt: skip
-        request.head = came.build_head(name, self._key(priced, customer))
-        came.submit(request)
+        request.head = parsed.build_head(name, self._idempotency_key(priced, metadata))
+        parsed.submit(request)
         return None
 
-    def _key(self, priced: PricedRequest, customer: RequestMetadata) -> bytes | None:
+    def _idempotency_key(self, priced: PricedRequest, metadata: RequestMetadata) -> bytes | None:
         """Of a keyed mutation: the same for the same key of the same account, whichever limiter it comes through."""
         if priced.effect is not Effect.KEYED or not self._options.keyed:
             return None
-        return sha256(f"{customer.account}/{priced.key}".encode()).hexdigest()[:32].encode()
+        return sha256(f"{metadata.account}/{priced.key}".encode()).hexdigest()[:32].encode()
 
 
-def _classes(settings: api.Settings, options: Options) -> dict[Effect, str]:
+def _classes_by_effect(settings: api.Settings, options: Options) -> dict[Effect, str]:
     """The settings' class for each effect; OptionsError where the file's word is none, or of another effect."""
     effects = {c.name: c.effect for c in settings.classes}
-    wanted = [("query", options.query, api.Effect.SAFE), ("mutation", options.mutation, api.Effect.UNSAFE)]
+    expected_effects = [
+        ("query", options.query, api.Effect.SAFE),
+        ("mutation", options.mutation, api.Effect.UNSAFE),
+    ]
     if options.keyed:
-        wanted.append(("keyed", options.keyed, api.Effect.KEYED))
-    for key, name, effect in wanted:
+        expected_effects.append(("keyed", options.keyed, api.Effect.KEYED))
+    for key, name, effect in expected_effects:
         if effects.get(name) is not effect:
-            fit = ", ".join(n for n, e in effects.items() if e is effect) or "none there is"
-            raise OptionsError(f"graphql.{key}: {name!r} is no class that is {effect.value}; expected {fit}")
+            candidates = ", ".join(n for n, e in effects.items() if e is effect) or "none there is"
+            raise OptionsError(
+                f"graphql.{key}: {name!r} is no class that is {effect.value}; expected {candidates}"
+            )
     keyed = options.keyed or options.mutation
     return {Effect.QUERY: options.query, Effect.KEYED: keyed, Effect.MUTATION: options.mutation}
 
 
-def _warm(documents: DocumentCache) -> None:
+def _warm_up(documents: DocumentCache) -> None:
     """The first document of a schema pays for tables that the library makes once: not a client's."""
     steps = price_request(documents, [OperationRequest("{__typename}")])
     while next(steps, StopIteration) is not StopIteration:
--- a/tests/graphql/test_front.py
+++ b/tests/graphql/test_front.py
@@ -15,7 +15,7 @@
 
 from cypresspulley import interface as api
 from cypresspulley.graphql.budget import AnalysisBudget
-from cypresspulley.graphql.front import GraphQLFront
+from cypresspulley.graphql.handler import GraphQLHandler
 from cypresspulley.graphql.options import (
     Options,
     OptionsError,
@@ -45,7 +45,7 @@
     def __init__(self, script: Script, dials: dict[str, str], **changes: Any) -> None:
         super().__init__(script, dials)
         chosen = options(**changes)
-        self.graphql = GraphQLFront(SETTINGS, chosen, load_document_cache(chosen), UnixClock())
+        self.graphql = GraphQLHandler(SETTINGS, chosen, load_document_cache(chosen), UnixClock())
         self.frontend = Frontend(self.node, SETTINGS, 64, self.graphql)
 
     async def __aenter__(self) -> GraphQLLimiter:
@@ -316,7 +316,7 @@
         for key, name in (("query", "post"), ("mutation", "lookup"), ("keyed", "post")):
             chosen = options(**{key: name})
             with pytest.raises(OptionsError, match=f"graphql.{key}"):
-                GraphQLFront(SETTINGS, chosen, load_document_cache(chosen), UnixClock())
+                GraphQLHandler(SETTINGS, chosen, load_document_cache(chosen), UnixClock())
 
     run(main())
 
@@ -333,7 +333,7 @@
             for account in ("00000000b4d65521", "00000000b4d65521", "00000000b4d65522"):
                 limiter = GraphQLLimiter(Script(forward), {"s1": dial})
                 chosen = options(keyed="weigh")
-                front = GraphQLFront(settings, chosen, load_document_cache(chosen), UnixClock())
+                front = GraphQLHandler(settings, chosen, load_document_cache(chosen), UnixClock())
                 limiter.frontend = Frontend(limiter.node, settings, 64, front)
                 async with limiter:
                     request = post(body, Idempotency_Key="the client's own").replace(
--- a/tests/rehearsal/test_graphql.py
+++ b/tests/rehearsal/test_graphql.py
@@ -8,7 +8,7 @@
 import pytest
 
 from cypresspulley.explore.schedule import small_day
-from cypresspulley.graphql import front
+from cypresspulley.graphql import handler
 from cypresspulley.graphql.document import Effect
 from cypresspulley.graphql.price import Price
 from cypresspulley.rehearsal.judge import Verdict, judge
@@ -49,12 +49,12 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     assert broken(verdict()) == []
-    real = front._classes
+    real = handler._classes_by_effect
 
     def blind(*given: Any) -> dict[Effect, str]:
         return real(*given) | {Effect.MUTATION: "bag-lookup"}
 
-    monkeypatch.setattr(front, "_classes", blind)
+    monkeypatch.setattr(handler, "_classes_by_effect", blind)
     assert broken(verdict()) == ["no effect twice"]
 
 
@@ -69,13 +69,13 @@
     changes: dict[str, Any] = {"plan": plans, "load": load, "fault": surge + lies}
     assert broken(verdict(**changes)) == []
 
-    go_on = front.GraphQLFront._priced
+    submit = handler.GraphQLHandler._submit
 
     def priced(self: Any, reading: Any, found: Any) -> None:
         price = Price(found.price.bound / 20, found.price.expected / 20)
-        go_on(self, reading, replace(found, price=price))
+        submit(self, reading, replace(found, price=price))
 
-    monkeypatch.setattr(front.GraphQLFront, "_priced", priced)
+    monkeypatch.setattr(handler.GraphQLHandler, "_submit", priced)
     assert broken(verdict(**changes)) == ["ceilings kept"]
 
 
