--- a/tests/graphql/test_front.py
+++ b/tests/graphql/test_front.py
@@ -14,8 +14,8 @@
 import pytest
 
 from cypresspulley import interface as api
-from cypresspulley.graphql.budget import ReadingBudget
-from cypresspulley.graphql.front import GraphQLFront
+from cypresspulley.graphql.budget import AnalysisBudget
+from cypresspulley.graphql.handler import GraphQLHandler
 from cypresspulley.graphql.options import (
     Options,
     OptionsError,
@@ -45,7 +45,7 @@
     def __init__(self, script: Script, dials: dict[str, str], **changes: Any) -> None:
         super().__init__(script, dials)
         chosen = options(**changes)
-        self.graphql = GraphQLFront(SETTINGS, chosen, load_document_cache(chosen), UnixClock())
+        self.graphql = GraphQLHandler(SETTINGS, chosen, load_document_cache(chosen), UnixClock())
         self.frontend = Frontend(self.node, SETTINGS, 64, self.graphql)
 
     async def __aenter__(self) -> GraphQLLimiter:
@@ -236,12 +236,12 @@
 
 
 def test_the_budget_leaves_room_for_others_and_begins_anew_each_second() -> None:
-    budget = ReadingBudget(0.1)
-    taken = [budget.take(5.0, "one", 0.02) for _ in range(10)]
+    budget = AnalysisBudget(0.1)
+    taken = [budget.try_spend(5.0, "one", 0.02) for _ in range(10)]
     assert taken == [True] * 2 + [False] * 8
-    assert [budget.take(5.5, f"other {n}", 0.02) for n in range(5)] == [True] * 3 + [False] * 2
-    assert budget.take(6.0, "one", 5.0) and not budget.take(6.1, "two", 0.02)
-    assert ReadingBudget.estimate(1_000_000, 250) == ReadingBudget.estimate(1000, 250)
+    assert [budget.try_spend(5.5, f"other {n}", 0.02) for n in range(5)] == [True] * 3 + [False] * 2
+    assert budget.try_spend(6.0, "one", 5.0) and not budget.try_spend(6.1, "two", 0.02)
+    assert AnalysisBudget.estimate(1_000_000, 250) == AnalysisBudget.estimate(1000, 250)
 
 
 def test_a_client_that_leaves_while_its_document_is_read_is_not_sent_on() -> None:
@@ -316,7 +316,7 @@
         for key, name in (("query", "post"), ("mutation", "lookup"), ("keyed", "post")):
             chosen = options(**{key: name})
             with pytest.raises(OptionsError, match=f"graphql.{key}"):
-                GraphQLFront(SETTINGS, chosen, load_document_cache(chosen), UnixClock())
+                GraphQLHandler(SETTINGS, chosen, load_document_cache(chosen), UnixClock())
 
     run(main())
 
@@ -333,7 +333,7 @@
             for account in ("00000000b4d65521", "00000000b4d65521", "00000000b4d65522"):
                 limiter = GraphQLLimiter(Script(forward), {"s1": dial})
                 chosen = options(keyed="weigh")
-                front = GraphQLFront(settings, chosen, load_document_cache(chosen), UnixClock())
+                front = GraphQLHandler(settings, chosen, load_document_cache(chosen), UnixClock())
                 limiter.frontend = Frontend(limiter.node, settings, 64, front)
                 async with limiter:
                     request = post(body, Idempotency_Key="the client's own").replace(
