--- a/cypresspulley/graphql/command.py
+++ b/cypresspulley/graphql/command.py
@@ -13,7 +13,7 @@
 from cypresspulley.console import check_folders, fail
 from cypresspulley.graphql.document import DocumentCache, OperationRequest, PricedRequest, price_request
 from cypresspulley.graphql.errors import GraphQLRefusedError
-from cypresspulley.graphql.learn import Fit, LearnError, learn
+from cypresspulley.graphql.learn import Fit, LearnError, learn_shares
 from cypresspulley.graphql.options import OptionsError, load_document_cache, load_options
 from cypresspulley.graphql.price import Price
 from cypresspulley.graphql.scan import Bounds
@@ -100,7 +100,7 @@
         check_folders(out)
         documents = _load_cache(schema)
         samples, skipped = _price_samples(documents, capture)
-        fit = learn(samples)
+        fit = learn_shares(samples)
     except (OptionsError, SchemaError, LearnError, ValueError, OSError) as error:
         return fail(error, EXIT_BAD_INPUT)
     _print_fit(fit, skipped)
@@ -177,7 +177,8 @@
     console = Console()
     console.print(table)
     console.print(
-        f"{fit.queries} queries; expected price off by {fit.mean_error:.0%} in the mean, {fit.mean_before:.0%} before"
+        f"{fit.queries} queries; expected price off by {fit.mean_error:.0%} in the mean, "
+        f"{fit.mean_error_before:.0%} before"
     )
     for why, count in sorted(skipped.items()):
         console.print(f"left out: {count} ({why})")
--- a/tests/graphql/test_price.py
+++ b/tests/graphql/test_price.py
@@ -20,7 +20,7 @@
     price_request,
 )
 from cypresspulley.graphql.errors import ErrorCode, GraphQLRefusedError
-from cypresspulley.graphql.learn import LearnError, learn
+from cypresspulley.graphql.learn import LearnError, learn_shares
 from cypresspulley.graphql.scan import Bounds
 from cypresspulley.graphql.schema import SchemaError, read_schema
 from cypresspulley.rehearsal.plan import Arrival
@@ -397,7 +397,7 @@
         assert (found.effect is Effect.MUTATION) == asked.mutation
         samples.append((found.price, asked.points))
     train, test = samples[:400], samples[400:]
-    fit = learn(train)
+    fit = learn_shares(train)
     learned = read_schema(SCHEMA.read_text(), learned=fit.shares())
     known = DocumentCache(learned, Bounds())
     errors = []
@@ -412,13 +412,13 @@
         errors.append(
             abs(run_to_completion(price_request(known, asks)).price.expected - true) / max(true, 1.0)
         )
-    assert sum(errors) / len(errors) < 0.2 < fit.mean_before
+    assert sum(errors) / len(errors) < 0.2 < fit.mean_error_before
     assert all(each.low <= each.share <= each.high + 1e-6 for each in fit.fields if each.queries > 50)
 
 
 def test_too_little_to_learn_from_says_so() -> None:
     with pytest.raises(LearnError, match="at least 10"):
-        learn([])
+        learn_shares([])
 
 
 def test_the_stand_ins_answers_are_graphql() -> None:
