--- a/cypresspulley/graphql/document.py
+++ b/cypresspulley/graphql/document.py
@@ -33,7 +33,7 @@
 from graphql.execution.values import VariableValues, get_variable_values
 
 from cypresspulley.graphql.errors import ErrorCode, GraphQLRefusedError
-from cypresspulley.graphql.price import Counts, Price, Pricer, keyed_values
+from cypresspulley.graphql.price import ComplexityCounters, Price, Pricer, mutation_keys
 from cypresspulley.graphql.scan import Bounds, scan
 from cypresspulley.graphql.schema import PricedSchema
 
@@ -248,7 +248,7 @@
 
 
 def price_operation(
-    documents: DocumentCache, document: Document, operation: OperationRequest, counts: Counts,
+    documents: DocumentCache, document: Document, operation: OperationRequest, counts: ComplexityCounters,
     introspection: bool = True, explain: bool = False,
 ) -> PricedRequest:  # fmt: skip
     """The price and effect of one operation with its variables."""
@@ -261,10 +261,12 @@
         raise GraphQLRefusedError(
             ErrorCode.VARIABLES_WRONG, "; ".join(e.message for e in values[:MAX_REPORTED_ERRORS])
         )
-    price = Pricer(priced_schema, document.fragments, values, counts, introspection, explain).operation(node)
+    price = Pricer(priced_schema, document.fragments, values, counts, introspection, explain).price_operation(
+        node
+    )
     if node.operation is not OperationType.MUTATION:
         return PricedRequest(price, Effect.QUERY)
-    keys = list(keyed_values(priced_schema, node, document.fragments, values, counts))
+    keys = list(mutation_keys(priced_schema, node, document.fragments, values, counts))
     if keys and all(key is not None for key in keys):
         return PricedRequest(price, Effect.KEYED, "/".join(map(str, keys)))
     return PricedRequest(price, Effect.MUTATION)
@@ -284,7 +286,7 @@
         raise GraphQLRefusedError(
             ErrorCode.TOO_COMPLEX, f"more than {documents.bounds.batch} operations in a batch"
         )
-    counts = Counts(documents.bounds)
+    counts = ComplexityCounters(documents.bounds)
     priced_operations = list[PricedRequest]()
     for operation in operations:
         document = yield from documents.read(documents.resolve_text(operation))
--- a/cypresspulley/graphql/price.py
+++ b/cypresspulley/graphql/price.py
@@ -40,7 +40,7 @@
 from cypresspulley.graphql.scan import Bounds
 from cypresspulley.graphql.schema import Composite, FieldPrice, PricedSchema
 
-MOST = 1e9  # points: a bound past it is only "too dear", and no float can lose units in it
+MAX_POINTS = 1e9  # points: a bound past it is only "too dear", and no float can lose units in it
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,46 +65,46 @@
 
     def __add__(self, other: Price) -> Price:
         return Price(
-            min(MOST, self.bound + other.bound),
-            min(MOST, self.expected + other.expected),
+            min(MAX_POINTS, self.bound + other.bound),
+            min(MAX_POINTS, self.expected + other.expected),
             self.rows + other.rows,
         )
 
 
 @dataclass(slots=True)
-class Counts:
+class ComplexityCounters:
     """What a walk met, held against the bounds as it goes."""
 
     bounds: Bounds
     steps: int = 0
     aliases: int = 0
     roots: int = 0
-    seen: set[int] = field(default_factory=set)  # ids of field nodes whose alias is counted
+    counted_aliases: set[int] = field(default_factory=set)  # ids of field nodes whose alias is counted
 
-    def step(self) -> None:
+    def count_step(self) -> None:
         self.steps += 1
-        _within("fields once fragments are spread", self.steps, self.bounds.steps)
+        _check_bound("fields once fragments are spread", self.steps, self.bounds.steps)
 
-    def field(self, node: FieldNode, depth: int) -> None:
-        self.step()
-        _within("levels of fields", depth, self.bounds.depth)
-        if node.alias is not None and id(node) not in self.seen:
-            self.seen.add(id(node))
+    def count_field(self, node: FieldNode, depth: int) -> None:
+        self.count_step()
+        _check_bound("levels of fields", depth, self.bounds.depth)
+        if node.alias is not None and id(node) not in self.counted_aliases:
+            self.counted_aliases.add(id(node))
             self.aliases += 1
-            _within("aliases", self.aliases, self.bounds.aliases)
+            _check_bound("aliases", self.aliases, self.bounds.aliases)
 
-    def root(self, count: int) -> None:
+    def count_root_fields(self, count: int) -> None:
         self.roots += count
-        _within("fields at the root", self.roots, self.bounds.roots)
+        _check_bound("fields at the root", self.roots, self.bounds.roots)
 
 
-def _within(what: str, count: int, most: int) -> None:
-    if count > most:
-        raise GraphQLRefusedError(ErrorCode.TOO_COMPLEX, f"more than {most} {what}")
+def _check_bound(counted: str, count: int, limit: int) -> None:
+    if count > limit:
+        raise GraphQLRefusedError(ErrorCode.TOO_COMPLEX, f"more than {limit} {counted}")
 
 
-Grouped = dict[str, list[FieldNode]]
-Points = tuple[float, float]  # at most, in the mean
+GroupedFields = dict[str, list[FieldNode]]
+BoundAndExpected = tuple[float, float]  # at most, in the mean
 
 
 class Pricer:
@@ -112,17 +112,17 @@
 
     def __init__(
         self, priced: PricedSchema, fragments: Mapping[str, FragmentDefinitionNode], variables: VariableValues,
-        counts: Counts, introspection: bool = True, explain: bool = False,
+        counters: ComplexityCounters, introspection: bool = True, explain: bool = False,
     ) -> None:  # fmt: skip
         self._priced = priced
         self._fragments = fragments
         self._variables = variables
-        self._counts = counts
+        self._counters = counters
         self._introspection = introspection
         self._explain = explain
         self._rows = list[Row]()
 
-    def operation(self, node: OperationDefinitionNode) -> Price:
+    def price_operation(self, node: OperationDefinitionNode) -> Price:
         """The price of a whole operation; ``GraphQLRefusedError`` where it cannot be priced."""
         root = self._priced.schema.get_root_type(node.operation)
         if root is None:
@@ -131,45 +131,49 @@
             )
         if node.operation is OperationType.SUBSCRIPTION:
             raise GraphQLRefusedError(ErrorCode.VALIDATION_FAILED, "subscriptions are not passed on")
-        grouped = self._collect(root, [node.selection_set])
-        self._counts.root(len(grouped))
-        bound, expected = self._fields(root, grouped, 1.0, {}, "", 1)
+        grouped = self._collect_fields(root, [node.selection_set])
+        self._counters.count_root_fields(len(grouped))
+        bound, expected = self._price_fields(root, grouped, 1.0, {}, "", 1)
         if node.operation is OperationType.MUTATION:
             bound, expected = bound + self._priced.mutation, expected + self._priced.mutation
-            self._row("mutation", "mutation", 1.0, self._priced.mutation, self._priced.mutation)
-        return Price(min(MOST, bound), min(MOST, expected), tuple(self._rows))
+            self._add_row("mutation", "mutation", 1.0, self._priced.mutation, self._priced.mutation)
+        return Price(min(MAX_POINTS, bound), min(MAX_POINTS, expected), tuple(self._rows))
 
-    def _row(self, path: str, place: str, times: float, bound: float, expected: float) -> None:
+    def _add_row(self, path: str, place: str, times: float, bound: float, expected: float) -> None:
         if self._explain:
             self._rows.append(Row(path, place, times, bound / times if times else 0.0, bound, expected))
 
     # Collecting: which fields a type has in a selection, by response key.
 
-    def _collect(self, kind: GraphQLObjectType, sets: list[SelectionSetNode]) -> Grouped:
-        grouped, visited = Grouped(), set[str]()
+    def _collect_fields(self, kind: GraphQLObjectType, sets: list[SelectionSetNode]) -> GroupedFields:
+        grouped, visited = GroupedFields(), set[str]()
         for selection_set in sets:
-            self._gather(kind, selection_set, grouped, visited)
+            self._collect_into(kind, selection_set, grouped, visited)
         return grouped
 
-    def _gather(
-        self, kind: GraphQLObjectType, selection_set: SelectionSetNode, grouped: Grouped, visited: set[str]
+    def _collect_into(
+        self,
+        kind: GraphQLObjectType,
+        selection_set: SelectionSetNode,
+        grouped: GroupedFields,
+        visited: set[str],
     ) -> None:
         for node in selection_set.selections:
-            self._counts.step()
+            self._counters.count_step()
             if not self._included(node):
                 continue
             if isinstance(node, FieldNode):
                 grouped.setdefault(node.alias.value if node.alias else node.name.value, []).append(node)
             elif isinstance(node, InlineFragmentNode):
                 if node.type_condition is None or self._applies(node.type_condition.name.value, kind):
-                    self._gather(kind, node.selection_set, grouped, visited)
+                    self._collect_into(kind, node.selection_set, grouped, visited)
             elif isinstance(node, FragmentSpreadNode) and node.name.value not in visited:
                 visited.add(node.name.value)  # cycles end here, too
                 found = self._fragments.get(node.name.value)
                 if found is None:
                     raise GraphQLRefusedError(ErrorCode.VALIDATION_FAILED, f"no fragment {node.name.value}")
                 if self._applies(found.type_condition.name.value, kind):
-                    self._gather(kind, found.selection_set, grouped, visited)
+                    self._collect_into(kind, found.selection_set, grouped, visited)
 
     def _applies(self, condition: str, kind: GraphQLObjectType) -> bool:
         known = self._priced.schema.type_map.get(condition)
@@ -193,55 +197,59 @@
 
     # Pricing.
 
-    def _fields(
+    def _price_fields(
         self,
         kind: Composite,
-        grouped: Grouped,
+        grouped: GroupedFields,
         times: float,
-        sized: Mapping[str, float],
+        child_sizes: Mapping[str, float],
         path: str,
         depth: int,
-    ) -> Points:
+    ) -> BoundAndExpected:
         bound = expected = 0.0
         for key, nodes in grouped.items():
-            most, mean = self._field(
-                kind, nodes, times, sized.get(nodes[0].name.value), f"{path}.{key}", depth
+            limit, mean = self._price_field(
+                kind, nodes, times, child_sizes.get(nodes[0].name.value), f"{path}.{key}", depth
             )
-            bound, expected = bound + most, expected + mean
+            bound, expected = bound + limit, expected + mean
         return bound, expected
 
-    def _field(
+    def _price_field(
         self,
         kind: Composite,
         nodes: list[FieldNode],
         times: float,
-        given: float | None,
+        given_size: float | None,
         path: str,
         depth: int,
-    ) -> Points:
+    ) -> BoundAndExpected:
         node = nodes[0]
-        self._counts.field(node, depth)
+        self._counters.count_field(node, depth)
         name = node.name.value
         if any(other.name.value != name for other in nodes):
             raise GraphQLRefusedError(ErrorCode.VALIDATION_FAILED, f"{path[1:]}: one key for two fields")
         if name.startswith("__"):
-            return self._introspected(name, path)
+            return self._price_introspection(name, path)
         found = kind.fields.get(name) if isinstance(kind, GraphQLObjectType | GraphQLInterfaceType) else None
         if found is None:
             raise GraphQLRefusedError(ErrorCode.VALIDATION_FAILED, f"{path[1:]}: {kind} has no field {name}")
         price = self._priced.price(str(kind), name)
-        values = self._arguments(kind, node, path)
-        size = given if given is not None and price.is_list else self._length(price, values, path)
-        count = min(MOST, times * size)
-        points = self._points(price, found.args, values)
-        below = self._below(
-            get_named_type(found.type), nodes, count, self._sized(price, values, path), path, depth
+        values = self._argument_values(kind, node, path)
+        size = (
+            given_size
+            if given_size is not None and price.is_list
+            else self._object_count(price, values, path)
+        )
+        count = min(MAX_POINTS, times * size)
+        points = self._argument_points(price, found.args, values)
+        selected = self._price_selection(
+            get_named_type(found.type), nodes, count, self._child_list_sizes(price, values, path), path, depth
         )
         bound = count * price.weight + times * points
-        self._row(path[1:], f"{kind}.{name}", count, bound, bound * price.share)
-        return min(MOST, bound + below[0]), min(MOST, bound * price.share + below[1])
+        self._add_row(path[1:], f"{kind}.{name}", count, bound, bound * price.share)
+        return min(MAX_POINTS, bound + selected[0]), min(MAX_POINTS, bound * price.share + selected[1])
 
-    def _introspected(self, name: str, path: str) -> Points:
+    def _price_introspection(self, name: str, path: str) -> BoundAndExpected:
         if name == "__typename":
             return 0.0, 0.0
         if not self._introspection:
@@ -249,10 +257,10 @@
                 ErrorCode.INTROSPECTION_OFF, f"{path[1:]}: introspection is not open here"
             )
         points = self._priced.introspection
-        self._row(path[1:], name, 1.0, points, points)
+        self._add_row(path[1:], name, 1.0, points, points)
         return points, points
 
-    def _arguments(self, kind: Composite, node: FieldNode, path: str) -> dict[str, Any]:
+    def _argument_values(self, kind: Composite, node: FieldNode, path: str) -> dict[str, Any]:
         assert isinstance(kind, GraphQLObjectType | GraphQLInterfaceType)
         found = kind.fields[node.name.value]
         for argument in node.arguments or ():
@@ -265,60 +273,64 @@
         except GraphQLError as error:
             raise GraphQLRefusedError(ErrorCode.VARIABLES_WRONG, f"{path[1:]}: {error.message}") from None
 
-    def _below(
+    def _price_selection(
         self,
         inner: Any,
         nodes: list[FieldNode],
         count: float,
-        sized: Mapping[str, float],
+        child_sizes: Mapping[str, float],
         path: str,
         depth: int,
-    ) -> Points:
+    ) -> BoundAndExpected:
         sets = [node.selection_set for node in nodes if node.selection_set is not None]
         if isinstance(inner, GraphQLObjectType | GraphQLInterfaceType | GraphQLUnionType):
             if not sets:
                 raise GraphQLRefusedError(ErrorCode.VALIDATION_FAILED, f"{path[1:]}: needs fields of {inner}")
-            return self._composite(inner, sets, count, sized, path, depth + 1)
+            return self._price_composite(inner, sets, count, child_sizes, path, depth + 1)
         if sets:
             raise GraphQLRefusedError(ErrorCode.VALIDATION_FAILED, f"{path[1:]}: {inner} has no fields")
         return 0.0, 0.0
 
-    def _composite(
-        self, inner: Composite, sets: list[SelectionSetNode], count: float, sized: Mapping[str, float],
+    def _price_composite(
+        self, inner: Composite, sets: list[SelectionSetNode], count: float, child_sizes: Mapping[str, float],
         path: str, depth: int,
-    ) -> Points:  # fmt: skip
+    ) -> BoundAndExpected:  # fmt: skip
         """The dearest type that it may be: each object is of one of them."""
         if isinstance(inner, GraphQLObjectType):
-            return self._fields(inner, self._collect(inner, sets), count, sized, path, depth)
-        kept, best, best_rows = len(self._rows), (0.0, 0.0), list[Row]()
+            return self._price_fields(
+                inner, self._collect_fields(inner, sets), count, child_sizes, path, depth
+            )
+        first_row, highest, best_rows = len(self._rows), (0.0, 0.0), list[Row]()
         for kind in self._priced.schema.get_possible_types(inner):
-            cost = self._fields(kind, self._collect(kind, sets), count, sized, f"{path}<{kind}>", depth)
-            rows = self._rows[kept:]
-            del self._rows[kept:]
-            if cost[0] >= best[0]:
+            cost = self._price_fields(
+                kind, self._collect_fields(kind, sets), count, child_sizes, f"{path}<{kind}>", depth
+            )
+            rows = self._rows[first_row:]
+            del self._rows[first_row:]
+            if cost[0] >= highest[0]:
                 best_rows = rows
-            best = max(best[0], cost[0]), max(best[1], cost[1])
+            highest = max(highest[0], cost[0]), max(highest[1], cost[1])
         self._rows += best_rows
-        return best
+        return highest
 
     # List sizes and arguments.
 
-    def _length(self, price: FieldPrice, values: Mapping[str, Any], path: str) -> float:
-        return self._sliced(price, values, path) if price.is_list else 1.0
+    def _object_count(self, price: FieldPrice, values: Mapping[str, Any], path: str) -> float:
+        return self._list_size(price, values, path) if price.is_list else 1.0
 
-    def _sized(self, price: FieldPrice, values: Mapping[str, Any], path: str) -> dict[str, float]:
+    def _child_list_sizes(self, price: FieldPrice, values: Mapping[str, Any], path: str) -> dict[str, float]:
         """Lengths that a field states for lists of its objects (a connection's edges)."""
         if price.size is None or not price.size.sized:
             return {}
-        return dict.fromkeys(price.size.sized, self._sliced(price, values, path))
+        return dict.fromkeys(price.size.sized, self._list_size(price, values, path))
 
-    def _sliced(self, price: FieldPrice, values: Mapping[str, Any], path: str) -> float:
+    def _list_size(self, price: FieldPrice, values: Mapping[str, Any], path: str) -> float:
         size = price.size
         if size is None:
             return float(self._priced.longest)
-        given = [v for argument in size.slicing if (v := _at(values, argument)) is not None]
-        numbers = [v for v in given if isinstance(v, int) and not isinstance(v, bool)]
-        if len(numbers) != len(given) or any(n < 0 for n in numbers):
+        given_size = [v for argument in size.slicing if (v := _nested_value(values, argument)) is not None]
+        numbers = [v for v in given_size if isinstance(v, int) and not isinstance(v, bool)]
+        if len(numbers) != len(given_size) or any(n < 0 for n in numbers):
             raise GraphQLRefusedError(
                 ErrorCode.VARIABLES_WRONG, f"{path[1:]}: a list size below 0, or no whole number"
             )
@@ -330,13 +342,15 @@
             return float(max(numbers))
         return float(self._priced.longest if size.assumed is None else size.assumed)
 
-    def _points(self, price: FieldPrice, known: Mapping[str, Any], values: Mapping[str, Any]) -> float:
+    def _argument_points(
+        self, price: FieldPrice, known: Mapping[str, Any], values: Mapping[str, Any]
+    ) -> float:
         """Points of the arguments that are given, and of the input fields inside them."""
         points = sum(each for name, each in price.arguments.items() if values.get(name) is not None)
         return points + sum(_input_points(known[name].type, value) for name, value in values.items())
 
 
-def _at(values: Mapping[str, Any], path: str) -> Any:
+def _nested_value(values: Mapping[str, Any], path: str) -> Any:
     """A slicing argument may lie in an input object: ``page.first``."""
     found: Any = values
     for part in path.split("."):
@@ -355,29 +369,33 @@
     if not isinstance(kind, GraphQLInputObjectType) or not isinstance(value, Mapping):
         return 0.0
     return sum(
-        _cost_of(each.ast_node) + _input_points(each.type, value.get(name))
+        _cost_weight(each.ast_node) + _input_points(each.type, value.get(name))
         for name, each in kind.fields.items()
         if value.get(name) is not None
     )
 
 
-def _cost_of(node: Any) -> float:
+def _cost_weight(node: Any) -> float:
     for each in (node.directives or ()) if node is not None else ():
         if each.name.value == "cost":
             return float(each.arguments[0].value.value)
     return 0.0
 
 
-def keyed_values(
+def mutation_keys(
     priced: PricedSchema, node: OperationDefinitionNode, fragments: Mapping[str, FragmentDefinitionNode],
-    variables: VariableValues, counts: Counts,
+    variables: VariableValues, counters: ComplexityCounters,
 ) -> Iterator[object | None]:  # fmt: skip
     """For each field at the root of a mutation: the value of its key, or None where it is not keyed."""
     root = priced.schema.mutation_type
     assert root is not None
-    pricer = Pricer(priced, fragments, variables, counts)
-    for nodes in pricer._collect(root, [node.selection_set]).values():
+    pricer = Pricer(priced, fragments, variables, counters)
+    for nodes in pricer._collect_fields(root, [node.selection_set]).values():
         if nodes[0].name.value == "__typename":
             continue
-        by = priced.price(str(root), nodes[0].name.value).keyed_by
-        yield None if by is None else pricer._arguments(root, nodes[0], "." + nodes[0].name.value).get(by)
+        key_argument = priced.price(str(root), nodes[0].name.value).keyed_by
+        yield (
+            None
+            if key_argument is None
+            else pricer._argument_values(root, nodes[0], "." + nodes[0].name.value).get(key_argument)
+        )
