--- a/benchmarks/graphql_cost.py
+++ b/benchmarks/graphql_cost.py
@@ -35,7 +35,7 @@
 from cypresspulley.graphql.document import DocumentCache, OperationRequest, price_request
 from cypresspulley.graphql.errors import GraphQLRefusedError
 from cypresspulley.graphql.request import parse_post
-from cypresspulley.graphql.scan import Bounds, scan
+from cypresspulley.graphql.scan import Bounds, count_tokens
 from cypresspulley.rehearsal.limiters import free_port
 from cypresspulley.rehearsal.standins.graphql import (
     DEEP,
@@ -180,7 +180,7 @@
         for _ in range(rounds):
             documents, began = DocumentCache(priced, Bounds()), perf_counter()
             run_to_completion(documents.read(text))
-            times.append((perf_counter() - began) / scan(text, Bounds()))
+            times.append((perf_counter() - began) / count_tokens(text, Bounds()))
     return max(sizes), statistics.median(times)
 
 
--- a/cypresspulley/graphql/document.py
+++ b/cypresspulley/graphql/document.py
@@ -34,7 +34,7 @@
 
 from cypresspulley.graphql.errors import ErrorCode, GraphQLRefusedError
 from cypresspulley.graphql.price import ComplexityCounters, Price, Pricer, mutation_keys
-from cypresspulley.graphql.scan import Bounds, scan
+from cypresspulley.graphql.scan import Bounds, count_tokens
 from cypresspulley.graphql.schema import PricedSchema
 
 # Bytes that a parsed document takes for each byte of its text, rounded up (benchmarks/graphql_cost.py measures it).
@@ -149,7 +149,7 @@
         if (found := self.find(text)) is not None:
             return found
         self.misses += 1
-        tokens = scan(text, self.bounds)
+        tokens = count_tokens(text, self.bounds)
         yield
         try:
             tree = parse(text, max_tokens=self.bounds.tokens)
--- a/cypresspulley/graphql/scan.py
+++ b/cypresspulley/graphql/scan.py
@@ -12,8 +12,8 @@
 
 from cypresspulley.graphql.errors import ErrorCode, GraphQLRefusedError
 
-MAX_TEXT = 64 * 1024  # bytes: a body's bound
-TOKEN = re.compile(
+MAX_TEXT_CHARACTERS = 64 * 1024  # bytes: a body's bound
+TOKEN_PATTERN = re.compile(
     r"(?P<skip>[\s,\ufeff]+|\#[^\r\n]*)|(?P<open>[{(\[])|(?P<close>[})\]])|(?P<at>@)|(?P<colon>:)"
     r'|(?P<word>"""(?:[^"\\]|\\.|"(?!""))*"""|"(?:[^"\\\r\n]|\\.)*"|\.\.\.|[_A-Za-z][_0-9A-Za-z]*'
     r"|-?[0-9][0-9.eE+-]*|[!$&=|])",
@@ -35,24 +35,27 @@
     steps: int = 4000
 
 
-def scan(text: str, bounds: Bounds) -> int:
+def count_tokens(text: str, bounds: Bounds) -> int:
     """The number of tokens; ``GraphQLRefusedError`` past a bound or at what is no token.
 
     Nesting is counted over all kinds of brackets, so that the parser's recursion is bounded before it starts
     (twice the selections' depth, and room for lists in arguments).
     """
-    if len(text) > MAX_TEXT:
-        raise GraphQLRefusedError(ErrorCode.TOO_COMPLEX, f"{len(text)} characters; at most {MAX_TEXT}")
-    tokens = depth = directives = at = 0
-    deepest = 2 * bounds.depth + 8
-    while at < len(text):
-        found = TOKEN.match(text, at)
-        if found is None:
+    if len(text) > MAX_TEXT_CHARACTERS:
+        raise GraphQLRefusedError(
+            ErrorCode.TOO_COMPLEX, f"{len(text)} characters; at most {MAX_TEXT_CHARACTERS}"
+        )
+    tokens = depth = directives = position = 0
+    max_brackets = 2 * bounds.depth + 8
+    while position < len(text):
+        match = TOKEN_PATTERN.match(text, position)
+        if match is None:
             raise GraphQLRefusedError(
-                ErrorCode.PARSE_FAILED, f"no token at character {at}: {text[at : at + 12]!r}"
+                ErrorCode.PARSE_FAILED,
+                f"no token at character {position}: {text[position : position + 12]!r}",
             )
-        at = found.end()
-        kind = found.lastgroup
+        position = match.end()
+        kind = match.lastgroup
         if kind == "skip":
             continue
         tokens += 1
@@ -62,12 +65,12 @@
             depth -= 1
         elif kind == "at":
             directives += 1
-        _within("tokens", tokens, bounds.tokens)
-        _within("levels of brackets", depth, deepest)
-        _within("directives", directives, bounds.directives)
+        _check_bound("tokens", tokens, bounds.tokens)
+        _check_bound("levels of brackets", depth, max_brackets)
+        _check_bound("directives", directives, bounds.directives)
     return tokens
 
 
-def _within(what: str, count: int, most: int) -> None:
-    if count > most:
-        raise GraphQLRefusedError(ErrorCode.TOO_COMPLEX, f"more than {most} {what}")
+def _check_bound(counted: str, count: int, limit: int) -> None:
+    if count > limit:
+        raise GraphQLRefusedError(ErrorCode.TOO_COMPLEX, f"more than {limit} {counted}")
