--- a/cypresspulley/graphql/price.py
+++ b/cypresspulley/graphql/price.py
@@ -135,8 +135,10 @@
         self._counters.count_root_fields(len(grouped))
         bound, expected = self._price_fields(root, grouped, 1.0, {}, "", 1)
         if node.operation is OperationType.MUTATION:
-            bound, expected = bound + self._priced.mutation, expected + self._priced.mutation
-            self._add_row("mutation", "mutation", 1.0, self._priced.mutation, self._priced.mutation)
+            bound, expected = bound + self._priced.mutation_points, expected + self._priced.mutation_points
+            self._add_row(
+                "mutation", "mutation", 1.0, self._priced.mutation_points, self._priced.mutation_points
+            )
         return Price(min(MAX_POINTS, bound), min(MAX_POINTS, expected), tuple(self._rows))
 
     def _add_row(self, path: str, place: str, times: float, bound: float, expected: float) -> None:
@@ -233,7 +235,7 @@
         found = kind.fields.get(name) if isinstance(kind, GraphQLObjectType | GraphQLInterfaceType) else None
         if found is None:
             raise GraphQLRefusedError(ErrorCode.VALIDATION_FAILED, f"{path[1:]}: {kind} has no field {name}")
-        price = self._priced.price(str(kind), name)
+        price = self._priced.field_price(str(kind), name)
         values = self._argument_values(kind, node, path)
         size = (
             given_size
@@ -256,7 +258,7 @@
             raise GraphQLRefusedError(
                 ErrorCode.INTROSPECTION_OFF, f"{path[1:]}: introspection is not open here"
             )
-        points = self._priced.introspection
+        points = self._priced.introspection_points
         self._add_row(path[1:], name, 1.0, points, points)
         return points, points
 
@@ -320,27 +322,30 @@
 
     def _child_list_sizes(self, price: FieldPrice, values: Mapping[str, Any], path: str) -> dict[str, float]:
         """Lengths that a field states for lists of its objects (a connection's edges)."""
-        if price.size is None or not price.size.sized:
+        if price.list_size is None or not price.list_size.sized_fields:
             return {}
-        return dict.fromkeys(price.size.sized, self._list_size(price, values, path))
+        return dict.fromkeys(price.list_size.sized_fields, self._list_size(price, values, path))
 
     def _list_size(self, price: FieldPrice, values: Mapping[str, Any], path: str) -> float:
-        size = price.size
+        size = price.list_size
         if size is None:
-            return float(self._priced.longest)
-        given_size = [v for argument in size.slicing if (v := _nested_value(values, argument)) is not None]
+            return float(self._priced.longest_list)
+        given_size = [
+            v for argument in size.slicing_arguments if (v := _nested_value(values, argument)) is not None
+        ]
         numbers = [v for v in given_size if isinstance(v, int) and not isinstance(v, bool)]
         if len(numbers) != len(given_size) or any(n < 0 for n in numbers):
             raise GraphQLRefusedError(
                 ErrorCode.VARIABLES_WRONG, f"{path[1:]}: a list size below 0, or no whole number"
             )
-        if size.require_one and len(numbers) != 1 and (numbers or size.assumed is None):
+        if size.require_one_slicing_argument and len(numbers) != 1 and (numbers or size.assumed_size is None):
             raise GraphQLRefusedError(
-                ErrorCode.VALIDATION_FAILED, f"{path[1:]}: exactly one of {', '.join(size.slicing)} is needed"
+                ErrorCode.VALIDATION_FAILED,
+                f"{path[1:]}: exactly one of {', '.join(size.slicing_arguments)} is needed",
             )
         if numbers:
             return float(max(numbers))
-        return float(self._priced.longest if size.assumed is None else size.assumed)
+        return float(self._priced.longest_list if size.assumed_size is None else size.assumed_size)
 
     def _argument_points(
         self, price: FieldPrice, known: Mapping[str, Any], values: Mapping[str, Any]
@@ -393,7 +398,7 @@
     for nodes in pricer._collect_fields(root, [node.selection_set]).values():
         if nodes[0].name.value == "__typename":
             continue
-        key_argument = priced.price(str(root), nodes[0].name.value).keyed_by
+        key_argument = priced.field_price(str(root), nodes[0].name.value).keyed_by
         yield (
             None
             if key_argument is None
--- a/cypresspulley/rehearsal/standins/graphql.py
+++ b/cypresspulley/rehearsal/standins/graphql.py
@@ -68,14 +68,14 @@
         """Every field's resolver: gives its value and counts what it gives."""
         parent, name = str(info.parent_type), info.field_name
         value = self._value(source, parent, name, arguments)
-        price = self.priced.price(parent, name)
+        price = self.priced.field_price(parent, name)
         many = value if isinstance(value, list) else [value]
         self.points += price.weight * sum(each is not None for each in many)
         self.points += sum(
             points for key, points in price.arguments.items() if arguments.get(key) is not None
         )
         if parent == "Mutation":
-            self.points += self.priced.mutation / _roots(info)
+            self.points += self.priced.mutation_points / _roots(info)
         return value
 
     def _value(self, source: Any, parent: str, name: str, arguments: Mapping[str, Any]) -> Any:
--- a/tests/graphql/test_price.py
+++ b/tests/graphql/test_price.py
@@ -30,7 +30,7 @@
 
 
 def price(schema: str, query: str, bounds: Bounds = WIDE, longest: int = 10, **more: Any) -> PricedRequest:
-    documents = DocumentCache(read_schema(schema, longest=longest), bounds)
+    documents = DocumentCache(read_schema(schema, longest_list=longest), bounds)
     ask = OperationRequest(query, operation_name=more.pop("operation", None), variables=more)
     return run_to_completion(price_request(documents, [ask], explain=True))
 
@@ -346,7 +346,7 @@
 @hypothesis.given(st.data())
 def test_the_true_cost_is_never_above_the_bound(data: st.DataObject) -> None:
     text = data.draw(schemas())
-    priced = read_schema(text, longest=3)
+    priced = read_schema(text, longest_list=3)
     query = data.draw(queries(print_schema(priced.schema)))
     rng = data.draw(st.randoms(use_true_random=False))
     documents = DocumentCache(priced, WIDE)
@@ -358,7 +358,7 @@
 
     def resolve(source: Any, info: GraphQLResolveInfo[Any], **arguments: Any) -> Any:
         nonlocal spent
-        price = priced.price(str(info.parent_type), info.field_name)
+        price = priced.field_price(str(info.parent_type), info.field_name)
         inner = info.return_type
         while hasattr(inner, "of_type"):
             inner = inner.of_type
