--- a/cypresspulley/graphql/command.py
+++ b/cypresspulley/graphql/command.py
@@ -1,4 +1,4 @@
-"""What ``fawnseam graphql-cost`` and ``graphql-learn`` do; their exit codes."""
+"""Implements ``fawnseam graphql-cost`` and ``graphql-learn``, and defines their exit codes."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def run_to_completion(steps: Generator[None, None, ResultT]) -> ResultT:
-    """Run a reading to its end, with nothing in between."""
+    """Run all steps of a generator without interruption and return its result."""
     while True:
         try:
             next(steps)
@@ -37,7 +37,7 @@
 
 
 def _load_cache(schema: str, bounds: Bounds | None = None) -> DocumentCache:
-    """SCHEMA is an operators' file (.toml) or SDL."""
+    """Return an empty document cache for an operators' file (.toml) or a schema in SDL."""
     if schema.endswith(".toml"):
         return load_document_cache(load_options(schema))
     try:
@@ -48,7 +48,7 @@
 
 
 def print_cost(schema: str, query: Path, operation: str | None, variables: Path | None, as_json: bool) -> int:
-    """Print where the price of a query comes from; the exit code."""
+    """Print the price of a query by field, and return the exit code."""
     try:
         documents = _load_cache(schema)
         values = json.loads(variables.read_text(encoding="utf-8")) if variables is not None else {}
@@ -91,11 +91,11 @@
     return table
 
 
-# Learning.
+# Learning shares from a capture.
 
 
 def learn_from_capture(schema: str, capture: Path, out: Path | None) -> int:
-    """Fit shares from a capture; the exit code."""
+    """Fit shares to a capture, print them, write them to ``out`` if given, and return the exit code."""
     try:
         check_folders(out)
         documents = _load_cache(schema)
@@ -126,8 +126,11 @@
 
 
 def _capture_rows(capture: Path) -> Iterator[tuple[OperationRequest, float | None]]:
-    """Rows of a HAR file (POST bodies, ``extensions.cost.actual`` of the answers), or JSON lines of
-    ``query``, ``variables``, ``operationName`` and ``actual``."""
+    """Yield the operations and actual costs of a capture.
+
+    The capture is a HAR file (POST bodies, and ``extensions.cost.actual`` of the responses) or JSON lines with
+    ``query``, ``variables``, ``operationName`` and ``actual``. Raises OptionsError for a line that cannot be parsed.
+    """
     text = capture.read_text(encoding="utf-8")
     if capture.suffix == ".har":
         entries = json.loads(text).get("log", {}).get("entries", [])
--- a/cypresspulley/graphql/document.py
+++ b/cypresspulley/graphql/document.py
@@ -1,8 +1,9 @@
-"""From a request's text to a priced operation, in short steps; the cache of documents; free of I/O and clocks.
+"""Parses, validates and prices the operations of a request in short steps, and caches documents.
 
-Reading a document is a generator: each step is bounded by the scan before it, so that whoever drives it (the
-limiter's loop, a test) can do other things in between. What one document costs is kept by its hash (SHA-256), so
-that nobody can make two texts meet; the cache is bounded in bytes of text and parsed form.
+Analyzing a document is a generator. The preceding scan bounds the work of each step, so that the caller (the
+limiter's event loop, a test) can do other work between steps. Documents are cached by their SHA-256 hash, so that a
+client cannot craft two texts with the same key. The cache is bounded in bytes, including the parsed form. The module
+does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -37,14 +38,14 @@
 from cypresspulley.graphql.scan import Bounds, count_tokens
 from cypresspulley.graphql.schema import PricedSchema
 
-# Bytes that a parsed document takes for each byte of its text, rounded up (benchmarks/graphql_cost.py measures it).
+# Memory of a parsed document per byte of its text, as measured by benchmarks/graphql_cost.py, rounded up.
 PARSED_BYTES_PER_TEXT_BYTE = 200
-MAX_REPORTED_ERRORS = 3
-MAX_TOKEN_RULES_PER_STEP = 400  # tokens times rules that one step of validation may walk
+MAX_REPORTED_ERRORS = 3  # validation errors in the message to the client
+MAX_TOKEN_RULES_PER_STEP = 400  # product of tokens and rules in one validation step
 
 
 class Effect(Enum):
-    """What an operation may do on a second run."""
+    """The effect of running an operation twice: none, prevented by a key, or unsafe."""
 
     QUERY = "query"
     KEYED = "keyed"
@@ -53,18 +54,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Document:
-    """A document that is valid for the schema, by its hash."""
+    """A parsed document that is valid for the schema."""
 
     hash: str
     text: str
     operations: Mapping[str, OperationDefinitionNode]
     fragments: Mapping[str, FragmentDefinitionNode]
-    size_bytes: int  # bytes that it counts in the cache
+    size_bytes: int  # estimated memory in the cache
 
 
 @dataclass(frozen=True, slots=True)
 class OperationRequest:
-    """One operation of a request as it came."""
+    """One operation of a request as received."""
 
     text: str | None
     hash: str | None = None
@@ -74,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PricedRequest:
-    """A whole request: one operation, or a batch. ``key`` is of a keyed mutation."""
+    """The price and effect of a request, which is one operation or a batch. Only a keyed mutation has a ``key``."""
 
     price: Price
     effect: Effect
@@ -82,13 +83,15 @@
 
 
 def document_hash(text: str) -> str:
+    """Return the SHA-256 of the text in hexadecimal."""
     return sha256(text.encode()).hexdigest()
 
 
 class DocumentCache:
-    """Documents that were read, the least recently used giving way; persisted ones stay for good.
+    """An LRU cache of parsed documents, bounded by ``max_bytes``, and the texts of the persisted documents.
 
-    ``persisted`` is the operators' allow-list (hash to text); with ``only_persisted`` nothing else is taken.
+    ``persisted`` is the operators' allow-list (hash to text) and is never evicted. With ``only_persisted``, all other
+    documents are rejected.
     """
 
     def __init__(
@@ -116,7 +119,10 @@
         return self._used_bytes
 
     def resolve_text(self, operation: OperationRequest) -> str:
-        """The text that a request means; ``GraphQLRefusedError`` where its hash and text do not belong together."""
+        """Return the text of an operation, looked up by its hash if it has no text.
+
+        Raises GraphQLRefusedError if the document is unknown or not allowed, or if its hash and text do not match.
+        """
         if operation.text is None:
             if operation.hash is None:
                 raise GraphQLRefusedError(ErrorCode.BAD_REQUEST, "query is missing")
@@ -137,7 +143,7 @@
         return operation.text
 
     def find(self, text: str) -> Document | None:
-        """A document that is in the cache."""
+        """Return a document from the cache and mark it as recently used, or return None."""
         found = self._documents.get(key := document_hash(text))
         if found is not None:
             self._documents.move_to_end(key)
@@ -145,7 +151,10 @@
         return found
 
     def read(self, text: str) -> Generator[None, None, Document]:
-        """Scan, parse and validate, with a pause after each step; ``GraphQLRefusedError`` ends it."""
+        """Return a document from the cache, or scan, parse and validate it, yielding after each step.
+
+        Raises GraphQLRefusedError if the document is invalid or exceeds a bound.
+        """
         if (found := self.find(text)) is not None:
             return found
         self.misses += 1
@@ -190,7 +199,10 @@
 
 
 def _check_repeated_keys(tree: DocumentNode, bounds: Bounds) -> None:
-    """One rule of the validator compares all pairs of one response key: a floor under its squares."""
+    """Reject selection sets that repeat a response key too often.
+
+    One validation rule compares all pairs of fields with the same response key, so its cost is quadratic.
+    """
     for node in tree.definitions:
         stack: list[Any] = [node]
         while stack:
@@ -210,9 +222,11 @@
 
 
 def validate(priced_schema: PricedSchema, tree: DocumentNode, tokens: int) -> Generator[None, None, None]:
-    """The specification's rules, a few in each walk with a pause behind it: the longest holds the loop, not all.
+    """Apply the specification's validation rules, a few per traversal, yielding after each traversal.
 
-    A walk costs per token and rule; a short document is through in two or three, one at the bound takes a rule each.
+    A traversal takes time proportional to tokens times rules. A short document is done in two or three traversals; a
+    document at the bound on tokens takes one per rule, so that no single step blocks the event loop for long. Raises
+    GraphQLRefusedError.
     """
     info = TypeInfo(priced_schema.schema)
     errors = list[GraphQLError]()
@@ -233,7 +247,10 @@
 
 
 def select_operation(document: Document, name: str | None) -> OperationDefinitionNode:
-    """The operation that a request means (GraphQL specification, 6.1): only this one counts."""
+    """Return the operation that a request selects (GraphQL specification, 6.1); the others cost nothing.
+
+    Raises GraphQLRefusedError if there is no such operation or the choice is ambiguous.
+    """
     if not document.operations:
         raise GraphQLRefusedError(ErrorCode.OPERATION_UNKNOWN, "the document holds no operation")
     if name is None:
@@ -251,7 +268,7 @@
     documents: DocumentCache, document: Document, operation: OperationRequest, counts: ComplexityCounters,
     introspection: bool = True, explain: bool = False,
 ) -> PricedRequest:  # fmt: skip
-    """The price and effect of one operation with its variables."""
+    """Return the price and effect of one operation with its variables. Raises GraphQLRefusedError."""
     node = select_operation(document, operation.operation_name)
     priced_schema = documents.priced_schema
     values = get_variable_values(
@@ -278,9 +295,10 @@
     introspection: bool = True,
     explain: bool = False,
 ) -> Generator[None, None, PricedRequest]:
-    """A request's operations priced as a sum; one mutation among several makes the whole unsafe.
+    """Price the operations of a request, yielding between steps; the price of a batch is the sum.
 
-    Keys are not joined over a batch: servers drop repeats of one operation, not of a row of them.
+    One mutation among several operations makes the whole batch unsafe, even if it is keyed, because servers
+    deduplicate single operations and not batches. Raises GraphQLRefusedError.
     """
     if len(operations) > documents.bounds.batch:
         raise GraphQLRefusedError(
--- a/cypresspulley/graphql/errors.py
+++ b/cypresspulley/graphql/errors.py
@@ -1,4 +1,4 @@
-"""Why a GraphQL request is not passed on: a stable code, an HTTP status and a text."""
+"""Errors for GraphQL requests that are not forwarded: a stable code, an HTTP status and a text."""
 
 from __future__ import annotations
 
@@ -6,18 +6,19 @@
 
 
 class ErrorCode(Enum):
-    """``extensions.code`` of an error made here, with the status that goes with it. Codes never change."""
+    """The ``extensions.code`` of errors that the limiter generates, with their HTTP status. Codes never change."""
 
-    BAD_REQUEST = ("BAD_REQUEST", 400)  # no GraphQL-over-HTTP request
+    BAD_REQUEST = ("BAD_REQUEST", 400)  # not a GraphQL-over-HTTP request
     PARSE_FAILED = ("GRAPHQL_PARSE_FAILED", 400)
     VALIDATION_FAILED = ("GRAPHQL_VALIDATION_FAILED", 400)
-    OPERATION_UNKNOWN = ("OPERATION_UNKNOWN", 400)  # none selected, or one that is not in the document
-    VARIABLES_WRONG = ("VARIABLES_WRONG", 400)
-    TOO_COMPLEX = (
-        "QUERY_TOO_COMPLEX",
+    OPERATION_UNKNOWN = (
+        "OPERATION_UNKNOWN",
         400,
-    )  # past a bound on tokens, depth, aliases, roots, directives, batch
-    TOO_DEAR = ("QUERY_TOO_DEAR", 400)  # no store of this plan could ever hold its upper bound
+    )  # no operation selected, or one that is not in the document
+    VARIABLES_WRONG = ("VARIABLES_WRONG", 400)
+    # Exceeds a bound on tokens, depth, aliases, roots, directives, batch.
+    TOO_COMPLEX = ("QUERY_TOO_COMPLEX", 400)
+    TOO_DEAR = ("QUERY_TOO_DEAR", 400)  # its upper bound exceeds the capacity of the plan's token buckets
     INTROSPECTION_OFF = ("INTROSPECTION_OFF", 400)
     BATCH_OFF = ("BATCH_OFF", 400)
     PERSISTED_NOT_FOUND = ("PERSISTED_QUERY_NOT_FOUND", 404)
@@ -26,23 +27,25 @@
     METHOD_NOT_ALLOWED = ("METHOD_NOT_ALLOWED", 405)
     NOT_ACCEPTABLE = ("NOT_ACCEPTABLE", 406)
     UNSUPPORTED_MEDIA_TYPE = ("UNSUPPORTED_MEDIA_TYPE", 415)
-    ANALYSIS_BUSY = ("ANALYSIS_BUSY", 429)  # too many documents are being read at once
-    COST_LIMITED = ("COST_LIMITED", 429)  # the decisions turned it away: trying again is harmless
+    ANALYSIS_BUSY = ("ANALYSIS_BUSY", 429)  # the time budget for unknown documents is exhausted
+    COST_LIMITED = ("COST_LIMITED", 429)  # rejected before it was sent to a server: safe to retry
     MAY_HAVE_RUN = ("MAY_HAVE_RUN", 502)
     TIMED_OUT = ("TIMED_OUT", 504)
     INTERNAL_ERROR = ("INTERNAL_ERROR", 500)
 
     @property
     def wire_name(self) -> str:
+        """The code as it appears in responses."""
         return self.value[0]
 
     @property
     def status(self) -> int:
+        """The HTTP status."""
         return self.value[1]
 
 
 class GraphQLRefusedError(Exception):
-    """A request that goes no further; ``text`` is for the client and holds nothing of another's."""
+    """A request that is not forwarded. ``text`` is sent to the client and contains no data of other clients."""
 
     def __init__(self, code: ErrorCode, text: str) -> None:
         super().__init__(f"{code.wire_name}: {text}")
--- a/cypresspulley/graphql/responses.py
+++ b/cypresspulley/graphql/responses.py
@@ -1,8 +1,12 @@
-"""What a server's answer to a GraphQL request says: its true cost, and whether it ran; free of I/O.
+"""Reads a server's response to a GraphQL request: its actual cost and whether the request was executed.
 
-- ``data``, with ``errors`` or without, is an answer. It is passed on.
-- ``errors`` and no ``data`` with a code that the operators' file names proves that nothing was executed.
-- Any other is an answer too, passed on as it came, and the request may have run.
+A response is classified by its content:
+
+- With ``data``, with or without ``errors``, it is a regular response and is forwarded.
+- With ``errors`` and no ``data``, it proves that nothing was executed if all error codes are in ``never_ran_codes``.
+- Any other response is forwarded unchanged, and the request may have been executed.
+
+The module does no I/O.
 """
 
 from __future__ import annotations
@@ -15,7 +19,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseInfo:
-    """``cost``: true points, None where none is told or what is told is absurd. ``never_ran``: proved."""
+    """What a response says about a request.
+
+    ``cost`` is the actual cost in points, or None if the response states none or an implausible one. ``not_executed``
+    is True only if the response proves that nothing was executed.
+    """
 
     cost: float | None
     not_executed: bool
@@ -24,10 +32,12 @@
 def parse_response(
     body: bytes, never_ran_codes: frozenset[str], max_points: float, cost_in_extensions: bool
 ) -> ResponseInfo:
-    """``most``: the upper bound in points; a cost beyond it, or below 0, is absurd and tells nothing.
+    """Parse the body of a response to one operation or to a batch.
 
-    ``cost_inside``: whether ``extensions.cost.actual`` is read (else a header tells it). A batch's answers add up;
-    where one of them tells none, the whole tells none. A batch never ran where none of its members did.
+    ``max_points`` is the upper bound of the request's price; a cost above it or below 0 is ignored. The cost is read
+    from ``extensions.cost.actual`` if ``cost_in_extensions`` is set, otherwise it comes from a header. The costs of a
+    batch are added up; if one of its responses states no cost, the batch has none. A batch counts as not executed
+    only if none of its operations was executed.
     """
     try:
         raw = json.loads(body)
@@ -43,7 +53,7 @@
 
 
 def valid_cost(cost: float | None, max_points: float) -> float | None:
-    """A cost that can be true: a number from 0 to the bound (a little beyond for rounding)."""
+    """Return the cost if it is from 0 to ``max_points`` (plus a tolerance of 1e-9 for rounding), otherwise None."""
     if cost is None or not math.isfinite(cost) or not 0 <= cost <= max_points * (1 + 1e-9) + 1e-9:
         return None
     return min(cost, max_points)
