--- a/cypresspulley/graphql/command.py
+++ b/cypresspulley/graphql/command.py
@@ -54,8 +54,10 @@
         values = json.loads(variables.read_text(encoding="utf-8")) if variables is not None else {}
         if not isinstance(values, dict):
             raise OptionsError(f"{variables}: expected an object of variables")
-        ask = OperationRequest(query.read_text(encoding="utf-8"), operation_name=operation, variables=values)
-        priced = run_to_completion(price_request(documents, [ask], explain=True))
+        operation_request = OperationRequest(
+            query.read_text(encoding="utf-8"), operation_name=operation, variables=values
+        )
+        priced = run_to_completion(price_request(documents, [operation_request], explain=True))
     except GraphQLRefusedError as error:
         return fail(f"{query}: {error}", EXIT_REFUSED)
     except (OptionsError, SchemaError, ValueError, OSError) as error:
@@ -114,12 +116,14 @@
 ) -> tuple[list[tuple[Price, float]], dict[str, int]]:
     samples = list[tuple[Price, float]]()
     skipped = dict[str, int]()
-    for ask, actual in _capture_rows(capture):
+    for operation_request, actual in _capture_rows(capture):
         if actual is None:
             skipped["no true cost"] = skipped.get("no true cost", 0) + 1
             continue
         try:
-            samples.append((run_to_completion(price_request(documents, [ask], explain=True)).price, actual))
+            samples.append(
+                (run_to_completion(price_request(documents, [operation_request], explain=True)).price, actual)
+            )
         except GraphQLRefusedError as error:
             skipped[error.code.wire_name] = skipped.get(error.code.wire_name, 0) + 1
     return samples, skipped
--- a/cypresspulley/graphql/document.py
+++ b/cypresspulley/graphql/document.py
@@ -265,7 +265,7 @@
 
 
 def price_operation(
-    documents: DocumentCache, document: Document, operation: OperationRequest, counts: ComplexityCounters,
+    documents: DocumentCache, document: Document, operation: OperationRequest, counters: ComplexityCounters,
     introspection: bool = True, explain: bool = False,
 ) -> PricedRequest:  # fmt: skip
     """Return the price and effect of one operation with its variables. Raises GraphQLRefusedError."""
@@ -278,12 +278,12 @@
         raise GraphQLRefusedError(
             ErrorCode.VARIABLES_WRONG, "; ".join(e.message for e in values[:MAX_REPORTED_ERRORS])
         )
-    price = Pricer(priced_schema, document.fragments, values, counts, introspection, explain).price_operation(
-        node
-    )
+    price = Pricer(
+        priced_schema, document.fragments, values, counters, introspection, explain
+    ).price_operation(node)
     if node.operation is not OperationType.MUTATION:
         return PricedRequest(price, Effect.QUERY)
-    keys = list(mutation_keys(priced_schema, node, document.fragments, values, counts))
+    keys = list(mutation_keys(priced_schema, node, document.fragments, values, counters))
     if keys and all(key is not None for key in keys):
         return PricedRequest(price, Effect.KEYED, "/".join(map(str, keys)))
     return PricedRequest(price, Effect.MUTATION)
@@ -304,12 +304,12 @@
         raise GraphQLRefusedError(
             ErrorCode.TOO_COMPLEX, f"more than {documents.bounds.batch} operations in a batch"
         )
-    counts = ComplexityCounters(documents.bounds)
+    counters = ComplexityCounters(documents.bounds)
     priced_operations = list[PricedRequest]()
     for operation in operations:
         document = yield from documents.read(documents.resolve_text(operation))
         priced_operations.append(
-            price_operation(documents, document, operation, counts, introspection, explain)
+            price_operation(documents, document, operation, counters, introspection, explain)
         )
         yield
     price = sum((each.price for each in priced_operations), Price(0.0, 0.0))
--- a/cypresspulley/graphql/handler.py
+++ b/cypresspulley/graphql/handler.py
@@ -1,7 +1,8 @@
-"""The way in: GraphQL requests on the limiter's own listener, priced and handed to the decisions.
+"""Handles GraphQL requests on the limiter's listener: prices them and submits them to the policy.
 
-Nothing is decided here: prices come from ``document``, time for reading from ``budget``, and whether, where and how
-often a request is sent on from the policy, which gets it as any other request with its units and its class.
+This module makes no decisions. Prices come from ``document`` and the time limit for analysis from ``budget``. Whether,
+where and how often a request is sent is decided by the policy, to which it is a request like any other, with units and
+a request class.
 """
 
 from __future__ import annotations
@@ -39,9 +40,8 @@
 
 ACCEPT_HEADER = b"accept"
 CONTENT_TYPE_HEADER = b"content-type"
-MAX_TURN_S = (
-    0.001  # seconds that reading may hold the loop before others have their turn (one step may take longer)
-)
+# Time for which an analysis may block the event loop before it yields. A single step may take longer.
+MAX_TURN_S = 0.001
 CODES_BY_STATUS = {
     429: ErrorCode.COST_LIMITED,
     502: ErrorCode.MAY_HAVE_RUN,
@@ -58,11 +58,11 @@
     ErrorCode.METHOD_NOT_ALLOWED: "mutations need POST",
     ErrorCode.ANALYSIS_BUSY: "too many unknown documents at once; known ones are taken",
 }
-BUSY_RETRY_AFTER_S = 1.0  # seconds until the next budget
+BUSY_RETRY_AFTER_S = 1.0  # the analysis budget is renewed every second
 
 
 class GraphQLDialect:
-    """How one request's client is spoken to, and what its server's answer means."""
+    """Formats errors for one request's client, and interprets its server's response."""
 
     __slots__ = ("_options", "media_type", "priced")
 
@@ -74,10 +74,10 @@
     def format_error(
         self, status: int, retry_after: float | None, why: str, units_left: float
     ) -> tuple[int, bytes, bytes, float | None]:
-        """Status, headers, body and ``Retry-After`` of an answer that is not a server's."""
+        """Return status, headers, body and Retry-After (seconds) of a response that the limiter generates."""
         code = ErrorCode.TOO_DEAR if why == "too dear" else CODES_BY_STATUS.get(status, ErrorCode.BAD_REQUEST)
         if code is ErrorCode.TOO_DEAR:
-            retry_after = None  # it would never be taken
+            retry_after = None  # a retry cannot succeed
         extensions = dict[str, object]()
         if self.priced is not None:
             price = self.priced.price
@@ -91,6 +91,7 @@
         )
 
     def format_refusal(self, error: GraphQLRefusedError) -> tuple[int, bytes, bytes, float | None]:
+        """Return status, headers, body and Retry-After (seconds) for a request rejected before its submission."""
         retry_after = BUSY_RETRY_AFTER_S if error.code is ErrorCode.ANALYSIS_BUSY else None
         return self._format_response(error.code, error.code.status, {}, error.text, retry_after)
 
@@ -113,7 +114,11 @@
         )
 
     def process_response(self, exchange: Exchange) -> None:
-        """Read a server's 200: its cost becomes units, and what is proved not to have run is no answer."""
+        """Read a server's 200 response.
+
+        The cost that it states becomes the units charged. If it proves that nothing was executed, the exchange gets
+        the status FULL, which is not a response for the client.
+        """
         assert self.priced is not None
         points = self._options.points_per_unit
         max_points = max(self.priced.price.bound, self._options.minimum_points)
@@ -136,6 +141,8 @@
 
 @dataclass(slots=True)
 class _PendingAnalysis:
+    """A request whose documents are being analyzed. ``received_at`` is in seconds of the handler's clock."""
+
     request: ClientRequest
     dialect: GraphQLDialect
     metadata: RequestMetadata
@@ -146,7 +153,7 @@
 
 
 class GraphQLHandler:
-    """Takes what comes to the options' path. ``headers``: those that it reads beside the protocol's."""
+    """Serves the requests to the path of the options. See ``net.frontend.PathHandler``."""
 
     headers = frozenset((ACCEPT_HEADER, CONTENT_TYPE_HEADER))
 
@@ -161,11 +168,11 @@
         self._classes_by_effect = _classes_by_effect(settings, options)
         self._ids = 0
         self._loop = asyncio.get_running_loop()
-        self.longest_turn_s = 0.0  # seconds that one turn of reading held the loop
+        self.longest_turn_s = 0.0  # longest time for which a turn of analysis blocked the loop
         _warm_up(documents)
 
     def handle_request(self, request: ClientRequest, parsed: ParsedRequest) -> None:
-        """A request has come whole. It gets its answer here, or goes on to the decisions, maybe some turns later."""
+        """Respond to a request that was received in full, or submit it, possibly some turns of the event loop later."""
         request.dialect = dialect = GraphQLDialect(self._options)
         metadata = parsed.reader.read_metadata(parsed.query, parsed.fields)
         parsed.claim_request_id(request)
@@ -193,21 +200,21 @@
         return graphql_request
 
     def _spend_budget(self, metadata: RequestMetadata, graphql_request: GraphQLRequest) -> None:
-        """Time for the documents that are not known yet."""
+        """Spend budget on the documents that are not cached. Raises GraphQLRefusedError if it is exhausted."""
         if len(graphql_request.operations) > self._options.bounds.batch:
             raise GraphQLRefusedError(
                 ErrorCode.TOO_COMPLEX, f"more than {self._options.bounds.batch} operations in a batch"
             )
         seconds = 0.0
-        for ask in graphql_request.operations:
-            text = self._documents.resolve_text(ask)
+        for operation in graphql_request.operations:
+            text = self._documents.resolve_text(operation)
             if self._documents.find(text) is None:
                 seconds += self._budget.estimate(len(text), self._options.bounds.tokens)
         if seconds and not self._budget.try_spend(self._clock(), metadata.account, seconds):
             raise GraphQLRefusedError(ErrorCode.ANALYSIS_BUSY, ERROR_TEXTS[ErrorCode.ANALYSIS_BUSY])
 
     def _continue_analysis(self, analysis: _PendingAnalysis) -> None:
-        """Some steps of reading; then others' turn."""
+        """Run analysis steps for up to MAX_TURN_S, then yield to the event loop."""
         request = analysis.request
         if request.client_gone:
             return analysis.steps.close()
@@ -220,13 +227,14 @@
         except GraphQLRefusedError as error:
             request.send_response(*analysis.dialect.format_refusal(error))
         except Exception:
-            log.exception("a GraphQL request could not be read")
+            log.exception("Failed to analyze a GraphQL request")
             request.respond(500)
         else:
             self._loop.call_soon(self._continue_analysis, analysis)
         self.longest_turn_s = max(self.longest_turn_s, self._loop.time() - started_at)
 
     def _submit(self, analysis: _PendingAnalysis, priced: PricedRequest) -> None:
+        """Submit a priced request, or respond if it is a mutation by GET or its deadline has passed."""
         request, metadata, parsed = analysis.request, analysis.metadata, analysis.parsed
         analysis.dialect.priced = priced
         if parsed.method == b"GET" and priced.effect is not Effect.QUERY:
@@ -246,14 +254,17 @@
         return None
 
     def _idempotency_key(self, priced: PricedRequest, metadata: RequestMetadata) -> bytes | None:
-        """Of a keyed mutation: the same for the same key of the same account, whichever limiter it comes through."""
+        """Return the idempotency key of a keyed mutation, or None for other requests.
+
+        It depends only on the account and the client's key, so that it is the same through every limiter.
+        """
         if priced.effect is not Effect.KEYED or not self._options.keyed:
             return None
         return sha256(f"{metadata.account}/{priced.key}".encode()).hexdigest()[:32].encode()
 
 
 def _classes_by_effect(settings: api.Settings, options: Options) -> dict[Effect, str]:
-    """The settings' class for each effect; OptionsError where the file's word is none, or of another effect."""
+    """Return the request class for each effect. Raises OptionsError for an unknown class or one of another effect."""
     effects = {c.name: c.effect for c in settings.classes}
     expected_effects = [
         ("query", options.query, api.Effect.SAFE),
@@ -263,16 +274,19 @@
         expected_effects.append(("keyed", options.keyed, api.Effect.KEYED))
     for key, name, effect in expected_effects:
         if effects.get(name) is not effect:
-            candidates = ", ".join(n for n, e in effects.items() if e is effect) or "none there is"
+            candidates = (
+                ", ".join(n for n, e in effects.items() if e is effect)
+                or "a class of this effect, but there is none"
+            )
             raise OptionsError(
-                f"graphql.{key}: {name!r} is no class that is {effect.value}; expected {candidates}"
+                f"graphql.{key}: {name!r} is not a class of effect {effect.value}; expected {candidates}"
             )
     keyed = options.keyed or options.mutation
     return {Effect.QUERY: options.query, Effect.KEYED: keyed, Effect.MUTATION: options.mutation}
 
 
 def _warm_up(documents: DocumentCache) -> None:
-    """The first document of a schema pays for tables that the library makes once: not a client's."""
+    """Price a trivial document, so that the library builds its tables for the schema before the first request."""
     steps = price_request(documents, [OperationRequest("{__typename}")])
     while next(steps, StopIteration) is not StopIteration:
         pass
--- a/cypresspulley/graphql/options.py
+++ b/cypresspulley/graphql/options.py
@@ -1,4 +1,4 @@
-"""The table ``[graphql]`` of the operators' file, checked key by key; reads the files that it names."""
+"""Reads and validates the table ``[graphql]`` of the operators' file, and loads the files that it names."""
 
 from __future__ import annotations
 
@@ -15,15 +15,16 @@
 
 
 class OptionsError(ValueError):
-    """A table or file that cannot be used; the text names file, key and what was expected."""
+    """An invalid table or file. The text names the file, the key and what was expected."""
 
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """What is on. ``points_per_unit``: points of a price that make one unit of a quota.
+    """The options of the table ``[graphql]``.
 
-    ``query``, ``mutation`` and ``keyed`` are classes of the settings: what aim, worth and effect they have counts.
-    ``keyed`` "" treats keyed mutations as any other. ``reading``: seconds of document reading for each second.
+    ``points_per_unit`` is the number of points of a price that make one unit of quota. ``query``, ``mutation`` and
+    ``keyed`` name request classes of the settings, which define aim, worth and effect. If ``keyed`` is empty, keyed
+    mutations are treated as other mutations. ``reading`` is the seconds of document analysis allowed per second.
     """
 
     schema: str
@@ -52,7 +53,7 @@
 
 
 def options_from(raw: Mapping[str, Any], source: str) -> Options:
-    """Checked options; ``OptionsError`` names ``source`` and the key."""
+    """Validate a table and return its options. Raises OptionsError with ``source`` and the key."""
     known = {each.name: each for each in fields(Options)}
     if extra := sorted(set(raw) - set(known)):
         raise OptionsError(f"{source}: graphql.{extra[0]}: unknown; expected {', '.join(sorted(known))}")
@@ -60,7 +61,7 @@
     for key in ("schema", "query", "mutation"):
         if not values.get(key):
             raise OptionsError(f"{source}: graphql.{key}: missing; expected a text")
-    folder = Path(source).parent  # files are named as seen from the operators' file
+    folder = Path(source).parent  # file names are relative to the operators' file
     for key in ("schema", "persisted", "learned"):
         if values.get(key):
             values[key] = str(folder / values[key])
@@ -113,7 +114,7 @@
 
 
 def load_options(path: str) -> Options:
-    """The options of an operators' file, for tools; ``OptionsError`` where it has none."""
+    """Load the options of an operators' file, for tools. Raises OptionsError if it has no table [graphql]."""
     try:
         raw = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
@@ -124,7 +125,7 @@
 
 
 def load_priced_schema(options: Options) -> PricedSchema:
-    """The priced schema that the options name. Raises OptionsError, SchemaError."""
+    """Load the schema that the options name, with its prices. Raises OptionsError or SchemaError."""
     learned = _json_file(options.learned, "graphql.learned") if options.learned else {}
     if not isinstance(learned, dict) or not all(isinstance(each, dict) for each in learned.values()):
         raise OptionsError(f"{options.learned}: expected an object of Type.field to share")
@@ -138,7 +139,10 @@
 
 
 def load_document_cache(options: Options) -> DocumentCache:
-    """An empty cache over the priced schema, with the persisted documents of the file that the options name."""
+    """Return an empty cache for the priced schema, with the persisted documents of the file that the options name.
+
+    Raises OptionsError or SchemaError.
+    """
     persisted = _json_file(options.persisted, "graphql.persisted") if options.persisted else {}
     if not isinstance(persisted, dict) or not all(isinstance(text, str) for text in persisted.values()):
         raise OptionsError(f"{options.persisted}: expected an object of SHA-256 to text")
@@ -146,7 +150,7 @@
         if document_hash(text) != key:
             raise OptionsError(f"{options.persisted}: {key:.20}...: is not the SHA-256 of its text")
     if options.only_persisted and not persisted:
-        raise OptionsError("graphql.only_persisted: takes no request at all without graphql.persisted")
+        raise OptionsError("graphql.only_persisted: rejects all requests without graphql.persisted")
     schema = load_priced_schema(options)
     return DocumentCache(
         schema, options.bounds, int(options.cache_mb * (1 << 20)), persisted, options.only_persisted
--- a/cypresspulley/graphql/price.py
+++ b/cypresspulley/graphql/price.py
@@ -1,13 +1,13 @@
-"""What a GraphQL operation costs, before it is sent: an upper bound and an expected price; free of I/O.
+"""Prices a GraphQL operation before it is sent: computes an upper bound and an expected price. Does no I/O.
 
-For each field that is selected: ``count x (weight + arguments + what is selected below)``, where count is how often
-its parent's objects are there and, for a list, how long it is at most. The expected price takes of each field's own
-part of the bound the share that was learned (``graphql-learn``; 1 before). Fields of
-one response key are merged first, as execution does (GraphQL specification, 6.3.2), so that a fragment spread twice
-is not charged twice; two aliases are two fields. An interface or union costs what its dearest type does.
+A selected field costs ``count x (weight + arguments + selected subfields)``, where the count is the number of parent
+objects times the maximum length if the field is a list. The expected price is the field's own part of the bound times
+its learned share (see ``graphql-learn``; 1 if unknown). Fields with the same response key are merged first, as in
+execution (GraphQL specification, 6.3.2), so that a fragment that is spread twice is not charged twice; two aliases are
+two fields. An interface or union costs as much as its most expensive type.
 
-Soundness: as long as the servers keep the list sizes that the schema states, and count one ``weight`` for each
-object that a field gives, the true cost is at most the bound.
+Soundness: the actual cost is at most the bound if the servers respect the list sizes of the schema and count one
+``weight`` for each object that a field returns.
 """
 
 from __future__ import annotations
@@ -40,24 +40,24 @@
 from cypresspulley.graphql.scan import Bounds
 from cypresspulley.graphql.schema import Composite, FieldPrice, PricedSchema
 
-MAX_POINTS = 1e9  # points: a bound past it is only "too dear", and no float can lose units in it
+MAX_POINTS = 1e9  # a price this high is always rejected, and floats below it are precise enough for units
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One field of the table of a price. ``times``: how often it is evaluated at most."""
+    """One field in the breakdown of a price. ``times`` is how often the field is evaluated at most."""
 
     path: str
     place: str  # Type.field
     times: float
-    each: float  # points of one, without what is below
-    bound: float  # points of all, without what is below
+    each: float  # points per evaluation, without subfields
+    bound: float  # points of all evaluations, without subfields
     expected: float
 
 
 @dataclass(frozen=True, slots=True)
 class Price:
-    """Points. ``bound`` is never passed by a true cost; ``expected`` is the mean; 0 <= expected <= bound."""
+    """A price in points. ``bound`` is the maximum and ``expected`` the mean cost; 0 <= expected <= bound."""
 
     bound: float
     expected: float
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True)
 class ComplexityCounters:
-    """What a walk met, held against the bounds as it goes."""
+    """Counts the elements of a request during pricing. Raises GraphQLRefusedError when a bound is exceeded."""
 
     bounds: Bounds
     steps: int = 0
@@ -104,11 +104,11 @@
 
 
 GroupedFields = dict[str, list[FieldNode]]
-BoundAndExpected = tuple[float, float]  # at most, in the mean
+BoundAndExpected = tuple[float, float]  # points: maximum, mean
 
 
 class Pricer:
-    """Prices one operation with its variables. The bounds of ``counts`` are over a whole request."""
+    """Prices one operation with its variables. All operations of a request share one ``counters``."""
 
     def __init__(
         self, priced: PricedSchema, fragments: Mapping[str, FragmentDefinitionNode], variables: VariableValues,
@@ -123,7 +123,7 @@
         self._rows = list[Row]()
 
     def price_operation(self, node: OperationDefinitionNode) -> Price:
-        """The price of a whole operation; ``GraphQLRefusedError`` where it cannot be priced."""
+        """Return the price of an operation. Raises GraphQLRefusedError if it is invalid or exceeds a bound."""
         root = self._priced.schema.get_root_type(node.operation)
         if root is None:
             raise GraphQLRefusedError(
@@ -145,7 +145,7 @@
         if self._explain:
             self._rows.append(Row(path, place, times, bound / times if times else 0.0, bound, expected))
 
-    # Collecting: which fields a type has in a selection, by response key.
+    # Collecting the fields that a selection has for a type, by response key.
 
     def _collect_fields(self, kind: GraphQLObjectType, sets: list[SelectionSetNode]) -> GroupedFields:
         grouped, visited = GroupedFields(), set[str]()
@@ -170,7 +170,7 @@
                 if node.type_condition is None or self._applies(node.type_condition.name.value, kind):
                     self._collect_into(kind, node.selection_set, grouped, visited)
             elif isinstance(node, FragmentSpreadNode) and node.name.value not in visited:
-                visited.add(node.name.value)  # cycles end here, too
+                visited.add(node.name.value)  # also ends cycles of fragments
                 found = self._fragments.get(node.name.value)
                 if found is None:
                     raise GraphQLRefusedError(ErrorCode.VALIDATION_FAILED, f"no fragment {node.name.value}")
@@ -210,10 +210,10 @@
     ) -> BoundAndExpected:
         bound = expected = 0.0
         for key, nodes in grouped.items():
-            limit, mean = self._price_field(
+            most, mean = self._price_field(
                 kind, nodes, times, child_sizes.get(nodes[0].name.value), f"{path}.{key}", depth
             )
-            bound, expected = bound + limit, expected + mean
+            bound, expected = bound + most, expected + mean
         return bound, expected
 
     def _price_field(
@@ -297,7 +297,7 @@
         self, inner: Composite, sets: list[SelectionSetNode], count: float, child_sizes: Mapping[str, float],
         path: str, depth: int,
     ) -> BoundAndExpected:  # fmt: skip
-        """The dearest type that it may be: each object is of one of them."""
+        """Price the most expensive possible type, since each object is of exactly one type."""
         if isinstance(inner, GraphQLObjectType):
             return self._price_fields(
                 inner, self._collect_fields(inner, sets), count, child_sizes, path, depth
@@ -321,20 +321,21 @@
         return self._list_size(price, values, path) if price.is_list else 1.0
 
     def _child_list_sizes(self, price: FieldPrice, values: Mapping[str, Any], path: str) -> dict[str, float]:
-        """Lengths that a field states for lists of its objects (a connection's edges)."""
+        """Return the sizes that a field defines for list fields of its objects, such as a connection's edges."""
         if price.list_size is None or not price.list_size.sized_fields:
             return {}
         return dict.fromkeys(price.list_size.sized_fields, self._list_size(price, values, path))
 
     def _list_size(self, price: FieldPrice, values: Mapping[str, Any], path: str) -> float:
+        """Return the maximum size of a list. Raises GraphQLRefusedError for invalid slicing arguments."""
         size = price.list_size
         if size is None:
             return float(self._priced.longest_list)
-        given_size = [
+        given = [
             v for argument in size.slicing_arguments if (v := _nested_value(values, argument)) is not None
         ]
-        numbers = [v for v in given_size if isinstance(v, int) and not isinstance(v, bool)]
-        if len(numbers) != len(given_size) or any(n < 0 for n in numbers):
+        numbers = [v for v in given if isinstance(v, int) and not isinstance(v, bool)]
+        if len(numbers) != len(given) or any(n < 0 for n in numbers):
             raise GraphQLRefusedError(
                 ErrorCode.VARIABLES_WRONG, f"{path[1:]}: a list size below 0, or no whole number"
             )
@@ -350,13 +351,13 @@
     def _argument_points(
         self, price: FieldPrice, known: Mapping[str, Any], values: Mapping[str, Any]
     ) -> float:
-        """Points of the arguments that are given, and of the input fields inside them."""
+        """Return the points of the given arguments and of the input fields inside them."""
         points = sum(each for name, each in price.arguments.items() if values.get(name) is not None)
         return points + sum(_input_points(known[name].type, value) for name, value in values.items())
 
 
 def _nested_value(values: Mapping[str, Any], path: str) -> Any:
-    """A slicing argument may lie in an input object: ``page.first``."""
+    """Return a value by its path, since a slicing argument may be inside an input object: ``page.first``."""
     found: Any = values
     for part in path.split("."):
         found = found.get(part) if isinstance(found, Mapping) else None
@@ -391,7 +392,7 @@
     priced: PricedSchema, node: OperationDefinitionNode, fragments: Mapping[str, FragmentDefinitionNode],
     variables: VariableValues, counters: ComplexityCounters,
 ) -> Iterator[object | None]:  # fmt: skip
-    """For each field at the root of a mutation: the value of its key, or None where it is not keyed."""
+    """Yield the key argument's value for each root field of a mutation, or None if the field is not keyed."""
     root = priced.schema.mutation_type
     assert root is not None
     pricer = Pricer(priced, fragments, variables, counters)
--- a/cypresspulley/graphql/request.py
+++ b/cypresspulley/graphql/request.py
@@ -1,8 +1,8 @@
-"""GraphQL over HTTP: what a request's bytes ask for, and the bodies of errors; free of I/O.
+"""Parses GraphQL requests over HTTP and formats the bodies of errors. Does no I/O.
 
 Follows the specification "GraphQL over HTTP" (working draft): POST with ``application/json``, GET with ``query=``
-for queries only, ``application/graphql-response+json`` with status codes that tell. A client that accepts only
-``application/json`` gets the same codes under that name: an error is never dressed up as a 200.
+for queries only, and ``application/graphql-response+json`` with meaningful status codes. A client that accepts only
+``application/json`` gets the same status codes with that media type: an error is never sent with status 200.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 
 RESPONSE_MEDIA_TYPE = "application/graphql-response+json"
 JSON_MEDIA_TYPE = "application/json"
-HASH_DIGITS = 64
+HASH_DIGITS = 64  # hexadecimal digits of a SHA-256
 REQUEST_KEYS = ("query", "operationName", "variables", "extensions")
 
 
 @dataclass(frozen=True, slots=True)
 class GraphQLRequest:
-    """``batch``: it came as an array. ``media``: what the client reads."""
+    """The operations of a request. ``batch`` is set if they came as an array. ``media_type`` is for the response."""
 
     operations: tuple[OperationRequest, ...]
     batch: bool
@@ -36,7 +36,7 @@
 
 
 def response_media_type(accept: str) -> str:
-    """The media type to answer in; ``GraphQLRefusedError`` (406) where the client reads none that there is."""
+    """Return the media type for the response. Raises GraphQLRefusedError (406) if the client accepts none."""
     wanted = [part.partition(";") for part in accept.lower().split(",") if part.strip()]
     names = [name.strip() for name, _, rest in wanted if "q=0" not in rest.replace(" ", "").split(";")]
     if not wanted or RESPONSE_MEDIA_TYPE in names or "*/*" in names or "application/*" in names:
@@ -49,7 +49,7 @@
 
 
 def parse_post(content_type: str, accept: str, body: bytes) -> GraphQLRequest:
-    """A POST. Raises GraphQLRefusedError."""
+    """Parse a POST. Raises GraphQLRefusedError."""
     media_type = response_media_type(accept)
     name, _, rest = content_type.lower().partition(";")
     charset = rest.partition("charset=")[2].strip(' "')
@@ -68,7 +68,7 @@
 
 
 def parse_get(query: str, accept: str) -> GraphQLRequest:
-    """A GET's query string; ``account`` in it is the limiter's. Raises GraphQLRefusedError."""
+    """Parse a GET's query string, in which ``account`` is for the limiter. Raises GraphQLRefusedError."""
     media_type = response_media_type(accept)
     try:
         pairs = parse_qsl(
@@ -92,7 +92,7 @@
 
 
 def _parse_json(text: bytes, source: str) -> Any:
-    try:  # decoded here: the library would guess at UTF-16, and a server might guess otherwise
+    try:  # decode explicitly, because the library detects UTF-16 and a server may read the bytes differently
         return json.loads(
             text.decode("utf-8"), object_pairs_hook=_reject_duplicate_keys, parse_constant=_reject_constant
         )
@@ -103,7 +103,7 @@
 
 
 def _reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    """Two readers may each take another of two equal keys: priced by one, run by the other."""
+    """Reject duplicate keys: the limiter could price one of the values while the server executes the other."""
     found = dict(pairs)
     if len(found) != len(pairs):
         raise _bad_request("a key stands twice in one object")
@@ -140,12 +140,12 @@
 
 
 def error_body(code: ErrorCode, text: str, extensions: Mapping[str, Any] | None = None) -> bytes:
-    """A response with one ``errors`` entry and no ``data`` (nothing was executed, or nobody can say)."""
+    """Return a response with one entry in ``errors`` and no ``data``: nothing was executed, or it is unknown."""
     entry = {"message": text, "extensions": {"code": code.wire_name, **(extensions or {})}}
     return json.dumps({"errors": [entry]}, separators=(",", ":")).encode()
 
 
 def log_summary(operations: Sequence[OperationRequest]) -> str:
-    """One line for a log: never a text or a variable, which may hold what is secret."""
+    """Return one line for a log, without texts and variables, which may contain secrets."""
     names = ", ".join(operation.operation_name or "-" for operation in operations)
     return f"{len(operations)} operation(s): {names:.80}"
--- a/cypresspulley/graphql/scan.py
+++ b/cypresspulley/graphql/scan.py
@@ -1,8 +1,8 @@
-"""Bounds on a query's text before any parser sees it; free of I/O.
+"""Checks a document against bounds before it is parsed. Does no I/O.
 
-The parser costs some 7 us a token and the validator several times that, so what may reach them is bounded here,
-by a scan in C (``re``) that stops at the first bound. Tokens are those of the GraphQL specification (section 2.1);
-an ignored comma or comment counts nothing, a string counts one.
+The parser takes about 7 us per token and the validator several times that, so documents are limited before they reach
+them, by a scan in C (``re``) that stops at the first bound exceeded. Tokens are those of the GraphQL specification
+(section 2.1): ignored commas and comments do not count, and a string counts as one.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from cypresspulley.graphql.errors import ErrorCode, GraphQLRefusedError
 
-MAX_TEXT_CHARACTERS = 64 * 1024  # bytes: a body's bound
+MAX_TEXT_CHARACTERS = 64 * 1024  # as many as the bytes that a body may have
 TOKEN_PATTERN = re.compile(
     r"(?P<skip>[\s,\ufeff]+|\#[^\r\n]*)|(?P<open>[{(\[])|(?P<close>[})\]])|(?P<at>@)|(?P<colon>:)"
     r'|(?P<word>"""(?:[^"\\]|\\.|"(?!""))*"""|"(?:[^"\\\r\n]|\\.)*"|\.\.\.|[_A-Za-z][_0-9A-Za-z]*'
@@ -23,8 +23,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What a document may have at most. Each is a count; ``steps`` bounds the walk that prices it, which a few
-    fragments that spread each other can make exponential."""
+    """The maximum counts for a document, and of operations for a ``batch``.
+
+    ``steps`` bounds the traversal that prices a request, which a few fragments that spread each other can make
+    exponential.
+    """
 
     tokens: int = 250
     depth: int = 12
@@ -36,10 +39,10 @@
 
 
 def count_tokens(text: str, bounds: Bounds) -> int:
-    """The number of tokens; ``GraphQLRefusedError`` past a bound or at what is no token.
+    """Return the number of tokens. Raises GraphQLRefusedError if a bound is exceeded or a token is invalid.
 
-    Nesting is counted over all kinds of brackets, so that the parser's recursion is bounded before it starts
-    (twice the selections' depth, and room for lists in arguments).
+    Nesting is counted over all kinds of brackets, so that the parser's recursion is bounded. The limit is twice the
+    depth of selections, plus a margin for lists in arguments.
     """
     if len(text) > MAX_TEXT_CHARACTERS:
         raise GraphQLRefusedError(
--- a/cypresspulley/graphql/schema.py
+++ b/cypresspulley/graphql/schema.py
@@ -1,8 +1,8 @@
-"""A schema with prices: SDL in, tables of weights and list sizes out; free of I/O.
+"""Reads a schema in SDL and extracts weights and list sizes. Does no I/O.
 
 The directives follow the public drafts for cost directives: ``@cost(weight)`` on fields, types, arguments, input
-fields and enums; ``@listSize`` on fields that give lists. ``@keyed(by)`` is this program's own: it marks a mutation
-field whose repeats the servers drop by the value of an argument.
+fields and enums, and ``@listSize`` on fields that return lists. ``@keyed(by)`` is specific to this project: it marks a
+mutation field that the servers deduplicate by the value of an argument.
 """
 
 from __future__ import annotations
@@ -40,12 +40,12 @@
 
 
 class SchemaError(ValueError):
-    """A schema that cannot be priced; the text names file, place and what was expected."""
+    """An invalid schema. The text names the file, the place and what was expected."""
 
 
 @dataclass(frozen=True, slots=True)
 class ListSize:
-    """How long a field's list is. ``assumed`` is its most where no slicing argument tells (None: not said)."""
+    """The size of a field's list. ``assumed_size`` is its maximum if no slicing argument is given; None: unknown."""
 
     assumed_size: int | None = None
     slicing_arguments: tuple[str, ...] = ()
@@ -55,9 +55,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FieldPrice:
-    """``weight``: points for each object or value that the field gives; ``arguments``: points for each named one.
+    """The price of a field.
 
-    ``share``: of its bound, what it comes to in the mean; learned, 1 where it is not known.
+    ``weight`` is the points per object or value that the field returns, and ``arguments`` the points per argument by
+    name. ``share`` is the learned mean cost as a share of the bound, from 0 to 1; 1 if it is unknown.
     """
 
     weight: float
@@ -70,15 +71,16 @@
 
 @dataclass(frozen=True)
 class PricedSchema:
-    """Prices by ``Type.field``. ``longest`` bounds a list that nothing else bounds."""
+    """A schema with prices by ``Type.field``. ``longest_list`` is the size of lists that have no other bound."""
 
     schema: GraphQLSchema
     fields: Mapping[str, FieldPrice]
     longest_list: int = 100
-    mutation_points: float = 10.0  # points of a mutation's operation beside its fields
+    mutation_points: float = 10.0  # points of a mutation in addition to its fields
     introspection_points: float = 1.0  # points of each introspection field at the root
 
     def field_price(self, parent: str, name: str) -> FieldPrice:
+        """Return the price of a field of the parent type. Raises KeyError if there is none."""
         return self.fields[f"{parent}.{name}"]
 
 
@@ -89,9 +91,9 @@
     mutation_points: float = 10.0,
     learned: Mapping[str, Mapping[str, float]] | None = None,
 ) -> PricedSchema:
-    """A priced schema from SDL. ``learned`` gives ``share`` by ``Type.field`` (of ``graphql-learn``).
+    """Read a priced schema from SDL. Raises SchemaError.
 
-    Raises SchemaError.
+    ``learned`` gives the ``share`` by ``Type.field``, as written by ``graphql-learn``.
     """
     try:
         document = parse(Source(text, source))
@@ -108,7 +110,9 @@
             fields[f"{name}.{key}"] = _field_price(source, name, key, each, kind.fields)
     for place, values in (learned or {}).items():
         if place not in fields:
-            raise SchemaError(f"{source}: learned {place!r} is no field of the schema; expected Type.field")
+            raise SchemaError(
+                f"{source}: learned {place!r} is not a field of the schema; expected Type.field"
+            )
         fields[place] = _with_share(source, place, fields[place], values)
     return PricedSchema(schema, fields, longest_list, mutation_points)
 
@@ -128,7 +132,7 @@
 
 
 def _add_cost_directives(document: DocumentNode) -> DocumentNode:
-    """The directives of the drafts are known without being defined in the file; one defined there stands."""
+    """Add the definitions of the cost directives that the file does not define itself."""
     defined = {d.name.value for d in document.definitions if isinstance(d, DirectiveDefinitionNode)}
     added = [
         d
@@ -139,7 +143,7 @@
 
 
 def _directive(node: Any, name: str) -> dict[str, Any] | None:
-    """The arguments of a directive on a definition; None where it has none."""
+    """Return the arguments of a directive on a definition, or None if it has no such directive."""
     directives: tuple[ConstDirectiveNode, ...] = getattr(node, "directives", None) or ()
     for each in directives:
         if each.name.value == name:
@@ -148,16 +152,16 @@
 
 
 def _weight(source: str, place: str, node: Any) -> float | None:
-    definition = _directive(node, "cost")
-    if definition is None:
+    directive = _directive(node, "cost")
+    if directive is None:
         return None
     try:
-        weight = float(definition.get("weight", ""))
+        weight = float(directive.get("weight", ""))
     except (TypeError, ValueError):
         weight = math.nan
     if not 0 <= weight <= MAX_WEIGHT:
         raise SchemaError(
-            f"{source}: {place}: @cost(weight: {definition.get('weight')!r}); expected a number from 0 to 1e6"
+            f"{source}: {place}: @cost(weight: {directive.get('weight')!r}); expected a number from 0 to 1e6"
         )
     return weight
 
@@ -193,20 +197,17 @@
 
 
 def _list_size(source: str, place: str, definition: GraphQLField) -> ListSize | None:
-    arguments_given = _directive(definition.ast_node, "listSize")
-    if arguments_given is None:
+    directive = _directive(definition.ast_node, "listSize")
+    if directive is None:
         return None
-    slicing, sized = (
-        tuple(arguments_given.get("slicingArguments") or ()),
-        tuple(arguments_given.get("sizedFields") or ()),
-    )
+    slicing, sized = tuple(directive.get("slicingArguments") or ()), tuple(directive.get("sizedFields") or ())
     for argument in slicing:
         if argument.split(".")[0] not in definition.args:
             raise SchemaError(
-                f"{source}: {place}: slicing argument {argument!r} is none of its own; "
+                f"{source}: {place}: slicing argument {argument!r} is not one of its arguments; "
                 f"expected {_names(definition.args)}"
             )
-    assumed = arguments_given.get("assumedSize")
+    assumed = directive.get("assumedSize")
     if assumed is not None and not 0 <= int(assumed) <= MAX_WEIGHT:
         raise SchemaError(f"{source}: {place}: assumedSize {assumed}; expected 0 to 1e6")
     inner = get_named_type(definition.type)
@@ -214,12 +215,12 @@
     for each in sized:
         if each not in known:
             raise SchemaError(
-                f"{source}: {place}: sized field {each!r} is none of {inner}'s; expected {_names(known)}"
+                f"{source}: {place}: sized field {each!r} is not a field of {inner}; expected {_names(known)}"
             )
     if not sized and not _is_list(definition.type):
         raise SchemaError(f"{source}: {place}: @listSize on what is no list; expected sizedFields, or a list")
-    # The draft's default is true, but only where there are slicing arguments to require.
-    require = bool(arguments_given.get("requireOneSlicingArgument", True)) and bool(slicing)
+    # The draft's default is true, which has no meaning without slicing arguments.
+    require = bool(directive.get("requireOneSlicingArgument", True)) and bool(slicing)
     return ListSize(None if assumed is None else int(assumed), slicing, sized, require)
 
 
