--- a/tests/graphql/test_front.py
+++ b/tests/graphql/test_front.py
@@ -1,4 +1,4 @@
-"""GraphQL's way in over loopback sockets: media types, codes, classes, charging, and what is off."""
+"""Tests the GraphQL handler over loopback sockets: media types, error codes, classes, charging and options."""
 
 from __future__ import annotations
 
@@ -28,24 +28,24 @@
 from cypresspulley.rehearsal.standins.graphql import OPERATORS, SCHEMA, abuses
 from tests.loopback import SETTINGS, Limiter, Origin, Script, ask, forward, listening, read_message, run
 
-LOOK, GIVE = "{bag(id:1){id}}", 'mutation{handover(bag:1,to:"x"){id}}'
-LONG = "{bag(id:1){" + " ".join(f"a{n}:floor{{id}}" for n in range(25)) + "}}"
-RESPONSE = "application/graphql-response+json"
+LOOKUP_QUERY, HANDOVER_MUTATION = "{bag(id:1){id}}", 'mutation{handover(bag:1,to:"x"){id}}'
+LONG_QUERY = "{bag(id:1){" + " ".join(f"a{n}:floor{{id}}" for n in range(25)) + "}}"
+RESPONSE_MEDIA_TYPE = "application/graphql-response+json"
 
 
-def options(**changes: Any) -> Options:
+def make_options(**changes: Any) -> Options:
     return options_from(
         {"schema": str(SCHEMA), "query": "lookup", "mutation": "post", **changes}, "test.toml"
     )
 
 
 class GraphQLLimiter(Limiter):
-    """The limiter of the loopback tests with GraphQL on."""
+    """The limiter of the loopback tests with GraphQL enabled."""
 
     def __init__(self, script: Script, dials: dict[str, str], **changes: Any) -> None:
         super().__init__(script, dials)
-        chosen = options(**changes)
-        self.graphql = GraphQLHandler(SETTINGS, chosen, load_document_cache(chosen), UnixClock())
+        options = make_options(**changes)
+        self.graphql = GraphQLHandler(SETTINGS, options, load_document_cache(options), UnixClock())
         self.frontend = Frontend(self.node, SETTINGS, 64, self.graphql)
 
     async def __aenter__(self) -> GraphQLLimiter:
@@ -55,21 +55,21 @@
 
 def post(body: object, content: str = "application/json", **headers: str) -> bytes:
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
-    more: dict[str, Any] = {"Content_Type": content, "X_Priority_Class": "", **headers}
-    return ask("/graphql?account=00000000b4d65521", data, **more)
+    fields: dict[str, Any] = {"Content_Type": content, "X_Priority_Class": "", **headers}
+    return ask("/graphql?account=00000000b4d65521", data, **fields)
 
 
-def answer_of(cost: object = 3, data: str = '{"bag":{"id":"b1"}}') -> bytes:
+def response_with_cost(cost: object = 3, data: str = '{"bag":{"id":"b1"}}') -> bytes:
     body = b'{"extensions":{"cost":{"actual":%b}},"data":%b}' % (json.dumps(cost).encode(), data.encode())
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
-def played(
+def run_limiter(
     work: Callable[[GraphQLLimiter, Origin, Script], Any], reply: Callable[[int], bytes | None] | None = None,
     script: Script | None = None, **changes: Any,
 ) -> None:  # fmt: skip
     async def main() -> None:
-        origin, decisions = Origin(reply or (lambda _n: answer_of())), script or Script(forward)
+        origin, decisions = Origin(reply or (lambda _n: response_with_cost())), script or Script(forward)
         async with (
             listening(origin.talk) as dial,
             GraphQLLimiter(decisions, {"s1": dial}, **changes) as limiter,
@@ -81,7 +81,7 @@
 
 def test_a_query_is_priced_and_goes_on_unchanged_as_its_class() -> None:
     async def work(limiter: GraphQLLimiter, origin: Origin, script: Script) -> None:
-        request = post({"query": LOOK}, Accept=RESPONSE)
+        request = post({"query": LOOKUP_QUERY}, Accept=RESPONSE_MEDIA_TYPE)
         first, _, body = await limiter.fetch(request)
         assert " 200 " in first and json.loads(body)["data"] == {"bag": {"id": "b1"}}
         (event,) = await script.until(api.Request)
@@ -89,32 +89,35 @@
         line, fields, sent = origin.seen[0]
         assert (
             line == "POST /graphql?account=00000000b4d65521 HTTP/1.1"
-            and sent == json.dumps({"query": LOOK}).encode()
+            and sent == json.dumps({"query": LOOKUP_QUERY}).encode()
         )
         assert fields["x-priority-class"] == "lookup" and "idempotency-key" not in fields
 
-    played(work)
+    run_limiter(work)
 
 
 @pytest.mark.parametrize(
     "body, name",
     [
-        ({"query": GIVE}, "post"),
-        ({"query": f"query A{LOOK} mutation B{GIVE[8:]}", "operationName": "B"}, "post"),
-        ({"query": f"query A{LOOK} mutation B{GIVE[8:]}", "operationName": "A"}, "lookup"),
+        ({"query": HANDOVER_MUTATION}, "post"),
+        ({"query": f"query A{LOOKUP_QUERY} mutation B{HANDOVER_MUTATION[8:]}", "operationName": "B"}, "post"),
+        (
+            {"query": f"query A{LOOKUP_QUERY} mutation B{HANDOVER_MUTATION[8:]}", "operationName": "A"},
+            "lookup",
+        ),
         ({"query": 'mutation{...M} fragment M on Mutation{handover(bag:1,to:"x"){id}}'}, "post"),
-        ([{"query": LOOK}, {"query": GIVE}], "post"),
-        ([{"query": LOOK}, {"query": LOOK}], "lookup"),
+        ([{"query": LOOKUP_QUERY}, {"query": HANDOVER_MUTATION}], "post"),
+        ([{"query": LOOKUP_QUERY}, {"query": LOOKUP_QUERY}], "lookup"),
     ],
 )
 def test_the_class_follows_from_what_is_selected(body: object, name: str) -> None:
     async def work(limiter: GraphQLLimiter, origin: Origin, script: Script) -> None:
-        # Whatever class the client claims: a handover is not to pass for a look-up.
+        # The class that the client claims is ignored, so that it cannot declare a mutation as safe.
         await limiter.fetch(post(body, X_Priority_Class="lookup"))
         (event,) = await script.until(api.Request)
         assert event.request_class == name and origin.seen[0][1]["x-priority-class"] == name
 
-    played(work)
+    run_limiter(work)
 
 
 @pytest.mark.parametrize(
@@ -122,14 +125,15 @@
     [
         (post({"query": "{"}), 400, "GRAPHQL_PARSE_FAILED"),
         (post({"query": "{nothing}"}), 400, "GRAPHQL_VALIDATION_FAILED"),
-        (post({"query": LOOK, "operationName": "X"}), 400, "OPERATION_UNKNOWN"),
-        (post({"query": LOOK}, "text/plain"), 415, "UNSUPPORTED_MEDIA_TYPE"),
-        (post({"query": LOOK}, "application/json; charset=latin-1"), 415, "UNSUPPORTED_MEDIA_TYPE"),
-        (post({"query": LOOK}, Accept="text/html"), 406, "NOT_ACCEPTABLE"),
+        (post({"query": LOOKUP_QUERY, "operationName": "X"}), 400, "OPERATION_UNKNOWN"),
+        (post({"query": LOOKUP_QUERY}, "text/plain"), 415, "UNSUPPORTED_MEDIA_TYPE"),
+        (post({"query": LOOKUP_QUERY}, "application/json; charset=latin-1"), 415, "UNSUPPORTED_MEDIA_TYPE"),
+        (post({"query": LOOKUP_QUERY}, Accept="text/html"), 406, "NOT_ACCEPTABLE"),
         (post(b'{"query":"{a}","query":"{b}"}'), 400, "BAD_REQUEST"),
-        (post([{"query": LOOK}] * 11), 400, "QUERY_TOO_COMPLEX"),
+        (post([{"query": LOOKUP_QUERY}] * 11), 400, "QUERY_TOO_COMPLEX"),
         (post({}), 400, "BAD_REQUEST"),
-        (ask("/graphql?account=00000000b4d65521&query=" + GIVE, X_Priority_Class=""), 405, "METHOD_NOT_ALLOWED"),
+        (ask("/graphql?account=00000000b4d65521&query=" + HANDOVER_MUTATION, X_Priority_Class=""),
+         405, "METHOD_NOT_ALLOWED"),
         (ask("/graphql?account=00000000b4d65521&query={}&query={}", X_Priority_Class=""), 400, "BAD_REQUEST"),
     ],
 )  # fmt: skip
@@ -142,9 +146,9 @@
         (error,) = json.loads(body)["errors"]
         assert error["extensions"]["code"] == code and error["message"]
         assert not origin.seen and not any(isinstance(e, api.Request) for e in script.events)
-        assert " 200 " in (await limiter.fetch(post({"query": LOOK})))[0]
+        assert " 200 " in (await limiter.fetch(post({"query": LOOKUP_QUERY})))[0]
 
-    played(work)
+    run_limiter(work)
 
 
 @pytest.mark.parametrize("name", abuses())
@@ -157,7 +161,7 @@
     script = Script(
         lambda event: [api.Refuse(event.id, 1.0, "too dear")] if isinstance(event, api.Request) else []
     )
-    played(work, script=script)
+    run_limiter(work, script=script)
 
 
 def test_a_query_by_get_is_taken_and_its_query_string_kept() -> None:
@@ -168,12 +172,12 @@
         assert " 200 " in (await limiter.fetch(ask(target, X_Priority_Class="")))[0]
         assert origin.seen[0][0] == f"GET {target} HTTP/1.1"
 
-    played(work)
+    run_limiter(work)
 
 
 def test_a_refusal_tells_cost_and_what_is_left_and_when_to_come_back() -> None:
     async def work(limiter: GraphQLLimiter, origin: Origin, script: Script) -> None:
-        first, headers, body = await limiter.fetch(post({"query": LOOK}, Accept="application/json"))
+        first, headers, body = await limiter.fetch(post({"query": LOOKUP_QUERY}, Accept="application/json"))
         assert " 429 " in first and float(headers["retry-after"]) == 0.5
         assert headers["content-type"] == "application/json; charset=utf-8"
         extensions = json.loads(body)["errors"][0]["extensions"]
@@ -184,7 +188,7 @@
     script = Script(
         lambda event: [api.Refuse(event.id, 0.5, "quota", 2.0)] if isinstance(event, api.Request) else []
     )
-    played(work, script=script)
+    run_limiter(work, script=script)
 
 
 @pytest.mark.parametrize(
@@ -193,11 +197,11 @@
 )
 def test_the_true_cost_settles_and_an_absurd_one_does_not(cost: object, units: float | None) -> None:
     async def work(limiter: GraphQLLimiter, origin: Origin, script: Script) -> None:
-        assert " 200 " in (await limiter.fetch(post({"query": LOOK})))[0]
+        assert " 200 " in (await limiter.fetch(post({"query": LOOKUP_QUERY})))[0]
         (outcome,) = await script.until(api.Outcome)
         assert outcome.units == units and outcome.status is api.Status.OK
 
-    played(work, lambda _n: answer_of(cost))
+    run_limiter(work, lambda _n: response_with_cost(cost))
 
 
 @pytest.mark.parametrize(
@@ -213,26 +217,26 @@
     body: object, status: api.Status
 ) -> None:
     async def work(limiter: GraphQLLimiter, origin: Origin, script: Script) -> None:
-        _, _, said = await limiter.fetch(post({"query": GIVE}))
+        _, _, said = await limiter.fetch(post({"query": HANDOVER_MUTATION}))
         (outcome,) = await script.until(api.Outcome)
         assert outcome.status is status and outcome.finished is (status is api.Status.OK)
         assert (json.loads(said) == body) is (status is api.Status.OK)
 
     data = json.dumps(body).encode()
     reply = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(data), data)
-    played(work, lambda _n: reply, never_ran_codes=["NOT_EXECUTED"])
+    run_limiter(work, lambda _n: reply, never_ran_codes=["NOT_EXECUTED"])
 
 
 def test_unknown_documents_are_read_only_as_the_budget_allows_and_known_ones_always() -> None:
     async def work(limiter: GraphQLLimiter, origin: Origin, script: Script) -> None:
-        assert " 200 " in (await limiter.fetch(post({"query": LOOK})))[0]
+        assert " 200 " in (await limiter.fetch(post({"query": LOOKUP_QUERY})))[0]
         texts = [f"{{a{n}:bag(id:1){{id grams floor{{id name}}}}}}" for n in range(20)]
         answers = [await limiter.fetch(post({"query": text})) for text in texts]
         busy = [headers for first, headers, _ in answers if " 429 " in first]
         assert busy and all(float(headers["retry-after"]) == 1.0 for headers in busy)
-        assert " 200 " in (await limiter.fetch(post({"query": LOOK})))[0]
+        assert " 200 " in (await limiter.fetch(post({"query": LOOKUP_QUERY})))[0]
 
-    played(work, reading=0.003)
+    run_limiter(work, reading=0.003)
 
 
 def test_the_budget_leaves_room_for_others_and_begins_anew_each_second() -> None:
@@ -247,25 +251,25 @@
 def test_a_client_that_leaves_while_its_document_is_read_is_not_sent_on() -> None:
     async def work(limiter: GraphQLLimiter, origin: Origin, script: Script) -> None:
         _, writer = await limiter.connect()
-        writer.write(post({"query": LONG}))
+        writer.write(post({"query": LONG_QUERY}))
         writer.transport.abort()
-        assert " 200 " in (await limiter.fetch(post({"query": LOOK})))[0]
+        assert " 200 " in (await limiter.fetch(post({"query": LOOKUP_QUERY})))[0]
         while limiter.frontend.open_ids:
             await asyncio.sleep(0.01)
         assert limiter.node.open_requests == 0
 
-    played(work)
+    run_limiter(work)
 
 
 def test_answers_keep_their_order_while_documents_are_read() -> None:
     async def work(limiter: GraphQLLimiter, origin: Origin, script: Script) -> None:
         reader, writer = await limiter.connect()
-        slow = post({"query": LONG})
+        slow = post({"query": LONG_QUERY})
         writer.write(slow + post({"query": "{"}))
         assert " 200 " in (await read_message(reader))[0]
         assert " 400 " in (await read_message(reader))[0]
 
-    played(work)
+    run_limiter(work)
 
 
 def test_plain_requests_are_as_before_and_graphql_is_not_there_when_off() -> None:
@@ -273,7 +277,7 @@
         async with listening(Origin().talk) as dial, GraphQLLimiter(Script(forward), {"s1": dial}) as on:
             assert (await on.fetch(ask()))[2] == b"hi"
         async with listening(Origin().talk) as dial, Limiter(Script(forward), {"s1": dial}) as off:
-            assert " 404 " in (await off.fetch(post({"query": LOOK}, X_Priority_Class="graphql")))[0]
+            assert " 404 " in (await off.fetch(post({"query": LOOKUP_QUERY}, X_Priority_Class="graphql")))[0]
 
     run(main())
 
@@ -284,7 +288,7 @@
     assert done.stdout.strip() == "[]"
 
 
-# The operators' file.
+# The options in the operators' file.
 
 
 @pytest.mark.parametrize(
@@ -305,7 +309,7 @@
 )
 def test_a_wrong_key_is_named_with_what_was_expected(key: str, value: object, said: str) -> None:
     with pytest.raises(OptionsError, match=said):
-        options(**{key: value})
+        make_options(**{key: value})
 
 
 def test_shipped_files_load_and_classes_must_fit() -> None:
@@ -314,26 +318,26 @@
 
     async def main() -> None:
         for key, name in (("query", "post"), ("mutation", "lookup"), ("keyed", "post")):
-            chosen = options(**{key: name})
+            options = make_options(**{key: name})
             with pytest.raises(OptionsError, match=f"graphql.{key}"):
-                GraphQLHandler(SETTINGS, chosen, load_document_cache(chosen), UnixClock())
+                GraphQLHandler(SETTINGS, options, load_document_cache(options), UnixClock())
 
     run(main())
 
 
 def test_one_key_of_one_account_is_one_key_at_the_servers_through_any_limiter() -> None:
-    """Its servers drop a repeat by it, whichever limiter sent the first; another account's is another."""
+    """Servers deduplicate by the key, so it must not depend on the limiter, and must differ between accounts."""
     keyed = api.RequestClass("weigh", 2.0, 1.0, api.Effect.KEYED, window=5.0)
     settings = replace(SETTINGS, classes=(*SETTINGS.classes, keyed))
     body = {"query": "mutation($k:ID!){weigh(bag:1,grams:5,key:$k){id}}", "variables": {"k": "once"}}
 
     async def main() -> None:
-        origin = Origin(lambda _n: answer_of())
+        origin = Origin(lambda _n: response_with_cost())
         async with listening(origin.talk) as dial:
             for account in ("00000000b4d65521", "00000000b4d65521", "00000000b4d65522"):
                 limiter = GraphQLLimiter(Script(forward), {"s1": dial})
-                chosen = options(keyed="weigh")
-                front = GraphQLHandler(settings, chosen, load_document_cache(chosen), UnixClock())
+                options = make_options(keyed="weigh")
+                front = GraphQLHandler(settings, options, load_document_cache(options), UnixClock())
                 limiter.frontend = Frontend(limiter.node, settings, 64, front)
                 async with limiter:
                     request = post(body, Idempotency_Key="the client's own").replace(
--- a/tests/graphql/test_price.py
+++ b/tests/graphql/test_price.py
@@ -1,4 +1,4 @@
-"""Prices: examples that others published, worked by hand; bounds that hold; what costs nothing and what cannot be."""
+"""Tests the prices of GraphQL operations: published examples, bounds, rejected documents, and soundness."""
 
 from __future__ import annotations
 
@@ -26,24 +26,26 @@
 from cypresspulley.rehearsal.plan import Arrival
 from cypresspulley.rehearsal.standins.graphql import SCHEMA, abuses, asking, priced_schema, run
 
-WIDE = Bounds(tokens=2000, depth=30, aliases=200, roots=100, directives=100, steps=20_000)
+WIDE_BOUNDS = Bounds(tokens=2000, depth=30, aliases=200, roots=100, directives=100, steps=20_000)
 
 
-def price(schema: str, query: str, bounds: Bounds = WIDE, longest: int = 10, **more: Any) -> PricedRequest:
+def price_query(
+    schema: str, query: str, bounds: Bounds = WIDE_BOUNDS, longest: int = 10, **more: Any
+) -> PricedRequest:
     documents = DocumentCache(read_schema(schema, longest_list=longest), bounds)
-    ask = OperationRequest(query, operation_name=more.pop("operation", None), variables=more)
-    return run_to_completion(price_request(documents, [ask], explain=True))
+    operation = OperationRequest(query, operation_name=more.pop("operation", None), variables=more)
+    return run_to_completion(price_request(documents, [operation], explain=True))
 
 
-def refusal(schema: str, query: str, **more: Any) -> ErrorCode:
+def refusal_code(schema: str, query: str, **more: Any) -> ErrorCode:
     with pytest.raises(GraphQLRefusedError) as caught:
-        price(schema, query, **more)
+        price_query(schema, query, **more)
     return caught.value.code
 
 
-# Published examples. GitHub counts nodes (1 for each object in a list, nothing for connections and edges).
+# Published examples. GitHub counts nodes: 1 per object in a list, 0 for connections and edges.
 
-GITHUB = """
+GITHUB_SCHEMA = """
 type Query { viewer: User @cost(weight: "0") }
 type User { login: String
   repositories(first: Int!): Repositories
@@ -67,19 +69,19 @@
 
 
 def test_githubs_example_of_nodes() -> None:
-    """Published: 50 repositories, 50 x 20 pull requests with 10 comments each, as many issues, 10 followers."""
+    """The published price: 50 repositories, each with 20 pull requests and 20 issues of 10 comments; 10 followers."""
     query = """query { viewer { repositories(first: 50) { edges { repository { name
       pullRequests(first: 20) { edges { node { title comments(first: 10) { edges { node { bodyHTML } } } } } }
       issues(first: 20) { edges { node { title comments(first: 10) { edges { node { bodyHTML } } } } } } } } }
       followers(first: 10) { edges { node { login } } } } }"""
     assert (
-        price(GITHUB, query).price.bound
+        price_query(GITHUB_SCHEMA, query).price.bound
         == 50 + 50 * 20 + 50 * 20 * 10 + 50 * 20 + 50 * 20 * 10 + 10
         == 22_060
     )
 
 
-APOLLO = """
+APOLLO_SCHEMA = """
 type Query { book(id: ID): Book  books: [Book] %s }
 type Mutation { add(title: String!): Book }
 type Book { title: String author: Author publisher: Publisher }
@@ -87,23 +89,23 @@
 type Publisher { name: String address: Address }
 type Address %s { zipCode: Int! }
 """
-BOOKS = "query BooksQuery { books { title author { name } publisher { name address { zipCode } } } }"
+BOOKS_QUERY = "query BooksQuery { books { title author { name } publisher { name address { zipCode } } } }"
 
 
 @pytest.mark.parametrize(
     "on_list, on_type, points",
     [
-        ("", "", 40),  # 10 assumed books: book, author, publisher and address each count 1
+        ("", "", 40),  # 10 books by default: book, author, publisher and address count 1 each
         ("", '@cost(weight: "5")', 80),  # an address counts 5: 10 x (1 + 1 + 1 + 5)
-        ("@listSize(assumedSize: 5)", '@cost(weight: "5")', 40),  # and there are 5 books
+        ("@listSize(assumedSize: 5)", '@cost(weight: "5")', 40),  # the list has 5 books
     ],
 )
 def test_apollos_examples_of_demand(on_list: str, on_type: str, points: float) -> None:
-    assert price(APOLLO % (on_list, on_type), BOOKS).price.bound == points
+    assert price_query(APOLLO_SCHEMA % (on_list, on_type), BOOKS_QUERY).price.bound == points
 
 
 def test_a_mutation_counts_ten_and_what_it_gives() -> None:
-    found = price(APOLLO % ("", ""), 'mutation { add(title: "x") { title } }')
+    found = price_query(APOLLO_SCHEMA % ("", ""), 'mutation { add(title: "x") { title } }')
     assert found.price.bound == 10 + 1 and found.effect is Effect.MUTATION
 
 
@@ -111,14 +113,14 @@
     schema = """input Filter { name: String @cost(weight: "2")  inner: Filter }
     type Query { find(text: String @cost(weight: "3"), by: Filter): [Bag] @listSize(assumedSize: 4) }
     type Bag @cost(weight: "1.5") { id: ID }"""
-    assert price(schema, "{ find { id } }").price.bound == 6
-    assert price(schema, '{ find(text: "a") { id } }').price.bound == 9
-    assert price(schema, '{ find(by: {name: "a", inner: {name: "b"}}) { id } }').price.bound == 10
+    assert price_query(schema, "{ find { id } }").price.bound == 6
+    assert price_query(schema, '{ find(text: "a") { id } }').price.bound == 9
+    assert price_query(schema, '{ find(by: {name: "a", inner: {name: "b"}}) { id } }').price.bound == 10
 
 
-# The walk.
+# Fields, fragments, directives and list sizes.
 
-BAGS = """
+BAGS_SCHEMA = """
 type Query { floor: Floor things: [Thing!]! @listSize(assumedSize: 2) any: Either
   bags(first: Int, last: Int): [Bag] @listSize(slicingArguments: ["first", "last"]) }
 interface Thing { id: ID }
@@ -133,8 +135,8 @@
     "query, points",
     [
         ("{ floor { id } }", 1),
-        ("{ floor { id } floor { id } }", 1),  # one key is one field
-        ("{ floor { id } b: floor { id } }", 2),  # an alias is another
+        ("{ floor { id } floor { id } }", 1),  # fields with the same response key are merged
+        ("{ floor { id } b: floor { id } }", 2),  # an alias makes another field
         ("{ floor { ...A ...A } } fragment A on Floor { bags { id } }", 1 + 3),
         ("{ floor { bags { id } bags { floor { id } } } }", 1 + 3 + 3),
         ("{ floor @skip(if: true) { id } __typename }", 0),
@@ -146,14 +148,14 @@
         (
             "{ things { ... on Floor { dear { id } } ... on Bag { floor { id } } } }",
             2 * (1 + 7),
-        ),  # the dearest
+        ),  # the most expensive type
         ("{ any { ... on Bag { floor { id } } } }", 2),
         ("{ bags(first: 2) { id } }", 2),
         ("{ __schema { types { name } } }", 1),
     ],
 )
 def test_prices_by_hand(query: str, points: float) -> None:
-    found = price(BAGS, query)
+    found = price_query(BAGS_SCHEMA, query)
     assert found.price.bound == points and found.effect is Effect.QUERY
     assert sum(row.bound for row in found.price.rows) == pytest.approx(points)
 
@@ -164,7 +166,7 @@
         ("{ floor { id }", ErrorCode.PARSE_FAILED),
         ("{ flor { id } }", ErrorCode.VALIDATION_FAILED),
         ("{ floor }", ErrorCode.VALIDATION_FAILED),
-        ("{ bags { id } }", ErrorCode.VALIDATION_FAILED),  # the draft: exactly one slicing argument
+        ("{ bags { id } }", ErrorCode.VALIDATION_FAILED),  # the draft requires exactly one slicing argument
         ("{ bags(first: 1, last: 2) { id } }", ErrorCode.VALIDATION_FAILED),
         ("{ bags(first: -1) { id } }", ErrorCode.VARIABLES_WRONG),
         ("query($n: Int!) { bags(first: $n) { id } }", ErrorCode.VARIABLES_WRONG),
@@ -177,7 +179,7 @@
     ],
 )
 def test_what_cannot_be_priced_says_why(query: str, code: ErrorCode) -> None:
-    assert refusal(BAGS, query) is code
+    assert refusal_code(BAGS_SCHEMA, query) is code
 
 
 @pytest.mark.parametrize(
@@ -191,7 +193,7 @@
     ],
 )
 def test_each_bound_refuses_before_anything_is_sent(query: str) -> None:
-    assert refusal(BAGS, query, bounds=Bounds()) is ErrorCode.TOO_COMPLEX
+    assert refusal_code(BAGS_SCHEMA, query, bounds=Bounds()) is ErrorCode.TOO_COMPLEX
 
 
 def test_fragments_that_double_are_stopped_by_steps() -> None:
@@ -201,7 +203,10 @@
         for n in range(12)
     )
     query = "{ floor { ...F0 } } " + spreads + " fragment F12 on Floor { id }"
-    assert refusal(BAGS, query, bounds=Bounds(tokens=5000, depth=100, aliases=1000)) is ErrorCode.TOO_COMPLEX
+    assert (
+        refusal_code(BAGS_SCHEMA, query, bounds=Bounds(tokens=5000, depth=100, aliases=1000))
+        is ErrorCode.TOO_COMPLEX
+    )
 
 
 # Effects.
@@ -215,32 +220,32 @@
         ("query Q { floor { id } } mutation M { give(bag: 1) { id } }", "Q", Effect.QUERY),
         ("query Q { floor { id } } mutation M { give(bag: 1) { id } }", "M", Effect.MUTATION),
         ("mutation { weigh(bag: 1, key: 2) { id } }", None, Effect.KEYED),
-        ("mutation { weigh(bag: 1) { id } }", None, Effect.MUTATION),  # marked, and no key given
+        ("mutation { weigh(bag: 1) { id } }", None, Effect.MUTATION),  # keyed, but without a key
         ("mutation { weigh(bag: 1, key: 2) { id } give(bag: 1) { id } }", None, Effect.MUTATION),
     ],
 )
 def test_the_effect_is_of_what_is_selected(query: str, operation: str | None, effect: Effect) -> None:
-    assert price(BAGS, query, operation=operation).effect is effect
+    assert price_query(BAGS_SCHEMA, query, operation=operation).effect is effect
 
 
 def test_one_mutation_makes_a_batch_unsafe_and_prices_add_up() -> None:
-    documents = DocumentCache(read_schema(BAGS), WIDE)
-    look, give = (
+    documents = DocumentCache(read_schema(BAGS_SCHEMA), WIDE_BOUNDS)
+    lookup, handover = (
         OperationRequest("{ floor { id } }"),
         OperationRequest("mutation { weigh(bag: 1, key: 2) { id } }"),
     )
-    both = run_to_completion(price_request(documents, [look, look, give]))
+    both = run_to_completion(price_request(documents, [lookup, lookup, handover]))
     assert both.effect is Effect.MUTATION and both.price.bound == 1 + 1 + 11
-    assert run_to_completion(price_request(documents, [look, look])).effect is Effect.QUERY
+    assert run_to_completion(price_request(documents, [lookup, lookup])).effect is Effect.QUERY
     with pytest.raises(GraphQLRefusedError, match="batch"):
-        run_to_completion(price_request(documents, [look] * 11))
+        run_to_completion(price_request(documents, [lookup] * 11))
 
 
-# Documents.
+# The document cache.
 
 
 def test_the_cache_is_bounded_in_bytes_and_gives_way_to_the_new() -> None:
-    documents = DocumentCache(read_schema(BAGS), WIDE, max_bytes=10_000)
+    documents = DocumentCache(read_schema(BAGS_SCHEMA), WIDE_BOUNDS, max_bytes=10_000)
     for n in range(50):
         run_to_completion(documents.read(f"query A{n} {{ floor {{ id }} }}"))
         assert documents.used_bytes <= 10_000
@@ -253,17 +258,17 @@
 
     text = "{ floor { id } }"
     documents = DocumentCache(
-        read_schema(BAGS), WIDE, persisted={document_hash(text): text}, only_persisted=True
+        read_schema(BAGS_SCHEMA), WIDE_BOUNDS, persisted={document_hash(text): text}, only_persisted=True
     )
     assert documents.resolve_text(OperationRequest(None, document_hash(text))) == text
-    for ask, code in (
+    for operation, code in (
         (OperationRequest(None, document_hash("x")), ErrorCode.PERSISTED_NOT_FOUND),
         (OperationRequest("{ things { id } }"), ErrorCode.PERSISTED_ONLY),
         (OperationRequest(text, document_hash("x")), ErrorCode.PERSISTED_HASH_MISMATCH),
         (OperationRequest(None), ErrorCode.BAD_REQUEST),
     ):  # fmt: skip
         with pytest.raises(GraphQLRefusedError) as caught:
-            documents.resolve_text(ask)
+            documents.resolve_text(operation)
         assert caught.value.code is code
 
 
@@ -283,7 +288,7 @@
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=300)
 @hypothesis.given(st.one_of(st.text(max_size=400), st.text('{}()[]@:$"#.!aé0 \n\\', max_size=200)))
 def test_any_text_is_priced_or_refused(text: str) -> None:
-    documents = DocumentCache(read_schema(BAGS), Bounds())
+    documents = DocumentCache(read_schema(BAGS_SCHEMA), Bounds())
     try:
         run_to_completion(price_request(documents, [OperationRequest(text)]))
     except GraphQLRefusedError as error:
@@ -310,34 +315,36 @@
         read_schema(schema)
 
 
-# Soundness: whatever is asked of whatever data, the true cost is at most the bound.
+# Soundness: for any query and any data, the actual cost is at most the bound.
 
 
 @st.composite
-def schemas(draw: st.DrawFn) -> str:
-    """Some object types that refer to each other, an interface over some, lists with and without directives."""
+def generate_schema(draw: st.DrawFn) -> str:
+    """Generate schemas of object types that refer to each other, an interface, and lists with and without directives."""
     names = [f"T{n}" for n in range(draw(st.integers(1, 4)))]
     kinds = [*names, "Any"]
-    lines = ["type Query {" + " ".join(_fields(draw, kinds)) + "}", "interface Any { id: ID }"]
+    lines = ["type Query {" + " ".join(_generate_fields(draw, kinds)) + "}", "interface Any { id: ID }"]
     for name in names:
         weight = draw(st.sampled_from(("", '@cost(weight: "2.5")', '@cost(weight: "0")')))
-        lines.append(f"type {name} implements Any {weight} {{ id: ID " + " ".join(_fields(draw, kinds)) + "}")
+        lines.append(
+            f"type {name} implements Any {weight} {{ id: ID " + " ".join(_generate_fields(draw, kinds)) + "}"
+        )
     return "\n".join(lines)
 
 
-def _fields(draw: st.DrawFn, kinds: list[str]) -> list[str]:
-    rows = []
+def _generate_fields(draw: st.DrawFn, kinds: list[str]) -> list[str]:
+    lines = []
     for n in range(draw(st.integers(1, 3))):
         kind = draw(st.sampled_from(kinds))
         form = draw(st.integers(0, 3))
-        rows.append(
+        lines.append(
             (
                 f"f{n}: {kind}", f"f{n}: [{kind}] @listSize(assumedSize: 3)", f"f{n}: [{kind}]",
                 f"f{n}(first: Int = 2): [{kind}] "
                 '@listSize(slicingArguments: ["first"], requireOneSlicingArgument: false)',
             )[form]
         )  # fmt: skip
-    return rows
+    return lines
 
 
 @hypothesis.settings(
@@ -345,19 +352,19 @@
 )
 @hypothesis.given(st.data())
 def test_the_true_cost_is_never_above_the_bound(data: st.DataObject) -> None:
-    text = data.draw(schemas())
+    text = data.draw(generate_schema())
     priced = read_schema(text, longest_list=3)
     query = data.draw(queries(print_schema(priced.schema)))
     rng = data.draw(st.randoms(use_true_random=False))
-    documents = DocumentCache(priced, WIDE)
+    documents = DocumentCache(priced, WIDE_BOUNDS)
     try:
         bound = run_to_completion(price_request(documents, [OperationRequest(query)])).price.bound
     except GraphQLRefusedError:
-        return  # past a bound on its size, or a negative list size: it is not sent
-    spent = 0.0
+        return  # rejected because of a bound or a negative list size
+    actual_cost = 0.0
 
     def resolve(source: Any, info: GraphQLResolveInfo[Any], **arguments: Any) -> Any:
-        nonlocal spent
+        nonlocal actual_cost
         price = priced.field_price(str(info.parent_type), info.field_name)
         inner = info.return_type
         while hasattr(inner, "of_type"):
@@ -365,20 +372,20 @@
         kinds: list[Any] = (
             list(priced.schema.get_possible_types(inner)) if is_abstract_type(inner) else [inner]
         )
-        one = {"kind": str(rng.choice(kinds))}
+        item = {"kind": str(rng.choice(kinds))}
         if not price.is_list:
-            spent += price.weight
-            return one
+            actual_cost += price.weight
+            return item
         first = arguments.get("first")
         most = first if first is not None else 3
-        many = [{"kind": str(rng.choice(kinds))} for _ in range(rng.randint(0, min(most, 5)))]
-        spent += price.weight * len(many)
-        return many
+        items = [{"kind": str(rng.choice(kinds))} for _ in range(rng.randint(0, min(most, 5)))]
+        actual_cost += price.weight * len(items)
+        return items
 
     graphql_sync(
         priced.schema, query, field_resolver=resolve, type_resolver=lambda value, _info, _kind: value["kind"]
     )  # fmt: skip
-    assert spent <= bound + 1e-6, query
+    assert actual_cost <= bound + 1e-6, query
 
 
 def test_the_hotels_true_costs_are_under_their_bounds_and_near_once_learned() -> None:
@@ -386,31 +393,32 @@
     for number in range(600):
         asked = asking(3, Arrival(0.0, number, "x", "p", "c", 1.0, 0, 1), number % 4 == 0)
         raw = json.loads(asked.body)
-        asks = [
+        operations = [
             OperationRequest(
                 each["query"], operation_name=each.get("operationName"), variables=each["variables"]
             )
             for each in (raw if isinstance(raw, list) else [raw])
         ]
-        found = run_to_completion(price_request(documents, asks, explain=True))
+        found = run_to_completion(price_request(documents, operations, explain=True))
         assert asked.points <= found.price.bound + 1e-9
         assert (found.effect is Effect.MUTATION) == asked.mutation
         samples.append((found.price, asked.points))
     train, test = samples[:400], samples[400:]
     fit = learn_shares(train)
-    learned = read_schema(SCHEMA.read_text(), learned=fit.shares())
-    known = DocumentCache(learned, Bounds())
+    learned_schema = read_schema(SCHEMA.read_text(), learned=fit.shares())
+    learned_documents = DocumentCache(learned_schema, Bounds())
     errors = []
-    for number, (_, true) in enumerate(test, 400):
+    for number, (_, actual) in enumerate(test, 400):
         raw = json.loads(asking(3, Arrival(0.0, number, "x", "p", "c", 1.0, 0, 1), number % 4 == 0).body)
-        asks = [
+        operations = [
             OperationRequest(
                 each["query"], operation_name=each.get("operationName"), variables=each["variables"]
             )
             for each in (raw if isinstance(raw, list) else [raw])
         ]
         errors.append(
-            abs(run_to_completion(price_request(known, asks)).price.expected - true) / max(true, 1.0)
+            abs(run_to_completion(price_request(learned_documents, operations)).price.expected - actual)
+            / max(actual, 1.0)
         )
     assert sum(errors) / len(errors) < 0.2 < fit.mean_error_before
     assert all(each.low <= each.share <= each.high + 1e-6 for each in fit.fields if each.queries > 50)
