--- a/benchmarks/graphql_ceilings.py
+++ b/benchmarks/graphql_ceilings.py
@@ -1,10 +1,10 @@
-"""Whether cost-counted use keeps its ceilings and no handover mutation runs twice, over many seeds.
+"""Checks over many seeds that usage counted by cost stays below its ceilings and that no mutation runs twice.
 
     python -m benchmarks.graphql_ceilings [--seeds 20] [--sockets 3] [--jobs 6]
 
-Plays graphql-floor and graphql-handover-mix (limiters die, answers are lost, spoilt and lie about costs) on the
-virtual loop, then on sockets, and prints for each the lowest level that any account's ceiling fell to, beside the
-slack that the rule allows, and the handovers that a server began more than once for one try.
+Runs the scenarios graphql-floor and graphql-handover-mix, in which limiters crash and responses are lost, corrupted or
+state wrong costs, on the virtual event loop and then on sockets. Prints for each scenario the lowest level of any
+account's ceiling, the slack that the rule allows, and the mutations that a server executed more than once for one try.
 """
 
 from __future__ import annotations
@@ -28,12 +28,15 @@
 from cypresspulley.rehearsal.virtual.play import play_virtual
 
 SCENARIOS = ("graphql-floor", "graphql-handover-mix")
-AGAIN = 2
+MAX_REPEATS = 2  # repeats of a void run on sockets
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
-    """``lowest``: of all ceilings, in units (below 0: over it), with the slack there; ``doubled``: handovers."""
+class RunResult:
+    """The result of a run. ``lowest`` is the lowest level of any ceiling, in units; below 0, it was exceeded.
+
+    ``slack`` is what the rule allows there, in units. ``doubled`` counts mutations that ran more than once.
+    """
 
     scenario: str
     seed: int
@@ -46,31 +49,33 @@
     service: float
 
 
-def seen(name: str, seed: int, where: str, records: list[log.Record]) -> Seen | None:
-    """What one play came to; None where it is void."""
-    verdict, line = judge(records), Timeline(records)
+def run_result(name: str, seed: int, where: str, records: list[log.Record]) -> RunResult | None:
+    """Evaluate the records of a run. Returns None if the run is void."""
+    verdict, timeline = judge(records), Timeline(records)
     if verdict.void:
         return None
-    lowest, slack = min(((level, slack) for _, _, level, slack in ceiling_levels(line)), default=(0.0, 0.0))
+    lowest, slack = min(
+        ((level, slack) for _, _, level, slack in ceiling_levels(timeline)), default=(0.0, 0.0)
+    )
     runs = Counter[str]()
-    for attempt in line.attempts.values():
-        cls = line.classes[line.tries[attempt.arrived.id].sent[0].cls]
+    for attempt in timeline.attempts.values():
+        cls = timeline.classes[timeline.tries[attempt.arrived.id].sent[0].cls]
         if cls.effect == "unsafe" and attempt.ran is not None and not attempt.ran.repeat:
             runs[attempt.arrived.id] += 1
     broken = tuple(rule.rule for rule in verdict.rules if not rule.kept)
     doubled = sum(count > 1 for count in runs.values())
-    return Seen(name, seed, where, broken, lowest, slack, doubled, len(runs), verdict.service.service)
+    return RunResult(name, seed, where, broken, lowest, slack, doubled, len(runs), verdict.service.service)
 
 
-def virtual(case: tuple[str, int]) -> Seen | None:
+def run_virtual(case: tuple[str, int]) -> RunResult | None:
     name, seed = case
-    return seen(name, seed, "virtual", play_virtual(load_scenario(name), seed))
+    return run_result(name, seed, "virtual", play_virtual(load_scenario(name), seed))
 
 
-def sockets(case: tuple[str, int]) -> Seen | None:
+def run_on_sockets(case: tuple[str, int]) -> RunResult | None:
     name, seed = case
-    for _ in range(AGAIN + 1):
-        found = seen(name, seed, "sockets", uvloop.run(play(load_scenario(name), seed)))
+    for _ in range(MAX_REPEATS + 1):
+        found = run_result(name, seed, "sockets", uvloop.run(play(load_scenario(name), seed)))
         if found is not None:
             return found
     return None
@@ -85,11 +90,17 @@
     parser.add_argument("--jobs", type=int, default=6)
     options = parser.parse_args()
     pool = partial(ProcessPoolExecutor, mp_context=multiprocessing.get_context("spawn"))
-    with pool(options.jobs) as made:
-        found = list(made.map(virtual, [(name, seed) for name in SCENARIOS for seed in range(options.seeds)]))
-    with pool(2) as real:  # two at a time: their clients share the cores with six limiters
+    with pool(options.jobs) as workers:
+        found = list(
+            workers.map(run_virtual, [(name, seed) for name in SCENARIOS for seed in range(options.seeds)])
+        )
+    with pool(
+        2
+    ) as socket_workers:  # only two at a time, because each run starts six limiters beside its clients
         found += list(
-            real.map(sockets, [(name, seed) for name in SCENARIOS for seed in range(options.sockets)])
+            socket_workers.map(
+                run_on_sockets, [(name, seed) for name in SCENARIOS for seed in range(options.sockets)]
+            )
         )
     for name in SCENARIOS:
         for where in ("virtual", "sockets"):
--- a/benchmarks/graphql_cost.py
+++ b/benchmarks/graphql_cost.py
@@ -1,11 +1,11 @@
-"""What GraphQL costs a limiter's core: CPU a query beside a plain request, and how long reading holds the loop.
+"""Measures the CPU time of GraphQL queries and of plain requests, and how long analysis blocks the event loop.
 
     python -m benchmarks.graphql_cost [--requests 4000] [--rounds 3]
 
-One limiter with GraphQL on and one without take turns between the same clients and servers: plain requests through
-both, then queries whose documents are known, then queries whose documents are all new (as many as the reading budget
-takes in that time; the rest is answered ANALYSIS_BUSY and not counted). Then abuse is read in this process, and each
-turn of reading timed.
+Two limiters, one with GraphQL enabled, take turns between the same clients and servers: plain requests through both,
+then queries with cached documents, then queries that all have new documents. The analysis budget limits the new
+documents; requests rejected with ANALYSIS_BUSY are not counted. Then abusive documents are analyzed in this process,
+and each step of the analysis is timed.
 """
 
 from __future__ import annotations
@@ -48,23 +48,23 @@
     priced_schema,
 )
 
-BODY = b'{"extensions":{"cost":{"actual":3}},"data":{"bag":{"id":"b1"}}}'
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(BODY), BODY)
-IDS = count(1 << 40)
+RESPONSE_BODY = b'{"extensions":{"cost":{"actual":3}},"data":{"bag":{"id":"b1"}}}'
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(RESPONSE_BODY), RESPONSE_BODY)
+REQUEST_IDS = count(1 << 40)
 
 
 class Server(asyncio.Protocol):
-    """Answers each request at once: one write of a limiter is one request."""
+    """Responds to each request immediately. Every write of a limiter is one request."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        self._transport.write(ANSWER)
+        self._transport.write(RESPONSE)
 
 
-def query(text: str, variables: dict[str, Any]) -> bytes:
-    id = next(IDS)
+def make_query(text: str, variables: dict[str, Any]) -> bytes:
+    id = next(REQUEST_IDS)
     body = json.dumps({"query": text, "variables": variables}).encode()
     head = (
         f"POST /graphql?account={id % 500:016x} HTTP/1.1\r\nHost: bags.internal\r\nX-Request-ID: {id:016x}\r\n"
@@ -74,18 +74,20 @@
     return head.encode() + body
 
 
-KINDS: dict[str, Callable[[], bytes]] = {
+REQUEST_MAKERS: dict[str, Callable[[], bytes]] = {
     "plain": request,
-    "known, small": lambda: query(SMALL, {"b": "1"}),
-    "known, floor": lambda: query(FLOOR, {"id": "1", "n": 20}),
-    "new, floor": lambda: query(FLOOR.replace("Floor(", f"Floor{next(IDS)}("), {"id": "1", "n": 20}),
+    "known, small": lambda: make_query(SMALL, {"b": "1"}),
+    "known, floor": lambda: make_query(FLOOR, {"id": "1", "n": 20}),
+    "new, floor": lambda: make_query(
+        FLOOR.replace("Floor(", f"Floor{next(REQUEST_IDS)}("), {"id": "1", "n": 20}
+    ),
 }
 
 
-async def turn(port: int, requests: int, make: Callable[[], bytes]) -> int:
-    """Send so many over a few connections, one at a time on each; how many were served."""
+async def send_requests(port: int, requests: int, make: Callable[[], bytes]) -> int:
+    """Send requests over CONNECTIONS connections, one at a time on each, and return how many were served."""
 
-    async def one(share: int) -> int:
+    async def send_share(share: int) -> int:
         reader, writer = await asyncio.open_connection(HOST, port)
         served = 0
         for _ in range(share):
@@ -99,16 +101,16 @@
         writer.close()
         return served
 
-    return sum(await asyncio.gather(*(one(requests // CONNECTIONS) for _ in range(CONNECTIONS))))
+    return sum(await asyncio.gather(*(send_share(requests // CONNECTIONS) for _ in range(CONNECTIONS))))
 
 
 async def measure(requests: int, rounds: int) -> dict[str, list[float]]:
-    """Microseconds of CPU a served request, by kind; and the limiters' memory in MB."""
+    """Return microseconds of CPU time per served request by kind of request, and the memory of the limiters in MB."""
     loop = asyncio.get_running_loop()
     server = await loop.create_server(Server, HOST, 0)
-    at = server.sockets[0].getsockname()[1]
+    server_port = server.sockets[0].getsockname()[1]
     found: dict[str, list[float]] = {"off: plain": [], "memory MB, off": [], "memory MB, on": []}
-    found |= {f"on: {kind}": [] for kind in KINDS}
+    found |= {f"on: {kind}": [] for kind in REQUEST_MAKERS}
     with tempfile.TemporaryDirectory() as folder:
         operators = Path(folder) / "operators.toml"
         text = OPERATORS.read_text().replace("floor.graphql", str(OPERATORS.with_name("floor.graphql")))
@@ -116,7 +118,7 @@
         children, ports = dict[str, subprocess.Popen[bytes]](), dict[str, int]()
         for who, more in (("off", []), ("on", ["--operators", str(operators)])):
             ports[who] = free_port(HOST)
-            config = limiter_config(Path(folder), ports[who], [at] * 4, f"{who}.json")
+            config = limiter_config(Path(folder), ports[who], [server_port] * 4, f"{who}.json")
             command = [sys.executable, "-m", "cypresspulley", *more]
             env = {**os.environ, "LB_CONFIG": str(config)}
             children[who] = subprocess.Popen(command, env=env, stderr=subprocess.DEVNULL)
@@ -124,13 +126,13 @@
             for who, child in children.items():
                 await up(ports[who])
                 found[f"memory MB, {who}"].append(psutil.Process(child.pid).memory_info().rss / 2**20)
-                await turn(ports[who], requests, request)
+                await send_requests(ports[who], requests, request)
             for _ in range(rounds):
                 for name in [n for n in found if ":" in n]:
                     who, _, kind = name.partition(": ")
                     child, many = children[who], requests if not kind.startswith("new") else requests // 10
                     before = sum(psutil.Process(child.pid).cpu_times()[:2])
-                    served = await turn(ports[who], many, KINDS[kind])
+                    served = await send_requests(ports[who], many, REQUEST_MAKERS[kind])
                     spent = sum(psutil.Process(child.pid).cpu_times()[:2]) - before
                     found[name].append(spent / max(1, served) * 1e6)
         finally:
@@ -140,8 +142,8 @@
     return found
 
 
-def holds(rounds: int) -> list[float]:
-    """Seconds that each step of reading abuse (and one document at the bound) held the loop."""
+def time_steps(rounds: int) -> list[float]:
+    """Return the seconds of each step of the analysis of abusive documents and of one document at the bounds."""
     bounds, steps = Bounds(), list[float]()
     full = "{bag(id:1){" + " ".join(f"a{n}:floor{{id}}" for n in range(bounds.aliases)) + " id" * 40 + "}}"
     bodies = [*abuses().values(), json.dumps({"query": full}).encode()]
@@ -149,27 +151,29 @@
         price_request(DocumentCache(priced_schema(), bounds), [OperationRequest("{__typename}")])
     )
     gc.collect()
-    gc.freeze()  # as the limiter does at its start
+    gc.freeze()  # as the limiter does when it starts
     for _ in range(rounds):
         documents = DocumentCache(priced_schema(), bounds)
         for body in bodies:
-            began = perf_counter()
+            started_at = perf_counter()
             try:
-                asked = parse_post("application/json", "", body)
-                work = price_request(documents, list(asked.operations))
+                graphql_request = parse_post("application/json", "", body)
+                analysis = price_request(documents, list(graphql_request.operations))
                 while True:
-                    next(work)
+                    next(analysis)
                     now = perf_counter()
-                    steps.append(now - began)
-                    began = now
+                    steps.append(now - started_at)
+                    started_at = now
             except (GraphQLRefusedError, StopIteration):
-                steps.append(perf_counter() - began)
+                steps.append(perf_counter() - started_at)
     return steps
 
 
-def parsed(rounds: int) -> tuple[float, float]:
-    """Of documents as clients send them: bytes that a parsed one takes for each byte of its text, at most, and
-    seconds of reading for each token, in the median."""
+def measure_documents(rounds: int) -> tuple[float, float]:
+    """Return the maximum memory of a parsed document per byte of its text, and the median analysis time per token.
+
+    The time is in seconds. The documents are typical of clients.
+    """
     priced, sizes, times = priced_schema(), list[float](), list[float]()
     for text in (SMALL, FLOOR, MORNING, DEEP, HIDDEN):
         tracemalloc.start()
@@ -178,9 +182,9 @@
         tracemalloc.stop()
         assert kept.definitions
         for _ in range(rounds):
-            documents, began = DocumentCache(priced, Bounds()), perf_counter()
+            documents, started_at = DocumentCache(priced, Bounds()), perf_counter()
             run_to_completion(documents.read(text))
-            times.append((perf_counter() - began) / count_tokens(text, Bounds()))
+            times.append((perf_counter() - started_at) / count_tokens(text, Bounds()))
     return max(sizes), statistics.median(times)
 
 
@@ -197,9 +201,9 @@
         middle = statistics.median(figures)
         ratio = f"{middle / log_summary:6.2f} times a plain one" if ":" in name else ""
         print(f"{name:18} {' '.join(f'{x:8.1f}' for x in figures)}  {ratio}")
-    size, token = parsed(50)
+    size, token = measure_documents(50)
     print(f"a parsed document: {size:.0f} bytes for each of its text; reading: {token * 1e3:.3f} ms a token")
-    steps = sorted(holds(100))
+    steps = sorted(time_steps(100))
     for share in (0.5, 0.99, 0.999, 1.0):
         step = steps[min(len(steps) - 1, int(share * len(steps)))]
         print(f"a step of reading, {share:.1%} of {len(steps)}: {step * 1e3:.2f} ms")
--- a/tests/graphql/test_price.py
+++ b/tests/graphql/test_price.py
@@ -320,7 +320,7 @@
 
 @st.composite
 def generate_schema(draw: st.DrawFn) -> str:
-    """Generate schemas of object types that refer to each other, an interface, and lists with and without directives."""
+    """Generate a schema of object types that refer to each other, an interface, and lists with and without sizes."""
     names = [f"T{n}" for n in range(draw(st.integers(1, 4)))]
     kinds = [*names, "Any"]
     lines = ["type Query {" + " ".join(_generate_fields(draw, kinds)) + "}", "interface Any { id: ID }"]
