--- a/benchmarks/graphql_ceilings.py
+++ b/benchmarks/graphql_ceilings.py
@@ -94,9 +94,8 @@
         found = list(
             workers.map(run_virtual, [(name, seed) for name in SCENARIOS for seed in range(options.seeds)])
         )
-    with pool(
-        2
-    ) as socket_workers:  # only two at a time, because each run starts six limiters beside its clients
+    # Only two at a time, because each run starts six limiters in addition to its clients.
+    with pool(2) as socket_workers:
         found += list(
             socket_workers.map(
                 run_on_sockets, [(name, seed) for name in SCENARIOS for seed in range(options.sockets)]
--- a/cypresspulley/graphql/command.py
+++ b/cypresspulley/graphql/command.py
@@ -140,9 +140,9 @@
         entries = json.loads(text).get("log", {}).get("entries", [])
         for entry in entries:
             body = entry.get("request", {}).get("postData", {}).get("text")
-            answer = entry.get("response", {}).get("content", {}).get("text")
+            response = entry.get("response", {}).get("content", {}).get("text")
             if body:
-                yield _parse_sample(json.loads(body), _actual_cost(answer), capture, 0)
+                yield _parse_sample(json.loads(body), _actual_cost(response), capture, 0)
         return
     for number, line in enumerate(text.splitlines(), 1):
         if line.strip():
@@ -153,9 +153,9 @@
             yield _parse_sample(raw, raw.get("actual") if isinstance(raw, dict) else None, capture, number)
 
 
-def _actual_cost(answer: str | None) -> float | None:
+def _actual_cost(response: str | None) -> float | None:
     try:
-        found: Any = json.loads(answer or "{}")
+        found: Any = json.loads(response or "{}")
     except ValueError:
         return None
     for key in ("extensions", "cost", "actual"):
