--- a/cypresspulley/graphql/budget.py
+++ b/cypresspulley/graphql/budget.py
@@ -28,7 +28,7 @@
 
     @staticmethod
     def estimate(characters: int, max_tokens: int) -> float:
-        """Return an upper bound, in seconds, of the time to analyze a text, which ends at ``max_tokens`` tokens."""
+        """Return an upper bound of the seconds to analyze a text. Analysis stops after ``max_tokens`` tokens."""
         return (1 + min(max_tokens, characters // CHARACTERS_PER_TOKEN)) * SECONDS_PER_TOKEN
 
     def try_spend(self, now: float, account: str, seconds: float) -> bool:
--- a/cypresspulley/graphql/schema.py
+++ b/cypresspulley/graphql/schema.py
@@ -182,12 +182,13 @@
     }
     size = _list_size(source, place, definition)
     keyed = _directive(definition.ast_node, "keyed")
-    by = None if keyed is None else str(keyed.get("by"))
-    if by is not None and by not in definition.args:
+    key_argument = None if keyed is None else str(keyed.get("by"))
+    if key_argument is not None and key_argument not in definition.args:
         raise SchemaError(
-            f"{source}: {place}: @keyed(by: {by!r}) names no argument; expected one of {_names(definition.args)}"
+            f"{source}: {place}: @keyed(by: {key_argument!r}) names no argument; "
+            f"expected one of {_names(definition.args)}"
         )
-    return FieldPrice(weight, arguments, size, by, _is_list(definition.type))
+    return FieldPrice(weight, arguments, size, key_argument, _is_list(definition.type))
 
 
 def _is_list(kind: GraphQLOutputType) -> bool:
