--- a/tests/graphql/test_price.py
+++ b/tests/graphql/test_price.py
@@ -354,7 +354,14 @@
 def test_the_true_cost_is_never_above_the_bound(data: st.DataObject) -> None:
     text = data.draw(generate_schema())
     priced = read_schema(text, longest_list=3)
-    query = data.draw(queries(print_schema(priced.schema)))
+    printed = print_schema(priced.schema)
+    try:
+        query = data.draw(queries(printed))
+    except ValueError as error:
+        # For some recursive schemas hypothesis_graphql 0.13.5 takes the logarithm of a negative number and fails.
+        if str(error) != "math domain error":
+            raise
+        hypothesis.reject()
     rng = data.draw(st.randoms(use_true_random=False))
     documents = DocumentCache(priced, WIDE_BOUNDS)
     try:
