--- a/cypresspulley/graphql/command.py
+++ b/cypresspulley/graphql/command.py
@@ -1,4 +1,4 @@
-"""What ``fawnseam graphql-cost`` and ``graphql-learn`` do; their exit codes."""
+"""Implements ``fawnseam graphql-cost`` and ``graphql-learn``, and defines their exit codes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from cypresspulley.console import check_folders, fail
 from cypresspulley.graphql.document import DocumentCache, OperationRequest, PricedRequest, price_request
 from cypresspulley.graphql.errors import GraphQLRefusedError
-from cypresspulley.graphql.learn import Fit, LearnError, learn
+from cypresspulley.graphql.learn import Fit, LearnError, learn_shares
 from cypresspulley.graphql.options import OptionsError, load_document_cache, load_options
 from cypresspulley.graphql.price import Price
 from cypresspulley.graphql.scan import Bounds
@@ -27,7 +27,7 @@
 
 
 def run_to_completion(steps: Generator[None, None, ResultT]) -> ResultT:
-    """Run a reading to its end, with nothing in between."""
+    """Run all steps of a generator without interruption and return its result."""
     while True:
         try:
             next(steps)
@@ -37,7 +37,7 @@
 
 
 def _load_cache(schema: str, bounds: Bounds | None = None) -> DocumentCache:
-    """SCHEMA is an operators' file (.toml) or SDL."""
+    """Return an empty document cache for an operators' file (.toml) or a schema in SDL."""
     if schema.endswith(".toml"):
         return load_document_cache(load_options(schema))
     try:
@@ -48,14 +48,16 @@
 
 
 def print_cost(schema: str, query: Path, operation: str | None, variables: Path | None, as_json: bool) -> int:
-    """Print where the price of a query comes from; the exit code."""
+    """Print the price of a query by field, and return the exit code."""
     try:
         documents = _load_cache(schema)
         values = json.loads(variables.read_text(encoding="utf-8")) if variables is not None else {}
         if not isinstance(values, dict):
             raise OptionsError(f"{variables}: expected an object of variables")
-        ask = OperationRequest(query.read_text(encoding="utf-8"), operation_name=operation, variables=values)
-        priced = run_to_completion(price_request(documents, [ask], explain=True))
+        operation_request = OperationRequest(
+            query.read_text(encoding="utf-8"), operation_name=operation, variables=values
+        )
+        priced = run_to_completion(price_request(documents, [operation_request], explain=True))
     except GraphQLRefusedError as error:
         return fail(f"{query}: {error}", EXIT_REFUSED)
     except (OptionsError, SchemaError, ValueError, OSError) as error:
@@ -91,16 +93,16 @@
     return table
 
 
-# Learning.
+# Learning shares from a capture.
 
 
 def learn_from_capture(schema: str, capture: Path, out: Path | None) -> int:
-    """Fit shares from a capture; the exit code."""
+    """Fit shares to a capture, print them, write them to ``out`` if given, and return the exit code."""
     try:
         check_folders(out)
         documents = _load_cache(schema)
         samples, skipped = _price_samples(documents, capture)
-        fit = learn(samples)
+        fit = learn_shares(samples)
     except (OptionsError, SchemaError, LearnError, ValueError, OSError) as error:
         return fail(error, EXIT_BAD_INPUT)
     _print_fit(fit, skipped)
@@ -114,28 +116,33 @@
 ) -> tuple[list[tuple[Price, float]], dict[str, int]]:
     samples = list[tuple[Price, float]]()
     skipped = dict[str, int]()
-    for ask, actual in _capture_rows(capture):
+    for operation_request, actual in _capture_rows(capture):
         if actual is None:
             skipped["no true cost"] = skipped.get("no true cost", 0) + 1
             continue
         try:
-            samples.append((run_to_completion(price_request(documents, [ask], explain=True)).price, actual))
+            samples.append(
+                (run_to_completion(price_request(documents, [operation_request], explain=True)).price, actual)
+            )
         except GraphQLRefusedError as error:
             skipped[error.code.wire_name] = skipped.get(error.code.wire_name, 0) + 1
     return samples, skipped
 
 
 def _capture_rows(capture: Path) -> Iterator[tuple[OperationRequest, float | None]]:
-    """Rows of a HAR file (POST bodies, ``extensions.cost.actual`` of the answers), or JSON lines of
-    ``query``, ``variables``, ``operationName`` and ``actual``."""
+    """Yield the operations and actual costs of a capture.
+
+    The capture is a HAR file (POST bodies, and ``extensions.cost.actual`` of the responses) or JSON lines with
+    ``query``, ``variables``, ``operationName`` and ``actual``. Raises OptionsError for a line that cannot be parsed.
+    """
     text = capture.read_text(encoding="utf-8")
     if capture.suffix == ".har":
         entries = json.loads(text).get("log", {}).get("entries", [])
         for entry in entries:
             body = entry.get("request", {}).get("postData", {}).get("text")
-            answer = entry.get("response", {}).get("content", {}).get("text")
+            response = entry.get("response", {}).get("content", {}).get("text")
             if body:
-                yield _parse_sample(json.loads(body), _actual_cost(answer), capture, 0)
+                yield _parse_sample(json.loads(body), _actual_cost(response), capture, 0)
         return
     for number, line in enumerate(text.splitlines(), 1):
         if line.strip():
@@ -146,9 +153,9 @@
             yield _parse_sample(raw, raw.get("actual") if isinstance(raw, dict) else None, capture, number)
 
 
-def _actual_cost(answer: str | None) -> float | None:
+def _actual_cost(response: str | None) -> float | None:
     try:
-        found: Any = json.loads(answer or "{}")
+        found: Any = json.loads(response or "{}")
     except ValueError:
         return None
     for key in ("extensions", "cost", "actual"):
@@ -177,7 +184,8 @@
     console = Console()
     console.print(table)
     console.print(
-        f"{fit.queries} queries; expected price off by {fit.mean_error:.0%} in the mean, {fit.mean_before:.0%} before"
+        f"{fit.queries} queries; expected price off by {fit.mean_error:.0%} in the mean, "
+        f"{fit.mean_error_before:.0%} before"
     )
     for why, count in sorted(skipped.items()):
         console.print(f"left out: {count} ({why})")
--- a/cypresspulley/rehearsal/standins/graphql.py
+++ b/cypresspulley/rehearsal/standins/graphql.py
@@ -69,14 +69,14 @@
         """Resolve any field: returns its value and adds its cost."""
         parent, name = str(info.parent_type), info.field_name
         value = self._value(source, parent, name, arguments)
-        price = self.priced.price(parent, name)
+        price = self.priced.field_price(parent, name)
         many = value if isinstance(value, list) else [value]
         self.points += price.weight * sum(each is not None for each in many)
         self.points += sum(
             points for key, points in price.arguments.items() if arguments.get(key) is not None
         )
         if parent == "Mutation":
-            self.points += self.priced.mutation / _count_root_fields(info)
+            self.points += self.priced.mutation_points / _count_root_fields(info)
         return value
 
     def _value(self, source: Any, parent: str, name: str, arguments: Mapping[str, Any]) -> Any:
