--- a/cypresspulley/rehearsal/virtual/play.py
+++ b/cypresspulley/rehearsal/virtual/play.py
@@ -146,7 +146,7 @@
             self.histories.append(history)
         work = serve(
             self._config(), self._operators, clock=clock, read_config=self._config, wrap_gateway=watched,
-            opened=self._on_service_opened, wall=self._wall_time, history=history,
+            on_service_created=self._on_service_opened, wall_clock=self._wall_time, history=history,
         )  # fmt: skip
         task = self._loop.create_task(work, context=context)
         task.add_done_callback(self._on_task_done)
