--- a/benchmarks/replay_timing.py
+++ b/benchmarks/replay_timing.py
@@ -20,7 +20,7 @@
 
 from benchmarks.cpu_per_request import HOST, Server, up
 from cypresspulley.capture.arrivals import Stretch
-from cypresspulley.capture.day import plan_of
+from cypresspulley.capture.planning import plan_of
 from cypresspulley.capture.replay import against, percentile
 from cypresspulley.rehearsal.limiters import free_port
 from cypresspulley.rehearsal.scenario import load_scenario
--- a/benchmarks/round_trip.py
+++ b/benchmarks/round_trip.py
@@ -22,9 +22,9 @@
 
 from benchmarks.replay_timing import bare, difference
 from cypresspulley.capture.arrivals import Stretch
-from cypresspulley.capture.day import Input, plan_of, read
 from cypresspulley.capture.har_writer import write_har
 from cypresspulley.capture.model import Entry
+from cypresspulley.capture.planning import Input, plan_of, read
 from cypresspulley.capture.replay import percentile
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.judge import judge
--- a/cypresspulley/capture/command.py
+++ b/cypresspulley/capture/command.py
@@ -17,10 +17,10 @@
 from rich.table import Table
 
 from cypresspulley.capture.arrivals import Stretch
-from cypresspulley.capture.day import Input, plan_of, read
 from cypresspulley.capture.load import Loaded, load
 from cypresspulley.capture.mapping import load_mapping
 from cypresspulley.capture.model import CaptureError, shown
+from cypresspulley.capture.planning import Input, plan_of, read
 from cypresspulley.capture.replay import Report, against, percentile
 from cypresspulley.capture.scrub import KEY_BYTES, write
 from cypresspulley.capture.summary import Summary, summarise
--- a/cypresspulley/cli.py
+++ b/cypresspulley/cli.py
@@ -202,7 +202,7 @@
     Exit codes: 0 read (broken places are listed); 2 bad input; 3 a file could not be written.
     """
     from cypresspulley.capture import command
-    from cypresspulley.capture.day import Input
+    from cypresspulley.capture.planning import Input
 
     what = Input(files, kind, notation, mapping, strict, patience)
     sys.exit(command.inspect(what, json_file, html))
@@ -228,7 +228,7 @@
     Exit codes: 0 written; 2 bad input; 3 the file could not be written.
     """
     from cypresspulley.capture import command
-    from cypresspulley.capture.day import Input
+    from cypresspulley.capture.planning import Input
 
     sys.exit(command.scrub(Input(files, kind, notation, mapping, strict, patience), out, key))
 
@@ -269,7 +269,7 @@
     """
     from cypresspulley.capture import command
     from cypresspulley.capture.arrivals import Stretch
-    from cypresspulley.capture.day import Input
+    from cypresspulley.capture.planning import Input
     from cypresspulley.rehearsal.command import Outputs
 
     sys.exit(
--- a/cypresspulley/rehearsal/command.py
+++ b/cypresspulley/rehearsal/command.py
@@ -113,7 +113,7 @@
 def _planned(scenario: Scenario, seed: int) -> tuple[Scenario, Plan]:
     if scenario.load.capture is None:
         return scenario, draw(scenario, seed)
-    from cypresspulley.capture.day import captured_plan
+    from cypresspulley.capture.planning import captured_plan
 
     return captured_plan(scenario, seed)
 
--- a/tests/capture/test_replay.py
+++ b/tests/capture/test_replay.py
@@ -13,11 +13,11 @@
 import pytest
 
 from cypresspulley.capture.arrivals import Stretch, account_number, arrivals_from
-from cypresspulley.capture.day import plan_of
 from cypresspulley.capture.har_writer import write_har
 from cypresspulley.capture.load import load
 from cypresspulley.capture.mapping import Mapping
 from cypresspulley.capture.model import CaptureError, Entry
+from cypresspulley.capture.planning import plan_of
 from cypresspulley.capture.replay import against
 from cypresspulley.capture.retries import mark_retries
 from cypresspulley.capture.scrub import renamed, write
