--- a/cypresspulley/capture/command.py
+++ b/cypresspulley/capture/command.py
@@ -20,7 +20,7 @@
 from cypresspulley.capture.load import Loaded, load
 from cypresspulley.capture.mapping import load_mapping
 from cypresspulley.capture.model import CaptureError, shown
-from cypresspulley.capture.planning import Input, plan_of, read
+from cypresspulley.capture.planning import CaptureInput, plan_of, read
 from cypresspulley.capture.replay import Report, against, percentile
 from cypresspulley.capture.scrub import KEY_BYTES, write
 from cypresspulley.capture.summary import Summary, summarise
@@ -31,7 +31,7 @@
 GOOD, BAD_INPUT, BROKEN_TOOL = 0, 2, 3
 
 
-def inspect(what: Input, json_file: Path | None, html: Path | None) -> int:
+def inspect(what: CaptureInput, json_file: Path | None, html: Path | None) -> int:
     """Print what the files hold; the exit code."""
     try:
         entries, loaded, clocks = read(what)
@@ -48,7 +48,7 @@
     return GOOD
 
 
-def scrub(what: Input, out: Path, key: str | None) -> int:
+def scrub(what: CaptureInput, out: Path, key: str | None) -> int:
     """Write a capture without secrets and with accounts renamed; the exit code."""
     try:
         secret = _key(key)
@@ -152,7 +152,7 @@
 
 
 def replay(
-    what: Input,
+    what: CaptureInput,
     stretch: Stretch,
     seed: int,
     scenario: str,
--- a/cypresspulley/cli.py
+++ b/cypresspulley/cli.py
@@ -202,9 +202,9 @@
     Exit codes: 0 read (broken places are listed); 2 bad input; 3 a file could not be written.
     """
     from cypresspulley.capture import command
-    from cypresspulley.capture.planning import Input
+    from cypresspulley.capture.planning import CaptureInput
 
-    what = Input(files, kind, notation, mapping, strict, patience)
+    what = CaptureInput(files, kind, notation, mapping, strict, patience)
     sys.exit(command.inspect(what, json_file, html))
 
 
@@ -228,9 +228,9 @@
     Exit codes: 0 written; 2 bad input; 3 the file could not be written.
     """
     from cypresspulley.capture import command
-    from cypresspulley.capture.planning import Input
+    from cypresspulley.capture.planning import CaptureInput
 
-    sys.exit(command.scrub(Input(files, kind, notation, mapping, strict, patience), out, key))
+    sys.exit(command.scrub(CaptureInput(files, kind, notation, mapping, strict, patience), out, key))
 
 
 @main.command()
@@ -269,12 +269,12 @@
     """
     from cypresspulley.capture import command
     from cypresspulley.capture.arrivals import Stretch
-    from cypresspulley.capture.planning import Input
+    from cypresspulley.capture.planning import CaptureInput
     from cypresspulley.rehearsal.command import Outputs
 
     sys.exit(
         command.replay(
-            Input(files, kind, notation, mapping, strict, patience),
+            CaptureInput(files, kind, notation, mapping, strict, patience),
             Stretch(speed, stretch_accounts, start, end, clients), seed, scenario, against,
             Outputs(json_file, html, logs),
         )
