--- a/benchmarks/round_trip.py
+++ b/benchmarks/round_trip.py
@@ -24,7 +24,7 @@
 from cypresspulley.capture.arrivals import Stretch
 from cypresspulley.capture.har_writer import write_har
 from cypresspulley.capture.model import Entry
-from cypresspulley.capture.planning import CaptureInput, plan_of, read
+from cypresspulley.capture.planning import CaptureInput, plan_of, read_captures
 from cypresspulley.capture.replay import percentile
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.judge import judge
@@ -101,7 +101,7 @@
     """The figures of one capture, and of its replay at each speed."""
     with tempfile.TemporaryDirectory() as name:
         records, files = capture(scenario, seed, Path(name))
-        entries, _, clocks = read(CaptureInput(tuple(files)))
+        entries, _, clocks = read_captures(CaptureInput(tuple(files)))
     sent = first_sendings(records)
     retries = {r.id for r in sent if r.number > 0}
     said = {e.id for e in entries if e.repeats >= 0}
--- a/cypresspulley/capture/command.py
+++ b/cypresspulley/capture/command.py
@@ -20,7 +20,7 @@
 from cypresspulley.capture.load import Loaded, load
 from cypresspulley.capture.mapping import load_mapping
 from cypresspulley.capture.model import CaptureError, shown
-from cypresspulley.capture.planning import CaptureInput, plan_of, read
+from cypresspulley.capture.planning import CaptureInput, plan_of, read_captures
 from cypresspulley.capture.replay import Report, against, percentile
 from cypresspulley.capture.scrub import KEY_BYTES, write
 from cypresspulley.capture.summary import Summary, summarise
@@ -34,7 +34,7 @@
 def inspect(what: CaptureInput, json_file: Path | None, html: Path | None) -> int:
     """Print what the files hold; the exit code."""
     try:
-        entries, loaded, clocks = read(what)
+        entries, loaded, clocks = read_captures(what)
         summary = summarise(entries, loaded, clocks)
         _print(summary)
         if json_file is not None:
@@ -162,7 +162,7 @@
     """Play captures again, against the kit's stand-ins or running limiters; the exit code."""
     try:
         outputs.check()
-        entries, loaded, _ = read(what)
+        entries, loaded, _ = read_captures(what)
         _tell_unread(loaded)
         base = load_scenario(scenario)
         quiet = base.model_copy(update={"name": "replay", "load": Load(), "goal": Goal()})
--- a/cypresspulley/capture/planning.py
+++ b/cypresspulley/capture/planning.py
@@ -27,7 +27,7 @@
     patience: float = PATIENCE
 
 
-def read(what: CaptureInput) -> tuple[list[Entry], Loaded, list[Clock]]:
+def read_captures(what: CaptureInput) -> tuple[list[Entry], Loaded, list[Clock]]:
     """Files to merged entries in order of time, with their retries marked."""
     loaded = load(what.files, load_mapping(what.mapping), what.kind, what.notation, what.strict)
     entries, clocks = merge(loaded.sources)
@@ -47,7 +47,7 @@
     """The plan of a scenario whose load names a capture; ``CaptureError`` where that cannot be used."""
     wish = scenario.load
     assert wish.capture is not None
-    entries, _, _ = read(CaptureInput((wish.capture,), mapping=wish.mapping))
+    entries, _, _ = read_captures(CaptureInput((wish.capture,), mapping=wish.mapping))
     stretch = Stretch(wish.speed, wish.stretch_accounts, clients=wish.scripted_clients)
     return plan_of(entries, scenario, stretch, seed)
 
