--- a/cypresspulley/capture/command.py
+++ b/cypresspulley/capture/command.py
@@ -20,7 +20,7 @@
 from cypresspulley.capture.load import Loaded, load
 from cypresspulley.capture.mapping import load_mapping
 from cypresspulley.capture.model import CaptureError, shown
-from cypresspulley.capture.planning import CaptureInput, plan_of, read_captures
+from cypresspulley.capture.planning import CaptureInput, build_plan, read_captures
 from cypresspulley.capture.replay import Report, against, percentile
 from cypresspulley.capture.scrub import KEY_BYTES, write
 from cypresspulley.capture.summary import Summary, summarise
@@ -166,7 +166,7 @@
         _tell_unread(loaded)
         base = load_scenario(scenario)
         quiet = base.model_copy(update={"name": "replay", "load": Load(), "goal": Goal()})
-        made, plan = plan_of(entries, quiet, stretch, seed)
+        made, plan = build_plan(entries, quiet, stretch, seed)
     except (CaptureError, ScenarioError) as error:
         return fail(error, BAD_INPUT)
     if not targets:
--- a/cypresspulley/capture/planning.py
+++ b/cypresspulley/capture/planning.py
@@ -49,10 +49,12 @@
     assert wish.capture is not None
     entries, _, _ = read_captures(CaptureInput((wish.capture,), mapping=wish.mapping))
     stretch = Stretch(wish.speed, wish.stretch_accounts, clients=wish.scripted_clients)
-    return plan_of(entries, scenario, stretch, seed)
+    return build_plan(entries, scenario, stretch, seed)
 
 
-def plan_of(entries: list[Entry], scenario: Scenario, stretch: Stretch, seed: int) -> tuple[Scenario, Plan]:
+def build_plan(
+    entries: list[Entry], scenario: Scenario, stretch: Stretch, seed: int
+) -> tuple[Scenario, Plan]:
     arrivals = arrivals_from(entries, scenario, stretch, seed)
     made = captured_scenario(scenario, arrivals[-1].t, stretch.clients)
     return made, draw(made, seed, tuple(arrivals))
--- a/tests/capture/test_replay.py
+++ b/tests/capture/test_replay.py
@@ -17,7 +17,7 @@
 from cypresspulley.capture.load import load
 from cypresspulley.capture.mapping import Mapping
 from cypresspulley.capture.model import CaptureError, Entry
-from cypresspulley.capture.planning import plan_of
+from cypresspulley.capture.planning import build_plan
 from cypresspulley.capture.replay import against
 from cypresspulley.capture.retries import mark_retries
 from cypresspulley.capture.scrub import renamed, write
@@ -106,7 +106,7 @@
 
 def test_a_har_of_a_rehearsal_is_read_as_what_was_sent(tmp_path: Path) -> None:
     async def main() -> None:
-        scenario, plan = plan_of(captured(1.0), base(), Stretch(), 1)
+        scenario, plan = build_plan(captured(1.0), base(), Stretch(), 1)
         records = await play(scenario, 1, command=command("right"), plan=plan)
         sent = [r for r in records if isinstance(r, log.Sent)]
         assert len(sent) == len(plan.arrivals) and judge(records).kept
@@ -125,7 +125,7 @@
 def test_running_limiters_get_the_captured_load() -> None:
     async def main() -> None:
         origin = Origin()
-        scenario, plan = plan_of(captured(0.5), base(), Stretch(), 1)
+        scenario, plan = build_plan(captured(0.5), base(), Stretch(), 1)
         async with listening(origin.talk) as one, listening(origin.talk) as two:
             report = await against(scenario, plan, (one, two))
         assert report.sent == len(plan.arrivals) == len(origin.seen) and report.statuses == {200: report.sent}
@@ -143,7 +143,7 @@
         async def silent(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
             await reader.read()
 
-        scenario, plan = plan_of(captured(0.5, rate=100.0), base(), Stretch(), 1)
+        scenario, plan = build_plan(captured(0.5, rate=100.0), base(), Stretch(), 1)
         async with listening(silent) as address:
             report = await against(scenario, plan, (address,))
         assert report.sent == len(plan.arrivals) > 30 and not report.statuses
