--- a/cypresspulley/capture/planning.py
+++ b/cypresspulley/capture/planning.py
@@ -43,7 +43,7 @@
     return base.model_copy(update={"seconds": seconds, "clients": options, "faults": faults})
 
 
-def captured_plan(scenario: Scenario, seed: int) -> tuple[Scenario, Plan]:
+def plan_captured_load(scenario: Scenario, seed: int) -> tuple[Scenario, Plan]:
     """The plan of a scenario whose load names a capture; ``CaptureError`` where that cannot be used."""
     wish = scenario.load
     assert wish.capture is not None
--- a/cypresspulley/rehearsal/command.py
+++ b/cypresspulley/rehearsal/command.py
@@ -113,9 +113,9 @@
 def _planned(scenario: Scenario, seed: int) -> tuple[Scenario, Plan]:
     if scenario.load.capture is None:
         return scenario, draw(scenario, seed)
-    from cypresspulley.capture.planning import captured_plan
+    from cypresspulley.capture.planning import plan_captured_load
 
-    return captured_plan(scenario, seed)
+    return plan_captured_load(scenario, seed)
 
 
 def play_and_judge(scenario: Scenario, plan: Plan, outputs: Outputs, virtual: bool = False) -> int:
