--- a/benchmarks/replay_timing.py
+++ b/benchmarks/replay_timing.py
@@ -19,7 +19,7 @@
 import uvloop
 
 from benchmarks.cpu_per_request import HOST, Server, up
-from cypresspulley.capture.arrivals import Stretch
+from cypresspulley.capture.arrivals import ReplayOptions
 from cypresspulley.capture.planning import build_plan
 from cypresspulley.capture.replay import against, percentile
 from cypresspulley.rehearsal.limiters import free_port
@@ -73,7 +73,7 @@
 def one(rate: float, speed: float, seconds: float, target: str) -> None:
     base = load_scenario("calm-morning")
     truth = traffic(Random(1), seconds * speed, rate / 1.2, accounts=200)  # a fifth comes again
-    made, plan = build_plan(truth.tries, base, Stretch(speed), 1)
+    made, plan = build_plan(truth.tries, base, ReplayOptions(speed), 1)
     report = uvloop.run(against(made, plan, (target,)))
     wanted = [a.t for a in plan.arrivals]
     real = [t + late / 1000 for t, late in zip(wanted, report.late, strict=True)]
--- a/benchmarks/round_trip.py
+++ b/benchmarks/round_trip.py
@@ -21,7 +21,7 @@
 import uvloop
 
 from benchmarks.replay_timing import bare, difference
-from cypresspulley.capture.arrivals import Stretch
+from cypresspulley.capture.arrivals import ReplayOptions
 from cypresspulley.capture.har_writer import write_har
 from cypresspulley.capture.model import Entry
 from cypresspulley.capture.planning import CaptureInput, build_plan, read_captures
@@ -120,7 +120,7 @@
 ) -> dict[str, Any]:
     """One replay beside what was captured, and beside a bare loop that only sleeps (the baseline)."""
     empty = scenario.model_copy(update={"load": Load()})
-    made, plan = build_plan(entries, empty, Stretch(speed=speed), seed)
+    made, plan = build_plan(entries, empty, ReplayOptions(speed=speed), seed)
     again = uvloop.run(play(made, seed, plan=plan))
     resent = first_sendings(again)
     due = [a.t for a in plan.arrivals]
--- a/cypresspulley/capture/arrivals.py
+++ b/cypresspulley/capture/arrivals.py
@@ -17,14 +17,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stretch:
+class ReplayOptions:
     """How captured load is changed. ``start`` and ``end`` are seconds from the capture's first entry."""
 
     speed: float = 1.0
-    accounts: int = 1  # each account becomes so many that ask alike
+    account_copies: int = 1  # each account becomes so many that ask alike
     start: float = 0.0
     end: float = float("inf")
-    clients: bool = False  # scripted clients retry by themselves: the captured retries stay out
+    clients_retry: bool = False  # scripted clients retry by themselves: the captured retries stay out
 
 
 def account_number(account: str, copy: int = 0) -> str:
@@ -35,29 +35,33 @@
     return f"{int.from_bytes(digest, 'big') % MOST_ACCOUNT:016x}"
 
 
-def cut(entries: list[Entry], stretch: Stretch) -> list[tuple[int, Entry]]:
+def cut(entries: list[Entry], replay_options: ReplayOptions) -> list[tuple[int, Entry]]:
     """Entries of the wanted stretch with their places. A retry whose first try lies outside is a first try."""
     if not entries:
         return []
     origin = entries[0].t
-    return [(n, e) for n, e in enumerate(entries) if stretch.start <= e.t - origin < stretch.end]
+    return [
+        (n, e) for n, e in enumerate(entries) if replay_options.start <= e.t - origin < replay_options.end
+    ]
 
 
-def arrivals_from(entries: list[Entry], scenario: Scenario, stretch: Stretch, seed: int) -> list[Arrival]:
+def arrivals_from(
+    entries: list[Entry], scenario: Scenario, replay_options: ReplayOptions, seed: int
+) -> list[Arrival]:
     """Arrivals in order of time; entries are in order, with their retries marked."""
     _check_names(entries, scenario)
-    chosen = cut(entries, stretch)
+    chosen = cut(entries, replay_options)
     if not chosen:
         raise CaptureError("no captured request lies between --from and --to")
     inside, origin = {place for place, _ in chosen}, chosen[0][1].t
     rows = list[tuple[float, int, int, Entry, int]]()  # time, copy, place, entry, place of the first try
     for place, entry in chosen:
         first = entry.repeats if entry.repeats in inside else -1
-        if first >= 0 and stretch.clients:
+        if first >= 0 and replay_options.clients_retry:
             continue
-        for copy in range(stretch.accounts):
+        for copy in range(replay_options.account_copies):
             later = random_for(seed, "copy", entry.account, copy).uniform(0, SHIFT) if copy else 0.0
-            rows.append(((entry.t - origin + later) / stretch.speed, copy, place, entry, first))
+            rows.append(((entry.t - origin + later) / replay_options.speed, copy, place, entry, first))
     if len(rows) > MAX_ARRIVALS:
         raise CaptureError(f"{len(rows)} requests; expected at most {MAX_ARRIVALS}: choose --from and --to")
     rows.sort(key=lambda row: (row[0], row[1], row[2]))
--- a/cypresspulley/capture/command.py
+++ b/cypresspulley/capture/command.py
@@ -16,7 +16,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from cypresspulley.capture.arrivals import Stretch
+from cypresspulley.capture.arrivals import ReplayOptions
 from cypresspulley.capture.load import Loaded, load
 from cypresspulley.capture.mapping import load_mapping
 from cypresspulley.capture.model import CaptureError, shown
@@ -153,7 +153,7 @@
 
 def replay(
     what: CaptureInput,
-    stretch: Stretch,
+    replay_options: ReplayOptions,
     seed: int,
     scenario: str,
     targets: tuple[str, ...],
@@ -166,7 +166,7 @@
         _tell_unread(loaded)
         base = load_scenario(scenario)
         quiet = base.model_copy(update={"name": "replay", "load": Load(), "goal": Goal()})
-        made, plan = build_plan(entries, quiet, stretch, seed)
+        made, plan = build_plan(entries, quiet, replay_options, seed)
     except (CaptureError, ScenarioError) as error:
         return fail(error, BAD_INPUT)
     if not targets:
--- a/cypresspulley/capture/planning.py
+++ b/cypresspulley/capture/planning.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass
 
-from cypresspulley.capture.arrivals import Stretch, arrivals_from
+from cypresspulley.capture.arrivals import ReplayOptions, arrivals_from
 from cypresspulley.capture.load import Loaded, load
 from cypresspulley.capture.mapping import load_mapping
 from cypresspulley.capture.model import Entry
@@ -48,13 +48,13 @@
     wish = scenario.load
     assert wish.capture is not None
     entries, _, _ = read_captures(CaptureInput((wish.capture,), mapping=wish.mapping))
-    stretch = Stretch(wish.speed, wish.stretch_accounts, clients=wish.scripted_clients)
-    return build_plan(entries, scenario, stretch, seed)
+    replay_options = ReplayOptions(wish.speed, wish.stretch_accounts, clients_retry=wish.scripted_clients)
+    return build_plan(entries, scenario, replay_options, seed)
 
 
 def build_plan(
-    entries: list[Entry], scenario: Scenario, stretch: Stretch, seed: int
+    entries: list[Entry], scenario: Scenario, replay_options: ReplayOptions, seed: int
 ) -> tuple[Scenario, Plan]:
-    arrivals = arrivals_from(entries, scenario, stretch, seed)
-    made = captured_scenario(scenario, arrivals[-1].t, stretch.clients)
+    arrivals = arrivals_from(entries, scenario, replay_options, seed)
+    made = captured_scenario(scenario, arrivals[-1].t, replay_options.clients_retry)
     return made, draw(made, seed, tuple(arrivals))
--- a/cypresspulley/cli.py
+++ b/cypresspulley/cli.py
@@ -268,14 +268,14 @@
     Exit codes: as of rehearse; with --against 0 once all was sent.
     """
     from cypresspulley.capture import command
-    from cypresspulley.capture.arrivals import Stretch
+    from cypresspulley.capture.arrivals import ReplayOptions
     from cypresspulley.capture.planning import CaptureInput
     from cypresspulley.rehearsal.command import Outputs
 
     sys.exit(
         command.replay(
             CaptureInput(files, kind, notation, mapping, strict, patience),
-            Stretch(speed, stretch_accounts, start, end, clients), seed, scenario, against,
+            ReplayOptions(speed, stretch_accounts, start, end, clients), seed, scenario, against,
             Outputs(json_file, html, logs),
         )
     )  # fmt: skip
