--- a/cypresspulley/capture/arrivals.py
+++ b/cypresspulley/capture/arrivals.py
@@ -35,7 +35,7 @@
     return f"{int.from_bytes(digest, 'big') % MOST_ACCOUNT:016x}"
 
 
-def cut(entries: list[Entry], replay_options: ReplayOptions) -> list[tuple[int, Entry]]:
+def select_window(entries: list[Entry], replay_options: ReplayOptions) -> list[tuple[int, Entry]]:
     """Entries of the wanted stretch with their places. A retry whose first try lies outside is a first try."""
     if not entries:
         return []
@@ -45,12 +45,12 @@
     ]
 
 
-def arrivals_from(
+def build_arrivals(
     entries: list[Entry], scenario: Scenario, replay_options: ReplayOptions, seed: int
 ) -> list[Arrival]:
     """Arrivals in order of time; entries are in order, with their retries marked."""
     _check_names(entries, scenario)
-    chosen = cut(entries, replay_options)
+    chosen = select_window(entries, replay_options)
     if not chosen:
         raise CaptureError("no captured request lies between --from and --to")
     inside, origin = {place for place, _ in chosen}, chosen[0][1].t
--- a/cypresspulley/capture/planning.py
+++ b/cypresspulley/capture/planning.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass
 
-from cypresspulley.capture.arrivals import ReplayOptions, arrivals_from
+from cypresspulley.capture.arrivals import ReplayOptions, build_arrivals
 from cypresspulley.capture.load import Loaded, load
 from cypresspulley.capture.mapping import load_mapping
 from cypresspulley.capture.model import Entry
@@ -55,6 +55,6 @@
 def build_plan(
     entries: list[Entry], scenario: Scenario, replay_options: ReplayOptions, seed: int
 ) -> tuple[Scenario, Plan]:
-    arrivals = arrivals_from(entries, scenario, replay_options, seed)
+    arrivals = build_arrivals(entries, scenario, replay_options, seed)
     made = captured_scenario(scenario, arrivals[-1].t, replay_options.clients_retry)
     return made, draw(made, seed, tuple(arrivals))
--- a/tests/capture/test_replay.py
+++ b/tests/capture/test_replay.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from cypresspulley.capture.arrivals import ReplayOptions, account_number, arrivals_from
+from cypresspulley.capture.arrivals import ReplayOptions, account_number, build_arrivals
 from cypresspulley.capture.har_writer import write_har
 from cypresspulley.capture.load import load
 from cypresspulley.capture.mapping import Mapping
@@ -51,25 +51,25 @@
 
 def test_timing_is_kept_or_scaled_and_retries_belong_to_their_first() -> None:
     entries, scenario = captured(), base()
-    one = arrivals_from(entries, scenario, ReplayOptions(), 1)
+    one = build_arrivals(entries, scenario, ReplayOptions(), 1)
     assert [a.t for a in one] == [pytest.approx(e.t - entries[0].t, abs=1e-6) for e in entries]
     assert Counter((a.account, a.cls) for a in one) == Counter((e.account, e.cls) for e in entries)
     assert [a.repeats for a in one] == [e.repeats for e in entries]
     assert {a.attempt for a in one if a.repeats >= 0} >= {1}
-    double = arrivals_from(entries, scenario, ReplayOptions(speed=2.0), 1)
+    double = build_arrivals(entries, scenario, ReplayOptions(speed=2.0), 1)
     assert [a.t for a in double] == [pytest.approx(a.t / 2, abs=1e-5) for a in one]
-    alone = arrivals_from(entries, scenario, ReplayOptions(clients_retry=True), 1)
+    alone = build_arrivals(entries, scenario, ReplayOptions(clients_retry=True), 1)
     assert len(alone) == sum(e.repeats < 0 for e in entries) and all(a.repeats < 0 for a in alone)
-    part = arrivals_from(entries, scenario, ReplayOptions(start=1.0, end=2.0), 1)
+    part = build_arrivals(entries, scenario, ReplayOptions(start=1.0, end=2.0), 1)
     assert len(part) == sum(1 <= e.t - entries[0].t < 2 for e in entries) and part[0].t == 0
 
 
 def test_stretched_accounts_ask_alike_under_new_names() -> None:
     entries, scenario = captured(), base()
-    three = arrivals_from(entries, scenario, ReplayOptions(account_copies=3), 1)
+    three = build_arrivals(entries, scenario, ReplayOptions(account_copies=3), 1)
     per_account = Counter(a.account for a in three)
     assert len(three) == 3 * len(entries) and len(per_account) == 3 * len({e.account for e in entries})
-    assert three == arrivals_from(entries, scenario, ReplayOptions(account_copies=3), 1)
+    assert three == build_arrivals(entries, scenario, ReplayOptions(account_copies=3), 1)
     by_number = {a.number: a for a in three}
     assert all(by_number[a.repeats].account == a.account for a in three if a.repeats >= 0)
 
@@ -80,9 +80,9 @@
     with pytest.raises(
         CaptureError, match="plan 'gold', which the scenario does not: expected one of standard"
     ):
-        arrivals_from(entries, base(), ReplayOptions(), 1)
+        build_arrivals(entries, base(), ReplayOptions(), 1)
     with pytest.raises(CaptureError, match="no captured request lies between"):
-        arrivals_from(captured(), base(), ReplayOptions(start=99), 1)
+        build_arrivals(captured(), base(), ReplayOptions(start=99), 1)
 
 
 def test_account_numbers_have_the_protocols_form() -> None:
