--- a/cypresspulley/capture/access.py
+++ b/cypresspulley/capture/access.py
@@ -13,7 +13,14 @@
 from dataclasses import dataclass
 from typing import Any
 
-from cypresspulley.capture.model import UNKNOWN, Broken, CaptureError, Counted, Raw, good_time
+from cypresspulley.capture.model import (
+    UNKNOWN,
+    CaptureError,
+    CounterCall,
+    RawRequest,
+    UnreadableRecord,
+    good_time,
+)
 from cypresspulley.capture.source import lines
 from cypresspulley.capture.times import any_time, clf_time
 
@@ -136,13 +143,13 @@
 
 def read_log(
     stream: io.BufferedReader, name: str, formats: tuple[Format, ...] = ()
-) -> Iterator[Raw | Counted | Broken]:
+) -> Iterator[RawRequest | CounterCall | UnreadableRecord]:
     """The requests of an access log. Each line may be of another form: the one that fitted last is tried first."""
     order = list(formats or FORMATS.values())
     for number, line in lines(stream):
         place = f"{name}:{number}"
         if line is None:
-            yield Broken(place, "a line of over 1 MB")
+            yield UnreadableRecord(place, "a line of over 1 MB")
             continue
         text = line.decode("utf-8", "replace")
         if not text.strip():
@@ -155,28 +162,28 @@
                 break
         else:
             expected = ", ".join(form.name for form in order) if len(order) < 6 else "a known format"
-            yield Broken(place, f"fits none of {expected:.120}")
+            yield UnreadableRecord(place, f"fits none of {expected:.120}")
 
 
-def _record(fields: dict[str, str], place: str) -> Raw | Counted | Broken:
+def _record(fields: dict[str, str], place: str) -> RawRequest | CounterCall | UnreadableRecord:
     try:
         if fields.get("kind") == "count":
             return _counted(fields)
         if fields.get("kind") == "dropped":
-            return Broken(
+            return UnreadableRecord(
                 place, f"the limiter dropped {fields.get('lines', '?'):.12} lines here: its disk was slow"
             )
         return _raw(fields, place)
     except (ValueError, OverflowError) as error:
-        return Broken(place, str(error)[:120])
+        return UnreadableRecord(place, str(error)[:120])
 
 
-def _counted(fields: dict[str, str]) -> Counted:
+def _counted(fields: dict[str, str]) -> CounterCall:
     t, answered = any_time(fields.get("time", "")), any_time(fields.get("answered", ""))
     amount, total = float(fields.get("amount", "x")), float(fields.get("total", "x"))
     if not (math.isfinite(amount) and math.isfinite(total)):
         raise ValueError("a count that is no number")
-    return Counted(t, answered, fields.get("name", ""), amount, total)
+    return CounterCall(t, answered, fields.get("name", ""), amount, total)
 
 
 def _first(fields: dict[str, str], names: tuple[str, ...]) -> tuple[str, str]:
@@ -190,7 +197,7 @@
     return number
 
 
-def _raw(fields: dict[str, str], place: str) -> Raw:
+def _raw(fields: dict[str, str], place: str) -> RawRequest:
     if "accept_date" in fields:
         key, t = "accept_date", clf_time(fields["accept_date"])
     else:
@@ -212,7 +219,7 @@
         raise ValueError(f"a status of {status}")
     for name in [key for key in fields if key.startswith("http_")]:
         fields[name[5:].replace("_", "-")] = fields[name]  # a header under its own name
-    return Raw(t, method, target, max(0, status), size, latency, place, fields)
+    return RawRequest(t, method, target, max(0, status), size, latency, place, fields)
 
 
 def _request(fields: dict[str, str]) -> tuple[str, str]:
--- a/cypresspulley/capture/har.py
+++ b/cypresspulley/capture/har.py
@@ -13,7 +13,7 @@
 
 import ijson
 
-from cypresspulley.capture.model import UNKNOWN, Broken, CaptureError, Raw
+from cypresspulley.capture.model import UNKNOWN, CaptureError, RawRequest, UnreadableRecord
 from cypresspulley.capture.times import iso_time
 
 MAX_DEPTH, MAX_HEADERS, MAX_VALUE = 64, 200, 8192
@@ -38,24 +38,24 @@
         if self.name and len(self.fields) < MAX_HEADERS:
             self.fields[self.name.lower()] = value[:MAX_VALUE]
 
-    def raw(self, place: str) -> Raw | Broken:
+    def raw(self, place: str) -> RawRequest | UnreadableRecord:
         v = self.values
         try:
             started = iso_time(str(v["started"]))
             method, url = str(v["method"]), str(v["url"])
         except KeyError as error:
-            return Broken(place, f"an entry without {error}")
+            return UnreadableRecord(place, f"an entry without {error}")
         except ValueError as error:
-            return Broken(place, str(error))
+            return UnreadableRecord(place, str(error))
         if not method or not url:
-            return Broken(place, "an entry without a method or url")
+            return UnreadableRecord(place, "an entry without a method or url")
         millis = _number(v.get("time"))
         status = int(_number(v.get("status"), 0.0))
         if not 0 <= status <= 999:
-            return Broken(place, f"a status of {status}")
+            return UnreadableRecord(place, f"a status of {status}")
         latency = millis / 1000 if millis >= 0 else UNKNOWN
         fields = {name.lstrip(":") if name.startswith(":") else name: x for name, x in self.fields.items()}
-        return Raw(
+        return RawRequest(
             started, method, url[:MAX_VALUE], status, int(_number(v.get("size"))), latency, place, fields
         )
 
@@ -68,7 +68,7 @@
     return number if math.isfinite(number) and abs(number) < 1e12 else missing
 
 
-def read_har(stream: io.BufferedReader, name: str) -> Iterator[Raw | Broken]:
+def read_har(stream: io.BufferedReader, name: str) -> Iterator[RawRequest | UnreadableRecord]:
     """The requests of a HAR file. What is broken within an entry is told; a file that is no JSON ends it."""
     entry, number, depth = _Entry(), 0, 0
     try:
@@ -93,4 +93,4 @@
         if isinstance(error, CaptureError):
             raise
         why = " ".join(str(error).split())[:120]
-        yield Broken(f"{name}: behind entry {number}", f"not JSON from here on: {why}")
+        yield UnreadableRecord(f"{name}: behind entry {number}", f"not JSON from here on: {why}")
--- a/cypresspulley/capture/load.py
+++ b/cypresspulley/capture/load.py
@@ -11,7 +11,7 @@
 from cypresspulley.capture.access import FORMATS, nginx_format, read_log
 from cypresspulley.capture.har import read_har
 from cypresspulley.capture.mapping import Mapper, Mapping
-from cypresspulley.capture.model import Broken, CaptureError, Counted, Entry, Raw
+from cypresspulley.capture.model import CaptureError, CounterCall, Entry, RawRequest, UnreadableRecord
 from cypresspulley.capture.source import open_capture
 
 KINDS = ("auto", "har", *FORMATS)
@@ -26,7 +26,7 @@
     name: str
     kind: str
     entries: list[Entry] = field(default_factory=list)
-    counts: list[Counted] = field(default_factory=list)
+    counts: list[CounterCall] = field(default_factory=list)
 
 
 @dataclass(slots=True)
@@ -35,7 +35,7 @@
 
     sources: list[Source]
     broken: Counter[str]
-    places: list[Broken]
+    places: list[UnreadableRecord]
     unmapped: Counter[str]
     ignored: int
 
@@ -44,7 +44,9 @@
         return [entry for source in self.sources for entry in source.entries]
 
 
-def records(name: str, kind: str = "auto", notation: str = "") -> Iterator[Raw | Counted | Broken]:
+def records(
+    name: str, kind: str = "auto", notation: str = ""
+) -> Iterator[RawRequest | CounterCall | UnreadableRecord]:
     """What a reader finds in a file; ``kind`` is detected unless named, ``notation`` is nginx's log_format."""
     with open_capture(name) as stream:
         yield from _reader(stream, name, _kind(stream, kind, notation), notation)
@@ -59,7 +61,7 @@
 
 def _reader(
     stream: io.BufferedReader[Any], name: str, kind: str, notation: str
-) -> Iterator[Raw | Counted | Broken]:
+) -> Iterator[RawRequest | CounterCall | UnreadableRecord]:
     if notation:
         return read_log(stream, name, (nginx_format(notation),))
     if kind == "har":
@@ -77,17 +79,22 @@
     names: tuple[str, ...], mapping: Mapping, kind: str = "auto", notation: str = "", strict: bool = False
 ) -> Loaded:
     """All files as entries. ``strict`` makes the first broken place a ``CaptureError``."""
-    mapper, broken, places, sources = Mapper(mapping), Counter[str](), list[Broken](), list[Source]()
+    mapper, broken, places, sources = (
+        Mapper(mapping),
+        Counter[str](),
+        list[UnreadableRecord](),
+        list[Source](),
+    )
     for name in names:
         with open_capture(name) as stream:
             source = Source(name, _kind(stream, kind, notation))
             sources.append(source)
             for record in _reader(stream, name, source.kind, notation):
-                if isinstance(record, Raw):
+                if isinstance(record, RawRequest):
                     entry = mapper.entry(record, name)
                     if entry is not None:
                         source.entries.append(entry)
-                elif isinstance(record, Counted):
+                elif isinstance(record, CounterCall):
                     source.counts.append(replace(record, after=len(source.entries)))
                 elif strict:
                     raise CaptureError(f"{record.place}: {record.why}")
--- a/cypresspulley/capture/mapping.py
+++ b/cypresspulley/capture/mapping.py
@@ -10,7 +10,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, field_validator
 
-from cypresspulley.capture.model import CaptureError, Entry, Raw, bare_path, shown
+from cypresspulley.capture.model import CaptureError, Entry, RawRequest, bare_path, shown
 
 SOURCE = re.compile(r"(query|header|field|path):([A-Za-z0-9_.\-]{1,60})")
 MAX_REASONS = 200
@@ -96,7 +96,7 @@
         m = self._mapping
         return m.account, m.cls, m.plan, m.id, m.retry
 
-    def entry(self, raw: Raw, source: str) -> Entry | None:
+    def entry(self, raw: RawRequest, source: str) -> Entry | None:
         """The entry of a request, or None: counted as ignored or unmapped."""
         path = bare_path(raw.target)
         if any(pattern.search(path) for pattern in self._ignore):
@@ -126,7 +126,7 @@
             reason = "other reasons"
         self.unmapped[reason] += 1
 
-    def _value(self, rule: Rule, raw: Raw, query: dict[str, list[str]], parts: list[str]) -> str:
+    def _value(self, rule: Rule, raw: RawRequest, query: dict[str, list[str]], parts: list[str]) -> str:
         for source in rule.sources:
             kind, _, name = source.partition(":")
             if kind == "query":
--- a/cypresspulley/capture/model.py
+++ b/cypresspulley/capture/model.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Raw:
+class RawRequest:
     """One request as a reader found it. ``fields`` holds headers and log fields by lower-case name."""
 
     t: float  # when it began
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class UnreadableRecord:
     """What could not be read, and why."""
 
     place: str
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Counted:
+class CounterCall:
     """A call to the count keeper that a limiter's own log tells: its total orders it among all limiters'."""
 
     t: float  # when it was made
--- a/cypresspulley/capture/skew.py
+++ b/cypresspulley/capture/skew.py
@@ -19,7 +19,7 @@
 from scipy.optimize import linprog
 
 from cypresspulley.capture.load import Source
-from cypresspulley.capture.model import CaptureError, Counted, Entry
+from cypresspulley.capture.model import CaptureError, CounterCall, Entry
 
 MAX_OFFSET, MAX_DRIFT = 3600.0, 1e-3  # seconds; a clock worse than this is another matter
 JUMP = 1.0  # seconds by which a log's own time may run back before its clock is taken to have jumped
@@ -77,7 +77,7 @@
     return parts
 
 
-def _part_of(count: Counted, parts: list[Source], starts: list[int]) -> int:
+def _part_of(count: CounterCall, parts: list[Source], starts: list[int]) -> int:
     """The stretch that a call stands in; between two of them, the one whose clock is nearer."""
     at = bisect_right(starts, count.after) - 1
     if at > 0 and starts[at] == count.after:
@@ -137,9 +137,11 @@
     return found
 
 
-def _unique(counts: list[Counted], level: Callable[[Counted], float]) -> dict[tuple[str, int], Counted]:
+def _unique(
+    counts: list[CounterCall], level: Callable[[CounterCall], float]
+) -> dict[tuple[str, int], CounterCall]:
     """Calls by name and level of the count, without those whose level comes twice: they prove nothing."""
-    seen, times = dict[tuple[str, int], Counted](), Counter[tuple[str, int]]()
+    seen, times = dict[tuple[str, int], CounterCall](), Counter[tuple[str, int]]()
     for count in counts:
         if count.amount > 0:
             key = (count.name, round(level(count) * 1000))
--- a/tests/capture/test_readers.py
+++ b/tests/capture/test_readers.py
@@ -14,7 +14,7 @@
 from cypresspulley.capture.access import FORMATS, nginx_format
 from cypresspulley.capture.load import load, records
 from cypresspulley.capture.mapping import Mapping, load_mapping
-from cypresspulley.capture.model import Broken, CaptureError, Raw, bare_path, shown
+from cypresspulley.capture.model import CaptureError, RawRequest, UnreadableRecord, bare_path, shown
 from cypresspulley.capture.times import any_time, clf_time, iso_time
 
 T = 1_791_628_536.0  # 2026-10-10 10:35:36 UTC
@@ -40,12 +40,12 @@
     return str(path)
 
 
-def raws(name: str, kind: str = "auto", notation: str = "") -> list[Raw]:
-    return [r for r in records(name, kind, notation) if isinstance(r, Raw)]
+def raws(name: str, kind: str = "auto", notation: str = "") -> list[RawRequest]:
+    return [r for r in records(name, kind, notation) if isinstance(r, RawRequest)]
 
 
-def broken(name: str) -> list[Broken]:
-    return [r for r in records(name) if isinstance(r, Broken)]
+def broken(name: str) -> list[UnreadableRecord]:
+    return [r for r in records(name) if isinstance(r, UnreadableRecord)]
 
 
 @pytest.mark.parametrize("kind", LINES)
@@ -218,7 +218,7 @@
     name = write(tmp_path_factory.getbasetemp(), text[:at] + data + text[at + len(data) :], "bent.har")
     try:
         for record in records(name, "har"):
-            assert isinstance(record, Raw | Broken)
+            assert isinstance(record, RawRequest | UnreadableRecord)
     except CaptureError:
         pass
 
--- a/tests/capture/test_skew.py
+++ b/tests/capture/test_skew.py
@@ -8,7 +8,7 @@
 import pytest
 
 from cypresspulley.capture.load import Source
-from cypresspulley.capture.model import CaptureError, Counted, Entry
+from cypresspulley.capture.model import CaptureError, CounterCall, Entry
 from cypresspulley.capture.retries import mark_retries
 from cypresspulley.capture.skew import Before, Clock, estimate, merge, once, split_jumps
 from tests.capture.truth import START, Skew, seen, traffic
@@ -59,7 +59,7 @@
         for k in range(30 - n):  # the last stretches are in one log only
             for level in range(1, 4):
                 moment = clocks[n].shows(START + 2 * k + 0.4 * level + 0.1 * n)
-                source.counts.append(Counted(moment, moment + 0.001, "short", 1.0, float(level)))
+                source.counts.append(CounterCall(moment, moment + 0.001, "short", 1.0, float(level)))
     for error, printed in worst(sources, estimate(sources), clocks):
         assert error <= printed + 1e-6 < 0.05
 
@@ -69,7 +69,7 @@
         return Entry(START + t, "a", "c", "p", "GET", "/c", str(t), 200, 1, 0.01, "log", "")
 
     source = Source("log", "json", [line(50), line(60), line(2), line(9)])
-    before, behind = (Counted(START + t, START + t, "x", 1.0, t, after=2) for t in (60.5, 1.5))
+    before, behind = (CounterCall(START + t, START + t, "x", 1.0, t, after=2) for t in (60.5, 1.5))
     source.counts = [before, behind]
     one, two = split_jumps(source)
     assert one.counts == [before] and two.counts == [behind]
--- a/tests/capture/truth.py
+++ b/tests/capture/truth.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from cypresspulley.capture.load import Source
-from cypresspulley.capture.model import Counted, Entry
+from cypresspulley.capture.model import CounterCall, Entry
 
 START = 1_800_000_000.0
 
@@ -32,7 +32,7 @@
 
     tries: list[Entry]
     repeats: list[int]
-    counts: list[tuple[int, Counted]]  # with the limiter that made the call
+    counts: list[tuple[int, CounterCall]]  # with the limiter that made the call
 
 
 def traffic(rng: Random, seconds: float = 120.0, rate: float = 20.0, accounts: int = 12) -> Truth:
@@ -64,7 +64,7 @@
     return Truth(tries, repeats, _counts(rng, tries))
 
 
-def _counts(rng: Random, tries: list[Entry]) -> list[tuple[int, Counted]]:
+def _counts(rng: Random, tries: list[Entry]) -> list[tuple[int, CounterCall]]:
     """The keeper's totals of each account, added at some moment between call and answer."""
     calls, totals = list[tuple[float, float, float, int, str]](), dict[str, float]()
     for entry in tries:
@@ -72,10 +72,10 @@
         calls.append(
             (added, entry.t, added + rng.uniform(0.0005, 0.002), int(entry.source[-1]), entry.account)
         )
-    found = list[tuple[int, Counted]]()
+    found = list[tuple[int, CounterCall]]()
     for _, made, answered, limiter, account in sorted(calls):
         totals[account] = totals.get(account, 0.0) + 1
-        found.append((limiter, Counted(made, answered, account, 1.0, totals[account])))
+        found.append((limiter, CounterCall(made, answered, account, 1.0, totals[account])))
     return found
 
 
@@ -89,5 +89,5 @@
     for n, c in truth.counts:
         made, answered = clocks[n].shows(c.t), clocks[n].shows(c.answered)
         after = bisect_right(written[n], c.answered)
-        sources[n].counts.append(Counted(made, answered, c.name, c.amount, c.total, after))
+        sources[n].counts.append(CounterCall(made, answered, c.name, c.amount, c.total, after))
     return sources
