--- a/cypresspulley/capture/access.py
+++ b/cypresspulley/capture/access.py
@@ -19,7 +19,7 @@
     CounterCall,
     RawRequest,
     UnreadableRecord,
-    good_time,
+    is_plausible_time,
 )
 from cypresspulley.capture.source import lines
 from cypresspulley.capture.times import any_time, clf_time
@@ -210,7 +210,7 @@
         latency = max(UNKNOWN, _number(text.lstrip("+"), "a latency") / 1000)
     if key in ENDS and latency > 0:
         t -= latency
-    if not good_time(t):
+    if not is_plausible_time(t):
         raise ValueError("a time out of range")
     method, target = _request(fields)
     status = int(_number(_first(fields, STATUS)[1] or "0", "a status"))
--- a/cypresspulley/capture/command.py
+++ b/cypresspulley/capture/command.py
@@ -19,7 +19,7 @@
 from cypresspulley.capture.arrivals import ReplayOptions
 from cypresspulley.capture.load import Loaded, load
 from cypresspulley.capture.mapping import load_mapping
-from cypresspulley.capture.model import CaptureError, shown
+from cypresspulley.capture.model import CaptureError, printable
 from cypresspulley.capture.planning import CaptureInput, build_plan, read_captures
 from cypresspulley.capture.replay import Report, against, percentile
 from cypresspulley.capture.scrub import KEY_BYTES, write
@@ -79,9 +79,9 @@
 
 def _tell_unread(loaded: Loaded) -> None:
     for place in loaded.places:
-        print(f"fawnseam: not read: {shown(place.place)}: {shown(place.why)}", file=sys.stderr)
+        print(f"fawnseam: not read: {printable(place.place)}: {printable(place.why)}", file=sys.stderr)
     for name, count in loaded.broken.items():
-        print(f"fawnseam: {shown(name)}: {count} lines or entries were not read", file=sys.stderr)
+        print(f"fawnseam: {printable(name)}: {count} lines or entries were not read", file=sys.stderr)
     for reason, count in loaded.unmapped.most_common(10):
         print(f"fawnseam: not mapped, {count} times: {reason}", file=sys.stderr)
 
@@ -100,7 +100,9 @@
     for clock in summary.clocks[1:]:
         error = f"+-{clock.error * 1000:.1f} ms" if math.isfinite(clock.error) else "unknown: nothing shared"
         drift = f"{clock.drift * 1e6:.0f} ppm" if math.isfinite(clock.error) else "-"
-        console.print(f"clock of {shown(clock.source)}: add {clock.offset:.3f} s ({error}), drift {drift}")
+        console.print(
+            f"clock of {printable(clock.source)}: add {clock.offset:.3f} s ({error}), drift {drift}"
+        )
     for name, count in summary.broken.items():
         console.print(f"not read: {count} in {name}")
     for place, why in summary.places[:10]:
--- a/cypresspulley/capture/mapping.py
+++ b/cypresspulley/capture/mapping.py
@@ -10,7 +10,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, field_validator
 
-from cypresspulley.capture.model import CaptureError, Entry, RawRequest, bare_path, shown
+from cypresspulley.capture.model import CaptureError, Entry, RawRequest, bare_path, printable
 
 SOURCE = re.compile(r"(query|header|field|path):([A-Za-z0-9_.\-]{1,60})")
 MAX_REASONS = 200
@@ -121,7 +121,7 @@
         )  # fmt: skip
 
     def _miss(self, reason: str) -> None:
-        reason = shown(reason)
+        reason = printable(reason)
         if reason not in self.unmapped and len(self.unmapped) >= MAX_REASONS:
             reason = "other reasons"
         self.unmapped[reason] += 1
--- a/cypresspulley/capture/model.py
+++ b/cypresspulley/capture/model.py
@@ -79,11 +79,11 @@
         return self.t + max(0.0, self.latency)
 
 
-def good_time(t: float) -> bool:
+def is_plausible_time(t: float) -> bool:
     return EARLIEST < t < LATEST
 
 
-def shown(text: str) -> str:
+def printable(text: str) -> str:
     """A text from outside made safe for a terminal or a page: no control characters, of bounded length."""
     plain = "".join(c if c.isprintable() else f"\\x{ord(c):02x}" for c in text[: MAX_SHOWN + 1])
     return plain if len(plain) <= MAX_SHOWN else plain[:MAX_SHOWN] + "..."
@@ -94,4 +94,4 @@
     path = target.partition("?")[0].partition("#")[0]
     if "://" in path[:10]:
         path = "/" + path.split("://", 1)[1].partition("/")[2]
-    return TOKEN.sub("{}", shown(path))
+    return TOKEN.sub("{}", printable(path))
--- a/cypresspulley/capture/summary.py
+++ b/cypresspulley/capture/summary.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from cypresspulley.capture.load import Loaded
-from cypresspulley.capture.model import Entry, shown
+from cypresspulley.capture.model import Entry, printable
 from cypresspulley.capture.skew import Clock
 
 TOP = 20  # accounts that are listed
@@ -44,7 +44,7 @@
             "by_class": self.by_class, "by_plan": self.by_plan, "by_status": self.by_status,
             "accounts": self.accounts, "top_accounts": dict(self.top), "rate": self.rate,
             "clocks": [
-                {"source": shown(c.source), "offset_s": round(c.offset, 6), "drift_ppm": round(c.drift * 1e6, 2),
+                {"source": printable(c.source), "offset_s": round(c.offset, 6), "drift_ppm": round(c.drift * 1e6, 2),
                  "error_s": round(c.error, 6) if math.isfinite(c.error) else None} for c in self.clocks
             ],
             "unread": self.broken, "unread_places": [list(p) for p in self.places],
@@ -63,11 +63,11 @@
     return Summary(
         requests=len(entries) - retries, tries=len(entries), retries=retries, first=first,
         last=entries[-1].t if entries else 0.0,
-        by_class=dict(sorted(Counter(shown(e.cls) for e in entries).items())),
-        by_plan=dict(sorted(Counter(shown(e.plan) for e in entries).items())),
+        by_class=dict(sorted(Counter(printable(e.cls) for e in entries).items())),
+        by_plan=dict(sorted(Counter(printable(e.plan) for e in entries).items())),
         by_status={str(k): n for k, n in sorted(Counter(e.status for e in entries).items())},
-        accounts=len(accounts), top=[(shown(a), n) for a, n in accounts.most_common(TOP)],
-        rate=sorted(rate.items()), clocks=clocks, broken={shown(k): n for k, n in loaded.broken.items()},
-        places=[(shown(p.place), shown(p.why)) for p in loaded.places],
+        accounts=len(accounts), top=[(printable(a), n) for a, n in accounts.most_common(TOP)],
+        rate=sorted(rate.items()), clocks=clocks, broken={printable(k): n for k, n in loaded.broken.items()},
+        places=[(printable(p.place), printable(p.why)) for p in loaded.places],
         unmapped=dict(loaded.unmapped.most_common(TOP)), ignored=loaded.ignored,
     )  # fmt: skip
--- a/cypresspulley/capture/times.py
+++ b/cypresspulley/capture/times.py
@@ -6,7 +6,7 @@
 from datetime import UTC, datetime
 from functools import lru_cache
 
-from cypresspulley.capture.model import good_time
+from cypresspulley.capture.model import is_plausible_time
 
 NAMES = ("Jan", "Feb", "Mar", "Apr", "May", "Jun", "Jul", "Aug", "Sep", "Oct", "Nov", "Dec")
 MONTHS = {name: number for number, name in enumerate(NAMES, 1)}
@@ -24,7 +24,7 @@
 
 
 def _checked(t: float, text: str) -> float:
-    if not good_time(t):
+    if not is_plausible_time(t):
         raise ValueError(f"a time out of range: {text:.40}")
     return t
 
--- a/tests/capture/test_readers.py
+++ b/tests/capture/test_readers.py
@@ -14,7 +14,7 @@
 from cypresspulley.capture.access import FORMATS, nginx_format
 from cypresspulley.capture.load import load, records
 from cypresspulley.capture.mapping import Mapping, load_mapping
-from cypresspulley.capture.model import CaptureError, RawRequest, UnreadableRecord, bare_path, shown
+from cypresspulley.capture.model import CaptureError, RawRequest, UnreadableRecord, bare_path, printable
 from cypresspulley.capture.times import any_time, clf_time, iso_time
 
 T = 1_791_628_536.0  # 2026-10-10 10:35:36 UTC
@@ -189,7 +189,7 @@
 def test_nothing_that_is_secret_or_a_control_character_comes_out(tmp_path: Path) -> None:
     assert bare_path("/a/b?token=hush#x") == "/a/b"
     assert bare_path("https://h.example/a/eyJhbGciOiJIUzI1NiJ9.abc_def?x") == "/a/{}"
-    assert shown("\x1b[31mred\x07") == "\\x1b[31mred\\x07" and len(shown("x" * 500)) < 130
+    assert printable("\x1b[31mred\x07") == "\\x1b[31mred\\x07" and len(printable("x" * 500)) < 130
     line = LINES["json"].replace("/bag-lookup", "/bag-lookup\\u001b[2J")
     (entry,) = load((write(tmp_path, line.encode()),), MAP).entries
     assert entry.path == "/bag-lookup\\x1b[2J"
