--- a/cypresspulley/capture/access.py
+++ b/cypresspulley/capture/access.py
@@ -22,7 +22,7 @@
     is_plausible_time,
 )
 from cypresspulley.capture.source import lines
-from cypresspulley.capture.times import any_time, clf_time
+from cypresspulley.capture.times import parse_clf_time, parse_time
 
 COMMON = '$remote_addr - $remote_user [$time_local] "$request" $status $body_bytes_sent'
 COMBINED = COMMON + ' "$http_referer" "$http_user_agent"'
@@ -179,7 +179,7 @@
 
 
 def _counted(fields: dict[str, str]) -> CounterCall:
-    t, answered = any_time(fields.get("time", "")), any_time(fields.get("answered", ""))
+    t, answered = parse_time(fields.get("time", "")), parse_time(fields.get("answered", ""))
     amount, total = float(fields.get("amount", "x")), float(fields.get("total", "x"))
     if not (math.isfinite(amount) and math.isfinite(total)):
         raise ValueError("a count that is no number")
@@ -199,10 +199,10 @@
 
 def _raw(fields: dict[str, str], place: str) -> RawRequest:
     if "accept_date" in fields:
-        key, t = "accept_date", clf_time(fields["accept_date"])
+        key, t = "accept_date", parse_clf_time(fields["accept_date"])
     else:
         key, value = _first(fields, TIMES)
-        t = any_time(value)
+        t = parse_time(value)
     latency = UNKNOWN
     if (text := _first(fields, SECONDS)[1]) != "":
         latency = max(UNKNOWN, _number(text.split(",")[0], "a latency"))
--- a/cypresspulley/capture/har.py
+++ b/cypresspulley/capture/har.py
@@ -14,7 +14,7 @@
 import ijson
 
 from cypresspulley.capture.model import UNKNOWN, CaptureError, RawRequest, UnreadableRecord
-from cypresspulley.capture.times import iso_time
+from cypresspulley.capture.times import parse_iso_time
 
 MAX_DEPTH, MAX_HEADERS, MAX_VALUE = 64, 200, 8192
 ENTRY = "log.entries.item"
@@ -41,7 +41,7 @@
     def raw(self, place: str) -> RawRequest | UnreadableRecord:
         v = self.values
         try:
-            started = iso_time(str(v["started"]))
+            started = parse_iso_time(str(v["started"]))
             method, url = str(v["method"]), str(v["url"])
         except KeyError as error:
             return UnreadableRecord(place, f"an entry without {error}")
--- a/cypresspulley/capture/times.py
+++ b/cypresspulley/capture/times.py
@@ -29,7 +29,7 @@
     return t
 
 
-def clf_time(text: str) -> float:
+def parse_clf_time(text: str) -> float:
     """``10/Oct/2026:13:55:36 +0530``, with milliseconds and without a zone (then UTC) as well."""
     form = CLF.fullmatch(text)
     if form is None or form[2] not in MONTHS:
@@ -41,7 +41,7 @@
     return _checked(t + float(form[7] or 0), text)
 
 
-def iso_time(text: str) -> float:
+def parse_iso_time(text: str) -> float:
     """ISO 8601 with any number of digits of a second; without a zone it is UTC."""
     form = ISO.fullmatch(text)
     if form is None:
@@ -50,7 +50,7 @@
     return _checked(whole.timestamp() + float(form[2] or 0), text)
 
 
-def any_time(value: object) -> float:
+def parse_time(value: object) -> float:
     """A time in any of these forms, or seconds or milliseconds as a number."""
     if isinstance(value, bool) or not isinstance(value, int | float | str):
         raise ValueError(f"no time: {value!r:.40}")
@@ -59,4 +59,4 @@
         return _checked(float(text), text)
     if MILLIS.fullmatch(text):
         return _checked(float(text) / 1000, text)
-    return clf_time(text) if "/" in text else iso_time(text)
+    return parse_clf_time(text) if "/" in text else parse_iso_time(text)
--- a/tests/capture/test_readers.py
+++ b/tests/capture/test_readers.py
@@ -15,7 +15,7 @@
 from cypresspulley.capture.load import load, records
 from cypresspulley.capture.mapping import Mapping, load_mapping
 from cypresspulley.capture.model import CaptureError, RawRequest, UnreadableRecord, bare_path, printable
-from cypresspulley.capture.times import any_time, clf_time, iso_time
+from cypresspulley.capture.times import parse_clf_time, parse_iso_time, parse_time
 
 T = 1_791_628_536.0  # 2026-10-10 10:35:36 UTC
 MAP = Mapping.model_validate({"plan": {"from": ["header:x-plan", "field:plan"], "default": "standard"}})
@@ -228,13 +228,13 @@
 )
 def test_what_is_no_time_is_an_error(text: str) -> None:
     with pytest.raises(ValueError):
-        any_time(text)
+        parse_time(text)
 
 
 def test_times_with_zones_and_digits() -> None:
-    assert clf_time("10/Oct/2026:16:05:36 +0530") == clf_time("10/Oct/2026:10:35:36") == T
-    assert iso_time("2026-10-10T10:35:36.25") == any_time(str(T + 0.25)) == T + 0.25
-    assert iso_time("2026-10-10T06:35:36-04:00") == any_time(T * 1000) == T
+    assert parse_clf_time("10/Oct/2026:16:05:36 +0530") == parse_clf_time("10/Oct/2026:10:35:36") == T
+    assert parse_iso_time("2026-10-10T10:35:36.25") == parse_time(str(T + 0.25)) == T + 0.25
+    assert parse_iso_time("2026-10-10T06:35:36-04:00") == parse_time(T * 1000) == T
 
 
 def test_a_mapping_file_is_checked(tmp_path: Path) -> None:
