--- a/cypresspulley/capture/access.py
+++ b/cypresspulley/capture/access.py
@@ -54,14 +54,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Format:
+class LogFormat:
     """One form of line: a name and what takes a line apart (None: not of this form)."""
 
     name: str
     fields: Callable[[str], dict[str, str] | None]
 
 
-def nginx_format(notation: str, name: str = "") -> Format:
+def nginx_format(notation: str, name: str = "") -> LogFormat:
     """A format from nginx's notation, ``$variables`` between literal text."""
     parts, at, names = list[str](), 0, set[str]()
     found = list(VARIABLE.finditer(notation))
@@ -96,7 +96,7 @@
         form = pattern.fullmatch(line)
         return {key: _unescaped(value) for key, value in form.groupdict().items()} if form else None
 
-    return Format(name or notation, fields)
+    return LogFormat(name or notation, fields)
 
 
 def _unescaped(text: str | None) -> str:
@@ -133,16 +133,16 @@
 
 
 FORMATS = {
-    "json": Format("json", _json),
+    "json": LogFormat("json", _json),
     "combined": nginx_format(COMBINED, "combined"),
     "common": nginx_format(COMMON, "common"),
     "envoy": nginx_format(ENVOY, "envoy"),
-    "haproxy": Format("haproxy", _haproxy),
+    "haproxy": LogFormat("haproxy", _haproxy),
 }
 
 
 def read_log(
-    stream: io.BufferedReader, name: str, formats: tuple[Format, ...] = ()
+    stream: io.BufferedReader, name: str, formats: tuple[LogFormat, ...] = ()
 ) -> Iterator[RawRequest | CounterCall | UnreadableRecord]:
     """The requests of an access log. Each line may be of another form: the one that fitted last is tried first."""
     order = list(formats or FORMATS.values())
