--- a/cypresspulley/capture/access.py
+++ b/cypresspulley/capture/access.py
@@ -21,7 +21,7 @@
     UnreadableRecord,
     is_plausible_time,
 )
-from cypresspulley.capture.source import lines
+from cypresspulley.capture.source import read_lines
 from cypresspulley.capture.times import parse_clf_time, parse_time
 
 COMMON = '$remote_addr - $remote_user [$time_local] "$request" $status $body_bytes_sent'
@@ -146,7 +146,7 @@
 ) -> Iterator[RawRequest | CounterCall | UnreadableRecord]:
     """The requests of an access log. Each line may be of another form: the one that fitted last is tried first."""
     order = list(formats or FORMATS.values())
-    for number, line in lines(stream):
+    for number, line in read_lines(stream):
         place = f"{name}:{number}"
         if line is None:
             yield UnreadableRecord(place, "a line of over 1 MB")
--- a/cypresspulley/capture/source.py
+++ b/cypresspulley/capture/source.py
@@ -81,7 +81,7 @@
     return stream
 
 
-def lines(stream: io.BufferedReader) -> Iterator[tuple[int, bytes | None]]:
+def read_lines(stream: io.BufferedReader) -> Iterator[tuple[int, bytes | None]]:
     """Numbered lines without their ends; None in place of one that is too long, which is not kept."""
     number = 0
     while line := stream.readline(MAX_LINE + 1):
