--- a/cypresspulley/capture/command.py
+++ b/cypresspulley/capture/command.py
@@ -17,7 +17,7 @@
 from rich.table import Table
 
 from cypresspulley.capture.arrivals import ReplayOptions
-from cypresspulley.capture.load import Loaded, load
+from cypresspulley.capture.load import LoadedCaptures, load
 from cypresspulley.capture.mapping import load_mapping
 from cypresspulley.capture.model import CaptureError, printable
 from cypresspulley.capture.planning import CaptureInput, build_plan, read_captures
@@ -77,7 +77,7 @@
     return key
 
 
-def _tell_unread(loaded: Loaded) -> None:
+def _tell_unread(loaded: LoadedCaptures) -> None:
     for place in loaded.places:
         print(f"fawnseam: not read: {printable(place.place)}: {printable(place.why)}", file=sys.stderr)
     for name, count in loaded.broken.items():
--- a/cypresspulley/capture/load.py
+++ b/cypresspulley/capture/load.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class Loaded:
+class LoadedCaptures:
     """What was read of all files, and what was not."""
 
     sources: list[Source]
@@ -77,7 +77,7 @@
 
 def load(
     names: tuple[str, ...], mapping: Mapping, kind: str = "auto", notation: str = "", strict: bool = False
-) -> Loaded:
+) -> LoadedCaptures:
     """All files as entries. ``strict`` makes the first broken place a ``CaptureError``."""
     mapper, broken, places, sources = (
         Mapper(mapping),
@@ -102,4 +102,4 @@
                     broken[name] += 1
                     if broken[name] <= SHOWN:
                         places.append(record)
-    return Loaded(sources, broken, places, mapper.unmapped, mapper.ignored)
+    return LoadedCaptures(sources, broken, places, mapper.unmapped, mapper.ignored)
--- a/cypresspulley/capture/summary.py
+++ b/cypresspulley/capture/summary.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from cypresspulley.capture.load import Loaded
+from cypresspulley.capture.load import LoadedCaptures
 from cypresspulley.capture.model import Entry, printable
 from cypresspulley.capture.skew import Clock
 
@@ -52,7 +52,7 @@
         }  # fmt: skip
 
 
-def summarise(entries: list[Entry], loaded: Loaded, clocks: list[Clock]) -> Summary:
+def summarise(entries: list[Entry], loaded: LoadedCaptures, clocks: list[Clock]) -> Summary:
     """Figures of merged entries whose retries are marked."""
     rate = defaultdict[int, int](int)
     first = entries[0].t if entries else 0.0
