--- a/cypresspulley/capture/command.py
+++ b/cypresspulley/capture/command.py
@@ -17,7 +17,7 @@
 from rich.table import Table
 
 from cypresspulley.capture.arrivals import ReplayOptions
-from cypresspulley.capture.load import LoadedCaptures, load
+from cypresspulley.capture.load import LoadedCaptures, load_captures
 from cypresspulley.capture.mapping import load_mapping
 from cypresspulley.capture.model import CaptureError, printable
 from cypresspulley.capture.planning import CaptureInput, build_plan, read_captures
@@ -52,7 +52,7 @@
     """Write a capture without secrets and with accounts renamed; the exit code."""
     try:
         secret = _key(key)
-        loaded = load(what.files, load_mapping(what.mapping), what.kind, what.notation, what.strict)
+        loaded = load_captures(what.files, load_mapping(what.mapping), what.kind, what.notation, what.strict)
         with out.open("w", encoding="utf-8") as file:
             count = write(sorted(loaded.entries, key=lambda e: e.t), secret, file)
     except CaptureError as error:
--- a/cypresspulley/capture/load.py
+++ b/cypresspulley/capture/load.py
@@ -75,7 +75,7 @@
     return text.startswith(b"{") and text[1:].lstrip().startswith(b'"log"')
 
 
-def load(
+def load_captures(
     names: tuple[str, ...], mapping: Mapping, kind: str = "auto", notation: str = "", strict: bool = False
 ) -> LoadedCaptures:
     """All files as entries. ``strict`` makes the first broken place a ``CaptureError``."""
--- a/cypresspulley/capture/planning.py
+++ b/cypresspulley/capture/planning.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from cypresspulley.capture.arrivals import ReplayOptions, build_arrivals
-from cypresspulley.capture.load import LoadedCaptures, load
+from cypresspulley.capture.load import LoadedCaptures, load_captures
 from cypresspulley.capture.mapping import load_mapping
 from cypresspulley.capture.model import Entry
 from cypresspulley.capture.retries import PATIENCE, mark_retries
@@ -29,7 +29,7 @@
 
 def read_captures(what: CaptureInput) -> tuple[list[Entry], LoadedCaptures, list[Clock]]:
     """Files to merged entries in order of time, with their retries marked."""
-    loaded = load(what.files, load_mapping(what.mapping), what.kind, what.notation, what.strict)
+    loaded = load_captures(what.files, load_mapping(what.mapping), what.kind, what.notation, what.strict)
     entries, clocks = merge(loaded.sources)
     mark_retries(entries, what.patience)
     return entries, loaded, clocks
--- a/tests/capture/test_readers.py
+++ b/tests/capture/test_readers.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from cypresspulley.capture.access import FORMATS, nginx_format
-from cypresspulley.capture.load import load, records
+from cypresspulley.capture.load import load_captures, records
 from cypresspulley.capture.mapping import Mapping, load_mapping
 from cypresspulley.capture.model import CaptureError, RawRequest, UnreadableRecord, bare_path, printable
 from cypresspulley.capture.times import parse_clf_time, parse_iso_time, parse_time
@@ -55,7 +55,7 @@
         (raw,) = raws(name, how)
         assert raw.t == pytest.approx(T) and raw.status in (200, 429)
         assert raw.place == f"{name}:1"
-    (entry,) = load((name,), MAP).entries
+    (entry,) = load_captures((name,), MAP).entries
     assert entry.account == "00000000000000aa" and entry.cls in ("bag-lookup", "handover-post")
     assert entry.path in ("/bag-lookup", "/handover-post")
 
@@ -86,8 +86,8 @@
     assert len(raws(name)) == 3
     assert [b.place for b in broken(name)] == [f"{name}:2", f"{name}:6"]
     with pytest.raises(CaptureError, match=f"{name}:2: fits none"):
-        load((name,), MAP, strict=True)
-    loaded = load((name,), MAP)
+        load_captures((name,), MAP, strict=True)
+    loaded = load_captures((name,), MAP)
     assert loaded.broken[name] == 2 and loaded.places[0].place == f"{name}:2"
 
 
@@ -126,11 +126,11 @@
         har_entry("2026-10-10T10:35:37.1234567Z", time=-1, response={"status": 0, "_error": "net::ERR_ABORTED"}),
     ]  # fmt: skip
     for head in (b"", b"\xef\xbb\xbf", b"\n  "):
-        loaded = load((write(tmp_path, har(*entries, head=head)),), MAP)
+        loaded = load_captures((write(tmp_path, har(*entries, head=head)),), MAP)
         assert [e.status for e in loaded.entries] == [200, 200, 0]
         assert loaded.entries[1].t == pytest.approx(T) and loaded.entries[1].latency == pytest.approx(0.1305)
         assert loaded.entries[2].latency == -1 and loaded.entries[2].id == "id1"
-    packed = load((write(tmp_path, gzip.compress(har(*entries))),), MAP)
+    packed = load_captures((write(tmp_path, gzip.compress(har(*entries))),), MAP)
     assert len(packed.entries) == 3
 
 
@@ -141,7 +141,7 @@
 def test_files_as_each_program_writes_them(program: str, statuses: list[int]) -> None:
     """Written by hand from what these programs export."""
     name = str(Path(__file__).parent / "samples" / f"{program}.har")
-    loaded = load((name,), Mapping(), strict=True)
+    loaded = load_captures((name,), Mapping(), strict=True)
     entries = sorted(loaded.entries, key=lambda e: e.t)
     assert [e.status for e in entries] == statuses and not loaded.unmapped
     (served,) = [e for e in entries if e.status == 200]
@@ -153,7 +153,7 @@
 def test_a_page_of_other_requests_is_told_and_not_guessed(tmp_path: Path) -> None:
     image = {"method": "GET", "url": "https://cdn.example/img/a.png?account=00000000000000aa", "headers": []}
     entries = [har_entry() for _ in range(12)] + [har_entry(request=image) for _ in range(400)]
-    loaded = load((write(tmp_path, har(*entries)),), MAP)
+    loaded = load_captures((write(tmp_path, har(*entries)),), MAP)
     assert len(loaded.entries) == 12 and loaded.unmapped["no class: GET /img/a.png"] == 400
 
 
@@ -191,7 +191,7 @@
     assert bare_path("https://h.example/a/eyJhbGciOiJIUzI1NiJ9.abc_def?x") == "/a/{}"
     assert printable("\x1b[31mred\x07") == "\\x1b[31mred\\x07" and len(printable("x" * 500)) < 130
     line = LINES["json"].replace("/bag-lookup", "/bag-lookup\\u001b[2J")
-    (entry,) = load((write(tmp_path, line.encode()),), MAP).entries
+    (entry,) = load_captures((write(tmp_path, line.encode()),), MAP).entries
     assert entry.path == "/bag-lookup\\x1b[2J"
 
 
--- a/tests/capture/test_replay.py
+++ b/tests/capture/test_replay.py
@@ -14,7 +14,7 @@
 
 from cypresspulley.capture.arrivals import ReplayOptions, account_number, build_arrivals
 from cypresspulley.capture.har_writer import write_har
-from cypresspulley.capture.load import load
+from cypresspulley.capture.load import load_captures
 from cypresspulley.capture.mapping import Mapping
 from cypresspulley.capture.model import CaptureError, Entry
 from cypresspulley.capture.planning import build_plan
@@ -98,7 +98,7 @@
         write(entries, b"k" * 16, file)
     text = path.read_text()
     assert not any(account in text for account in {e.account for e in entries})
-    again = load((str(path),), Mapping(), strict=True).entries
+    again = load_captures((str(path),), Mapping(), strict=True).entries
     assert [(e.cls, e.plan, e.status) for e in again] == [(e.cls, e.plan, e.status) for e in entries]
     assert len({e.account for e in again}) == len({e.account for e in entries})
     assert renamed("hotel", b"k" * 16) != renamed("hotel", b"l" * 16)
@@ -115,7 +115,7 @@
         path = tmp_path / "clients.har"
         with path.open("w") as file:
             write_har(records, file)
-        entries = sorted(load((str(path),), Mapping(), strict=True).entries, key=lambda e: e.t)
+        entries = sorted(load_captures((str(path),), Mapping(), strict=True).entries, key=lambda e: e.t)
         assert Counter((e.account, e.cls) for e in entries) == Counter((r.account, r.cls) for r in sent)
         assert [e.marked for e in entries] == [r.number > 0 for r in sorted(sent, key=lambda r: (r.t, r.id))]
 
--- a/tests/test_accesslog.py
+++ b/tests/test_accesslog.py
@@ -18,7 +18,7 @@
 import pytest
 
 from cypresspulley.accesslog import LogFile
-from cypresspulley.capture.load import load
+from cypresspulley.capture.load import load_captures
 from cypresspulley.capture.mapping import Mapping
 from cypresspulley.operators import OperatorsError, load_operators
 from cypresspulley.rehearsal.standins.keeper import Keeper
@@ -73,7 +73,7 @@
         refused = told[statuses.index("429")]
         assert refused["outcome"] == "refused" and refused["why"] == "quota" and refused["attempts"] == 0
         lookups = Mapping.model_validate({"class": {"from": ["field:class"]}})
-        loaded = load((str(tmp_path / "access.jsonl"),), lookups, strict=True)
+        loaded = load_captures((str(tmp_path / "access.jsonl"),), lookups, strict=True)
         assert [str(e.status) for e in loaded.entries] == statuses
         assert all(e.marked and e.account == "00000000b4d65521" and e.plan == "basic" for e in loaded.entries)
         assert any(count.total > 0 for count in loaded.sources[0].counts)
