--- a/benchmarks/readers.py
+++ b/benchmarks/readers.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from cypresspulley.capture.load import records
+from cypresspulley.capture.load import read_records
 from tests.capture.test_readers import LINES, har_entry
 
 
@@ -63,7 +63,7 @@
             for kind in ("json", "har"):
                 path = make(Path(name), kind, options.large if kind == "json" else options.large * 0.3)
                 before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1e3
-                count = sum(1 for _ in records(str(path)))
+                count = sum(1 for _ in read_records(str(path)))
                 grown = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1e3 - before
                 print(
                     f"{kind:9} {path.stat().st_size / 1e6:.0f} MB, {count} records: memory grew by {grown:.1f} MB"
@@ -72,7 +72,7 @@
         for kind in (*LINES, "har"):
             path = make(Path(name), kind, options.megabytes)
             size = path.stat().st_size / 1e6
-            read, count = speed(lambda p=path: sum(1 for _ in records(str(p))), size)  # type: ignore[misc]
+            read, count = speed(lambda p=path: sum(1 for _ in read_records(str(p))), size)  # type: ignore[misc]
             bare, _ = speed(lambda p=path, k=kind: plain(p, k), size)  # type: ignore[misc]
             print(f"{kind:9} {read:6.1f} MB/s, {count / size * read:9.0f} a second; plain {bare:6.1f} MB/s: "
                   f"ratio {bare / read:.1f}")  # fmt: skip
--- a/cypresspulley/capture/load.py
+++ b/cypresspulley/capture/load.py
@@ -44,7 +44,7 @@
         return [entry for source in self.sources for entry in source.entries]
 
 
-def records(
+def read_records(
     name: str, kind: str = "auto", notation: str = ""
 ) -> Iterator[RawRequest | CounterCall | UnreadableRecord]:
     """What a reader finds in a file; ``kind`` is detected unless named, ``notation`` is nginx's log_format."""
--- a/tests/capture/test_readers.py
+++ b/tests/capture/test_readers.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from cypresspulley.capture.access import FORMATS, nginx_format
-from cypresspulley.capture.load import load_captures, records
+from cypresspulley.capture.load import load_captures, read_records
 from cypresspulley.capture.mapping import Mapping, load_mapping
 from cypresspulley.capture.model import CaptureError, RawRequest, UnreadableRecord, bare_path, printable
 from cypresspulley.capture.times import parse_clf_time, parse_iso_time, parse_time
@@ -41,11 +41,11 @@
 
 
 def raws(name: str, kind: str = "auto", notation: str = "") -> list[RawRequest]:
-    return [r for r in records(name, kind, notation) if isinstance(r, RawRequest)]
+    return [r for r in read_records(name, kind, notation) if isinstance(r, RawRequest)]
 
 
 def broken(name: str) -> list[UnreadableRecord]:
-    return [r for r in records(name) if isinstance(r, UnreadableRecord)]
+    return [r for r in read_records(name) if isinstance(r, UnreadableRecord)]
 
 
 @pytest.mark.parametrize("kind", LINES)
@@ -217,7 +217,7 @@
     text = har(har_entry(), har_entry())
     name = write(tmp_path_factory.getbasetemp(), text[:at] + data + text[at + len(data) :], "bent.har")
     try:
-        for record in records(name, "har"):
+        for record in read_records(name, "har"):
             assert isinstance(record, RawRequest | UnreadableRecord)
     except CaptureError:
         pass
