--- a/benchmarks/replay_timing.py
+++ b/benchmarks/replay_timing.py
@@ -21,7 +21,7 @@
 from benchmarks.cpu_per_request import HOST, Server, up
 from cypresspulley.capture.arrivals import ReplayOptions
 from cypresspulley.capture.planning import build_plan
-from cypresspulley.capture.replay import against, percentile
+from cypresspulley.capture.replay import percentile, replay_against
 from cypresspulley.rehearsal.limiters import free_port
 from cypresspulley.rehearsal.scenario import load_scenario
 from tests.capture.truth import traffic
@@ -74,7 +74,7 @@
     base = load_scenario("calm-morning")
     truth = traffic(Random(1), seconds * speed, rate / 1.2, accounts=200)  # a fifth comes again
     made, plan = build_plan(truth.tries, base, ReplayOptions(speed), 1)
-    report = uvloop.run(against(made, plan, (target,)))
+    report = uvloop.run(replay_against(made, plan, (target,)))
     wanted = [a.t for a in plan.arrivals]
     real = [t + late / 1000 for t, late in zip(wanted, report.late, strict=True)]
     floor = difference(wanted, uvloop.run(bare(wanted)))
--- a/cypresspulley/capture/command.py
+++ b/cypresspulley/capture/command.py
@@ -21,7 +21,7 @@
 from cypresspulley.capture.mapping import load_mapping
 from cypresspulley.capture.model import CaptureError, printable
 from cypresspulley.capture.planning import CaptureInput, build_plan, read_captures
-from cypresspulley.capture.replay import Report, against, percentile
+from cypresspulley.capture.replay import ReplayReport, percentile, replay_against
 from cypresspulley.capture.scrub import KEY_BYTES, write
 from cypresspulley.capture.summary import Summary, summarise
 from cypresspulley.console import fail
@@ -174,7 +174,7 @@
     if not targets:
         return rehearsal.play_and_judge(made, plan, outputs)
     try:
-        report = uvloop.run(against(made, plan, targets))
+        report = uvloop.run(replay_against(made, plan, targets))
     except (CaptureError, OSError) as error:
         return fail(error, BROKEN_TOOL)
     except asyncio.CancelledError:
@@ -185,7 +185,7 @@
     return GOOD
 
 
-def _print_report(report: Report) -> None:
+def _print_report(report: ReplayReport) -> None:
     late = report.late
     print(f"{report.sent} tries sent, {report.unreached} reached nobody; late p50 {percentile(late, 50):.1f} ms, "
           f"p99 {percentile(late, 99):.1f} ms, worst {max(late, default=0.0):.1f} ms")  # fmt: skip
--- a/cypresspulley/capture/replay.py
+++ b/cypresspulley/capture/replay.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True)
-class Report:
+class ReplayReport:
     """What was sent and what came back; ``late`` and ``latency`` in milliseconds."""
 
     sent: int = 0
@@ -42,13 +42,13 @@
     return ordered[min(len(ordered) - 1, int(len(ordered) * percent / 100))] if ordered else 0.0
 
 
-async def against(scenario: Scenario, plan: Plan, targets: tuple[str, ...]) -> Report:
+async def replay_against(scenario: Scenario, plan: Plan, targets: tuple[str, ...]) -> ReplayReport:
     """Send all arrivals; ``targets`` are ``host:port``, as many as there are limiters."""
     try:
         addresses = {target: split_address(target) for target in targets}
     except ValueError as error:
         raise CaptureError(f"--against: {error}; expected HOST:PORT") from None
-    report, started = Report(), dict[str, float]()
+    report, started = ReplayReport(), dict[str, float]()
 
     def sink(record: log.Record) -> None:
         if isinstance(record, log.Sent):
--- a/tests/capture/test_replay.py
+++ b/tests/capture/test_replay.py
@@ -18,7 +18,7 @@
 from cypresspulley.capture.mapping import Mapping
 from cypresspulley.capture.model import CaptureError, Entry
 from cypresspulley.capture.planning import build_plan
-from cypresspulley.capture.replay import against
+from cypresspulley.capture.replay import replay_against
 from cypresspulley.capture.retries import mark_retries
 from cypresspulley.capture.scrub import renamed, write
 from cypresspulley.rehearsal import records as log
@@ -127,13 +127,13 @@
         origin = Origin()
         scenario, plan = build_plan(captured(0.5), base(), ReplayOptions(), 1)
         async with listening(origin.talk) as one, listening(origin.talk) as two:
-            report = await against(scenario, plan, (one, two))
+            report = await replay_against(scenario, plan, (one, two))
         assert report.sent == len(plan.arrivals) == len(origin.seen) and report.statuses == {200: report.sent}
         assert len(report.late) == report.sent
         seen = Counter(line.split()[1].partition("account=")[2] for line, _, _ in origin.seen)
         assert seen == Counter(a.account for a in plan.arrivals)
         with pytest.raises(CaptureError, match="expected HOST:PORT"):
-            await against(scenario, plan, ("nowhere",))
+            await replay_against(scenario, plan, ("nowhere",))
 
     run(main())
 
@@ -145,7 +145,7 @@
 
         scenario, plan = build_plan(captured(0.5, rate=100.0), base(), ReplayOptions(), 1)
         async with listening(silent) as address:
-            report = await against(scenario, plan, (address,))
+            report = await replay_against(scenario, plan, (address,))
         assert report.sent == len(plan.arrivals) > 30 and not report.statuses
 
     run(main())
