--- a/cypresspulley/capture/command.py
+++ b/cypresspulley/capture/command.py
@@ -22,7 +22,7 @@
 from cypresspulley.capture.model import CaptureError, printable
 from cypresspulley.capture.planning import CaptureInput, build_plan, read_captures
 from cypresspulley.capture.replay import ReplayReport, percentile, replay_against
-from cypresspulley.capture.scrub import KEY_BYTES, write
+from cypresspulley.capture.scrub import KEY_BYTES, write_scrubbed
 from cypresspulley.capture.summary import Summary, summarise
 from cypresspulley.console import fail
 from cypresspulley.rehearsal import command as rehearsal
@@ -54,7 +54,7 @@
         secret = _key(key)
         loaded = load_captures(what.files, load_mapping(what.mapping), what.kind, what.notation, what.strict)
         with out.open("w", encoding="utf-8") as file:
-            count = write(sorted(loaded.entries, key=lambda e: e.t), secret, file)
+            count = write_scrubbed(sorted(loaded.entries, key=lambda e: e.t), secret, file)
     except CaptureError as error:
         return fail(error, BAD_INPUT)
     except OSError as error:
--- a/cypresspulley/capture/scrub.py
+++ b/cypresspulley/capture/scrub.py
@@ -12,19 +12,19 @@
 KEY_BYTES = 16  # a key is at least so long
 
 
-def renamed(account: str, key: bytes) -> str:
+def pseudonym(account: str, key: bytes) -> str:
     """An account's new name: 16 hex digits below 2**33, the same for one key; without the key it tells nothing."""
     digest = blake2b(account.encode(), key=key, digest_size=8).digest()
     return f"{int.from_bytes(digest, 'big') % 2**33:016x}"
 
 
-def write(entries: Iterable[Entry], key: bytes, out: TextIO) -> int:
+def write_scrubbed(entries: Iterable[Entry], key: bytes, out: TextIO) -> int:
     """Entries as JSON lines that every reader here takes; how many."""
     count = 0
     for entry in entries:
         row = {
-            "time": round(entry.t, 6), "id": renamed(entry.id, key) if entry.id else "",
-            "account": renamed(entry.account, key), "class": entry.cls, "plan": entry.plan,
+            "time": round(entry.t, 6), "id": pseudonym(entry.id, key) if entry.id else "",
+            "account": pseudonym(entry.account, key), "class": entry.cls, "plan": entry.plan,
             "method": entry.method, "path": entry.path, "status": entry.status, "sent": entry.sent,
             "latency": round(entry.latency, 6), "units": entry.units,
         }  # fmt: skip
--- a/tests/capture/test_replay.py
+++ b/tests/capture/test_replay.py
@@ -20,7 +20,7 @@
 from cypresspulley.capture.planning import build_plan
 from cypresspulley.capture.replay import replay_against
 from cypresspulley.capture.retries import mark_retries
-from cypresspulley.capture.scrub import renamed, write
+from cypresspulley.capture.scrub import pseudonym, write_scrubbed
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.judge import judge
 from cypresspulley.rehearsal.play import play
@@ -95,13 +95,13 @@
 def test_a_scrubbed_capture_keeps_the_load_and_no_secret(tmp_path: Path) -> None:
     entries, path = captured(), tmp_path / "clean.jsonl"
     with path.open("w") as file:
-        write(entries, b"k" * 16, file)
+        write_scrubbed(entries, b"k" * 16, file)
     text = path.read_text()
     assert not any(account in text for account in {e.account for e in entries})
     again = load_captures((str(path),), Mapping(), strict=True).entries
     assert [(e.cls, e.plan, e.status) for e in again] == [(e.cls, e.plan, e.status) for e in entries]
     assert len({e.account for e in again}) == len({e.account for e in entries})
-    assert renamed("hotel", b"k" * 16) != renamed("hotel", b"l" * 16)
+    assert pseudonym("hotel", b"k" * 16) != pseudonym("hotel", b"l" * 16)
 
 
 def test_a_har_of_a_rehearsal_is_read_as_what_was_sent(tmp_path: Path) -> None:
@@ -158,7 +158,7 @@
 def test_the_commands(tmp_path: Path) -> None:
     capture = tmp_path / "morning.jsonl"
     with capture.open("w") as file:
-        write(captured(), b"k" * 16, file)
+        write_scrubbed(captured(), b"k" * 16, file)
         file.write("not a line\n")
     page, figures = tmp_path / "page.html", tmp_path / "figures.json"
     done = fawnseam("capture", "inspect", str(capture), "--html", str(page), "--json", str(figures))
