--- a/cypresspulley/capture/planning.py
+++ b/cypresspulley/capture/planning.py
@@ -10,7 +10,7 @@
 from cypresspulley.capture.mapping import load_mapping
 from cypresspulley.capture.model import Entry
 from cypresspulley.capture.retries import PATIENCE, mark_retries
-from cypresspulley.capture.skew import Clock, merge
+from cypresspulley.capture.skew import Clock, merge_sources
 from cypresspulley.rehearsal.plan import Plan, draw
 from cypresspulley.rehearsal.scenario import Scenario
 
@@ -30,7 +30,7 @@
 def read_captures(what: CaptureInput) -> tuple[list[Entry], LoadedCaptures, list[Clock]]:
     """Files to merged entries in order of time, with their retries marked."""
     loaded = load_captures(what.files, load_mapping(what.mapping), what.kind, what.notation, what.strict)
-    entries, clocks = merge(loaded.sources)
+    entries, clocks = merge_sources(loaded.sources)
     mark_retries(entries, what.patience)
     return entries, loaded, clocks
 
--- a/cypresspulley/capture/skew.py
+++ b/cypresspulley/capture/skew.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Before:
+class OrderConstraint:
     """``x`` by the clock of source ``a`` came before ``y`` by the clock of source ``b``."""
 
     a: int
@@ -54,7 +54,7 @@
         return t + self.offset + self.drift * (t - self.middle)
 
 
-def split_jumps(source: Source) -> list[Source]:
+def split_at_clock_jumps(source: Source) -> list[Source]:
     """A log whose clock was set back in the middle, as one source for each stretch."""
     if source.kind == "har" or not source.entries:
         return [source]  # a HAR's entries come in any order
@@ -90,9 +90,9 @@
     return max(0.0, entry.latency) if entry.latency >= 0 else 5.0
 
 
-def constraints(sources: list[Source]) -> list[Before]:
+def constraints(sources: list[Source]) -> list[OrderConstraint]:
     """All that the sources share, as one moment before another."""
-    found = list[Before]()
+    found = list[OrderConstraint]()
     for a in range(len(sources)):
         for b in range(a + 1, len(sources)):
             pairs = _by_id(sources[a], sources[b], a, b)
@@ -101,31 +101,31 @@
     return found
 
 
-def _by_id(one: Source, other: Source, a: int, b: int) -> list[tuple[Before, float]]:
+def _by_id(one: Source, other: Source, a: int, b: int) -> list[tuple[OrderConstraint, float]]:
     """Tries with one id in both: seen from client and server, or refused here and tried again there."""
     there = defaultdict[str, list[Entry]](list)
     for entry in other.entries:
         if entry.id:
             there[entry.id].append(entry)
-    found = list[tuple[Before, float]]()
+    found = list[tuple[OrderConstraint, float]]()
     for x in one.entries:
         for y in there.get(x.id, []) if x.id else []:
             near = y.t - x.t
             if x.status == y.status and x.latency >= 0 and y.latency >= 0:
                 outer, inner = (x, y) if x.latency >= y.latency else (y, x)
                 p, q = (a, b) if outer is x else (b, a)
-                found.append((Before(p, q, outer.t, inner.t), near))
-                found.append((Before(q, p, inner.end, outer.end), near))
+                found.append((OrderConstraint(p, q, outer.t, inner.t), near))
+                found.append((OrderConstraint(q, p, inner.end, outer.end), near))
             elif x.status in REFUSED and y.status not in REFUSED:
-                found.append((Before(a, b, x.end, y.t), near))
+                found.append((OrderConstraint(a, b, x.end, y.t), near))
             elif y.status in REFUSED and x.status not in REFUSED:
-                found.append((Before(b, a, y.end, x.t), near))
+                found.append((OrderConstraint(b, a, y.end, x.t), near))
     return found
 
 
-def _by_count(one: Source, other: Source, a: int, b: int) -> list[tuple[Before, float]]:
+def _by_count(one: Source, other: Source, a: int, b: int) -> list[tuple[OrderConstraint, float]]:
     """Calls to the keeper that follow one another: one's total is what the other found."""
-    found = list[tuple[Before, float]]()
+    found = list[tuple[OrderConstraint, float]]()
     for first, second, p, q in ((one, other, a, b), (other, one, b, a)):
         ends = _unique(first.counts, lambda c: c.total)
         starts = _unique(second.counts, lambda c: c.total - c.amount)
@@ -133,7 +133,7 @@
             x, y = ends[key], starts[key]
             near = (y.t - x.t) if p == a else (x.t - y.t)
             # The earlier was made before the later was answered: what lies between them is the keeper's.
-            found.append((Before(p, q, x.t, y.answered), near))
+            found.append((OrderConstraint(p, q, x.t, y.answered), near))
     return found
 
 
@@ -150,7 +150,7 @@
     return {key: count for key, count in seen.items() if times[key] == 1}
 
 
-def _believed(pairs: list[tuple[Before, float]]) -> list[Before]:
+def _believed(pairs: list[tuple[OrderConstraint, float]]) -> list[OrderConstraint]:
     """Without chance meetings: those whose distance is near the most common one."""
     if not pairs:
         return []
@@ -159,12 +159,12 @@
     return [pair for pair, near in pairs if abs(near - mode) <= NEAR]
 
 
-def _tightest(pairs: list[Before]) -> list[Before]:
+def _tightest(pairs: list[OrderConstraint]) -> list[OrderConstraint]:
     """The constraints that say most, of each direction and stretch of time."""
     if len(pairs) <= MOST:
         return pairs
     first, last = min(p.x for p in pairs), max(p.x for p in pairs)
-    groups = defaultdict[tuple[int, int], list[Before]](list)
+    groups = defaultdict[tuple[int, int], list[OrderConstraint]](list)
     for pair in pairs:
         stretch = int((pair.x - first) / max(1e-9, last - first) * STRETCHES)
         groups[pair.a, stretch].append(pair)
@@ -172,7 +172,7 @@
     return [p for group in groups.values() for p in sorted(group, key=lambda p: p.y - p.x)[:keep]]
 
 
-def estimate(sources: list[Source], pairs: list[Before] | None = None) -> list[Clock]:
+def estimate_clocks(sources: list[Source], pairs: list[OrderConstraint] | None = None) -> list[Clock]:
     """Each source's clock against the first's. ``CaptureError`` where what they share cannot all be true."""
     pairs = constraints(sources) if pairs is None else pairs
     spans = [_span(source) for source in sources]
@@ -193,7 +193,7 @@
     return (min(times), max(times)) if times else (0.0, 0.0)
 
 
-def _matrix(pairs: list[Before], middles: list[float], count: int) -> tuple[np.ndarray, np.ndarray]:
+def _matrix(pairs: list[OrderConstraint], middles: list[float], count: int) -> tuple[np.ndarray, np.ndarray]:
     """x + o_a + d_a (x - m_a) <= y + o_b + d_b (y - m_b), a row each; columns: offsets, then drifts."""
     rows, bounds = np.zeros((len(pairs), 2 * count)), np.zeros(len(pairs))
     for n, p in enumerate(pairs):
@@ -203,7 +203,7 @@
     return rows, bounds
 
 
-def _linked(pairs: list[Before], count: int) -> set[int]:
+def _linked(pairs: list[OrderConstraint], count: int) -> set[int]:
     """Sources that are tied to the first, over others if need be, from both sides."""
     both = {frozenset((p.a, p.b)) for p in pairs} if pairs else set()
     reached, grown = {0}, True
@@ -247,25 +247,25 @@
     return Clock(name, (first + last) / 2, error, drift, middle)
 
 
-def correct(sources: list[Source], clocks: list[Clock]) -> None:
+def correct_times(sources: list[Source], clocks: list[Clock]) -> None:
     """Put all times on the first source's clock. Latencies stay: a drift of 1e-3 is nothing there."""
     for source, clock in zip(sources, clocks, strict=True):
         for entry in source.entries:
             entry.t = clock.true(entry.t)
 
 
-def merge(sources: list[Source]) -> tuple[list[Entry], list[Clock]]:
+def merge_sources(sources: list[Source]) -> tuple[list[Entry], list[Clock]]:
     """All entries on one clock and in order, each try once, with the clocks that were found."""
-    parts = [part for source in sources for part in split_jumps(source) if part.entries]
+    parts = [part for source in sources for part in split_at_clock_jumps(source) if part.entries]
     if not parts:
         return [], []
-    clocks = estimate(parts) if len(parts) > 1 else [Clock(parts[0].name, 0.0, 0.0, 0.0, 0.0)]
-    correct(parts, clocks)
+    clocks = estimate_clocks(parts) if len(parts) > 1 else [Clock(parts[0].name, 0.0, 0.0, 0.0, 0.0)]
+    correct_times(parts, clocks)
     entries = sorted((e for part in parts for e in part.entries), key=lambda e: (e.t, e.id, e.place))
-    return once(entries), clocks
+    return deduplicate_entries(entries), clocks
 
 
-def once(entries: list[Entry]) -> list[Entry]:
+def deduplicate_entries(entries: list[Entry]) -> list[Entry]:
     """Each try once: one id in two captures is one try seen twice, unless it was refused and tried again."""
     kept, by_id = list[Entry](), dict[str, list[Entry]]()
     for entry in entries:
--- a/tests/capture/test_skew.py
+++ b/tests/capture/test_skew.py
@@ -10,7 +10,14 @@
 from cypresspulley.capture.load import Source
 from cypresspulley.capture.model import CaptureError, CounterCall, Entry
 from cypresspulley.capture.retries import mark_retries
-from cypresspulley.capture.skew import Before, Clock, estimate, merge, once, split_jumps
+from cypresspulley.capture.skew import (
+    Clock,
+    OrderConstraint,
+    deduplicate_entries,
+    estimate_clocks,
+    merge_sources,
+    split_at_clock_jumps,
+)
 from tests.capture.truth import START, Skew, seen, traffic
 
 
@@ -33,16 +40,16 @@
     rng = Random(seed)
     clocks = [Skew(rng.uniform(-90, 90), rng.choice((0.0, rng.uniform(-2e-4, 2e-4)))) for _ in range(3)]
     sources = seen(traffic(rng, seconds=60, rate=rng.uniform(8, 30)), clocks)
-    for error, printed in worst(sources, estimate(sources), clocks):
+    for error, printed in worst(sources, estimate_clocks(sources), clocks):
         assert error <= printed + 1e-6
 
 
 def test_offset_drift_and_a_jump_are_found_within_20_ms() -> None:
     clocks = [Skew(0.0), Skew(90.0, 2e-4), Skew(-45.0, 0.0, 60.0, 3600.0 / 60)]
     sources = seen(traffic(Random(3), rate=40), clocks)
-    parts = [part for source in sources for part in split_jumps(source)]
+    parts = [part for source in sources for part in split_at_clock_jumps(source)]
     assert [part.name for part in parts] == ["limiter-0", "limiter-1", "limiter-2", "limiter-2#2"]
-    found = estimate(parts)
+    found = estimate_clocks(parts)
     for clock, (name, offset) in zip(
         found[1:], [("limiter-1", -90.012), ("limiter-2", 45.0), ("limiter-2#2", 105.0)], strict=True
     ):
@@ -60,7 +67,7 @@
             for level in range(1, 4):
                 moment = clocks[n].shows(START + 2 * k + 0.4 * level + 0.1 * n)
                 source.counts.append(CounterCall(moment, moment + 0.001, "short", 1.0, float(level)))
-    for error, printed in worst(sources, estimate(sources), clocks):
+    for error, printed in worst(sources, estimate_clocks(sources), clocks):
         assert error <= printed + 1e-6 < 0.05
 
 
@@ -71,22 +78,22 @@
     source = Source("log", "json", [line(50), line(60), line(2), line(9)])
     before, behind = (CounterCall(START + t, START + t, "x", 1.0, t, after=2) for t in (60.5, 1.5))
     source.counts = [before, behind]
-    one, two = split_jumps(source)
+    one, two = split_at_clock_jumps(source)
     assert one.counts == [before] and two.counts == [behind]
 
 
 def test_what_excludes_each_other_is_refused() -> None:
     sources = seen(traffic(Random(1), seconds=20), [Skew(), Skew(), Skew()])[:2]
-    pairs = [Before(0, 1, 10.0, 5.0), Before(1, 0, 8.0, 5.0)]
+    pairs = [OrderConstraint(0, 1, 10.0, 5.0), OrderConstraint(1, 0, 8.0, 5.0)]
     with pytest.raises(CaptureError, match="cannot be reconciled"):
-        estimate(sources, pairs)
+        estimate_clocks(sources, pairs)
 
 
 def test_sources_that_share_nothing_say_so() -> None:
     sources = seen(traffic(Random(1), seconds=20), [Skew(), Skew(), Skew()])[:2]
     for source in sources:
         source.counts.clear()
-    clocks = estimate(sources)
+    clocks = estimate_clocks(sources)
     assert math.isinf(clocks[1].error) and clocks[1].offset == 0.0
 
 
@@ -101,7 +108,7 @@
         here = Entry(**{k: getattr(entry, k) for k in Entry.__slots__})
         here.t, here.latency, here.source = entry.t - 0.002, entry.latency + 0.005, "tablet.har"
         har.entries.append(here)
-    merged, clocks = merge([har, log])
+    merged, clocks = merge_sources([har, log])
     assert len(merged) == len(truth.tries)
     assert clocks[1].offset == pytest.approx(-30.0, abs=0.02) and clocks[1].error < 0.02
 
@@ -136,5 +143,5 @@
         entry(0.0, "x", 503, "har"), entry(0.001, "x", 503, "one"), entry(0.5, "y", 200, "har"),
         entry(0.501, "y", 200, "two"),
     ]  # fmt: skip
-    kept = once(entries)
+    kept = deduplicate_entries(entries)
     assert [e.id for e in kept] == ["x", "y"] and mark_retries(kept) == 1 and kept[1].repeats == 0
