--- a/cypresspulley/capture/skew.py
+++ b/cypresspulley/capture/skew.py
@@ -50,7 +50,7 @@
     drift: float
     middle: float
 
-    def true(self, t: float) -> float:
+    def to_reference_time(self, t: float) -> float:
         return t + self.offset + self.drift * (t - self.middle)
 
 
@@ -251,7 +251,7 @@
     """Put all times on the first source's clock. Latencies stay: a drift of 1e-3 is nothing there."""
     for source, clock in zip(sources, clocks, strict=True):
         for entry in source.entries:
-            entry.t = clock.true(entry.t)
+            entry.t = clock.to_reference_time(entry.t)
 
 
 def merge_sources(sources: list[Source]) -> tuple[list[Entry], list[Clock]]:
--- a/tests/capture/test_skew.py
+++ b/tests/capture/test_skew.py
@@ -29,7 +29,7 @@
         moments = [START + k for k in range(0, 121, 10)]
         moments = [m for m in moments if source.entries[0].t <= skew.shows(m) <= source.entries[-1].end]
         reference = true[0]
-        errors = [abs(clock.true(skew.shows(m)) - reference.shows(m)) for m in moments]
+        errors = [abs(clock.to_reference_time(skew.shows(m)) - reference.shows(m)) for m in moments]
         found.append((max(errors, default=0.0), clock.error))
     return found
 
