--- a/cypresspulley/capture/load.py
+++ b/cypresspulley/capture/load.py
@@ -34,8 +34,8 @@
     """What was read of all files, and what was not."""
 
     sources: list[Source]
-    broken: Counter[str]
-    places: list[UnreadableRecord]
+    unreadable_counts: Counter[str]
+    unreadable: list[UnreadableRecord]
     unmapped: Counter[str]
     ignored: int
 
--- a/tests/capture/test_readers.py
+++ b/tests/capture/test_readers.py
@@ -88,7 +88,7 @@
     with pytest.raises(CaptureError, match=f"{name}:2: fits none"):
         load_captures((name,), MAP, strict=True)
     loaded = load_captures((name,), MAP)
-    assert loaded.broken[name] == 2 and loaded.places[0].place == f"{name}:2"
+    assert loaded.unreadable_counts[name] == 2 and loaded.unreadable[0].place == f"{name}:2"
 
 
 @pytest.mark.parametrize(
