--- a/cypresspulley/capture/command.py
+++ b/cypresspulley/capture/command.py
@@ -79,7 +79,7 @@
 
 def _tell_unread(loaded: LoadedCaptures) -> None:
     for place in loaded.unreadable:
-        print(f"fawnseam: not read: {printable(place.place)}: {printable(place.why)}", file=sys.stderr)
+        print(f"fawnseam: not read: {printable(place.location)}: {printable(place.reason)}", file=sys.stderr)
     for name, count in loaded.unreadable_counts.items():
         print(f"fawnseam: {printable(name)}: {count} lines or entries were not read", file=sys.stderr)
     for reason, count in loaded.unmapped.most_common(10):
--- a/cypresspulley/capture/load.py
+++ b/cypresspulley/capture/load.py
@@ -97,7 +97,7 @@
                 elif isinstance(record, CounterCall):
                     source.counts.append(replace(record, after=len(source.entries)))
                 elif strict:
-                    raise CaptureError(f"{record.place}: {record.why}")
+                    raise CaptureError(f"{record.location}: {record.reason}")
                 else:
                     broken[name] += 1
                     if broken[name] <= SHOWN:
--- a/cypresspulley/capture/mapping.py
+++ b/cypresspulley/capture/mapping.py
@@ -117,7 +117,7 @@
         return Entry(
             raw.t, found["account"], found["class"], found["plan"], raw.method, path,
             self._value(self._mapping.id, raw, query, parts).lower(), raw.status, raw.sent, raw.latency,
-            source, raw.place, _units(units[1]), marked == "1" if marked else None,
+            source, raw.location, _units(units[1]), marked == "1" if marked else None,
         )  # fmt: skip
 
     def _miss(self, reason: str) -> None:
--- a/cypresspulley/capture/model.py
+++ b/cypresspulley/capture/model.py
@@ -29,7 +29,7 @@
     status: int
     sent: int
     latency: float
-    place: str
+    location: str
     fields: dict[str, str] = field(default_factory=dict)
 
 
@@ -37,8 +37,8 @@
 class UnreadableRecord:
     """What could not be read, and why."""
 
-    place: str
-    why: str
+    location: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,7 +68,7 @@
     sent: int
     latency: float
     source: str
-    place: str
+    location: str
     units: float = 1.0
     marked: bool | None = None  # whether the client marked it as a retry; None: the capture does not tell
     repeats: int = -1
--- a/cypresspulley/capture/skew.py
+++ b/cypresspulley/capture/skew.py
@@ -261,7 +261,7 @@
         return [], []
     clocks = estimate_clocks(parts) if len(parts) > 1 else [Clock(parts[0].name, 0.0, 0.0, 0.0, 0.0)]
     correct_times(parts, clocks)
-    entries = sorted((e for part in parts for e in part.entries), key=lambda e: (e.t, e.id, e.place))
+    entries = sorted((e for part in parts for e in part.entries), key=lambda e: (e.t, e.id, e.location))
     return deduplicate_entries(entries), clocks
 
 
--- a/cypresspulley/capture/summary.py
+++ b/cypresspulley/capture/summary.py
@@ -68,6 +68,6 @@
         by_status={str(k): n for k, n in sorted(Counter(e.status for e in entries).items())},
         accounts=len(accounts), top=[(printable(a), n) for a, n in accounts.most_common(TOP)],
         rate=sorted(rate.items()), clocks=clocks, broken={printable(k): n for k, n in loaded.unreadable_counts.items()},
-        places=[(printable(p.place), printable(p.why)) for p in loaded.unreadable],
+        places=[(printable(p.location), printable(p.reason)) for p in loaded.unreadable],
         unmapped=dict(loaded.unmapped.most_common(TOP)), ignored=loaded.ignored,
     )  # fmt: skip
--- a/tests/capture/test_readers.py
+++ b/tests/capture/test_readers.py
@@ -54,7 +54,7 @@
     for how in ("auto", kind):
         (raw,) = raws(name, how)
         assert raw.t == pytest.approx(T) and raw.status in (200, 429)
-        assert raw.place == f"{name}:1"
+        assert raw.location == f"{name}:1"
     (entry,) = load_captures((name,), MAP).entries
     assert entry.account == "00000000000000aa" and entry.cls in ("bag-lookup", "handover-post")
     assert entry.path in ("/bag-lookup", "/handover-post")
@@ -84,11 +84,11 @@
     ]  # fmt: skip
     name = write(tmp_path, "\n".join(text).encode())
     assert len(raws(name)) == 3
-    assert [b.place for b in broken(name)] == [f"{name}:2", f"{name}:6"]
+    assert [b.location for b in broken(name)] == [f"{name}:2", f"{name}:6"]
     with pytest.raises(CaptureError, match=f"{name}:2: fits none"):
         load_captures((name,), MAP, strict=True)
     loaded = load_captures((name,), MAP)
-    assert loaded.unreadable_counts[name] == 2 and loaded.unreadable[0].place == f"{name}:2"
+    assert loaded.unreadable_counts[name] == 2 and loaded.unreadable[0].location == f"{name}:2"
 
 
 @pytest.mark.parametrize(
@@ -161,14 +161,14 @@
     entries: list[dict[str, object]] = [har_entry(), har_entry("yesterday"), {"time": 3}]
     entries.append(har_entry(response={"status": 12345}))
     name = write(tmp_path, har(*entries))
-    assert [b.place for b in broken(name)] == [f"{name}: entry {n}" for n in (2, 3, 4)]
+    assert [b.location for b in broken(name)] == [f"{name}: entry {n}" for n in (2, 3, 4)]
     cut = write(tmp_path, har(har_entry(), har_entry())[:-200])
-    assert len(raws(cut)) == 1 and "not JSON from here on" in broken(cut)[0].why
+    assert len(raws(cut)) == 1 and "not JSON from here on" in broken(cut)[0].reason
 
 
 def test_hostile_files(tmp_path: Path) -> None:
     long = write(tmp_path, b"x" * (10 << 20) + b"\n" + LINES["json"].encode() + b"\n")
-    assert [b.why for b in broken(long)] == ["a line of over 1 MB"] and len(raws(long)) == 1
+    assert [b.reason for b in broken(long)] == ["a line of over 1 MB"] and len(raws(long)) == 1
     deep = write(tmp_path, b'{"log":{"entries":[{"a":' + b"[" * 10_000)
     with pytest.raises(CaptureError, match="nested over"):
         raws(deep)
