--- a/cypresspulley/capture/mapping.py
+++ b/cypresspulley/capture/mapping.py
@@ -116,7 +116,7 @@
         units = QUOTA_UNITS.search(raw.fields.get("x-quota", "")) or [None, raw.fields.get("units") or "1"]
         return Entry(
             raw.t, found["account"], found["class"], found["plan"], raw.method, path,
-            self._value(self._mapping.id, raw, query, parts).lower(), raw.status, raw.sent, raw.latency,
+            self._value(self._mapping.id, raw, query, parts).lower(), raw.status, raw.bytes_sent, raw.latency,
             source, raw.location, _units(units[1]), marked == "1" if marked else None,
         )  # fmt: skip
 
--- a/cypresspulley/capture/model.py
+++ b/cypresspulley/capture/model.py
@@ -27,7 +27,7 @@
     method: str
     target: str  # path and query
     status: int
-    sent: int
+    bytes_sent: int
     latency: float
     location: str
     fields: dict[str, str] = field(default_factory=dict)
@@ -65,7 +65,7 @@
     path: str
     id: str
     status: int
-    sent: int
+    bytes_sent: int
     latency: float
     source: str
     location: str
--- a/cypresspulley/capture/scrub.py
+++ b/cypresspulley/capture/scrub.py
@@ -25,7 +25,7 @@
         row = {
             "time": round(entry.t, 6), "id": pseudonym(entry.id, key) if entry.id else "",
             "account": pseudonym(entry.account, key), "class": entry.cls, "plan": entry.plan,
-            "method": entry.method, "path": entry.path, "status": entry.status, "sent": entry.sent,
+            "method": entry.method, "path": entry.path, "status": entry.status, "sent": entry.bytes_sent,
             "latency": round(entry.latency, 6), "units": entry.units,
         }  # fmt: skip
         if entry.marked is not None:
