--- a/cypresspulley/capture/load.py
+++ b/cypresspulley/capture/load.py
@@ -95,7 +95,7 @@
                     if entry is not None:
                         source.entries.append(entry)
                 elif isinstance(record, CounterCall):
-                    source.counts.append(replace(record, after=len(source.entries)))
+                    source.counts.append(replace(record, entries_before=len(source.entries)))
                 elif strict:
                     raise CaptureError(f"{record.location}: {record.reason}")
                 else:
--- a/cypresspulley/capture/model.py
+++ b/cypresspulley/capture/model.py
@@ -50,7 +50,7 @@
     name: str
     amount: float
     total: float
-    after: int = 0  # entries of its log that stand before it
+    entries_before: int = 0  # entries of its log that stand before it
 
 
 @dataclass(slots=True)
--- a/cypresspulley/capture/skew.py
+++ b/cypresspulley/capture/skew.py
@@ -79,8 +79,8 @@
 
 def _part_of(count: CounterCall, parts: list[Source], starts: list[int]) -> int:
     """The stretch that a call stands in; between two of them, the one whose clock is nearer."""
-    at = bisect_right(starts, count.after) - 1
-    if at > 0 and starts[at] == count.after:
+    at = bisect_right(starts, count.entries_before) - 1
+    if at > 0 and starts[at] == count.entries_before:
         before, behind = parts[at - 1].entries[-1].end, parts[at].entries[0].end
         return at - (abs(count.answered - before) < abs(count.answered - behind))
     return at
--- a/tests/capture/test_skew.py
+++ b/tests/capture/test_skew.py
@@ -76,7 +76,7 @@
         return Entry(START + t, "a", "c", "p", "GET", "/c", str(t), 200, 1, 0.01, "log", "")
 
     source = Source("log", "json", [line(50), line(60), line(2), line(9)])
-    before, behind = (CounterCall(START + t, START + t, "x", 1.0, t, after=2) for t in (60.5, 1.5))
+    before, behind = (CounterCall(START + t, START + t, "x", 1.0, t, entries_before=2) for t in (60.5, 1.5))
     source.counts = [before, behind]
     one, two = split_at_clock_jumps(source)
     assert one.counts == [before] and two.counts == [behind]
