--- a/cypresspulley/capture/planning.py
+++ b/cypresspulley/capture/planning.py
@@ -9,7 +9,7 @@
 from cypresspulley.capture.load import LoadedCaptures, load_captures
 from cypresspulley.capture.mapping import load_mapping
 from cypresspulley.capture.model import Entry
-from cypresspulley.capture.retries import PATIENCE, mark_retries
+from cypresspulley.capture.retries import MAX_RETRY_GAP_S, mark_retries
 from cypresspulley.capture.skew import Clock, merge_sources
 from cypresspulley.rehearsal.plan import Plan, draw
 from cypresspulley.rehearsal.scenario import Scenario
@@ -24,14 +24,14 @@
     notation: str = ""
     mapping: str | None = None
     strict: bool = False
-    patience: float = PATIENCE
+    max_retry_gap: float = MAX_RETRY_GAP_S
 
 
 def read_captures(what: CaptureInput) -> tuple[list[Entry], LoadedCaptures, list[Clock]]:
     """Files to merged entries in order of time, with their retries marked."""
     loaded = load_captures(what.files, load_mapping(what.mapping), what.kind, what.notation, what.strict)
     entries, clocks = merge_sources(loaded.sources)
-    mark_retries(entries, what.patience)
+    mark_retries(entries, what.max_retry_gap)
     return entries, loaded, clocks
 
 
--- a/cypresspulley/capture/retries.py
+++ b/cypresspulley/capture/retries.py
@@ -11,12 +11,12 @@
 
 from cypresspulley.capture.model import Entry
 
-PATIENCE = 5.0  # seconds between a try's end and the next, at most
+MAX_RETRY_GAP_S = 5.0  # seconds between a try's end and the next, at most
 EARLY = 0.05  # seconds that it may seem to come before the end: clocks are corrected within an error
 REPEATABLE = frozenset((0, 408, 425, 429, 500, 502, 503, 504))
 
 
-def mark_retries(entries: list[Entry], patience: float = PATIENCE) -> int:
+def mark_retries(entries: list[Entry], max_retry_gap: float = MAX_RETRY_GAP_S) -> int:
     """Set ``repeats`` of each entry (in order of time) to the place of its request's first try; how many."""
     open_ = defaultdict[tuple[str, str, str, str], list[int]](list)  # tries that may still be repeated
     marked = 0
@@ -24,7 +24,7 @@
         key = (entry.account, entry.cls, entry.method, entry.path)
         waiting = open_[key]
         # What is out of patience can be repeated no more.
-        waiting[:] = [n for n in waiting if entry.t - entries[n].end <= patience]
+        waiting[:] = [n for n in waiting if entry.t - entries[n].end <= max_retry_gap]
         entry.repeats = -1
         if entry.marked is not False:
             earlier = next((n for n in waiting if entries[n].end <= entry.t + EARLY), None)
