--- a/cypresspulley/capture/access.py
+++ b/cypresspulley/capture/access.py
@@ -58,7 +58,7 @@
     """One form of line: a name and what takes a line apart (None: not of this form)."""
 
     name: str
-    fields: Callable[[str], dict[str, str] | None]
+    parse: Callable[[str], dict[str, str] | None]
 
 
 def nginx_format(notation: str, name: str = "") -> LogFormat:
@@ -155,7 +155,7 @@
         if not text.strip():
             continue
         for at, form in enumerate(order):
-            if (fields := form.fields(text)) is not None:
+            if (fields := form.parse(text)) is not None:
                 if at:
                     order.insert(0, order.pop(at))
                 yield _record(fields, place)
--- a/tests/capture/test_readers.py
+++ b/tests/capture/test_readers.py
@@ -199,7 +199,7 @@
 @settings(max_examples=300, deadline=None)
 def test_no_bytes_break_a_reader(data: bytes) -> None:
     for form in FORMATS.values():
-        form.fields(data.decode("utf-8", "replace"))
+        form.parse(data.decode("utf-8", "replace"))
 
 
 @given(kind=st.sampled_from(sorted(LINES)), cut=st.integers(0, 300), junk=st.text(max_size=20))
@@ -207,7 +207,7 @@
 def test_bent_lines_are_read_or_told(kind: str, cut: int, junk: str) -> None:
     line = LINES[kind][:cut] + junk + LINES[kind][cut + len(junk) :]
     for form in FORMATS.values():
-        fields = form.fields(line)
+        fields = form.parse(line)
         assert fields is None or isinstance(fields, dict)
 
 
