--- a/benchmarks/cpu_per_request.py
+++ b/benchmarks/cpu_per_request.py
@@ -49,7 +49,9 @@
     """One end of the baseline: what comes here goes out at the other end."""
 
     def __init__(self, other: Pipe | None = None) -> None:
-        self._other, self._transport, self._early = other, cast(asyncio.Transport, None), b""
+        self._other = other
+        self._transport = cast(asyncio.Transport, None)
+        self._early = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
--- a/cypresspulley/capture/access.py
+++ b/cypresspulley/capture/access.py
@@ -49,7 +49,8 @@
 MILLIS = ("duration", "duration_ms", "ta", "response_time_ms")
 SIZES = ("bytes_sent", "body_bytes_sent", "size", "sent")
 STATUS = ("status", "response_code", "code")
-METHODS, TARGETS = ("request_method", "method"), ("request_uri", "path", "uri", "target", "url")
+METHODS = ("request_method", "method")
+TARGETS = ("request_uri", "path", "uri", "target", "url")
 MAX_FIELDS = 200
 
 
--- a/cypresspulley/capture/command.py
+++ b/cypresspulley/capture/command.py
@@ -28,7 +28,9 @@
 from cypresspulley.rehearsal import command as rehearsal
 from cypresspulley.rehearsal.scenario import Goal, Load, ScenarioError, load_scenario
 
-GOOD, BAD_INPUT, BROKEN_TOOL = 0, 2, 3
+GOOD = 0
+BAD_INPUT = 2
+BROKEN_TOOL = 3  # an output could not be written or the replay failed
 
 
 def inspect(what: CaptureInput, json_file: Path | None, html: Path | None) -> int:
--- a/cypresspulley/capture/har.py
+++ b/cypresspulley/capture/har.py
@@ -16,7 +16,9 @@
 from cypresspulley.capture.model import UNKNOWN, CaptureError, RawRequest, UnreadableRecord
 from cypresspulley.capture.times import parse_iso_time
 
-MAX_DEPTH, MAX_HEADERS, MAX_VALUE = 64, 200, 8192
+MAX_DEPTH = 64  # levels of JSON nesting
+MAX_HEADERS = 200  # per request
+MAX_VALUE = 8192  # characters
 ENTRY = "log.entries.item"
 WANTED = {
     f"{ENTRY}.startedDateTime": "started", f"{ENTRY}.time": "time", f"{ENTRY}.request.method": "method",
--- a/cypresspulley/capture/load.py
+++ b/cypresspulley/capture/load.py
@@ -79,12 +79,10 @@
     names: tuple[str, ...], mapping: Mapping, kind: str = "auto", notation: str = "", strict: bool = False
 ) -> LoadedCaptures:
     """All files as entries. ``strict`` makes the first broken place a ``CaptureError``."""
-    mapper, broken, places, sources = (
-        Mapper(mapping),
-        Counter[str](),
-        list[UnreadableRecord](),
-        list[Source](),
-    )
+    mapper = Mapper(mapping)
+    broken = Counter[str]()
+    places = list[UnreadableRecord]()
+    sources = list[Source]()
     for name in names:
         with open_capture(name) as stream:
             source = Source(name, _kind(stream, kind, notation))
--- a/cypresspulley/capture/model.py
+++ b/cypresspulley/capture/model.py
@@ -10,7 +10,9 @@
 from dataclasses import dataclass, field
 
 UNKNOWN = -1.0
-EARLIEST, LATEST = 631_152_000.0, 4_102_444_800.0  # 1990 and 2100: a time outside is a wrong field
+# 1990 and 2100, in Unix seconds: a time outside this range was read from a wrong field.
+EARLIEST = 631_152_000.0
+LATEST = 4_102_444_800.0
 MAX_SHOWN = 120
 TOKEN = re.compile(r"[A-Za-z0-9_\-+=.]{20,}")  # a path's part that may be a secret
 
--- a/cypresspulley/capture/skew.py
+++ b/cypresspulley/capture/skew.py
@@ -21,7 +21,9 @@
 from cypresspulley.capture.load import Source
 from cypresspulley.capture.model import CaptureError, CounterCall, Entry
 
-MAX_OFFSET, MAX_DRIFT = 3600.0, 1e-3  # seconds; a clock worse than this is another matter
+# Bounds of the linear program; clocks that are worse than this are not estimated.
+MAX_OFFSET = 3600.0  # seconds
+MAX_DRIFT = 1e-3  # seconds per second
 JUMP = 1.0  # seconds by which a log's own time may run back before its clock is taken to have jumped
 NEAR = 3.0  # seconds from the coarse offset within which a shared thing is believed
 MOST = 4000  # constraints of a pair of sources, the tightest of each stretch of time
--- a/cypresspulley/capture/source.py
+++ b/cypresspulley/capture/source.py
@@ -13,16 +13,22 @@
 from cypresspulley.capture.model import CaptureError
 
 MAX_LINE = 1 << 20  # bytes; a longer line is skipped and reported
-MAX_RATIO, FREE = 300, 64 << 20  # a compressed file may grow so many times, past the first 64 MB
-CHUNK, HEAD = 1 << 16, 4096  # bytes at a time; bytes that must be there to tell what it is
-GZIP, ZSTD, BOM = b"\x1f\x8b", b"\x28\xb5\x2f\xfd", b"\xef\xbb\xbf"
+MAX_RATIO = 300  # unpacked bytes per packed byte, beyond the first FREE bytes
+FREE = 64 << 20  # unpacked bytes that are allowed whatever the ratio
+CHUNK = 1 << 16  # bytes per read
+HEAD = 4096  # bytes read at the start to detect the compression
+GZIP = b"\x1f\x8b"
+ZSTD = b"\x28\xb5\x2f\xfd"
+BOM = b"\xef\xbb\xbf"
 
 
 class _Counting(io.RawIOBase):
     """Counts what is read of the packed bytes."""
 
     def __init__(self, inner: IO[bytes], head: bytes) -> None:
-        self._inner, self._head, self.count = inner, head, 0
+        self._inner = inner
+        self._head = head
+        self.count = 0
 
     def readable(self) -> bool:
         return True
@@ -39,7 +45,10 @@
     """Unpacked bytes, refused where they are a bomb."""
 
     def __init__(self, unpacked: IO[bytes], packed: _Counting, name: str) -> None:
-        self._unpacked, self._packed, self._name, self._count = unpacked, packed, name, 0
+        self._unpacked = unpacked
+        self._packed = packed
+        self._name = name
+        self._count = 0
 
     def readable(self) -> bool:
         return True
