--- a/cypresspulley/capture/access.py
+++ b/cypresspulley/capture/access.py
@@ -31,7 +31,7 @@
     '$upstream_service_time "$http_x_forwarded_for" "$http_user_agent" "$http_x_request_id" "$http_authority" '
     '"$upstream_host"'
 )
-HAPROXY = re.compile(
+HAPROXY_LINE = re.compile(
     r"(?:[^\[]{0,200}\[\d{1,9}\]: )?(?P<remote_addr>[^\s:]+|\S+):(?P<remote_port>\d{1,5}) "
     r"\[(?P<accept_date>[^\]]{1,40})\] (?P<frontend>\S+) (?P<backend>[^/\s]+)/(?P<upstream>\S+) "
     r"(?P<tq>-?\d{1,9})/(?P<tw>-?\d{1,9})/(?P<tc>-?\d{1,9})/(?P<tr>-?\d{1,9})/(?P<ta>\+?-?\d{1,9}) "
@@ -39,18 +39,20 @@
     r"(?:\{(?P<captured>[^}]*)\} )?(?:\{[^}]*\} )?\"(?P<request>[^\"]*)\"?",
     re.ASCII,
 )
-VARIABLE = re.compile(r"\$(?:\{([a-z0-9_]+)\}|([a-z0-9_]+))")
-REQUEST = re.compile(r"([!-~]{1,20}) (\S{1,8192})(?: HTTP/[\d.]{1,4})?")
-ESCAPED = re.compile(r"\\x([0-9A-Fa-f]{2})")
+VARIABLE_PATTERN = re.compile(r"\$(?:\{([a-z0-9_]+)\}|([a-z0-9_]+))")
+REQUEST_LINE = re.compile(r"([!-~]{1,20}) (\S{1,8192})(?: HTTP/[\d.]{1,4})?")
+HEX_ESCAPE = re.compile(r"\\x([0-9A-Fa-f]{2})")
 # Names that logs give to one thing; the first that a line has is taken.
-TIMES = ("time_local", "time_iso8601", "msec", "start_time", "time", "@timestamp", "timestamp", "ts")
-ENDS = frozenset(("time_local", "time_iso8601", "msec"))  # nginx writes these when the answer is out
-SECONDS = ("request_time", "latency")
-MILLIS = ("duration", "duration_ms", "ta", "response_time_ms")
-SIZES = ("bytes_sent", "body_bytes_sent", "size", "sent")
-STATUS = ("status", "response_code", "code")
-METHODS = ("request_method", "method")
-TARGETS = ("request_uri", "path", "uri", "target", "url")
+TIME_FIELDS = ("time_local", "time_iso8601", "msec", "start_time", "time", "@timestamp", "timestamp", "ts")
+END_TIME_FIELDS = frozenset(
+    ("time_local", "time_iso8601", "msec")
+)  # nginx writes these when the answer is out
+LATENCY_S_FIELDS = ("request_time", "latency")
+LATENCY_MS_FIELDS = ("duration", "duration_ms", "ta", "response_time_ms")
+SIZE_FIELDS = ("bytes_sent", "body_bytes_sent", "size", "sent")
+STATUS_FIELDS = ("status", "response_code", "code")
+METHOD_FIELDS = ("request_method", "method")
+TARGET_FIELDS = ("request_uri", "path", "uri", "target", "url")
 MAX_FIELDS = 200
 
 
@@ -65,7 +67,7 @@
 def nginx_format(notation: str, name: str = "") -> LogFormat:
     """A format from nginx's notation, ``$variables`` between literal text."""
     parts, at, names = list[str](), 0, set[str]()
-    found = list(VARIABLE.finditer(notation))
+    found = list(VARIABLE_PATTERN.finditer(notation))
     if not found:
         raise CaptureError(f"log format {notation!r:.60}: expected $variables, as in $status")
     for number, variable in enumerate(found):
@@ -79,7 +81,7 @@
             raise CaptureError(
                 f"log format: ${key} and the next variable stand side by side: where does it end?"
             )
-        inner = (
+        value_pattern = (
             r"[^\"\\]*(?:\\.[^\"\\]*)*"
             if following == '"'
             else f"[^{re.escape(following)}]*"
@@ -87,31 +89,31 @@
             else ".*"
         )
         if key in names or not key.isidentifier():
-            parts.append(f"(?:{inner})")
+            parts.append(f"(?:{value_pattern})")
         else:
-            parts.append(f"(?P<{key}>{inner})")
+            parts.append(f"(?P<{key}>{value_pattern})")
             names.add(key)
     pattern = re.compile("".join(parts) + re.escape(notation[at:]))
 
-    def fields(line: str) -> dict[str, str] | None:
-        form = pattern.fullmatch(line)
-        return {key: _unescaped(value) for key, value in form.groupdict().items()} if form else None
+    def parse(line: str) -> dict[str, str] | None:
+        match = pattern.fullmatch(line)
+        return {key: _unescape(value) for key, value in match.groupdict().items()} if match else None
 
-    return LogFormat(name or notation, fields)
+    return LogFormat(name or notation, parse)
 
 
-def _unescaped(text: str | None) -> str:
+def _unescape(text: str | None) -> str:
     if not text or text == "-":
         return ""
-    return ESCAPED.sub(lambda m: chr(int(m[1], 16)), text) if "\\x" in text else text
+    return HEX_ESCAPE.sub(lambda m: chr(int(m[1], 16)), text) if "\\x" in text else text
 
 
-def _haproxy(line: str) -> dict[str, str] | None:
-    form = HAPROXY.fullmatch(line)
-    return {key: value or "" for key, value in form.groupdict().items()} if form else None
+def _parse_haproxy(line: str) -> dict[str, str] | None:
+    match = HAPROXY_LINE.fullmatch(line)
+    return {key: value or "" for key, value in match.groupdict().items()} if match else None
 
 
-def _json(line: str) -> dict[str, str] | None:
+def _parse_json(line: str) -> dict[str, str] | None:
     if not line.startswith("{"):
         return None
     try:
@@ -121,11 +123,13 @@
     if not isinstance(raw, dict) or len(raw) > MAX_FIELDS:
         return None
     return {
-        str(key).lower(): _text(value) for key, value in raw.items() if not isinstance(value, dict | list)
+        str(key).lower(): _json_text(value)
+        for key, value in raw.items()
+        if not isinstance(value, dict | list)
     }
 
 
-def _text(value: Any) -> str:
+def _json_text(value: Any) -> str:
     if value is None:
         return ""
     if isinstance(value, bool):
@@ -134,11 +138,11 @@
 
 
 FORMATS = {
-    "json": LogFormat("json", _json),
+    "json": LogFormat("json", _parse_json),
     "combined": nginx_format(COMBINED, "combined"),
     "common": nginx_format(COMMON, "common"),
     "envoy": nginx_format(ENVOY, "envoy"),
-    "haproxy": LogFormat("haproxy", _haproxy),
+    "haproxy": LogFormat("haproxy", _parse_haproxy),
 }
 
 
@@ -148,38 +152,40 @@
     """The requests of an access log. Each line may be of another form: the one that fitted last is tried first."""
     order = list(formats or FORMATS.values())
     for number, line in read_lines(stream):
-        place = f"{name}:{number}"
+        location = f"{name}:{number}"
         if line is None:
-            yield UnreadableRecord(place, "a line of over 1 MB")
+            yield UnreadableRecord(location, "a line of over 1 MB")
             continue
         text = line.decode("utf-8", "replace")
         if not text.strip():
             continue
-        for at, form in enumerate(order):
-            if (fields := form.parse(text)) is not None:
+        for at, log_format in enumerate(order):
+            if (fields := log_format.parse(text)) is not None:
                 if at:
                     order.insert(0, order.pop(at))
-                yield _record(fields, place)
+                yield _parse_record(fields, location)
                 break
         else:
-            expected = ", ".join(form.name for form in order) if len(order) < 6 else "a known format"
-            yield UnreadableRecord(place, f"fits none of {expected:.120}")
+            expected = (
+                ", ".join(log_format.name for log_format in order) if len(order) < 6 else "a known format"
+            )
+            yield UnreadableRecord(location, f"fits none of {expected:.120}")
 
 
-def _record(fields: dict[str, str], place: str) -> RawRequest | CounterCall | UnreadableRecord:
+def _parse_record(fields: dict[str, str], location: str) -> RawRequest | CounterCall | UnreadableRecord:
     try:
         if fields.get("kind") == "count":
-            return _counted(fields)
+            return _parse_counter_call(fields)
         if fields.get("kind") == "dropped":
             return UnreadableRecord(
-                place, f"the limiter dropped {fields.get('lines', '?'):.12} lines here: its disk was slow"
+                location, f"the limiter dropped {fields.get('lines', '?'):.12} lines here: its disk was slow"
             )
-        return _raw(fields, place)
+        return _parse_request(fields, location)
     except (ValueError, OverflowError) as error:
-        return UnreadableRecord(place, str(error)[:120])
+        return UnreadableRecord(location, str(error)[:120])
 
 
-def _counted(fields: dict[str, str]) -> CounterCall:
+def _parse_counter_call(fields: dict[str, str]) -> CounterCall:
     t, answered = parse_time(fields.get("time", "")), parse_time(fields.get("answered", ""))
     amount, total = float(fields.get("amount", "x")), float(fields.get("total", "x"))
     if not (math.isfinite(amount) and math.isfinite(total)):
@@ -187,49 +193,49 @@
     return CounterCall(t, answered, fields.get("name", ""), amount, total)
 
 
-def _first(fields: dict[str, str], names: tuple[str, ...]) -> tuple[str, str]:
+def _first_field(fields: dict[str, str], names: tuple[str, ...]) -> tuple[str, str]:
     return next(((key, fields[key]) for key in names if fields.get(key)), ("", ""))
 
 
-def _number(text: str, what: str) -> float:
+def _finite_number(text: str, what: str) -> float:
     number = float(text)
     if not math.isfinite(number) or abs(number) > 1e12:
         raise ValueError(f"{what} out of range: {text:.30}")
     return number
 
 
-def _raw(fields: dict[str, str], place: str) -> RawRequest:
+def _parse_request(fields: dict[str, str], location: str) -> RawRequest:
     if "accept_date" in fields:
         key, t = "accept_date", parse_clf_time(fields["accept_date"])
     else:
-        key, value = _first(fields, TIMES)
+        key, value = _first_field(fields, TIME_FIELDS)
         t = parse_time(value)
     latency = UNKNOWN
-    if (text := _first(fields, SECONDS)[1]) != "":
-        latency = max(UNKNOWN, _number(text.split(",")[0], "a latency"))
-    elif (text := _first(fields, MILLIS)[1]) != "":
-        latency = max(UNKNOWN, _number(text.lstrip("+"), "a latency") / 1000)
-    if key in ENDS and latency > 0:
+    if (text := _first_field(fields, LATENCY_S_FIELDS)[1]) != "":
+        latency = max(UNKNOWN, _finite_number(text.split(",")[0], "a latency"))
+    elif (text := _first_field(fields, LATENCY_MS_FIELDS)[1]) != "":
+        latency = max(UNKNOWN, _finite_number(text.lstrip("+"), "a latency") / 1000)
+    if key in END_TIME_FIELDS and latency > 0:
         t -= latency
     if not is_plausible_time(t):
         raise ValueError("a time out of range")
-    method, target = _request(fields)
-    status = int(_number(_first(fields, STATUS)[1] or "0", "a status"))
-    size = int(_number((_first(fields, SIZES)[1] or "-1").lstrip("+"), "a size"))
+    method, target = _method_and_target(fields)
+    status = int(_finite_number(_first_field(fields, STATUS_FIELDS)[1] or "0", "a status"))
+    size = int(_finite_number((_first_field(fields, SIZE_FIELDS)[1] or "-1").lstrip("+"), "a size"))
     if not -1 <= status <= 999:
         raise ValueError(f"a status of {status}")
     for name in [key for key in fields if key.startswith("http_")]:
         fields[name[5:].replace("_", "-")] = fields[name]  # a header under its own name
-    return RawRequest(t, method, target, max(0, status), size, latency, place, fields)
+    return RawRequest(t, method, target, max(0, status), size, latency, location, fields)
 
 
-def _request(fields: dict[str, str]) -> tuple[str, str]:
+def _method_and_target(fields: dict[str, str]) -> tuple[str, str]:
     if fields.get("request"):
-        form = REQUEST.fullmatch(fields["request"])
-        if form is None:
+        match = REQUEST_LINE.fullmatch(fields["request"])
+        if match is None:
             raise ValueError(f"no request line: {fields['request']!r:.60}")
-        return form[1], form[2]
-    method, target = _first(fields, METHODS)[1], _first(fields, TARGETS)[1]
+        return match[1], match[2]
+    method, target = _first_field(fields, METHOD_FIELDS)[1], _first_field(fields, TARGET_FIELDS)[1]
     if not method or not target:
         raise ValueError("neither a request line nor method and path")
     return method, target[:8192]
--- a/cypresspulley/capture/arrivals.py
+++ b/cypresspulley/capture/arrivals.py
@@ -11,9 +11,9 @@
 from cypresspulley.rehearsal.plan import MAX_ARRIVALS, Arrival, random_for
 from cypresspulley.rehearsal.scenario import Scenario
 
-ACCOUNT = re.compile(r"[0-9a-f]{16}")
-MOST_ACCOUNT = 2**33
-SHIFT = 1.0  # seconds by which a copy of an account asks later than the original, at most
+ACCOUNT_PATTERN = re.compile(r"[0-9a-f]{16}")
+ACCOUNT_NUMBER_LIMIT = 2**33
+MAX_COPY_DELAY_S = 1.0  # seconds by which a copy of an account asks later than the original, at most
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,73 +29,75 @@
 
 def account_number(account: str, copy: int = 0) -> str:
     """An account in the protocol's form: itself if it has it, else a number made of its name."""
-    if copy == 0 and ACCOUNT.fullmatch(account) and int(account, 16) < MOST_ACCOUNT:
+    if copy == 0 and ACCOUNT_PATTERN.fullmatch(account) and int(account, 16) < ACCOUNT_NUMBER_LIMIT:
         return account
     digest = blake2b(f"{account}/{copy}".encode(), digest_size=8).digest()
-    return f"{int.from_bytes(digest, 'big') % MOST_ACCOUNT:016x}"
+    return f"{int.from_bytes(digest, 'big') % ACCOUNT_NUMBER_LIMIT:016x}"
 
 
-def select_window(entries: list[Entry], replay_options: ReplayOptions) -> list[tuple[int, Entry]]:
+def select_window(entries: list[Entry], options: ReplayOptions) -> list[tuple[int, Entry]]:
     """Entries of the wanted stretch with their places. A retry whose first try lies outside is a first try."""
     if not entries:
         return []
-    origin = entries[0].t
-    return [
-        (n, e) for n, e in enumerate(entries) if replay_options.start <= e.t - origin < replay_options.end
-    ]
+    first_time = entries[0].t
+    return [(n, e) for n, e in enumerate(entries) if options.start <= e.t - first_time < options.end]
 
 
 def build_arrivals(
-    entries: list[Entry], scenario: Scenario, replay_options: ReplayOptions, seed: int
+    entries: list[Entry], scenario: Scenario, options: ReplayOptions, seed: int
 ) -> list[Arrival]:
     """Arrivals in order of time; entries are in order, with their retries marked."""
     _check_names(entries, scenario)
-    chosen = select_window(entries, replay_options)
+    chosen = select_window(entries, options)
     if not chosen:
         raise CaptureError("no captured request lies between --from and --to")
-    inside, origin = {place for place, _ in chosen}, chosen[0][1].t
-    rows = list[tuple[float, int, int, Entry, int]]()  # time, copy, place, entry, place of the first try
-    for place, entry in chosen:
-        first = entry.repeats if entry.repeats in inside else -1
-        if first >= 0 and replay_options.clients_retry:
+    chosen_indexes, first_time = {index for index, _ in chosen}, chosen[0][1].t
+    attempts = list[tuple[float, int, int, Entry, int]]()  # time, copy, place, entry, place of the first try
+    for index, entry in chosen:
+        first_index = entry.repeats if entry.repeats in chosen_indexes else -1
+        if first_index >= 0 and options.clients_retry:
             continue
-        for copy in range(replay_options.account_copies):
-            later = random_for(seed, "copy", entry.account, copy).uniform(0, SHIFT) if copy else 0.0
-            rows.append(((entry.t - origin + later) / replay_options.speed, copy, place, entry, first))
-    if len(rows) > MAX_ARRIVALS:
-        raise CaptureError(f"{len(rows)} requests; expected at most {MAX_ARRIVALS}: choose --from and --to")
-    rows.sort(key=lambda row: (row[0], row[1], row[2]))
-    numbers = {(place, copy): n for n, (_, copy, place, _, _) in enumerate(rows)}
-    tries = dict[int, int]()
+        for copy in range(options.account_copies):
+            delay = (
+                random_for(seed, "copy", entry.account, copy).uniform(0, MAX_COPY_DELAY_S) if copy else 0.0
+            )
+            attempts.append(((entry.t - first_time + delay) / options.speed, copy, index, entry, first_index))
+    if len(attempts) > MAX_ARRIVALS:
+        raise CaptureError(
+            f"{len(attempts)} requests; expected at most {MAX_ARRIVALS}: choose --from and --to"
+        )
+    attempts.sort(key=lambda attempt: (attempt[0], attempt[1], attempt[2]))
+    arrival_numbers = {(index, copy): n for n, (_, copy, index, _, _) in enumerate(attempts)}
+    retry_counts = dict[int, int]()
     return [
-        _arrival(n, row, numbers, tries, scenario.limiters.count, scenario.load.spread[1])
-        for n, row in enumerate(rows)
+        _arrival(n, attempt, arrival_numbers, retry_counts, scenario.limiters.count, scenario.load.spread[1])
+        for n, attempt in enumerate(attempts)
     ]
 
 
 def _arrival(
-    number: int, row: tuple[float, int, int, Entry, int], numbers: dict[tuple[int, int], int],
-    tries: dict[int, int], limiters: int, spread: int,
+    number: int, attempt: tuple[float, int, int, Entry, int], arrival_numbers: dict[tuple[int, int], int],
+    retry_counts: dict[int, int], limiters: int, spread: int,
 ) -> Arrival:  # fmt: skip
-    t, copy, _, entry, first = row
+    t, copy, _, entry, first_index = attempt
     account = account_number(entry.account, copy)
-    repeats = numbers.get((first, copy), -1) if first >= 0 else -1
+    repeats = arrival_numbers.get((first_index, copy), -1) if first_index >= 0 else -1
     if repeats >= 0:
-        tries[repeats] = tries.get(repeats, 0) + 1
-    place = int(account, 16) % limiters
+        retry_counts[repeats] = retry_counts.get(repeats, 0) + 1
+    limiter_index = int(account, 16) % limiters
     return Arrival(
-        round(t, 6), number, account, entry.plan, entry.cls, entry.units, place, spread, repeats,
-        tries.get(repeats, 0),
+        round(t, 6), number, account, entry.plan, entry.cls, entry.units, limiter_index, spread, repeats,
+        retry_counts.get(repeats, 0),
     )  # fmt: skip
 
 
 def _check_names(entries: Iterable[Entry], scenario: Scenario) -> None:
-    for what, known, have in (
+    for what, known, used in (
         ("class", {c.name for c in scenario.classes}, {e.cls for e in entries}),
         ("plan", {p.name for p in scenario.plans}, {e.plan for e in entries}),
     ):
-        if strange := sorted(have - known):
+        if unknown := sorted(used - known):
             raise CaptureError(
-                f"the capture holds {what} {strange[0]!r:.60}, which the scenario does not: expected one of "
+                f"the capture holds {what} {unknown[0]!r:.60}, which the scenario does not: expected one of "
                 f"{', '.join(sorted(known))} (names can be mapped in a mapping file)"
             )
--- a/cypresspulley/capture/command.py
+++ b/cypresspulley/capture/command.py
@@ -22,51 +22,57 @@
 from cypresspulley.capture.model import CaptureError, printable
 from cypresspulley.capture.planning import CaptureInput, build_plan, read_captures
 from cypresspulley.capture.replay import ReplayReport, percentile, replay_against
-from cypresspulley.capture.scrub import KEY_BYTES, write_scrubbed
+from cypresspulley.capture.scrub import MIN_KEY_BYTES, write_scrubbed
 from cypresspulley.capture.summary import Summary, summarise
 from cypresspulley.console import fail
 from cypresspulley.rehearsal import command as rehearsal
 from cypresspulley.rehearsal.scenario import Goal, Load, ScenarioError, load_scenario
 
-GOOD = 0
-BAD_INPUT = 2
-BROKEN_TOOL = 3  # an output could not be written or the replay failed
+EXIT_OK = 0
+EXIT_BAD_INPUT = 2
+EXIT_TOOL_FAILED = 3  # an output could not be written or the replay failed
 
 
-def inspect(what: CaptureInput, json_file: Path | None, html: Path | None) -> int:
+def inspect(capture_input: CaptureInput, json_file: Path | None, html: Path | None) -> int:
     """Print what the files hold; the exit code."""
     try:
-        entries, loaded, clocks = read_captures(what)
+        entries, loaded, clocks = read_captures(capture_input)
         summary = summarise(entries, loaded, clocks)
-        _print(summary)
+        _print_summary(summary)
         if json_file is not None:
             json_file.write_text(json.dumps(summary.as_json(), indent=1) + "\n", encoding="utf-8")
         if html is not None:
-            html.write_text(page(summary), encoding="utf-8")
+            html.write_text(render_page(summary), encoding="utf-8")
     except CaptureError as error:
-        return fail(error, BAD_INPUT)
+        return fail(error, EXIT_BAD_INPUT)
     except OSError as error:
-        return fail(error, BROKEN_TOOL)
-    return GOOD
+        return fail(error, EXIT_TOOL_FAILED)
+    return EXIT_OK
 
 
-def scrub(what: CaptureInput, out: Path, key: str | None) -> int:
+def scrub(capture_input: CaptureInput, out: Path, key: str | None) -> int:
     """Write a capture without secrets and with accounts renamed; the exit code."""
     try:
-        secret = _key(key)
-        loaded = load_captures(what.files, load_mapping(what.mapping), what.kind, what.notation, what.strict)
+        secret = _load_key(key)
+        loaded = load_captures(
+            capture_input.files,
+            load_mapping(capture_input.mapping),
+            capture_input.kind,
+            capture_input.notation,
+            capture_input.strict,
+        )
         with out.open("w", encoding="utf-8") as file:
             count = write_scrubbed(sorted(loaded.entries, key=lambda e: e.t), secret, file)
     except CaptureError as error:
-        return fail(error, BAD_INPUT)
+        return fail(error, EXIT_BAD_INPUT)
     except OSError as error:
-        return fail(error, BROKEN_TOOL)
-    _tell_unread(loaded)
+        return fail(error, EXIT_TOOL_FAILED)
+    _print_unread(loaded)
     print(f"{count} requests written to {out}", file=sys.stderr)
-    return GOOD
+    return EXIT_OK
 
 
-def _key(path: str | None) -> bytes:
+def _load_key(path: str | None) -> bytes:
     """The key of the renaming: a file's bytes, or one drawn now and forgotten."""
     if path is None:
         return os.urandom(32)
@@ -74,31 +80,33 @@
         key = Path(path).read_bytes().strip()
     except OSError as error:
         raise CaptureError(f"{path}: not readable: {error.strerror}") from None
-    if not KEY_BYTES <= len(key) <= 64:
-        raise CaptureError(f"{path}: a key of {len(key)} bytes; expected {KEY_BYTES} to 64")
+    if not MIN_KEY_BYTES <= len(key) <= 64:
+        raise CaptureError(f"{path}: a key of {len(key)} bytes; expected {MIN_KEY_BYTES} to 64")
     return key
 
 
-def _tell_unread(loaded: LoadedCaptures) -> None:
-    for place in loaded.unreadable:
-        print(f"fawnseam: not read: {printable(place.location)}: {printable(place.reason)}", file=sys.stderr)
+def _print_unread(loaded: LoadedCaptures) -> None:
+    for record in loaded.unreadable:
+        print(
+            f"fawnseam: not read: {printable(record.location)}: {printable(record.reason)}", file=sys.stderr
+        )
     for name, count in loaded.unreadable_counts.items():
         print(f"fawnseam: {printable(name)}: {count} lines or entries were not read", file=sys.stderr)
     for reason, count in loaded.unmapped.most_common(10):
         print(f"fawnseam: not mapped, {count} times: {reason}", file=sys.stderr)
 
 
-def _print(summary: Summary) -> None:
+def _print_summary(summary: Summary) -> None:
     console = Console(highlight=False, markup=False, soft_wrap=True)
     span = summary.last - summary.first
     console.print(f"{summary.tries} tries of {summary.requests} requests over {span:.1f} s; "
                   f"{summary.retries} retries, {summary.accounts} accounts")  # fmt: skip
     for title, table in (("class", summary.by_class), ("plan", summary.by_plan), ("status", summary.by_status),
                          ("busiest accounts", dict(summary.top[:5]))):  # fmt: skip
-        shown_table = Table(title, "tries", box=None, pad_edge=False)
+        rendered = Table(title, "tries", box=None, pad_edge=False)
         for name, count in table.items():
-            shown_table.add_row(name, str(count))
-        console.print(shown_table)
+            rendered.add_row(name, str(count))
+        console.print(rendered)
     for clock in summary.clocks[1:]:
         error = f"+-{clock.error * 1000:.1f} ms" if math.isfinite(clock.error) else "unknown: nothing shared"
         drift = f"{clock.drift * 1e6:.0f} ppm" if math.isfinite(clock.error) else "-"
@@ -107,8 +115,8 @@
         )
     for name, count in summary.broken.items():
         console.print(f"not read: {count} in {name}")
-    for place, why in summary.places[:10]:
-        console.print(f"  {place}: {why}")
+    for location, reason in summary.places[:10]:
+        console.print(f"  {location}: {reason}")
     for reason, count in summary.unmapped.items():
         console.print(f"not mapped, {count} times: {reason}")
 
@@ -133,7 +141,7 @@
 """
 
 
-def page(summary: Summary) -> str:
+def render_page(summary: Summary) -> str:
     """The summary as one self-contained page."""
     figure = Figure(figsize=(10, 3), layout="constrained")
     axis = figure.subplots()
@@ -156,7 +164,7 @@
 
 
 def replay(
-    what: CaptureInput,
+    capture_input: CaptureInput,
     replay_options: ReplayOptions,
     seed: int,
     scenario: str,
@@ -166,25 +174,25 @@
     """Play captures again, against the kit's stand-ins or running limiters; the exit code."""
     try:
         outputs.check()
-        entries, loaded, _ = read_captures(what)
-        _tell_unread(loaded)
+        entries, loaded, _ = read_captures(capture_input)
+        _print_unread(loaded)
         base = load_scenario(scenario)
-        quiet = base.model_copy(update={"name": "replay", "load": Load(), "goal": Goal()})
-        made, plan = build_plan(entries, quiet, replay_options, seed)
+        empty_scenario = base.model_copy(update={"name": "replay", "load": Load(), "goal": Goal()})
+        replay_scenario, plan = build_plan(entries, empty_scenario, replay_options, seed)
     except (CaptureError, ScenarioError) as error:
-        return fail(error, BAD_INPUT)
+        return fail(error, EXIT_BAD_INPUT)
     if not targets:
-        return rehearsal.play_and_judge(made, plan, outputs)
+        return rehearsal.play_and_judge(replay_scenario, plan, outputs)
     try:
-        report = uvloop.run(replay_against(made, plan, targets))
+        report = uvloop.run(replay_against(replay_scenario, plan, targets))
     except (CaptureError, OSError) as error:
-        return fail(error, BROKEN_TOOL)
+        return fail(error, EXIT_TOOL_FAILED)
     except asyncio.CancelledError:
         return rehearsal.INTERRUPTED
     _print_report(report)
     if outputs.json is not None:
         outputs.json.write_text(json.dumps(report.as_json(), indent=1) + "\n", encoding="utf-8")
-    return GOOD
+    return EXIT_OK
 
 
 def _print_report(report: ReplayReport) -> None:
--- a/cypresspulley/capture/har_writer.py
+++ b/cypresspulley/capture/har_writer.py
@@ -14,17 +14,19 @@
     """Every sending as an entry, in order of time; how many."""
     records = list(records)
     unix_start = next((r.unix_start for r in records if isinstance(r, log.End)), 0.0)
-    ends = {r.id: r for r in records if isinstance(r, log.Answered)}
-    day = next(r for r in records if isinstance(r, log.Day))
-    safe = {c.name for c in day.classes if c.effect == "safe"}
+    answers = {r.id: r for r in records if isinstance(r, log.Answered)}
+    start_record = next(r for r in records if isinstance(r, log.Day))
+    safe_classes = {c.name for c in start_record.classes if c.effect == "safe"}
     sent = sorted((r for r in records if isinstance(r, log.Sent)), key=lambda r: (r.t, r.id))
-    entries = [_entry(r, ends.get(r.id), unix_start, r.cls in safe) for r in sent]
+    entries = [_entry(r, answers.get(r.id), unix_start, r.cls in safe_classes) for r in sent]
     creator = {"name": "fawnseam", "version": "1"}
     json.dump({"log": {"version": "1.2", "creator": creator, "entries": entries}}, out)
     return len(entries)
 
 
-def _entry(sent: log.Sent, answer: log.Answered | None, unix_start: float, safe: bool) -> dict[str, Any]:
+def _entry(
+    sent: log.Sent, answer: log.Answered | None, unix_start: float, safe_classes: bool
+) -> dict[str, Any]:
     started = datetime.fromtimestamp(unix_start + sent.t, UTC).isoformat(timespec="microseconds")
     headers = {
         "x-request-id": sent.id, "x-priority-class": sent.cls, "x-plan": sent.plan,
@@ -35,7 +37,7 @@
         "startedDateTime": started,
         "time": round((answer.t - sent.t) * 1000, 3) if answer else -1,
         "request": {
-            "method": "GET" if safe else "POST", "url": url, "httpVersion": "HTTP/1.1", "cookies": [],
+            "method": "GET" if safe_classes else "POST", "url": url, "httpVersion": "HTTP/1.1", "cookies": [],
             "headers": [{"name": key, "value": value} for key, value in headers.items()],
             "queryString": [{"name": "account", "value": sent.account}], "headersSize": -1, "bodySize": -1,
         },
--- a/cypresspulley/capture/load.py
+++ b/cypresspulley/capture/load.py
@@ -15,8 +15,8 @@
 from cypresspulley.capture.source import open_capture
 
 KINDS = ("auto", "har", *FORMATS)
-SHOWN = 20  # broken places of a file that are named
-SNIFF = 4096
+MAX_REPORTED_PER_FILE = 20  # broken places of a file that are named
+DETECTION_BYTES = 4096
 
 
 @dataclass(slots=True)
@@ -49,17 +49,17 @@
 ) -> Iterator[RawRequest | CounterCall | UnreadableRecord]:
     """What a reader finds in a file; ``kind`` is detected unless named, ``notation`` is nginx's log_format."""
     with open_capture(name) as stream:
-        yield from _reader(stream, name, _kind(stream, kind, notation), notation)
+        yield from _read_stream(stream, name, _detect_kind(stream, kind, notation), notation)
 
 
-def _kind(stream: io.BufferedReader[Any], kind: str, notation: str) -> str:
+def _detect_kind(stream: io.BufferedReader[Any], kind: str, notation: str) -> str:
     """``har``, or the kind of log; ``auto`` for a log of any formats."""
-    if kind == "auto" and not notation and is_har(stream.peek(SNIFF)[:SNIFF]):
+    if kind == "auto" and not notation and is_har(stream.peek(DETECTION_BYTES)[:DETECTION_BYTES]):
         return "har"
     return kind
 
 
-def _reader(
+def _read_stream(
     stream: io.BufferedReader[Any], name: str, kind: str, notation: str
 ) -> Iterator[RawRequest | CounterCall | UnreadableRecord]:
     if notation:
@@ -69,9 +69,9 @@
     return read_log(stream, name, () if kind == "auto" else (FORMATS[kind],))
 
 
-def is_har(head: bytes) -> bool:
+def is_har(first_bytes: bytes) -> bool:
     """A HAR is one object whose first key is ``log``; a log line's object is whole on its line."""
-    text = head.lstrip()
+    text = first_bytes.lstrip()
     return text.startswith(b"{") and text[1:].lstrip().startswith(b'"log"')
 
 
@@ -80,16 +80,16 @@
 ) -> LoadedCaptures:
     """All files as entries. ``strict`` makes the first broken place a ``CaptureError``."""
     mapper = Mapper(mapping)
-    broken = Counter[str]()
-    places = list[UnreadableRecord]()
+    unreadable_counts = Counter[str]()
+    unreadable = list[UnreadableRecord]()
     sources = list[Source]()
     for name in names:
         with open_capture(name) as stream:
-            source = Source(name, _kind(stream, kind, notation))
+            source = Source(name, _detect_kind(stream, kind, notation))
             sources.append(source)
-            for record in _reader(stream, name, source.kind, notation):
+            for record in _read_stream(stream, name, source.kind, notation):
                 if isinstance(record, RawRequest):
-                    entry = mapper.entry(record, name)
+                    entry = mapper.map_request(record, name)
                     if entry is not None:
                         source.entries.append(entry)
                 elif isinstance(record, CounterCall):
@@ -97,7 +97,7 @@
                 elif strict:
                     raise CaptureError(f"{record.location}: {record.reason}")
                 else:
-                    broken[name] += 1
-                    if broken[name] <= SHOWN:
-                        places.append(record)
-    return LoadedCaptures(sources, broken, places, mapper.unmapped, mapper.ignored)
+                    unreadable_counts[name] += 1
+                    if unreadable_counts[name] <= MAX_REPORTED_PER_FILE:
+                        unreadable.append(record)
+    return LoadedCaptures(sources, unreadable_counts, unreadable, mapper.unmapped, mapper.ignored)
--- a/cypresspulley/capture/mapping.py
+++ b/cypresspulley/capture/mapping.py
@@ -12,16 +12,16 @@
 
 from cypresspulley.capture.model import CaptureError, Entry, RawRequest, bare_path, printable
 
-SOURCE = re.compile(r"(query|header|field|path):([A-Za-z0-9_.\-]{1,60})")
+SOURCE_PATTERN = re.compile(r"(query|header|field|path):([A-Za-z0-9_.\-]{1,60})")
 MAX_REASONS = 200
 QUOTA_UNITS = re.compile(r"(?:^|,)units=([0-9.]{1,12})")
 
 
-class _Strict(BaseModel):
+class _StrictModel(BaseModel):
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-class Rule(_Strict):
+class Rule(_StrictModel):
     """Where a value is found: the first source that has one, ``query:account``, ``header:x-plan``, ``path:1``."""
 
     sources: tuple[str, ...] = Field((), alias="from")
@@ -32,15 +32,15 @@
 
     @field_validator("sources")
     @classmethod
-    def _sources(cls, value: tuple[str, ...]) -> tuple[str, ...]:
+    def _check_sources(cls, value: tuple[str, ...]) -> tuple[str, ...]:
         for source in value:
-            if not SOURCE.fullmatch(source):
+            if not SOURCE_PATTERN.fullmatch(source):
                 raise ValueError(f"{source!r}: expected query:NAME, header:NAME, field:NAME or path:NUMBER")
         return value
 
     @field_validator("pattern")
     @classmethod
-    def _pattern(cls, value: str) -> str:
+    def _check_pattern(cls, value: str) -> str:
         try:
             re.compile(value)
         except re.error as error:
@@ -48,7 +48,7 @@
         return value
 
 
-class Mapping(_Strict):
+class Mapping(_StrictModel):
     """The rules for each value of the request model."""
 
     account: Rule = Rule.model_validate(
@@ -87,7 +87,7 @@
 
     def __init__(self, mapping: Mapping) -> None:
         self._mapping = mapping
-        self._ignore = [re.compile(text) for text in mapping.ignore]
+        self._ignored_paths = [re.compile(text) for text in mapping.ignore]
         self._patterns = {id(rule): re.compile(rule.pattern) for rule in self._rules() if rule.pattern}
         self.unmapped = Counter[str]()
         self.ignored = 0
@@ -96,43 +96,45 @@
         m = self._mapping
         return m.account, m.cls, m.plan, m.id, m.retry
 
-    def entry(self, raw: RawRequest, source: str) -> Entry | None:
+    def map_request(self, raw: RawRequest, source: str) -> Entry | None:
         """The entry of a request, or None: counted as ignored or unmapped."""
         path = bare_path(raw.target)
-        if any(pattern.search(path) for pattern in self._ignore):
+        if any(pattern.search(path) for pattern in self._ignored_paths):
             self.ignored += 1
             return None
         query = parse_qs(raw.target.partition("?")[2], max_num_fields=100) if "?" in raw.target else {}
-        parts = path.split("/")
-        found = dict[str, str]()
+        path_segments = path.split("/")
+        values = dict[str, str]()
         for key, rule in (("class", self._mapping.cls), ("account", self._mapping.account),
                           ("plan", self._mapping.plan)):  # fmt: skip
-            value = self._value(rule, raw, query, parts)
+            value = self._find_value(rule, raw, query, path_segments)
             if not value:
-                self._miss(f"no {key}: {raw.method:.10} {path}")
+                self._count_unmapped(f"no {key}: {raw.method:.10} {path}")
                 return None
-            found[key] = value
-        marked = self._value(self._mapping.retry, raw, query, parts)
+            values[key] = value
+        retry_mark = self._find_value(self._mapping.retry, raw, query, path_segments)
         units = QUOTA_UNITS.search(raw.fields.get("x-quota", "")) or [None, raw.fields.get("units") or "1"]
         return Entry(
-            raw.t, found["account"], found["class"], found["plan"], raw.method, path,
-            self._value(self._mapping.id, raw, query, parts).lower(), raw.status, raw.bytes_sent, raw.latency,
-            source, raw.location, _units(units[1]), marked == "1" if marked else None,
+            raw.t, values["account"], values["class"], values["plan"], raw.method, path,
+            self._find_value(self._mapping.id, raw, query, path_segments).lower(), raw.status, raw.bytes_sent,
+            raw.latency, source, raw.location, _parse_units(units[1]), retry_mark == "1" if retry_mark else None,
         )  # fmt: skip
 
-    def _miss(self, reason: str) -> None:
+    def _count_unmapped(self, reason: str) -> None:
         reason = printable(reason)
         if reason not in self.unmapped and len(self.unmapped) >= MAX_REASONS:
             reason = "other reasons"
         self.unmapped[reason] += 1
 
-    def _value(self, rule: Rule, raw: RawRequest, query: dict[str, list[str]], parts: list[str]) -> str:
+    def _find_value(
+        self, rule: Rule, raw: RawRequest, query: dict[str, list[str]], path_segments: list[str]
+    ) -> str:
         for source in rule.sources:
             kind, _, name = source.partition(":")
             if kind == "query":
                 value = (query.get(name) or [""])[0]
             elif kind == "path":
-                value = parts[int(name)] if name.isdigit() and int(name) < len(parts) else ""
+                value = path_segments[int(name)] if name.isdigit() and int(name) < len(path_segments) else ""
             else:
                 value = raw.fields.get(name.lower(), "")
             value = rule.names.get(value, value)
@@ -146,7 +148,7 @@
         return rule.default
 
 
-def _units(text: str | None) -> float:
+def _parse_units(text: str | None) -> float:
     try:
         units = float(text or "1")
     except ValueError:
--- a/cypresspulley/capture/model.py
+++ b/cypresspulley/capture/model.py
@@ -11,10 +11,10 @@
 
 UNKNOWN = -1.0
 # 1990 and 2100, in Unix seconds: a time outside this range was read from a wrong field.
-EARLIEST = 631_152_000.0
-LATEST = 4_102_444_800.0
-MAX_SHOWN = 120
-TOKEN = re.compile(r"[A-Za-z0-9_\-+=.]{20,}")  # a path's part that may be a secret
+EARLIEST_TIME = 631_152_000.0
+LATEST_TIME = 4_102_444_800.0
+MAX_PRINTABLE_LENGTH = 120
+TOKEN_PATTERN = re.compile(r"[A-Za-z0-9_\-+=.]{20,}")  # a path's part that may be a secret
 
 
 class CaptureError(ValueError):
@@ -82,13 +82,13 @@
 
 
 def is_plausible_time(t: float) -> bool:
-    return EARLIEST < t < LATEST
+    return EARLIEST_TIME < t < LATEST_TIME
 
 
 def printable(text: str) -> str:
     """A text from outside made safe for a terminal or a page: no control characters, of bounded length."""
-    plain = "".join(c if c.isprintable() else f"\\x{ord(c):02x}" for c in text[: MAX_SHOWN + 1])
-    return plain if len(plain) <= MAX_SHOWN else plain[:MAX_SHOWN] + "..."
+    plain = "".join(c if c.isprintable() else f"\\x{ord(c):02x}" for c in text[: MAX_PRINTABLE_LENGTH + 1])
+    return plain if len(plain) <= MAX_PRINTABLE_LENGTH else plain[:MAX_PRINTABLE_LENGTH] + "..."
 
 
 def bare_path(target: str) -> str:
@@ -96,4 +96,4 @@
     path = target.partition("?")[0].partition("#")[0]
     if "://" in path[:10]:
         path = "/" + path.split("://", 1)[1].partition("/")[2]
-    return TOKEN.sub("{}", printable(path))
+    return TOKEN_PATTERN.sub("{}", printable(path))
--- a/cypresspulley/capture/planning.py
+++ b/cypresspulley/capture/planning.py
@@ -27,28 +27,36 @@
     max_retry_gap: float = MAX_RETRY_GAP_S
 
 
-def read_captures(what: CaptureInput) -> tuple[list[Entry], LoadedCaptures, list[Clock]]:
+def read_captures(capture_input: CaptureInput) -> tuple[list[Entry], LoadedCaptures, list[Clock]]:
     """Files to merged entries in order of time, with their retries marked."""
-    loaded = load_captures(what.files, load_mapping(what.mapping), what.kind, what.notation, what.strict)
+    loaded = load_captures(
+        capture_input.files,
+        load_mapping(capture_input.mapping),
+        capture_input.kind,
+        capture_input.notation,
+        capture_input.strict,
+    )
     entries, clocks = merge_sources(loaded.sources)
-    mark_retries(entries, what.max_retry_gap)
+    mark_retries(entries, capture_input.max_retry_gap)
     return entries, loaded, clocks
 
 
-def captured_scenario(base: Scenario, arrivals_end: float, clients: bool) -> Scenario:
+def scenario_for_capture(base: Scenario, arrivals_end: float, clients: bool) -> Scenario:
     """A scenario whose load is the capture's: as long as it, its clients retrying only if they are to."""
     seconds = min(600.0, max(1.0, math.ceil(arrivals_end + 0.001)))
-    options = base.clients if clients else base.clients.model_copy(update={"retries": 0})
+    client_options = base.clients if clients else base.clients.model_copy(update={"retries": 0})
     faults = tuple(f for f in base.faults if f.at < seconds)
-    return base.model_copy(update={"seconds": seconds, "clients": options, "faults": faults})
+    return base.model_copy(update={"seconds": seconds, "clients": client_options, "faults": faults})
 
 
 def plan_captured_load(scenario: Scenario, seed: int) -> tuple[Scenario, Plan]:
     """The plan of a scenario whose load names a capture; ``CaptureError`` where that cannot be used."""
-    wish = scenario.load
-    assert wish.capture is not None
-    entries, _, _ = read_captures(CaptureInput((wish.capture,), mapping=wish.mapping))
-    replay_options = ReplayOptions(wish.speed, wish.stretch_accounts, clients_retry=wish.scripted_clients)
+    load_settings = scenario.load
+    assert load_settings.capture is not None
+    entries, _, _ = read_captures(CaptureInput((load_settings.capture,), mapping=load_settings.mapping))
+    replay_options = ReplayOptions(
+        load_settings.speed, load_settings.stretch_accounts, clients_retry=load_settings.scripted_clients
+    )
     return build_plan(entries, scenario, replay_options, seed)
 
 
@@ -56,5 +64,5 @@
     entries: list[Entry], scenario: Scenario, replay_options: ReplayOptions, seed: int
 ) -> tuple[Scenario, Plan]:
     arrivals = build_arrivals(entries, scenario, replay_options, seed)
-    made = captured_scenario(scenario, arrivals[-1].t, replay_options.clients_retry)
-    return made, draw(made, seed, tuple(arrivals))
+    day_scenario = scenario_for_capture(scenario, arrivals[-1].t, replay_options.clients_retry)
+    return day_scenario, draw(day_scenario, seed, tuple(arrivals))
--- a/cypresspulley/capture/replay.py
+++ b/cypresspulley/capture/replay.py
@@ -14,8 +14,8 @@
 from cypresspulley.rehearsal.standins.clients import ClientFleet, Front
 from cypresspulley.rehearsal.standins.stage import Stage
 
-LEAD = 0.3  # seconds until the first request
-AFTER = 10.0  # seconds after the last for answers that are still out
+START_DELAY_S = 0.3  # seconds until the first request
+ANSWER_TIMEOUT_S = 10.0  # seconds after the last for answers that are still out
 
 
 @dataclass(slots=True)
@@ -48,19 +48,19 @@
         addresses = {target: split_address(target) for target in targets}
     except ValueError as error:
         raise CaptureError(f"--against: {error}; expected HOST:PORT") from None
-    report, started = ReplayReport(), dict[str, float]()
+    report, sent_at = ReplayReport(), dict[str, float]()
 
-    def sink(record: log.Record) -> None:
+    def record_event(record: log.Record) -> None:
         if isinstance(record, log.Sent):
             report.sent += 1
-            started[record.id] = record.t
+            sent_at[record.id] = record.t
         elif isinstance(record, log.Unreached):
             report.unreached += 1
         elif isinstance(record, log.Answered):
             report.statuses[record.status] += 1
-            report.latency.append((record.t - started.pop(record.id, record.t)) * 1000)
+            report.latency.append((record.t - sent_at.pop(record.id, record.t)) * 1000)
 
-    stage = Stage(sink, lambda _id, _cls: 0.0)
+    stage = Stage(record_event, lambda _id, _cls: 0.0)
     front = Front(list(addresses))
     for target in addresses:
         front.up(target)
@@ -68,8 +68,8 @@
     fleet = ClientFleet(
         stage, front, lambda name: addresses[name], scenario.clients, classes, plan.seed, scenario.seconds
     )
-    stage.begin(LEAD)
+    stage.begin(START_DELAY_S)
     await fleet.play(plan.arrivals)
-    await fleet.finish(AFTER)
+    await fleet.finish(ANSWER_TIMEOUT_S)
     report.late = [late * 1000 for late in fleet.late]
     return report
--- a/cypresspulley/capture/scrub.py
+++ b/cypresspulley/capture/scrub.py
@@ -9,7 +9,7 @@
 
 from cypresspulley.capture.model import Entry
 
-KEY_BYTES = 16  # a key is at least so long
+MIN_KEY_BYTES = 16  # a key is at least so long
 
 
 def pseudonym(account: str, key: bytes) -> str:
--- a/cypresspulley/capture/source.py
+++ b/cypresspulley/capture/source.py
@@ -12,17 +12,17 @@
 
 from cypresspulley.capture.model import CaptureError
 
-MAX_LINE = 1 << 20  # bytes; a longer line is skipped and reported
-MAX_RATIO = 300  # unpacked bytes per packed byte, beyond the first FREE bytes
-FREE = 64 << 20  # unpacked bytes that are allowed whatever the ratio
-CHUNK = 1 << 16  # bytes per read
-HEAD = 4096  # bytes read at the start to detect the compression
-GZIP = b"\x1f\x8b"
-ZSTD = b"\x28\xb5\x2f\xfd"
+MAX_LINE_BYTES = 1 << 20  # bytes; a longer line is skipped and reported
+MAX_UNPACK_RATIO = 300  # unpacked bytes per packed byte, beyond the first FREE bytes
+RATIO_FREE_BYTES = 64 << 20  # unpacked bytes that are allowed whatever the ratio
+CHUNK_BYTES = 1 << 16  # bytes per read
+HEAD_BYTES = 4096  # bytes read at the start to detect the compression
+GZIP_MAGIC = b"\x1f\x8b"
+ZSTD_MAGIC = b"\x28\xb5\x2f\xfd"
 BOM = b"\xef\xbb\xbf"
 
 
-class _Counting(io.RawIOBase):
+class _CountingReader(io.RawIOBase):
     """Counts what is read of the packed bytes."""
 
     def __init__(self, inner: IO[bytes], head: bytes) -> None:
@@ -41,10 +41,10 @@
         return len(data)
 
 
-class _Bounded(io.RawIOBase):
+class _BoundedReader(io.RawIOBase):
     """Unpacked bytes, refused where they are a bomb."""
 
-    def __init__(self, unpacked: IO[bytes], packed: _Counting, name: str) -> None:
+    def __init__(self, unpacked: IO[bytes], packed: _CountingReader, name: str) -> None:
         self._unpacked = unpacked
         self._packed = packed
         self._name = name
@@ -55,12 +55,12 @@
 
     def readinto(self, buffer: memoryview) -> int:  # type: ignore[override]
         try:
-            data = self._unpacked.read(min(len(buffer), CHUNK))
+            data = self._unpacked.read(min(len(buffer), CHUNK_BYTES))
         except (OSError, EOFError, zstandard.ZstdError) as error:
             raise CaptureError(f"{self._name}: damaged after {self._count} bytes: {error}") from None
         self._count += len(data)
-        if self._count > FREE + MAX_RATIO * self._packed.count:
-            raise CaptureError(f"{self._name}: unpacks to over {MAX_RATIO} times its size: refused")
+        if self._count > RATIO_FREE_BYTES + MAX_UNPACK_RATIO * self._packed.count:
+            raise CaptureError(f"{self._name}: unpacks to over {MAX_UNPACK_RATIO} times its size: refused")
         buffer[: len(data)] = data
         return len(data)
 
@@ -70,21 +70,21 @@
     try:
         raw: IO[bytes] = sys.stdin.buffer if name == "-" else open(name, "rb", buffering=0)  # noqa: SIM115
         head = b""
-        while len(head) < HEAD and (more := raw.read(HEAD - len(head))):
+        while len(head) < HEAD_BYTES and (more := raw.read(HEAD_BYTES - len(head))):
             head += more
     except OSError as error:
         raise CaptureError(f"{name}: not readable: {error.strerror}") from None
-    counting = _Counting(raw, head)
-    plain: io.BufferedReader[Any] = io.BufferedReader(counting, CHUNK)
-    if head.startswith(GZIP):
+    counting = _CountingReader(raw, head)
+    plain: io.BufferedReader[Any] = io.BufferedReader(counting, CHUNK_BYTES)
+    if head.startswith(GZIP_MAGIC):
         unpacked: IO[bytes] = cast(IO[bytes], gzip.GzipFile(fileobj=plain))
-    elif head.startswith(ZSTD):
+    elif head.startswith(ZSTD_MAGIC):
         unpacked = cast(IO[bytes], zstandard.ZstdDecompressor().stream_reader(plain, read_across_frames=True))
     else:
         unpacked = cast(IO[bytes], plain)
     stream: io.BufferedReader[Any] = plain
     if unpacked is not plain:
-        stream = io.BufferedReader(_Bounded(unpacked, counting, name), CHUNK)
+        stream = io.BufferedReader(_BoundedReader(unpacked, counting, name), CHUNK_BYTES)
     if stream.peek(3)[:3] == BOM:
         stream.read(3)
     return stream
@@ -93,10 +93,10 @@
 def read_lines(stream: io.BufferedReader) -> Iterator[tuple[int, bytes | None]]:
     """Numbered lines without their ends; None in place of one that is too long, which is not kept."""
     number = 0
-    while line := stream.readline(MAX_LINE + 1):
+    while line := stream.readline(MAX_LINE_BYTES + 1):
         number += 1
-        if len(line) > MAX_LINE and not line.endswith(b"\n"):
-            while (rest := stream.readline(CHUNK)) and not rest.endswith(b"\n"):
+        if len(line) > MAX_LINE_BYTES and not line.endswith(b"\n"):
+            while (rest := stream.readline(CHUNK_BYTES)) and not rest.endswith(b"\n"):
                 pass
             yield number, None
         else:
--- a/cypresspulley/capture/summary.py
+++ b/cypresspulley/capture/summary.py
@@ -11,7 +11,7 @@
 from cypresspulley.capture.model import Entry, printable
 from cypresspulley.capture.skew import Clock
 
-TOP = 20  # accounts that are listed
+MAX_LISTED = 20  # accounts that are listed
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,8 +66,8 @@
         by_class=dict(sorted(Counter(printable(e.cls) for e in entries).items())),
         by_plan=dict(sorted(Counter(printable(e.plan) for e in entries).items())),
         by_status={str(k): n for k, n in sorted(Counter(e.status for e in entries).items())},
-        accounts=len(accounts), top=[(printable(a), n) for a, n in accounts.most_common(TOP)],
+        accounts=len(accounts), top=[(printable(a), n) for a, n in accounts.most_common(MAX_LISTED)],
         rate=sorted(rate.items()), clocks=clocks, broken={printable(k): n for k, n in loaded.unreadable_counts.items()},
         places=[(printable(p.location), printable(p.reason)) for p in loaded.unreadable],
-        unmapped=dict(loaded.unmapped.most_common(TOP)), ignored=loaded.ignored,
+        unmapped=dict(loaded.unmapped.most_common(MAX_LISTED)), ignored=loaded.ignored,
     )  # fmt: skip
--- a/cypresspulley/capture/times.py
+++ b/cypresspulley/capture/times.py
@@ -8,22 +8,22 @@
 
 from cypresspulley.capture.model import is_plausible_time
 
-NAMES = ("Jan", "Feb", "Mar", "Apr", "May", "Jun", "Jul", "Aug", "Sep", "Oct", "Nov", "Dec")
-MONTHS = {name: number for number, name in enumerate(NAMES, 1)}
-CLF = re.compile(
+MONTH_NAMES = ("Jan", "Feb", "Mar", "Apr", "May", "Jun", "Jul", "Aug", "Sep", "Oct", "Nov", "Dec")
+MONTHS = {name: number for number, name in enumerate(MONTH_NAMES, 1)}
+CLF_TIME = re.compile(
     r"(\d\d)/([A-Z][a-z]{2})/(\d{4}):(\d\d):(\d\d):(\d\d)(\.\d{1,9})?(?: ([+-])(\d\d)(\d\d))?", re.ASCII
 )
-ISO = re.compile(r"(\d{4}-\d\d-\d\d[T ]\d\d:\d\d:\d\d)(\.\d{1,12})?(Z|[+-]\d\d:?\d\d)?", re.ASCII)
-NUMBER = re.compile(r"\d{9,10}(?:\.\d{1,9})?", re.ASCII)
-MILLIS = re.compile(r"\d{12,13}(?:\.\d{1,9})?", re.ASCII)
+ISO_TIME = re.compile(r"(\d{4}-\d\d-\d\d[T ]\d\d:\d\d:\d\d)(\.\d{1,12})?(Z|[+-]\d\d:?\d\d)?", re.ASCII)
+EPOCH_SECONDS = re.compile(r"\d{9,10}(?:\.\d{1,9})?", re.ASCII)
+EPOCH_MILLISECONDS = re.compile(r"\d{12,13}(?:\.\d{1,9})?", re.ASCII)
 
 
 @lru_cache(maxsize=4096)  # a second's lines share most of their time
-def _whole(year: int, month: int, day: int, hour: int, minute: int, second: int) -> float:
+def _whole_seconds(year: int, month: int, day: int, hour: int, minute: int, second: int) -> float:
     return datetime(year, month, day, hour, minute, min(59, second), tzinfo=UTC).timestamp()
 
 
-def _checked(t: float, text: str) -> float:
+def _check_range(t: float, text: str) -> float:
     if not is_plausible_time(t):
         raise ValueError(f"a time out of range: {text:.40}")
     return t
@@ -31,23 +31,25 @@
 
 def parse_clf_time(text: str) -> float:
     """``10/Oct/2026:13:55:36 +0530``, with milliseconds and without a zone (then UTC) as well."""
-    form = CLF.fullmatch(text)
-    if form is None or form[2] not in MONTHS:
+    match = CLF_TIME.fullmatch(text)
+    if match is None or match[2] not in MONTHS:
         raise ValueError(f"no time: {text:.40}")
-    t = _whole(int(form[3]), MONTHS[form[2]], int(form[1]), int(form[4]), int(form[5]), int(form[6]))
-    if form[8]:
-        away = int(form[9]) * 3600 + int(form[10]) * 60
-        t -= away if form[8] == "+" else -away
-    return _checked(t + float(form[7] or 0), text)
+    t = _whole_seconds(
+        int(match[3]), MONTHS[match[2]], int(match[1]), int(match[4]), int(match[5]), int(match[6])
+    )
+    if match[8]:
+        zone_offset = int(match[9]) * 3600 + int(match[10]) * 60
+        t -= zone_offset if match[8] == "+" else -zone_offset
+    return _check_range(t + float(match[7] or 0), text)
 
 
 def parse_iso_time(text: str) -> float:
     """ISO 8601 with any number of digits of a second; without a zone it is UTC."""
-    form = ISO.fullmatch(text)
-    if form is None:
+    match = ISO_TIME.fullmatch(text)
+    if match is None:
         raise ValueError(f"no time: {text:.40}")
-    whole = datetime.fromisoformat(form[1].replace(" ", "T") + (form[3] or "Z"))
-    return _checked(whole.timestamp() + float(form[2] or 0), text)
+    whole_seconds = datetime.fromisoformat(match[1].replace(" ", "T") + (match[3] or "Z"))
+    return _check_range(whole_seconds.timestamp() + float(match[2] or 0), text)
 
 
 def parse_time(value: object) -> float:
@@ -55,8 +57,8 @@
     if isinstance(value, bool) or not isinstance(value, int | float | str):
         raise ValueError(f"no time: {value!r:.40}")
     text = str(value).strip()
-    if NUMBER.fullmatch(text):
-        return _checked(float(text), text)
-    if MILLIS.fullmatch(text):
-        return _checked(float(text) / 1000, text)
+    if EPOCH_SECONDS.fullmatch(text):
+        return _check_range(float(text), text)
+    if EPOCH_MILLISECONDS.fullmatch(text):
+        return _check_range(float(text) / 1000, text)
     return parse_clf_time(text) if "/" in text else parse_iso_time(text)
