--- a/cypresspulley/capture/__init__.py
+++ b/cypresspulley/capture/__init__.py
@@ -1,1 +1,1 @@
-"""Captured load: HAR files and access logs in, one request model out; merging, retries, replay."""
+"""Reads HAR files and access logs into one request model, merges them, detects retries and replays the load."""
--- a/cypresspulley/capture/access.py
+++ b/cypresspulley/capture/access.py
@@ -1,6 +1,7 @@
-"""Access logs: common, combined, HAProxy, Envoy, JSON lines, and formats in nginx's ``log_format`` notation.
+"""Reads access logs: common, combined, HAProxy, Envoy, JSON lines, and formats in nginx's ``log_format`` notation.
 
-Every pattern is a row of ``[^x]*`` each followed by its ``x``: a line is read in time linear in its length.
+Every pattern is a sequence of ``[^x]*``, each followed by its ``x``, so that matching takes time linear in the length
+of the line.
 """
 
 from __future__ import annotations
@@ -42,11 +43,10 @@
 VARIABLE_PATTERN = re.compile(r"\$(?:\{([a-z0-9_]+)\}|([a-z0-9_]+))")
 REQUEST_LINE = re.compile(r"([!-~]{1,20}) (\S{1,8192})(?: HTTP/[\d.]{1,4})?")
 HEX_ESCAPE = re.compile(r"\\x([0-9A-Fa-f]{2})")
-# Names that logs give to one thing; the first that a line has is taken.
+# Field names that logs use for one value; the first one present in a line is used.
 TIME_FIELDS = ("time_local", "time_iso8601", "msec", "start_time", "time", "@timestamp", "timestamp", "ts")
-END_TIME_FIELDS = frozenset(
-    ("time_local", "time_iso8601", "msec")
-)  # nginx writes these when the answer is out
+# nginx takes these times when the response has been sent.
+END_TIME_FIELDS = frozenset(("time_local", "time_iso8601", "msec"))
 LATENCY_S_FIELDS = ("request_time", "latency")
 LATENCY_MS_FIELDS = ("duration", "duration_ms", "ta", "response_time_ms")
 SIZE_FIELDS = ("bytes_sent", "body_bytes_sent", "size", "sent")
@@ -58,14 +58,17 @@
 
 @dataclass(frozen=True, slots=True)
 class LogFormat:
-    """One form of line: a name and what takes a line apart (None: not of this form)."""
+    """A named log line format. ``parse`` returns the fields of a line, or None if the line has another format."""
 
     name: str
     parse: Callable[[str], dict[str, str] | None]
 
 
 def nginx_format(notation: str, name: str = "") -> LogFormat:
-    """A format from nginx's notation, ``$variables`` between literal text."""
+    """Compile nginx's notation, ``$variables`` between literal text.
+
+    Raises ``CaptureError`` if the notation has no variable or the end of a variable cannot be determined.
+    """
     parts, at, names = list[str](), 0, set[str]()
     found = list(VARIABLE_PATTERN.finditer(notation))
     if not found:
@@ -79,7 +82,7 @@
             raise CaptureError(f"log format: ${key} is followed by nothing")
         if number + 1 < len(found) and found[number + 1].start() == at:
             raise CaptureError(
-                f"log format: ${key} and the next variable stand side by side: where does it end?"
+                f"log format: ${key} and the next variable stand side by side, so its end is unknown"
             )
         value_pattern = (
             r"[^\"\\]*(?:\\.[^\"\\]*)*"
@@ -149,7 +152,7 @@
 def read_log(
     stream: io.BufferedReader, name: str, formats: tuple[LogFormat, ...] = ()
 ) -> Iterator[RawRequest | CounterCall | UnreadableRecord]:
-    """The requests of an access log. Each line may be of another form: the one that fitted last is tried first."""
+    """Yield the requests of an access log. Lines may differ in format; the format that matched last is tried first."""
     order = list(formats or FORMATS.values())
     for number, line in read_lines(stream):
         location = f"{name}:{number}"
@@ -189,7 +192,7 @@
     t, answered = parse_time(fields.get("time", "")), parse_time(fields.get("answered", ""))
     amount, total = float(fields.get("amount", "x")), float(fields.get("total", "x"))
     if not (math.isfinite(amount) and math.isfinite(total)):
-        raise ValueError("a count that is no number")
+        raise ValueError("the amount or total of a count is not finite")
     return CounterCall(t, answered, fields.get("name", ""), amount, total)
 
 
@@ -225,7 +228,7 @@
     if not -1 <= status <= 999:
         raise ValueError(f"a status of {status}")
     for name in [key for key in fields if key.startswith("http_")]:
-        fields[name[5:].replace("_", "-")] = fields[name]  # a header under its own name
+        fields[name[5:].replace("_", "-")] = fields[name]  # the header under its own name
     return RawRequest(t, method, target, max(0, status), size, latency, location, fields)
 
 
@@ -233,7 +236,7 @@
     if fields.get("request"):
         match = REQUEST_LINE.fullmatch(fields["request"])
         if match is None:
-            raise ValueError(f"no request line: {fields['request']!r:.60}")
+            raise ValueError(f"not a request line: {fields['request']!r:.60}")
         return match[1], match[2]
     method, target = _first_field(fields, METHOD_FIELDS)[1], _first_field(fields, TARGET_FIELDS)[1]
     if not method or not target:
--- a/cypresspulley/capture/arrivals.py
+++ b/cypresspulley/capture/arrivals.py
@@ -1,4 +1,4 @@
-"""Captured entries as arrivals of a day: timing kept or scaled, retries as captured or left out; free of I/O."""
+"""Converts captured entries to arrivals with original or scaled timing, with or without retries. Does no I/O."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 ACCOUNT_PATTERN = re.compile(r"[0-9a-f]{16}")
 ACCOUNT_NUMBER_LIMIT = 2**33
-MAX_COPY_DELAY_S = 1.0  # seconds by which a copy of an account asks later than the original, at most
+MAX_COPY_DELAY_S = 1.0  # upper bound of the random delay of a copied account's requests
 
 
 @dataclass(frozen=True, slots=True)
 class ReplayOptions:
-    """How captured load is changed. ``start`` and ``end`` are seconds from the capture's first entry."""
+    """How a replay changes the captured load. ``start`` and ``end`` are seconds from the capture's first entry."""
 
     speed: float = 1.0
-    account_copies: int = 1  # each account becomes so many that ask alike
+    account_copies: int = 1  # accounts that replace each captured account, with the same requests
     start: float = 0.0
     end: float = float("inf")
-    clients_retry: bool = False  # scripted clients retry by themselves: the captured retries stay out
+    clients_retry: bool = False  # the scripted clients retry, so the captured retries are omitted
 
 
 def account_number(account: str, copy: int = 0) -> str:
-    """An account in the protocol's form: itself if it has it, else a number made of its name."""
+    """Return the account unchanged if it is a valid account number and not a copy, else a number hashed from it."""
     if copy == 0 and ACCOUNT_PATTERN.fullmatch(account) and int(account, 16) < ACCOUNT_NUMBER_LIMIT:
         return account
     digest = blake2b(f"{account}/{copy}".encode(), digest_size=8).digest()
@@ -36,7 +36,7 @@
 
 
 def select_window(entries: list[Entry], options: ReplayOptions) -> list[tuple[int, Entry]]:
-    """Entries of the wanted stretch with their places. A retry whose first try lies outside is a first try."""
+    """Return the entries between ``start`` and ``end`` with their indexes in the capture."""
     if not entries:
         return []
     first_time = entries[0].t
@@ -46,13 +46,19 @@
 def build_arrivals(
     entries: list[Entry], scenario: Scenario, options: ReplayOptions, seed: int
 ) -> list[Arrival]:
-    """Arrivals in order of time; entries are in order, with their retries marked."""
+    """Return the arrivals in order of time, from entries that are in order and whose retries are marked.
+
+    A retry whose first attempt lies outside the window becomes a first attempt. Raises ``CaptureError`` for an unknown
+    class or plan, an empty window, or more than ``MAX_ARRIVALS`` requests.
+    """
     _check_names(entries, scenario)
     chosen = select_window(entries, options)
     if not chosen:
         raise CaptureError("no captured request lies between --from and --to")
     chosen_indexes, first_time = {index for index, _ in chosen}, chosen[0][1].t
-    attempts = list[tuple[float, int, int, Entry, int]]()  # time, copy, place, entry, place of the first try
+    attempts = list[
+        tuple[float, int, int, Entry, int]
+    ]()  # time, copy, index, entry, index of the first attempt
     for index, entry in chosen:
         first_index = entry.repeats if entry.repeats in chosen_indexes else -1
         if first_index >= 0 and options.clients_retry:
--- a/cypresspulley/capture/command.py
+++ b/cypresspulley/capture/command.py
@@ -1,4 +1,4 @@
-"""What ``fawnseam capture`` and ``fawnseam replay`` do; their exit codes."""
+"""Implements ``fawnseam capture`` and ``fawnseam replay`` and defines their exit codes."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 
 EXIT_OK = 0
 EXIT_BAD_INPUT = 2
-EXIT_TOOL_FAILED = 3  # an output could not be written or the replay failed
+EXIT_TOOL_FAILED = 3  # an output could not be written, or the replay failed
 
 
 def inspect(capture_input: CaptureInput, json_file: Path | None, html: Path | None) -> int:
-    """Print what the files hold; the exit code."""
+    """Print a summary of the capture files and return the exit code."""
     try:
         entries, loaded, clocks = read_captures(capture_input)
         summary = summarise(entries, loaded, clocks)
@@ -51,7 +51,7 @@
 
 
 def scrub(capture_input: CaptureInput, out: Path, key: str | None) -> int:
-    """Write a capture without secrets and with accounts renamed; the exit code."""
+    """Write a capture without secrets and with pseudonymous accounts, and return the exit code."""
     try:
         secret = _load_key(key)
         loaded = load_captures(
@@ -73,7 +73,10 @@
 
 
 def _load_key(path: str | None) -> bytes:
-    """The key of the renaming: a file's bytes, or one drawn now and forgotten."""
+    """Return the hash key for pseudonyms: the file's bytes, or a random key that is not stored.
+
+    Raises ``CaptureError`` if the file is unreadable or its key is not ``MIN_KEY_BYTES`` to 64 bytes long.
+    """
     if path is None:
         return os.urandom(32)
     try:
@@ -160,9 +163,6 @@
     return environment.from_string(PAGE).render(s=summary, chart=svg[svg.index("<svg") :], tables=tables)
 
 
-# Replay.
-
-
 def replay(
     capture_input: CaptureInput,
     replay_options: ReplayOptions,
@@ -171,7 +171,7 @@
     targets: tuple[str, ...],
     outputs: rehearsal.Outputs,
 ) -> int:
-    """Play captures again, against the kit's stand-ins or running limiters; the exit code."""
+    """Replay captures against the rehearsal's own processes or running limiters, and return the exit code."""
     try:
         outputs.check()
         entries, loaded, _ = read_captures(capture_input)
--- a/cypresspulley/capture/har.py
+++ b/cypresspulley/capture/har.py
@@ -1,7 +1,7 @@
-"""HAR 1.2 files, streamed: memory grows with the largest value, never with the file.
+"""Reads HAR 1.2 files as a stream: memory use is bounded by the largest value, not by the file.
 
-Only what the request model wants is kept; bodies, cookies and the like pass by. Entries come in any order, with
-``time`` of -1, status 0 for aborted ones, HTTP/2 pseudo-headers, names in any case.
+Keeps only what the request model needs; bodies and cookies are skipped. Accepts entries in any order, a ``time`` of
+-1, status 0 for aborted requests, HTTP/2 pseudo-headers, and header names in any case.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class _EntryBuilder:
-    """The values of one entry, as they come by."""
+    """Collects the values of one entry while the file is parsed."""
 
     def __init__(self) -> None:
         self.values = dict[str, Any]()
@@ -78,7 +78,11 @@
 
 
 def read_har(stream: io.BufferedReader, name: str) -> Iterator[RawRequest | UnreadableRecord]:
-    """The requests of a HAR file. What is broken within an entry is told; a file that is no JSON ends it."""
+    """Yield the requests of a HAR file.
+
+    Yields an ``UnreadableRecord`` for an invalid entry, and as the last record where the JSON becomes invalid. Raises
+    ``CaptureError`` if the nesting exceeds ``MAX_DEPTH``.
+    """
     entry, number, depth = _EntryBuilder(), 0, 0
     try:
         for path, event, value in ijson.parse(stream, use_float=True):
--- a/cypresspulley/capture/har_writer.py
+++ b/cypresspulley/capture/har_writer.py
@@ -1,4 +1,4 @@
-"""What scripted clients sent and got, as a HAR file: a capture of a rehearsal from the clients' side."""
+"""Writes the requests and responses of a rehearsal's scripted clients as a HAR file."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def write_har(records: Iterable[log.Record], out: TextIO) -> int:
-    """Every sending as an entry, in order of time; how many."""
+    """Write every attempt as an entry, in order of time, and return the number of entries."""
     records = list(records)
     unix_start = next((r.unix_start for r in records if isinstance(r, log.End)), 0.0)
     answers = {r.id: r for r in records if isinstance(r, log.Answered)}
--- a/cypresspulley/capture/load.py
+++ b/cypresspulley/capture/load.py
@@ -1,4 +1,4 @@
-"""Captures to entries: kinds detected, broken places counted, everything that could not be used told."""
+"""Loads capture files as entries, detects their formats, and counts the records that cannot be used."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from cypresspulley.capture.source import open_capture
 
 KINDS = ("auto", "har", *FORMATS)
-MAX_REPORTED_PER_FILE = 20  # broken places of a file that are named
-DETECTION_BYTES = 4096
+MAX_REPORTED_PER_FILE = 20  # unreadable records listed with their location
+DETECTION_BYTES = 4096  # inspected to tell a HAR from a log
 
 
 @dataclass(slots=True)
 class Source:
-    """One file, or one stretch of it between two jumps of its clock."""
+    """A capture file, or the part of one between two jumps of its clock."""
 
     name: str
     kind: str
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class LoadedCaptures:
-    """What was read of all files, and what was not."""
+    """The entries read from all files, and the records that could not be read or mapped."""
 
     sources: list[Source]
     unreadable_counts: Counter[str]
@@ -47,13 +47,13 @@
 def read_records(
     name: str, kind: str = "auto", notation: str = ""
 ) -> Iterator[RawRequest | CounterCall | UnreadableRecord]:
-    """What a reader finds in a file; ``kind`` is detected unless named, ``notation`` is nginx's log_format."""
+    """Yield the records of a file. ``kind`` "auto" detects the format; ``notation`` is an nginx log_format."""
     with open_capture(name) as stream:
         yield from _read_stream(stream, name, _detect_kind(stream, kind, notation), notation)
 
 
 def _detect_kind(stream: io.BufferedReader[Any], kind: str, notation: str) -> str:
-    """``har``, or the kind of log; ``auto`` for a log of any formats."""
+    """Return ``har`` or the log format, or ``auto`` for a log whose format is detected line by line."""
     if kind == "auto" and not notation and is_har(stream.peek(DETECTION_BYTES)[:DETECTION_BYTES]):
         return "har"
     return kind
@@ -70,7 +70,7 @@
 
 
 def is_har(first_bytes: bytes) -> bool:
-    """A HAR is one object whose first key is ``log``; a log line's object is whole on its line."""
+    """Return whether the bytes begin a HAR file: a JSON object whose first key is ``log``."""
     text = first_bytes.lstrip()
     return text.startswith(b"{") and text[1:].lstrip().startswith(b'"log"')
 
@@ -78,7 +78,7 @@
 def load_captures(
     names: tuple[str, ...], mapping: Mapping, kind: str = "auto", notation: str = "", strict: bool = False
 ) -> LoadedCaptures:
-    """All files as entries. ``strict`` makes the first broken place a ``CaptureError``."""
+    """Load all files. With ``strict``, raises ``CaptureError`` at the first unreadable record."""
     mapper = Mapper(mapping)
     unreadable_counts = Counter[str]()
     unreadable = list[UnreadableRecord]()
--- a/cypresspulley/capture/mapping.py
+++ b/cypresspulley/capture/mapping.py
@@ -1,4 +1,7 @@
-"""How account, class and plan are found in a capture: a mapping file in TOML, the platform's own by default."""
+"""Extracts account, class and plan from captured requests by the rules of a TOML mapping file.
+
+The default rules match the platform's own headers, query parameters and log fields.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,7 @@
 
 
 class Rule(_StrictModel):
-    """Where a value is found: the first source that has one, ``query:account``, ``header:x-plan``, ``path:1``."""
+    """Lists the sources of a value, such as ``query:account`` or ``path:1``; the first valid value is used."""
 
     sources: tuple[str, ...] = Field((), alias="from")
     pattern: str = ""
@@ -49,7 +52,7 @@
 
 
 class Mapping(_StrictModel):
-    """The rules for each value of the request model."""
+    """The extraction rules for the values of the request model."""
 
     account: Rule = Rule.model_validate(
         {"from": ["query:account", "header:x-account", "field:account"], "pattern": "[0-9A-Za-z_.-]{1,64}"}
@@ -68,7 +71,7 @@
 
 
 def load_mapping(path: str | None) -> Mapping:
-    """A mapping file; ``CaptureError`` names file, key and what was expected."""
+    """Load a mapping file; raises ``CaptureError`` naming the file, the key and the expected value."""
     if path is None:
         return Mapping()
     try:
@@ -83,7 +86,7 @@
 
 
 class Mapper:
-    """Requests as readers found them to entries; what cannot be mapped is counted by its reason."""
+    """Maps captured requests to entries and counts the requests that cannot be mapped, by reason."""
 
     def __init__(self, mapping: Mapping) -> None:
         self._mapping = mapping
@@ -97,7 +100,7 @@
         return m.account, m.cls, m.plan, m.id, m.retry
 
     def map_request(self, raw: RawRequest, source: str) -> Entry | None:
-        """The entry of a request, or None: counted as ignored or unmapped."""
+        """Return the entry of a request, or None after counting the request as ignored or unmapped."""
         path = bare_path(raw.target)
         if any(pattern.search(path) for pattern in self._ignored_paths):
             self.ignored += 1
--- a/cypresspulley/capture/model.py
+++ b/cypresspulley/capture/model.py
@@ -1,7 +1,7 @@
-"""The one request model of all captures, and what a reader says of a line or entry that it cannot read.
+"""Defines the request model shared by all capture formats, and the record of a line or entry that cannot be read.
 
-Times are Unix seconds, latencies seconds, sizes bytes. What a capture does not tell is -1 for a number, "" for
-a text; status 0 is a try that got no answer.
+Times are in Unix seconds, latencies in seconds, sizes in bytes. A value missing from the capture is -1 if numeric and
+"" if text; status 0 marks an attempt without a response.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 EARLIEST_TIME = 631_152_000.0
 LATEST_TIME = 4_102_444_800.0
 MAX_PRINTABLE_LENGTH = 120
-TOKEN_PATTERN = re.compile(r"[A-Za-z0-9_\-+=.]{20,}")  # a path's part that may be a secret
+TOKEN_PATTERN = re.compile(r"[A-Za-z0-9_\-+=.]{20,}")  # a part of a path that may be a secret
 
 
 class CaptureError(ValueError):
-    """A capture that cannot be used; the text names file, place and what was expected."""
+    """Raised for an unusable capture; the message names the file, the location and what was expected."""
 
 
 @dataclass(frozen=True, slots=True)
 class RawRequest:
-    """One request as a reader found it. ``fields`` holds headers and log fields by lower-case name."""
+    """A request as read from a file. ``fields`` holds headers and log fields by lower-case name."""
 
-    t: float  # when it began
+    t: float  # start time
     method: str
     target: str  # path and query
     status: int
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnreadableRecord:
-    """What could not be read, and why."""
+    """The location of a line or entry that could not be read, and the reason."""
 
     location: str
     reason: str
@@ -45,19 +45,19 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterCall:
-    """A call to the count keeper that a limiter's own log tells: its total orders it among all limiters'."""
+    """A call to the shared counter, from a limiter's log. Its total orders it among the calls of all limiters."""
 
-    t: float  # when it was made
+    t: float  # when the call was made
     answered: float
     name: str
     amount: float
     total: float
-    entries_before: int = 0  # entries of its log that stand before it
+    entries_before: int = 0  # entries that precede it in its log
 
 
 @dataclass(slots=True)
 class Entry:
-    """One try of a client. ``repeats`` is the place in the list of the first try that it repeats, or -1."""
+    """An attempt of a client. ``repeats`` is the list index of the first attempt that it retries, or -1."""
 
     t: float
     account: str
@@ -72,12 +72,12 @@
     source: str
     location: str
     units: float = 1.0
-    marked: bool | None = None  # whether the client marked it as a retry; None: the capture does not tell
+    marked: bool | None = None  # whether the client marked it as a retry; None if unknown
     repeats: int = -1
 
     @property
     def end(self) -> float:
-        """When it was over, as far as the capture tells."""
+        """The end time, or the start time if the latency is unknown."""
         return self.t + max(0.0, self.latency)
 
 
@@ -86,13 +86,13 @@
 
 
 def printable(text: str) -> str:
-    """A text from outside made safe for a terminal or a page: no control characters, of bounded length."""
+    """Return untrusted text with control characters escaped and its length bounded, for a terminal or a page."""
     plain = "".join(c if c.isprintable() else f"\\x{ord(c):02x}" for c in text[: MAX_PRINTABLE_LENGTH + 1])
     return plain if len(plain) <= MAX_PRINTABLE_LENGTH else plain[:MAX_PRINTABLE_LENGTH] + "..."
 
 
 def bare_path(target: str) -> str:
-    """A target's path with nothing that may be secret: no query, no part that looks like a token."""
+    """Return a target's path without its query and with parts that look like tokens replaced by ``{}``."""
     path = target.partition("?")[0].partition("#")[0]
     if "://" in path[:10]:
         path = "/" + path.split("://", 1)[1].partition("/")[2]
--- a/cypresspulley/capture/planning.py
+++ b/cypresspulley/capture/planning.py
@@ -1,4 +1,4 @@
-"""The day of a capture: files read and merged, and the plan of a scenario whose load they are."""
+"""Reads and merges capture files and builds the plan of a scenario that uses them as its load."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CaptureInput:
-    """Which files are read, and how."""
+    """The capture files to read and the options for reading them."""
 
     files: tuple[str, ...]
     kind: str = "auto"
@@ -28,7 +28,7 @@
 
 
 def read_captures(capture_input: CaptureInput) -> tuple[list[Entry], LoadedCaptures, list[Clock]]:
-    """Files to merged entries in order of time, with their retries marked."""
+    """Read the files and return their merged entries in order of time, with retries marked."""
     loaded = load_captures(
         capture_input.files,
         load_mapping(capture_input.mapping),
@@ -42,7 +42,10 @@
 
 
 def scenario_for_capture(base: Scenario, arrivals_end: float, clients: bool) -> Scenario:
-    """A scenario whose load is the capture's: as long as it, its clients retrying only if they are to."""
+    """Return the scenario with the duration of the capture (1 to 600 seconds) and without later faults.
+
+    Scripted clients retry only if ``clients`` is true.
+    """
     seconds = min(600.0, max(1.0, math.ceil(arrivals_end + 0.001)))
     client_options = base.clients if clients else base.clients.model_copy(update={"retries": 0})
     faults = tuple(f for f in base.faults if f.at < seconds)
@@ -50,7 +53,7 @@
 
 
 def plan_captured_load(scenario: Scenario, seed: int) -> tuple[Scenario, Plan]:
-    """The plan of a scenario whose load names a capture; ``CaptureError`` where that cannot be used."""
+    """Build the plan of a scenario whose load names a capture; raises ``CaptureError`` if it cannot be used."""
     load_settings = scenario.load
     assert load_settings.capture is not None
     entries, _, _ = read_captures(CaptureInput((load_settings.capture,), mapping=load_settings.mapping))
--- a/cypresspulley/capture/replay.py
+++ b/cypresspulley/capture/replay.py
@@ -1,4 +1,4 @@
-"""A plan's arrivals sent to limiters that run already; open loop: the timing stays whatever answers do."""
+"""Sends a plan's arrivals to running limiters, open loop: responses do not affect the timing of requests."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from cypresspulley.rehearsal.standins.clients import ClientFleet, Front
 from cypresspulley.rehearsal.standins.stage import Stage
 
-START_DELAY_S = 0.3  # seconds until the first request
-ANSWER_TIMEOUT_S = 10.0  # seconds after the last for answers that are still out
+START_DELAY_S = 0.3  # before the first request
+ANSWER_TIMEOUT_S = 10.0  # wait for outstanding responses after the last request
 
 
 @dataclass(slots=True)
 class ReplayReport:
-    """What was sent and what came back; ``late`` and ``latency`` in milliseconds."""
+    """Counts the requests sent and the responses received; ``late`` and ``latency`` are in milliseconds."""
 
     sent: int = 0
     unreached: int = 0
@@ -37,13 +37,16 @@
 
 
 def percentile(values: list[float], percent: float) -> float:
-    """The value that so many percent do not exceed; 0 of nothing."""
+    """Return the given percentile of the values, or 0 if there are none."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(len(ordered) * percent / 100))] if ordered else 0.0
 
 
 async def replay_against(scenario: Scenario, plan: Plan, targets: tuple[str, ...]) -> ReplayReport:
-    """Send all arrivals; ``targets`` are ``host:port``, as many as there are limiters."""
+    """Send all arrivals to the limiters at ``targets``, given as ``host:port``.
+
+    Raises ``CaptureError`` for an invalid address.
+    """
     try:
         addresses = {target: split_address(target) for target in targets}
     except ValueError as error:
--- a/cypresspulley/capture/retries.py
+++ b/cypresspulley/capture/retries.py
@@ -1,8 +1,9 @@
-"""Which tries repeat an earlier one; free of I/O.
+"""Detects which attempts are retries. Does no I/O.
 
-A try repeats an earlier one of the same account, class, method and path that was refused, failed or got no answer,
-if it came within the client's patience. Where the capture tells what the client marked, that is believed and
-only the earlier try is looked for. Each try is repeated once at most: a chain, whose first try names the request.
+An attempt retries an earlier one of the same account, class, method and path that was refused, failed or got no
+response, if it follows within ``max_retry_gap`` seconds. If the capture holds the client's own retry mark, the mark
+decides and only the earlier attempt is searched for. Each attempt is retried at most once, so the attempts of a request
+form a chain, which is identified by its first attempt.
 """
 
 from __future__ import annotations
@@ -11,21 +12,24 @@
 
 from cypresspulley.capture.model import Entry
 
-MAX_RETRY_GAP_S = 5.0  # seconds between a try's end and the next, at most
-MAX_EARLY_S = 0.05  # seconds that it may seem to come before the end: clocks are corrected within an error
+MAX_RETRY_GAP_S = 5.0  # between the end of an attempt and its retry
+MAX_EARLY_S = 0.05  # a retry may seem to start this early, since corrected clocks keep an error
 RETRYABLE_STATUSES = frozenset((0, 408, 425, 429, 500, 502, 503, 504))
 
 
 def mark_retries(entries: list[Entry], max_retry_gap: float = MAX_RETRY_GAP_S) -> int:
-    """Set ``repeats`` of each entry (in order of time) to the place of its request's first try; how many."""
+    """Set ``repeats`` of each entry to the index of its request's first attempt, and return the number of retries.
+
+    The entries are in order of time.
+    """
     candidates_by_key = defaultdict[tuple[str, str, str, str], list[int]](
         list
-    )  # tries that may still be repeated
+    )  # attempts that may still be retried
     marked = 0
     for index, entry in enumerate(entries):
         key = (entry.account, entry.cls, entry.method, entry.path)
         candidates = candidates_by_key[key]
-        # What is out of patience can be repeated no more.
+        # An attempt that ended more than max_retry_gap ago can no longer be retried.
         candidates[:] = [n for n in candidates if entry.t - entries[n].end <= max_retry_gap]
         entry.repeats = -1
         if entry.marked is not False:
--- a/cypresspulley/capture/scrub.py
+++ b/cypresspulley/capture/scrub.py
@@ -1,4 +1,4 @@
-"""Captures without secrets: only the request model's values are written, accounts renamed by a keyed hash."""
+"""Writes captures without secrets: only the request model's values, with accounts replaced by a keyed hash."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 from cypresspulley.capture.model import Entry
 
-MIN_KEY_BYTES = 16  # a key is at least so long
+MIN_KEY_BYTES = 16
 
 
 def pseudonym(account: str, key: bytes) -> str:
-    """An account's new name: 16 hex digits below 2**33, the same for one key; without the key it tells nothing."""
+    """Return the keyed hash of an account: 16 hex digits, below 2**33, which reveal nothing without the key."""
     digest = blake2b(account.encode(), key=key, digest_size=8).digest()
     return f"{int.from_bytes(digest, 'big') % 2**33:016x}"
 
 
 def write_scrubbed(entries: Iterable[Entry], key: bytes, out: TextIO) -> int:
-    """Entries as JSON lines that every reader here takes; how many."""
+    """Write entries as JSON lines that the access log reader accepts, and return their number."""
     count = 0
     for entry in entries:
         row = {
--- a/cypresspulley/capture/skew.py
+++ b/cypresspulley/capture/skew.py
@@ -1,10 +1,10 @@
-"""Clock skew of several sources, from what they share; free of I/O.
+"""Estimates the clock skew of several sources from the events that they share. Does no I/O.
 
-Each shared thing says that one moment came before another: ``x`` in source A, ``y`` in source B, x before y in
-truth. With true time = written time + offset + drift * (written time - middle) that is one linear constraint on the
-two clocks. All constraints together bound each clock against the first source's; the two ends are found by linear
-programming, the estimate is their middle and its error half their distance. The error holds for certain as long as the
-constraints are true; constraints that exclude each other are refused.
+Each shared event proves that one moment preceded another: ``x`` in source A precedes ``y`` in source B in true time.
+With true time = logged time + offset + drift * (logged time - middle), this is one linear constraint on the two clocks.
+Together the constraints bound each clock relative to the first source's. Linear programming finds both bounds; the
+estimate is their midpoint and its error half their distance. The error bound is guaranteed as long as the constraints
+are true; contradictory constraints are rejected.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 from cypresspulley.capture.load import Source
 from cypresspulley.capture.model import CaptureError, CounterCall, Entry
 
-# Bounds of the linear program; clocks that are worse than this are not estimated.
-MAX_OFFSET_S = 3600.0  # seconds
+# Bounds of the linear program; larger offsets and drifts are out of scope.
+MAX_OFFSET_S = 3600.0
 MAX_DRIFT = 1e-3  # seconds per second
-MIN_JUMP_S = 1.0  # seconds by which a log's own time may run back before its clock is taken to have jumped
-MAX_DISTANCE_S = 3.0  # seconds from the coarse offset within which a shared thing is believed
-MAX_CONSTRAINTS = 4000  # constraints of a pair of sources, the tightest of each stretch of time
-TIME_SEGMENTS = 40
+MIN_JUMP_S = 1.0  # a log whose times run back further than this has had its clock set
+MAX_DISTANCE_S = 3.0  # from the coarse offset; a shared event beyond it is taken for a coincidence
+MAX_CONSTRAINTS = 4000  # for each pair of sources, the tightest of each time segment
+TIME_SEGMENTS = 40  # for each pair of sources
 FAILED_STATUSES = frozenset((0, 408, 425, 429, 500, 502, 503, 504))
-ROUNDING_SLACK_S = 2e-3  # seconds that a log may round away
+ROUNDING_SLACK_S = 2e-3  # allowance for the rounding of logged times
 
 
 @dataclass(frozen=True, slots=True)
 class OrderConstraint:
-    """``x`` by the clock of source ``a`` came before ``y`` by the clock of source ``b``."""
+    """States that ``x`` by the clock of source ``a`` preceded ``y`` by the clock of source ``b``."""
 
     a: int
     b: int
@@ -44,11 +44,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Clock:
-    """What is added to a source's times: ``offset`` at ``middle``, and ``drift`` (seconds a second)."""
+    """The correction of a source's times: ``offset`` at time ``middle``, plus ``drift`` in seconds per second."""
 
     source: str
     offset: float
-    error: float  # of a corrected time within the source, in seconds; infinite: nothing shared
+    error: float  # seconds, of a corrected time within the source; infinite if nothing is shared
     drift: float
     middle: float
 
@@ -57,9 +57,9 @@
 
 
 def split_at_clock_jumps(source: Source) -> list[Source]:
-    """A log whose clock was set back in the middle, as one source for each stretch."""
+    """Split a log whose clock was set back into one source for each segment between the jumps."""
     if source.kind == "har" or not source.entries:
-        return [source]  # a HAR's entries come in any order
+        return [source]  # the entries of a HAR are in no order
     segments, starts, latest = [Source(source.name, source.kind)], [0], -math.inf
     for number, entry in enumerate(source.entries):
         # A line is written when its request ends.
@@ -80,7 +80,7 @@
 
 
 def _segment_of(count: CounterCall, segments: list[Source], starts: list[int]) -> int:
-    """The stretch that a call stands in; between two of them, the one whose clock is nearer."""
+    """Return the index of a call's segment; on a boundary, of the segment whose clock is nearer to the call."""
     at = bisect_right(starts, count.entries_before) - 1
     if at > 0 and starts[at] == count.entries_before:
         before, behind = segments[at - 1].entries[-1].end, segments[at].entries[0].end
@@ -93,7 +93,7 @@
 
 
 def find_constraints(sources: list[Source]) -> list[OrderConstraint]:
-    """All that the sources share, as one moment before another."""
+    """Return the order constraints from the events that each pair of sources shares."""
     found = list[OrderConstraint]()
     for a in range(len(sources)):
         for b in range(a + 1, len(sources)):
@@ -104,7 +104,10 @@
 
 
 def _constraints_by_id(one: Source, other: Source, a: int, b: int) -> list[tuple[OrderConstraint, float]]:
-    """Tries with one id in both: seen from client and server, or refused here and tried again there."""
+    """Return constraints from a shared request id.
+
+    Either both sources saw the same attempt, as client and server, or one saw a failed attempt and the other its retry.
+    """
     there = defaultdict[str, list[Entry]](list)
     for entry in other.entries:
         if entry.id:
@@ -126,7 +129,7 @@
 
 
 def _constraints_by_count(one: Source, other: Source, a: int, b: int) -> list[tuple[OrderConstraint, float]]:
-    """Calls to the keeper that follow one another: one's total is what the other found."""
+    """Return constraints from consecutive calls to the shared counter: the second starts from the first's total."""
     found = list[tuple[OrderConstraint, float]]()
     for first, second, p, q in ((one, other, a, b), (other, one, b, a)):
         ends = _unique_calls(first.counts, lambda c: c.total)
@@ -134,7 +137,7 @@
         for key in ends.keys() & starts.keys():
             x, y = ends[key], starts[key]
             distance = (y.t - x.t) if p == a else (x.t - y.t)
-            # The earlier was made before the later was answered: what lies between them is the keeper's.
+            # The first call was made before the second was answered; the counter processed them in between.
             found.append((OrderConstraint(p, q, x.t, y.answered), distance))
     return found
 
@@ -142,7 +145,7 @@
 def _unique_calls(
     counts: list[CounterCall], level: Callable[[CounterCall], float]
 ) -> dict[tuple[str, int], CounterCall]:
-    """Calls by name and level of the count, without those whose level comes twice: they prove nothing."""
+    """Return the calls by name and count level. Levels that occur twice prove no order and are left out."""
     seen, times = dict[tuple[str, int], CounterCall](), Counter[tuple[str, int]]()
     for count in counts:
         if count.amount > 0:
@@ -153,7 +156,7 @@
 
 
 def _without_coincidences(pairs: list[tuple[OrderConstraint, float]]) -> list[OrderConstraint]:
-    """Without chance meetings: those whose distance is near the most common one."""
+    """Return the constraints whose distance is near the most common one; the others are coincidences."""
     if not pairs:
         return []
     bins = Counter(round(distance) for _, distance in pairs)
@@ -162,7 +165,7 @@
 
 
 def _tightest_constraints(pairs: list[OrderConstraint]) -> list[OrderConstraint]:
-    """The constraints that say most, of each direction and stretch of time."""
+    """Return the tightest constraints of each direction and time segment, ``MAX_CONSTRAINTS`` in all."""
     if len(pairs) <= MAX_CONSTRAINTS:
         return pairs
     first, last = min(p.x for p in pairs), max(p.x for p in pairs)
@@ -175,7 +178,7 @@
 
 
 def estimate_clocks(sources: list[Source], pairs: list[OrderConstraint] | None = None) -> list[Clock]:
-    """Each source's clock against the first's. ``CaptureError`` where what they share cannot all be true."""
+    """Estimate each source's clock relative to the first's; raises ``CaptureError`` for contradictory constraints."""
     pairs = find_constraints(sources) if pairs is None else pairs
     spans = [_time_span(source) for source in sources]
     middles = [(low + high) / 2 for low, high in spans]
@@ -198,7 +201,10 @@
 
 
 def _matrix(pairs: list[OrderConstraint], middles: list[float], count: int) -> tuple[np.ndarray, np.ndarray]:
-    """x + o_a + d_a (x - m_a) <= y + o_b + d_b (y - m_b), a row each; columns: offsets, then drifts."""
+    """Return the rows and bounds of x + o_a + d_a (x - m_a) <= y + o_b + d_b (y - m_b).
+
+    The columns are the offsets of all sources, then their drifts.
+    """
     rows, bounds = np.zeros((len(pairs), 2 * count)), np.zeros(len(pairs))
     for n, p in enumerate(pairs):
         rows[n, p.a], rows[n, count + p.a] = 1.0, p.x - middles[p.a]
@@ -208,7 +214,7 @@
 
 
 def _linked_sources(pairs: list[OrderConstraint], count: int) -> set[int]:
-    """Sources that are tied to the first, over others if need be, from both sides."""
+    """Return the sources that are connected to the first by constraints, directly or through others."""
     linked_pairs = {frozenset((p.a, p.b)) for p in pairs} if pairs else set()
     reached, has_grown = {0}, True
     while has_grown:
@@ -237,7 +243,7 @@
         )
         if low.status == 2 or high.status == 2:
             raise CaptureError(
-                f"{name}: its clock cannot be reconciled with the others': what they share excludes each other; "
+                f"{name}: its clock cannot be reconciled with the others': the events they share contradict each other; "
                 "expected clocks that differ by an offset and a drift (was a clock set in the middle?)"
             )
         if low.status != 0 or high.status != 0:
@@ -255,14 +261,14 @@
 
 
 def correct_times(sources: list[Source], clocks: list[Clock]) -> None:
-    """Put all times on the first source's clock. Latencies stay: a drift of 1e-3 is nothing there."""
+    """Convert all times to the first source's clock. Latencies stay, since a drift of 1e-3 is negligible there."""
     for source, clock in zip(sources, clocks, strict=True):
         for entry in source.entries:
             entry.t = clock.to_reference_time(entry.t)
 
 
 def merge_sources(sources: list[Source]) -> tuple[list[Entry], list[Clock]]:
-    """All entries on one clock and in order, each try once, with the clocks that were found."""
+    """Return the deduplicated entries of all sources in order on the first source's clock, and the estimated clocks."""
     segments = [segment for source in sources for segment in split_at_clock_jumps(source) if segment.entries]
     if not segments:
         return [], []
@@ -275,7 +281,7 @@
 
 
 def deduplicate_entries(entries: list[Entry]) -> list[Entry]:
-    """Each try once: one id in two captures is one try seen twice, unless it was refused and tried again."""
+    """Keep each attempt once. One id in two captures is the same attempt unless it failed and was retried."""
     kept, by_id = list[Entry](), dict[str, list[Entry]]()
     for entry in entries:
         same = by_id.setdefault(entry.id, []) if entry.id else []
--- a/cypresspulley/capture/source.py
+++ b/cypresspulley/capture/source.py
@@ -1,4 +1,4 @@
-"""Bytes of a capture: a file, gzip, zstd or standard input, as lines or a stream, all of it bounded."""
+"""Opens captures (plain, gzip or zstd files, or standard input) and reads them with bounded memory."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 from cypresspulley.capture.model import CaptureError
 
-MAX_LINE_BYTES = 1 << 20  # bytes; a longer line is skipped and reported
-MAX_UNPACK_RATIO = 300  # unpacked bytes per packed byte, beyond the first FREE bytes
-RATIO_FREE_BYTES = 64 << 20  # unpacked bytes that are allowed whatever the ratio
-CHUNK_BYTES = 1 << 16  # bytes per read
-HEAD_BYTES = 4096  # bytes read at the start to detect the compression
+MAX_LINE_BYTES = 1 << 20  # a longer line is skipped and reported
+MAX_UNPACK_RATIO = 300  # unpacked bytes per packed byte, beyond the first RATIO_FREE_BYTES
+RATIO_FREE_BYTES = 64 << 20  # 64 MB are allowed at any ratio
+CHUNK_BYTES = 1 << 16  # per read
+HEAD_BYTES = 4096  # read first to detect the compression
 GZIP_MAGIC = b"\x1f\x8b"
 ZSTD_MAGIC = b"\x28\xb5\x2f\xfd"
 BOM = b"\xef\xbb\xbf"
 
 
 class _CountingReader(io.RawIOBase):
-    """Counts what is read of the packed bytes."""
+    """Counts the compressed bytes that are read."""
 
     def __init__(self, inner: IO[bytes], head: bytes) -> None:
         self._inner = inner
@@ -42,7 +42,7 @@
 
 
 class _BoundedReader(io.RawIOBase):
-    """Unpacked bytes, refused where they are a bomb."""
+    """Reads decompressed bytes; raises ``CaptureError`` for damaged data and decompression bombs."""
 
     def __init__(self, unpacked: IO[bytes], packed: _CountingReader, name: str) -> None:
         self._unpacked = unpacked
@@ -66,7 +66,10 @@
 
 
 def open_capture(name: str) -> io.BufferedReader[Any]:
-    """The bytes of a capture, unpacked, without a byte-order mark. ``-`` is standard input."""
+    """Open a capture as decompressed bytes without a byte-order mark. ``-`` is standard input.
+
+    Raises ``CaptureError`` if the file is not readable.
+    """
     try:
         raw: IO[bytes] = sys.stdin.buffer if name == "-" else open(name, "rb", buffering=0)  # noqa: SIM115
         head = b""
@@ -91,7 +94,7 @@
 
 
 def read_lines(stream: io.BufferedReader) -> Iterator[tuple[int, bytes | None]]:
-    """Numbered lines without their ends; None in place of one that is too long, which is not kept."""
+    """Yield numbered lines without their line ends, and None for a line longer than ``MAX_LINE_BYTES``."""
     number = 0
     while line := stream.readline(MAX_LINE_BYTES + 1):
         number += 1
--- a/cypresspulley/capture/summary.py
+++ b/cypresspulley/capture/summary.py
@@ -1,4 +1,4 @@
-"""What a capture holds, in figures; free of I/O."""
+"""Computes the statistics of a capture. Does no I/O."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from cypresspulley.capture.model import Entry, printable
 from cypresspulley.capture.skew import Clock
 
-MAX_LISTED = 20  # accounts that are listed
+MAX_LISTED = 20  # accounts, and reasons for unmapped requests
 
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """The figures of a merged capture. Rates are requests a second, times Unix seconds."""
+    """The statistics of a merged capture. Rates are attempts per second, times are in Unix seconds."""
 
     requests: int
     tries: int
@@ -28,7 +28,7 @@
     by_status: dict[str, int]
     accounts: int
     top: list[tuple[str, int]]
-    rate: list[tuple[int, int]]  # seconds from the start, tries in that second
+    rate: list[tuple[int, int]]  # seconds from the start, attempts in that second
     clocks: list[Clock]
     broken: dict[str, int]
     places: list[tuple[str, str]]
@@ -36,7 +36,7 @@
     ignored: int
 
     def as_json(self) -> dict[str, Any]:
-        """The object that ``--json`` writes."""
+        """Return the object that ``--json`` writes."""
         seconds = max(1e-9, self.last - self.first)
         return {
             "requests": self.requests, "tries": self.tries, "retries": self.retries, "first": self.first,
@@ -53,7 +53,7 @@
 
 
 def summarise(entries: list[Entry], loaded: LoadedCaptures, clocks: list[Clock]) -> Summary:
-    """Figures of merged entries whose retries are marked."""
+    """Compute the statistics of merged entries whose retries are marked."""
     rate = defaultdict[int, int](int)
     first = entries[0].t if entries else 0.0
     for entry in entries:
--- a/cypresspulley/capture/times.py
+++ b/cypresspulley/capture/times.py
@@ -1,4 +1,4 @@
-"""Times as captures write them, to Unix seconds. ValueError where a text is no time."""
+"""Parses the time formats of captures to Unix seconds; raises ``ValueError`` for text that is not a time."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 EPOCH_MILLISECONDS = re.compile(r"\d{12,13}(?:\.\d{1,9})?", re.ASCII)
 
 
-@lru_cache(maxsize=4096)  # a second's lines share most of their time
+@lru_cache(maxsize=4096)  # lines logged in the same second share it
 def _whole_seconds(year: int, month: int, day: int, hour: int, minute: int, second: int) -> float:
     return datetime(year, month, day, hour, minute, min(59, second), tzinfo=UTC).timestamp()
 
@@ -30,10 +30,10 @@
 
 
 def parse_clf_time(text: str) -> float:
-    """``10/Oct/2026:13:55:36 +0530``, with milliseconds and without a zone (then UTC) as well."""
+    """Parse ``10/Oct/2026:13:55:36 +0530``; milliseconds and the zone are optional, the default zone is UTC."""
     match = CLF_TIME.fullmatch(text)
     if match is None or match[2] not in MONTHS:
-        raise ValueError(f"no time: {text:.40}")
+        raise ValueError(f"not a time: {text:.40}")
     t = _whole_seconds(
         int(match[3]), MONTHS[match[2]], int(match[1]), int(match[4]), int(match[5]), int(match[6])
     )
@@ -44,18 +44,18 @@
 
 
 def parse_iso_time(text: str) -> float:
-    """ISO 8601 with any number of digits of a second; without a zone it is UTC."""
+    """Parse ISO 8601 with up to 12 fractional digits; the default zone is UTC."""
     match = ISO_TIME.fullmatch(text)
     if match is None:
-        raise ValueError(f"no time: {text:.40}")
+        raise ValueError(f"not a time: {text:.40}")
     whole_seconds = datetime.fromisoformat(match[1].replace(" ", "T") + (match[3] or "Z"))
     return _check_range(whole_seconds.timestamp() + float(match[2] or 0), text)
 
 
 def parse_time(value: object) -> float:
-    """A time in any of these forms, or seconds or milliseconds as a number."""
+    """Parse a time in CLF or ISO 8601 form, or a number of seconds or milliseconds since the epoch."""
     if isinstance(value, bool) or not isinstance(value, int | float | str):
-        raise ValueError(f"no time: {value!r:.40}")
+        raise ValueError(f"not a time: {value!r:.40}")
     text = str(value).strip()
     if EPOCH_SECONDS.fullmatch(text):
         return _check_range(float(text), text)
