--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -28,17 +28,17 @@
 MAX_VOID_RETRIES = 2  # void runs that are repeated
 
 
-def shorter(scenario: Scenario, seconds: float) -> Scenario:
+def shorten_scenario(scenario: Scenario, seconds: float) -> Scenario:
     """Return the scenario shortened to ``seconds``, with its faults at proportional times."""
-    raw, part = as_raw(scenario), min(1.0, seconds / scenario.seconds)
-    raw["seconds"] = scenario.seconds * part
-    raw["fault"] = [sooner(fault, part) for fault in raw["fault"]]
-    raw["discovery"]["notice"] = [t * part for t in scenario.discovery.notice]
-    raw["clients"]["notice"] = [t * part for t in scenario.clients.notice]
+    raw, fraction = as_raw(scenario), min(1.0, seconds / scenario.seconds)
+    raw["seconds"] = scenario.seconds * fraction
+    raw["fault"] = [sooner(fault, fraction) for fault in raw["fault"]]
+    raw["discovery"]["notice"] = [t * fraction for t in scenario.discovery.notice]
+    raw["clients"]["notice"] = [t * fraction for t in scenario.clients.notice]
     return parse_scenario(raw, scenario.name)
 
 
-def on_sockets(scenario: Scenario, seed: int) -> Verdict:
+def judge_on_sockets(scenario: Scenario, seed: int) -> Verdict:
     for _ in range(MAX_VOID_RETRIES + 1):
         verdict = judge(uvloop.run(play(scenario, seed)))
         if not verdict.void:
@@ -48,16 +48,21 @@
 
 def compare(seconds: float, case: tuple[str, int]) -> dict[str, Any]:
     name, seed = case
-    scenario = shorter(load_scenario(name), seconds)
-    real = on_sockets(scenario, seed)
+    scenario = shorten_scenario(load_scenario(name), seconds)
+    socket_verdict = judge_on_sockets(scenario, seed)
     wall, cpu = perf_counter(), process_time()
-    made = judge(play_virtual(scenario, seed))
+    virtual_verdict = judge(play_virtual(scenario, seed))
     wall, cpu = perf_counter() - wall, process_time() - cpu
-    broken = [[rule.rule for rule in verdict.rules if not rule.kept] for verdict in (real, made)]
+    broken = [
+        [rule.rule for rule in verdict.rules if not rule.kept]
+        for verdict in (socket_verdict, virtual_verdict)
+    ]
     return {
-        "scenario": name, "seed": seed, "sockets": round(real.service.service, 4),
-        "virtual": round(made.service.service, 4), "void": real.void or made.void, "broken": broken,
-        "apart": round(abs(real.service.service - made.service.service), 4), "speed": round(scenario.seconds / cpu, 1),
+        "scenario": name, "seed": seed, "sockets": round(socket_verdict.service.service, 4),
+        "virtual": round(virtual_verdict.service.service, 4),
+        "void": socket_verdict.void or virtual_verdict.void, "broken": broken,
+        "apart": round(abs(socket_verdict.service.service - virtual_verdict.service.service), 4),
+        "speed": round(scenario.seconds / cpu, 1),
     }  # fmt: skip
 
 
@@ -76,12 +81,12 @@
         for row in pool.map(partial(compare, options.seconds), cases):
             rows.append(row)
             print(" ".join(f"{key} {value}" for key, value in row.items()), flush=True)
-    good = [row for row in rows if not row["void"]]
-    within = sum(row["apart"] <= 0.03 for row in good)
-    alike = sum(row["broken"][0] == row["broken"][1] for row in good)
-    mean = sum(row["virtual"] - row["sockets"] for row in good) / max(1, len(good))
-    print(f"{len(good)} of {len(rows)} pairs count: {within} within 0.03, {alike} with the same verdicts, "
-          f"virtual {mean:+.4f} in the mean")  # fmt: skip
+    valid_rows = [row for row in rows if not row["void"]]
+    within = sum(row["apart"] <= 0.03 for row in valid_rows)
+    same_verdicts = sum(row["broken"][0] == row["broken"][1] for row in valid_rows)
+    mean = sum(row["virtual"] - row["sockets"] for row in valid_rows) / max(1, len(valid_rows))
+    print(f"{len(valid_rows)} of {len(rows)} pairs count: {within} within 0.03, "
+          f"{same_verdicts} with the same verdicts, virtual {mean:+.4f} in the mean")  # fmt: skip
     if options.json:
         options.json.write_text(json.dumps(rows, indent=1) + "\n")
 
--- a/benchmarks/cpu_per_request.py
+++ b/benchmarks/cpu_per_request.py
@@ -32,7 +32,7 @@
 SERVERS = 4
 HOST = "127.0.0.1"
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 64\r\n\r\n" + b"x" * 64
-IDS = count(1)
+REQUEST_IDS = count(1)
 
 
 class Server(asyncio.Protocol):
@@ -45,13 +45,13 @@
         self._transport.write(ANSWER * data.count(b"\r\n\r\n"))
 
 
-class Pipe(asyncio.Protocol):
+class PipeProtocol(asyncio.Protocol):
     """One end of the baseline proxy; forwards received bytes to the other end."""
 
-    def __init__(self, other: Pipe | None = None) -> None:
+    def __init__(self, other: PipeProtocol | None = None) -> None:
         self._other = other
         self._transport = cast(asyncio.Transport, None)
-        self._early = b""
+        self._buffered = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
@@ -61,23 +61,23 @@
     async def _dial(self) -> None:
         host, port = os.environ["PIPE_TO"].split(":")
         loop = asyncio.get_running_loop()
-        _, self._other = await loop.create_connection(lambda: Pipe(self), host, int(port))
-        self._other._transport.write(self._early)
+        _, self._other = await loop.create_connection(lambda: PipeProtocol(self), host, int(port))
+        self._other._transport.write(self._buffered)
 
     def data_received(self, data: bytes) -> None:
         if self._other is None or self._other._transport is None:
-            self._early += data
+            self._buffered += data
         else:
             self._other._transport.write(data)
 
 
-async def pipe(port: int) -> None:
-    server = await asyncio.get_running_loop().create_server(Pipe, HOST, port)
+async def serve_pipe(port: int) -> None:
+    server = await asyncio.get_running_loop().create_server(PipeProtocol, HOST, port)
     await server.serve_forever()
 
 
-def request() -> bytes:
-    id = next(IDS)
+def build_request() -> bytes:
+    id = next(REQUEST_IDS)
     return (
         f"GET /bag-lookup?account={id % 500:016x} HTTP/1.1\r\nHost: bags.internal\r\n"
         f"X-Request-ID: {id:016x}\r\nX-Priority-Class: bag-lookup\r\nX-Plan: free\r\nX-Timeout-Ms: 2000\r\n"
@@ -85,14 +85,14 @@
     ).encode()
 
 
-async def turn(port: int, requests: int) -> int:
+async def send_requests(port: int, requests: int) -> int:
     """Send requests over ``CONNECTIONS`` connections, one at a time on each, and return the number served."""
 
     async def one(share: int) -> int:
         reader, writer = await asyncio.open_connection(HOST, port)
         served = 0
         for _ in range(share):
-            writer.write(request())
+            writer.write(build_request())
             head = await reader.readuntil(b"\r\n\r\n")
             served += b" 200 " in head
             length = int(head.lower().partition(b"content-length: ")[2].partition(b"\r")[0])
@@ -122,7 +122,7 @@
     return path
 
 
-async def up(port: int, child: subprocess.Popen[bytes] | None = None) -> None:
+async def wait_until_listening(port: int, child: subprocess.Popen[bytes] | None = None) -> None:
     """Wait until the port accepts connections; raises ``SystemExit`` if ``child`` exits before."""
     while child is None or child.poll() is None:
         try:
@@ -185,24 +185,25 @@
             )
             for who, command in commands.items()
         }
-        found: dict[str, list[float]] = {who: [] for who in children}
+        cpu_us: dict[str, list[float]] = {who: [] for who in children}
         try:
             for who, child in children.items():
-                await up(ports[who], child)
-                await turn(ports[who], requests)  # warm-up: the gate is new and all requests arrive at once
+                await wait_until_listening(ports[who], child)
+                # Warm-up: the gate is new and all requests arrive at once.
+                await send_requests(ports[who], requests)
             for _ in range(rounds):
                 for who, child in children.items():
                     before = sum(psutil.Process(child.pid).cpu_times()[:2])
-                    served = await turn(ports[who], requests)
+                    served = await send_requests(ports[who], requests)
                     spent = sum(psutil.Process(child.pid).cpu_times()[:2]) - before
                     if served < 0.99 * requests:
                         print(f"{who}: only {served} of {requests} were served", file=sys.stderr)
-                    found[who].append(spent / max(1, served) * 1e6)
+                    cpu_us[who].append(spent / max(1, served) * 1e6)
         finally:
             for child in children.values():
                 child.terminate()
                 child.wait()
-    return found
+    return cpu_us
 
 
 def main() -> None:
@@ -217,17 +218,17 @@
     parser.add_argument("--pipe", type=int, help=argparse.SUPPRESS)
     options = parser.parse_args()
     if options.pipe:
-        return uvloop.run(pipe(options.pipe))
+        return uvloop.run(serve_pipe(options.pipe))
     extra = [who for who, on in (("logged", options.log), ("together", options.together)) if on]
-    found = uvloop.run(measure(options.requests, options.rounds, extra, options.beside))
-    limiter, bare = (statistics.median(found[who]) for who in ("limiter", "pipe"))
-    for who, figures in found.items():
+    cpu_us = uvloop.run(measure(options.requests, options.rounds, extra, options.beside))
+    limiter, bare = (statistics.median(cpu_us[who]) for who in ("limiter", "pipe"))
+    for who, figures in cpu_us.items():
         print(f"{who:8} {' '.join(f'{x:7.1f}' for x in figures)}  us of CPU a request")
     for who in extra:
-        more = statistics.median(found[who])
+        more = statistics.median(cpu_us[who])
         print(f"{who}: {more - limiter:+.0f} us, {more / limiter:.2f} times the limiter without")
     if options.beside:
-        print(f"this one is {limiter / statistics.median(found['beside']):.2f} times the one beside it")
+        print(f"this one is {limiter / statistics.median(cpu_us['beside']):.2f} times the one beside it")
     print(f"ratio    {limiter / bare:.1f} (limiter {limiter:.0f} us, byte pipe {bare:.0f} us)")
     return None
 
--- a/benchmarks/door_answers.py
+++ b/benchmarks/door_answers.py
@@ -20,7 +20,7 @@
 
 import uvloop
 
-from benchmarks.cpu_per_request import HOST, SERVERS, Server, limiter_config, request
+from benchmarks.cpu_per_request import HOST, SERVERS, Server, build_request, limiter_config
 from benchmarks.upgrade_door import start, wait_until_ready
 from cypresspulley.rehearsal.limiters import free_port
 
@@ -46,7 +46,7 @@
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             reader, writer = await asyncio.open_connection(HOST, port)
             while True:
-                writer.write(request())
+                writer.write(build_request())
                 head = await reader.readuntil(b"\r\n\r\n")
                 await reader.readexactly(
                     int(head.lower().partition(b"content-length: ")[2].partition(b"\r")[0])
--- a/benchmarks/graphql_cost.py
+++ b/benchmarks/graphql_cost.py
@@ -30,7 +30,7 @@
 import uvloop
 from graphql import parse
 
-from benchmarks.cpu_per_request import CONNECTIONS, HOST, limiter_config, request, up
+from benchmarks.cpu_per_request import CONNECTIONS, HOST, build_request, limiter_config, wait_until_listening
 from cypresspulley.graphql.command import finished
 from cypresspulley.graphql.document import Ask, Documents, priced_request
 from cypresspulley.graphql.errors import GraphQLRefusedError
@@ -75,7 +75,7 @@
 
 
 KINDS: dict[str, Callable[[], bytes]] = {
-    "plain": request,
+    "plain": build_request,
     "known, small": lambda: query(SMALL, {"b": "1"}),
     "known, floor": lambda: query(FLOOR, {"id": "1", "n": 20}),
     "new, floor": lambda: query(FLOOR.replace("Floor(", f"Floor{next(IDS)}("), {"id": "1", "n": 20}),
@@ -122,9 +122,9 @@
             children[who] = subprocess.Popen(command, env=env, stderr=subprocess.DEVNULL)
         try:
             for who, child in children.items():
-                await up(ports[who])
+                await wait_until_listening(ports[who])
                 found[f"memory MB, {who}"].append(psutil.Process(child.pid).memory_info().rss / 2**20)
-                await turn(ports[who], requests, request)
+                await turn(ports[who], requests, build_request)
             for _ in range(rounds):
                 for name in [n for n in found if ":" in n]:
                     who, _, kind = name.partition(": ")
--- a/benchmarks/left_waiting.py
+++ b/benchmarks/left_waiting.py
@@ -41,7 +41,7 @@
 
 import uvloop
 
-from benchmarks.cpu_per_request import HOST, limiter_config, up
+from benchmarks.cpu_per_request import HOST, limiter_config, wait_until_listening
 
 SERVERS = 32
 MAX_ATTEMPT_DELAY = 0.1  # seconds after the client left in which attempts may still begin
@@ -385,7 +385,7 @@
         child.send_signal(signal.SIGCONT)
 
     try:
-        await up(port, child)
+        await wait_until_listening(port, child)
         if not full_servers:
             await warm_up()
         await start_barrier.wait()  # starting processes would delay other cases
--- a/benchmarks/many_servers.py
+++ b/benchmarks/many_servers.py
@@ -29,7 +29,7 @@
 import psutil
 import uvloop
 
-from benchmarks.cpu_per_request import HOST, limiter_config, request, up
+from benchmarks.cpu_per_request import HOST, build_request, limiter_config, wait_until_listening
 from cypresspulley.rehearsal.limiters import free_port
 
 SIZE_FACTOR = 16
@@ -94,7 +94,7 @@
                 stderr=subprocess.DEVNULL,
             )  # fmt: skip
             try:
-                await up(port, child)
+                await wait_until_listening(port, child)
                 await self._run_clients(port, psutil.Process(child.pid))
             finally:
                 child.kill()
@@ -120,7 +120,7 @@
         reader, writer = await asyncio.open_connection(HOST, port)
         while True:
             await asyncio.sleep(self._rng.expovariate(self.rate / CLIENTS))
-            writer.write(request())
+            writer.write(build_request())
             head = await reader.readuntil(b"\r\n\r\n")
             length = int(head.lower().partition(b"content-length: ")[2].partition(b"\r")[0])
             await reader.readexactly(length)
--- a/benchmarks/readers.py
+++ b/benchmarks/readers.py
@@ -20,7 +20,7 @@
 from tests.capture.test_readers import LINES, har_entry
 
 
-def make(folder: Path, kind: str, megabytes: float) -> Path:
+def write_capture(folder: Path, kind: str, megabytes: float) -> Path:
     """Write a file of the given format and size."""
     path = folder / f"{kind}.capture"
     wanted = int(megabytes * 1e6)
@@ -38,14 +38,14 @@
     return path
 
 
-def plain(path: Path, kind: str) -> int:
+def parse_plain(path: Path, kind: str) -> int:
     if kind == "har":
         return len(json.loads(path.read_bytes())["log"]["entries"])
     with path.open("rb") as file:
         return sum(bool(json.loads(line) if kind == "json" else line.decode().split(" ")) for line in file)
 
 
-def speed(work: Callable[[], int], size: float) -> tuple[float, int]:
+def measure_throughput(work: Callable[[], int], size: float) -> tuple[float, int]:
     began = time.perf_counter()
     count = work()
     return size / (time.perf_counter() - began), count
@@ -61,7 +61,9 @@
     with tempfile.TemporaryDirectory() as name:
         if options.large:  # first, because the peak memory of plain parsing would hide the growth
             for kind in ("json", "har"):
-                path = make(Path(name), kind, options.large if kind == "json" else options.large * 0.3)
+                path = write_capture(
+                    Path(name), kind, options.large if kind == "json" else options.large * 0.3
+                )
                 before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1e3
                 count = sum(1 for _ in read_records(str(path)))
                 grown = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1e3 - before
@@ -70,10 +72,10 @@
                 )
                 path.unlink()
         for kind in (*LINES, "har"):
-            path = make(Path(name), kind, options.megabytes)
+            path = write_capture(Path(name), kind, options.megabytes)
             size = path.stat().st_size / 1e6
-            read, count = speed(lambda p=path: sum(1 for _ in read_records(str(p))), size)  # type: ignore[misc]
-            bare, _ = speed(lambda p=path, k=kind: plain(p, k), size)  # type: ignore[misc]
+            read, count = measure_throughput(lambda p=path: sum(1 for _ in read_records(str(p))), size)  # type: ignore[misc]
+            bare, _ = measure_throughput(lambda p=path, k=kind: parse_plain(p, k), size)  # type: ignore[misc]
             print(f"{kind:9} {read:6.1f} MB/s, {count / size * read:9.0f} a second; plain {bare:6.1f} MB/s: "
                   f"ratio {bare / read:.1f}")  # fmt: skip
             path.unlink()
--- a/benchmarks/same_trace.py
+++ b/benchmarks/same_trace.py
@@ -17,7 +17,12 @@
 from cypresspulley.rehearsal.virtual.play import digest, play_virtual
 
 # Hash seed, time zone, and days by which the date is set forward.
-WAYS = (("1", "UTC", 0.0), ("2", "Asia/Kolkata", 3.0), ("77", "America/Lima", 400.0), ("4242", "UTC", -30.0))
+ENVIRONMENTS = (
+    ("1", "UTC", 0.0),
+    ("2", "Asia/Kolkata", 3.0),
+    ("77", "America/Lima", 400.0),
+    ("4242", "UTC", -30.0),
+)
 
 
 def digests(name: str, seconds: float, plays: int, days: float) -> list[str]:
@@ -40,7 +45,7 @@
     if options.days is not None:
         print("\n".join(digests(options.scenario, options.seconds, options.plays, options.days)))
         return 0
-    share = str(-(-options.plays // len(WAYS)))
+    share = str(-(-options.plays // len(ENVIRONMENTS)))
     command = [
         sys.executable,
         "-m",
@@ -55,10 +60,10 @@
             [*command, "--seconds", str(options.seconds), "--days", str(days)], text=True, stdout=subprocess.PIPE,
             env={**os.environ, "PYTHONHASHSEED": hash_seed, "TZ": zone},
         )
-        for hash_seed, zone, days in WAYS
+        for hash_seed, zone, days in ENVIRONMENTS
     ]  # fmt: skip
     found = Counter(line for process in running for line in process.communicate()[0].split())
-    print(f"{found.total()} plays in {len(WAYS)} processes: {dict(found)}")
+    print(f"{found.total()} plays in {len(ENVIRONMENTS)} processes: {dict(found)}")
     return 0 if len(found) == 1 and found.total() >= options.plays else 1
 
 
--- a/benchmarks/slow_transfers.py
+++ b/benchmarks/slow_transfers.py
@@ -24,7 +24,7 @@
 import psutil
 import uvloop
 
-from benchmarks.cpu_per_request import HOST, limiter_config, request
+from benchmarks.cpu_per_request import HOST, build_request, limiter_config
 from benchmarks.upgrade_door import start
 from cypresspulley.net.relay import MAX_BUFFERED_BYTES, MIN_HIGH_WATER_BYTES, SOCKET_BUFFER_BYTES
 from cypresspulley.rehearsal.limiters import free_port
@@ -69,7 +69,7 @@
     sock.setblocking(False)
     try:
         await loop.sock_connect(sock, (HOST, port))
-        await loop.sock_sendall(sock, request())
+        await loop.sock_sendall(sock, build_request())
         got = await loop.sock_recv(sock, 64)
         begun.append(b" 200 " in got)
         while await loop.sock_recv(sock, 1):
--- a/benchmarks/upgrade_door.py
+++ b/benchmarks/upgrade_door.py
@@ -22,7 +22,14 @@
 
 import uvloop
 
-from benchmarks.cpu_per_request import HOST, SERVERS, Server, limiter_config, request, up
+from benchmarks.cpu_per_request import (
+    HOST,
+    SERVERS,
+    Server,
+    build_request,
+    limiter_config,
+    wait_until_listening,
+)
 from cypresspulley.rehearsal.limiters import free_port
 
 REQUEST_PAUSE_SECONDS = 0.004  # seconds between two requests of a client
@@ -35,7 +42,7 @@
 
     Raises OSError or IncompleteReadError if the request was lost.
     """
-    writer.write(request())
+    writer.write(build_request())
     head = await reader.readuntil(b"\r\n\r\n")
     await reader.readexactly(int(head.lower().partition(b"content-length: ")[2].partition(b"\r")[0]))
     return b"connection: close" not in head.lower()
@@ -100,7 +107,7 @@
             return process
 
         old = await next_process(0)
-        await up(port)
+        await wait_until_listening(port)
         load = [loop.create_task(run_client(port, n % 2 == 0, stop, counts)) for n in range(clients)]
         for number in range(1, upgrades + 1):
             await asyncio.sleep(UPGRADE_INTERVAL_SECONDS)
--- a/tests/capture/test_replay.py
+++ b/tests/capture/test_replay.py
@@ -25,7 +25,7 @@
 from cypresspulley.rehearsal.judge import judge
 from cypresspulley.rehearsal.play import play
 from cypresspulley.rehearsal.scenario import Scenario
-from tests.capture.truth import traffic
+from tests.capture.truth import generate_traffic
 from tests.loopback import Origin, listening, run
 from tests.rehearsal.small import command, small
 
@@ -44,9 +44,9 @@
 
 
 def captured(seconds: float = 3.0, rate: float = 40.0) -> list[Entry]:
-    truth = traffic(Random(1), seconds, rate)
-    mark_retries(truth.tries)
-    return truth.tries
+    truth = generate_traffic(Random(1), seconds, rate)
+    mark_retries(truth.attempts)
+    return truth.attempts
 
 
 def test_timing_is_kept_or_scaled_and_retries_belong_to_their_first() -> None:
@@ -163,8 +163,10 @@
     page, figures = tmp_path / "page.html", tmp_path / "figures.json"
     done = fawnseam("capture", "inspect", str(capture), "--html", str(page), "--json", str(figures))
     assert done.returncode == 0 and "not read: 1" in done.stdout and "<svg" in page.read_text()
-    said = json.loads(figures.read_text())
-    assert said["tries"] == len(captured()) and said["retries"] == sum(e.repeats >= 0 for e in captured())
+    summary = json.loads(figures.read_text())
+    assert summary["tries"] == len(captured()) and summary["retries"] == sum(
+        e.repeats >= 0 for e in captured()
+    )
     strict = fawnseam("capture", "inspect", str(capture), "--strict")
     assert strict.returncode == 2 and f"{capture}:{len(captured()) + 1}: fits none" in strict.stderr
     assert fawnseam("capture", "inspect", "/nowhere").returncode == 2
--- a/tests/capture/truth.py
+++ b/tests/capture/truth.py
@@ -21,7 +21,7 @@
     jump_at: float = float("inf")
     jump: float = 0.0
 
-    def shows(self, t: float) -> float:
+    def reading_at(self, t: float) -> float:
         back = self.jump if t - START >= self.jump_at else 0.0
         return t + self.offset + self.drift * (t - START) - back
 
@@ -30,12 +30,12 @@
 class Truth:
     """Every attempt in order of true time, and for each the index of the first attempt that it retries, or -1."""
 
-    tries: list[Entry]
+    attempts: list[Entry]
     repeats: list[int]
     counts: list[tuple[int, CounterCall]]  # with the limiter that made the call
 
 
-def traffic(rng: Random, seconds: float = 120.0, rate: float = 20.0, accounts: int = 12) -> Truth:
+def generate_traffic(rng: Random, seconds: float = 120.0, rate: float = 20.0, accounts: int = 12) -> Truth:
     """Generate Poisson arrivals; a fifth of the attempts fail and are mostly retried; the counter counts each."""
     planned, t, number = list[tuple[float, int, Entry]](), START, 0
     while (t := t + rng.expovariate(rate)) < START + seconds:
@@ -60,14 +60,14 @@
     for place, (_, first, _) in enumerate(planned):
         repeats.append(places.get(first, -1))
         places.setdefault(first, place)
-    tries = [entry for _, _, entry in planned]
-    return Truth(tries, repeats, _counts(rng, tries))
+    attempts = [entry for _, _, entry in planned]
+    return Truth(attempts, repeats, _counts(rng, attempts))
 
 
-def _counts(rng: Random, tries: list[Entry]) -> list[tuple[int, CounterCall]]:
+def _counts(rng: Random, attempts: list[Entry]) -> list[tuple[int, CounterCall]]:
     """Return the shared counter's calls; each total is updated at a random moment between call and response."""
     calls, totals = list[tuple[float, float, float, int, str]](), dict[str, float]()
-    for entry in tries:
+    for entry in attempts:
         added = entry.t + rng.uniform(0.0005, 0.002)
         calls.append(
             (added, entry.t, added + rng.uniform(0.0005, 0.002), int(entry.source[-1]), entry.account)
@@ -79,15 +79,15 @@
     return found
 
 
-def seen(truth: Truth, clocks: list[Skew]) -> list[Source]:
+def build_sources(truth: Truth, clocks: list[Skew]) -> list[Source]:
     """Return each limiter's log by its own clock, with entries in the order of their lines."""
     sources = [Source(f"limiter-{n}", "json") for n in range(len(clocks))]
-    for entry in sorted(truth.tries, key=lambda e: e.end):
+    for entry in sorted(truth.attempts, key=lambda e: e.end):
         n = int(entry.source[-1])
-        sources[n].entries.append(replace(entry, t=clocks[n].shows(entry.end) - entry.latency))
-    written = [sorted(e.end for e in truth.tries if int(e.source[-1]) == n) for n in range(len(clocks))]
+        sources[n].entries.append(replace(entry, t=clocks[n].reading_at(entry.end) - entry.latency))
+    written = [sorted(e.end for e in truth.attempts if int(e.source[-1]) == n) for n in range(len(clocks))]
     for n, c in truth.counts:
-        made, answered = clocks[n].shows(c.t), clocks[n].shows(c.answered)
+        made, answered = clocks[n].reading_at(c.t), clocks[n].reading_at(c.answered)
         after = bisect_right(written[n], c.answered)
         sources[n].counts.append(CounterCall(made, answered, c.name, c.amount, c.total, after))
     return sources
