--- a/tests/capture/test_readers.py
+++ b/tests/capture/test_readers.py
@@ -18,7 +18,7 @@
 from cypresspulley.capture.times import parse_clf_time, parse_iso_time, parse_time
 
 T = 1_791_628_536.0  # 2026-10-10 10:35:36 UTC
-MAP = Mapping.model_validate({"plan": {"from": ["header:x-plan", "field:plan"], "default": "standard"}})
+MAPPING = Mapping.model_validate({"plan": {"from": ["header:x-plan", "field:plan"], "default": "standard"}})
 
 # One line for each format, as the documentation of its program gives it.
 LINES = {
@@ -34,38 +34,40 @@
 }
 
 
-def write(folder: Path, data: bytes, name: str = "capture") -> str:
+def write_capture(folder: Path, data: bytes, name: str = "capture") -> str:
     path = folder / name
     path.write_bytes(data)
     return str(path)
 
 
-def raws(name: str, kind: str = "auto", notation: str = "") -> list[RawRequest]:
+def read_requests(name: str, kind: str = "auto", notation: str = "") -> list[RawRequest]:
     return [r for r in read_records(name, kind, notation) if isinstance(r, RawRequest)]
 
 
-def broken(name: str) -> list[UnreadableRecord]:
+def read_unreadable(name: str) -> list[UnreadableRecord]:
     return [r for r in read_records(name) if isinstance(r, UnreadableRecord)]
 
 
 @pytest.mark.parametrize("kind", LINES)
 def test_each_dialect_is_detected_and_read(tmp_path: Path, kind: str) -> None:
-    name = write(tmp_path, LINES[kind].encode() + b"\n")
+    name = write_capture(tmp_path, LINES[kind].encode() + b"\n")
     for how in ("auto", kind):
-        (raw,) = raws(name, how)
+        (raw,) = read_requests(name, how)
         assert raw.t == pytest.approx(T) and raw.status in (200, 429)
         assert raw.location == f"{name}:1"
-    (entry,) = load_captures((name,), MAP).entries
+    (entry,) = load_captures((name,), MAPPING).entries
     assert entry.account == "00000000000000aa" and entry.cls in ("bag-lookup", "handover-post")
     assert entry.path in ("/bag-lookup", "/handover-post")
 
 
 def test_latencies_and_starts(tmp_path: Path) -> None:
-    assert raws(write(tmp_path, LINES["haproxy"].encode()))[0].latency == pytest.approx(0.109)
-    assert raws(write(tmp_path, LINES["envoy"].encode()))[0].latency == pytest.approx(0.130)
+    assert read_requests(write_capture(tmp_path, LINES["haproxy"].encode()))[0].latency == pytest.approx(
+        0.109
+    )
+    assert read_requests(write_capture(tmp_path, LINES["envoy"].encode()))[0].latency == pytest.approx(0.130)
     notation = '$remote_addr [$time_local] "$request" $status $request_time "$http_x_request_id"'
     line = b'1.2.3.4 [10/Oct/2026:10:35:36 +0000] "GET /a HTTP/1.1" 200 0.250 "abc"\n'
-    (raw,) = raws(write(tmp_path, line), notation=notation)
+    (raw,) = read_requests(write_capture(tmp_path, line), notation=notation)
     assert (
         raw.t == pytest.approx(T - 0.25) and raw.fields["x-request-id"] == "abc"
     )  # nginx logs the time of the end
@@ -84,12 +86,12 @@
     text = [
         LINES["common"], "kernel: eth0 link up", LINES["envoy"], LINES["json"], "", LINES["combined"][:60],
     ]  # fmt: skip
-    name = write(tmp_path, "\n".join(text).encode())
-    assert len(raws(name)) == 3
-    assert [b.location for b in broken(name)] == [f"{name}:2", f"{name}:6"]
+    name = write_capture(tmp_path, "\n".join(text).encode())
+    assert len(read_requests(name)) == 3
+    assert [b.location for b in read_unreadable(name)] == [f"{name}:2", f"{name}:6"]
     with pytest.raises(CaptureError, match=f"{name}:2: fits none"):
-        load_captures((name,), MAP, strict=True)
-    loaded = load_captures((name,), MAP)
+        load_captures((name,), MAPPING, strict=True)
+    loaded = load_captures((name,), MAPPING)
     assert loaded.unreadable_counts[name] == 2 and loaded.unreadable[0].location == f"{name}:2"
 
 
@@ -98,7 +100,7 @@
 )
 def test_packed_files_and_a_mark_at_the_start(tmp_path: Path, pack: object) -> None:
     assert callable(pack)
-    assert len(raws(write(tmp_path, pack(LINES["json"].encode() + b"\n")))) == 1
+    assert len(read_requests(write_capture(tmp_path, pack(LINES["json"].encode() + b"\n")))) == 1
 
 
 def har(*entries: dict[str, object], head: bytes = b"") -> bytes:
@@ -128,11 +130,11 @@
         har_entry("2026-10-10T10:35:37.1234567Z", time=-1, response={"status": 0, "_error": "net::ERR_ABORTED"}),
     ]  # fmt: skip
     for head in (b"", b"\xef\xbb\xbf", b"\n  "):
-        loaded = load_captures((write(tmp_path, har(*entries, head=head)),), MAP)
+        loaded = load_captures((write_capture(tmp_path, har(*entries, head=head)),), MAPPING)
         assert [e.status for e in loaded.entries] == [200, 200, 0]
         assert loaded.entries[1].t == pytest.approx(T) and loaded.entries[1].latency == pytest.approx(0.1305)
         assert loaded.entries[2].latency == -1 and loaded.entries[2].id == "id1"
-    packed = load_captures((write(tmp_path, gzip.compress(har(*entries))),), MAP)
+    packed = load_captures((write_capture(tmp_path, gzip.compress(har(*entries))),), MAPPING)
     assert len(packed.entries) == 3
 
 
@@ -155,37 +157,39 @@
 def test_a_page_of_other_requests_is_told_and_not_guessed(tmp_path: Path) -> None:
     image = {"method": "GET", "url": "https://cdn.example/img/a.png?account=00000000000000aa", "headers": []}
     entries = [har_entry() for _ in range(12)] + [har_entry(request=image) for _ in range(400)]
-    loaded = load_captures((write(tmp_path, har(*entries)),), MAP)
+    loaded = load_captures((write_capture(tmp_path, har(*entries)),), MAPPING)
     assert len(loaded.entries) == 12 and loaded.unmapped["no class: GET /img/a.png"] == 400
 
 
 def test_broken_entries_are_counted_with_their_place(tmp_path: Path) -> None:
     entries: list[dict[str, object]] = [har_entry(), har_entry("yesterday"), {"time": 3}]
     entries.append(har_entry(response={"status": 12345}))
-    name = write(tmp_path, har(*entries))
-    assert [b.location for b in broken(name)] == [f"{name}: entry {n}" for n in (2, 3, 4)]
-    cut = write(tmp_path, har(har_entry(), har_entry())[:-200])
-    assert len(raws(cut)) == 1 and "not JSON from here on" in broken(cut)[0].reason
+    name = write_capture(tmp_path, har(*entries))
+    assert [b.location for b in read_unreadable(name)] == [f"{name}: entry {n}" for n in (2, 3, 4)]
+    cut = write_capture(tmp_path, har(har_entry(), har_entry())[:-200])
+    assert len(read_requests(cut)) == 1 and "not JSON from here on" in read_unreadable(cut)[0].reason
 
 
 def test_hostile_files(tmp_path: Path) -> None:
-    long = write(tmp_path, b"x" * (10 << 20) + b"\n" + LINES["json"].encode() + b"\n")
-    assert [b.reason for b in broken(long)] == ["a line of over 1 MB"] and len(raws(long)) == 1
-    deep = write(tmp_path, b'{"log":{"entries":[{"a":' + b"[" * 10_000)
+    long = write_capture(tmp_path, b"x" * (10 << 20) + b"\n" + LINES["json"].encode() + b"\n")
+    assert [b.reason for b in read_unreadable(long)] == ["a line of over 1 MB"] and len(
+        read_requests(long)
+    ) == 1
+    deep = write_capture(tmp_path, b'{"log":{"entries":[{"a":' + b"[" * 10_000)
     with pytest.raises(CaptureError, match="nested over"):
-        raws(deep)
-    nested = write(tmp_path, b'{"a":' + b"[" * 10_000 + b"]" * 10_000 + b"}\n")
-    assert len(broken(nested)) == 1
-    bomb = write(tmp_path, gzip.compress(b"0" * (200 << 20)))
+        read_requests(deep)
+    nested = write_capture(tmp_path, b'{"a":' + b"[" * 10_000 + b"]" * 10_000 + b"}\n")
+    assert len(read_unreadable(nested)) == 1
+    bomb = write_capture(tmp_path, gzip.compress(b"0" * (200 << 20)))
     with pytest.raises(CaptureError, match="refused"):
-        raws(bomb)
-    torn = write(tmp_path, gzip.compress(LINES["json"].encode() * 100)[:-20])
+        read_requests(bomb)
+    torn = write_capture(tmp_path, gzip.compress(LINES["json"].encode() * 100)[:-20])
     with pytest.raises(CaptureError, match="damaged"):
-        raws(torn)
+        read_requests(torn)
     huge = LINES["json"].replace("200", "1e400").replace("0.13", "1e999")
-    assert len(broken(write(tmp_path, huge.encode()))) == 1
+    assert len(read_unreadable(write_capture(tmp_path, huge.encode()))) == 1
     with pytest.raises(CaptureError, match="not readable"):
-        raws(str(tmp_path / "nothing"))
+        read_requests(str(tmp_path / "nothing"))
 
 
 def test_nothing_that_is_secret_or_a_control_character_comes_out(tmp_path: Path) -> None:
@@ -193,7 +197,7 @@
     assert bare_path("https://h.example/a/eyJhbGciOiJIUzI1NiJ9.abc_def?x") == "/a/{}"
     assert printable("\x1b[31mred\x07") == "\\x1b[31mred\\x07" and len(printable("x" * 500)) < 130
     line = LINES["json"].replace("/bag-lookup", "/bag-lookup\\u001b[2J")
-    (entry,) = load_captures((write(tmp_path, line.encode()),), MAP).entries
+    (entry,) = load_captures((write_capture(tmp_path, line.encode()),), MAPPING).entries
     assert entry.path == "/bag-lookup\\x1b[2J"
 
 
@@ -217,7 +221,9 @@
 @settings(max_examples=150, deadline=None)
 def test_bent_hars_are_read_or_told(tmp_path_factory: pytest.TempPathFactory, data: bytes, at: int) -> None:
     text = har(har_entry(), har_entry())
-    name = write(tmp_path_factory.getbasetemp(), text[:at] + data + text[at + len(data) :], "bent.har")
+    name = write_capture(
+        tmp_path_factory.getbasetemp(), text[:at] + data + text[at + len(data) :], "bent.har"
+    )
     try:
         for record in read_records(name, "har"):
             assert isinstance(record, RawRequest | UnreadableRecord)
@@ -240,7 +246,7 @@
 
 
 def test_a_mapping_file_is_checked(tmp_path: Path) -> None:
-    good = write(
+    good = write_capture(
         tmp_path, b'[plan]\nfrom = ["header:x-tier"]\ndefault = "standard"\nnames = {gold = "chain"}\n', "m"
     )
     assert load_mapping(good).plan.default == "standard"
@@ -250,7 +256,7 @@
         (b'[plans]\nfrom = ["header:x"]\n', "plans: Extra inputs"),
         (b"[", "not readable as TOML"),
     ):
-        bad = write(tmp_path, text, "bad.toml")
+        bad = write_capture(tmp_path, text, "bad.toml")
         with pytest.raises(CaptureError) as error:
             load_mapping(bad)
         assert str(error.value).startswith(f"{bad}: ") and expected in str(error.value)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -27,44 +27,44 @@
 settings.load_profile("here")
 
 KNOWN_RED = "KNOWN-RED.txt"
-FIELDS = 4  # per line of KNOWN-RED.txt
+FIELDS_PER_LINE = 4  # of KNOWN-RED.txt
 
 
 @dataclass(frozen=True, slots=True)
-class Red:
+class ExpectedFailure:
     """A line of KNOWN-RED.txt: a test that is expected to fail."""
 
     test: str  # test id, relative to the root
     command: str  # reproduces the fault, with the seed
-    seen: str
+    symptom: str
     issue: str
 
 
-def read_known_red(root: Path) -> list[Red]:
+def read_known_red(root: Path) -> list[ExpectedFailure]:
     """Return the rows of KNOWN-RED.txt; raises ``pytest.UsageError``, which ends the run, for an invalid file."""
     path = root / KNOWN_RED
     lines = [line for line in path.read_text().splitlines() if line.strip()] if path.exists() else []
-    rows = list[Red]()
+    rows = list[ExpectedFailure]()
     for line in lines:
         fields = [field.strip() for field in line.split("|")]
-        if len(fields) != FIELDS or not all(fields):
+        if len(fields) != FIELDS_PER_LINE or not all(fields):
             raise pytest.UsageError(
                 f"{KNOWN_RED}: each line has to read: test id | command and seed | what was seen | issue"
             )
-        rows.append(Red(*fields))
+        rows.append(ExpectedFailure(*fields))
     if len({row.test for row in rows}) < len(rows):
         raise pytest.UsageError(f"{KNOWN_RED}: a test stands there twice")
     return rows
 
 
-class NoSuchTest(pytest.Item):
+class UnknownTest(pytest.Item):
     """Fails a run of all tests if a line names no test. It is a test item, so that it fails under xdist as well."""
 
     def runtest(self) -> None:
         pytest.fail(f"{KNOWN_RED} names no test: {self.name}", pytrace=False)
 
 
-def all_asked(config: pytest.Config) -> bool:
+def all_tests_requested(config: pytest.Config) -> bool:
     """Return whether all tests were requested, not only some files. The xdist controller passes this to its workers."""
     if hasattr(config, "workerinput"):
         return bool(config.workerinput["all_asked"])
@@ -76,33 +76,33 @@
 
 @pytest.hookimpl(optionalhook=True)
 def pytest_configure_node(node: Any) -> None:
-    node.workerinput["all_asked"] = all_asked(node.config)
+    node.workerinput["all_asked"] = all_tests_requested(node.config)
 
 
 def pytest_configure(config: pytest.Config) -> None:
     read_known_red(config.rootpath)
 
 
-def expect_red(config: pytest.Config, session: pytest.Session, items: list[pytest.Item]) -> None:
+def mark_expected_failures(config: pytest.Config, session: pytest.Session, items: list[pytest.Item]) -> None:
     found = {item.nodeid: item for item in items}
     for row in read_known_red(config.rootpath):
         if (item := found.get(row.test)) is not None:
-            item.add_marker(pytest.mark.xfail(reason=f"{row.seen} ({row.issue})", strict=True))
-        elif all_asked(config):
-            items.append(NoSuchTest.from_parent(session, name=row.test))
+            item.add_marker(pytest.mark.xfail(reason=f"{row.symptom} ({row.issue})", strict=True))
+        elif all_tests_requested(config):
+            items.append(UnknownTest.from_parent(session, name=row.test))
 
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(
     session: pytest.Session, config: pytest.Config, items: list[pytest.Item]
 ) -> None:
-    expect_red(config, session, items)
+    mark_expected_failures(config, session, items)
     for item in items:
         if item.get_closest_marker("timed"):
             item.add_marker(pytest.mark.xdist_group("timed"))
-    items.sort(key=_place)
+    items.sort(key=_sort_key)
 
 
-def _place(item: pytest.Item) -> int:
+def _sort_key(item: pytest.Item) -> int:
     """Return the sort key: timed tests first, then long ones, then all others in collection order."""
     return 0 if item.get_closest_marker("timed") else 1 if item.get_closest_marker("long") else 2
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -34,7 +34,7 @@
     return tmp_path
 
 
-def play(folder: Path, *lines: str, asked: tuple[str, ...] = ()) -> tuple[int, str]:
+def run_tests(folder: Path, *lines: str, asked: tuple[str, ...] = ()) -> tuple[int, str]:
     """Run the folder's tests with a KNOWN-RED.txt of these lines, and return the exit code and output."""
     (folder / "KNOWN-RED.txt").write_text("".join(f"{line}\n" for line in lines))
     environment = {key: value for key, value in os.environ.items() if not key.startswith("PYTEST_")}
@@ -44,29 +44,31 @@
 
 
 def test_the_tests_that_it_names_may_fail_and_say_why(folder: Path) -> None:
-    code, said = play(folder, RED, "", HALF)
-    assert code == OK and "2 xfailed" in said and "the sum is wrong (34)" in said
+    code, output = run_tests(folder, RED, "", HALF)
+    assert code == OK and "2 xfailed" in output and "the sum is wrong (34)" in output
 
 
 def test_as_many_may_fail_as_are_listed(folder: Path) -> None:
     names = [f"test_{n}" for n in range(5)]
     text = "".join(f"def {name}(): assert False\n" for name in names)
     (folder / "tests/test_some.py").write_text(text)
-    code, said = play(folder, *(f"tests/test_some.py::{name} | pytest | it fails | 34" for name in names))
-    assert code == OK and "5 xfailed" in said
+    code, output = run_tests(
+        folder, *(f"tests/test_some.py::{name} | pytest | it fails | 34" for name in names)
+    )
+    assert code == OK and "5 xfailed" in output
 
 
 def test_others_may_not(folder: Path) -> None:
-    code, said = play(folder, RED)
-    assert code == FAILED and "test_half[2]" in said and "test_half[1]" not in said
+    code, output = run_tests(folder, RED)
+    assert code == FAILED and "test_half[2]" in output and "test_half[1]" not in output
     (folder / "KNOWN-RED.txt").unlink()
     (folder / "tests/test_some.py").write_text("def test_green(): pass\n")
     assert subprocess.run([sys.executable, "-m", "pytest"], cwd=folder, capture_output=True).returncode == OK
 
 
 def test_one_that_passes_is_red(folder: Path) -> None:
-    code, said = play(folder, RED, HALF, GREEN)
-    assert code == FAILED and "XPASS(strict)" in said and "it was mended" in said
+    code, output = run_tests(folder, RED, HALF, GREEN)
+    assert code == FAILED and "XPASS(strict)" in output and "it was mended" in output
 
 
 @pytest.mark.parametrize("dist", [(), ("-n", "2", "--dist", "loadgroup")], ids=["alone", "workers"])
@@ -75,15 +77,15 @@
     folder: Path, dist: tuple[str, ...], asked: tuple[str, ...]
 ) -> None:
     gone = "tests/test_some.py::test_gone | pytest tests | it was renamed | 34"
-    code, said = play(folder, RED, HALF, gone, asked=(*asked, *dist))
-    assert code == FAILED and "KNOWN-RED.txt names no test: tests/test_some.py::test_gone" in said
-    assert "2 xfailed" in said
+    code, output = run_tests(folder, RED, HALF, gone, asked=(*asked, *dist))
+    assert code == FAILED and "KNOWN-RED.txt names no test: tests/test_some.py::test_gone" in output
+    assert "2 xfailed" in output
 
 
 @pytest.mark.parametrize("dist", [(), ("-n", "2", "--dist", "loadgroup")], ids=["alone", "workers"])
 def test_a_run_of_some_files_asks_for_no_other(folder: Path, dist: tuple[str, ...]) -> None:
-    assert play(folder, RED, HALF, asked=("tests/test_other.py", *dist))[0] == OK
-    assert play(folder, RED, HALF, asked=("tests/test_some.py::test_red", *dist))[0] == OK
+    assert run_tests(folder, RED, HALF, asked=("tests/test_other.py", *dist))[0] == OK
+    assert run_tests(folder, RED, HALF, asked=("tests/test_some.py::test_red", *dist))[0] == OK
 
 
 @pytest.mark.parametrize(
@@ -102,8 +104,8 @@
 def test_a_file_of_another_form_ends_the_run(
     folder: Path, lines: tuple[str, ...], asked: tuple[str, ...]
 ) -> None:
-    code, said = play(folder, *lines, asked=asked)
-    assert code == USAGE and "KNOWN-RED.txt: " in said and "passed" not in said
+    code, output = run_tests(folder, *lines, asked=asked)
+    assert code == USAGE and "KNOWN-RED.txt: " in output and "passed" not in output
 
 
 def test_the_check_prints_its_lines() -> None:
