--- a/cypresspulley/capture/planning.py
+++ b/cypresspulley/capture/planning.py
@@ -67,5 +67,5 @@
     entries: list[Entry], scenario: Scenario, replay_options: ReplayOptions, seed: int
 ) -> tuple[Scenario, Plan]:
     arrivals = build_arrivals(entries, scenario, replay_options, seed)
-    day_scenario = scenario_for_capture(scenario, arrivals[-1].t, replay_options.clients_retry)
-    return day_scenario, draw(day_scenario, seed, tuple(arrivals))
+    capture_scenario = scenario_for_capture(scenario, arrivals[-1].t, replay_options.clients_retry)
+    return capture_scenario, draw(capture_scenario, seed, tuple(arrivals))
