--- a/cypresspulley/capture/command.py
+++ b/cypresspulley/capture/command.py
@@ -118,8 +118,8 @@
         )
     for name, count in summary.broken.items():
         console.print(f"not read: {count} in {name}")
-    for location, reason in summary.places[:10]:
-        console.print(f"  {location}: {reason}")
+    for location, problem in summary.places[:10]:
+        console.print(f"  {location}: {problem}")
     for reason, count in summary.unmapped.items():
         console.print(f"not mapped, {count} times: {reason}")
 
