--- a/benchmarks/same_trace.py
+++ b/benchmarks/same_trace.py
@@ -1,4 +1,4 @@
-"""One seed is one trace: a scenario played again and again in processes with other hash seeds, zones and dates.
+"""Checks that one seed gives one trace in processes with different hash seeds, time zones and dates.
 
 python -m benchmarks.same_trace [--scenario NAME] [--plays 100] [--seconds 5]
 """
@@ -16,12 +16,17 @@
 from cypresspulley.rehearsal.scenario import load_scenario
 from cypresspulley.rehearsal.virtual.play import digest, play_virtual
 
-# Hash seed, zone and days by which the date is set forward.
-WAYS = (("1", "UTC", 0.0), ("2", "Asia/Kolkata", 3.0), ("77", "America/Lima", 400.0), ("4242", "UTC", -30.0))
+# Hash seed, time zone, and days by which the date is set forward.
+ENVIRONMENTS = (
+    ("1", "UTC", 0.0),
+    ("2", "Asia/Kolkata", 3.0),
+    ("77", "America/Lima", 400.0),
+    ("4242", "UTC", -30.0),
+)
 
 
 def digests(name: str, seconds: float, plays: int, days: float) -> list[str]:
-    """The digests of some plays, with this process's clock set wrong."""
+    """Return the digests of several runs, with this process's clock shifted by ``days``."""
     real = time.time
     time.time = lambda: real() + days * 86_400
     day = scale_down(load_scenario(name), seconds, 30.0)
@@ -40,7 +45,7 @@
     if options.days is not None:
         print("\n".join(digests(options.scenario, options.seconds, options.plays, options.days)))
         return 0
-    share = str(-(-options.plays // len(WAYS)))
+    share = str(-(-options.plays // len(ENVIRONMENTS)))
     command = [
         sys.executable,
         "-m",
@@ -55,10 +60,10 @@
             [*command, "--seconds", str(options.seconds), "--days", str(days)], text=True, stdout=subprocess.PIPE,
             env={**os.environ, "PYTHONHASHSEED": hash_seed, "TZ": zone},
         )
-        for hash_seed, zone, days in WAYS
+        for hash_seed, zone, days in ENVIRONMENTS
     ]  # fmt: skip
     found = Counter(line for process in running for line in process.communicate()[0].split())
-    print(f"{found.total()} plays in {len(WAYS)} processes: {dict(found)}")
+    print(f"{found.total()} plays in {len(ENVIRONMENTS)} processes: {dict(found)}")
     return 0 if len(found) == 1 and found.total() >= options.plays else 1
 
 
--- a/cypresspulley/capture/command.py
+++ b/cypresspulley/capture/command.py
@@ -1,4 +1,4 @@
-"""What ``fawnseam capture`` and ``fawnseam replay`` do; their exit codes."""
+"""Implements ``fawnseam capture`` and ``fawnseam replay`` and defines their exit codes."""
 
 from __future__ import annotations
 
@@ -16,95 +16,110 @@
 from rich.console import Console
 from rich.table import Table
 
-from cypresspulley.capture.arrivals import Stretch
-from cypresspulley.capture.load import Loaded, load
+from cypresspulley.capture.arrivals import ReplayOptions
+from cypresspulley.capture.load import LoadedCaptures, load_captures
 from cypresspulley.capture.mapping import load_mapping
-from cypresspulley.capture.model import CaptureError, shown
-from cypresspulley.capture.planning import Input, plan_of, read
-from cypresspulley.capture.replay import Report, against, percentile
-from cypresspulley.capture.scrub import KEY_BYTES, write
+from cypresspulley.capture.model import CaptureError, printable
+from cypresspulley.capture.planning import CaptureInput, build_plan, read_captures
+from cypresspulley.capture.replay import ReplayReport, percentile, replay_against
+from cypresspulley.capture.scrub import MIN_KEY_BYTES, write_scrubbed
 from cypresspulley.capture.summary import Summary, summarise
 from cypresspulley.console import fail
 from cypresspulley.rehearsal import command as rehearsal
 from cypresspulley.rehearsal.scenario import Goal, Load, ScenarioError, load_scenario
 
-GOOD, BAD_INPUT, BROKEN_TOOL = 0, 2, 3
+EXIT_OK = 0
+EXIT_BAD_INPUT = 2
+EXIT_TOOL_FAILED = 3  # an output could not be written, or the replay failed
 
 
-def inspect(what: Input, json_file: Path | None, html: Path | None) -> int:
-    """Print what the files hold; the exit code."""
+def inspect(capture_input: CaptureInput, json_file: Path | None, html: Path | None) -> int:
+    """Print a summary of the capture files and return the exit code."""
     try:
-        entries, loaded, clocks = read(what)
+        entries, loaded, clocks = read_captures(capture_input)
         summary = summarise(entries, loaded, clocks)
-        _print(summary)
+        _print_summary(summary)
         if json_file is not None:
             json_file.write_text(json.dumps(summary.as_json(), indent=1) + "\n", encoding="utf-8")
         if html is not None:
-            html.write_text(page(summary), encoding="utf-8")
+            html.write_text(render_page(summary), encoding="utf-8")
     except CaptureError as error:
-        return fail(error, BAD_INPUT)
+        return fail(error, EXIT_BAD_INPUT)
     except OSError as error:
-        return fail(error, BROKEN_TOOL)
-    return GOOD
+        return fail(error, EXIT_TOOL_FAILED)
+    return EXIT_OK
 
 
-def scrub(what: Input, out: Path, key: str | None) -> int:
-    """Write a capture without secrets and with accounts renamed; the exit code."""
+def scrub(capture_input: CaptureInput, out: Path, key: str | None) -> int:
+    """Write a capture without secrets and with pseudonymous accounts, and return the exit code."""
     try:
-        secret = _key(key)
-        loaded = load(what.files, load_mapping(what.mapping), what.kind, what.notation, what.strict)
+        secret = _load_key(key)
+        loaded = load_captures(
+            capture_input.files,
+            load_mapping(capture_input.mapping),
+            capture_input.kind,
+            capture_input.notation,
+            capture_input.strict,
+        )
         with out.open("w", encoding="utf-8") as file:
-            count = write(sorted(loaded.entries, key=lambda e: e.t), secret, file)
+            count = write_scrubbed(sorted(loaded.entries, key=lambda e: e.t), secret, file)
     except CaptureError as error:
-        return fail(error, BAD_INPUT)
+        return fail(error, EXIT_BAD_INPUT)
     except OSError as error:
-        return fail(error, BROKEN_TOOL)
-    _tell_unread(loaded)
+        return fail(error, EXIT_TOOL_FAILED)
+    _print_unread(loaded)
     print(f"{count} requests written to {out}", file=sys.stderr)
-    return GOOD
+    return EXIT_OK
 
 
-def _key(path: str | None) -> bytes:
-    """The key of the renaming: a file's bytes, or one drawn now and forgotten."""
+def _load_key(path: str | None) -> bytes:
+    """Return the hash key for pseudonyms: the file's bytes, or a random key that is not stored.
+
+    Raises ``CaptureError`` if the file is unreadable or its key is not ``MIN_KEY_BYTES`` to 64 bytes long.
+    """
     if path is None:
         return os.urandom(32)
     try:
         key = Path(path).read_bytes().strip()
     except OSError as error:
         raise CaptureError(f"{path}: not readable: {error.strerror}") from None
-    if not KEY_BYTES <= len(key) <= 64:
-        raise CaptureError(f"{path}: a key of {len(key)} bytes; expected {KEY_BYTES} to 64")
+    if not MIN_KEY_BYTES <= len(key) <= 64:
+        raise CaptureError(f"{path}: a key of {len(key)} bytes; expected {MIN_KEY_BYTES} to 64")
     return key
 
 
-def _tell_unread(loaded: Loaded) -> None:
-    for place in loaded.places:
-        print(f"fawnseam: not read: {shown(place.place)}: {shown(place.why)}", file=sys.stderr)
-    for name, count in loaded.broken.items():
-        print(f"fawnseam: {shown(name)}: {count} lines or entries were not read", file=sys.stderr)
+def _print_unread(loaded: LoadedCaptures) -> None:
+    for record in loaded.unreadable:
+        print(
+            f"fawnseam: not read: {printable(record.location)}: {printable(record.reason)}", file=sys.stderr
+        )
+    for name, count in loaded.unreadable_counts.items():
+        print(f"fawnseam: {printable(name)}: {count} lines or entries were not read", file=sys.stderr)
     for reason, count in loaded.unmapped.most_common(10):
         print(f"fawnseam: not mapped, {count} times: {reason}", file=sys.stderr)
 
 
-def _print(summary: Summary) -> None:
+def _print_summary(summary: Summary) -> None:
     console = Console(highlight=False, markup=False, soft_wrap=True)
     span = summary.last - summary.first
     console.print(f"{summary.tries} tries of {summary.requests} requests over {span:.1f} s; "
                   f"{summary.retries} retries, {summary.accounts} accounts")  # fmt: skip
     for title, table in (("class", summary.by_class), ("plan", summary.by_plan), ("status", summary.by_status),
                          ("busiest accounts", dict(summary.top[:5]))):  # fmt: skip
-        shown_table = Table(title, "tries", box=None, pad_edge=False)
+        rendered = Table(title, "tries", box=None, pad_edge=False)
         for name, count in table.items():
-            shown_table.add_row(name, str(count))
-        console.print(shown_table)
+            rendered.add_row(name, str(count))
+        console.print(rendered)
     for clock in summary.clocks[1:]:
         error = f"+-{clock.error * 1000:.1f} ms" if math.isfinite(clock.error) else "unknown: nothing shared"
         drift = f"{clock.drift * 1e6:.0f} ppm" if math.isfinite(clock.error) else "-"
-        console.print(f"clock of {shown(clock.source)}: add {clock.offset:.3f} s ({error}), drift {drift}")
+        console.print(
+            f"clock of {printable(clock.source)}: add {clock.offset:.3f} s ({error}), drift {drift}"
+        )
     for name, count in summary.broken.items():
         console.print(f"not read: {count} in {name}")
-    for place, why in summary.places[:10]:
-        console.print(f"  {place}: {why}")
+    for location, problem in summary.places[:10]:
+        console.print(f"  {location}: {problem}")
     for reason, count in summary.unmapped.items():
         console.print(f"not mapped, {count} times: {reason}")
 
@@ -129,7 +144,7 @@
 """
 
 
-def page(summary: Summary) -> str:
+def render_page(summary: Summary) -> str:
     """The summary as one self-contained page."""
     figure = Figure(figsize=(10, 3), layout="constrained")
     axis = figure.subplots()
@@ -148,42 +163,39 @@
     return environment.from_string(PAGE).render(s=summary, chart=svg[svg.index("<svg") :], tables=tables)
 
 
-# Replay.
-
-
 def replay(
-    what: Input,
-    stretch: Stretch,
+    capture_input: CaptureInput,
+    replay_options: ReplayOptions,
     seed: int,
     scenario: str,
     targets: tuple[str, ...],
     outputs: rehearsal.Outputs,
 ) -> int:
-    """Play captures again, against the kit's stand-ins or running limiters; the exit code."""
+    """Replay captures against the rehearsal's own processes or running limiters, and return the exit code."""
     try:
         outputs.check()
-        entries, loaded, _ = read(what)
-        _tell_unread(loaded)
+        entries, loaded, _ = read_captures(capture_input)
+        _print_unread(loaded)
         base = load_scenario(scenario)
-        quiet = base.model_copy(update={"name": "replay", "load": Load(), "goal": Goal()})
-        made, plan = plan_of(entries, quiet, stretch, seed)
+        empty_scenario = base.model_copy(update={"name": "replay", "load": Load(), "goal": Goal()})
+        replay_scenario, plan = build_plan(entries, empty_scenario, replay_options, seed)
     except (CaptureError, ScenarioError) as error:
-        return fail(error, BAD_INPUT)
+        return fail(error, EXIT_BAD_INPUT)
     if not targets:
-        return rehearsal.play_and_judge(made, plan, outputs)
+        return rehearsal.play_and_judge(replay_scenario, plan, outputs)
     try:
-        report = uvloop.run(against(made, plan, targets))
+        report = uvloop.run(replay_against(replay_scenario, plan, targets))
     except (CaptureError, OSError) as error:
-        return fail(error, BROKEN_TOOL)
+        return fail(error, EXIT_TOOL_FAILED)
     except asyncio.CancelledError:
         return rehearsal.INTERRUPTED
     _print_report(report)
     if outputs.json is not None:
         outputs.json.write_text(json.dumps(report.as_json(), indent=1) + "\n", encoding="utf-8")
-    return GOOD
+    return EXIT_OK
 
 
-def _print_report(report: Report) -> None:
+def _print_report(report: ReplayReport) -> None:
     late = report.late
     print(f"{report.sent} tries sent, {report.unreached} reached nobody; late p50 {percentile(late, 50):.1f} ms, "
           f"p99 {percentile(late, 99):.1f} ms, worst {max(late, default=0.0):.1f} ms")  # fmt: skip
--- a/cypresspulley/capture/load.py
+++ b/cypresspulley/capture/load.py
@@ -1,4 +1,4 @@
-"""Captures to entries: kinds detected, broken places counted, everything that could not be used told."""
+"""Loads capture files as entries, detects their formats, and counts the records that cannot be used."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 from cypresspulley.capture.access import FORMATS, nginx_format, read_log
 from cypresspulley.capture.har import read_har
 from cypresspulley.capture.mapping import Mapper, Mapping
-from cypresspulley.capture.model import Broken, CaptureError, Counted, Entry, Raw
+from cypresspulley.capture.model import CaptureError, CounterCall, Entry, RawRequest, UnreadableRecord
 from cypresspulley.capture.source import open_capture
 
 KINDS = ("auto", "har", *FORMATS)
-SHOWN = 20  # broken places of a file that are named
-SNIFF = 4096
+MAX_REPORTED_PER_FILE = 20  # unreadable records listed with their location
+DETECTION_BYTES = 4096  # inspected to tell a HAR from a log
 
 
 @dataclass(slots=True)
 class Source:
-    """One file, or one stretch of it between two jumps of its clock."""
+    """A capture file, or the part of one between two jumps of its clock."""
 
     name: str
     kind: str
     entries: list[Entry] = field(default_factory=list)
-    counts: list[Counted] = field(default_factory=list)
+    counts: list[CounterCall] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class Loaded:
-    """What was read of all files, and what was not."""
+class LoadedCaptures:
+    """The entries read from all files, and the records that could not be read or mapped."""
 
     sources: list[Source]
-    broken: Counter[str]
-    places: list[Broken]
+    unreadable_counts: Counter[str]
+    unreadable: list[UnreadableRecord]
     unmapped: Counter[str]
     ignored: int
 
@@ -44,22 +44,24 @@
         return [entry for source in self.sources for entry in source.entries]
 
 
-def records(name: str, kind: str = "auto", notation: str = "") -> Iterator[Raw | Counted | Broken]:
-    """What a reader finds in a file; ``kind`` is detected unless named, ``notation`` is nginx's log_format."""
+def read_records(
+    name: str, kind: str = "auto", notation: str = ""
+) -> Iterator[RawRequest | CounterCall | UnreadableRecord]:
+    """Yield the records of a file. ``kind`` "auto" detects the format; ``notation`` is an nginx log_format."""
     with open_capture(name) as stream:
-        yield from _reader(stream, name, _kind(stream, kind, notation), notation)
+        yield from _read_stream(stream, name, _detect_kind(stream, kind, notation), notation)
 
 
-def _kind(stream: io.BufferedReader[Any], kind: str, notation: str) -> str:
-    """``har``, or the kind of log; ``auto`` for a log of any formats."""
-    if kind == "auto" and not notation and is_har(stream.peek(SNIFF)[:SNIFF]):
+def _detect_kind(stream: io.BufferedReader[Any], kind: str, notation: str) -> str:
+    """Return ``har`` or the log format, or ``auto`` for a log whose format is detected line by line."""
+    if kind == "auto" and not notation and is_har(stream.peek(DETECTION_BYTES)[:DETECTION_BYTES]):
         return "har"
     return kind
 
 
-def _reader(
+def _read_stream(
     stream: io.BufferedReader[Any], name: str, kind: str, notation: str
-) -> Iterator[Raw | Counted | Broken]:
+) -> Iterator[RawRequest | CounterCall | UnreadableRecord]:
     if notation:
         return read_log(stream, name, (nginx_format(notation),))
     if kind == "har":
@@ -67,32 +69,35 @@
     return read_log(stream, name, () if kind == "auto" else (FORMATS[kind],))
 
 
-def is_har(head: bytes) -> bool:
-    """A HAR is one object whose first key is ``log``; a log line's object is whole on its line."""
-    text = head.lstrip()
+def is_har(first_bytes: bytes) -> bool:
+    """Return whether the bytes begin a HAR file: a JSON object whose first key is ``log``."""
+    text = first_bytes.lstrip()
     return text.startswith(b"{") and text[1:].lstrip().startswith(b'"log"')
 
 
-def load(
+def load_captures(
     names: tuple[str, ...], mapping: Mapping, kind: str = "auto", notation: str = "", strict: bool = False
-) -> Loaded:
-    """All files as entries. ``strict`` makes the first broken place a ``CaptureError``."""
-    mapper, broken, places, sources = Mapper(mapping), Counter[str](), list[Broken](), list[Source]()
+) -> LoadedCaptures:
+    """Load all files. With ``strict``, raises ``CaptureError`` at the first unreadable record."""
+    mapper = Mapper(mapping)
+    unreadable_counts = Counter[str]()
+    unreadable = list[UnreadableRecord]()
+    sources = list[Source]()
     for name in names:
         with open_capture(name) as stream:
-            source = Source(name, _kind(stream, kind, notation))
+            source = Source(name, _detect_kind(stream, kind, notation))
             sources.append(source)
-            for record in _reader(stream, name, source.kind, notation):
-                if isinstance(record, Raw):
-                    entry = mapper.entry(record, name)
+            for record in _read_stream(stream, name, source.kind, notation):
+                if isinstance(record, RawRequest):
+                    entry = mapper.map_request(record, name)
                     if entry is not None:
                         source.entries.append(entry)
-                elif isinstance(record, Counted):
-                    source.counts.append(replace(record, after=len(source.entries)))
+                elif isinstance(record, CounterCall):
+                    source.counts.append(replace(record, entries_before=len(source.entries)))
                 elif strict:
-                    raise CaptureError(f"{record.place}: {record.why}")
+                    raise CaptureError(f"{record.location}: {record.reason}")
                 else:
-                    broken[name] += 1
-                    if broken[name] <= SHOWN:
-                        places.append(record)
-    return Loaded(sources, broken, places, mapper.unmapped, mapper.ignored)
+                    unreadable_counts[name] += 1
+                    if unreadable_counts[name] <= MAX_REPORTED_PER_FILE:
+                        unreadable.append(record)
+    return LoadedCaptures(sources, unreadable_counts, unreadable, mapper.unmapped, mapper.ignored)
--- a/cypresspulley/cli.py
+++ b/cypresspulley/cli.py
@@ -205,9 +205,9 @@
     Exit codes: 0 read (broken places are listed); 2 bad input; 3 a file could not be written.
     """
     from cypresspulley.capture import command
-    from cypresspulley.capture.planning import Input
+    from cypresspulley.capture.planning import CaptureInput
 
-    what = Input(files, kind, notation, mapping, strict, patience)
+    what = CaptureInput(files, kind, notation, mapping, strict, patience)
     sys.exit(command.inspect(what, json_file, html))
 
 
@@ -231,9 +231,9 @@
     Exit codes: 0 written; 2 bad input; 3 the file could not be written.
     """
     from cypresspulley.capture import command
-    from cypresspulley.capture.planning import Input
+    from cypresspulley.capture.planning import CaptureInput
 
-    sys.exit(command.scrub(Input(files, kind, notation, mapping, strict, patience), out, key))
+    sys.exit(command.scrub(CaptureInput(files, kind, notation, mapping, strict, patience), out, key))
 
 
 @main.command()
@@ -271,14 +271,14 @@
     Exit codes: as of rehearse; with --against 0 once all was sent.
     """
     from cypresspulley.capture import command
-    from cypresspulley.capture.arrivals import Stretch
-    from cypresspulley.capture.planning import Input
+    from cypresspulley.capture.arrivals import ReplayOptions
+    from cypresspulley.capture.planning import CaptureInput
     from cypresspulley.rehearsal.command import Outputs
 
     sys.exit(
         command.replay(
-            Input(files, kind, notation, mapping, strict, patience),
-            Stretch(speed, stretch_accounts, start, end, clients), seed, scenario, against,
+            CaptureInput(files, kind, notation, mapping, strict, patience),
+            ReplayOptions(speed, stretch_accounts, start, end, clients), seed, scenario, against,
             Outputs(json_file, html, logs),
         )
     )  # fmt: skip
