--- a/benchmarks/plan_churn.py
+++ b/benchmarks/plan_churn.py
@@ -39,14 +39,14 @@
     "m": Terms(8.0, 30.0, 8.0, 30.0),
     "l": Terms(16.0, 60.0, 16.0, 60.0),
 }
-MAX_MESSAGE_DELAY_S = 0.2  # longest delay of a message, seconds
+MAX_MESSAGE_DELAY_SECONDS = 0.2  # longest delay of a message, seconds
 MESSAGE_LOSS_SHARE = 0.1  # share of messages that are lost
-MAX_CLOCK_OFFSET_S = 0.1  # largest offset of a limiter's clock, seconds
+MAX_CLOCK_OFFSET_SECONDS = 0.1  # largest offset of a limiter's clock, seconds
 SURGE_RATE = 120.0  # requests per second during a surge
 PAUSE_RATE = 1.0  # requests per second between surges
-SURGE_DURATION_RANGE_S = (0.5, 3.0)  # shortest and longest surge, seconds
-PAUSE_DURATION_RANGE_S = (1.0, 6.0)  # shortest and longest pause between surges, seconds
-START_TIME_S = 10.0  # virtual time at which a simulation begins, seconds
+SURGE_DURATION_RANGE_SECONDS = (0.5, 3.0)  # shortest and longest surge, seconds
+PAUSE_DURATION_RANGE_SECONDS = (1.0, 6.0)  # shortest and longest pause between surges, seconds
+START_TIME_SECONDS = 10.0  # virtual time at which a simulation begins, seconds
 
 
 def max_overshoot() -> float:
@@ -56,7 +56,7 @@
     the highest terms where the lowest are in force. In addition, each limiter may admit one request at the same moment.
     """
     high, low = TERMS["l"], TERMS["s"]
-    late = (LEASE_MS - MAX_CLOCK_SKEW_MS) / 1000 + 2 * MAX_CLOCK_OFFSET_S
+    late = (LEASE_MS - MAX_CLOCK_SKEW_MS) / 1000 + 2 * MAX_CLOCK_OFFSET_SECONDS
     return (high.ceiling_rate - low.ceiling_rate) * late + high.ceiling_burst - low.ceiling_burst + LIMITERS
 
 
@@ -101,14 +101,14 @@
     _scheduled: list[tuple[float, int, Callable[[], None]]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        self.rng, self.now, self._number = Random(self.seed), START_TIME_S, 0
+        self.rng, self.now, self._number = Random(self.seed), START_TIME_SECONDS, 0
         self.book = Book("churn")
         for number, (plan, terms) in enumerate(sorted(TERMS.items()), 1):
             self.book = self.book.with_change(Version(plan, 0, Stamp(1, number), terms))
         self.book = self.book.with_change(Assignment(ACCOUNT, 0, Stamp(1, 4), self.rng.choice("sml")))
         terms = TERMS[self.plan_at(0)]
         self.reference_bucket = BucketLevel(terms.ceiling_burst, 0.0, terms.ceiling_rate, terms.ceiling_burst)
-        off = 0.0 if self.calm else MAX_CLOCK_OFFSET_S
+        off = 0.0 if self.calm else MAX_CLOCK_OFFSET_SECONDS
         self.limiters = [Limiter(n, self.rng.uniform(-off, off)) for n in range(LIMITERS)]
         self.usage_recorders, self.surge = list[UsageRecorder](), False
 
@@ -176,7 +176,10 @@
     def toggle_surge(self) -> None:
         self.surge = not self.surge
         self.schedule(
-            self.now + self.rng.uniform(*(SURGE_DURATION_RANGE_S if self.surge else PAUSE_DURATION_RANGE_S)),
+            self.now
+            + self.rng.uniform(
+                *(SURGE_DURATION_RANGE_SECONDS if self.surge else PAUSE_DURATION_RANGE_SECONDS)
+            ),
             self.toggle_surge,
         )
 
@@ -215,7 +218,7 @@
         ):
             return
         self.schedule(
-            self.now + self.rng.uniform(0, MAX_MESSAGE_DELAY_S),
+            self.now + self.rng.uniform(0, MAX_MESSAGE_DELAY_SECONDS),
             partial(self.deliver_message, limiter, incarnation, deliver),
         )
 
@@ -277,11 +280,11 @@
             (0.7, self.change_plan),
             (5.0, self.toggle_surge),
         ):
-            self.schedule(START_TIME_S + delay, action)
+            self.schedule(START_TIME_SECONDS + delay, action)
         if not self.calm:
-            self.schedule(START_TIME_S + 2.0, self.disconnect_followers)
-            self.schedule(START_TIME_S + 4.0, self.kill_limiter)
-        while self._scheduled and self.now < START_TIME_S + self.seconds:
+            self.schedule(START_TIME_SECONDS + 2.0, self.disconnect_followers)
+            self.schedule(START_TIME_SECONDS + 4.0, self.kill_limiter)
+        while self._scheduled and self.now < START_TIME_SECONDS + self.seconds:
             self.now, _, action = heapq.heappop(self._scheduled)
             action()
         self.counted = sum(usage_recorder.pending_units for usage_recorder in self.usage_recorders)
--- a/cypresspulley/graphql/handler.py
+++ b/cypresspulley/graphql/handler.py
@@ -41,7 +41,7 @@
 ACCEPT_HEADER = b"accept"
 CONTENT_TYPE_HEADER = b"content-type"
 # Time for which an analysis may block the event loop before it yields. A single step may take longer.
-MAX_TURN_S = 0.001
+MAX_TURN_SECONDS = 0.001
 CODES_BY_STATUS = {
     429: ErrorCode.COST_LIMITED,
     502: ErrorCode.MAY_HAVE_RUN,
@@ -58,7 +58,7 @@
     ErrorCode.METHOD_NOT_ALLOWED: "mutations need POST",
     ErrorCode.ANALYSIS_BUSY: "too many unknown documents at once; known ones are taken",
 }
-BUSY_RETRY_AFTER_S = 1.0  # the analysis budget is renewed every second
+BUSY_RETRY_AFTER_SECONDS = 1.0  # the analysis budget is renewed every second
 
 
 class GraphQLDialect:
@@ -92,7 +92,7 @@
 
     def format_refusal(self, error: GraphQLRefusedError) -> tuple[int, bytes, bytes, float | None]:
         """Return status, headers, body and Retry-After (seconds) for a request rejected before its submission."""
-        retry_after = BUSY_RETRY_AFTER_S if error.code is ErrorCode.ANALYSIS_BUSY else None
+        retry_after = BUSY_RETRY_AFTER_SECONDS if error.code is ErrorCode.ANALYSIS_BUSY else None
         return self._format_response(error.code, error.code.status, {}, error.text, retry_after)
 
     def _format_response(
@@ -214,13 +214,13 @@
             raise GraphQLRefusedError(ErrorCode.ANALYSIS_BUSY, ERROR_TEXTS[ErrorCode.ANALYSIS_BUSY])
 
     def _continue_analysis(self, analysis: _PendingAnalysis) -> None:
-        """Run analysis steps for up to MAX_TURN_S, then yield to the event loop."""
+        """Run analysis steps for up to MAX_TURN_SECONDS, then yield to the event loop."""
         request = analysis.request
         if request.client_gone:
             return analysis.steps.close()
         started_at = self._loop.time()
         try:
-            while self._loop.time() - started_at < MAX_TURN_S:
+            while self._loop.time() - started_at < MAX_TURN_SECONDS:
                 next(analysis.steps)
         except StopIteration as done:
             self._submit(analysis, done.value)
--- a/cypresspulley/plans/channel.py
+++ b/cypresspulley/plans/channel.py
@@ -19,9 +19,9 @@
 
 MAX_LINE_BYTES = 65_536  # bytes
 MAX_BOOK_CHANGES = 2_000_000  # changes in a whole book
-SILENCE_TIMEOUT_S = 4.0  # seconds without a line after which the writer is considered gone
-RECONNECT_DELAYS_S = (0.1, 0.5, 2.0, 5.0)  # seconds before the next attempt, by consecutive failures
-LEASE_CHECK_INTERVAL_S = 0.1  # seconds
+SILENCE_TIMEOUT_SECONDS = 4.0  # seconds without a line after which the writer is considered gone
+RECONNECT_DELAYS_SECONDS = (0.1, 0.5, 2.0, 5.0)  # seconds before the next attempt, by consecutive failures
+LEASE_CHECK_INTERVAL_SECONDS = 0.1  # seconds
 
 
 class ConnectionEndedError(Exception):
@@ -61,7 +61,7 @@
 
     async def _watch_lease(self) -> None:
         while True:
-            await asyncio.sleep(LEASE_CHECK_INTERVAL_S)
+            await asyncio.sleep(LEASE_CHECK_INTERVAL_SECONDS)
             if self.follower.check_lease(self._clock()):
                 log.warning("plans: the lease is over: the lowest ceiling holds from now on")
                 self._on_change()
@@ -74,12 +74,12 @@
                 if str(error) != self.last_error:  # the same error in a row is logged once
                     log.warning("plans: the connection to the writer ended: %s", error or repr(error))
                 self.last_error = str(error)
-            delay = RECONNECT_DELAYS_S[min(self._failed_attempts, len(RECONNECT_DELAYS_S) - 1)]
+            delay = RECONNECT_DELAYS_SECONDS[min(self._failed_attempts, len(RECONNECT_DELAYS_SECONDS) - 1)]
             self._failed_attempts += 1
             await asyncio.sleep(delay * (0.5 + self._rng.random()))
 
     async def _follow_writer(self) -> None:
-        async with asyncio.timeout(SILENCE_TIMEOUT_S):
+        async with asyncio.timeout(SILENCE_TIMEOUT_SECONDS):
             reader, writer = await asyncio.open_connection(
                 self._address.host, self._address.port, limit=MAX_LINE_BYTES
             )
@@ -89,7 +89,7 @@
                 f"GET /v1/plans?epoch={self.follower.epoch}&since={since} HTTP/1.1\r\nHost: plans\r\n"
                 f"Authorization: Bearer {self._address.token}\r\n\r\n".encode()
             )
-            async with asyncio.timeout(SILENCE_TIMEOUT_S):
+            async with asyncio.timeout(SILENCE_TIMEOUT_SECONDS):
                 head = await reader.readuntil(b"\r\n\r\n")
             if b" 200 " not in head.split(b"\r\n", 1)[0]:
                 raise ConnectionEndedError(
@@ -133,7 +133,7 @@
         return book
 
     async def _read_line(self, reader: asyncio.StreamReader) -> dict[str, Any]:
-        async with asyncio.timeout(SILENCE_TIMEOUT_S):
+        async with asyncio.timeout(SILENCE_TIMEOUT_SECONDS):
             text = await reader.readuntil(b"\n")
         try:
             line = json.loads(text)
--- a/cypresspulley/plans/command.py
+++ b/cypresspulley/plans/command.py
@@ -32,7 +32,7 @@
 EXIT_BAD_INPUT = 2
 EXIT_BROKEN = 3
 TOKEN_VARIABLE = "FAWNSEAM_PLANS_TOKEN"
-CALL_TIMEOUT_S = 10.0  # seconds
+CALL_TIMEOUT_SECONDS = 10.0  # seconds
 
 
 def _print_result(result: Any, as_json: bool, text: str) -> None:
@@ -130,7 +130,7 @@
     host, _, port = to.rpartition(":")
     if not host or not port.isdigit():
         raise ValueError(f"--to: expected HOST:PORT, got {to!r}")
-    connection = http.client.HTTPConnection(host, int(port), timeout=CALL_TIMEOUT_S)
+    connection = http.client.HTTPConnection(host, int(port), timeout=CALL_TIMEOUT_SECONDS)
     try:
         headers = {"Authorization": f"Bearer {os.environ.get(TOKEN_VARIABLE, '')}"}
         connection.request("POST", PLANS_PATH, json.dumps(raw), headers)
--- a/cypresspulley/plans/export.py
+++ b/cypresspulley/plans/export.py
@@ -12,8 +12,8 @@
 log = logging.getLogger(__name__)
 
 # Seconds between two records. A killed limiter loses the usage of this time and the unacknowledged records.
-EXPORT_INTERVAL_S = 1.0
-CALL_TIMEOUT_S = 3.0  # seconds
+EXPORT_INTERVAL_SECONDS = 1.0
+CALL_TIMEOUT_SECONDS = 3.0  # seconds
 MAX_ANSWER_BYTES = 65_536  # bytes
 
 
@@ -21,7 +21,10 @@
     """Sends the records of one usage recorder, the oldest first, one at a time."""
 
     def __init__(
-        self, address: WriterAddress, usage_recorder: UsageRecorder, interval_s: float = EXPORT_INTERVAL_S
+        self,
+        address: WriterAddress,
+        usage_recorder: UsageRecorder,
+        interval_s: float = EXPORT_INTERVAL_SECONDS,
     ) -> None:
         self._address, self._usage_recorder, self._interval_s = address, usage_recorder, interval_s
         self._task: asyncio.Task[None] | None = None
@@ -61,7 +64,7 @@
         body = json.dumps(
             {"wish": "use", "author": record.writer, "record": record.as_json()}, separators=(",", ":")
         ).encode()
-        async with asyncio.timeout(CALL_TIMEOUT_S):
+        async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
             reader, writer = await asyncio.open_connection(
                 self._address.host, self._address.port, limit=MAX_ANSWER_BYTES
             )
--- a/cypresspulley/plans/limiter.py
+++ b/cypresspulley/plans/limiter.py
@@ -30,7 +30,7 @@
 
 log = logging.getLogger(__name__)
 
-USAGE_PERIOD_S = 3600  # seconds; length of the periods that usage is summed by
+USAGE_PERIOD_SECONDS = 3600  # seconds; length of the periods that usage is summed by
 DEFAULT_OVER_COST = 0.5  # for a plan that is in the book but not in the settings
 UNVERSIONED = Stamp(0, 0)  # stands for the version of a plan that is not in the book
 
@@ -162,7 +162,7 @@
         stamp = version.stamp if version is not None else UNVERSIONED
         bound = ev if plan == ev.plan else replace(ev, plan=plan)
         self._uncounted[ev.id] = (
-            UsageKey(ev.account, plan, stamp, int(now) // USAGE_PERIOD_S),
+            UsageKey(ev.account, plan, stamp, int(now) // USAGE_PERIOD_SECONDS),
             round(ev.units * MICRO_PER_UNIT),
         )
         self._carry_level(now, bound)
--- a/cypresspulley/plans/serve.py
+++ b/cypresspulley/plans/serve.py
@@ -31,12 +31,12 @@
 
 log = logging.getLogger(__name__)
 
-HEARTBEAT_INTERVAL_S = 1.0
+HEARTBEAT_INTERVAL_SECONDS = 1.0
 MAX_HEAD_BYTES = 8192
-READ_TIMEOUT_S = 5.0  # seconds for a request's head, and for its body
+READ_TIMEOUT_SECONDS = 5.0  # seconds for a request's head, and for its body
 MAX_FOLLOWERS = 4096  # as many limiters as a fleet's membership view holds (``fleet.view.MAX_MEMBERS``)
 ACCEPT_BACKLOG = 1024  # connections waiting to be accepted: a fleet that restarts connects all at once
-WRITE_TIMEOUT_S = 5.0  # seconds in which a follower must read what is written to it
+WRITE_TIMEOUT_SECONDS = 5.0  # seconds in which a follower must read what is written to it
 PLANS_PATH = "/v1/plans"
 MAX_BODY_BYTES = 65_536  # bytes of an operation
 REASON_PHRASES = {
@@ -113,7 +113,7 @@
         plan_writer: PlanWriter,
         token: str,
         clock: Callable[[], int] = unix_ms,
-        heartbeat_s: float = HEARTBEAT_INTERVAL_S,
+        heartbeat_s: float = HEARTBEAT_INTERVAL_SECONDS,
     ) -> None:
         if not token:
             raise ValueError("token: expected one that is not empty")
@@ -176,11 +176,11 @@
 
     async def _read_call(self, reader: asyncio.StreamReader) -> Call:
         try:
-            async with asyncio.timeout(READ_TIMEOUT_S):
+            async with asyncio.timeout(READ_TIMEOUT_SECONDS):
                 head = await reader.readuntil(b"\r\n\r\n")
         except (asyncio.LimitOverrunError, asyncio.IncompleteReadError, TimeoutError):
             raise RejectedCallError(
-                400, f"expected a head of at most {MAX_HEAD_BYTES} bytes within {READ_TIMEOUT_S:g} s"
+                400, f"expected a head of at most {MAX_HEAD_BYTES} bytes within {READ_TIMEOUT_SECONDS:g} s"
             ) from None
         call = parse_request_head(head[:-4], self._token)
         if call.body is None and self.follower_count >= MAX_FOLLOWERS:
@@ -189,11 +189,13 @@
 
     async def _handle_operation(self, reader: asyncio.StreamReader, size: int) -> dict[str, Any]:
         try:
-            async with asyncio.timeout(READ_TIMEOUT_S):
+            async with asyncio.timeout(READ_TIMEOUT_SECONDS):
                 body = await reader.readexactly(size)
             result = apply_operation(self._plan_writer, json.loads(body), self._clock())
         except TimeoutError:
-            raise RejectedCallError(400, f"expected the whole body within {READ_TIMEOUT_S:g} s") from None
+            raise RejectedCallError(
+                400, f"expected the whole body within {READ_TIMEOUT_SECONDS:g} s"
+            ) from None
         except RecursionError:
             raise RejectedCallError(400, "expected JSON of little depth") from None
         except OSError as error:
@@ -251,5 +253,5 @@
     @staticmethod
     async def _send_line(writer: asyncio.StreamWriter, line: dict[str, Any]) -> None:
         writer.write(json.dumps(line, separators=(",", ":")).encode() + b"\n")
-        async with asyncio.timeout(WRITE_TIMEOUT_S):
+        async with asyncio.timeout(WRITE_TIMEOUT_SECONDS):
             await writer.drain()
--- a/tests/plans/test_serve.py
+++ b/tests/plans/test_serve.py
@@ -167,7 +167,7 @@
 
 
 def test_half_a_call_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(serve, "READ_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(serve, "READ_TIMEOUT_SECONDS", 0.05)
 
     async def scenario(publisher: Publisher, plan_writer: PlanWriter, address: tuple[str, int]) -> None:
         assert (await send_raw(address, b"GET /v1/pl"))[0] == 400
