--- a/cypresspulley/explore/__init__.py
+++ b/cypresspulley/explore/__init__.py
@@ -1,1 +1,1 @@
-"""A search over seeds and fault schedules, in virtual time, for a day on which a limiter breaks a rule."""
+"""Searches seeds and fault schedules, in virtual time, for runs in which a limiter violates a rule."""
--- a/cypresspulley/histories/__init__.py
+++ b/cypresspulley/histories/__init__.py
@@ -1,1 +1,1 @@
-"""What each process wrote down, and the checkers that read it afterwards."""
+"""Defines the event histories that each process writes, and the checkers that read them afterwards."""
--- a/cypresspulley/keeper/__init__.py
+++ b/cypresspulley/keeper/__init__.py
@@ -1,1 +1,1 @@
-"""Shared counts on other engines than the platform's keeper."""
+"""Keeps shared counts on engines other than the platform's own counter service."""
--- a/cypresspulley/net/__init__.py
+++ b/cypresspulley/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real limiter's sockets, round the decisions of ``cypresspulley.policy``."""
+"""Implements the limiter's network side; the decisions are made in ``cypresspulley.policy``."""
--- a/cypresspulley/rehearsal/__init__.py
+++ b/cypresspulley/rehearsal/__init__.py
@@ -1,1 +1,1 @@
-"""The rehearsal kit: scenarios, stand-ins, scripted clients, faults, the judge and the report."""
+"""Provides the rehearsal harness: scenarios, stand-ins, scripted clients, faults, the judge and the report."""
--- a/cypresspulley/rehearsal/virtual/__init__.py
+++ b/cypresspulley/rehearsal/virtual/__init__.py
@@ -1,1 +1,1 @@
-"""An event loop in virtual time with in-memory connections: what runs on it runs the same for one seed."""
+"""Provides an event loop in virtual time with in-memory connections: a run depends on its seed alone."""
