--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -124,7 +124,7 @@
     configuration from ``read_config``. ``wrap_gateway`` may put an observer of every event and action between the
     decisions and the node. ``on_service_created`` receives the service that answers the operators' calls.
     ``wall_clock`` may step: only the fleet services read it, and they write ``history`` if one is given.
-    ``sighup_handler`` may have received SIGHUP already. Raises ``ConfigError`` if the configuration cannot be run.
+    ``sighup_handler`` may have received SIGHUP already. Raise ``ConfigError`` if the configuration cannot be run.
     """
     loop, stop, sighup_handler = (
         asyncio.get_running_loop(),
@@ -270,7 +270,7 @@
 ) -> tuple[DecisionModule, PlanBookClient]:
     """Return the decisions wrapped with a plan book, and the client of its writer.
 
-    The module is imported only if the operators configured plans. Raises ``ConfigError``.
+    The module is imported only if the operators configured plans. Raise ``ConfigError``.
     """
     try:
         from cypresspulley.plans.limiter import PlanBookClient
@@ -292,7 +292,7 @@
 ) -> FleetServices:  # fmt: skip
     """Return the services that limiters provide together as a fleet.
 
-    The module is imported only if the operators' file has a fleet. Raises ``ConfigError``.
+    The module is imported only if the operators' file has a fleet. Raise ``ConfigError``.
     """
     try:
         from cypresspulley.together import FleetServices
@@ -362,7 +362,7 @@
 ) -> PathHandler | None:
     """Return the handler of GraphQL requests, or None if the operators did not configure it.
 
-    The modules are imported only if it is configured. Raises ``ConfigError``.
+    The modules are imported only if it is configured. Raise ``ConfigError``.
     """
     if operators.graphql is None:
         return None
@@ -446,7 +446,7 @@
 ) -> tuple[Node, LogFile | None]:  # fmt: skip
     """Return the node, and the access log if the operators configured one.
 
-    The access log's module is imported only in that case. Raises ``ConfigError`` if its file cannot be opened.
+    The access log's module is imported only in that case. Raise ``ConfigError`` if its file cannot be opened.
     """
     if operators.access_log is None:
         node_class = Node if fleet_services is None else fleet_services.node(Node)
--- a/cypresspulley/benchlink.py
+++ b/cypresspulley/benchlink.py
@@ -132,7 +132,7 @@
 ) -> api.Event | None:
     """Return the event of an unpacked message, or None if the gateway does not use the message.
 
-    Raises ``WireError`` for an unknown word or server list.
+    Raise ``WireError`` for an unknown word or server list.
     """
     if name == "incoming":
         return api.Request(
--- a/cypresspulley/closing/bypass.py
+++ b/cypresspulley/closing/bypass.py
@@ -70,7 +70,7 @@
         return f"<WallClockMonitor {self.reason or 'trusted'}, latest {self.latest_trusted:.3f}>"
 
     def check(self, mono: float, wall: float, clock_error: ClockErrorSource | None) -> BypassReason:
-        """Returns why this reading cannot be trusted, or ``NONE``; a trusted reading becomes ``latest_trusted``.
+        """Return why this reading cannot be trusted, or ``NONE``; a trusted reading becomes ``latest_trusted``.
 
         ``clock_error`` is None if there is no other limiter to compare with.
         """
@@ -114,11 +114,11 @@
         self.resumed_at = -math.inf
 
     def record_poll(self, mono: float) -> None:
-        """Records a poll of the fleet view."""
+        """Record a poll of the fleet view."""
         self.check(mono)
         self._polled_at = mono
 
     def check(self, mono: float) -> None:
-        """Checks for a gap; called before anything is served."""
+        """Check for a gap; called before anything is served."""
         if mono - self._polled_at > MAX_POLL_GAP_SECONDS:
             self.resumed_at = self._polled_at = mono
--- a/cypresspulley/closing/cache.py
+++ b/cypresspulley/closing/cache.py
@@ -73,7 +73,7 @@
             del self.by_account[account]
 
     def peek(self, key: CacheKey) -> CachedAnswer:
-        """Returns an answer without counting as a use of it."""
+        """Return an answer without counting as a use of it."""
         answer: CachedAnswer = self._Cache__data[key]  # type: ignore[attr-defined]
         return answer
 
@@ -98,7 +98,7 @@
         return len(self._answers)
 
     def get(self, key: CacheKey, generation: int, now: float) -> CachedAnswer | None:
-        """Returns the answer if it may be served at this generation; removes one that is no longer valid."""
+        """Return the answer if it may be served at this generation; remove one that is no longer valid."""
         answer = self._answers.get(key)
         if answer is None or answer.account in self._writes_in_progress:
             return None
@@ -117,7 +117,7 @@
         )
 
     def put(self, key: CacheKey, answer: CachedAnswer, now: float) -> bool:
-        """Caches an answer unless it is too old or purged, and returns whether it was cached.
+        """Cache an answer unless it is too old or purged, and return whether it was cached.
 
         An answer never replaces one whose request was sent later.
         """
@@ -139,9 +139,9 @@
         return True
 
     def purge(self, account: str, sent_until: float, now: float) -> int:
-        """Removes an account's answers to requests sent at or before ``sent_until`` and caches none of them later.
+        """Remove an account's answers to requests sent at or before ``sent_until`` and cache none of them later.
 
-        Returns the number of removed answers.
+        Return the number of removed answers.
         """
         self._purge_watermarks[account] = max(sent_until, self._purge_watermarks.get(account, -math.inf))
         if len(self._purge_watermarks) > MAX_PURGE_WATERMARKS:
@@ -159,20 +159,20 @@
         return self._is_purged(self._answers.peek(key))
 
     def purge_all(self, now: float) -> int:
-        """Removes all answers and caches no answer to a request sent at or before ``now``.
+        """Remove all answers and cache no answer to a request sent at or before ``now``.
 
-        Returns the number of removed answers.
+        Return the number of removed answers.
         """
         self._global_watermark = max(self._global_watermark, now)
         return self._remove(list(self._answers))
 
     def begin_write(self, account: str) -> None:
-        """Registers a write; until it ends, no answer of its account is served or cached."""
+        """Register a write; until it ends, no answer of its account is served or cached."""
         self._writes_in_progress[account] = self._writes_in_progress.get(account, 0) + 1
         self._remove(list(self._answers.by_account.get(account, ())))
 
     def end_write(self, account: str, sent_until: float, now: float) -> None:
-        """Ends a write. Answers to requests sent at or before ``sent_until`` may predate it and are not cached."""
+        """End a write. Answers to requests sent at or before ``sent_until`` may predate it and are not cached."""
         left = self._writes_in_progress.get(account, 0) - 1
         if left > 0:
             self._writes_in_progress[account] = left
@@ -181,7 +181,7 @@
         self.purge(account, sent_until, now)
 
     def remove_invalid(self, is_valid: Callable[[CachedAnswer], bool]) -> list[CachedAnswer]:
-        """Frees the memory of the answers that are not valid any more and returns them."""
+        """Free the memory of the answers that are not valid any more and return them."""
         invalid = [(key, answer) for key in self._answers if not is_valid(answer := self._answers.peek(key))]
         self._remove([key for key, _ in invalid])
         return [answer for _, answer in invalid]
--- a/cypresspulley/closing/calendar.py
+++ b/cypresspulley/closing/calendar.py
@@ -33,7 +33,7 @@
 
 @lru_cache(maxsize=128)
 def load_zone(key: str) -> ZoneInfo:
-    """Returns a zone of the pinned package. Raises ``ValueError`` if the package does not have it."""
+    """Return a zone of the pinned package. Raise ``ValueError`` if the package does not have it."""
     parts = key.split("/")
     if len(key) > 64 or any(not part or part.startswith(".") for part in parts):
         raise ValueError(f"no time zone: {key!r:.80}")
@@ -59,14 +59,14 @@
     changes: Mapping[date, tuple[time, ...]] = field(default_factory=dict)
 
     def closing_times(self, day: date) -> tuple[time, ...]:
-        """Returns the local times of a day's closings."""
+        """Return the local times of a day's closings."""
         for days in (self.changes, self.special):
             if day in days:
                 return days[day]
         return () if day in self.holidays else self.weekdays[day.weekday()]
 
     def closing_instants(self, day: date) -> list[int]:
-        """Returns the closings of a day in Unix seconds."""
+        """Return the closings of a day in Unix seconds."""
         zone = load_zone(self.zone)
         return [int(datetime.combine(day, at, zone).timestamp()) for at in self.closing_times(day)]
 
@@ -86,7 +86,7 @@
         return f"<Timeline {self.place.name}, {len(self._closings)} closings over {self._computed_days} days>"
 
     def _extend_to(self, t: float) -> None:
-        """Computes all closings up to ``t``. Raises ``ValueError`` beyond ``MAX_TIMELINE_DAYS``."""
+        """Compute all closings up to ``t``. Raise ``ValueError`` beyond ``MAX_TIMELINE_DAYS``."""
         while t >= self._complete_until:
             if self._computed_days >= MAX_TIMELINE_DAYS:
                 raise ValueError(f"beyond {MAX_TIMELINE_DAYS} days of a calendar")
@@ -102,18 +102,18 @@
             self._complete_until = end.timestamp()
 
     def ordinal(self, t: float) -> int:
-        """Returns the number of closings at or before an instant (Unix seconds)."""
+        """Return the number of closings at or before an instant (Unix seconds)."""
         self._extend_to(t)
         return bisect_right(self._closings, t)
 
     def closings_between(self, t0: float, t1: float) -> list[tuple[int, int]]:
-        """Returns ordinal and instant of each closing in (t0, t1]."""
+        """Return ordinal and instant of each closing in (t0, t1]."""
         self._extend_to(t1)
         first, last = bisect_right(self._closings, t0), bisect_right(self._closings, t1)
         return [(at + 1, self._closings[at]) for at in range(first, last)]
 
     def is_near_closing(self, t: float, bound: float) -> bool:
-        """Returns whether a closing lies at most ``bound`` seconds before or after an instant."""
+        """Return whether a closing lies at most ``bound`` seconds before or after an instant."""
         self._extend_to(t + bound)
         at = bisect_right(self._closings, t + bound)
         return at > 0 and self._closings[at - 1] >= t - bound
@@ -138,11 +138,11 @@
         return self._timelines[place]
 
     def covers(self, t: float) -> bool:
-        """Returns whether the closings around an instant are known, which ends decades after it came into force."""
+        """Return whether the closings around an instant are known, which ends decades after it came into force."""
         return t < self.in_force + (MAX_TIMELINE_DAYS - 2 * TIMELINE_STEP_DAYS) * 86_400
 
     def generation(self, place: str, t: float) -> int:
-        """Returns the generation of answers cached at ``t``, which grows with each closing and each version."""
+        """Return the generation of answers cached at ``t``, which grows with each closing and each version."""
         return self.version * GENERATIONS_PER_VERSION + min(
             self._timelines[place].ordinal(t), GENERATIONS_PER_VERSION - 1
         )
--- a/cypresspulley/closing/calendar_store.py
+++ b/cypresspulley/closing/calendar_store.py
@@ -30,9 +30,9 @@
 
 
 def encode_calendar(calendar: Calendar) -> bytes:
-    """Encodes a calendar as a document. Equal calendars give equal bytes.
+    """Encode a calendar as a document. Equal calendars give equal bytes.
 
-    Raises ``OperatorsError`` if the document would exceed ``MOST_DOCUMENT`` bytes.
+    Raise ``OperatorsError`` if the document would exceed ``MOST_DOCUMENT`` bytes.
     """
     places = {name: _place_table(place) for name, place in sorted(calendar.places.items())}
     accounts = {name: b"" for name in places}
@@ -64,7 +64,7 @@
 
 
 def decode_calendar(body: bytes) -> Calendar:
-    """Decodes a document and validates it like a calendar file. Raises ``OperatorsError`` if it is invalid."""
+    """Decode a document and validate it like a calendar file. Raise ``OperatorsError`` if it is invalid."""
     source = "a calendar from another limiter"
     try:
         version, instant, places, packed = msgspec.msgpack.decode(
@@ -98,7 +98,7 @@
         return (self.newest.version if self.newest is not None else 0), self.digest
 
     def add(self, calendar: Calendar, digest: str, wall: float) -> AddResult:
-        """Adds a calendar that was loaded or received. ``wall`` is the latest instant that has certainly passed."""
+        """Add a calendar that was loaded or received. ``wall`` is the latest instant that has certainly passed."""
         rank = calendar.version, digest
         if rank <= self.rank:
             return AddResult.DUPLICATE if rank == self.rank else AddResult.OUTDATED
@@ -107,18 +107,18 @@
         return AddResult.IN_FORCE if self.advance(wall) else AddResult.SCHEDULED
 
     def in_force_at(self, wall: float) -> Calendar | None:
-        """Returns the calendar in force at an instant, which must not be earlier than in previous calls."""
+        """Return the calendar in force at an instant, which must not be earlier than in previous calls."""
         newest = self.newest
         return newest if newest is not None and wall >= newest.in_force else self.current
 
     def advance(self, wall: float) -> bool:
-        """Moves to the calendar in force at ``wall``, a trusted instant. Returns whether that is another one."""
+        """Move to the calendar in force at ``wall``, a trusted instant. Return whether that is another one."""
         found = self.in_force_at(wall)
         changed, self.current = found is not self.current, found
         return changed
 
     def is_near_switch(self, wall: float, bound: float) -> bool:
-        """Returns whether the newest version comes into force at most ``bound`` seconds before or after ``wall``."""
+        """Return whether the newest version comes into force at most ``bound`` seconds before or after ``wall``."""
         return self.newest is not None and abs(wall - self.newest.in_force) <= bound
 
 
--- a/cypresspulley/closing/calendar_sync.py
+++ b/cypresspulley/closing/calendar_sync.py
@@ -36,7 +36,7 @@
         self._first_fetch: float | None = None  # time of the first call of ``fetch_newest``
 
     def reload(self, wall: float, latest_trusted: float) -> None:
-        """Reads the calendar file again. An invalid file is logged and recorded; the current calendar stays."""
+        """Read the calendar file again. An invalid file is logged and recorded; the current calendar stays."""
         if not self._options.calendar_path:
             return
         try:
@@ -46,7 +46,7 @@
             self._record_rejection(self._store.rank[0], str(error))
 
     def announce(self, calendar: Calendar, wall: float, latest_trusted: float) -> None:
-        """Takes over a calendar from this limiter's operators. Raises ``OperatorsError`` if it cannot be used."""
+        """Take over a calendar from this limiter's operators. Raise ``OperatorsError`` if it cannot be used."""
         body, source = (
             encode_calendar(calendar),
             self._options.calendar_path or f"calendar {calendar.version}",
@@ -66,7 +66,7 @@
         self.adopt(calendar, body, latest_trusted)
 
     def adopt(self, calendar: Calendar, body: bytes, latest_trusted: float) -> None:
-        """Stores a calendar if it is newer. ``latest_trusted`` is the latest instant that has certainly passed."""
+        """Store a calendar if it is newer. ``latest_trusted`` is the latest instant that has certainly passed."""
         result = self._store.add(calendar, self._view.store_document(body), latest_trusted)
         if result in (AddResult.SCHEDULED, AddResult.IN_FORCE):
             self.record(calendar, result)
@@ -74,14 +74,14 @@
                 self._on_late_calendar()
 
     def record(self, calendar: Calendar, state: AddResult) -> None:
-        """Logs a calendar's new state and writes it to the history."""
+        """Log a calendar's new state and write it to the history."""
         log.info("closing: calendar state is now %s: %r", state.value, calendar)
         self._history.put(
             Kind.CALENDAR, version=calendar.version, state=state.value, in_force=calendar.in_force, why=""
         )
 
     def fetch_newest(self, now: float, newest: tuple[int, str] | None, latest_trusted: float) -> None:
-        """Fetches the newest calendar of the other limiters, given by version and digest, if it is newer than ours."""
+        """Fetch the newest calendar of the other limiters, given by version and digest, if it is newer than ours."""
         if self._first_fetch is None:
             self._first_fetch = now
         if newest is None or newest <= self._store.rank or newest[1] in self._rejected_digests:
--- a/cypresspulley/closing/closing_tracker.py
+++ b/cypresspulley/closing/closing_tracker.py
@@ -32,7 +32,7 @@
     def collect_closings(
         self, before: Calendar | None, after: Calendar | None, wall: float
     ) -> list[ClosingEvent]:
-        """Returns the closings since the last call. Each version's closings count until its successor's instant."""
+        """Return the closings since the last call. Each version's closings count until its successor's instant."""
         since = self._collected_until
         if since is None or wall <= since:
             self._collected_until = wall if since is None else since
--- a/cypresspulley/closing/eligibility.py
+++ b/cypresspulley/closing/eligibility.py
@@ -38,7 +38,7 @@
         return f"<Eligibility {self.store!r}, {self.lease!r}, {self.wall_clock!r}>"
 
     def find_bypass_reason(self, now: float, wall: float) -> BypassReason:
-        """Returns the first reason of the table of ``BypassReason`` that applies."""
+        """Return the first reason of the table of ``BypassReason`` that applies."""
         self.suspend_detector.check(now)
         if not self._is_alone():
             if not self.lease.is_held(now):
@@ -57,13 +57,13 @@
         )
 
     def check_clock(self, now: float, wall: float) -> BypassReason:
-        """Returns why the wall clock cannot be trusted, or ``NONE``."""
+        """Return why the wall clock cannot be trusted, or ``NONE``."""
         return self.wall_clock.check(now, wall, None if self._is_alone() else self._view.clock_error)
 
     def generation(self, account: str, wall: float) -> int | None:
-        """Returns an account's generation at an instant; there has to be no reason to bypass the cache.
+        """Return an account's generation at an instant; there has to be no reason to bypass the cache.
 
-        Returns None for an account whose answers are not cached, and within the clock bound of a closing or of the
+        Return None for an account whose answers are not cached, and within the clock bound of a closing or of the
         change to another calendar version.
         """
         calendar = self.store.in_force_at(wall)
--- a/cypresspulley/closing/lease.py
+++ b/cypresspulley/closing/lease.py
@@ -69,13 +69,13 @@
         return now < self.expires_at
 
     def set_view_digest(self, now: float, view_digest: bytes) -> None:
-        """Sets the digest that this limiter has from now on."""
+        """Set the digest that this limiter has from now on."""
         if view_digest != self.view_digest or not self._published:
             self.view_digest, self.since_round = view_digest, self.round
             self._published.append((self.round, now))
 
     def record_rows(self, now: float, rows: Mapping[Instance, LimiterRow | None]) -> None:
-        """Records the rows of all other limiters that are present, whether they are required or not."""
+        """Record the rows of all other limiters that are present, whether they are required or not."""
         for instance, row in rows.items():
             if row is not None and (instance not in self._seen or row.round > self._seen[instance][0]):
                 self._seen[instance] = (row.round, now)
@@ -85,7 +85,7 @@
             }
 
     def update(self, now: float, others: Mapping[Instance, LimiterRow | None]) -> None:
-        """Advances the round and extends the lease by the current rows of all other required limiters.
+        """Advance the round and extend the lease by the current rows of all other required limiters.
 
         A row is None if that limiter has not published a valid one.
         """
@@ -102,13 +102,13 @@
         self._extend(min(row.round for row in rows) - 1)
 
     def _catch_up(self, now: float, highest: int) -> None:
-        """Adopts the others' round directly after a change of the digest; rule (1) says nothing about that round."""
+        """Adopt the others' round directly after a change of the digest; rule (1) says nothing about that round."""
         if self.round == self.since_round and self.round < highest < MAX_ADOPTED_ROUND:
             self.round = self.since_round = highest
             self._published.append((highest, now))
 
     def _advance_round(self, now: float, rounds: list[int]) -> None:
-        """Applies rule (1). A limiter that is behind advances at once; one that leads waits for the step interval."""
+        """Apply rule (1). A limiter that is behind advances at once; one that leads waits for the step interval."""
         lowest = min(rounds, default=self.round)
         if lowest < self.round or (
             max(rounds, default=0) <= self.round and now < self._stepped_at + self._step_interval
@@ -118,7 +118,7 @@
         self._published.append((self.round, now))
 
     def _extend(self, seen_round: int) -> None:
-        """Applies rule (2): all others have seen this limiter at ``seen_round`` or more."""
+        """Apply rule (2): all others have seen this limiter at ``seen_round`` or more."""
         published_at = next((at for number, at in self._published if number >= seen_round), None)
         if published_at is None or self._published[0][0] > seen_round:
             return  # the round is older than the history
@@ -126,14 +126,14 @@
         self.expires_at = max(self.expires_at, published_at + self._duration)
 
     def peer_expiry(self, instance: Instance) -> float:
-        """Returns the time by which another limiter's lease has expired unless a new row arrives, by rule (3)."""
+        """Return the time by which another limiter's lease has expired unless a new row arrives, by rule (3)."""
         seen = self._seen.get(instance)
         return -math.inf if seen is None else seen[1] + LEASE_WAIT_FACTOR * self._duration
 
     def is_acknowledged_within(self, now: float, seconds: float) -> bool:
-        """Returns whether all others have seen a state that this limiter published in the last ``seconds``."""
+        """Return whether all others have seen a state that this limiter published in the last ``seconds``."""
         return now < self.acknowledged_at + seconds
 
     def seen_instances(self) -> tuple[Instance, ...]:
-        """Returns the instances whose rows were seen, as far as they are remembered."""
+        """Return the instances whose rows were seen, as far as they are remembered."""
         return tuple(self._seen)
--- a/cypresspulley/closing/limiter.py
+++ b/cypresspulley/closing/limiter.py
@@ -70,11 +70,11 @@
         return f"<ClosingCache {self.bypass_reason or 'active'}, {self.cache!r}, {self.eligibility!r}, {self.peers!r}>"
 
     def node(self, kind: type[N]) -> type[N]:
-        """Returns a node class that serves from the cache and otherwise behaves like ``kind``."""
+        """Return a node class that serves from the cache and otherwise behaves like ``kind``."""
         return make_caching_node(kind, self, self.options.cached_classes)
 
     def initialize(self) -> None:
-        """Takes over the configured calendar; the view has to be ready.
+        """Take over the configured calendar; the view has to be ready.
 
         From then on ``poll`` has to be called every ``POLL_INTERVAL_SECONDS``.
         """
@@ -86,7 +86,7 @@
         self.poll()
 
     def start(self) -> None:
-        """Initializes the cache and polls the fleet view from now on."""
+        """Initialize the cache and poll the fleet view from now on."""
         self.initialize()
         self._timer = asyncio.get_running_loop().call_later(POLL_INTERVAL_SECONDS, self._on_timer)
 
@@ -96,15 +96,15 @@
         self.purges.close()
 
     def reload(self) -> None:
-        """Reads the calendar file again. An invalid file is logged and recorded; the current calendar stays."""
+        """Read the calendar file again. An invalid file is logged and recorded; the current calendar stays."""
         self.calendar_sync.reload(self._wall(), self.eligibility.wall_clock.latest_trusted)
 
     def announce(self, calendar: Calendar) -> None:
-        """Takes over a calendar as if from the calendar file. Raises ``OperatorsError`` if it cannot be used."""
+        """Take over a calendar as if from the calendar file. Raise ``OperatorsError`` if it cannot be used."""
         self.calendar_sync.announce(calendar, self._wall(), self.eligibility.wall_clock.latest_trusted)
 
     def _read_clocks(self) -> tuple[float, float]:
-        """Reads both clocks at one moment, since a delay between the readings would look like a step of the clock."""
+        """Read both clocks at one moment, since a delay between the readings would look like a step of the clock."""
         for _ in range(3):
             before, wall, now = self._clock(), self._wall(), self._clock()
             if now - before < MAX_CLOCK_READ_SECONDS:
@@ -114,18 +114,18 @@
     # The node's interface. Each answer is computed at the moment of the call, not from state that a timer left.
 
     def is_cached_account(self, account: str) -> bool:
-        """Returns whether the calendar in force or the one that follows it lists an account for caching."""
+        """Return whether the calendar in force or the one that follows it lists an account for caching."""
         store = self.eligibility.store
         newest = store.newest or self.options.calendar  # requests may arrive shortly before ``initialize``
         return account in newest.accounts or (store.current is not None and account in store.current.accounts)
 
     def generation(self, account: str) -> int | None:
-        """Returns the account's generation now, or None if nothing may be cached or served from the cache."""
+        """Return the account's generation now, or None if nothing may be cached or served from the cache."""
         now, wall = self._read_clocks()
         return None if self._check_bypass(now, wall) else self.eligibility.generation(account, wall)
 
     def find_answer(self, id: str, account: str, key: CacheKey) -> tuple[CachedAnswer, float] | None:
-        """Returns the cached answer to a request and its age in seconds, or None if none may be served."""
+        """Return the cached answer to a request and its age in seconds, or None if none may be served."""
         generation = self.generation(account)
         if generation is None:
             return None
@@ -140,7 +140,7 @@
         return answer, now - answer.sent
 
     def stamp_lookup(self, account: str) -> SendStamp | None:
-        """Returns the stamp of a lookup that is being sent to a server, or None if its answer may not be cached."""
+        """Return the stamp of a lookup that is being sent to a server, or None if its answer may not be cached."""
         now, wall = self._read_clocks()
         generation = self.generation(account)
         return None if generation is None else SendStamp(now, wall, generation)
@@ -148,7 +148,7 @@
     def store_answer(
         self, account: str, key: CacheKey, stamp: SendStamp, headers: bytes, body: bytes
     ) -> None:
-        """Caches a lookup's answer if its generation is still current and nothing was purged in the meantime."""
+        """Cache a lookup's answer if its generation is still current and nothing was purged in the meantime."""
         if self.generation(account) != stamp.generation:
             return
         answer = CachedAnswer(account, stamp.generation, stamp.mono, stamp.wall, headers, body)
@@ -158,11 +158,11 @@
             )
 
     def begin_write(self, account: str) -> None:
-        """Registers a request that is not safe to repeat; until it ends, the account's answers are not used."""
+        """Register a request that is not safe to repeat; until it ends, the account's answers are not used."""
         self.cache.begin_write(account)
 
     def end_write(self, account: str, reached_server: bool, is_finished: bool) -> None:
-        """Ends a write that has its final answer.
+        """End a write that has its final answer.
 
         ``reached_server`` states whether it was sent to a server, ``is_finished`` whether it no longer runs at any.
         """
@@ -175,10 +175,10 @@
             self.purges.schedule(account, now + UNFINISHED_WRITE_SECONDS)
 
     async def purge(self, account: str) -> tuple[str, ...]:
-        """Purges an account at all limiters on an operator's request.
+        """Purge an account at all limiters on an operator's request.
 
-        Returns the names of the limiters that may still have an answer of it cached, within the options'
-        ``purge_seconds`` and one poll interval. Raises ``ValueError`` if ``account`` is not an account.
+        Return the names of the limiters that may still have an answer of it cached, within the options'
+        ``purge_seconds`` and one poll interval. Raise ``ValueError`` if ``account`` is not an account.
         """
         validate_account(account)
         now = self._clock()
@@ -200,7 +200,7 @@
             log.exception("closing: polling the fleet view failed")
 
     def poll(self) -> None:
-        """Reads the fleet view, publishes this limiter's state and reports the closings that have passed."""
+        """Read the fleet view, publish this limiter's state and report the closings that have passed."""
         now, wall = self._read_clocks()
         eligibility = self.eligibility
         eligibility.suspend_detector.record_poll(now)
@@ -237,7 +237,7 @@
         self.cache.purge_all(self._clock())
 
     def _check_bypass(self, now: float, wall: float) -> BypassReason:
-        """Returns the reason to bypass the cache at this moment and writes each change of it to the history."""
+        """Return the reason to bypass the cache at this moment and write each change of it to the history."""
         reason = self.eligibility.find_bypass_reason(now, wall)
         if reason is not self.bypass_reason:
             self._history.put(Kind.DOUBT, doubt=bool(reason), cause=(reason or self.bypass_reason).value)
@@ -248,7 +248,7 @@
         return reason
 
     def _advance_calendar(self, wall: float) -> None:
-        """Reports closings and calendar versions whose instants have passed, each once; the clock has to be trusted."""
+        """Report closings and calendar versions whose instants have passed, each once; the clock has to be trusted."""
         store = self.eligibility.store
         before, changed = store.current, store.advance(wall)
         closings = self._closing_tracker.collect_closings(before, store.current, wall)
@@ -258,7 +258,7 @@
             self._remove_invalid(closings, store.current, wall)
 
     def _remove_invalid(self, closings: list[ClosingEvent], calendar: Calendar, wall: float) -> None:
-        """Frees the memory of answers that may no longer be served, and writes the closings to the history."""
+        """Free the memory of answers that may no longer be served, and write the closings to the history."""
 
         def is_valid(answer: CachedAnswer) -> bool:
             place = calendar.accounts.get(answer.account)
@@ -276,5 +276,5 @@
 
 
 def _digest_key(key: CacheKey) -> str:
-    """Returns the name of a cached answer in the history."""
+    """Return the name of a cached answer in the history."""
     return blake2s(repr(key).encode(), digest_size=8).hexdigest()
--- a/cypresspulley/closing/membership.py
+++ b/cypresspulley/closing/membership.py
@@ -46,7 +46,7 @@
     def update(
         self, now: float, present: Iterable[Member], find_member: Callable[[str], Member | None]
     ) -> frozenset[Instance]:  # fmt: skip
-        """Applies the members of the fleet view; returns the instances that have gone since the last update."""
+        """Apply the members of the fleet view; return the instances that have gone since the last update."""
         here = {member.name: member.life for member in present}
         before = {Instance(name, life) for name, life in self._lives.items() if name not in self._lost_since}
         self._lives |= here
@@ -72,9 +72,9 @@
         return frozenset(instance for instance in before if here.get(instance.name) != instance.life)
 
     def record_peer_sizes(self, sizes: Iterable[int]) -> None:
-        """Records how many limiters the others know, which a limiter that has just started cannot know itself."""
+        """Record how many limiters the others know, which a limiter that has just started cannot know itself."""
         self._max_peer_size = max(sizes, default=0)
 
     def is_majority(self, count: int) -> bool:
-        """Returns whether ``count`` limiters are more than half of all known or configured ones."""
+        """Return whether ``count`` limiters are more than half of all known or configured ones."""
         return 2 * count > max(self.size, self._max_peer_size, self._configured)
--- a/cypresspulley/closing/node.py
+++ b/cypresspulley/closing/node.py
@@ -54,7 +54,7 @@
 
 
 def make_caching_node(kind: type[N], cache: CacheController, cached_classes: frozenset[str]) -> type[N]:
-    """Returns a subclass of ``kind`` that caches the answers to requests of the given request classes."""
+    """Return a subclass of ``kind`` that caches the answers to requests of the given request classes."""
 
     class CachingNode(kind):  # type: ignore[valid-type, misc]
         def __init__(self, *arguments: Any) -> None:
@@ -128,7 +128,7 @@
             return open_request
 
     def _cache_key(request: ClientRequest, event: api.Request) -> CacheKey | None:
-        """Returns the key of a request's answer, or None if the answer is not cached."""
+        """Return the key of a request's answer, or None if the answer is not cached."""
         if (
             event.request_class not in cached_classes
             or request.dialect is not None
--- a/cypresspulley/closing/options.py
+++ b/cypresspulley/closing/options.py
@@ -106,9 +106,9 @@
 
 
 def options_from(table: dict[str, Any], path: str, settings: api.Settings) -> Options:
-    """Validates the table and loads the calendar.
+    """Validate the table and load the calendar.
 
-    Raises ``OperatorsError`` with the file, the key and the expected value.
+    Raise ``OperatorsError`` with the file, the key and the expected value.
     """
 
     def fail(name: str, expected: str) -> OperatorsError:
@@ -140,9 +140,9 @@
 
 
 def load_calendar(path: str) -> Calendar:
-    """Loads the calendar of a file.
+    """Load the calendar of a file.
 
-    Raises ``OperatorsError`` with the file, the key and the expected value; the file is then rejected as a whole.
+    Raise ``OperatorsError`` with the file, the key and the expected value; the file is then rejected as a whole.
     """
     try:
         with open(path, "rb") as file:
@@ -158,9 +158,9 @@
 
 
 def calendar_from(raw: Mapping[str, Any], source: str) -> Calendar:
-    """Builds a calendar from the tables of a calendar file.
+    """Build a calendar from the tables of a calendar file.
 
-    Raises ``OperatorsError`` with ``source``, the key and the expected value.
+    Raise ``OperatorsError`` with ``source``, the key and the expected value.
     """
     reader = _CalendarReader(source)
     reader.check_keys("", raw, ("version", "in_force", "places", "accounts"))
@@ -267,7 +267,7 @@
         return found
 
     def read_times(self, key: str, value: Any) -> tuple[time, ...]:
-        """Reads one local time or a list of them; returns them sorted, without duplicates."""
+        """Read one local time or a list of them; return them sorted, without duplicates."""
         found = value if isinstance(value, list) else [value]
         if len(found) > MAX_TIMES_PER_DAY:
             raise self.error(key, f"at most {MAX_TIMES_PER_DAY} times", value)
--- a/cypresspulley/closing/peers.py
+++ b/cypresspulley/closing/peers.py
@@ -41,11 +41,11 @@
         return Instance(self._view.local_name, self._view.life)
 
     def is_alone(self) -> bool:
-        """Returns whether no other limiter belongs to the installation: none is configured and none was ever seen."""
+        """Return whether no other limiter belongs to the installation: none is configured and none was ever seen."""
         return self._configured_limiters <= 1 and self.membership.size <= 1
 
     def refresh(self, now: float) -> bool:
-        """Reads the view; returns whether another limiter's instance has gone since the last call."""
+        """Read the view; return whether another limiter's instance has gone since the last call."""
         members = self._view.members()
         gone = frozenset[Instance]()
         if members != self._members or self.membership.lost_count:
@@ -74,7 +74,7 @@
         return decoded[2] if decoded is not None and decoded[0] == life else None
 
     def collect_new_purges(self) -> list[tuple[Instance, list[tuple[int, str]], bool]]:
-        """Returns the purges of other limiters that are new here.
+        """Return the purges of other limiters that are new here.
 
         Each entry has the issuer, the numbers and accounts, and whether there were more than the row names.
         """
@@ -86,7 +86,7 @@
         return found
 
     def newest_calendar(self) -> tuple[int, str] | None:
-        """Returns version and digest of the newest calendar of the other limiters, or None."""
+        """Return version and digest of the newest calendar of the other limiters, or None."""
         return max(
             (
                 (row.calendar_version, row.calendar_digest.hex())
@@ -97,9 +97,9 @@
         )
 
     def required_rows(self) -> dict[Instance, LimiterRow | None] | None:
-        """Returns the rows of all other limiters that have to agree.
+        """Return the rows of all other limiters that have to agree.
 
-        Returns None if these limiters and this one are no majority, or if no other limiter was ever seen.
+        Return None if these limiters and this one are no majority, or if no other limiter was ever seen.
         """
         others = [instance for instance in self.membership.required if instance.name != self._view.local_name]
         if not others or not self.membership.is_majority(len(others) + 1):
@@ -107,7 +107,7 @@
         return {instance: self.rows.get(instance) for instance in others}
 
     def view_digest(self, store: CalendarStore) -> bytes:
-        """Returns the digest of the required instances, the newest calendar and the environment."""
+        """Return the digest of the required instances, the newest calendar and the environment."""
         values = (self.membership.required, self.own_instance, store.rank)
         if self._view_digest[0] != values:
             instances = {
@@ -118,7 +118,7 @@
         return self._view_digest[1]
 
     def publish_row(self, store: CalendarStore, lease: Lease) -> None:
-        """Publishes this limiter's row if it has changed."""
+        """Publish this limiter's row if it has changed."""
         version, digest = store.rank
         values = (
             lease.round, lease.since_round, lease.view_digest, version, digest, self.membership.size,
--- a/cypresspulley/closing/purge_coordinator.py
+++ b/cypresspulley/closing/purge_coordinator.py
@@ -17,7 +17,7 @@
 
 
 def validate_account(account: str) -> None:
-    """Raises ``ValueError`` if ``account`` is not an account."""
+    """Raise ``ValueError`` if ``account`` is not an account."""
     if not ACCOUNT_PATTERN.fullmatch(account) or int(account, 16) >= ACCOUNT_LIMIT:
         raise ValueError("expected an account of 16 hex digits in lower case, below 2**33")
 
@@ -51,7 +51,7 @@
         )
 
     def issue(self, account: str) -> int:
-        """Issues a purge, which this limiter has applied already, and returns its number."""
+        """Issue a purge, which this limiter has applied already, and return its number."""
         number = self._peers.issued.issue(account)
         for what in ("asked", "applied"):
             self.record(account, self._peers.own_instance, number, what)
@@ -60,37 +60,37 @@
     def record(
         self, account: str, issuer: Instance, number: int, what: str, missing: tuple[str, ...] = ()
     ) -> None:
-        """Writes a purge to the history; ``what`` is one of asked, applied, yes and no."""
+        """Write a purge to the history; ``what`` is one of asked, applied, yes and no."""
         self._history.put(
             Kind.PURGE, account=account, issuer=issuer.name, life=issuer.life, number=number, what=what,
             missing=list(missing),
         )  # fmt: skip
 
     def schedule(self, account: str, at: float) -> None:
-        """Schedules a purge for the time by which a write of the account has certainly ended."""
+        """Schedule a purge for the time by which a write of the account has certainly ended."""
         self._scheduled[account] = at
 
     def take_due(self, now: float) -> list[str]:
-        """Removes and returns the accounts whose scheduled purge is due."""
+        """Remove and return the accounts whose scheduled purge is due."""
         due = [account for account, at in self._scheduled.items() if at <= now]
         for account in due:
             del self._scheduled[account]
         return due
 
     def wait_for(self, number: int, deadline: float) -> asyncio.Future[tuple[str, ...]]:
-        """Returns a future with the answer to a purge that has just been issued."""
+        """Return a future with the answer to a purge that has just been issued."""
         done: asyncio.Future[tuple[str, ...]] = asyncio.get_running_loop().create_future()
         self._pending.append(PendingPurge(number, self._lease.round, deadline, done))
         return done
 
     def close(self) -> None:
-        """Cancels pending purges; their callers' connections end with the process."""
+        """Cancel pending purges; their callers' connections end with the process."""
         for pending in self._pending:
             pending.done.cancel()
         self._pending.clear()
 
     def resolve_pending(self, now: float) -> None:
-        """Answers the pending purges whose result is known by now."""
+        """Answer the pending purges whose result is known by now."""
         for pending in list(self._pending):
             missing = [] if pending.done.done() else self._find_missing(now, pending)
             # A limiter that is not present to confirm the purge may hold its lease beyond the caller's deadline.
@@ -106,7 +106,7 @@
                 pending.done.set_result(tuple(sorted({instance.name for instance in missing})))
 
     def _find_missing(self, now: float, pending: PendingPurge) -> list[Instance]:
-        """Returns the limiters that may still have an answer cached from before the purge."""
+        """Return the limiters that may still have an answer cached from before the purge."""
         if self._peers.is_alone():
             return []
         rows = self._peers.rows
@@ -124,7 +124,7 @@
         return missing if missing or is_counted else [self._peers.own_instance]
 
     def _has_applied(self, instance: Instance, pending: PendingPurge) -> bool:
-        """Returns whether a limiter has applied a purge.
+        """Return whether a limiter has applied a purge.
 
         Either its row acknowledges it, or it follows from rule (1) of the lease: two rounds later it has seen this
         limiter's row of the round after the purge, and applied it.
--- a/cypresspulley/closing/purge_counters.py
+++ b/cypresspulley/closing/purge_counters.py
@@ -24,7 +24,7 @@
 
 
 def encode_ack(issuer: Instance, count: int) -> bytes:
-    """Encodes the acknowledgement that the first ``count`` purges of an issuer have been applied."""
+    """Encode the acknowledgement that the first ``count`` purges of an issuer have been applied."""
     return blake2s(repr(tuple(issuer)).encode(), digest_size=ACK_ISSUER_BYTES).digest() + count.to_bytes(
         ACK_BYTES - ACK_ISSUER_BYTES
     )
@@ -38,7 +38,7 @@
         self._recent = deque[bytes](maxlen=MAX_RECENT_PURGES)
 
     def issue(self, account: str) -> int:
-        """Counts a purge of ``account`` and returns its number."""
+        """Count a purge of ``account`` and return its number."""
         self.count += 1
         self._recent.append(pack_account(account))
         return self.count
@@ -57,9 +57,9 @@
         self.acks = b""  # for this limiter's row: acknowledgements of the purges applied last
 
     def collect_new(self, issuer: Instance, row: LimiterRow) -> tuple[list[tuple[int, str]], bool]:
-        """Counts the purges that are new in a row as applied.
+        """Count the purges that are new in a row as applied.
 
-        Returns their numbers and accounts, and whether there were more whose accounts the row does not name.
+        Return their numbers and accounts, and whether there were more whose accounts the row does not name.
         """
         applied = self._counts.get(issuer, 0)
         if row.purge_count <= applied:
@@ -74,11 +74,11 @@
         return new, applied + 1 < first
 
     def count(self, issuer: Instance) -> int:
-        """Returns how many of an issuer's purges have been applied."""
+        """Return how many of an issuer's purges have been applied."""
         return self._counts.get(issuer, 0)
 
     def prune(self, present: set[Instance]) -> None:
-        """Bounds the table by dropping issuers that are no longer present and so issue no further purges."""
+        """Bound the table by dropping issuers that are no longer present and so issue no further purges."""
         if len(self._counts) > MAX_ISSUERS:
             self._counts = {
                 instance: count for instance, count in self._counts.items() if instance in present
--- a/cypresspulley/closing/row.py
+++ b/cypresspulley/closing/row.py
@@ -40,7 +40,7 @@
     acks: bytes
 
     def acknowledges(self, ack: bytes) -> bool:
-        """Returns whether the owner has applied at least as many purges of that issuer as ``ack`` states."""
+        """Return whether the owner has applied at least as many purges of that issuer as ``ack`` states."""
         parts = (self.acks[at : at + ACK_BYTES] for at in range(0, len(self.acks), ACK_BYTES))
         return any(part[:ACK_ISSUER_BYTES] == ack[:ACK_ISSUER_BYTES] and part >= ack for part in parts)
 
@@ -65,7 +65,7 @@
 
 
 def decode_row(body: bytes) -> LimiterRow | None:
-    """Returns the row, or None if it is invalid; its owner then counts as agreeing with nobody."""
+    """Return the row, or None if it is invalid; its owner then counts as agreeing with nobody."""
     try:
         row = _DECODER.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
--- a/cypresspulley/explore/command.py
+++ b/cypresspulley/explore/command.py
@@ -29,7 +29,7 @@
 
 
 def explore(name: str, options: SearchOptions, outputs: Outputs) -> int:
-    """Searches a scenario, or with ``all`` every shipped one, and returns the exit code."""
+    """Search a scenario, or with ``all`` every shipped one, and return the exit code."""
     results = list[SearchResult]()
     try:
         check_folders(outputs.json, outputs.png)
@@ -51,7 +51,7 @@
 
 
 def replay(name: str) -> int:
-    """Plays one scenario file unchanged with all checks of the search and returns the exit code."""
+    """Play one scenario file unchanged with all checks of the search and return the exit code."""
     try:
         scenario: Scenario = load_scenario(name)
         played = examine(scenario)
--- a/cypresspulley/explore/coverage.py
+++ b/cypresspulley/explore/coverage.py
@@ -28,18 +28,18 @@
         self.plays += 1
 
     def unmet_pairs(self) -> list[Pair]:
-        """Returns the pairs that occurred in no play, in a fixed order."""
+        """Return the pairs that occurred in no play, in a fixed order."""
         return [(name, kind) for kind in self.kinds for name in TRANSITIONS if not self.met[name, kind]]
 
     def weights(self) -> dict[str, float]:
-        """Returns the draw weight of each fault kind, which grows with the share of its pairs that are unmet."""
+        """Return the draw weight of each fault kind, which grows with the share of its pairs that are unmet."""
         unmet_counts = Counter(kind for _, kind in self.unmet_pairs())
         return {
             kind: round(1.0 + UNMET_WEIGHT * unmet_counts[kind] / len(TRANSITIONS), 6) for kind in self.kinds
         }
 
     def unlisted_transitions(self) -> list[str]:
-        """Returns transitions that occurred but are not in the model's list."""
+        """Return transitions that occurred but are not in the model's list."""
         return sorted({name for name, _ in self.met} - set(TRANSITIONS) - OPERATOR_TRANSITIONS)
 
     def as_json(self) -> dict[str, object]:
--- a/cypresspulley/explore/examine.py
+++ b/cypresspulley/explore/examine.py
@@ -43,7 +43,7 @@
 
 
 def open_counts(gateway: Gateway) -> dict[str, float]:
-    """Returns counts of open requests, attempts and work; all are 0 once every request has been answered."""
+    """Return counts of open requests, attempts and work; all are 0 once every request has been answered."""
     accounts = gateway.quotas.accounts.values()
     return {
         "requests": len(gateway._requests),
@@ -124,7 +124,7 @@
             self._models[name][0].on_resume(now)
 
     def on_exited(self, name: str, owner: Owner, loop: VirtualLoop) -> None:
-        """Reports requests, timers and tasks that a limiter left behind after an orderly exit."""
+        """Report requests, timers and tasks that a limiter left behind after an orderly exit."""
         model, gateway = self._models.pop(name)
         if open_counters := {what: count for what, count in open_counts(gateway).items() if count}:
             self._add_failure("leak", f"{name} ended with {open_counters} still counted as open")
@@ -163,7 +163,7 @@
 
 
 def callback_name(handle: VirtualHandle) -> str:
-    """Returns the qualified name of the function that a handle would call."""
+    """Return the qualified name of the function that a handle would call."""
     callback = handle.callback
     while hasattr(callback, "func"):  # unwraps functools.partial
         callback = callback.func
@@ -171,7 +171,7 @@
 
 
 def examine(scenario: Scenario) -> PlayResult:
-    """Plays the scenario with its own seed and returns every failure found. The result is deterministic."""
+    """Play the scenario with its own seed and return every failure found. The result is deterministic."""
     observer, records = _PlayObserver(scenario), list[log.Record]()
     try:
         records = play_virtual(scenario, scenario.seed, observer=observer, max_turns=MAX_LOOP_TURNS)
@@ -207,6 +207,6 @@
 
 
 def _broken_promise(checker: str, text: str) -> Failure | None:
-    """Returns the failure for a history checker's finding, or None where the play was too short to check anything."""
+    """Return the failure for a history checker's finding, or None where the play was too short to check anything."""
     promise = text.partition(":")[0]
     return None if promise == NOTHING_TO_CHECK else Failure(f"{checker} {promise}", text.replace("\n", "; "))
--- a/cypresspulley/explore/lifecycle.py
+++ b/cypresspulley/explore/lifecycle.py
@@ -123,7 +123,7 @@
         self._balances = dict[tuple[str, str], tuple[float, float]]()  # (plan, account): units left, and when
 
     def charge(self, now: float, request: api.Request) -> float:
-        """Charges a first attempt and returns by how many units the account exceeds its ceiling plus slack.
+        """Charge a first attempt and return by how many units the account exceeds its ceiling plus slack.
 
         A result of 0 or less means that the ceiling is kept.
         """
@@ -180,7 +180,7 @@
         self._unbanned_at = dict[str, float]()  # when bans were lifted; such a server counts as restarted
 
     def observe(self, now: float, event: api.Event, actions: list[api.Action]) -> None:
-        """Checks one event and the actions that the gateway took on it."""
+        """Check one event and the actions that the gateway took on it."""
         if isinstance(event, api.Request):
             self._begin_request(now, event)
         elif isinstance(event, api.Outcome):
@@ -216,7 +216,7 @@
             self._unbanned_at[action.server] = now
 
     def _extend_deadline(self, now: float, event: api.BodyProgress | api.ResponseStarted) -> None:
-        """Starts the deadline at the request body's last byte and lifts it once the response has started."""
+        """Start the deadline at the request body's last byte and lift it once the response has started."""
         if (tracked := self.requests.get(event.id)) is None:
             return
         if isinstance(event, api.ResponseStarted):
@@ -225,7 +225,7 @@
             tracked.deadline = now + tracked.request.ttl
 
     def on_resume(self, now: float) -> None:
-        """Extends the deadlines that passed while the process was stopped, now that it runs again."""
+        """Extend the deadlines that passed while the process was stopped, now that it runs again."""
         for tracked in self.requests.values():
             tracked.deadline = max(tracked.deadline, now + ANSWER_SLACK_SECONDS)
 
@@ -371,7 +371,7 @@
         tracked.ended = True
 
     def _check_deadlines(self, now: float) -> None:
-        """Reports requests that are open past their deadline and drops ended ones with no attempt in flight."""
+        """Report requests that are open past their deadline and drop ended ones with no attempt in flight."""
         for id, tracked in list(self.requests.items()):
             if tracked.ended and not tracked.in_flight:
                 del self.requests[id]
--- a/cypresspulley/explore/plot.py
+++ b/cypresspulley/explore/plot.py
@@ -14,7 +14,7 @@
 
 
 def draw(coverages: list[Coverage], path: Path) -> None:
-    """Writes the plot of all coverages together as a PNG file. Raises ``OSError`` if it cannot be written."""
+    """Write the plot of all coverages together as a PNG file. Raise ``OSError`` if it cannot be written."""
     met = Counter[Pair]()
     for coverage in coverages:
         met.update(coverage.met)
--- a/cypresspulley/explore/schedule.py
+++ b/cypresspulley/explore/schedule.py
@@ -42,7 +42,7 @@
 
 
 def drawable_kinds(scenario: Scenario, operators: bool = False) -> tuple[str, ...]:
-    """Returns the fault kinds that can be drawn for a scenario, those between limiters only where they cooperate."""
+    """Return the fault kinds that can be drawn for a scenario, those between limiters only where they cooperate."""
     kinds = set(OPERATOR_FAULT_KINDS if operators else FAULT_KINDS)
     if scenario.together is not None:
         kinds |= FLEET_KINDS - CLOSING_KINDS
@@ -52,7 +52,7 @@
 
 
 def scale_down(scenario: Scenario, seconds: float, inside: float) -> Scenario:
-    """Scales a scenario down to ``seconds`` and to ``inside`` requests per second within quota.
+    """Scale a scenario down to ``seconds`` and to ``inside`` requests per second within quota.
 
     Servers and counter calls shrink in proportion and faults keep their relative position. Classes, plans and the
     timing parameters of the servers stay unchanged.
@@ -76,7 +76,7 @@
 
 
 def _scale_cooperation(raw: RawScenario, part: float) -> None:
-    """Scales the periods, leases and closing times of limiters that cooperate to a scenario of that length."""
+    """Scale the periods, leases and closing times of limiters that cooperate to a scenario of that length."""
     for section in ("together", "lanes", "closing"):
         table = raw.get(section, {})
         for key, minimum in MIN_TABLE_VALUES.items():
@@ -90,14 +90,14 @@
 
 
 def reduce_limiters(raw: RawScenario, count: int) -> None:
-    """Reduces the scenario to ``count`` limiters."""
+    """Reduce the scenario to ``count`` limiters."""
     raw["limiters"]["count"] = count
     raw["load"]["spread"] = [min(s, raw["limiters"]["count"]) for s in raw["load"]["spread"]]
     _drop_missing_targets(raw)
 
 
 def _drop_missing_targets(raw: RawScenario) -> None:
-    """Drops targets that no longer exist, and faults that have no target left."""
+    """Drop targets that no longer exist, and faults that have no target left."""
     count, remaining_faults = raw["limiters"]["count"], list[RawScenario]()
     for fault in raw["fault"]:
         if fault["kind"].startswith(LIMITER_KIND_PREFIXES) and fault.get("targets"):
@@ -117,7 +117,7 @@
 
 
 def scale_fault(fault: RawScenario, part: float) -> RawScenario:
-    """Scales a fault's start and durations by ``part``, so that it keeps its relative position."""
+    """Scale a fault's start and durations by ``part``, so that it keeps its relative position."""
     minimums = {"ahead": 3.0, "at": 0.0, "lasts": 0.05, "back_after": 0.05, "every": 0.05}
     return {k: round(max(minimums[k], v * part), 3) if k in minimums else v for k, v in fault.items()}
 
@@ -133,14 +133,14 @@
 
 
 def to_raw(scenario: Scenario) -> RawScenario:
-    """Returns the scenario as the table that its TOML file would hold."""
+    """Return the scenario as the table that its TOML file would hold."""
     raw = scenario.model_dump(by_alias=True, exclude_none=True, mode="json")
     raw["fault"] = [fault.model_dump(exclude_unset=True, mode="json") for fault in scenario.faults]
     return raw
 
 
 def draw_scenario(base: Scenario, seed: int, weights: dict[str, float]) -> Scenario:
-    """Returns the scenario with ``seed`` and the faults drawn from it; playing it needs no other input."""
+    """Return the scenario with ``seed`` and the faults drawn from it; playing it needs no other input."""
     rng, raw = random_for(seed, "explore", base.name), to_raw(base)
     raw["seed"] = seed
     kinds = list(weights)
--- a/cypresspulley/explore/search.py
+++ b/cypresspulley/explore/search.py
@@ -76,7 +76,7 @@
 def search(
     scenario: Scenario, options: SearchOptions, progress: Progress = lambda _: None, play: Play = examine
 ) -> SearchResult:
-    """Searches for a drawn scenario that fails and stops at the first failure unless ``keep_going``.
+    """Search for a drawn scenario that fails and stop at the first failure unless ``keep_going``.
 
     ``play`` is called for each drawn scenario, in this process if there is one job. What a seed draws does not depend
     on the number of jobs.
@@ -148,7 +148,7 @@
 
 
 def write_scenario(found: FoundFailure, folder: Path) -> Path:
-    """Writes the scenario file that reproduces a failure and returns its path."""
+    """Write the scenario file that reproduces a failure and return its path."""
     path = folder / f"{found.scenario.name}-{found.seed}-{found.failure.category.replace(' ', '-')}.toml"
     lines = [
         f"# Found by fawnseam explore: {found.failure.category}",
--- a/cypresspulley/explore/shrink.py
+++ b/cypresspulley/explore/shrink.py
@@ -24,7 +24,7 @@
 def shrink(
     scenario: Scenario, still_fails: Callable[[Scenario], bool], plays: int = MAX_PLAYS
 ) -> tuple[Scenario, int]:
-    """Returns the smallest scenario found on which ``still_fails`` is true, and the number of plays used.
+    """Return the smallest scenario found on which ``still_fails`` is true, and the number of plays used.
 
     The search is greedy and tries large cuts first.
     """
@@ -46,7 +46,7 @@
 
 
 def _smaller_scenarios(scenario: Scenario) -> Iterator[RawScenario]:
-    """Yields variants of the scenario, each with one cut applied."""
+    """Yield variants of the scenario, each with one cut applied."""
     return (_apply_cut(scenario, cut) for cut in _cuts(scenario))
 
 
@@ -96,7 +96,7 @@
 
 
 def describe_size(scenario: Scenario) -> str:
-    """Describes the scenario's size for the report."""
+    """Describe the scenario's size for the report."""
     return (
         f"{len(scenario.faults)} faults, {len(limiter_names(scenario))} limiters, {scenario.fleet.servers} servers, "
         f"{scenario.load.inside:g} requests a second, {scenario.seconds:g} s"
--- a/cypresspulley/fleet/clocks.py
+++ b/cypresspulley/fleet/clocks.py
@@ -33,7 +33,7 @@
         """Return bounds (low, high), in seconds, on this wall clock minus the median of the other clocks.
 
         Each true difference lies in its interval and the median is monotonic in each of its inputs, so the true median
-        lies between the median of the lower bounds and the median of the upper bounds. Returns None if fewer than half
+        lies between the median of the lower bounds and the median of the upper bounds. Return None if fewer than half
         of the ``others`` (or ``SUFFICIENT_ESTIMATES``) answered within ``ESTIMATE_LIFETIME_SECONDS``.
         """
         recent = [
--- a/cypresspulley/fleet/documents.py
+++ b/cypresspulley/fleet/documents.py
@@ -41,7 +41,7 @@
     def request(self, digest: str) -> None:
         """Request a document, dropping the oldest request over ``MAX_REQUESTED``.
 
-        Raises ``ValueError`` for an invalid digest.
+        Raise ``ValueError`` for an invalid digest.
         """
         key = bytes.fromhex(digest)
         if len(key) != DIGEST_BYTES:
@@ -97,7 +97,7 @@
         ]
 
     def add_part(self, part: DocumentPart) -> bool:
-        """Add a part. Returns whether to request the next ones: all parts of the last request have arrived."""
+        """Add a part. Return whether to request the next ones: all parts of the last request have arrived."""
         if part.digest not in self._requested or part.number >= part.count:
             return False
         count, parts = self._requested[part.digest]
--- a/cypresspulley/fleet/limiter.py
+++ b/cypresspulley/fleet/limiter.py
@@ -78,7 +78,7 @@
         return f"<FleetMember {self._name} {'open' if self._transport is not None else 'closed'}: {self.detector!r}>"
 
     async def start(self) -> None:
-        """Open the socket and ping the seeds. Raises ``OSError`` if the address cannot be bound."""
+        """Open the socket and ping the seeds. Raise ``OSError`` if the address cannot be bound."""
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
             lambda: _DatagramReceiver(self), local_addr=self._options.listen
--- a/cypresspulley/fleet/options.py
+++ b/cypresspulley/fleet/options.py
@@ -39,7 +39,7 @@
 
 
 def options_from(table: dict[str, Any], path: str, key: str) -> FleetOptions:
-    """Parse the table. Raises ``OperatorsError``, which names the file, the key and the expected value."""
+    """Parse the table. Raise ``OperatorsError``, which names the file, the key and the expected value."""
 
     def fail(name: str, expected: str) -> OperatorsError:
         return OperatorsError(f"{path}: fleet.{name}: expected {expected}, got {table.get(name)!r:.60}")
--- a/cypresspulley/fleet/records.py
+++ b/cypresspulley/fleet/records.py
@@ -102,7 +102,7 @@
         ...
 
     def publish(self, subsystem: str, body: bytes) -> None:
-        """Replace this member's row of the subsystem. Raises ``ValueError`` over ``MAX_ROW_BYTES``."""
+        """Replace this member's row of the subsystem. Raise ``ValueError`` over ``MAX_ROW_BYTES``."""
         ...
 
     def is_settled(self, now: float) -> bool:
@@ -124,7 +124,7 @@
     def store_document(self, body: bytes) -> str:
         """Store a document for others and return its digest, 32 hex digits.
 
-        Raises ``ValueError`` over ``MAX_DOCUMENT_BYTES``.
+        Raise ``ValueError`` over ``MAX_DOCUMENT_BYTES``.
         """
         ...
 
--- a/cypresspulley/fleet/suspicion.py
+++ b/cypresspulley/fleet/suspicion.py
@@ -48,7 +48,7 @@
     ) -> tuple[bool, float | None]:
         """Add an accuser that suspects the member or reports its death.
 
-        Returns whether the accusation is new, and the new deadline if it is earlier than before.
+        Return whether the accusation is new, and the new deadline if it is earlier than before.
         """
         suspicion = self._by_name.setdefault(name, Suspicion(now))
         before = suspicion.deadline(members, self._period) if suspicion.accusers else float("inf")
--- a/cypresspulley/fleet/view.py
+++ b/cypresspulley/fleet/view.py
@@ -165,7 +165,7 @@
     # Rows
 
     def publish(self, now: float, subsystem: str, body: bytes) -> None:
-        """Publish a row of this member. Raises ``ValueError`` if it is too long or of one subsystem too many."""
+        """Publish a row of this member. Raise ``ValueError`` if it is too long or of one subsystem too many."""
         if len(body) > MAX_ROW_BYTES:
             raise ValueError(f"row of {subsystem}: expected at most {MAX_ROW_BYTES} bytes, got {len(body)}")
         own_rows = self._rows.setdefault(self.local_name, {})
--- a/cypresspulley/fleet/wire.py
+++ b/cypresspulley/fleet/wire.py
@@ -243,7 +243,7 @@
     def decode(self, data: bytes) -> Envelope:
         """Verify and decode a datagram.
 
-        Raises ``InvalidDatagram`` with the cause ``long``, ``cut``, ``form``, ``digest``, ``garbled`` or ``foreign``.
+        Raise ``InvalidDatagram`` with the cause ``long``, ``cut``, ``form``, ``digest``, ``garbled`` or ``foreign``.
         """
         if len(data) > MAX_DATAGRAM_BYTES:
             raise InvalidDatagram("long")
--- a/cypresspulley/graphql/command.py
+++ b/cypresspulley/graphql/command.py
@@ -133,7 +133,7 @@
     """Yield the operations and actual costs of a capture.
 
     The capture is a HAR file (POST bodies, and ``extensions.cost.actual`` of the responses) or JSON lines with
-    ``query``, ``variables``, ``operationName`` and ``actual``. Raises OptionsError for a line that cannot be parsed.
+    ``query``, ``variables``, ``operationName`` and ``actual``. Raise OptionsError for a line that cannot be parsed.
     """
     text = capture.read_text(encoding="utf-8")
     if capture.suffix == ".har":
--- a/cypresspulley/graphql/document.py
+++ b/cypresspulley/graphql/document.py
@@ -121,7 +121,7 @@
     def resolve_text(self, operation: OperationRequest) -> str:
         """Return the text of an operation, looked up by its hash if it has no text.
 
-        Raises GraphQLRefusedError if the document is unknown or not allowed, or if its hash and text do not match.
+        Raise GraphQLRefusedError if the document is unknown or not allowed, or if its hash and text do not match.
         """
         if operation.text is None:
             if operation.hash is None:
@@ -153,7 +153,7 @@
     def read(self, text: str) -> Generator[None, None, Document]:
         """Return a document from the cache, or scan, parse and validate it, yielding after each step.
 
-        Raises GraphQLRefusedError if the document is invalid or exceeds a bound.
+        Raise GraphQLRefusedError if the document is invalid or exceeds a bound.
         """
         if (found := self.find(text)) is not None:
             return found
@@ -249,7 +249,7 @@
 def select_operation(document: Document, name: str | None) -> OperationDefinitionNode:
     """Return the operation that a request selects (GraphQL specification, 6.1); the others cost nothing.
 
-    Raises GraphQLRefusedError if there is no such operation or the choice is ambiguous.
+    Raise GraphQLRefusedError if there is no such operation or the choice is ambiguous.
     """
     if not document.operations:
         raise GraphQLRefusedError(ErrorCode.OPERATION_UNKNOWN, "the document holds no operation")
@@ -268,7 +268,7 @@
     documents: DocumentCache, document: Document, operation: OperationRequest, counters: ComplexityCounters,
     introspection: bool = True, explain: bool = False,
 ) -> PricedRequest:  # fmt: skip
-    """Return the price and effect of one operation with its variables. Raises GraphQLRefusedError."""
+    """Return the price and effect of one operation with its variables. Raise GraphQLRefusedError."""
     node = select_operation(document, operation.operation_name)
     priced_schema = documents.priced_schema
     values = get_variable_values(
@@ -298,7 +298,7 @@
     """Price the operations of a request, yielding between steps; the price of a batch is the sum.
 
     One mutation among several operations makes the whole batch unsafe, even if it is keyed, because servers
-    deduplicate single operations and not batches. Raises GraphQLRefusedError.
+    deduplicate single operations and not batches. Raise GraphQLRefusedError.
     """
     if len(operations) > documents.bounds.batch:
         raise GraphQLRefusedError(
--- a/cypresspulley/graphql/handler.py
+++ b/cypresspulley/graphql/handler.py
@@ -200,7 +200,7 @@
         return graphql_request
 
     def _spend_budget(self, metadata: RequestMetadata, graphql_request: GraphQLRequest) -> None:
-        """Spend budget on the documents that are not cached. Raises GraphQLRefusedError if it is exhausted."""
+        """Spend budget on the documents that are not cached. Raise GraphQLRefusedError if it is exhausted."""
         if len(graphql_request.operations) > self._options.bounds.batch:
             raise GraphQLRefusedError(
                 ErrorCode.TOO_COMPLEX, f"more than {self._options.bounds.batch} operations in a batch"
@@ -264,7 +264,7 @@
 
 
 def _classes_by_effect(settings: api.Settings, options: Options) -> dict[Effect, str]:
-    """Return the request class for each effect. Raises OptionsError for an unknown class or one of another effect."""
+    """Return the request class for each effect. Raise OptionsError for an unknown class or one of another effect."""
     effects = {c.name: c.effect for c in settings.classes}
     expected_effects = [
         ("query", options.query, api.Effect.SAFE),
--- a/cypresspulley/graphql/learn.py
+++ b/cypresspulley/graphql/learn.py
@@ -59,7 +59,7 @@
 def learn_shares(samples: Sequence[tuple[Price, float]], seed: int = 1) -> Fit:
     """Fit shares to samples of (price with its rows, actual points).
 
-    Raises LearnError if there are fewer than MIN_QUERIES samples or none of their fields costs anything.
+    Raise LearnError if there are fewer than MIN_QUERIES samples or none of their fields costs anything.
     """
     samples = [(price, actual) for price, actual in samples if actual >= 0 and price.rows]
     if len(samples) < MIN_QUERIES:
--- a/cypresspulley/graphql/options.py
+++ b/cypresspulley/graphql/options.py
@@ -53,7 +53,7 @@
 
 
 def options_from(raw: Mapping[str, Any], source: str) -> Options:
-    """Validate a table and return its options. Raises OptionsError with ``source`` and the key."""
+    """Validate a table and return its options. Raise OptionsError with ``source`` and the key."""
     known = {each.name: each for each in fields(Options)}
     if extra := sorted(set(raw) - set(known)):
         raise OptionsError(f"{source}: graphql.{extra[0]}: unknown; expected {', '.join(sorted(known))}")
@@ -114,7 +114,7 @@
 
 
 def load_options(path: str) -> Options:
-    """Load the options of an operators' file, for tools. Raises OptionsError if it has no table [graphql]."""
+    """Load the options of an operators' file, for tools. Raise OptionsError if it has no table [graphql]."""
     try:
         raw = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
@@ -125,7 +125,7 @@
 
 
 def load_priced_schema(options: Options) -> PricedSchema:
-    """Load the schema that the options name, with its prices. Raises OptionsError or SchemaError."""
+    """Load the schema that the options name, with its prices. Raise OptionsError or SchemaError."""
     learned = _json_file(options.learned, "graphql.learned") if options.learned else {}
     if not isinstance(learned, dict) or not all(isinstance(each, dict) for each in learned.values()):
         raise OptionsError(f"{options.learned}: expected an object of Type.field to share")
@@ -141,7 +141,7 @@
 def load_document_cache(options: Options) -> DocumentCache:
     """Return an empty cache for the priced schema, with the persisted documents of the file that the options name.
 
-    Raises OptionsError or SchemaError.
+    Raise OptionsError or SchemaError.
     """
     persisted = _json_file(options.persisted, "graphql.persisted") if options.persisted else {}
     if not isinstance(persisted, dict) or not all(isinstance(text, str) for text in persisted.values()):
--- a/cypresspulley/graphql/price.py
+++ b/cypresspulley/graphql/price.py
@@ -123,7 +123,7 @@
         self._rows = list[Row]()
 
     def price_operation(self, node: OperationDefinitionNode) -> Price:
-        """Return the price of an operation. Raises GraphQLRefusedError if it is invalid or exceeds a bound."""
+        """Return the price of an operation. Raise GraphQLRefusedError if it is invalid or exceeds a bound."""
         root = self._priced.schema.get_root_type(node.operation)
         if root is None:
             raise GraphQLRefusedError(
@@ -327,7 +327,7 @@
         return dict.fromkeys(price.list_size.sized_fields, self._list_size(price, values, path))
 
     def _list_size(self, price: FieldPrice, values: Mapping[str, Any], path: str) -> float:
-        """Return the maximum size of a list. Raises GraphQLRefusedError for invalid slicing arguments."""
+        """Return the maximum size of a list. Raise GraphQLRefusedError for invalid slicing arguments."""
         size = price.list_size
         if size is None:
             return float(self._priced.longest_list)
--- a/cypresspulley/graphql/request.py
+++ b/cypresspulley/graphql/request.py
@@ -36,7 +36,7 @@
 
 
 def response_media_type(accept: str) -> str:
-    """Return the media type for the response. Raises GraphQLRefusedError (406) if the client accepts none."""
+    """Return the media type for the response. Raise GraphQLRefusedError (406) if the client accepts none."""
     wanted = [part.partition(";") for part in accept.lower().split(",") if part.strip()]
     names = [name.strip() for name, _, rest in wanted if "q=0" not in rest.replace(" ", "").split(";")]
     if not wanted or RESPONSE_MEDIA_TYPE in names or "*/*" in names or "application/*" in names:
@@ -49,7 +49,7 @@
 
 
 def parse_post(content_type: str, accept: str, body: bytes) -> GraphQLRequest:
-    """Parse a POST. Raises GraphQLRefusedError."""
+    """Parse a POST. Raise GraphQLRefusedError."""
     media_type = response_media_type(accept)
     name, _, rest = content_type.lower().partition(";")
     charset = rest.partition("charset=")[2].strip(' "')
@@ -68,7 +68,7 @@
 
 
 def parse_get(query: str, accept: str) -> GraphQLRequest:
-    """Parse a GET's query string, in which ``account`` is for the limiter. Raises GraphQLRefusedError."""
+    """Parse a GET's query string, in which ``account`` is for the limiter. Raise GraphQLRefusedError."""
     media_type = response_media_type(accept)
     try:
         pairs = parse_qsl(
--- a/cypresspulley/graphql/scan.py
+++ b/cypresspulley/graphql/scan.py
@@ -39,7 +39,7 @@
 
 
 def count_tokens(text: str, bounds: Bounds) -> int:
-    """Return the number of tokens. Raises GraphQLRefusedError if a bound is exceeded or a token is invalid.
+    """Return the number of tokens. Raise GraphQLRefusedError if a bound is exceeded or a token is invalid.
 
     Nesting is counted over all kinds of brackets, so that the parser's recursion is bounded. The limit is twice the
     depth of selections, plus a margin for lists in arguments.
--- a/cypresspulley/graphql/schema.py
+++ b/cypresspulley/graphql/schema.py
@@ -80,7 +80,7 @@
     introspection_points: float = 1.0  # points of each introspection field at the root
 
     def field_price(self, parent: str, name: str) -> FieldPrice:
-        """Return the price of a field of the parent type. Raises KeyError if there is none."""
+        """Return the price of a field of the parent type. Raise KeyError if there is none."""
         return self.fields[f"{parent}.{name}"]
 
 
@@ -91,7 +91,7 @@
     mutation_points: float = 10.0,
     learned: Mapping[str, Mapping[str, float]] | None = None,
 ) -> PricedSchema:
-    """Read a priced schema from SDL. Raises SchemaError.
+    """Read a priced schema from SDL. Raise SchemaError.
 
     ``learned`` gives the ``share`` by ``Type.field``, as written by ``graphql-learn``.
     """
--- a/cypresspulley/histories/check.py
+++ b/cypresspulley/histories/check.py
@@ -15,7 +15,7 @@
 
 
 def check_all(histories: Histories, names: Iterable[str]) -> list[Verdict]:
-    """Runs the named checkers and returns their verdicts in that order. Raises ``ValueError`` for an unknown name."""
+    """Run the named checkers and return their verdicts in that order. Raise ``ValueError`` for an unknown name."""
     wanted = list(names)
     if unknown := [name for name in wanted if name not in CHECKERS]:
         raise ValueError(f"checker {unknown[0]!r}: expected one of {', '.join(CHECKERS)}")
@@ -23,5 +23,5 @@
 
 
 def as_json(verdicts: Iterable[Verdict]) -> list[dict[str, Any]]:
-    """Returns what ``rehearse --json`` writes under ``histories``."""
+    """Return what ``rehearse --json`` writes under ``histories``."""
     return [verdict.as_json() for verdict in verdicts]
--- a/cypresspulley/histories/check_closing.py
+++ b/cypresspulley/histories/check_closing.py
@@ -55,7 +55,7 @@
 
 
 def check(histories: Histories) -> Verdict:
-    """Returns the verdict on closing. A play in which nothing was cached, closed or purged yields a finding."""
+    """Return the verdict on closing. A play in which nothing was cached, closed or purged yields a finding."""
     tally, times = Tally(NAME, PROMISES), Timeline(histories)
     truth = _ClosingTruth(times)
     if histories.harness is not None:
@@ -84,11 +84,11 @@
                 self._closings[account].append(moment)
 
     def generation_at(self, account: str, moment: float) -> int:
-        """Returns the number of closings at or before ``moment``."""
+        """Return the number of closings at or before ``moment``."""
         return bisect_right(self._closings.get(account, ()), moment)
 
     def first_closing_between(self, account: str, begin: float, end: float) -> float | None:
-        """Returns the first closing after ``begin`` and before ``end``, or None."""
+        """Return the first closing after ``begin`` and before ``end``, or None."""
         closings = self._closings.get(account, ())
         at = bisect_right(closings, begin)
         return closings[at] if at < len(closings) and closings[at] < end else None
@@ -135,7 +135,7 @@
 
 
 def _check_never_back(tally: Tally, truth: _ClosingTruth, traffic: _ClientTraffic) -> None:
-    """Compares each call's generation with the highest one that any client had received when the call began."""
+    """Compare each call's generation with the highest one that any client had received when the call began."""
     for account, answered in traffic.answered.items():
         if not truth.has_closings(account):
             continue
@@ -233,7 +233,7 @@
 
 
 def _check_doubt(tally: Tally, history: History) -> None:
-    """Checks that nothing is cached or served in doubt.
+    """Check that nothing is cached or served in doubt.
 
     Before its first doubt event a limiter counts as sure, unless that event says that doubt has ended.
     """
@@ -287,7 +287,7 @@
 def _check_generations_differ(
     tally: Tally, truth: _ClosingTruth, history: History, before: Kept, after: Kept
 ) -> None:
-    """Checks that two answers requested on either side of a closing were cached under different generations."""
+    """Check that two answers requested on either side of a closing were cached under different generations."""
     early, late = sorted((before, after), key=lambda kept: kept.sent)
     closing = truth.first_closing_between(
         early.account, early.sent + truth.max_clock_difference, late.sent - truth.max_clock_difference
--- a/cypresspulley/histories/check_fleet.py
+++ b/cypresspulley/histories/check_fleet.py
@@ -49,7 +49,7 @@
 
 
 def check(histories: Histories) -> Verdict:
-    """Returns the verdict on fleet membership. A play in which nothing can be checked yields a finding."""
+    """Return the verdict on fleet membership. A play in which nothing can be checked yields a finding."""
     tally, times = Tally(NAME, PROMISES), Timeline(histories)
     observers = [_ObservedMembers(life) for life in times.lives]
     first_detections = _first_detections(observers)
@@ -84,7 +84,7 @@
 
 
 def _first_detections(observers: Sequence[_ObservedMembers]) -> dict[IncarnationKey, float]:
-    """Returns when each death was first detected by any process's own failure detector."""
+    """Return when each death was first detected by any process's own failure detector."""
     found: dict[IncarnationKey, float] = {}
     for observer in observers:
         for seen in observer.seen:
@@ -215,7 +215,7 @@
 def _check_detected(
     tally: Tally, times: Timeline, killed: Life, observers: Sequence[_ObservedMembers]
 ) -> None:
-    """Checks that each survivor that held the killed process present learns of its end within the bound."""
+    """Check that each survivor that held the killed process present learns of its end within the bound."""
     assert killed.killed is not None and times.harness is not None
     begin = killed.end
     for observer in observers:
@@ -256,7 +256,7 @@
 
 
 def _check_settled(tally: Tally, times: Timeline) -> None:
-    """Checks that between two disturbances no view is unsettled or different for longer than the bound."""
+    """Check that between two disturbances no view is unsettled or different for longer than the bound."""
     moments = sorted(_disturbances(times), key=lambda moment: moment[0])
     ends = [*(begin for begin, _, _ in moments[1:]), times.stop]
     # Not strict: without any moments there is one end too many.
@@ -275,7 +275,7 @@
 
 
 def _disturbances(times: Timeline) -> Iterator[tuple[float, bool, ExcerptLine | None]]:
-    """Yields times that may unsettle the view, whether a process ended at that time, and the event."""
+    """Yield times that may unsettle the view, whether a process ended at that time, and the event."""
     for span in times.faults:
         assert times.harness is not None
         if span.may_unsettle or span.kind in PROCESS_END_KINDS:
@@ -324,7 +324,7 @@
 
 
 def _disagreeing_lines(held: dict[str, ExcerptLine]) -> list[ExcerptLine]:
-    """Returns the events of one unsettled process or of two that differ; empty if all are settled and equal.
+    """Return the events of one unsettled process or of two that differ; empty if all are settled and equal.
 
     A process that has written no settled event yet is represented by its start event.
     """
--- a/cypresspulley/histories/check_lanes.py
+++ b/cypresspulley/histories/check_lanes.py
@@ -42,7 +42,7 @@
 
 
 def check(histories: Histories) -> Verdict:
-    """Returns the verdict on lanes. A play in which no lane decided anything yields a finding."""
+    """Return the verdict on lanes. A play in which no lane decided anything yields a finding."""
     tally = Tally(NAME, PROMISES)
     for history in histories.lives:
         _check_sums(tally, history)
@@ -68,7 +68,7 @@
 
 
 def _check_floors(tally: Tally, histories: Histories) -> None:
-    """Compares what each lane passed with its floor in every ``FLOOR_WINDOW_SECONDS`` of continuous shedding."""
+    """Compare what each lane passed with its floor in every ``FLOOR_WINDOW_SECONDS`` of continuous shedding."""
     shedding_lines = [
         excerpt_line(history, period) for history in histories.lives for period in _shedding_periods(history)
     ]
@@ -190,7 +190,7 @@
 
 
 def _rejections(histories: Histories, lane: str) -> Iterator[ExcerptLine]:
-    """Yields the requests of this lane that any limiter rejected within quota."""
+    """Yield the requests of this lane that any limiter rejected within quota."""
     for history in histories.lives:
         for event in events_of(history, LanesTurned):
             if event.inside and event.lane == lane:
@@ -200,7 +200,7 @@
 def _runs_of_lower_traffic(
     periods: Sequence[ExcerptLine], first_lane: str, lower: Sequence[str]
 ) -> Iterator[_LowerTrafficRun]:
-    """Yields runs of consecutive bins in which lower-ranked traffic passed anywhere in the fleet.
+    """Yield runs of consecutive bins in which lower-ranked traffic passed anywhere in the fleet.
 
     A bin is as long as a period and holds the periods whose middle lies in it. Their traffic may have passed up to half
     a bin outside it, so a run's ends are moved inwards.
@@ -230,7 +230,7 @@
 
 
 def _units_below(excerpt: ExcerptLine, lower: Sequence[str]) -> float:
-    """Returns the units that passed in the lower lanes and beyond quota."""
+    """Return the units that passed in the lower lanes and beyond quota."""
     period = _period_of(excerpt)
     return sum(period.passed_over.values()) + sum(period.passed.get(lane, 0.0) for lane in lower)
 
@@ -257,7 +257,7 @@
 
 
 def _passed_share(periods: Sequence[LanesPeriod], lane: str) -> float:
-    """Returns the share of the units requested within quota that passed; 1 if none were requested."""
+    """Return the share of the units requested within quota that passed; 1 if none were requested."""
     asked = sum(period.asked.get(lane, 0.0) for period in periods)
     return sum(period.passed.get(lane, 0.0) for period in periods) / asked if asked else 1.0
 
@@ -265,7 +265,7 @@
 def _check_inversion_in_run(
     tally: Tally, lane: str, turned: Sequence[ExcerptLine], run: _LowerTrafficRun, within: float
 ) -> None:
-    """Finds consecutive rejections within the run, no two further apart than ``run.gap``, that exceed the bound."""
+    """Find consecutive rejections within the run, no two further apart than ``run.gap``, that exceed the bound."""
     moments = [excerpt.event.mono for excerpt in turned]
     in_run = turned[bisect_left(moments, run.begin) : bisect_right(moments, run.end)]
     first = 0
@@ -283,7 +283,7 @@
 
 
 def _check_same_verdict(tally: Tally, histories: Histories) -> None:
-    """Finds accounts that were both rejected within quota and let pass under the same spell number.
+    """Find accounts that were both rejected within quota and let pass under the same spell number.
 
     A spell number stands for one set of thresholds at all limiters.
     """
--- a/cypresspulley/histories/clock.py
+++ b/cypresspulley/histories/clock.py
@@ -28,7 +28,7 @@
     since: float = 0.0
 
     def at(self, true: float) -> float:
-        """Returns what the clock shows at a true Unix second."""
+        """Return what the clock shows at a true Unix second."""
         return true + self.offset + self.ppm * 1e-6 * max(0.0, true - self.since)
 
     def line(self) -> str:
@@ -36,7 +36,7 @@
 
 
 def parse_shift(text: str) -> Shift:
-    """Parses the contents of a shift file. Raises ``ValueError`` unless they are three finite numbers."""
+    """Parse the contents of a shift file. Raise ``ValueError`` unless they are three finite numbers."""
     words = text.split()
     if len(words) != 3:
         raise ValueError(f"expected three numbers, offset ppm since; got {text!r:.60}")
@@ -72,7 +72,7 @@
         return self._shift.at(self._base())
 
     def _reload_file(self) -> None:
-        """Reloads the file if it has changed. An unreadable or invalid file is logged and keeps the current shift."""
+        """Reload the file if it has changed. An unreadable or invalid file is logged and keeps the current shift."""
         try:
             status = os.stat(self._path)
             if (stamp := (status.st_mtime_ns, status.st_ino)) == self._file_stamp:
--- a/cypresspulley/histories/read.py
+++ b/cypresspulley/histories/read.py
@@ -72,9 +72,9 @@
 
 
 def read_folder(folder: Path) -> Histories:
-    """Reads all histories (``*.jsonl``) of a folder.
+    """Read all histories (``*.jsonl``) of a folder.
 
-    Raises ``HistoryError`` if one is invalid or the folder has none, and ``OSError`` if a file cannot be read.
+    Raise ``HistoryError`` if one is invalid or the folder has none, and ``OSError`` if a file cannot be read.
     """
     files = sorted(folder.glob(FILE_PATTERN))
     if not files:
@@ -83,7 +83,7 @@
 
 
 def read_files(files: Sequence[Path]) -> Histories:
-    """Reads the histories of these files, in any order.
+    """Read the histories of these files, in any order.
 
     A file whose writer was killed before its first line is skipped.
     """
@@ -103,7 +103,7 @@
 
 
 def from_memory(lives: Iterable[Sequence[dict[str, Any]]]) -> Histories:
-    """Builds histories from event lists as in ``MemoryHistory.lives``. Empty lists are skipped."""
+    """Build histories from event lists as in ``MemoryHistory.lives``. Empty lists are skipped."""
     histories = []
     for number, events in enumerate(lives):
         source = f"memory {number}"
@@ -116,7 +116,7 @@
 
 
 def merge_histories(histories: Iterable[History]) -> Histories:
-    """Combines histories. Raises ``HistoryError`` if two are of the same process and life."""
+    """Combine histories. Raise ``HistoryError`` if two are of the same process and life."""
     by_life: dict[tuple[str, int], History] = {}
     for history in histories:
         key = history.name, history.life
@@ -134,7 +134,7 @@
 
 
 def read_lines(lines: Iterable[bytes], source: str, max_events: int = MAX_TOTAL_EVENTS) -> History:
-    """Reads one history from its lines, which include their line ends; the last may lack it after a SIGKILL."""
+    """Read one history from its lines, which include their line ends; the last may lack it after a SIGKILL."""
     truncated = False
 
     def complete_events() -> Iterator[Event]:
@@ -154,7 +154,7 @@
 
 
 def _bounded_lines(source: str, stream: Any) -> Iterator[bytes]:
-    """Yields the lines of a file. Raises ``HistoryError`` for a line over the size limit."""
+    """Yield the lines of a file. Raise ``HistoryError`` for a line over the size limit."""
     number = 0
     while line := stream.readline(MAX_TRUTH_LINE_BYTES + 1):
         number += 1
@@ -181,7 +181,7 @@
 
 
 def _validate_events(source: str, events: Iterable[Event], max_events: int) -> tuple[Event, ...]:
-    """Validates the events of one life and returns them.
+    """Validate the events of one life and return them.
 
     The first event, and no other, must be a start; ``seq`` must have no gap and ``mono`` must not decrease.
     """
--- a/cypresspulley/histories/timeline.py
+++ b/cypresspulley/histories/timeline.py
@@ -123,7 +123,7 @@
         )
 
     def _lives(self, histories: tuple[History, ...]) -> Iterator[Life]:
-        """Yields the lives. ``histories`` are sorted by name and life, so the next one of a name ends the previous."""
+        """Yield the lives. ``histories`` are sorted by name and life, so the next one of a name ends the previous."""
         for number, history in enumerate(histories):
             begin = history.start.mono
             last = history.events[-1]
@@ -139,7 +139,7 @@
             yield Life(history, begin, end_fault.mono if end_fault else end, killed, ended)
 
     def _first_fault(self, kinds: frozenset[str], name: str, begin: float, end: float) -> Fault | None:
-        """Returns the first fault of these kinds that hit the process in that time."""
+        """Return the first fault of these kinds that hit the process in that time."""
         for span in self.faults:
             if span.kind in kinds and name in span.targets and begin <= span.begin <= end:
                 return span.event
@@ -147,14 +147,14 @@
 
 
 def _play_end(histories: Histories) -> float:
-    """Returns when the play ended: the harness's last event, or without a harness the last event of all."""
+    """Return when the play ended: the harness's last event, or without a harness the last event of all."""
     if histories.harness is not None:
         return histories.harness.events[-1].mono
     return max((history.events[-1].mono for history in histories.lives), default=0.0)
 
 
 def _fault_spans(harness: History) -> Iterator[FaultSpan]:
-    """Yields fault spans, pairing each begin with the first later end of the same kind and targets."""
+    """Yield fault spans, pairing each begin with the first later end of the same kind and targets."""
     faults = [event for event in harness.events if isinstance(event, Fault)]
     ends: dict[tuple[str, frozenset[str]], list[float]] = defaultdict(list)
     for event in faults:
@@ -178,5 +178,5 @@
 
 
 def stated_bound(history: History, name: str) -> float | None:
-    """Returns the bound in seconds that this process stated in its start event, or None."""
+    """Return the bound in seconds that this process stated in its start event, or None."""
     return history.start.bounds.get(name)
--- a/cypresspulley/histories/verdict.py
+++ b/cypresspulley/histories/verdict.py
@@ -80,7 +80,7 @@
         return not self.findings
 
     def as_json(self) -> dict[str, Any]:
-        """Returns the verdict as JSON data. A guarantee with 0 in ``promises`` was not checked at all."""
+        """Return the verdict as JSON data. A guarantee with 0 in ``promises`` was not checked at all."""
         findings = [finding.as_json() for finding in self.findings]
         return {
             "name": self.name, "kept": self.kept, "checked": self.checked, "findings": findings,
@@ -99,7 +99,7 @@
         self._checks[promise] += times
 
     def add_finding(self, promise: str, text: str, excerpt: Iterable[ExcerptLine] = ()) -> None:
-        """Adds a finding. The same text with the same events for the same guarantee counts once."""
+        """Add a finding. The same text with the same events for the same guarantee counts once."""
         finding = Finding(promise, text, tuple(sorted(excerpt, key=_line_order)))
         key = (promise, text, *((line.process, line.life, line.event.seq) for line in finding.excerpt))
         self._findings.setdefault(key, finding)
--- a/cypresspulley/histories/writer.py
+++ b/cypresspulley/histories/writer.py
@@ -47,14 +47,14 @@
         return f"<History {self._path}, {self._seq} events, {'open' if self._file is not None else 'shut'}>"
 
     def open_life(self, life: int) -> None:
-        """Opens the file of this life. Raises ``OSError`` if it cannot be created."""
+        """Open the file of this life. Raise ``OSError`` if it cannot be created."""
         self.close()
         self._seq = self._bytes = 0
         path = self._path.replace("{life}", str(life))
         self._file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o644)
 
     def put(self, kind: Kind, **facts: Any) -> None:
-        """Writes one event with the facts that ``events.FACTS`` lists. Before ``open_life`` nothing is written."""
+        """Write one event with the facts that ``events.FACTS`` lists. Before ``open_life`` nothing is written."""
         if self._file is None:
             return
         event = {"seq": self._seq, "wall": self._wall(), "mono": self._clock(), "kind": str(kind), **facts}
--- a/cypresspulley/keeper/engine.py
+++ b/cypresspulley/keeper/engine.py
@@ -93,7 +93,7 @@
 
 
 def parse_engine_url(text: str) -> EngineUrl:
-    """Parse and check an engine URL. Raises EngineError."""
+    """Parse and check an engine URL. Raise EngineError."""
     parts = urlsplit(text)
     login, _, hosts = parts.netloc.rpartition("@")
     if parts.scheme != "redis" or not hosts:
@@ -149,7 +149,7 @@
         return f"<_Node {self.address[0]}:{self.address[1]}, {len(self._idle)} idle>"
 
     async def acquire(self) -> Connection:
-        """Return an established connection. Raises _NotSentError if there is none."""
+        """Return an established connection. Raise _NotSentError if there is none."""
         await self._limit.acquire()
         try:
             if self._idle:
@@ -347,7 +347,7 @@
         self._slots.clear()
 
     async def _read_slots(self) -> None:
-        """Read CLUSTER SLOTS from the URL's address in use. Raises ResponseError if the node cannot provide them."""
+        """Read CLUSTER SLOTS from the URL's address in use. Raise ResponseError if the node cannot provide them."""
         self._slots_read_at = self._loop.time()
         node = self._get_node(self._url.nodes[self._node_index % len(self._url.nodes)])
         connection = await node.acquire()
--- a/cypresspulley/net/admin.py
+++ b/cypresspulley/net/admin.py
@@ -193,7 +193,7 @@
         self._tasks = set[asyncio.Task[None]]()
 
     async def listen(self, host: str, port: int) -> tuple[str, int]:
-        """Start listening and return the bound address. Raises OSError if the address cannot be bound."""
+        """Start listening and return the bound address. Raise OSError if the address cannot be bound."""
         self._listener = await open_listener(host, port, LISTEN_BACKLOG, lambda: _AdminConnection(self))
         return self._listener.address
 
--- a/cypresspulley/net/discovery.py
+++ b/cypresspulley/net/discovery.py
@@ -45,7 +45,7 @@
 
 
 def parse_listing(raw: Any) -> Listing:
-    """Parse a decoded message of discovery. Raises ValueError if it is malformed."""
+    """Parse a decoded message of discovery. Raise ValueError if it is malformed."""
     try:
         entries, addresses = [], {}
         for row in raw["hosts"]:
@@ -161,7 +161,7 @@
     def feed(self, data: bytes) -> list[Any]:
         """Return the messages that these bytes complete.
 
-        Raises MalformedMessageError if a message is not JSON or exceeds ``MAX_MESSAGE_BYTES``.
+        Raise MalformedMessageError if a message is not JSON or exceeds ``MAX_MESSAGE_BYTES``.
         """
         *lines, self._partial_line = (self._partial_line + data).split(b"\n")
         found = [message for line in lines for message in self._decode_line(line.strip())]
@@ -250,7 +250,7 @@
         return self._last_byte_at
 
     async def open(self, host: str, port: int, request: bytes) -> None:
-        """Dial and send the request. Raises OSError if that fails, WatchTimeoutError if the dial does not complete."""
+        """Dial and send the request. Raise OSError if that fails, WatchTimeoutError if the dial does not complete."""
         dial = self._loop.create_task(self._loop.create_connection(lambda: self, host, port))
         try:
             await asyncio.wait({dial}, timeout=TIMEOUTS[WatchState.DIALING])
--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -134,7 +134,7 @@
         self.receive_delay = 0.0  # upper bound in seconds of how long its last byte waited in the kernel
 
     def begin_stream(self, stream: Download) -> None:
-        """Respond with ``stream``, passing it on as it arrives. Raises RuntimeError if there is a response already."""
+        """Respond with ``stream``, passing it on as it arrives. Raise RuntimeError if there is a response already."""
         if self.response is not None or self.stream is not None:
             raise RuntimeError("the request has a response already")
         self.stream = stream
@@ -166,7 +166,7 @@
     ) -> None:  # fmt: skip
         """Set the final response, which the connection writes after those of earlier requests.
 
-        ``retry_after`` is in seconds; ``why`` and ``units_left`` are passed to the dialect. Raises RuntimeError if
+        ``retry_after`` is in seconds; ``why`` and ``units_left`` are passed to the dialect. Raise RuntimeError if
         there is a response already.
         """
         if self.dialect is not None and status != 200:
@@ -183,7 +183,7 @@
         self.respond(status, retry_after=SHUTDOWN_RETRY_AFTER if status == 503 else None)
 
     def send_response(self, status: int, headers: bytes, body: bytes, retry_after: float | None) -> None:
-        """Set the final response without translation by the dialect. Raises RuntimeError if there is one already."""
+        """Set the final response without translation by the dialect. Raise RuntimeError if there is one already."""
         if self.response is not None or self.stream is not None:
             raise RuntimeError("the request has a response already")
         self._client.frontend.open_ids.discard(self.id)
@@ -220,7 +220,7 @@
         return self.frontend.reader
 
     def claim_request_id(self, request: ClientRequest) -> None:
-        """Reserve the request id until the response. Raises BadRequestError if the id is in use."""
+        """Reserve the request id until the response. Raise BadRequestError if the id is in use."""
         self.frontend.claim_request_id(request, self.fields[REQUEST_ID_HEADER].lower())
 
     def build_head(self, name: str, key: bytes | None) -> bytes:
@@ -244,13 +244,13 @@
     headers: frozenset[bytes]  # lower-case names of headers that it reads in addition to the protocol's
 
     def handle_request(self, request: ClientRequest, parsed: ParsedRequest) -> None:
-        """Respond to the request or submit it. Raises BadRequestError if it is invalid."""
+        """Respond to the request or submit it. Raise BadRequestError if it is invalid."""
         ...
 
 
 @contextlib.contextmanager
 def _borrow_socket(transport: asyncio.BaseTransport) -> Iterator[socket.socket]:
-    """Yield a transport's socket for calls that transports lack. Raises OSError if the connection has ended."""
+    """Yield a transport's socket for calls that transports lack. Raise OSError if the connection has ended."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM, 0, transport.get_extra_info("socket").fileno())
     try:
         yield sock
@@ -605,7 +605,7 @@
         return self.frontend.arrivals.data_age(self._transport, self._input)
 
     def _dispatch(self, request: ClientRequest) -> None:
-        """Validate the request and pass it to its handler. Raises BadRequestError if it is invalid."""
+        """Validate the request and pass it to its handler. Raise BadRequestError if it is invalid."""
         request.receive_delay = self._receive_delay()
         method = self._parser.get_method()
         if method not in (b"GET", b"POST"):
@@ -1005,7 +1005,7 @@
     async def listen(self, host: str, port: int) -> tuple[str, int]:
         """Accept connections at an address; return the actual host and port.
 
-        Raises OSError if the address is not available.
+        Raise OSError if the address is not available.
         """
         return self._serve(await open_listener(host, port, LISTEN_BACKLOG, self.create_connection, self))
 
@@ -1016,7 +1016,7 @@
 
         Connections in the accept queue are reset when the last descriptor of the listener closes; with a takeover one
         always stays open. The port is shared, because a successor that receives no socket must be able to start beside
-        a process that has stalled. Raises OSError if the address is not available.
+        a process that has stalled. Raise OSError if the address is not available.
         """
         sock = bind(host, port, LISTEN_BACKLOG, share_port=True) if listener is None else listener
         shared_listener = SocketListener(sock, self.create_connection, self)
@@ -1102,7 +1102,7 @@
     def claim_request_id(self, request: ClientRequest, id: bytes) -> None:
         """Reserve a request id, so that responses and outcomes cannot be assigned to the wrong request.
 
-        Raises BadRequestError (409) if an open request has the id.
+        Raise BadRequestError (409) if an open request has the id.
         """
         if id in self.open_ids:
             raise BadRequestError(409, "the request id belongs to an open request")
--- a/cypresspulley/net/http.py
+++ b/cypresspulley/net/http.py
@@ -15,7 +15,7 @@
 
 
 def split_address(text: str) -> tuple[str, int]:
-    """Split ``host:port``; an IPv6 host is in brackets. Raises ValueError if it is not an address."""
+    """Split ``host:port``; an IPv6 host is in brackets. Raise ValueError if it is not an address."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isascii() or not port.isdigit() or int(port) > 65535:
         raise ValueError(f"not an address: {text!r:.60}")
--- a/cypresspulley/net/listener.py
+++ b/cypresspulley/net/listener.py
@@ -118,7 +118,7 @@
         """Accept every queued connection, then close the socket without yielding, so that none is reset in between.
 
         ``deadline``, on the loop's clock, limits only the wait for file descriptors or capacity; a long queue is
-        still accepted completely. Returns once every accepted connection has reached its protocol.
+        still accepted completely. Return once every accepted connection has reached its protocol.
         """
         self.pause()
         while (step := self._accept()) is not AcceptResult.EMPTY:
@@ -200,7 +200,7 @@
 def bind(host: str, port: int, backlog: int, *, share_port: bool = False) -> socket.socket:
     """Return a listening socket; ``share_port`` allows a second process to listen on the same address.
 
-    Raises OSError if the address cannot be bound.
+    Raise OSError if the address cannot be bound.
     """
     family, kind, protocol, _, address = socket.getaddrinfo(
         host, port, type=socket.SOCK_STREAM, flags=socket.AI_PASSIVE
@@ -223,7 +223,7 @@
 ) -> Listener:
     """Return a listener that is accepting connections.
 
-    A loop without file descriptors, such as the virtual-time loop, provides its own listener. Raises OSError if the
+    A loop without file descriptors, such as the virtual-time loop, provides its own listener. Raise OSError if the
     address cannot be bound.
     """
     loop_factory = getattr(asyncio.get_running_loop(), "open_listener", None)
--- a/cypresspulley/net/peers.py
+++ b/cypresspulley/net/peers.py
@@ -35,7 +35,7 @@
         self._broadcast_address = split_address(broadcast_address)
 
     async def listen(self, host: str, port: int) -> None:
-        """Open the socket. Raises OSError if the address is not available."""
+        """Open the socket. Raise OSError if the address is not available."""
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, local_addr=(host, port))
 
--- a/cypresspulley/net/requests.py
+++ b/cypresspulley/net/requests.py
@@ -79,7 +79,7 @@
     def read(self, method: bytes, target: str, fields: dict[bytes, bytes]) -> api.Request:
         """Return the event of a request. ``fields`` maps lower-case header names to values.
 
-        Raises BadRequestError if the request is invalid.
+        Raise BadRequestError if the request is invalid.
         """
         path, _, query = target.partition("?")
         name = path[1:].partition("/")[0]
@@ -111,7 +111,7 @@
     def read_metadata(self, query: str, fields: dict[bytes, bytes]) -> RequestMetadata:
         """Return the account, plan, timeout and quota of a request.
 
-        Raises BadRequestError if one of them is missing or invalid.
+        Raise BadRequestError if one of them is missing or invalid.
         """
         for header in (REQUEST_ID_HEADER, PLAN_HEADER, TIMEOUT_HEADER, QUOTA_HEADER):
             if not fields.get(header):
@@ -138,7 +138,7 @@
         )
 
     def _quota(self, text: bytes) -> tuple[float, int]:
-        """Return the units and spread of an X-Quota header. Raises BadRequestError if it is invalid."""
+        """Return the units and spread of an X-Quota header. Raise BadRequestError if it is invalid."""
         match = QUOTA_PATTERN.fullmatch(text)
         if match is None:
             raise BadRequestError(400, "x-quota is malformed")
--- a/cypresspulley/net/upstream.py
+++ b/cypresspulley/net/upstream.py
@@ -569,7 +569,7 @@
         """Apply what discovery says about a server.
 
         ``dial`` is its address as ``host:port``, or empty if discovery gives none; ``up`` says whether it takes new
-        requests; ``born`` is the Unix time of its last start, or 0 if unknown. Raises ``ValueError`` for a malformed
+        requests; ``born`` is the Unix time of its last start, or 0 if unknown. Raise ``ValueError`` for a malformed
         address.
         """
         address = split_address(dial) if dial else None
--- a/cypresspulley/plans/book.py
+++ b/cypresspulley/plans/book.py
@@ -55,7 +55,7 @@
     cap: int = 0
 
     def problems(self) -> Iterator[str]:
-        """Yields a description of each invalid term: its key and the expected value."""
+        """Yield a description of each invalid term: its key and the expected value."""
         for name in ("rate", "burst"):
             value = getattr(self, name)
             if not (math.isfinite(value) and 0 < value <= MAX_TERM_VALUE):
@@ -136,7 +136,7 @@
 
 
 def as_json(change: Change) -> dict[str, Any]:
-    """Returns the change in the form that is stored and published."""
+    """Return the change in the form that is stored and published."""
     stamp = [change.stamp.epoch, change.stamp.seq]
     common = {"effective": change.effective, "stamp": stamp, "author": change.author, "reason": change.reason}
     if isinstance(change, Withdrawal):
@@ -175,7 +175,7 @@
 
 
 def parse_terms(raw: Any, where: str) -> Terms:
-    """Parses terms from JSON or TOML. Raises ``BookError`` with the key and the expected value."""
+    """Parse terms from JSON or TOML. Raise ``BookError`` with the key and the expected value."""
     if not isinstance(raw, dict):
         raise BookError(f"{where}: expected a table of terms, got {raw!r:.60}")
     if extra := set(raw) - set(Terms.__slots__):
@@ -190,7 +190,7 @@
 
 
 def parse_change(raw: Any, where: str) -> Change:
-    """Parses and validates a change from JSON. Raises ``BookError``."""
+    """Parse and validate a change from JSON. Raise ``BookError``."""
     if not isinstance(raw, dict) or raw.get("kind") not in ("version", "assignment", "withdrawal"):
         raise BookError(f"{where}.kind: expected version, assignment or withdrawal")
     stamp = _parse_stamp(raw.get("stamp"), f"{where}.stamp")
@@ -206,7 +206,7 @@
 
 
 def _entry_at(history: tuple[ChangeT, ...], at: int) -> ChangeT | None:
-    """Returns the last entry that is effective at an instant, or None."""
+    """Return the last entry that is effective at an instant, or None."""
     number = bisect_right(history, at, key=lambda entry: entry.effective)
     return history[number - 1] if number else None
 
@@ -236,9 +236,9 @@
         )
 
     def with_change(self, change: Change) -> Book:
-        """Returns a book that also holds ``change``, or this one where it already does.
+        """Return a book that also holds ``change``, or this one where it already does.
 
-        Raises ``BookError`` where the stamp belongs to a different change.
+        Raise ``BookError`` where the stamp belongs to a different change.
         """
         known = self.changes_by_stamp.get(change.stamp)
         if known == change:
@@ -264,14 +264,14 @@
         return Book(self.installation, plans, accounts, stamps, max(self.last_stamp, change.stamp), withdrawn)
 
     def version_at(self, plan: str, at: int) -> Version | None:
-        """Returns the version of a plan in force at an instant, or None."""
+        """Return the version of a plan in force at an instant, or None."""
         return _entry_at(self.plans.get(plan, ()), at)
 
     def assignment_at(self, account: str, at: int) -> Assignment | None:
         return _entry_at(self.accounts.get(account, ()), at)
 
     def binding_version(self, account: str, at: int, fallback: str = "") -> Version | None:
-        """Returns the version that limits an account at an instant.
+        """Return the version that limits an account at an instant.
 
         An account without an assignment is limited by the plan ``fallback``, the one that its request names.
         """
@@ -279,7 +279,7 @@
         return self.version_at(assigned.plan if assigned else fallback, at)
 
     def change_instants(self, account: str, after: int, until: int) -> list[int]:
-        """Returns, in order, the instants after ``after`` and up to ``until`` at which the terms of an account changed.
+        """Return, in order, the instants after ``after`` and up to ``until`` at which the terms of an account changed.
 
         The list is empty where its plan has not changed.
         """
@@ -294,24 +294,24 @@
         return sorted(reassigned | {at for at in versions if after < at <= until})
 
     def lowest_ceiling(self, at: int) -> tuple[float, float]:
-        """Returns the lowest ceiling rate and burst of the versions in force or still to come; (0, 0) for none."""
+        """Return the lowest ceiling rate and burst of the versions in force or still to come; (0, 0) for none."""
         found = [v.terms for history in self.plans.values() for v in history if v.effective >= at]
         found += [v.terms for plan in self.plans if (v := self.version_at(plan, at)) is not None]
         limits = [(t.ceiling_rate, t.ceiling_burst) for t in found if t.ceiling_rate > 0]
         return (min(r for r, _ in limits), min(b for _, b in limits)) if limits else (0.0, 0.0)
 
     def changes(self) -> list[Change]:
-        """Returns all changes, ordered by stamp."""
+        """Return all changes, ordered by stamp."""
         return [self.changes_by_stamp[stamp] for stamp in sorted(self.changes_by_stamp)]
 
     def digest(self) -> str:
-        """Returns 16 hex digits that are equal for books of one installation with the same changes."""
+        """Return 16 hex digits that are equal for books of one installation with the same changes."""
         parts = (repr((str(change.stamp), as_json(change))) for change in self.changes())
         return blake2b("\n".join((self.installation, *parts)).encode(), digest_size=8).hexdigest()
 
 
 def check_new_change(book: Book, change: Change, now: int) -> None:
-    """Checks at the writer whether a new change may be added. Raises ``BookError`` with the reason."""
+    """Check at the writer whether a new change may be added. Raise ``BookError`` with the reason."""
     if change.effective < now:
         raise BookError(
             f"effective: expected an instant from {now} on, got {change.effective}, which is past"
--- a/cypresspulley/plans/bucket_level.py
+++ b/cypresspulley/plans/bucket_level.py
@@ -23,7 +23,7 @@
     burst: float
 
     def refilled_until(self, instant: float) -> BucketLevel:
-        """Returns the bucket at a later instant. A clock that steps back changes nothing."""
+        """Return the bucket at a later instant. A clock that steps back changes nothing."""
         if instant <= self.at:
             return self
         return BucketLevel(
@@ -34,13 +34,13 @@
         return BucketLevel(self.units - units, self.at, self.rate, self.burst)
 
     def with_limits(self, at: float, rate: float, burst: float) -> BucketLevel:
-        """Returns the bucket after a change at ``at``: refilled by the old rate until then, capped by the new burst."""
+        """Return the bucket after a change at ``at``: refilled by the old rate until then, capped by the new burst."""
         old = self.refilled_until(at)
         return BucketLevel(min(old.units, burst), max(at, self.at), rate, burst)
 
 
 def max_ceiling_overshoot(old: tuple[float, float], new: tuple[float, float], late: float) -> float:
-    """Returns the most units by which a ceiling (rate, burst) may be exceeded after a change from ``old`` to ``new``.
+    """Return the most units by which a ceiling (rate, burst) may be exceeded after a change from ``old`` to ``new``.
 
     The last limiter applies the change ``late`` seconds after it takes effect. Until then its bucket refills at the old
     rate and may hold more than the new burst.
--- a/cypresspulley/plans/channel.py
+++ b/cypresspulley/plans/channel.py
@@ -102,7 +102,7 @@
             writer.transport.abort()
 
     async def _handle_message(self, reader: asyncio.StreamReader) -> tuple[FollowerAction, ...]:
-        """Reads the next message, passes it to the follower and returns the resulting actions."""
+        """Read the next message, pass it to the follower and return the resulting actions."""
         line = await self._read_line(reader)
         kind, epoch = line.get("kind"), line.get("epoch")
         if isinstance(epoch, bool) or not isinstance(epoch, int):
@@ -144,7 +144,7 @@
         return line
 
     def _apply_actions(self, actions: tuple[FollowerAction, ...]) -> None:
-        """Carries out the follower's actions. Raises ``ConnectionEndedError`` where it needs a new connection."""
+        """Carry out the follower's actions. Raise ``ConnectionEndedError`` where it needs a new connection."""
         if FollowerAction.DROP in actions:
             raise ConnectionEndedError(
                 f"a writer of an epoch before {self.follower.epoch}, or of another installation"
--- a/cypresspulley/plans/command.py
+++ b/cypresspulley/plans/command.py
@@ -59,14 +59,14 @@
 
 
 def _open_read_only(folder: Path) -> PlanWriter:
-    """Opens a stored plan book for reading: takes no lock, starts no epoch and writes nothing."""
+    """Open a stored plan book for reading: take no lock, start no epoch and write nothing."""
     if not folder.is_dir() or not check_generations(DiskFolder(str(folder), writable=False)):
         raise ValueError(f"{folder}: holds no plan book; expected the folder of one")
     return PlanWriter(Store(DiskFolder(str(folder), writable=False), read_only=True), new_epoch=False)
 
 
 def serve(folder: Path, installation: str, host: str, port: int) -> int:
-    """Publishes the book until SIGTERM or SIGINT; returns the exit code."""
+    """Publish the book until SIGTERM or SIGINT; return the exit code."""
     token = os.environ.get(TOKEN_VARIABLE, "")
     if not token:
         return fail(
@@ -102,9 +102,9 @@
 def run_operation(
     raw: dict[str, Any], store: Path | None, to: str | None, installation: str, as_json: bool
 ) -> int:
-    """Applies one operation through the serving writer (``to``), or in this process where no writer serves (``store``).
+    """Apply one operation through the serving writer (``to``), or in this process where no writer serves (``store``).
 
-    Returns the exit code.
+    Return the exit code.
     """
     try:
         if to is not None:
@@ -153,7 +153,7 @@
 
 
 def show_in_force(store: Path, at: int | None, as_json: bool) -> int:
-    """Prints the plans, assignments and reservations in force at an instant (Unix milliseconds; None: now)."""
+    """Print the plans, assignments and reservations in force at an instant (Unix milliseconds; None: now)."""
     try:
         plan_writer = _open_read_only(store)
     except (OSError, ValueError) as error:
@@ -182,7 +182,7 @@
 
 
 def show_history(store: Path, name: str, as_json: bool) -> int:
-    """Prints all changes of one account or plan."""
+    """Print all changes of one account or plan."""
     try:
         found = find_history(_open_read_only(store).book, name)
     except (OSError, ValueError) as error:
@@ -192,7 +192,7 @@
 
 
 def show_difference(first: Path, second: Path, as_json: bool) -> int:
-    """Prints the changes that only one of two books has. Returns 1 where they differ."""
+    """Print the changes that only one of two books has. Return 1 where they differ."""
     try:
         old, new = _open_read_only(first).book, _open_read_only(second).book
     except (OSError, ValueError) as error:
@@ -211,7 +211,7 @@
 
 
 def check_store(store: Path, as_json: bool) -> int:
-    """Prints the damage found in a store and what can be recovered. Returns 1 unless the newest generation is good."""
+    """Print the damage found in a store and what can be recovered. Return 1 unless the newest generation is good."""
     try:
         found = check_generations(DiskFolder(str(store), writable=False))
     except OSError as error:
--- a/cypresspulley/plans/export.py
+++ b/cypresspulley/plans/export.py
@@ -49,9 +49,9 @@
                 self.last_error = str(error)
 
     async def flush(self) -> None:
-        """Sends all unacknowledged records.
+        """Send all unacknowledged records.
 
-        Raises ``OSError``, ``EOFError``, ``ConnectionEndedError`` or ``ValueError`` where the writer does not accept
+        Raise ``OSError``, ``EOFError``, ``ConnectionEndedError`` or ``ValueError`` where the writer does not accept
         one.
         """
         for record in sorted(
--- a/cypresspulley/plans/files.py
+++ b/cypresspulley/plans/files.py
@@ -11,13 +11,13 @@
     """A file opened for appending."""
 
     def write(self, data: bytes) -> None:
-        """Appends all of the data. Raises ``OSError`` where it cannot; some of it may have been written then."""
+        """Append all of the data. Raise ``OSError`` where it cannot; some of it may have been written then."""
 
     def sync(self) -> None:
-        """Returns when all written data is on the disk."""
+        """Return when all written data is on the disk."""
 
     def truncate(self, size: int) -> None:
-        """Shortens the file to ``size`` bytes."""
+        """Shorten the file to ``size`` bytes."""
 
     def close(self) -> None: ...
 
@@ -30,14 +30,14 @@
     def read(self, name: str) -> bytes: ...
 
     def append(self, name: str) -> File:
-        """Opens a file for appending, creating it where it does not exist."""
+        """Open a file for appending, creating it where it does not exist."""
 
     def rename(self, old: str, new: str) -> None: ...
 
     def remove(self, name: str) -> None: ...
 
     def sync(self) -> None:
-        """Returns when created, renamed and removed names are on the disk."""
+        """Return when created, renamed and removed names are on the disk."""
 
 
 class MemoryFolder:
@@ -139,7 +139,7 @@
             os.close(descriptor)
 
     def close(self) -> None:
-        """Releases the lock, so that another writer can open the folder."""
+        """Release the lock, so that another writer can open the folder."""
         if self._lock_descriptor is not None:
             os.close(self._lock_descriptor)
             self._lock_descriptor = None
--- a/cypresspulley/plans/follow.py
+++ b/cypresspulley/plans/follow.py
@@ -118,7 +118,7 @@
         return FollowerEvent.STALE if epoch < self.epoch else FollowerEvent.ANOTHER
 
     def receive_book(self, epoch: int, book: Book, sent: int, lease: int) -> tuple[FollowerAction, ...]:
-        """Handles a whole book. A book of another installation is dropped, whatever its epoch."""
+        """Handle a whole book. A book of another installation is dropped, whatever its epoch."""
         if epoch < self.epoch or book.installation != self.book.installation:
             return self._transition(FollowerEvent.STALE)
         if epoch == self.epoch and book.last_stamp < self.book.last_stamp:
@@ -129,7 +129,7 @@
         return actions
 
     def receive_change(self, epoch: int, change: Change) -> tuple[FollowerAction, ...]:
-        """Handles a change. Changes that are missing before it are requested first."""
+        """Handle a change. Changes that are missing before it are requested first."""
         if (epoch_event := self._compare_epoch(epoch)) is not None:
             return self._transition(epoch_event)
         last = self.book.last_stamp.seq
@@ -143,7 +143,7 @@
         return actions
 
     def receive_heartbeat(self, epoch: int, last: Stamp, sent: int, lease: int) -> tuple[FollowerAction, ...]:
-        """Handles a heartbeat: the writer is alive and its newest change is ``last``."""
+        """Handle a heartbeat: the writer is alive and its newest change is ``last``."""
         if (epoch_event := self._compare_epoch(epoch)) is not None:
             return self._transition(epoch_event)
         actions = self._transition(
@@ -157,17 +157,17 @@
         self.lease_until = max(self.lease_until, sent + lease - MAX_CLOCK_SKEW_MS)
 
     def check_lease(self, now: int) -> tuple[FollowerAction, ...]:
-        """Checks at ``now`` (Unix milliseconds) whether the lease has expired."""
+        """Check at ``now`` (Unix milliseconds) whether the lease has expired."""
         expired = self.state in (FollowerState.CURRENT, FollowerState.BEHIND) and now >= self.lease_until
         return self._transition(FollowerEvent.OVER) if expired else ()
 
     def binding_version(self, account: str, now: int, fallback: str = "") -> Version | None:
-        """Returns the version that limits an account now; after the lease expired, with the fallback ceiling."""
+        """Return the version that limits an account now; after the lease expired, with the fallback ceiling."""
         found = self.book.binding_version(account, now, fallback)
         return None if found is None else self.with_fallback_ceiling(found, now)
 
     def with_fallback_ceiling(self, version: Version, now: int) -> Version:
-        """Returns the version as this limiter applies it: with the lower ceiling once the lease has expired."""
+        """Return the version as this limiter applies it: with the lower ceiling once the lease has expired."""
         if self.state is not FollowerState.LAPSED:
             return version
         return replace(version, terms=self._lower_terms(version.terms, now))
--- a/cypresspulley/plans/limiter.py
+++ b/cypresspulley/plans/limiter.py
@@ -36,7 +36,7 @@
 
 
 def plan_from_version(version: Version, base: api.Plan | None) -> api.Plan:
-    """Returns the plan that a version describes; what the book does not define comes from the settings' plan."""
+    """Return the plan that a version describes; what the book does not define comes from the settings' plan."""
     terms = version.terms
     over_cost, over_worth = (
         (base.over_cost, base.over_worth) if base is not None else (DEFAULT_OVER_COST, 0.0)
@@ -49,12 +49,12 @@
 
 
 def _limits_per_share(rate: float, burst: float, shares: int) -> tuple[float, float]:
-    """Returns rate and burst of an even share of a limit; both are infinite where there is no limit."""
+    """Return rate and burst of an even share of a limit; both are infinite where there is no limit."""
     return (rate / max(1, shares), burst / max(1, shares)) if burst > 0 else (math.inf, math.inf)
 
 
 def _ceiling_share(account: Account) -> BucketLevel:
-    """Returns an account's even share of its ceiling, as if the whole ceiling were divided into shares."""
+    """Return an account's even share of its ceiling, as if the whole ceiling were divided into shares."""
     limits = _limits_per_share(account.plan.ceiling_rate, account.plan.ceiling_burst, account.gateways)
     units = (
         account.ceiling_level / account.local_ceiling_part
@@ -118,7 +118,7 @@
         return actions + decided
 
     def _pending_instants(self, now: int) -> list[int]:
-        """Returns, in order, the instants since the last call at which terms may have changed.
+        """Return, in order, the instants since the last call at which terms may have changed.
 
         ``now`` is the last of them; the list is empty where nothing can have changed.
         """
@@ -137,7 +137,7 @@
         return (version for history in self.follower.book.plans.values() for version in history)
 
     def _refresh_terms(self, at: int) -> bool:
-        """Computes the terms in force at an instant; returns whether they differ from the previous ones."""
+        """Compute the terms in force at an instant; return whether they differ from the previous ones."""
         before, book = self._in_force, self.follower.book
         found = (
             self.follower.with_fallback_ceiling(v, at)
@@ -155,7 +155,7 @@
         return replace(self._base_settings, plans=tuple({**base, **from_book}.values()))
 
     def _bind_request(self, now: float, ev: api.Request) -> api.Request:
-        """Returns the request with its account's current plan, and carries the account's levels over to that plan."""
+        """Return the request with its account's current plan, and carry the account's levels over to that plan."""
         assigned = self.follower.book.assignment_at(ev.account, int(now * 1000))
         plan = ev.plan if assigned is None or assigned.plan not in self._in_force else assigned.plan
         version = self._in_force.get(plan)
@@ -169,7 +169,7 @@
         return bound
 
     def _carry_level(self, now: float, ev: api.Request) -> None:
-        """Carries an account's levels through each plan that it was on since its last request.
+        """Carry an account's levels through each plan that it was on since its last request.
 
         An account that is new to this limiter starts full at most, limited by each change that there was.
         """
@@ -205,19 +205,19 @@
             )
 
     def _account_keys(self, ev: api.Request) -> Iterator[tuple[str, str]]:
-        """Yields the keys under which the account may be stored: its current plan first, then every known plan."""
+        """Yield the keys under which the account may be stored: its current plan first, then every known plan."""
         yield ev.plan, ev.account
         for name in {**self._in_force, **{plan.name: None for plan in self._base_settings.plans}}:
             yield name, ev.account
 
     def _end_request(self, id: int) -> None:
-        """Handles a request that ends without a server's answer: counts it where an attempt in flight may have run."""
+        """Handle a request that ends without a server's answer: count it where an attempt in flight may have run."""
         usage, open_attempts = self._uncounted.pop(id, None), self._open_attempts.pop(id, 0)
         if usage is not None and open_attempts > 0:
             self.usage_recorder.add_usage(*usage)
 
     def _count_outcome(self, ev: api.Outcome) -> None:
-        """Counts a request's units once, for the first attempt that may have run; actual units replace the estimate."""
+        """Count a request's units once, for the first attempt that may have run; actual units replace the estimate."""
         if (usage := self._uncounted.get(ev.id)) is None:
             return
         if ev.status in NEVER_RAN:
@@ -262,7 +262,7 @@
         self._usage_exporter.start()
 
     async def close(self) -> None:
-        """Closes the connections and exports the remaining usage, so that a planned stop loses none if possible."""
+        """Close the connections and export the remaining usage, so that a planned stop loses none if possible."""
         self._writer_channel.close()
         self._usage_exporter.close()
         self.usage_recorder.cut_record()
--- a/cypresspulley/plans/operations.py
+++ b/cypresspulley/plans/operations.py
@@ -46,7 +46,7 @@
         return value
 
     def instant(self, name: str, now: int, default: int | None = None) -> int:
-        """Returns an instant in Unix milliseconds; the text ``+SECONDS`` is relative to ``now``."""
+        """Return an instant in Unix milliseconds; the text ``+SECONDS`` is relative to ``now``."""
         value = self.values.get(name, default)
         if isinstance(value, str) and value.startswith("+"):
             try:
@@ -72,9 +72,9 @@
 
 
 def apply_operation(plan_writer: PlanWriter, raw: Any, now: int) -> dict[str, Any]:
-    """Applies an operation and returns its result.
+    """Apply an operation and return its result.
 
-    Raises ``BookError``, ``ReservationError``, ``UsageError`` or ``OperationError`` with the reason where it is
+    Raise ``BookError``, ``ReservationError``, ``UsageError`` or ``OperationError`` with the reason where it is
     refused; nothing has changed then.
     """
     if not isinstance(raw, dict) or raw.get("wish") not in OPERATION_KEYS:
@@ -128,7 +128,7 @@
 
 
 def reservation_as_json(reservation: Reservation) -> dict[str, Any]:
-    """Returns a reservation for people and programs, with amounts in units instead of micro-units."""
+    """Return a reservation for people and programs, with amounts in units instead of micro-units."""
     request = reservation.request
     return {
         "key": request.key, "account": request.account, "start": request.start, "end": request.end,
@@ -139,12 +139,12 @@
 
 
 def find_added_changes(old: Book, new: Book) -> list[Change]:
-    """Returns the changes that only the second book has, by stamp."""
+    """Return the changes that only the second book has, by stamp."""
     return [change for change in new.changes() if change.stamp not in old.changes_by_stamp]
 
 
 def _subject_of(book: Book, change: Change) -> str:
-    """Returns the name of the account or plan that a change concerns."""
+    """Return the name of the account or plan that a change concerns."""
     if isinstance(change, Withdrawal):
         target = book.changes_by_stamp.get(change.target)
         return "" if target is None else _subject_of(book, target)
@@ -152,7 +152,7 @@
 
 
 def find_history(book: Book, name: str) -> list[Change]:
-    """Returns all changes of an account or a plan, by effective instant. Raises ``BookError`` for an unknown name."""
+    """Return all changes of an account or a plan, by effective instant. Raise ``BookError`` for an unknown name."""
     found = [change for change in book.changes() if _subject_of(book, change) == name]
     if not found:
         raise BookError(f"{name!r}: neither an account nor a plan of {book.installation}")
--- a/cypresspulley/plans/plan_writer.py
+++ b/cypresspulley/plans/plan_writer.py
@@ -111,7 +111,7 @@
         self.reservations.by_key[request.key] = reservation
 
     def _records(self) -> Iterator[Record]:
-        """Yields the whole state as records, for a new generation of the store."""
+        """Yield the whole state as records, for a new generation of the store."""
         yield {"kind": "epoch", "epoch": self.epoch, "installation": self.book.installation}
         yield from map(books.as_json, self.changes)
         yield from map(_reservation_record, self.reservations.by_key.values())
@@ -136,13 +136,13 @@
     def set_terms(
         self, plan: str, terms: Terms, effective: int, now: int, author: str, reason: str = "", dry: bool = False
     ) -> Version:  # fmt: skip
-        """Sets the terms of a plan from the instant ``effective`` on. A dry run only checks the change."""
+        """Set the terms of a plan from the instant ``effective`` on. A dry run only checks the change."""
         return self._write(Version(plan, effective, self._next_stamp, terms, author, reason), now, dry)
 
     def assign_plan(
         self, account: str, plan: str, effective: int, now: int, author: str, reason: str = "", dry: bool = False
     ) -> Assignment:  # fmt: skip
-        """Assigns an account to a plan from the instant ``effective`` on. A dry run only checks the change."""
+        """Assign an account to a plan from the instant ``effective`` on. A dry run only checks the change."""
         return self._write(Assignment(account, effective, self._next_stamp, plan, author, reason), now, dry)
 
     def _write(self, change: ChangeT, now: int, dry: bool) -> ChangeT:
@@ -169,13 +169,13 @@
         return self.book.with_change(change)
 
     def write_change(self, change: Change, now: int) -> None:
-        """Checks a new change, stores it and adds it to the book. Raises ``BookError`` or ``OSError``."""
+        """Check a new change, store it and add it to the book. Raise ``BookError`` or ``OSError``."""
         book = self._check_change(change, now)
         self._commit(books.as_json(change))
         self._apply_change(book, change)
 
     def find_ceiling_overshoots(self, change: Change, now: int) -> dict[str, float]:
-        """Returns the accounts whose ceiling a change lowers, with the units by which it may be exceeded.
+        """Return the accounts whose ceiling a change lowers, with the units by which it may be exceeded.
 
         These are the units that the last limiter to receive the change may still admit. The result is empty where the
         change is announced at least a lease ahead.
@@ -207,7 +207,7 @@
     # Usage.
 
     def accept_usage(self, record: UsageRecord) -> bool:
-        """Stores a limiter's usage record; returns whether it may be acknowledged, because it is stored now or was."""
+        """Store a limiter's usage record; return whether it may be acknowledged, because it is stored now or was."""
         if self.usage_ledger.contains(record):
             return self.usage_ledger.accept(record)
         self._commit(record.as_json())
@@ -217,9 +217,9 @@
     # Reservations.
 
     def capacity_for(self, account: str, at: int, fleet_rate: float) -> Capacity:
-        """Returns the capacity that reservations of an account may use.
+        """Return the capacity that reservations of an account may use.
 
-        ``fleet_rate`` is what the fleet may set aside, in units per second. Raises ``BookError`` for an account without
+        ``fleet_rate`` is what the fleet may set aside, in units per second. Raise ``BookError`` for an account without
         a plan.
         """
         found = self.book.binding_version(account, at)
@@ -235,9 +235,9 @@
     def reserve(
         self, request: ReservationRequest, now: int, fleet_rate: float, dry: bool = False
     ) -> Reservation:
-        """Admits or refuses a reservation, and stores it with the plan that limiters apply during its window.
+        """Admit or refuse a reservation, and store it with the plan that limiters apply during its window.
 
-        Raises ``BookError``, ``ReservationError`` or ``OSError``; no new reservation is kept then.
+        Raise ``BookError``, ``ReservationError`` or ``OSError``; no new reservation is kept then.
         """
         if request.end <= now:
             raise BookError(f"end: expected an instant after {now}, got {request.end}, which is past")
@@ -260,7 +260,7 @@
         return reservation
 
     def _changes_for_reservation(self, reservation: Reservation, now: int) -> list[Change]:
-        """Returns the reservation's plan, the assignment to it at the window's start and the one back at its end."""
+        """Return the reservation's plan, the assignment to it at the window's start and the one back at its end."""
         request = reservation.request
         start = max(request.start, now)
         base = self.book.binding_version(request.account, start)
@@ -300,20 +300,20 @@
 
     @staticmethod
     def _overlaps(request: ReservationRequest, other: Reservation) -> bool:
-        """Returns whether both are of one account and their windows overlap."""
+        """Return whether both are of one account and their windows overlap."""
         booked = other.request
         overlapping = booked.start < request.end and request.start < booked.end
         return other.state not in TERMINAL_STATES and booked.account == request.account and overlapping
 
     def _next_free_instant(self, account: str, instant: int) -> int:
-        """Returns the first instant from ``instant`` on at which no assignment of the account takes effect."""
+        """Return the first instant from ``instant`` on at which no assignment of the account takes effect."""
         used_instants = {assignment.effective for assignment in self.book.accounts.get(account, ())}
         while instant in used_instants:
             instant += 1
         return instant
 
     def _store_reservation(self, reservation: Reservation, changes: list[Change], dry: bool = False) -> None:
-        """Stores the reservation and its changes in one commit, then adds the changes to the book."""
+        """Store the reservation and its changes in one commit, then add the changes to the book."""
         book = self.book
         for change in changes:
             books.parse_change(books.as_json(change), "change")
@@ -325,7 +325,7 @@
             self._apply_change(self.book.with_change(change), change)
 
     def release(self, key: str, now: int) -> Reservation:
-        """Ends a reservation: it takes no new draws, and the undrawn rest is given back once all usage is reported."""
+        """End a reservation: it takes no new draws, and the undrawn rest is given back once all usage is reported."""
         known = self.reservations.by_key.get(key)
         before = replace(known, in_flight=dict(known.in_flight)) if known is not None else None
         if known is not None and known.state in (ReservationState.HELD, ReservationState.ACTIVE):
@@ -340,7 +340,7 @@
         return reservation
 
     def _changes_for_release(self, reservation: Reservation, now: int) -> list[Change]:
-        """Returns the changes that move the account back to its own plan at once and withdraw its later assignments."""
+        """Return the changes that move the account back to its own plan at once and withdraw its later assignments."""
         plan, _, _ = reservation.plan.rpartition(NAME_SEPARATOR)
         if not plan:
             return []
@@ -364,9 +364,9 @@
         return changes
 
     def tick(self, now: int) -> list[Reservation]:
-        """Starts and ends the windows of reservations, and settles draining ones after ``SETTLE_DELAY_MS``.
+        """Start and end the windows of reservations, and settle draining ones after ``SETTLE_DELAY_MS``.
 
-        Returns the reservations that changed.
+        Return the reservations that changed.
         """
         changed = self.reservations.tick(now)
         for reservation in self.reservations.by_key.values():
@@ -386,11 +386,11 @@
         return list(changed_by_id.values())
 
     def _reported_usage(self, reservation: Reservation) -> int:
-        """Returns the micro-units that limiters reported under the reservation's plan."""
+        """Return the micro-units that limiters reported under the reservation's plan."""
         return sum(units for key, units in self.usage_ledger.totals.items() if key.plan == reservation.plan)
 
     def _record_corrections(self, record: UsageRecord) -> None:
-        """Records usage that arrives after its reservation has settled as a correction; nothing more is given back."""
+        """Record usage that arrives after its reservation has settled as a correction; nothing more is given back."""
         settled_by_plan = {
             reservation.plan: reservation
             for reservation in self.reservations.by_key.values()
--- a/cypresspulley/plans/reservation_plans.py
+++ b/cypresspulley/plans/reservation_plans.py
@@ -22,7 +22,7 @@
 
 
 def reservation_plan_terms(base: Terms, request: ReservationRequest) -> Terms:
-    """Returns the account's terms plus the reservation. Raises ``BookError`` where they would exceed the ceiling."""
+    """Return the account's terms plus the reservation. Raise ``BookError`` where they would exceed the ceiling."""
     units, seconds = request.units / MICRO_PER_UNIT, (request.end - request.start) / 1000
     terms = replace(
         base, rate=base.rate + (1 - BURST_SHARE) * units / seconds, burst=base.burst + BURST_SHARE * units
@@ -33,5 +33,5 @@
 
 
 def drawn_units(request: ReservationRequest, used: int) -> int:
-    """Returns the micro-units of a reservation drawn by ``used`` micro-units of usage under its plan."""
+    """Return the micro-units of a reservation drawn by ``used`` micro-units of usage under its plan."""
     return max(0, min(request.units, used))
--- a/cypresspulley/plans/reservations.py
+++ b/cypresspulley/plans/reservations.py
@@ -105,7 +105,7 @@
         return max(0, self.request.units - self.drawn - sum(self.in_flight.values()))
 
     def handle_event(self, event: ReservationEvent) -> bool:
-        """Applies an event; returns whether it changed the state."""
+        """Apply an event; return whether it changed the state."""
         new_state = TRANSITIONS.get((self.state, event))
         if new_state is None:
             return False
@@ -117,7 +117,7 @@
         return True
 
     def finish_if_drained(self) -> None:
-        """Ends a draining reservation when its last draw has ended."""
+        """End a draining reservation when its last draw has ended."""
         if not self.in_flight:
             self.handle_event(ReservationEvent.SPENT if self.window_ended else ReservationEvent.EMPTY)
 
@@ -136,7 +136,7 @@
 
 
 def peak_rate(requests: Iterable[ReservationRequest]) -> float:
-    """Returns the highest total rate of the requests in micro-units per second, each spread evenly over its window."""
+    """Return the highest total rate of the requests in micro-units per second, each spread evenly over its window."""
     edges = list[tuple[int, int, float]]()
     for request in requests:
         rate = request.units * 1000 / (request.end - request.start)
@@ -156,9 +156,9 @@
         self.by_key = dict[str, Reservation]()
 
     def reserve(self, request: ReservationRequest, capacity: Capacity) -> Reservation:
-        """Admits or refuses a reservation; repeating the same request changes nothing.
+        """Admit or refuse a reservation; repeating the same request changes nothing.
 
-        Raises ``ReservationError`` for invalid input.
+        Raise ``ReservationError`` for invalid input.
         """
         request.check()
         if (known := self.by_key.get(request.key)) is not None:
@@ -195,7 +195,7 @@
         )
 
     def tick(self, now: int) -> list[Reservation]:
-        """Starts and ends the windows that are due; returns the reservations that changed."""
+        """Start and end the windows that are due; return the reservations that changed."""
         changed = []
         for reservation in self.by_key.values():
             begun = reservation.request.start <= now and reservation.handle_event(ReservationEvent.BEGUN)
@@ -205,14 +205,14 @@
         return changed
 
     def release(self, key: str) -> Reservation:
-        """Releases the undrawn rest; repeating it changes nothing. Raises ``ReservationError`` for an unknown key."""
+        """Release the undrawn rest; repeating it changes nothing. Raise ``ReservationError`` for an unknown key."""
         if (reservation := self.by_key.get(key)) is None:
             raise ReservationError(f"key: no reservation is named {key!r}")
         reservation.handle_event(ReservationEvent.RELEASE)
         return reservation
 
     def draw(self, key: str, request: str, units: int) -> bool:
-        """Returns whether a request may draw its estimated units; the same request draws only once."""
+        """Return whether a request may draw its estimated units; the same request draws only once."""
         reservation = self.by_key.get(key)
         if reservation is None or units < 0:
             return False
@@ -228,9 +228,9 @@
         return True
 
     def settle(self, key: str, request: str, actual: int) -> int:
-        """Settles a draw with the actual micro-units of its request (0: it never ran).
+        """Settle a draw with the actual micro-units of its request (0: it never ran).
 
-        Returns the actual units less the estimate; 0 where the request has no draw in flight.
+        Return the actual units less the estimate; 0 where the request has no draw in flight.
         """
         reservation = self.by_key.get(key)
         if reservation is None or actual < 0 or request not in reservation.in_flight:
@@ -241,6 +241,6 @@
         return actual - estimate
 
     def correct(self, key: str, difference: int) -> None:
-        """Records a difference to the settled units that became known late. It never changes what was given back."""
+        """Record a difference to the settled units that became known late. It never changes what was given back."""
         if (reservation := self.by_key.get(key)) is not None:
             reservation.corrections += difference
--- a/cypresspulley/plans/serve.py
+++ b/cypresspulley/plans/serve.py
@@ -67,7 +67,7 @@
 
 
 def parse_request_head(head: bytes, token: str) -> Call:
-    """Parses the head of a request. Raises ``RejectedCallError`` for anything but the two defined calls."""
+    """Parse the head of a request. Raise ``RejectedCallError`` for anything but the two defined calls."""
     try:
         lines = head.decode("ascii").split("\r\n")
         method, target, version = lines[0].split(" ")
@@ -133,7 +133,7 @@
         return len(self._follower_streams)
 
     async def listen(self, host: str, port: int) -> tuple[str, int]:
-        """Starts to listen; returns the address, with the port that the system chose for port 0."""
+        """Start to listen; return the address, with the port that the system chose for port 0."""
         self._server = await asyncio.start_server(
             self._serve, host, port, limit=MAX_HEAD_BYTES, backlog=ACCEPT_BACKLOG
         )
@@ -141,7 +141,7 @@
         return str(name[0]), int(name[1])
 
     def notify_followers(self) -> None:
-        """Sends the changes since the last call to all followers."""
+        """Send the changes since the last call to all followers."""
         change_event, self._change_event = self._change_event, asyncio.Event()
         change_event.set()
 
--- a/cypresspulley/plans/store.py
+++ b/cypresspulley/plans/store.py
@@ -45,7 +45,7 @@
 
 
 def _decode_frame(data: bytes, offset: int) -> tuple[list[Record], int] | None:
-    """Returns the records of the frame that begins at ``offset`` and the offset of its end; None for no good frame."""
+    """Return the records of the frame that begins at ``offset`` and the offset of its end; None for no good frame."""
     if offset + FRAME_HEADER.size > len(data):
         return None
     length, checksum = FRAME_HEADER.unpack_from(data, offset)
@@ -84,7 +84,7 @@
 
 
 def read_log(data: bytes) -> LogContents:
-    """Reads all good frames from the start; after a bad one, searches for the next good one."""
+    """Read all good frames from the start; after a bad one, search for the next good one."""
     records, offset = list[Record](), len(FILE_HEADER)
     if not data.startswith(FILE_HEADER):
         return LogContents((), 0, len(data))
@@ -103,7 +103,7 @@
 
 
 def _generations(folder: Folder) -> list[tuple[int, str]]:
-    """Returns the numbers and names of all generations, newest first."""
+    """Return the numbers and names of all generations, newest first."""
     names = [n for n in folder.names() if n.startswith("log.") and n[4:].isdigit()]
     return sorted(((int(name[4:]), name) for name in names), reverse=True)
 
@@ -137,7 +137,7 @@
 
 
 def check_generations(folder: Folder) -> list[GenerationCheck]:
-    """Examines each generation, the newest first; changes nothing."""
+    """Examine each generation, the newest first; change nothing."""
     found = []
     for _, name in _generations(folder):
         contents = read_log(folder.read(name))
@@ -197,13 +197,13 @@
         self.compact(())
 
     def add(self, record: Record) -> None:
-        """Adds a record to the next commit."""
+        """Add a record to the next commit."""
         self._uncommitted.append(record)
 
     def commit(self) -> None:
-        """Writes and syncs all added records as one frame.
+        """Write and sync all added records as one frame.
 
-        Raises ``OSError`` where that fails. None of the records is acknowledged then, and the store accepts no more
+        Raise ``OSError`` where that fails. None of the records is acknowledged then, and the store accepts no more
         commits until it is opened again.
         """
         if self.failure:
@@ -222,7 +222,7 @@
         self._end += len(data)
 
     def _discard_partial_write(self, error: OSError) -> None:
-        """Cuts off a partial write. After a failed sync, only opening the store again shows what the disk holds."""
+        """Cut off a partial write. After a failed sync, only opening the store again shows what the disk holds."""
         self.failure = str(error) or repr(error)
         try:
             assert self._file is not None
@@ -235,7 +235,7 @@
         return self._end - self._snapshot_end > COMPACTION_THRESHOLD_BYTES
 
     def compact(self, state: Iterable[Record]) -> None:
-        """Writes a new generation that begins with ``state``; removes the old ones once the new one is on the disk."""
+        """Write a new generation that begins with ``state``; remove the old ones once the new one is on the disk."""
         if self._uncommitted:
             raise StoreError("expected a commit before the store is compacted")
         records = list(state)
--- a/cypresspulley/plans/usage.py
+++ b/cypresspulley/plans/usage.py
@@ -66,7 +66,7 @@
 
 
 def parse_usage_record(raw: Any, where: str = "record") -> UsageRecord:
-    """Parses and validates a record from JSON. Raises ``UsageError``."""
+    """Parse and validate a record from JSON. Raise ``UsageError``."""
     if not isinstance(raw, dict) or raw.get("kind") != "use":
         raise UsageError(f"{where}.kind: expected use")
     if raw.get("format") != RECORD_FORMAT:
@@ -125,7 +125,7 @@
         )
 
     def add_usage(self, key: UsageKey, units: int) -> None:
-        """Adds micro-units (negative for a correction); beyond ``MAX_ROWS`` keys they count as ``dropped_units``."""
+        """Add micro-units (negative for a correction); beyond ``MAX_ROWS`` keys they count as ``dropped_units``."""
         if key not in self._rows and len(self._rows) >= MAX_ROWS:
             self.dropped_units += units
         else:
@@ -137,9 +137,9 @@
         return sum(self._rows.values())
 
     def cut_record(self) -> UsageRecord | None:
-        """Moves the pending usage into a record, to be stored before it is sent.
+        """Move the pending usage into a record, to be stored before it is sent.
 
-        Returns None where there is none, or too many records are unacknowledged.
+        Return None where there is none, or too many records are unacknowledged.
         """
         rows = tuple(sorted((k, u) for k, u in self._rows.items() if u))
         if not rows or len(self.unacknowledged) >= MAX_UNACKNOWLEDGED_RECORDS:
@@ -152,7 +152,7 @@
         return record
 
     def restore_record(self, record: UsageRecord) -> None:
-        """Adds an unacknowledged record of an earlier epoch. Raises ``UsageError`` for any other one."""
+        """Add an unacknowledged record of an earlier epoch. Raise ``UsageError`` for any other one."""
         if record.writer != self.writer or record.epoch >= self.epoch:
             raise UsageError(
                 f"{record.idempotency_key}: expected {self.writer}, an epoch before {self.epoch}"
@@ -160,7 +160,7 @@
         self.unacknowledged[record.epoch, record.seq] = record
 
     def acknowledge(self, epoch: int, seq: int) -> bool:
-        """Removes an acknowledged record; returns whether it was unacknowledged."""
+        """Remove an acknowledged record; return whether it was unacknowledged."""
         return self.unacknowledged.pop((epoch, seq), None) is not None
 
 
@@ -173,9 +173,9 @@
         self.quarantined = list[UsageRecord]()  # records with the number of an accepted one and other content
 
     def accept(self, record: UsageRecord) -> bool:
-        """Counts a record unless it was counted before; returns whether it may be acknowledged.
+        """Count a record unless it was counted before; return whether it may be acknowledged.
 
-        Returns False for a record that conflicts with an accepted one. Raises ``UsageError`` for too many records.
+        Return False for a record that conflicts with an accepted one. Raise ``UsageError`` for too many records.
         """
         seen = self._seen.setdefault((record.writer, record.epoch), {})
         known = seen.get(record.seq)
@@ -193,11 +193,11 @@
         return True
 
     def contains(self, record: UsageRecord) -> bool:
-        """Returns whether a record with the same number was accepted."""
+        """Return whether a record with the same number was accepted."""
         return record.seq in self._seen.get((record.writer, record.epoch), {})
 
     def snapshot(self) -> Iterator[dict[str, Any]]:
-        """Yields the whole state in parts, for a store."""
+        """Yield the whole state in parts, for a store."""
         for (writer, epoch), seen in self._seen.items():
             for part in _split_parts(sorted(seen.items())):
                 yield {"kind": "taken", "writer": writer, "epoch": epoch, "seen": [list(one) for one in part]}
@@ -205,7 +205,7 @@
             yield {"kind": "totals", "rows": [_row_as_json(*row) for row in rows]}
 
     def restore(self, part: dict[str, Any]) -> None:
-        """Adds one part of a stored snapshot."""
+        """Add one part of a stored snapshot."""
         if part["kind"] == "taken":
             seen = self._seen.setdefault((part["writer"], part["epoch"]), {})
             seen.update((number, digest) for number, digest in part["seen"])
@@ -215,6 +215,6 @@
             self.totals[key] = self.totals.get(key, 0) + units
 
     def missing_numbers(self, writer: str, epoch: int) -> list[int]:
-        """Returns the record numbers below the highest that have not been received."""
+        """Return the record numbers below the highest that have not been received."""
         seen = self._seen.get((writer, epoch), {})
         return [n for n in range(1, max(seen, default=0)) if n not in seen]
--- a/cypresspulley/policy/incarnation.py
+++ b/cypresspulley/policy/incarnation.py
@@ -98,7 +98,7 @@
         return api.Count(mark.counter_name, MAX_LIFETIME_SECONDS, amount)
 
     def on_answer(self, now: float, event: api.Counted) -> bool:
-        """Apply the counter's answer. Returns whether it shows that this incarnation is the first one."""
+        """Apply the counter's answer. Return whether it shows that this incarnation is the first one."""
         if self._pending_call is None:
             return False
         (mark, amount), self._pending_call = self._pending_call, None
--- a/cypresspulley/policy/quota.py
+++ b/cypresspulley/policy/quota.py
@@ -229,7 +229,7 @@
     def check_quota(self, now: float, request: Request) -> Verdict | None:
         """Check a request against its quota by the best source of information at hand.
 
-        Returns None where the counter is called first; its answer launches the request.
+        Return None where the counter is called first; its answer launches the request.
         """
         account, plan = request.account, request.account.plan
         self._unverified_allowance = min(
@@ -282,7 +282,7 @@
 
     def _check_by_window(self, now: float, request: Request) -> Verdict | None:
         """Check a request whose ceiling is kept by a window, or whose account has too little traffic here for its
-        even share to mean much. Returns None where the counter is called first."""
+        even share to mean much. Return None where the counter is called first."""
         window, verdict = request.account.window, self._check_by_level(now, request)
         if window is None or self.ceiling_share_holds(request):
             return verdict
--- a/cypresspulley/policy/windows.py
+++ b/cypresspulley/policy/windows.py
@@ -81,7 +81,7 @@
     def apply_answer(self, asked: float, now: float, total: float, units: float, draw: float) -> int | None:
         """Apply the counter's answer to a call for ``units``, made at ``asked``; ``draw`` is random, from 0 to 1.
 
-        Returns the generation of the count that grants the units, or None where they are not granted.
+        Return the generation of the count that grants the units, or None where they are not granted.
         """
         has_dropped = total < self._last_total + units - EPSILON
         if has_dropped and now < self._earliest_end:
@@ -134,7 +134,7 @@
         return now < self._earliest_end and units <= self._credit + EPSILON
 
     def use_credit(self, now: float, units: float) -> int | None:
-        """Take units that are kept here. Returns the generation of the count that granted them, or None where there
+        """Take units that are kept here. Return the generation of the count that granted them, or None where there
         are not enough."""
         if not self.has_credit(now, units):
             return None
--- a/cypresspulley/rehearsal/calendars.py
+++ b/cypresspulley/rehearsal/calendars.py
@@ -19,7 +19,7 @@
 
 
 def caching_accounts(section: Closing, plan: Plan) -> dict[str, str]:
-    """Draws the accounts that ask for cached answers from the plan's seed, and returns the place of each."""
+    """Draw the accounts that ask for cached answers from the plan's seed, and return the place of each."""
     rng = random_for(plan.seed, "keepers")
     chosen = [account.id for account in plan.accounts if rng.random() < section.share]
     return {id: section.places[n % len(section.places)].name for n, id in enumerate(sorted(chosen))}
@@ -41,24 +41,24 @@
         return f"<CalendarVersions up to version {self.version}, {len(self._accounts)} accounts, from {self._start}>"
 
     def last_week(self) -> dict[str, Any]:
-        """Returns last week's version, which has none of the run's closings."""
+        """Return last week's version, which has none of the run's closings."""
         return self._calendar_file(
             LAST_WEEK_VERSION, self._start - 8 * DAY_SECONDS, dict.fromkeys(self._zones, ()), {}
         )
 
     def initial(self) -> dict[str, Any]:
-        """Returns the version that limiters start with."""
+        """Return the version that limiters start with."""
         return self._calendar_file(INITIAL_VERSION, self._start - DAY_SECONDS, self.closings, {})
 
     def add_closing(self, place: str, at: int, now: float) -> dict[str, Any]:
-        """Returns a new version with one more closing at the Unix second ``at``, in force once its notice is over."""
+        """Return a new version with one more closing at the Unix second ``at``, in force once its notice is over."""
         self._added.setdefault(place, []).append(at)
         self.version += 1
         in_force = ceil(now + self._section.notice + IN_FORCE_MARGIN_SECONDS)
         return self._calendar_file(self.version, in_force, self.closings, self._added)
 
     def expected_closings(self) -> list[list[Any]]:
-        """Returns pairs of an account and the Unix second of a closing of the initial version."""
+        """Return pairs of an account and the Unix second of a closing of the initial version."""
         rows = sorted(self._accounts.items())
         return [[account, float(at)] for account, place in rows for at in self.closings[place]]
 
@@ -83,7 +83,7 @@
 
 
 def local_times_by_date(zone: str, seconds: Iterable[int]) -> dict[str, list[str]]:
-    """Converts Unix seconds to local times of a zone, grouped by date."""
+    """Convert Unix seconds to local times of a zone, grouped by date."""
     days = defaultdict[str, list[str]](list)
     for second in sorted(set(seconds)):
         local = datetime.fromtimestamp(second, ZoneInfo(zone))
--- a/cypresspulley/rehearsal/checks.py
+++ b/cypresspulley/rehearsal/checks.py
@@ -20,7 +20,7 @@
 
 
 def check_histories(histories: Histories, names: Iterable[str], at: float) -> list[log.Checked]:
-    """Runs the named checkers and returns their verdicts as records of second ``at``."""
+    """Run the named checkers and return their verdicts as records of second ``at``."""
     return [
         log.Checked(at, one.name, one.checked, tuple(_finding_text(finding) for finding in one.findings))
         for one in check_all(histories, names)
@@ -28,7 +28,7 @@
 
 
 def calendar_events(folder: Path) -> list[dict[str, Any]]:
-    """Returns the calendar events in a folder's histories so far, without a line that is still being written."""
+    """Return the calendar events in a folder's histories so far, without a line that is still being written."""
     found = list[dict[str, Any]]()
     for file in sorted(folder.glob(FILE_PATTERN)):
         for line in file.read_bytes().splitlines():
@@ -39,6 +39,6 @@
 
 
 def _finding_text(finding: Finding) -> str:
-    """Returns the broken promise, followed by the events that show it, one per line."""
+    """Return the broken promise, followed by the events that show it, one per line."""
     shown = [repr(line) for line in finding.excerpt[:MAX_SHOWN_EVENTS]]
     return "\n".join([f"{finding.promise}: {finding.text}", *shown])
--- a/cypresspulley/rehearsal/closing_schedule.py
+++ b/cypresspulley/rehearsal/closing_schedule.py
@@ -29,7 +29,7 @@
         return f"<ClosingSchedule {self._calendars!r}, {len(self._added)} added>"
 
     def write_initial_calendars(self) -> None:
-        """Writes the calendar that each limiter starts with: last week's if a fault at second 0 says so."""
+        """Write the calendar that each limiter starts with: last week's if a fault at second 0 says so."""
         old = {
             name for fault in self._plan.faults if fault.kind == "limiter-old-calendar" and fault.at <= 0
             for name in fault.targets
@@ -38,7 +38,7 @@
             limiter.write_calendar(self._calendars.last_week() if name in old else self._calendars.initial())
 
     def apply_fault(self, fault: PlannedFault, now: float) -> None:
-        """Sends the calendar of a fault, if it has one, to its targets. ``now`` is in Unix seconds."""
+        """Send the calendar of a fault, if it has one, to its targets. ``now`` is in Unix seconds."""
         if fault.kind == "limiter-old-calendar" and fault.at > 0:
             self._send_calendar(fault.targets, self._calendars.last_week())
         elif fault.kind == "closing-told":
@@ -53,12 +53,12 @@
             self._limiters[name].write_calendar(calendar, reload=True)
 
     def busiest(self) -> str | None:
-        """Returns the account with the most requests among those that ask for cached answers, or None."""
+        """Return the account with the most requests among those that ask for cached answers, or None."""
         asked = Counter(arrival.account for arrival in self._plan.arrivals)
         return max(sorted(self.caching_accounts), key=lambda id: asked[id], default=None)
 
     def expected_closings(self, calendars: Iterable[dict[str, Any]]) -> list[list[Any]]:
-        """Returns pairs of an account and the Unix second of a closing. ``calendars`` are events that limiters wrote.
+        """Return pairs of an account and the Unix second of a closing. ``calendars`` are events that limiters wrote.
 
         A closing added during the run counts only if some limiter accepted its version with the required notice. A
         limiter that was stopped, or whose clock was off, may have refused it.
--- a/cypresspulley/rehearsal/command.py
+++ b/cypresspulley/rehearsal/command.py
@@ -42,12 +42,12 @@
     har: Path | None = None
 
     def check(self) -> None:
-        """Checks the folders of the outputs, so that a run does not fail only at its end."""
+        """Check the folders of the outputs, so that a run does not fail only at its end."""
         check_folders(self.json, self.html, self.har)
 
 
 def list_scenarios() -> int:
-    """Prints the shipped scenarios, one per line, and returns the exit code."""
+    """Print the shipped scenarios, one per line, and return the exit code."""
     console = Console(highlight=False, soft_wrap=True)
     try:
         for name in shipped_scenarios():
@@ -59,7 +59,7 @@
 
 
 def check(name: str) -> int:
-    """Validates a scenario without playing it, prints its plan's digest and returns the exit code."""
+    """Validate a scenario without playing it, print its plan's digest and return the exit code."""
     try:
         scenario = load_scenario(name)
         scenario, plan = _plan_run(scenario, scenario.seed)
@@ -103,7 +103,7 @@
 
 
 def rehearse(name: str, seed: int | None, outputs: Outputs, virtual: bool = False) -> int:
-    """Plays a scenario on sockets or in virtual time, reports the verdict and returns the exit code."""
+    """Play a scenario on sockets or in virtual time, report the verdict and return the exit code."""
     try:
         outputs.check()
         scenario = load_scenario(name)
@@ -123,7 +123,7 @@
 
 
 def play_and_judge(scenario: Scenario, plan: Plan, outputs: Outputs, virtual: bool = False) -> int:
-    """Plays a plan against its own limiters, reports the verdict and returns the exit code."""
+    """Play a plan against its own limiters, report the verdict and return the exit code."""
     records = list[log.Record]()
     if virtual:
         return _play_in_virtual_time(scenario, plan, outputs)
@@ -163,7 +163,7 @@
 
 
 def _report_interrupted(records: list[log.Record]) -> int:
-    """Prints the figures so far, which are not a verdict, and returns the exit code."""
+    """Print the figures so far, which are not a verdict, and return the exit code."""
     print("fawnseam: interrupted; what was seen so far:", file=sys.stderr)
     try:
         print_verdict(judge_timeline(Timeline(records)))
@@ -173,7 +173,7 @@
 
 
 def judge_log(path: Path, outputs: Outputs) -> int:
-    """Judges a saved log and returns the exit code."""
+    """Judge a saved log and return the exit code."""
     try:
         outputs.check()
         with path.open(encoding="utf-8") as file:
--- a/cypresspulley/rehearsal/datagram_faults.py
+++ b/cypresspulley/rehearsal/datagram_faults.py
@@ -25,7 +25,7 @@
 def datagram_fault(
     fault: PlannedFault, names: Sequence[str], period: float, now: float
 ) -> ScheduledDatagramFault:
-    """Converts a fault whose kind begins with ``datagram-`` for limiters of these names.
+    """Convert a fault whose kind begins with ``datagram-`` for limiters of these names.
 
     ``period`` is the probe period, and ``now`` its start by the relay's clock, both in seconds.
     """
@@ -51,14 +51,14 @@
 
 
 def _links_of_targets(names: Sequence[str], targets: Sequence[str]) -> frozenset[Route] | None:
-    """Returns the links from and to the targets, or None (all links) without targets."""
+    """Return the links from and to the targets, or None (all links) without targets."""
     if not targets:
         return None
     return frozenset((a, b) for a in names for b in names if a != b and (a in targets or b in targets))
 
 
 def _degraded_links(fault: PlannedFault, ways: frozenset[Route] | None) -> DatagramFault | None:
-    """Returns the effect of a fault that degrades links without cutting them, or None for other faults."""
+    """Return the effect of a fault that degrades links without cutting them, or None for other faults."""
     share, late = fault.spec.size, fault.spec.add_ms / 1000
     return {
         "datagram-loss": DatagramFault(ways, loss_share=share),
--- a/cypresspulley/rehearsal/harness_history.py
+++ b/cypresspulley/rehearsal/harness_history.py
@@ -43,7 +43,7 @@
         self.put(Kind.FAULT, kind_of=kind, targets=sorted(targets), on=on)
 
     def end_day(self) -> None:
-        """Marks the end of the run. Nothing that happens during the shutdown is written."""
+        """Mark the end of the run. Nothing that happens during the shutdown is written."""
         self.put(Kind.END, reason="over")
         self._ended = True
 
@@ -80,7 +80,7 @@
 
 
 def read_made_time(body: str) -> float | None:
-    """Returns the Unix time at which a server made an answer, as its body says, or None if it does not."""
+    """Return the Unix time at which a server made an answer, as its body says, or None if it does not."""
     try:
         made_time = json.loads(body)["made"]
         return float(made_time)
--- a/cypresspulley/rehearsal/judge.py
+++ b/cypresspulley/rehearsal/judge.py
@@ -63,7 +63,7 @@
         return len({v.request for v in self.rules[0].violations})
 
     def as_json(self) -> dict[str, Any]:
-        """Returns the object that ``--json`` writes."""
+        """Return the object that ``--json`` writes."""
         return {
             "scenario": self.day.scenario, "seed": self.day.seed, "plan": self.day.digest,
             "service": round(self.service.service, 4), "goal": self.day.goal, "met": self.passed,
@@ -106,7 +106,7 @@
 
 
 def judge(records: Iterable[log.Record]) -> Verdict:
-    """Judges the records of a run. Raises ``JudgeError`` if they are not a valid log."""
+    """Judge the records of a run. Raise ``JudgeError`` if they are not a valid log."""
     return judge_timeline(Timeline(records))
 
 
--- a/cypresspulley/rehearsal/limiters.py
+++ b/cypresspulley/rehearsal/limiters.py
@@ -32,9 +32,9 @@
 
 
 def write_atomically(path: Path, text: str) -> None:
-    """Replaces a file atomically, so that a concurrent reader sees either the old text or the new one.
+    """Replace a file atomically, so that a concurrent reader sees either the old text or the new one.
 
-    Raises ``HarnessError`` if it cannot be written.
+    Raise ``HarnessError`` if it cannot be written.
     """
     partial = path.with_name(path.name + ".part")
     try:
@@ -45,7 +45,7 @@
 
 
 def wire_settings(scenario: Scenario, index: int, hall: str) -> dict[str, Any]:
-    """Returns the settings object of a limiter's configuration, with the protocol's keys and times in seconds."""
+    """Return the settings object of a limiter's configuration, with the protocol's keys and times in seconds."""
     effects = {"safe": "idempotent", "keyed": "deduplicated", "unsafe": "at_most_once"}
     fleet = scenario.fleet
     return {
@@ -80,7 +80,7 @@
 
 
 def free_port(host: str) -> int:
-    """Returns a free TCP port of ``host``. It stays free, because no other run uses the address."""
+    """Return a free TCP port of ``host``. It stays free, because no other run uses the address."""
     with socket.socket() as probe:
         probe.bind((host, 0))
         port: int = probe.getsockname()[1]
@@ -88,7 +88,7 @@
 
 
 def free_datagram_port(host: str) -> int:
-    """Returns a free UDP port of ``host``."""
+    """Return a free UDP port of ``host``."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
         probe.bind((host, 0))
         port: int = probe.getsockname()[1]
@@ -96,7 +96,7 @@
 
 
 def virtual_time_only(when: str) -> HarnessError:
-    """Returns the error for a kill at a turn or write, which only the virtual event loop can observe."""
+    """Return the error for a kill at a turn or write, which only the virtual event loop can observe."""
     return HarnessError(
         f"a limiter-kill with when = {when!r} can be played in virtual time only: add --virtual"
     )
@@ -141,7 +141,7 @@
         return self.process is not None and self.process.returncode is None
 
     def configure(self, raw: dict[str, Any]) -> None:
-        """Writes its configuration file atomically, because a reload may read it at any time."""
+        """Write its configuration file atomically, because a reload may read it at any time."""
         listen = f"{self.address[0]}:{self.address[1]}"
         seed = f"{random_for(self._seed, 'limiter', self.name, self.start_count).getrandbits(64):016x}"
         self._raw_config = raw
@@ -152,13 +152,13 @@
         write_atomically(self._config_path, text)
 
     def configure_plan_book(self, host: str, port: int) -> None:
-        """Sets the address of the plan book's writer, which the limiter follows from its next start on."""
+        """Set the address of the plan book's writer, which the limiter follows from its next start on."""
         path = self._folder / f"{self.name}-operators.toml"
         path.write_text(f'[plans]\nwriter = "{host}:{port}"\ninstallation = "rehearsal"\n')
         self._command = [*self._command, "--operators", str(path)]
 
     def configure_fleet(self, tables: dict[str, dict[str, Any]], key: str) -> None:
-        """Sets operators' tables, fleet key, history and clock file, all from the next start on."""
+        """Set operators' tables, fleet key, history and clock file, all from the next start on."""
         import tomli_w  # only needed for scenarios with [together]
 
         tables = {name: dict(table) for name, table in tables.items()}
@@ -175,7 +175,7 @@
         self.set_clock_shift(Shift())
 
     def write_calendar(self, raw: dict[str, Any], reload: bool = False) -> None:
-        """Replaces its calendar file. With ``reload``, SIGHUP makes the limiter read it now."""
+        """Replace its calendar file. With ``reload``, SIGHUP makes the limiter read it now."""
         import tomli_w
 
         write_atomically(self._sibling_path("-calendars.toml"), tomli_w.dumps(raw))
@@ -183,7 +183,7 @@
             self.signal(signal.SIGHUP)
 
     def set_clock_shift(self, shift: Shift) -> None:
-        """Shifts its wall clock from now on. Its steady clock stays as it is."""
+        """Shift its wall clock from now on. Its steady clock stays as it is."""
         write_atomically(self._sibling_path(".clock"), shift.line())
 
     def _sibling_path(self, ending: str) -> Path:
@@ -217,13 +217,13 @@
             self._ps_process = psutil.Process(self.process.pid)
 
     async def call(self, method: str, path: str) -> int:
-        """Sends an operators' call and returns the status, or 0 if there is no answer within a second."""
+        """Send an operators' call and return the status, or 0 if there is no answer within a second."""
         return (await self.call_for_json(method, path, 1.0))[0]
 
     async def call_for_json(self, method: str, path: str, within: float) -> tuple[int, dict[str, Any]]:
-        """Sends an operators' call and returns the answer's status and object.
+        """Send an operators' call and return the answer's status and object.
 
-        Returns 0 and an empty object if there is no valid answer ``within`` so many seconds.
+        Return 0 and an empty object if there is no valid answer ``within`` so many seconds.
         """
         if self._operator_address is None:
             return 0, {}
@@ -245,9 +245,9 @@
             return 0, {}
 
     async def upgrade(self) -> bool:
-        """Starts a successor process, waits until it is ready and stops the old process.
+        """Start a successor process, wait until it is ready and stop the old process.
 
-        Returns False if the limiter is not running. Raises ``HarnessError`` if either process takes too long.
+        Return False if the limiter is not running. Raise ``HarnessError`` if either process takes too long.
         """
         old = self.process
         if old is None or not self.running:
@@ -274,11 +274,11 @@
         return True
 
     def _limit_descriptors(self) -> None:
-        """Runs in the child before exec: limits its file descriptors to the configured number."""
+        """Run in the child before exec: limit its file descriptors to the configured number."""
         resource.setrlimit(resource.RLIMIT_NOFILE, (self._sockets, self._sockets))
 
     async def wait_until_ready(self) -> None:
-        """Waits until /healthz answers 200. Raises ``HarnessError`` if it exits first or takes too long."""
+        """Wait until /healthz answers 200. Raise ``HarnessError`` if it exits first or takes too long."""
         try:
             async with asyncio.timeout(READY_TIMEOUT_SECONDS):
                 while not await self._is_healthy():
@@ -317,7 +317,7 @@
             return f"see {self.log_path}"
 
     def signal(self, number: int) -> None:
-        """Sends it a signal, unless it has exited."""
+        """Send it a signal, unless it has exited."""
         self.sample_usage()
         self.expected_end |= number in (signal.SIGKILL, signal.SIGTERM)
         if self.process is not None and self.running:
@@ -325,11 +325,11 @@
                 self.process.send_signal(number)
 
     async def wait_for_exit(self) -> int:
-        """Waits for its exit without a time limit and returns the exit code."""
+        """Wait for its exit without a time limit and return the exit code."""
         return await self.process.wait() if self.process is not None else 0
 
     async def wait_or_kill(self) -> int:
-        """Waits for its exit and returns the exit code.
+        """Wait for its exit and return the exit code.
 
         Kills a process that ignores SIGTERM, and raises ``HarnessError``.
         """
@@ -345,7 +345,7 @@
             raise HarnessError(f"{self.name} ignored SIGTERM for {within:g} s and was killed") from None
 
     def sample_usage(self) -> None:
-        """Updates the CPU time and peak memory that it has used so far."""
+        """Update the CPU time and peak memory that it has used so far."""
         if self._ps_process is None:
             return
         with contextlib.suppress(psutil.Error):
@@ -358,5 +358,5 @@
             )
 
     def call_after_steps(self, when: str, count: int, callback: KillCallback) -> None:
-        """Calls ``callback`` after ``count`` turns or writes. A real process does not show them: raises."""
+        """Call ``callback`` after ``count`` turns or writes. Raise always, since a real process does not show them."""
         raise virtual_time_only(when)
--- a/cypresspulley/rehearsal/overlapping_faults.py
+++ b/cypresspulley/rehearsal/overlapping_faults.py
@@ -28,7 +28,7 @@
         values.append(value)
 
     def end(self, kind: str, target: str, value: Value, apply: Apply) -> None:
-        """Ends a fault with this value. Raises ``ValueError`` if none has begun."""
+        """End a fault with this value. Raise ``ValueError`` if none has begun."""
         values = self._values[kind, target]
         before = values[-1] if values else None
         values.remove(value)
--- a/cypresspulley/rehearsal/page.py
+++ b/cypresspulley/rehearsal/page.py
@@ -42,7 +42,7 @@
 
 
 def render(timeline: Timeline, verdict: Verdict) -> str:
-    """Returns the page. The template escapes all text from requests and answers."""
+    """Return the page. The template escapes all text from requests and answers."""
     environment = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined)
     template = environment.from_string(
         files("cypresspulley.rehearsal").joinpath("page.html.j2").read_text(encoding="utf-8")
@@ -54,7 +54,7 @@
 
 
 def chart(verdict: Verdict) -> str:
-    """Plots service, outcomes and faults over time as an SVG element."""
+    """Plot service, outcomes and faults over time as an SVG element."""
     rows, seconds = verdict.service.rows, verdict.day.seconds
     figure = Figure(figsize=(10, 7.2), layout="constrained")
     axes = figure.subplots(3, 1, sharex=True, height_ratios=[2, 2, 1.4])
@@ -122,7 +122,7 @@
 
 
 def _faults(verdict: Verdict) -> list[dict[str, Any]]:
-    """Returns one row per fault, with all targets that it affected at the same time."""
+    """Return one row per fault, with all targets that it affected at the same time."""
     rows = dict[tuple[float, float, str], list[str]]()
     for mark in verdict.faults:
         rows.setdefault((round(mark.t, 1), round(mark.until, 1), mark.kind), []).append(mark.target)
@@ -133,7 +133,7 @@
 
 
 def _histories(timeline: Timeline, verdict: Verdict) -> list[dict[str, Any]]:
-    """Returns the requests behind the violations with their records."""
+    """Return the requests behind the violations with their records."""
     shown, seen = list[dict[str, Any]](), set[str]()
     for violation in (v for rule in verdict.rules for v in rule.violations):
         if violation.request in seen or len(shown) >= MAX_HISTORIES:
--- a/cypresspulley/rehearsal/plan.py
+++ b/cypresspulley/rehearsal/plan.py
@@ -77,7 +77,7 @@
     faults: tuple[PlannedFault, ...]
 
     def digest(self) -> str:
-        """Returns a hash of everything that was drawn, as 16 hex digits."""
+        """Return a hash of everything that was drawn, as 16 hex digits."""
         drawn = [_fields_by_name(a) for a in self.accounts] + [_fields_by_name(a) for a in self.arrivals]
         faults = [[f.at, f.until, f.kind, f.targets, _fault_keys(f.spec)] for f in self.faults]
         text = json.dumps([self.seed, drawn, faults], sort_keys=True)
@@ -85,7 +85,7 @@
 
 
 def _fault_keys(fault: Fault) -> dict[str, Any]:
-    """Returns a fault's keys.
+    """Return a fault's keys.
 
     Those of ``FleetFault`` are left out unless set, so that scenarios from before they existed keep their digests.
     """
@@ -94,32 +94,32 @@
 
 
 def _fields_by_name(drawn: Account | Arrival) -> dict[str, Any]:
-    """Returns the fields by name, without the deep copy that ``dataclasses.asdict`` makes."""
+    """Return the fields by name, without the deep copy that ``dataclasses.asdict`` makes."""
     return {name: getattr(drawn, name) for name in drawn.__slots__}
 
 
 def random_for(seed: int, *what: object) -> Random:
-    """Returns a separate random generator for each purpose, so that draws for one do not change those for another."""
+    """Return a separate random generator for each purpose, so that draws for one do not change those for another."""
     label = "/".join(map(str, (seed, *what)))
     return Random(int.from_bytes(blake2b(label.encode(), digest_size=8).digest(), "big"))
 
 
 def request_id(seed: int, number: int, attempt: int) -> str:
-    """Returns the id of a client's try: 16 hex digits, different for each try."""
+    """Return the id of a client's try: 16 hex digits, different for each try."""
     return blake2b(f"{seed}/{number}/{attempt}".encode(), digest_size=8).hexdigest()
 
 
 def sample_work(seed: int, id: str, cls: ClassRow) -> float:
-    """Draws the CPU seconds that a try costs: lognormal with the class's mean and coefficient of variation."""
+    """Draw the CPU seconds that a try costs: lognormal with the class's mean and coefficient of variation."""
     variance = math.log(1 + cls.spread**2)
     factor = random_for(seed, "work", id).lognormvariate(-variance / 2, math.sqrt(variance))
     return cls.work_ms / 1000 * min(20.0, factor)
 
 
 def draw_plan(scenario: Scenario, seed: int, captured: tuple[Arrival, ...] | None = None) -> Plan:
-    """Draws a plan from a seed. ``captured`` arrivals replace drawn ones.
+    """Draw a plan from a seed. ``captured`` arrivals replace drawn ones.
 
-    Raises ``ValueError`` for more than ``MAX_ARRIVALS`` arrivals.
+    Raise ``ValueError`` for more than ``MAX_ARRIVALS`` arrivals.
     """
     faults = _plan_faults(scenario, random_for(seed, "faults"))
     if captured is not None:
