--- a/cypresspulley/rehearsal/play.py
+++ b/cypresspulley/rehearsal/play.py
@@ -78,7 +78,7 @@
 
 
 def points_per_unit(scenario: Scenario) -> float:
-    """Returns the points per unit from the operators' file of a GraphQL scenario, or 0 for other scenarios."""
+    """Return the points per unit from the operators' file of a GraphQL scenario, or 0 for other scenarios."""
     if scenario.graphql is None:
         return 0.0
     from cypresspulley.graphql.options import load_options
@@ -88,7 +88,7 @@
 
 
 def operators_path(scenario: Scenario) -> str | None:
-    """Returns the path of the limiters' operators' file, if the scenario has one."""
+    """Return the path of the limiters' operators' file, if the scenario has one."""
     if scenario.graphql is None:
         return None
     from cypresspulley.rehearsal.standins.graphql import OPERATORS_PATH
@@ -101,7 +101,7 @@
 
 
 def describe_day(scenario: Scenario, plan: Plan) -> log.Day:
-    """Returns the record of the facts that the judge needs."""
+    """Return the record of the facts that the judge needs."""
     halls, fleet = scenario.fleet.halls, scenario.fleet
     return log.Day(
         t=-60.0, scenario=scenario.name, seed=plan.seed, digest=plan.digest(), seconds=scenario.seconds,
@@ -123,12 +123,12 @@
 
 
 def mean_work(scenario: Scenario) -> float:
-    """Returns the mean CPU seconds of a request over all classes, weighted by their shares."""
+    """Return the mean CPU seconds of a request over all classes, weighted by their shares."""
     return sum(c.share * c.work_ms for c in scenario.classes) / sum(c.share for c in scenario.classes) / 1000
 
 
 def min_plan_fraction(scenario: Scenario) -> float:
-    """Returns the smallest fraction of a plan with a ceiling that the scenario's plan changes leave."""
+    """Return the smallest fraction of a plan with a ceiling that the scenario's plan changes leave."""
     return min((fault.size for fault in scenario.faults if fault.kind == "plan-churn"), default=1.0)
 
 
@@ -141,7 +141,7 @@
         self.links = list[tuple[Link, str, str]]()  # each with the halls at its ends
 
     def host(self, group: int, number: int) -> str:
-        """Returns the address of stand-in ``number`` (0..249) in address group ``group`` (0..254)."""
+        """Return the address of stand-in ``number`` (0..249) in address group ``group`` (0..254)."""
         return f"{self._base}.{group}.{number + 1}"
 
     def link(self, limiter: str, here: str, there: str) -> Link:
@@ -214,7 +214,7 @@
             self.returning |= self.fleet_harness.late  # they start at the time of their fault
 
     def _record(self, record: log.Record) -> None:
-        """Writes a record to the log and, with [together], to the harness's history."""
+        """Write a record to the log and, with [together], to the harness's history."""
         self._sink(record)
         if self.fleet_harness is not None:
             self.fleet_harness.harness.record(record)
@@ -222,7 +222,7 @@
     # Setup.
 
     def start_stand_ins(self) -> None:
-        """Starts all stand-ins. The servers are warm, and every discovery agent has the whole list."""
+        """Start all stand-ins. The servers are warm, and every discovery agent has the whole list."""
         fleet = self.scenario.fleet
         for number, name in enumerate(server_names(self.scenario)):
             hall = fleet.halls[number % len(fleet.halls)]
@@ -239,7 +239,7 @@
             agent.delivered, agent.delivered_seq = dict(agent.hosts), agent.seq
 
     async def start_plan_book(self) -> None:
-        """Starts the plan book's writer, with an address for each limiter, before any limiter starts."""
+        """Start the plan book's writer, with an address for each limiter, before any limiter starts."""
         if not self.scenario.uses_plan_book:
             return
         from cypresspulley.rehearsal.standins.plan_book_server import PlanBookServer
@@ -253,14 +253,14 @@
             self.limiters[limiter].configure_plan_book(*self.books.addresses[limiter])
 
     async def open_fleet_harness(self) -> None:
-        """Opens the datagram relay and writes the limiters' fleet files, before any limiter starts."""
+        """Open the datagram relay and write the limiters' fleet files, before any limiter starts."""
         if self.fleet_harness is not None:
             await self.fleet_harness.open()
 
     def begin_day(self) -> None:
-        """Starts the clock of the run once all limiters are ready, with [together] at a whole Unix second.
+        """Start the clock of the run once all limiters are ready, with [together] at a whole Unix second.
 
-        Raises ``HarnessError`` if the limiters were not ready in time.
+        Raise ``HarnessError`` if the limiters were not ready in time.
         """
         if self.fleet_harness is None:
             return self.context.begin(WARM_UP_SECONDS)
@@ -324,7 +324,7 @@
     # Limiters.
 
     async def start_limiter(self, name: str, known: str = "last") -> None:
-        """Starts a limiter and waits until it is ready.
+        """Start a limiter and wait until it is ready.
 
         Its configuration has the last (stale) server list, or for ``known`` "gone" one of servers that do not exist.
         """
@@ -351,7 +351,7 @@
         self.front.mark_up(name)
 
     def _dead_host(self, limiter: str, number: int) -> Host:
-        """Returns a server that no longer exists: nothing listens on its address."""
+        """Return a server that no longer exists: nothing listens on its address."""
         index = list(self.limiters).index(limiter)
         host = self.net.host(index, 240 + number)
         return Host(f"bag-gone-{number}", f"{host}:9", self.halls[0], 0, "ready")
@@ -374,7 +374,7 @@
             self.front.mark_down(limiter.name)
 
     def kill(self, name: str) -> None:
-        """Kills a limiter. The record precedes SIGKILL, so that the judge excuses the connections that break."""
+        """Kill a limiter. The record precedes SIGKILL, so that the judge excuses the connections that break."""
         limiter = self.limiters[name]
         if limiter.running and not limiter.expected_end:
             self.context.record(log.LimiterState(self.context.now(), name, "killed"))
@@ -417,7 +417,7 @@
         return min(MAX_KILL_WAIT_SECONDS, longest) + KILL_GRACE_SECONDS
 
     async def _restart_all_but(self, name: str, back_after: float) -> None:
-        """Restarts all other limiters at once."""
+        """Restart all other limiters at once."""
         await asyncio.gather(*(self._restart(other, back_after) for other in self.limiters if other != name))
 
     async def _start_late(self, name: str) -> None:
@@ -459,7 +459,7 @@
             self.front.mark_up(name)
 
     async def _server_by_hand(self, name: str, lasts: float) -> None:
-        """Bans a server at every limiter, restarts it once its work is done and lifts the ban while it is cold."""
+        """Ban a server at every limiter, restart it once its work is done and lift the ban while it is cold."""
         server = self.servers[name]
         await asyncio.gather(*(self._ban(limiter, name, True) for limiter in self.limiters.values()))
         await asyncio.sleep(min(lasts / 2, self.scenario.fleet.drain_grace + 1.0))
@@ -483,7 +483,7 @@
             self.context.complain(f"{limiter.name} answered {status} to an operators' call on {server}")
 
     def _reload(self, name: str) -> None:
-        """Moves discovery and counter to new ports, replaces the limiter's configuration file and sends SIGHUP."""
+        """Move discovery and counter to new ports, replace the limiter's configuration file and send SIGHUP."""
         index = list(self.limiters).index(name)
         agent, limiter = self.agents[name], self.limiters[name]
         self._agent_at[name] = agent.listen(self.net.host(252, index))
@@ -498,7 +498,7 @@
     # Servers.
 
     def _on_arrival(self, server: BagServer, limiter: str, known: KnownRequest) -> None:
-        """Applies a pending kill to the limiter whose unsafe attempt has arrived whole at a server."""
+        """Apply a pending kill to the limiter whose unsafe attempt has arrived whole at a server."""
         for wait in self._waiting_kills:
             name, fault = wait
             if name == limiter and known.effect == "unsafe":
@@ -509,7 +509,7 @@
                 return
 
     def _kill_at_step(self, name: str, fault: PlannedFault) -> None:
-        """Kills a limiter that has reached the turn or write of its fault. It runs no further code."""
+        """Kill a limiter that has reached the turn or write of its fault. It runs no further code."""
         limiter = self.limiters[name]
         if limiter.running and not limiter.expected_end:
             self._record_fault(fault, name)
@@ -517,13 +517,13 @@
             self._spawn(self._kill_and_return(name, fault.spec.known, fault.spec.back_after))
 
     def _pause(self, name: str, on: bool) -> None:
-        """Stops a limiter with SIGSTOP or continues it with SIGCONT, which has no effect on a new process."""
+        """Stop a limiter with SIGSTOP or continue it with SIGCONT, which has no effect on a new process."""
         limiter = self.limiters[name]
         if limiter.running:
             limiter.signal(signal.SIGSTOP if on else signal.SIGCONT)
 
     def _publish(self, server: BagServer, health: str) -> None:
-        """Publishes a server's state to each discovery agent after a random delay of its own."""
+        """Publish a server's state to each discovery agent after a random delay of its own."""
         loop = asyncio.get_running_loop()
         for limiter, agent in self.agents.items():
             notice = self._random.uniform(*self.scenario.discovery.notice)
@@ -545,7 +545,7 @@
         self._publish(server, "ready")
 
     async def _move_server(self, name: str, back_after: float) -> None:
-        """Crashes a server. Its id returns at another address, and a new server at its old address."""
+        """Crash a server. Its id returns at another address, and a new server at its old address."""
         server = self.servers[name]
         server.crash()
         await asyncio.sleep(back_after)
@@ -594,7 +594,7 @@
     # Faults.
 
     def schedule_faults(self) -> None:
-        """Sets a timer for each fault of the plan."""
+        """Set a timer for each fault of the plan."""
         loop, now = asyncio.get_running_loop(), self.context.now()
         for fault in self.plan.faults:
             loop.call_later(max(0.0, fault.at - now), self._apply_fault, fault)
@@ -676,7 +676,7 @@
         # Floods and surges are part of the plan's arrivals.
 
     def _lasting_effect(self, fault: PlannedFault) -> tuple[Value, Callable[[str, Value], None]] | None:
-        """Returns the value of a lasting fault and the function that sets it on a target, or None for other faults."""
+        """Return the value of a lasting fault and the function that sets it on a target, or None for other faults."""
         spec, late = fault.spec, fault.spec.add_ms / 1000
         if fault.kind in SERVER_SHARES:
             share = SERVER_SHARES[fault.kind]
@@ -714,7 +714,7 @@
                 agent.resume()
 
     def start_abuse(self) -> asyncio.Task[None] | None:
-        """Starts the abusive clients, if the scenario has any."""
+        """Start the abusive clients, if the scenario has any."""
         graphql = self.scenario.graphql
         if graphql is None or graphql.abuse <= 0:
             return None
@@ -740,7 +740,7 @@
         task.add_done_callback(self._tasks.discard)
 
     def fail(self, error: BaseException) -> None:
-        """Ends the play with this error."""
+        """End the play with this error."""
         self._failure = self._failure or error
         self.failed.set()
 
@@ -749,7 +749,7 @@
             raise HarnessError(str(self._failure))
 
     async def watch_lateness(self) -> None:
-        """Records this process's own lateness and samples the limiters' usage, until cancelled."""
+        """Record this process's own lateness and sample the limiters' usage, until cancelled."""
         clock = self.context.clock
         due, sampled = clock() + HEARTBEAT_SECONDS, 0.0
         while True:
@@ -766,7 +766,7 @@
                     limiter.sample_usage()
 
     async def close(self) -> None:
-        """Stops everything that the play started."""
+        """Stop everything that the play started."""
         for task in list(self._tasks):
             task.cancel()
         running = [x for x in self.limiters.values() if x.running]
@@ -787,7 +787,7 @@
 
 
 async def _run_day(runner: ScenarioRunner, progress: Progress | None) -> None:
-    """Plays everything from the first limiter's start to the last one's exit."""
+    """Play everything from the first limiter's start to the last one's exit."""
     runner.clients.prepare(runner.plan.arrivals)
     runner.start_stand_ins()
     runner.context.record(runner.day)
@@ -842,10 +842,10 @@
 
 
 def _raise_descriptor_limit(scenario: Scenario) -> None:
-    """Raises the limit of file descriptors to what the run may need.
+    """Raise the limit of file descriptors to what the run may need.
 
     This process holds one end of each client connection and of each server connection.
-    Raises ``HarnessError`` if the hard limit is too low.
+    Raise ``HarnessError`` if the hard limit is too low.
     """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     want = MAX_DESCRIPTORS if hard == resource.RLIM_INFINITY else min(MAX_DESCRIPTORS, hard)
@@ -860,11 +860,11 @@
     scenario: Scenario, seed: int, *, logs: Path | None = None, command: list[str] | None = None,
     progress: Progress | None = None, records: list[log.Record] | None = None, plan: Plan | None = None,
 ) -> list[log.Record]:  # fmt: skip
-    """Plays a scenario and returns the records. Draws the plan from the seed unless ``plan`` is given.
+    """Play a scenario and return the records. Draws the plan from the seed unless ``plan`` is given.
 
     ``logs`` is a folder that keeps the limiters' logs, configurations and ``records.jsonl``.
     ``records`` is a list to append to, so that a caller that is interrupted still has the records so far.
-    Raises ``HarnessError`` if the run cannot go on. No process is left behind in either case.
+    Raise ``HarnessError`` if the run cannot go on. No process is left behind in either case.
     """
     for fault in scenario.faults:
         if fault.when in VIRTUAL_ONLY_TRIGGERS:
@@ -903,7 +903,7 @@
 
 
 def _socket_environment(scenario: Scenario, folder: Path, base: str) -> FleetEnvironment:
-    """Returns the environment of a run on sockets, where histories are files in ``folder``."""
+    """Return the environment of a run on sockets, where histories are files in ``folder``."""
     from cypresspulley.histories.read import read_folder
     from cypresspulley.histories.writer import History
     from cypresspulley.rehearsal.checks import calendar_events, check_histories
@@ -926,7 +926,7 @@
 
 @contextlib.contextmanager
 def reduced_gc() -> Iterator[None]:
-    """Freezes the existing objects and makes garbage collections rare while the context is active."""
+    """Freeze the existing objects and make garbage collections rare while the context is active."""
     usual = gc.get_threshold()
     gc.collect()
     gc.freeze()
@@ -939,9 +939,9 @@
 
 
 async def play_day(runner: ScenarioRunner, progress: Progress | None) -> None:
-    """Plays a run to its end while measuring this process's own lateness.
+    """Play a run to its end while measuring this process's own lateness.
 
-    Raises ``HarnessError`` if the run cannot go on.
+    Raise ``HarnessError`` if the run cannot go on.
     """
     day = asyncio.ensure_future(_run_day(runner, progress))
     heartbeat = asyncio.ensure_future(runner.watch_lateness())
@@ -963,7 +963,7 @@
 
 
 def write_records(records: list[log.Record], path: Path) -> None:
-    """Writes a log that ``fawnseam judge`` reads. Raises ``HarnessError`` if it cannot be written."""
+    """Write a log that ``fawnseam judge`` reads. Raise ``HarnessError`` if it cannot be written."""
     try:
         with path.open("w", encoding="utf-8") as file:
             log.write_log(file, records)
--- a/cypresspulley/rehearsal/records.py
+++ b/cypresspulley/rehearsal/records.py
@@ -343,7 +343,7 @@
         return self.memory_mb > 0
 
     def shown(self) -> tuple[str, str]:
-        """Returns CPU seconds and MB as text for people."""
+        """Return CPU seconds and MB as text for people."""
         return (f"{self.cpu_seconds:.2f}", f"{self.memory_mb:.0f}") if self.measured else ("-", "-")
 
 
@@ -364,12 +364,12 @@
 
 
 def to_line(record: Record) -> str:
-    """Encodes a record as one line of JSON without a line end."""
+    """Encode a record as one line of JSON without a line end."""
     return json.dumps({"record": type(record).__name__.lower(), **asdict(record)}, separators=(",", ":"))
 
 
 def from_line(line: str, place: str) -> Record:
-    """Decodes a record. Raises ``RecordError``, which names ``place`` and the expected value."""
+    """Decode a record. Raise ``RecordError``, which names ``place`` and the expected value."""
     try:
         raw = json.loads(line)
     except (ValueError, RecursionError) as error:
@@ -409,7 +409,7 @@
 
 
 def read_log(file: TextIO, name: str) -> Iterator[Record]:
-    """Yields the records of a saved log in order. Raises ``RecordError`` for an invalid line."""
+    """Yield the records of a saved log in order. Raise ``RecordError`` for an invalid line."""
     for number, line in enumerate(file, 1):
         if line.strip():
             yield from_line(line, f"{name}:{number}")
--- a/cypresspulley/rehearsal/report.py
+++ b/cypresspulley/rehearsal/report.py
@@ -11,7 +11,7 @@
 
 
 def print_verdict(verdict: Verdict, console: Console | None = None) -> None:
-    """Prints the rules, then the figures, then the conclusion."""
+    """Print the rules, then the figures, then the conclusion."""
     console = console or Console(highlight=False, markup=False, soft_wrap=True)
     day, service = verdict.day, verdict.service
     console.print(f"{day.scenario}, seed {day.seed}, plan {day.digest}")
@@ -43,7 +43,7 @@
 
 
 def conclusion(verdict: Verdict) -> str:
-    """Returns the conclusion in one sentence."""
+    """Return the conclusion in one sentence."""
     if verdict.void:
         return f"VOID: {verdict.void}"
     if verdict.crash:
--- a/cypresspulley/rehearsal/rules.py
+++ b/cypresspulley/rehearsal/rules.py
@@ -89,7 +89,7 @@
 def _unanswered_sending(
     timeline: Timeline, client_try: Try, sent: log.Sent, is_last: bool
 ) -> Iterator[Violation]:
-    """Yields a violation if a sending got no answer, unless the limiter was killed or the client left first."""
+    """Yield a violation if a sending got no answer, unless the limiter was killed or the client left first."""
     broke = next((r for r in client_try.broke if r.t >= sent.t), None)
     until = broke.t if broke else sent.t + sent.ttl + ANSWER_SLACK_SECONDS
     if timeline.killed_within(sent.limiter, sent.t, until):
@@ -109,7 +109,7 @@
 
 
 def _closed_in_transit(client_try: Try, sent: log.Sent, broke: log.Broke) -> bool:
-    """Returns whether the connection was closed while the request was in transit and the client could not reconnect.
+    """Return whether the connection was closed while the request was in transit and the client could not reconnect.
 
     This happens when the limiter restarts. A close that arrives in less than one round trip was sent before the
     request arrived.
@@ -146,7 +146,7 @@
 
 
 def _is_valid_cached_answer(timeline: Timeline, client_try: Try, answer: log.Answered) -> bool:
-    """Returns whether an answer is a permitted answer from the cache.
+    """Return whether an answer is a permitted answer from the cache.
 
     It must be marked as cached, its account and class must allow caching, and a server must have produced it earlier
     for the same account and class.
@@ -203,12 +203,12 @@
 
 
 def _sending_number(client_try: Try, attempt: Attempt) -> int:
-    """Returns which sending of the client an attempt belongs to. Repeats by the client are not the limiter's fault."""
+    """Return which sending of the client an attempt belongs to. Repeats by the client are not the limiter's fault."""
     return sum(sent.t <= attempt.arrived.t for sent in client_try.sent)
 
 
 def _repeat_violation(timeline: Timeline, cls: log.ClassFacts, first: Attempt, again: Attempt) -> str:
-    """Returns why another attempt after one that may have run breaks the rule, or "" if it does not."""
+    """Return why another attempt after one that may have run breaks the rule, or "" if it does not."""
     a, b = first.arrived, again.arrived
     if cls.effect == "unsafe":
         return f"sent again to {b.server} though it may have run at {a.server}"
@@ -274,7 +274,7 @@
 def _cold_overload(
     timeline: Timeline, start: log.ServerState, arrivals: list[log.Arrived]
 ) -> Violation | None:
-    """Returns a violation if the work in any window overloaded the cold server and most of it was sent knowingly."""
+    """Return a violation if the work in any window overloaded the cold server and most of it was sent knowingly."""
     day, window = timeline.day, deque[log.Arrived]()
     for last in arrivals:
         window.append(last)
@@ -317,7 +317,7 @@
 
 
 def ceiling_levels(timeline: Timeline) -> Iterator[tuple[float, Try, float, float]]:
-    """Yields time, try, level of the ceiling after it and slack, for each forwarded try under a ceiling.
+    """Yield time, try, level of the ceiling after it and slack, for each forwarded try under a ceiling.
 
     If plans change during the run, the bucket has the limits of the ceiling in force and is carried over each change
     with ``BucketLevel.with_limits``. The slack then includes what the last limiter to learn of a change may admit.
@@ -342,7 +342,7 @@
 
 
 def _plan_change_slack(timeline: Timeline) -> dict[str, float]:
-    """Returns, by account, the units that plan changes announced less than a lease ahead add to the ceiling's slack."""
+    """Return, by account, the units that plan changes announced less than a lease ahead add to the ceiling's slack."""
     found = dict[str, float]()
     for account, plan_changes in timeline.plan_changes.items():
         terms = [(move.ceiling_rate, move.ceiling_burst) for move in plan_changes]
@@ -358,7 +358,7 @@
 
 
 def first_sendings(timeline: Timeline) -> list[tuple[float, Try]]:
-    """Returns each forwarded try with the time at which it first arrived whole at a server, ordered by time."""
+    """Return each forwarded try with the time at which it first arrived whole at a server, ordered by time."""
     rows = [
         (min(a.arrived.t for a in client_try.attempts), client_try)
         for client_try in timeline.tries.values()
--- a/cypresspulley/rehearsal/scenario.py
+++ b/cypresspulley/rehearsal/scenario.py
@@ -324,7 +324,7 @@
         return self
 
     def _check_fleet_tables(self) -> None:
-        """Checks that lanes, closing and faults between limiters have the tables and names that they need."""
+        """Check that lanes, closing and faults between limiters have the tables and names that they need."""
         for part in ("lanes", "closing"):
             if getattr(self, part) is not None and self.together is None:
                 raise ValueError(f"{part}: expected [together] beside it")
@@ -374,9 +374,9 @@
 
 
 def parse_scenario(raw: dict[str, Any], source: str) -> Scenario:
-    """Builds a scenario from parsed TOML.
+    """Build a scenario from parsed TOML.
 
-    Raises ``ScenarioError``, which names ``source``, each invalid key and the expected value.
+    Raise ``ScenarioError``, which names ``source``, each invalid key and the expected value.
     """
     try:
         return Scenario.model_validate(raw)
@@ -386,14 +386,14 @@
 
 
 def shipped_scenarios() -> dict[str, Path]:
-    """Returns the paths of the shipped scenarios by name."""
+    """Return the paths of the shipped scenarios by name."""
     return {path.stem: path for path in sorted(SHIPPED_FOLDER.glob("*.toml"))}
 
 
 def load_scenario(name: str) -> Scenario:
-    """Loads a shipped scenario by name, or any scenario by the path of its TOML file.
+    """Load a shipped scenario by name, or any scenario by the path of its TOML file.
 
-    Raises ``ScenarioError`` if it does not exist or is invalid.
+    Raise ``ScenarioError`` if it does not exist or is invalid.
     """
     path = shipped_scenarios().get(name, Path(name))
     if not path.is_file():
--- a/cypresspulley/rehearsal/service.py
+++ b/cypresspulley/rehearsal/service.py
@@ -60,7 +60,7 @@
         self._open_until = list[float]()  # ends of the open attempts
 
     def try_admit(self, t: float, idle: float, units: float) -> bool:
-        """Takes units for a request that would stay open for ``idle`` seconds; returns whether there was room."""
+        """Take units for a request that would stay open for ``idle`` seconds; return whether there was room."""
         self._open_until = [end for end in self._open_until if end > t]
         if self._plan.open_limit and len(self._open_until) >= self._plan.open_limit:
             return False
@@ -70,7 +70,7 @@
         return True
 
     def try_take(self, t: float, units: float) -> bool:
-        """Takes units if the bucket holds enough, and returns whether it did."""
+        """Take units if the bucket holds enough, and return whether it did."""
         self._units = min(self._plan.burst, self._units + self._plan.rate * (t - self._refilled_at))
         self._refilled_at = t
         if self._units < units:
@@ -80,7 +80,7 @@
 
 
 def measure(timeline: Timeline) -> Service:
-    """Computes the figures of a run."""
+    """Compute the figures of a run."""
     inside = _inside_quota_by_try(timeline)
     rows = sorted(_request_rows(timeline, inside), key=lambda row: row.t)
     offered, earned = sum(r.offered for r in rows), sum(r.earned for r in rows)
@@ -105,7 +105,7 @@
 
 
 def _inside_quota_by_try(timeline: Timeline) -> dict[str, bool]:
-    """Returns for each forwarded try whether it was inside its account's quota when it was first forwarded."""
+    """Return for each forwarded try whether it was inside its account's quota when it was first forwarded."""
     buckets, inside = dict[tuple[str, str], _QuotaBucket](), dict[str, bool]()
     open_until = defaultdict[tuple[str, str], list[float]](list)  # ends of the open attempts
     for t, client_try in first_sendings(timeline):
@@ -182,7 +182,7 @@
 
 
 def _service_by(rows: list[Row], key: str) -> dict[str, float]:
-    """Returns the worth earned over the worth offered inside quotas, by class or plan (``key``)."""
+    """Return the worth earned over the worth offered inside quotas, by class or plan (``key``)."""
     offered, earned = defaultdict[str, float](float), defaultdict[str, float](float)
     for row in rows:
         offered[getattr(row, key)] += row.offered if row.inside else 0.0
@@ -191,7 +191,7 @@
 
 
 def _worst_window(rows: list[Row], seconds: float) -> tuple[float, float]:
-    """Returns the start of the worst 10 s and the share that they earned. Windows start at whole seconds."""
+    """Return the start of the worst 10 s and the share that they earned. Windows start at whole seconds."""
     offered, earned = defaultdict[int, float](float), defaultdict[int, float](float)
     for row in rows:
         offered[int(row.t)] += row.offered
@@ -207,7 +207,7 @@
 
 
 def _penalties(timeline: Timeline, rows: list[Row], offered: float) -> dict[str, float]:
-    """Returns the deductions for wasted work, late failures, probes, attempts in another hall and counter calls."""
+    """Return the deductions for wasted work, late failures, probes, attempts in another hall and counter calls."""
     if not rows:
         return dict.fromkeys(PENALTY_RATES, 0.0)
     served = {
--- a/cypresspulley/rehearsal/standins/bagserver.py
+++ b/cypresspulley/rehearsal/standins/bagserver.py
@@ -163,7 +163,7 @@
         self._hosts = {limiter: (host, 0) for limiter, (host, _) in self._hosts.items()}
 
     def start(self, cold: bool) -> None:
-        """Start the process and listen on all its addresses. Raises OSError if one of them is in use."""
+        """Start the process and listen on all its addresses. Raise OSError if one of them is in use."""
         self.alive, self.draining = True, False
         self.cpu = Processor(self.machine, self.context.now(), cold)
         self.born_ms = self.context.unix_ms() if cold else 0
--- a/cypresspulley/rehearsal/standins/datagrams.py
+++ b/cypresspulley/rehearsal/standins/datagrams.py
@@ -71,7 +71,7 @@
         return f"<Relay of {len(self._inlets)} limiters, {len(self._faults)} faults, {dict(self.counts)}>"
 
     async def open(self, limiter: str, listen: Address, socket: Address) -> None:
-        """Forward datagrams for ``listen`` to the limiter's own ``socket``. Raises OSError if ``listen`` is in use."""
+        """Forward datagrams for ``listen`` to the limiter's own ``socket``. Raise OSError if ``listen`` is in use."""
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(lambda: _Inlet(self, limiter), local_addr=listen)
         self._inlets[limiter] = transport
--- a/cypresspulley/rehearsal/standins/engine.py
+++ b/cypresspulley/rehearsal/standins/engine.py
@@ -186,7 +186,7 @@
 
 
 async def _read_command(reader: asyncio.StreamReader) -> list[str] | None:
-    """Read an array of bulk strings; returns None at the end of the connection. Raises RespError if malformed."""
+    """Read an array of bulk strings; return None at the end of the connection. Raise RespError if malformed."""
     line = await reader.readline()
     if not line:
         return None
--- a/cypresspulley/rehearsal/standins/network.py
+++ b/cypresspulley/rehearsal/standins/network.py
@@ -186,7 +186,7 @@
 
 
 def listen(host: str, link: Link, factory: Factory, port: int = 0) -> Listening:
-    """Listen with the listener of the running loop. Raises OSError if the address is in use."""
+    """Listen with the listener of the running loop. Raise OSError if the address is in use."""
     make_listener = getattr(asyncio.get_running_loop(), "make_listener", None)
     listener: Listening = (
         make_listener(host, link, factory, port) if make_listener else Listener(host, link, factory, port)
--- a/cypresspulley/rehearsal/timeline.py
+++ b/cypresspulley/rehearsal/timeline.py
@@ -22,7 +22,7 @@
 
 
 def _sort_key(r: log.Record) -> tuple[float, int, int, str]:
-    """Returns the sort key of a record, which is total: any order of the lines gives the same timeline."""
+    """Return the sort key of a record, which is total: any order of the lines gives the same timeline."""
     state = (
         STATE_ORDER.index(r.what)
         if isinstance(r, log.LimiterState) and r.what in STATE_ORDER
@@ -183,7 +183,7 @@
         return lives
 
     def killed_within(self, limiter: str, start: float, end: float) -> bool:
-        """Returns whether a process of the limiter was killed between two times (inclusive), or was dead at the start.
+        """Return whether a process of the limiter was killed between two times (inclusive), or was dead at the start.
 
         Bytes that reach a process after SIGKILL are read by nobody.
         """
@@ -201,11 +201,11 @@
         return pauses
 
     def paused_within(self, limiter: str, start: float, end: float) -> bool:
-        """Returns whether the limiter was stopped (SIGSTOP) at any time between; a stopped process cannot answer."""
+        """Return whether the limiter was stopped (SIGSTOP) at any time between; a stopped process cannot answer."""
         return any(a <= end and start <= b for a, b in self.pauses.get(limiter, ()))
 
     def heard_at(self, limiter: str, t: float) -> float:
-        """Returns when a limiter can have read what was written to it at ``t``. A stopped one reads once resumed."""
+        """Return when a limiter can have read what was written to it at ``t``. A stopped one reads once resumed."""
         return max(
             [
                 t,
@@ -218,7 +218,7 @@
         )
 
     def _delay_past_pauses(self, limiter: str, states: list[KnownState]) -> list[KnownState]:
-        """Moves news received during a pause to the end of the pause, and keeps the news in order.
+        """Move news received during a pause to the end of the pause, and keep the news in order.
 
         News that only reports a server as ready again applies at once, in the limiter's favour.
         """
@@ -236,7 +236,7 @@
         return delayed
 
     def _ban_periods(self) -> dict[tuple[str, str], list[tuple[float, float]]]:
-        """Returns the periods in which operators banned a server, by limiter and server. A restart drops the ban."""
+        """Return the periods in which operators banned a server, by limiter and server. A restart drops the ban."""
         bans, started = (
             defaultdict[tuple[str, str], list[tuple[float, float]]](list),
             dict[tuple[str, str], float](),
@@ -255,7 +255,7 @@
         return bans
 
     def banned_since(self, limiter: str, server: str, t: float) -> float:
-        """Returns since when the server had been banned at the limiter at ``t``, or ``FOREVER`` if it was not."""
+        """Return since when the server had been banned at the limiter at ``t``, or ``FOREVER`` if it was not."""
         return next((a for a, b in self.bans.get((limiter, server), ()) if a <= t < b), FOREVER)
 
     def life_at(self, limiter: str, t: float) -> Life:
@@ -265,7 +265,7 @@
         return Life(-FOREVER, FOREVER, "")
 
     def _known_states(self) -> dict[tuple[str, float, str], list[KnownState]]:
-        """Returns the states that limiters knew, by limiter, start of its life and server, ordered by time."""
+        """Return the states that limiters knew, by limiter, start of its life and server, ordered by time."""
         lists = defaultdict[str, list[log.Listed]](list)
         for r in self.records:
             if isinstance(r, log.Listed):
@@ -278,12 +278,12 @@
         return known_states
 
     def known_states_at(self, limiter: str, server: str, t: float) -> list[KnownState]:
-        """Returns the states of the server that the limiter's process at ``t`` had known by then."""
+        """Return the states of the server that the limiter's process at ``t`` had known by then."""
         states = self.known_states.get((limiter, self.life_at(limiter, t).start, server), [])
         return states[: bisect_right(states, t, key=lambda s: s.t)]
 
     def attempts_answering(self, body: str) -> list[Attempt]:
-        """Returns the attempts that a server answered with status 200 and this body."""
+        """Return the attempts that a server answered with status 200 and this body."""
         if self._attempts_by_body is None:
             self._attempts_by_body = defaultdict(list)
             for attempt in self.attempts.values():
@@ -292,7 +292,7 @@
         return self._attempts_by_body.get(body, [])
 
     def records_of_try(self, id: str) -> list[log.Record]:
-        """Returns all records of one try, for the HTML page."""
+        """Return all records of one try, for the HTML page."""
         numbers = {a.arrived.attempt for a in self.tries[id].attempts} if id in self.tries else set[int]()
         return [
             r for r in self.records if getattr(r, "id", None) == id or getattr(r, "attempt", None) in numbers
@@ -300,7 +300,7 @@
 
 
 def _states_in_life(rows: list[log.Listed], life: Life) -> dict[str, list[KnownState]]:
-    """Returns the states of each server that one life knew.
+    """Return the states of each server that one life knew.
 
     It counts as knowing what its agent has ``AGENT_DELAY_SECONDS`` later, unless newer news reached it directly.
     """
--- a/cypresspulley/rehearsal/together.py
+++ b/cypresspulley/rehearsal/together.py
@@ -72,7 +72,7 @@
     # Setup.
 
     async def open(self) -> None:
-        """Opens the relay and writes the limiters' tables. Raises ``OSError``, which names an address in use."""
+        """Open the relay and write the limiters' tables. Raise ``OSError``, which names an address in use."""
         for name, limiter in self._limiters.items():
             await self._relay.open(
                 name, self._environment.address(name, True), self._environment.address(name, False)
@@ -105,11 +105,11 @@
         return tables
 
     def seconds_until_start(self) -> float:
-        """Returns the seconds from now until second 0 of the run."""
+        """Return the seconds from now until second 0 of the run."""
         return self.start - self._context.unix()
 
     def begin(self) -> None:
-        """Records at second 0 which accounts and classes may get cached answers."""
+        """Record at second 0 which accounts and classes may get cached answers."""
         closing = self._scenario.closing
         if closing is not None and self._closings is not None:
             self._context.record(
@@ -117,7 +117,7 @@
             )
 
     def end_day(self) -> None:
-        """Writes the facts of the run to the harness's history and ends it."""
+        """Write the facts of the run to the harness's history and end it."""
         closing, lanes = self._scenario.closing, self._scenario.lanes
         self.harness.put(
             Kind.TRUTH, seconds=self._scenario.seconds,
@@ -131,7 +131,7 @@
     # Faults.
 
     def apply_fault(self, fault: PlannedFault) -> None:
-        """Applies a fault between limiters, and records those other faults that affect their datagrams."""
+        """Apply a fault between limiters, and record those other faults that affect their datagrams."""
         spec, lasts = fault.spec, fault.until - fault.at
         if fault.kind in DATAGRAM_KINDS:
             assert self._scenario.together is not None
@@ -155,7 +155,7 @@
             self._closings.apply_fault(fault, self._context.unix())
 
     def _cut_hall(self, hall: str, lasts: float) -> None:
-        """Cuts a hall's datagrams as its other links are cut."""
+        """Cut a hall's datagrams as its other links are cut."""
         members = [name for name, home in self._halls.items() if home == hall]
         others = [name for name in self._limiters if name not in members]
         if members and others:
@@ -177,7 +177,7 @@
             self._record_fault_period(fault.kind, side, lasts)
 
     async def purge(self, name: str) -> None:
-        """Purges, at one limiter, the cached answers of the busiest account that uses the cache."""
+        """Purge, at one limiter, the cached answers of the busiest account that uses the cache."""
         account = self._closings.busiest() if self._closings is not None else None
         if account is None:
             return
@@ -198,7 +198,7 @@
     # Checks.
 
     def check(self) -> None:
-        """Runs the checkers that apply on the run's histories and records their verdicts."""
+        """Run the checkers that apply on the run's histories and record their verdicts."""
         self.harness.close()
         names = ["fleet"]
         names += [name for name in ("lanes", "closing") if getattr(self._scenario, name) is not None]
--- a/cypresspulley/rehearsal/virtual/network.py
+++ b/cypresspulley/rehearsal/virtual/network.py
@@ -451,7 +451,7 @@
     async def connect(
         self, factory: Callable[[], Any], host: str, port: int, source: str = "127.0.0.1"
     ) -> tuple[VirtualTransport, Any]:
-        """Open a connection. Raises ConnectionRefusedError if nobody listens; waits for ever if the hosts are cut."""
+        """Open a connection. Raise ConnectionRefusedError if nobody listens; wait for ever if the hosts are cut."""
         caller = OWNER.get()
         if not self._has_descriptor_left(caller):
             raise OSError(24, "Too many open files")
--- a/cypresspulley/settings.py
+++ b/cypresspulley/settings.py
@@ -67,7 +67,7 @@
     """Check that settings that are to replace ``before`` in a running limiter lack none of its keys.
 
     A truncated or hand-written file may parse without error, and each missing key would silently fall back to its
-    default. Raises ``SettingsError`` with the name of the key.
+    default. Raise ``SettingsError`` with the name of the key.
     """
     for key, value in before.items():
         if key not in raw:
--- a/cypresspulley/takeover/channel.py
+++ b/cypresspulley/takeover/channel.py
@@ -142,7 +142,7 @@
     def __init__(self, path: str, label: str) -> None:
         """Open the directory. ``label`` distinguishes limiters that share it.
 
-        Raises OSError if there is no such directory.
+        Raise OSError if there is no such directory.
         """
         self._fd = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
         self._label = "".join(c if c.isalnum() else "-" for c in label)
--- a/cypresspulley/takeover/handover.py
+++ b/cypresspulley/takeover/handover.py
@@ -104,7 +104,7 @@
     async def forward_call(self, name: str, id: str) -> bool:
         """Apply a call in the other process too.
 
-        Returns True once it has taken effect there or if there is no other process, and False after
+        Return True once it has taken effect there or if there is no other process, and False after
         ``CALL_TIMEOUT_SECONDS`` without confirmation.
         """
         if not self.connected or self._channel is None:
@@ -263,7 +263,7 @@
     def pass_client(self, fd: int) -> bool:
         """Hand a client's connection to the successor and close the descriptor here.
 
-        Returns whether a successor was connected.
+        Return whether a successor was connected.
         """
         if not self.connected or self._channel is None:
             os.close(fd)
--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -117,7 +117,7 @@
 def restore_snapshot(gateway: Gateway, now: float, state: dict[str, Any]) -> None:
     """Restore a predecessor's state in a new gateway, less the share that the predecessor keeps.
 
-    Raises SnapshotError if the state is unusable; the gateway must then be discarded.
+    Raise SnapshotError if the state is unusable; the gateway must then be discarded.
     """
     try:
         _restore(gateway, now, state)
@@ -282,7 +282,7 @@
 
 
 def decode_snapshot(text: str, checksum: str) -> dict[str, Any]:
-    """Return the state in a snapshot. Raises SnapshotError if text, checksum or version do not match."""
+    """Return the state in a snapshot. Raise SnapshotError if text, checksum or version do not match."""
     if hashlib.sha256(text.encode()).hexdigest() != checksum:
         raise SnapshotError("snapshot: checksum mismatch")
     try:
