--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -239,7 +239,7 @@
     if fleet_services is not None:
         fleet_services.leave()
     if not service.leave():
-        # Clients have not heard of the shutdown yet: connections that they still open are accepted and served.
+        # Clients have not been notified of the shutdown yet: connections that they still open are accepted and served.
         await asyncio.sleep(ACCEPT_AFTER_SIGTERM_SECONDS)
     await frontend.close(answer_timeout(timing.longest_deadline))
     node.fail_open_requests()
@@ -278,7 +278,7 @@
         raise ConfigError(f"plans needs its extra: pip install 'cypresspulley[plans]' ({error})") from None
     try:
         address, token = split_address(table[0]), os.environ.get("FAWNSEAM_PLANS_TOKEN", "")
-        # Usage is reported under this name, so two limiters with the same name could not be told apart.
+        # Usage is reported under this name, so two limiters with the same name could not be distinguished.
         name = str(config.raw.get("name") or os.environ.get("LB_NAME") or "limiter")
         plans = PlanBookClient(address, token, table[1], name, clock)
     except ValueError as error:
--- a/cypresspulley/closing/lease.py
+++ b/cypresspulley/closing/lease.py
@@ -1,9 +1,9 @@
 """Rounds of a fleet, and the lease for using the cache that each limiter derives from them. No I/O and no clock.
 
 Leases as in Gray and Cheriton (1989), granted to each limiter by all others, by rows of a fixed size. Each limiter
-publishes a round, which only grows, and its *view digest*: a digest of the members of the fleet with their lives, and
-of the newest calendar. A limiter advances to round k once it sees all others at k - 1 or more with the same digest as
-its own; ``since_round`` is the round at which it adopted that digest. Therefore:
+publishes a round, which only grows, and its *view digest*: a digest of the members of the fleet with their life
+numbers, and of the newest calendar. A limiter advances to round k once it sees all others at k - 1 or more with the
+same digest as its own; ``since_round`` is the round at which it adopted that digest. Therefore:
 
 (1) A limiter at round k > ``since_round`` with some digest has seen every other one with that digest at k - 1 or more.
 (2) If I see all others with my digest, each beyond its ``since_round``, and the lowest of their rounds is m, then each
--- a/cypresspulley/explore/shrink.py
+++ b/cypresspulley/explore/shrink.py
@@ -26,7 +26,7 @@
 ) -> tuple[Scenario, int]:
     """Return the smallest scenario found on which ``still_fails`` is true, and the number of plays used.
 
-    The search is greedy and tries large cuts first.
+    The search is greedy and starts with large cuts.
     """
     used, improved = 0, True
     while improved:
--- a/cypresspulley/fleet/detector.py
+++ b/cypresspulley/fleet/detector.py
@@ -19,7 +19,7 @@
     suspected      one more accuser, or a probe of its own fails     suspected, for a shorter time
     suspected      reported dead                                     suspected, for the shorter time at most
     suspected      the suspicion ends and no stall was recent        dead
-    leaving        a probe fails, direct and indirect                leaving, unreachable; other members are not told
+    leaving        a probe fails, direct and indirect                leaving, unreachable; others are not notified
     leaving        unreachable, then heard from or reached by a      leaving, reachable
                    helper
     leaving        unreachable for the time of a suspicion, without  left: a leaving member is never suspected or dead
@@ -43,8 +43,8 @@
 
 A leaving member drains and answers for seconds, so that one probe lost under datagram loss means no more for it than
 for any other member. Its unreachability is not disseminated, and any datagram from it in this life ends it; it need not
-refute what nobody was told. If it counted as left at once, it would be absent from views while it still works and then
-present again by its own refutation.
+refute what was never disseminated. If it counted as left at once, it would be absent from views while it still works
+and then present again by its own refutation.
 
 A process that was stalled (its timers come late) has no ground to accuse: it drops its open probes, extends its
 suspicions by the lost time and lowers its local health for a while.
@@ -87,7 +87,7 @@
 MAX_LIFE_INCREASES = 8  # beyond it, another process evidently uses this name
 DEAD_RECALL_SECONDS = 3600.0  # time after a death during which the member is still pinged
 GOSSIP_FANOUT = 2  # gossip datagrams a period
-LEAVE_FANOUT = 8  # members that are told directly that this one leaves
+LEAVE_FANOUT = 8  # members that this one notifies directly when it leaves
 
 
 class Detector:
@@ -327,7 +327,7 @@
             self._schedule_suspicion_end(name, until)
 
     def _clear_leaver_suspicion(self, name: str) -> None:
-        """End the suspicion of a leaving member that was heard from; other suspicions end only by a refutation."""
+        """End the suspicion of a leaving member that has sent a message; other suspicions end only by a refutation."""
         current = self.view.get(name)
         if current is not None and current.state is MemberState.LEAVING:
             self._suspicions.remove(name)
--- a/cypresspulley/fleet/exchange.py
+++ b/cypresspulley/fleet/exchange.py
@@ -22,7 +22,7 @@
 from cypresspulley.fleet.view import View, bucket_of
 from cypresspulley.fleet.wire import Envelope, Key
 
-PIECE_KEY_BYTES = 200  # room reserved for the two keys of a piece
+PIECE_KEY_BYTES = 200  # bytes reserved for the two keys of a piece
 SPREADING_PERIODS = 2  # time after a membership change in which gossip still spreads it
 SPREADING_INTERVAL_PERIODS = 4  # interval of comparisons during that time
 FIRST_KEY: Key = (0, "", "")
--- a/cypresspulley/fleet/outbox.py
+++ b/cypresspulley/fleet/outbox.py
@@ -1,4 +1,4 @@
-"""Builds datagrams: a message, the sender's own record, and as much gossip as there is room for. No I/O, no clock."""
+"""Builds datagrams: a message, the sender's own record, and as much gossip as fits. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
         self.send(address, message_bytes, member_records + gossip, row_records)
 
     def record_room(self, message_bytes: Raw) -> int:
-        """Return the bytes left for records beside a message."""
+        """Return the bytes left for records after a message."""
         return (
             wire.MAX_DATAGRAM_BYTES
             - wire.HEADER_BYTES
--- a/cypresspulley/fleet/wire.py
+++ b/cypresspulley/fleet/wire.py
@@ -23,7 +23,7 @@
 from cypresspulley.fleet.records import MAX_ROW_BYTES, NAME_PATTERN, Member, MemberState
 
 FORMAT_VERSION = 1
-MAX_DATAGRAM_BYTES = 1200  # below the minimum IPv6 MTU (1280), with room for headers
+MAX_DATAGRAM_BYTES = 1200  # below the minimum IPv6 MTU (1280), which leaves space for headers
 DIGEST_BYTES = 16
 HEADER_BYTES = 1 + DIGEST_BYTES
 BUCKET_COUNT = 64  # of member names, by which anti-entropy compares two views
--- a/cypresspulley/graphql/__init__.py
+++ b/cypresspulley/graphql/__init__.py
@@ -1,1 +1,1 @@
-"""GraphQL queries charged by their cost: prices (no I/O) and their way through the limiter."""
+"""GraphQL queries charged by their cost: prices (no I/O) and how the limiter handles them."""
--- a/cypresspulley/histories/check_lanes.py
+++ b/cypresspulley/histories/check_lanes.py
@@ -7,7 +7,7 @@
     excess first    a limiter that rejects requests within quota in consecutive periods passes none beyond quota
     no inversion    no limiter rejects the highest lane within quota for longer than the bound while, over the fleet, a
                     lower lane passes above its floor and with no smaller share, or anything beyond quota passes
-    same verdict    within one spell, all limiters make the same decision for an account
+    same verdict    within one period, all limiters make the same decision for an account
 
 Lanes are ranked in the order in which the periods list them, the highest first.
 """
@@ -36,8 +36,8 @@
 SHEDDING_STATES = frozenset((SHEDDING, "easing"))  # lanes reject requests in both
 ROUNDING_SHARE = 1e-6  # relative rounding error of sums of floats
 SLACK_UNITS = 1.0  # tolerance of a period's sums: one request more or less
-FLOOR_WINDOW_SECONDS = 20.0  # continuous shedding over which floors are summed; five spells
-MIN_FLOOR_SHARE = 0.8  # of the floor, in such a sum, since the demand of accounts varies from spell to spell
+FLOOR_WINDOW_SECONDS = 20.0  # continuous shedding over which floors are summed; five periods
+MIN_FLOOR_SHARE = 0.8  # of the floor, in such a sum, since the demand of accounts varies between periods
 ABOVE_FLOOR_MULTIPLE = 1.5  # of the floor over the fleet; surely above it, whichever accounts are let pass
 
 
@@ -238,8 +238,8 @@
 def _lower_traffic_passes(excerpt: Sequence[ExcerptLine], lower: Sequence[str], first: str) -> bool:
     """Whether a lower lane surely passed above its floor over the fleet, or anything beyond quota, in these periods.
 
-    The sums count tries, and a request that passes the lanes may still be refused behind them and be retried. So a lane
-    counts as above its floor only if it passes at least the same share of its tries as the first lane.
+    The sums count each retry, and a request that passes the lanes may be refused after them and be retried. So a lane
+    counts as above its floor only if it passes at least the same share of its requests as the first lane.
     """
     periods = [_period_of(one) for one in excerpt]
     if sum(sum(period.passed_over.values()) for period in periods) > SLACK_UNITS:
@@ -283,9 +283,9 @@
 
 
 def _check_same_verdict(tally: Tally, histories: Histories) -> None:
-    """Find accounts that were both rejected within quota and let pass under the same spell number.
+    """Find accounts that were both rejected within quota and let pass under the same period number.
 
-    A spell number stands for one set of thresholds at all limiters.
+    A period number stands for one set of thresholds at all limiters.
     """
     turned: dict[tuple[str, int], ExcerptLine] = {}
     let: dict[tuple[str, int], ExcerptLine] = {}
--- a/cypresspulley/histories/events.py
+++ b/cypresspulley/histories/events.py
@@ -70,10 +70,10 @@
         "floors",
         "bears",
     ),
-    # A request that a lane rejected. ``spell`` is the number of the spell and ``until`` its end (Unix seconds, computed
-    # alike by all limiters); ``inside`` is whether the request was within quota.
+    # A request that a lane rejected. ``spell`` is the number of the period and ``until`` its end (Unix seconds,
+    # computed alike by all limiters); ``inside`` is whether the request was within quota.
     Kind.LANES_TURNED: ("id", "account", "lane", "inside", "spell", "until"),
-    # The first request within quota that a lane let pass for this account in this spell, while this limiter sheds.
+    # The first request within quota that a lane let pass for this account in this period, while this limiter sheds.
     Kind.LANES_LET: ("account", "lane", "spell"),
     # A calendar version is stored (``state`` "held"), in force ("force") or refused ("refused", with the reason in
     # ``why``).
--- a/cypresspulley/lanes/allocation.py
+++ b/cypresspulley/lanes/allocation.py
@@ -21,7 +21,7 @@
 
 # Targets of the gates' refusals. Some refusals keep the servers busy; more of them could have been avoided by shedding.
 TARGET_REFUSED = (
-    0.45  # share of admitted first requests refused for lack of room: most find room a moment later
+    0.45  # share of admitted first requests refused for lack of capacity: most get it a moment later
 )
 TARGET_UNSENT_FIRST = 0.04  # share of what the first lane admits that is never sent on
 TARGET_UNSENT_LANE = 0.3  # the same share of any other lane
@@ -72,7 +72,7 @@
 class Pressure:
     """The pressure on the fleet, by its fresh rows.
 
-    ``refused_share`` is the share of the first requests admitted by lanes that was refused for lack of room.
+    ``refused_share`` is the share of the first requests admitted by lanes that was refused for lack of capacity.
     ``first_unsent`` is the share of what the first lane admitted that was not sent on, where a retry that is sent
     counts for the request that it repeats; ``worst_unsent`` is the same share of the other lane in which it is largest.
     ``load`` is the mean of the gates' readings, weighted by what each limiter admitted. ``pressed_limiters`` is the
@@ -160,8 +160,8 @@
         return max(MIN_SENT_FACTOR * sent, min(before * (1 + change), (before + sent) / 2))
     least = MIN_SENT_FACTOR * sent
     if pressure.refusal_ratio_any_lane < 1:
-        # Only the first lane lacks room. It may take the capacity of the other lanes, but those cannot be given less
-        # than their floors: with a lower estimate the first lane itself would be shed because one limiter lacks room.
+        # Only the first lane lacks capacity. It may take that of the other lanes, but those cannot be given less than
+        # their floors: with a lower estimate the first lane itself would be shed because one limiter lacks capacity.
         first = math.fsum(report.rates[0].demand for report in ordered)
         floors, floor_units = (
             math.fsum(lane.floor for lane in lanes[1:]),
--- a/cypresspulley/lanes/meter.py
+++ b/cypresspulley/lanes/meter.py
@@ -17,7 +17,8 @@
 STEADY_DEVIATIONS = (
     3.0  # standard deviations by which recent requests may differ from the mean of the earlier ones
 )
-NO_ROOM = ("gate", "no server")  # causes of a refusal for lack of room; the others concern the account alone
+# Causes of a refusal for lack of capacity; the others concern the account alone.
+NO_ROOM = ("gate", "no server")
 MAX_OPEN = 65_536  # requests that await their first action; a limiter has sockets for a few thousand
 
 
@@ -95,7 +96,7 @@
             self._open[event.id] = lane, event, within_quota
 
     def count_actions(self, actions: list[api.Action]) -> None:
-        """Count the decision module's answer to an event: the first action for a request tells what became of it."""
+        """Count the decision module's answer to an event: the first action for a request shows its outcome."""
         for action in actions:
             if isinstance(action, api.Send):
                 if (entry := self._open.pop(action.id, None)) is not None:
--- a/cypresspulley/lanes/options.py
+++ b/cypresspulley/lanes/options.py
@@ -36,7 +36,7 @@
 from cypresspulley.fleet.records import NAME_PATTERN
 from cypresspulley.operators import OperatorsError
 
-MAX_LANES = 6  # a row of the fleet's view has room for no more
+MAX_LANES = 6  # a row of the fleet's view can hold no more
 PERIOD_RANGE_MS = (100, 5_000)
 DURATION_RANGE = (1.0, 600.0)  # seconds, of rotation periods and leases
 MAX_FLOOR_UNITS = 1e6  # units a second
--- a/cypresspulley/lanes/quota_estimate.py
+++ b/cypresspulley/lanes/quota_estimate.py
@@ -1,9 +1,9 @@
-"""Estimates whether a request is within its account's quota, as the decision module behind would most likely find it.
+"""Estimates whether a request is within its account's quota, as the decision module is likely to decide.
 
 The estimate reads the decision module's token buckets, refilled until the moment of the question, and never changes
-them. In doubt a request counts as within quota, because the decision module checks it once more. A request that a lane
-shed took no tokens there, so an account that is shed would seem to be within quota however much it requests. Therefore
-the requests within quota that were shed are charged to a token bucket here.
+them. Where this is uncertain a request counts as within quota, because the decision module checks it once more. A
+request that a lane shed took no tokens there, so an account that is shed would seem to be within quota however much it
+requests. Therefore the requests within quota that were shed are charged to a token bucket here.
 
 What an account contributes to the demand, by which the fleet's capacity is allocated, is a different question. Gates
 refuse requests before they look at quotas, and each of an account's limiters sees a full token bucket, so all of them
--- a/cypresspulley/lanes/rotation.py
+++ b/cypresspulley/lanes/rotation.py
@@ -36,7 +36,7 @@
 
 
 def longest_shed_run(part: float) -> int:
-    """Return the most rotation periods in a row for which an account is shed where a part of its lane is admitted.
+    """Return the maximum number of rotation periods in a row that shed an account where a part of its lane is admitted.
 
     ``part`` is above 0 and at most 1. Rotations by the golden ratio ``g`` return into an arc of length ``p`` after
     ``F(k)``, ``F(k+1)`` or ``F(k+2)`` steps (Slater 1967), where ``F(k)`` is the first Fibonacci number whose rotation
--- a/cypresspulley/lanes/rows.py
+++ b/cypresspulley/lanes/rows.py
@@ -34,8 +34,8 @@
     """The recent rates of one lane at one limiter, in units a second.
 
     ``demand`` is what accounts request within quota and ``demand_over_quota`` beyond it. ``admitted`` is what the lane
-    admitted, and ``refused`` the part of it that was then refused for lack of room. All these are of first requests.
-    ``sent`` is what was sent on to servers.
+    admitted, and ``refused`` the part of it that was then refused for lack of capacity. All these are of first
+    requests. ``sent`` is what was sent on to servers.
     """
 
     demand: float = 0.0
--- a/cypresspulley/lanes/shedding_policy.py
+++ b/cypresspulley/lanes/shedding_policy.py
@@ -4,7 +4,7 @@
 shed (``rotation`` determines which), while the thresholds may be revised. Each revision is one immutable value, made by
 one limiter. Of two policies the one with the larger ``key`` applies. This is a total order, so taking the larger is
 commutative, associative and idempotent, and limiters that have received the same rows apply the same policy. The key
-contains a hash of the author, so that two policies made at the same moment by different limiters are told apart.
+contains a hash of the author, so that two policies made at the same moment by different limiters can be distinguished.
 """
 
 from __future__ import annotations
--- a/cypresspulley/lanes/states.py
+++ b/cypresspulley/lanes/states.py
@@ -1,8 +1,8 @@
 """The states of load shedding at one limiter, as a table.
 
-Calm: nothing is shed. Pressed: the fleet refuses requests for lack of room, and it is not yet certain that this lasts.
-Shedding: a policy that sheds load is in force. Easing: such a policy is still in force but the pressure is gone, and
-each rotation period admits more until a policy is open.
+Calm: nothing is shed. Pressed: the fleet refuses requests for lack of capacity, and it is not yet certain that this
+lasts. Shedding: a policy that sheds load is in force. Easing: such a policy is still in force but the pressure is gone,
+and each rotation period admits more until a policy is open.
 
 | state | high | level | low | a policy is in force | an open policy |
 | --- | --- | --- | --- | --- | --- |
--- a/cypresspulley/lifecycle.py
+++ b/cypresspulley/lifecycle.py
@@ -8,7 +8,7 @@
 nevertheless until its predecessor has exited: the platform waits for a ready successor, and the drain says nothing
 about the health of the new process.
 
-``SHUTDOWN_ACTIONS`` says what happens to each client connection after the process was told to stop.
+``SHUTDOWN_ACTIONS`` says what happens to each client connection after the process was asked to stop.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
     DRAIN = "drain"
     ACTIVATE = "activate"
     HAND_OVER = "hand over"  # a successor reports that it serves
-    TAKE_BACK = "take back"  # the successor ended, and this process was not told to stop
+    TAKE_BACK = "take back"  # the successor ended, and this process was not asked to stop
     TERMINATE = "term"
 
 
@@ -112,7 +112,7 @@
 
 
 class ShutdownPhase(Enum):
-    """Phase of a process that was told to stop and has no successor."""
+    """Phase of a process that was asked to stop and has no successor."""
 
     # Clients do not know yet: their connections and requests are accepted, and each answer closes its connection.
     ACCEPTING = "taking"
--- a/cypresspulley/net/arrival.py
+++ b/cypresspulley/net/arrival.py
@@ -14,7 +14,8 @@
 import struct
 from collections.abc import Callable
 
-# Seconds without activity of the loop after which sockets are queried. Servers may be told up to 0.15 s too much.
+# Seconds without activity of the loop after which sockets are queried. The time reported to servers may be up to
+# 0.15 s too long.
 MAX_UNCHECKED_PAUSE = 0.1
 TIMER_TOLERANCE = 0.02  # seconds by which a heartbeat may be late, and up to which data counts as fresh
 FRESH_READS_UNTIL_SKIP = 32  # consecutive queries with fresh data after which sockets are no longer queried
@@ -28,7 +29,7 @@
 
 
 def seconds_since_last_data(transport: asyncio.BaseTransport) -> float | None:
-    """Return the seconds since a connection last received data; None if the platform does not tell."""
+    """Return the seconds since a connection last received data; None if the platform does not report it."""
     try:
         info = transport.get_extra_info("socket").getsockopt(
             socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_SIZE
@@ -66,7 +67,7 @@
         """Return for how many seconds ``data``, which was read just now, may have waited in the kernel.
 
         Delays within ``MAX_UNCHECKED_PAUSE`` may be returned as 0. If ``data`` contains several requests, the socket
-        tells the time of the last one only; the others are known to have arrived since the loop became blocked.
+        reports the time of the last one only; the others are known to have arrived since the loop became blocked.
         """
         now = self._clock()
         if now - self._last_run_at > MAX_UNCHECKED_PAUSE:
--- a/cypresspulley/net/discovery.py
+++ b/cypresspulley/net/discovery.py
@@ -110,7 +110,7 @@
 # The longest backoff after an overload status such as 503, in seconds before jitter.
 MAX_BACKOFF_BUSY = MAX_CALL_INTERVAL / (1 + JITTER)
 MAX_BACKOFF_URGENT = MAX_URGENT_CALL_INTERVAL / (1 + JITTER)
-# Seconds without progress until the next call starts beside one that has not responded (hedging). An agent on this
+# Seconds without progress until a second call starts while the first has not responded (hedging). An agent on this
 # machine responds at once and at no cost; at a shared discovery service, a call is queued behind those of others.
 HEDGE_DELAYS = dict.fromkeys(WatchState, 0.25)
 HEDGE_DELAYS_SHARED = HEDGE_DELAYS | dict.fromkeys(
@@ -377,7 +377,7 @@
     """Follows the server list at one address by one watch at a time. Without a watch, the known list stays in force.
 
     A watch that breaks or falls silent is replaced. Calls are hedged: while the newest makes no progress, the next
-    starts beside it, and the first that sends a line becomes the watch. Until then a silent watch stays open, so that
+    starts in parallel, and the first that sends a line becomes the watch. Until then a silent watch stays open, so that
     what it sends is not lost if it was only late.
     """
 
@@ -438,7 +438,7 @@
         return self._apply_jitter(wait)
 
     def _hedge_delay(self, state: WatchState) -> float:
-        """Return the seconds until the next call starts beside one that stays in this state."""
+        """Return the seconds until a further call starts while one stays in this state."""
         if self.pushed:
             table = HEDGE_DELAYS
         elif self._is_urgent:
--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -417,7 +417,7 @@
             self._close()
 
     def _abandon_requests(self) -> None:
-        """Drop all requests and tell the handler of those that have no response yet."""
+        """Drop all requests and notify the handler of those that have no response yet."""
         waiting, self._pending = self._pending, deque()
         for request in waiting:
             if request.response is None:
@@ -757,10 +757,10 @@
         ):
             return
         if transport.get_write_buffer_size() > 0:
-            return  # the sweep tries again
+            return  # the sweep will retry
         try:
             fd = os.dup(transport.get_extra_info("socket").fileno())
-        except OSError:  # the process is out of file descriptors for now
+        except OSError:  # the process has no file descriptors left for now
             return
         transport.pause_reading()  # further bytes stay in the kernel for the process that reads next
         if pass_descriptor(fd):
@@ -1015,7 +1015,7 @@
         """Listen on a socket that a successor can take over, or on ``listener``, the socket of a predecessor.
 
         Connections in the accept queue are reset when the last descriptor of the listener closes; with a takeover one
-        always stays open. The port is shared, because a successor that receives no socket must be able to start beside
+        always stays open. The port is shared, because a successor that receives no socket must be able to start next to
         a process that has stalled. Raise OSError if the address is not available.
         """
         sock = bind(host, port, LISTEN_BACKLOG, share_port=True) if listener is None else listener
--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -1,7 +1,7 @@
 """Runs the decision module on real sockets: passes events to it, carries out its actions, and keeps the open requests.
 
-No policy lives here. Every request gets exactly one final response: the one that the decision module chooses or, if it
-stays silent, an error just before the client's deadline.
+This module makes no policy decisions. Every request gets exactly one final response: the one that the
+decision module chooses or, if it stays silent, an error just before the client's deadline.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 log = logging.getLogger(__name__)
 
-RESPONSE_MARGIN_SECONDS = 0.02  # taken off a request's time for the way of the response back to the client
+RESPONSE_MARGIN_SECONDS = 0.02  # taken off a request's time for the transfer of the response to the client
 RESPONSE_MARGIN_SHARE = 0.1  # largest share of the request's time that the margin may take
 GATEWAY_WAIT_SHARE = 0.5  # share of the margin for which the gateway may respond after the deadline
 # Smaller changes are drift: a synchronized clock is slewed, which changes it by less than this in a minute.
@@ -96,7 +96,7 @@
         self.broadcast: Callable[[str], None] | None = None
         self._is_handling_events = False
         self._ban_applied = False
-        self._discovery_contact_at: float | None = None  # when discovery was last heard from
+        self._discovery_contact_at: float | None = None  # when discovery last sent anything
         self._action_handlers: dict[type, Callable[[Any], None]] = {
             api.Send: self._send, api.Refuse: self._refuse, api.Fail: self._fail, api.Cancel: self._cancel,
             api.Count: self._count, api.Broadcast: self._tell, api.Probe: self._probe, api.Ban: self._ban,
@@ -147,7 +147,7 @@
         self._counter = counter
 
     def record_discovery_contact(self) -> None:
-        """Record that discovery was heard from: the server list is known to be current up to now."""
+        """Record that discovery sent something: the server list is known to be current up to now."""
         self._discovery_contact_at = self._clock()
 
     def arrived(self, request: ClientRequest) -> None:
@@ -194,7 +194,7 @@
         self.feed(api.ResponseStarted(id, number, attempt.server, attempt.elapsed, attempt.report))
 
     def departed(self, request: ClientRequest) -> None:
-        """Drop a request whose client has disconnected, and tell the decision module."""
+        """Drop a request whose client has disconnected, and notify the decision module."""
         if request.event is not None and self._remove_request(request.event.id) is not None:
             self.feed(api.ClientDisconnected(request.event.id))
 
--- a/cypresspulley/net/upstream.py
+++ b/cypresspulley/net/upstream.py
@@ -1,6 +1,6 @@
 """Connection pool to the servers. Each connection carries one exchange at a time.
 
-The status of an exchange tells what is known about its execution: a request that did not reach the server completely
+The status of an exchange states what is known about its execution: a request that did not reach the server completely
 never ran; once its last byte has left this process, it may have run. Nothing is sent twice here. Whether to retry is
 the caller's decision.
 """
@@ -536,7 +536,7 @@
             return Status.OK
         if 400 <= code < 500:
             return Status.REJECTED
-        # Without the X-Not-Processed header, a 503 or 504 does not tell whether the request ran.
+        # Without the X-Not-Processed header, a 503 or 504 does not show whether the request ran.
         return Status.FULL if code in (503, 504) and self._not_processed else Status.ERROR
 
 
--- a/cypresspulley/plans/bucket_level.py
+++ b/cypresspulley/plans/bucket_level.py
@@ -40,7 +40,7 @@
 
 
 def max_ceiling_overshoot(old: tuple[float, float], new: tuple[float, float], late: float) -> float:
-    """Return the most units by which a ceiling (rate, burst) may be exceeded after a change from ``old`` to ``new``.
+    """Return the maximum units by which a ceiling (rate, burst) may be exceeded after a change from ``old`` to ``new``.
 
     The last limiter applies the change ``late`` seconds after it takes effect. Until then its bucket refills at the old
     rate and may hold more than the new burst.
--- a/cypresspulley/plans/reservations.py
+++ b/cypresspulley/plans/reservations.py
@@ -188,7 +188,7 @@
         if capacity.ceiling_rate <= 0:
             return True
         own = [booked for booked in concurrent if booked.account == request.account]
-        # Any span of the window must fit: the units reserved beyond the ceiling's rate come out of its burst.
+        # Any span of the window must fit: the units reserved beyond the ceiling's rate are taken from its burst.
         over = peak_rate([*own, request]) - capacity.ceiling_rate
         return over <= 0 or request.units + sum(booked.units for booked in own) <= (
             capacity.ceiling_burst + capacity.ceiling_rate * (request.end - request.start) // 1000
--- a/cypresspulley/plans/store.py
+++ b/cypresspulley/plans/store.py
@@ -6,7 +6,7 @@
 of them. A generation begins with a snapshot: frames that hold the state when it was written, closed by a record
 ``{"kind": "whole", "records": n}``. The records after it are in the order in which they were committed.
 
-A new generation is written beside the old one under another name, synced and renamed, and the folder is synced before
+A new generation is written to the same folder under another name, synced and renamed, and the folder is synced before
 the old one is removed, so that one complete generation exists after any crash. A record is durable once ``commit``
 returns. At a start, bytes after the last good frame that form no good frame are a torn tail: they were never
 acknowledged and are cut off. A bad frame with a good one after it is damage, and nothing is cut:
--- a/cypresspulley/policy/account.py
+++ b/cypresspulley/policy/account.py
@@ -53,7 +53,7 @@
         return self.tokens if now >= self.silent_until else 0.0
 
     def call(self, now: float, name: int, lifetime: float, amount: float, callback: CountCallback) -> None:
-        """Add ``amount`` to a count at the counter. After several misses in a row, calls go out one at a time until
+        """Add ``amount`` to a count at the counter. After several misses in a row, calls are sent one at a time until
         one is answered."""
         self.tokens -= 1
         if self.misses > 1:
@@ -149,7 +149,7 @@
         self.others_rate = (
             plan.rate * (gateways - 1) / gateways * 0.3
         )  # the other gateways' use, in units per second
-        self.unreported = 0.0  # own use that the counter or the other gateways have not been told
+        self.unreported = 0.0  # own use not yet reported to the counter or the other gateways
         self.open_attempts = 0
         # The three below serve usage messages, where there is no counter.
         self.extrapolated_use = 0.0  # others' use that was deducted before they reported it
@@ -253,7 +253,7 @@
         is_older = self.level < -self.plan.burst if self.last_total is None else None
         self.level = self.plan.burst / 2 if is_older and most_are_older else self.level
         self.last_total, self.synced_at = total, now
-        # Refill beyond a full bucket is lost. It is reported as used, so that the count alone tells the level.
+        # Refill beyond a full bucket is lost. It is reported as used, so that the level follows from the count alone.
         lost = max(0.0, self.level + advance_units - self.plan.burst)
         self.level -= lost
         # With low traffic here, another gateway may report the loss: only a large one is reported.
--- a/cypresspulley/policy/classes.py
+++ b/cypresspulley/policy/classes.py
@@ -39,7 +39,7 @@
     """Class records by name.
 
     Clients learn of new settings shortly after this limiter. The form of a request, its method and its key, follows
-    from the effect of its class, so it tells which record the client uses. An admitted request keeps its record and its
+    from the effect of its class, so it shows which record the client uses. An admitted request keeps its record and its
     number of attempts until its final answer.
     """
 
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -160,7 +160,7 @@
         request.open_attempts[len(request.attempts)] = server
         request.attempts.append((server, now))
         server.sent_since_report += 1
-        # A warm server owes nothing to the budget of its next slow start.
+        # A warm server charges nothing to the budget of its next slow start.
         server.cold_budget -= request.work if server.cold_since is not None else 0.0
         if not request.body_pending:
             self._begin_work(now, request, server)
@@ -218,7 +218,7 @@
                 self.load_balancer.record_outcome(now, request, server, event)
             self.quotas.settle(now, request, event)
             if server.outstanding_work <= 1e-9:
-                # With no work outstanding it owes no answer, and no answer could ever end its silence.
+                # With no work outstanding no answer is expected of it, and none could ever end its silence.
                 server.silent_since = None
         if (
             event.status not in NEVER_RAN
@@ -283,5 +283,5 @@
             for s in request.open_attempts.values():
                 s.release_work(request.work if request.holds_work else 0.0)
                 request.account.open_attempts -= not request.body_pending
-                # Nobody waits for an answer any more, so the server owes none.
+                # Nobody waits for an answer any more, so none is expected of the server.
                 s.silent_since = s.silent_since if s.outstanding_work > 1e-9 else None
--- a/cypresspulley/policy/incarnation.py
+++ b/cypresspulley/policy/incarnation.py
@@ -1,9 +1,9 @@
 """Finds out whether a process is the first in its position for so long that all ceilings' buckets are full again.
 
-Two counts at the shared counter tell it; their names hold the gateway's index and nothing else. An incarnation marks
+Two counts at the shared counter show this; their names hold the gateway's index and nothing else. An incarnation marks
 each of them by adding a random amount. A count expires ``MAX_LIFETIME_SECONDS`` after the mark that started it, by the
 counter's own clock, and an incarnation starts the two ``MARK_INTERVAL_SECONDS`` apart. So at any time of its life one
-of them lives for another ``MARK_INTERVAL_SECONDS``, however the wall clock steps, and a new incarnation that finds
+of them exists for another ``MARK_INTERVAL_SECONDS``, however the wall clock steps, and a new incarnation that finds
 both empty is the first one.
 """
 
@@ -36,15 +36,15 @@
         return f"<Mark due {self.due_at:.3f}, unanswered {self.unanswered_amounts}>"
 
     def is_own(self, remainder: float) -> bool:
-        """Return whether the amount beside the one added last can have come from this incarnation alone."""
+        """Return whether the count without the amount added last can have come from this incarnation alone."""
         amounts = [amount for amount in self.unanswered_amounts if amount]
         sums = (sum(subset) for n in range(len(amounts) + 1) for subset in combinations(amounts, n))
         return any(abs(remainder - own_sum) < 1e-3 for own_sum in sums)
 
 
 class Incarnation:
-    """Makes the calls by which a process learns whether it is the first in its position, and marks that it lives for
-    its successor.
+    """Makes the calls by which a process learns whether it is the first in its position, and marks its existence
+    for its successor.
 
     ``is_enabled`` says whether there is a counter and a ceiling, and all ceilings fill within
     ``MARK_INTERVAL_SECONDS``.
--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -18,7 +18,7 @@
 from cypresspulley.policy.ring import DeduplicationGroups, HashRing
 from cypresspulley.policy.server import Server
 
-# Servers whose time of birth is kept, so that operators who name an id that was never listed can be told so.
+# Servers whose time of birth is kept, so that operators who name an id that was never listed get an error.
 MAX_KNOWN_SERVERS = 4096
 BIRTH_TOLERANCE_SECONDS = 1e-6  # two births that differ by no more are the same
 MIN_SUBSET_SIZE = 8  # servers that a gateway with little traffic uses
@@ -130,7 +130,7 @@
         self._load_reports = RecentLoadReports()
         self._active = dict[Server, None]()  # have a work rate or are unreachable
         self._removed = dict[Server, None]()  # left the server list
-        self.bans = set[str]()  # names of servers that operators took out of service
+        self.bans = set[str]()  # names of servers that operators have banned
         self.births = dict[str, float]()  # birth of each server that was ever listed, in wall time
         self.idle_latency = dict[str, float]()  # seconds, by class
         self.unit_cost = UnitCostModel()
@@ -259,7 +259,7 @@
     def _start_age(
         self, now: float, entry: api.ServerEntry, server: Server, previous: float | None
     ) -> float | None:
-        """Return the seconds since a start that was not known yet; None where the entry tells of none.
+        """Return the seconds since a start that was not known yet; None where the entry shows none.
 
         A birth is wall time, and the wall clock may step. Any birth but the last known one is therefore a new start,
         which happened after the previous message of discovery. The wall clock is used only between that message and
@@ -285,7 +285,7 @@
             return False
         unbanned, server = event.server in self.bans and not event.out, self.servers.get(event.server)
         (self.bans.add if event.out else self.bans.discard)(event.server)
-        if unbanned and server is not None:  # it may have been restarted, whatever birth the list tells
+        if unbanned and server is not None:  # it may have been restarted, whatever birth the list gives
             self._begin_slow_start(now, server, now)
             server.latency_ratio = 0.0
             server.ejected_until = now
@@ -335,7 +335,7 @@
         self._set_subset(subset)
 
     def _is_silent(self, now: float, server: Server) -> bool:
-        """Return whether a server has owed answers for too long."""
+        """Return whether a server has left requests unanswered for too long."""
         return server.silent_since is not None and now - server.silent_since > self._silence_limit
 
     def _set_subset(self, subset: list[Server]) -> None:
@@ -381,8 +381,8 @@
         # outstanding.
         headroom = max(0.0, 1 - self._gate.load / (LOW_LOAD_SHARE * REFERENCE_LOAD))
         limit *= 1 + headroom * (self._gate.integral is not None)
-        # A server that has owed answers for long is cut off, hung or dead and gets nothing new. If most servers are
-        # silent they are only slow.
+        # A server that has answered no request for long is cut off, hung or dead and gets nothing new. If most servers
+        # are silent they are only slow.
         busy, silence_limit = subset if is_small else self._busy_in_subset(), self._silence_limit
         silent = [s for s in busy if s.silent_since is not None and now - s.silent_since > silence_limit]
         silent = silent if len(silent) <= len(subset) / 2 else []
@@ -449,7 +449,7 @@
         ]
 
     def _busy_in_subset(self) -> list[Server]:
-        """Return the servers of the subset that have work outstanding or owe an answer."""
+        """Return the servers of the subset that have work outstanding or an unanswered request."""
         for s in [s for s in self._busy if s.outstanding_work <= 0 and s.silent_since is None]:
             del self._busy[s]
         return [s for s in self._busy if s.in_subset]
--- a/cypresspulley/policy/quota.py
+++ b/cypresspulley/policy/quota.py
@@ -29,8 +29,8 @@
 class Verdict:
     """The result of the quota check of one request.
 
-    ``counted_units`` is what the counter was told of the request in advance: above 0, its level is charged already;
-    0 means that nothing was told and nothing will be; None means that its units are reported later.
+    ``counted_units`` is what was reported to the counter for the request in advance: above 0, its level is charged
+    already; 0 means that nothing was reported and nothing will be; None means that its units are reported later.
     """
 
     within_quota: bool
@@ -333,8 +333,8 @@
             self.report_use(now, account)
 
     def revert_charge(self, now: float, request: Request, verdict: Verdict) -> Verdict:
-        """Take back the units that the counter was told in advance, for a request that is not sent within its quota
-        after all."""
+        """Take back the units that were reported to the counter in advance, for a request that is not sent within its
+        quota after all."""
         if verdict.counted_units:
             self.report_use(now, request.account, extra_units=-verdict.counted_units)
         return Verdict(False)
@@ -347,7 +347,7 @@
         Without a free call the units stay unreported, unless a request waits or ``extra_units`` is not 0.
         """
         account.unreported, account.level = account.unreported + extra_units, account.level - extra_units
-        # A waiting request and units told in advance cannot be postponed.
+        # A waiting request and units reported in advance cannot be postponed.
         may_call = request is not None or extra_units != 0 or self.counter_calls.available(now) >= 1
         if may_call and self._settings.has_counter and account.plan.rate > 0:
             reported, account.unreported, account.last_call_at = account.unreported, 0.0, now
@@ -460,7 +460,7 @@
             else Verdict(remaining >= -1e-6)
         )
         charged = request_units if verdict.within_quota else 0.0
-        # Where the units told in advance turn out wrong, the counter gets them back, or is told them now.
+        # Where the units reported in advance turn out wrong, they are taken back at the counter, or reported now.
         correction = charged if advance_units == 0 else -advance_units * (charged == 0)
         if request is not None and not request.is_retry and event.status is Status.OK:
             self._over_quota_share += ESTIMATE_WEIGHT * ((charged == 0) - self._over_quota_share)
--- a/cypresspulley/policy/server.py
+++ b/cypresspulley/policy/server.py
@@ -32,7 +32,7 @@
         self.sent_since_report = 0  # attempts
         self.consecutive_breaks = 0  # broken attempts without an answer in between
         self.last_break_at = 0.0
-        self.silent_since: float | None = None  # since when it has owed answers and given none
+        self.silent_since: float | None = None  # since when it has unanswered requests and has sent no answer
         self.cold_since: float | None = None  # None: warm
         self.listed_at = 0.0  # when a server list last named it
         self.in_subset = False  # used by this gateway
--- a/cypresspulley/policy/slots.py
+++ b/cypresspulley/policy/slots.py
@@ -11,7 +11,7 @@
 
 
 class Slots:
-    """The open attempts of one account at one gateway, and what of them the counter has not been told."""
+    """The open attempts of one account at one gateway, and what of them has not been reported to the counter."""
 
     __slots__ = ("_label", "full_until", "open_attempts", "period", "unreported")
 
@@ -19,11 +19,11 @@
         self._label = label
         self.period = -1
         self.open_attempts = 0  # attempts here that are open or wait for a slot
-        self.unreported = 0.0  # what the period's count has not been told
+        self.unreported = 0.0  # what has not been reported to the period's count
         self.full_until = 0.0  # until then the limit is most likely reached
 
     def has_unreported(self, wall_time: float) -> bool:
-        """Return whether the counter has not been told everything, because the period is new or calls were lost or
+        """Return whether anything is unreported to the counter, because the period is new or calls were lost or
         skipped."""
         self.add_open(wall_time, 0)
         return self.unreported != 0
--- a/cypresspulley/policy/windows.py
+++ b/cypresspulley/policy/windows.py
@@ -1,10 +1,10 @@
 """An account's ceiling that all gateways enforce through the shared counter, in windows that the counter times.
 
 With B the burst and R the rate of the ceiling, each account has one count, under one name and with a lifetime of
-B / 2R. The first call starts a window and the expiry of the count ends it; a call that brings the total to B / 2 at
-most is granted. No clock of a gateway takes part in that, so that neither a step of the wall clock nor a restart opens
-or ends a window. Clocks only tell when a full window is worth another call. Why that is enough, and what a lost count
-adds: ``docs/design/large-fleet.md``.
+B / 2R. The first call starts a window and the expiry of the count ends it; a call that brings the total to at most
+B / 2 is granted. No clock of a gateway takes part in that, so that neither a step of the wall clock nor a restart opens
+or ends a window. Clocks only determine when a full window is worth another call. Why that is enough, and what a lost
+count adds: ``docs/design/large-fleet.md``.
 """
 
 from math import inf
@@ -125,7 +125,7 @@
         self._next_call_at = earliest + draw * (latest - earliest)
 
     def add_credit(self, generation: int, units: float) -> None:
-        """Keep granted units that were not sent for the next request here, while the same count lives."""
+        """Keep granted units that were not sent for the next request here, while the same count exists."""
         if generation == self._generation:
             self._credit += units
 
--- a/cypresspulley/rehearsal/service.py
+++ b/cypresspulley/rehearsal/service.py
@@ -60,7 +60,7 @@
         self._open_until = list[float]()  # ends of the open attempts
 
     def try_admit(self, t: float, idle: float, units: float) -> bool:
-        """Take units for a request that would stay open for ``idle`` seconds; return whether there was room."""
+        """Take units for a request that would stay open for ``idle`` seconds; return whether it had enough."""
         self._open_until = [end for end in self._open_until if end > t]
         if self._plan.open_limit and len(self._open_until) >= self._plan.open_limit:
             return False
--- a/cypresspulley/rehearsal/virtual/network.py
+++ b/cypresspulley/rehearsal/virtual/network.py
@@ -108,7 +108,7 @@
         self._network, self._protocol = network, protocol
         self.address, self.peer_address = address, peer
         self.paused = self._closing = self._is_lost = self._is_eof_queued = self._is_writing_paused = False
-        self._write_buffer = deque[bytes]()  # written but not yet in flight, for lack of room
+        self._write_buffer = deque[bytes]()  # written but not yet in flight, for lack of buffer space
         self._write_buffer_size, self._high_water, self._low_water = (
             0,
             HIGH_WATER_BYTES,
@@ -214,7 +214,7 @@
     # Events of the path.
 
     def flush(self) -> None:
-        """Send from the write buffer as far as the socket buffer has room."""
+        """Send from the write buffer as far as the socket buffer has space."""
         while self._write_buffer and self.outgoing.size < SOCKET_BUFFER_BYTES:
             data = self._write_buffer.popleft()
             room = SOCKET_BUFFER_BYTES - self.outgoing.size
--- a/cypresspulley/rehearsal/virtual/play.py
+++ b/cypresspulley/rehearsal/virtual/play.py
@@ -263,7 +263,7 @@
     """Run a scenario and return its records. The same scenario, seed and plan give the same records, byte for byte.
 
     Raise TurnLimitError after ``max_turns`` of the loop (0 for no limit). ``logs`` is a folder for the histories that
-    limiters and the kit write, if any."""
+    limiters and the harness write, if any."""
     plan, records = plan or draw_plan(scenario, seed), list[log.Record]()
 
     def sink(record: log.Record) -> None:
--- a/cypresspulley/settings.py
+++ b/cypresspulley/settings.py
@@ -48,7 +48,7 @@
     """The settings object is invalid; the message names the key and what was expected."""
 
 
-# Seconds. The platform waits at most 0.7 s longer than this for a process that was told to stop.
+# Seconds. The platform waits at most 0.7 s longer than this for a process that was asked to stop.
 LONGEST_DEADLINE = 3.0
 
 
