--- a/cypresspulley/fleet/limiter.py
+++ b/cypresspulley/fleet/limiter.py
@@ -222,8 +222,8 @@
     def is_settled(self, now: float) -> bool:
         return self._detector.is_settled()
 
-    def count_heard(self, now: float, within: float) -> int:
-        return self._detector.peers.count_heard(now, within)
+    def count_responsive(self, now: float, within: float) -> int:
+        return self._detector.peers.count_responsive(now, within)
 
     def clock_error(self, now: float) -> tuple[float, float] | None:
         detector = self._detector
--- a/cypresspulley/fleet/peers.py
+++ b/cypresspulley/fleet/peers.py
@@ -38,7 +38,7 @@
     """A peer in its present life. ``digest`` is the one last reported, in the datagram numbered ``top``."""
 
     window: ReplayWindow
-    heard_at: float
+    last_contact_at: float
     digest: int = -1
     top: int = -1
     corrected: float = float("-inf")  # when it was last sent a newer record of itself
@@ -71,7 +71,7 @@
         if peer is None or peer.window.life != sender.life:
             peer = self._by_name[sender.name] = Peer(ReplayWindow(sender.life), now)
             peer.window.accept(envelope.sequence)
-        peer.heard_at = now
+        peer.last_contact_at = now
         if envelope.sequence >= peer.top:
             peer.top, peer.digest = envelope.sequence, envelope.members_digest
 
@@ -109,9 +109,9 @@
                     break
         return found
 
-    def count_heard(self, now: float, within: float) -> int:
+    def count_responsive(self, now: float, within: float) -> int:
         """Return how many present members have sent a datagram within the last ``within`` seconds."""
-        recent = (name for name, peer in self._by_name.items() if now - peer.heard_at <= within)
+        recent = (name for name, peer in self._by_name.items() if now - peer.last_contact_at <= within)
         return sum(
             1 for name in recent if (member := self._view.get(name)) is not None and member.state.present
         )
--- a/cypresspulley/fleet/records.py
+++ b/cypresspulley/fleet/records.py
@@ -109,7 +109,7 @@
         """Whether the local digest equals the last digest reported by every present member."""
         ...
 
-    def count_heard(self, now: float, within: float) -> int:
+    def count_responsive(self, now: float, within: float) -> int:
         """Return how many other present members have sent a datagram within the last ``within`` seconds."""
         ...
 
--- a/cypresspulley/lanes/limiter.py
+++ b/cypresspulley/lanes/limiter.py
@@ -72,7 +72,7 @@
         self.active = ActivePolicy(options, count, now)
         self.module = SheddingModule(options, settings, self.estimator, self.meter, self.active, history)
         self._timer: asyncio.TimerHandle | None = None
-        self._heard_at = now
+        self._last_contact_at = now
 
     def __repr__(self) -> str:
         return f"<LoadShedder {self.state_machine!r}, {self.active!r}, {self.peer_rows!r}>"
@@ -122,9 +122,9 @@
 
     def _has_no_view(self, now: float, reports: list[LimiterReport]) -> bool:
         """Return whether this limiter is alone, or has received nothing from any other for long."""
-        if self._view.count_heard(now, self._options.period_seconds * STALE_PERIODS) > 0:
-            self._heard_at = now
-        return len(reports) < 2 or now - self._heard_at > VIEW_LOST_SECONDS
+        if self._view.count_responsive(now, self._options.period_seconds * STALE_PERIODS) > 0:
+            self._last_contact_at = now
+        return len(reports) < 2 or now - self._last_contact_at > VIEW_LOST_SECONDS
 
     def _update_policy(self, now: float, reports: list[LimiterReport], pressure: Pressure) -> None:
         """Merge the policies of the others, update the state, and make a revision where one is due."""
--- a/cypresspulley/lanes/quota_estimate.py
+++ b/cypresspulley/lanes/quota_estimate.py
@@ -28,7 +28,7 @@
 def level_at(account: Account, now: float) -> float:
     """Return the estimated units in an account's token bucket at ``now``, as ``Account.refill`` would compute them."""
     plan, dt = account.plan, max(0.0, now - account.refilled_at)
-    if account.heard_at:
+    if account.last_contact_at:
         used = account.others_rate * OTHERS_DECAY_SECONDS * (1 - math.exp(-dt / OTHERS_DECAY_SECONDS))
         return min(plan.burst, account.level + plan.rate * dt - used)
     paid = min(account.debt, plan.rate * dt)
--- a/cypresspulley/policy/account.py
+++ b/cypresspulley/policy/account.py
@@ -103,8 +103,8 @@
         "debt",
         "extrapolated_use",
         "gateways",
-        "heard_at",
         "last_call_at",
+        "last_contact_at",
         "last_total",
         "level",
         "local_ceiling_part",
@@ -154,7 +154,7 @@
         # The three below serve usage messages, where there is no counter.
         self.extrapolated_use = 0.0  # others' use that was deducted before they reported it
         self.own_recent_use = 0.0  # own use, decaying like the others'
-        self.heard_at = 0.0  # time of the last message; 0 where messages are not used
+        self.last_contact_at = 0.0  # time of the last message; 0 where messages are not used
         self.debt = 0.0  # units charged when the bucket was empty; deducted from the next refills
 
     def apply_plan(self, plan: api.Plan, label: str, settings: api.Settings) -> None:
@@ -176,7 +176,7 @@
     def refill(self, now: float) -> None:
         """Refill all levels up to ``now``."""
         plan, elapsed, self.refilled_at = self.plan, max(0.0, now - self.refilled_at), now
-        if self.heard_at:
+        if self.last_contact_at:
             self._extrapolate_others(elapsed)
         else:
             paid = min(self.debt, plan.rate * elapsed)
@@ -217,15 +217,15 @@
         self.debt -= paid
         self.level, self.share_level = self.level - units - paid, self.share_level - units
         self.unreported, self.own_recent_use = self.unreported + units, max(0.0, self.own_recent_use + units)
-        if not self.heard_at and self.level < 0:
+        if not self.last_contact_at and self.level < 0:
             self.level, self.debt = 0.0, self.debt - self.level
 
     def add_reported_use(self, now: float, units: float) -> None:
         """Deduct what another gateway reports as used since its last message (below 0: a refund)."""
-        if not self.heard_at:
+        if not self.last_contact_at:
             # With messages, the level is that of the whole bucket and no longer exceeds the burst.
             self.level, self.others_rate = min(self.level, self.plan.burst), 0.0
-        self.heard_at = now
+        self.last_contact_at = now
         self.refill(now)
         already_deducted = min(self.extrapolated_use, max(0.0, units))
         self.extrapolated_use -= already_deducted
--- a/cypresspulley/policy/quota.py
+++ b/cypresspulley/policy/quota.py
@@ -117,7 +117,7 @@
             if self.usage_broadcast is not None:
                 self._accounts_by_key[account.counter_name % KEY_COUNT] = account
                 self.usage_broadcast.apply_unknown_use(now, account)
-                account.heard_at = now
+                account.last_contact_at = now
         account.refill(now)
         self._call_for_incarnation(now)
         return account
@@ -256,7 +256,10 @@
         call_chance = min(1.0, calls.available(now) / 2) * min(1.0, plan.price / self._mean_price)
         if plan.rate <= 0 or not self.check_open_limit(now, request):
             return Verdict(bool(self.check_open_limit(now, request)), basis="level")
-        if self.usage_broadcast is not None and now - self.usage_broadcast.heard_at < MAX_MESSAGE_GAP_SECONDS:
+        if (
+            self.usage_broadcast is not None
+            and now - self.usage_broadcast.last_contact_at < MAX_MESSAGE_GAP_SECONDS
+        ):
             return Verdict(account.level >= request.units, basis="message")
         if not self._settings.has_counter or now < calls.silent_until:
             within_share = (
--- a/cypresspulley/policy/usage.py
+++ b/cypresspulley/policy/usage.py
@@ -25,7 +25,7 @@
 
     def __init__(self, now: float, gateways: int, inbox: float) -> None:
         self.set_gateways(gateways, inbox)
-        self.started_at = self.sent_at = self.heard_at = now
+        self.started_at = self.sent_at = self.last_contact_at = now
         # Whether the other gateways are older, so that this one has restarted and has lost what it had sent before.
         self.was_restarted = False
         self.unknown_use = dict[int, tuple[float, float]]()  # by key: units that others used, and since when
@@ -66,7 +66,7 @@
         """Return the keys and units of a message, or an empty list for a text that is not a valid message."""
         if (message := decode_message(text)) is None:
             return []
-        self.heard_at = now
+        self.last_contact_at = now
         self.was_restarted = self.was_restarted or message[0] > now - self.started_at + MIN_AGE_LEAD_SECONDS
         return message[1]
 
--- a/cypresspulley/rehearsal/timeline.py
+++ b/cypresspulley/rehearsal/timeline.py
@@ -204,7 +204,7 @@
         """Return whether the limiter was stopped (SIGSTOP) at any time between; a stopped process cannot answer."""
         return any(a <= end and start <= b for a, b in self.pauses.get(limiter, ()))
 
-    def heard_at(self, limiter: str, t: float) -> float:
+    def earliest_read_time(self, limiter: str, t: float) -> float:
         """Return when a limiter can have read what was written to it at ``t``. A stopped one reads once resumed."""
         return max(
             [
@@ -226,7 +226,9 @@
         for state in states:
             gives_back = state.health == "ready" and state.born <= born
             delayed.append(
-                state if gives_back else KnownState(self.heard_at(limiter, state.t), state.health, state.born)
+                state
+                if gives_back
+                else KnownState(self.earliest_read_time(limiter, state.t), state.health, state.born)
             )
             born = state.born
         for at in range(len(delayed) - 2, -1, -1):
--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -40,7 +40,7 @@
     "level": "level", "floor": "share_level", "ceiling": "ceiling_level",
     "drawn": "ceiling_drawn", "total": "last_total", "others": "others_rate",
     "pending": "unreported", "guessed": "extrapolated_use",
-    "mine": "own_recent_use", "heard": "heard_at", "debt": "debt",
+    "mine": "own_recent_use", "heard": "last_contact_at", "debt": "debt",
 }  # fmt: skip
 # Attributes of an account, used only with getattr and setattr: the stores that are split between the processes.
 SPLIT_STORES = ("level", "share_level", "ceiling_level")
--- a/tests/closing/world.py
+++ b/tests/closing/world.py
@@ -98,7 +98,7 @@
     def is_settled(self, now: float) -> bool:
         return True
 
-    def count_heard(self, now: float, within: float) -> int:
+    def count_responsive(self, now: float, within: float) -> int:
         return sum(now - k.heard_at <= within for name, k in self.known.items() if name != self.local_name)
 
     def clock_error(self, now: float) -> tuple[float, float] | None:
--- a/tests/fleet/test_detector.py
+++ b/tests/fleet/test_detector.py
@@ -276,13 +276,13 @@
     detector = harness.detector
     before = (
         detector.view.digest,
-        detector.peers.count_heard(harness.now, 0.0),
+        detector.peers.count_responsive(harness.now, 0.0),
         detector.is_settled(),
         len(harness.changes),
     )
     harness.advance(0.3)
     harness.process(DatagramReceived(data))
-    assert detector.counts["replayed"] == 1 and detector.peers.count_heard(harness.now, 0.2) == 0
+    assert detector.counts["replayed"] == 1 and detector.peers.count_responsive(harness.now, 0.2) == 0
     assert before[0] == detector.view.digest and before[2:] == (detector.is_settled(), len(harness.changes))
 
 
--- a/tests/fleet/test_limiter.py
+++ b/tests/fleet/test_limiter.py
@@ -76,7 +76,7 @@
         await wait_until(lambda: views[0].clock_error(time.monotonic()) is not None)
         low, high = views[0].clock_error(time.monotonic()) or (1.0, -1.0)
         assert low <= 0.05 and high >= -0.05 and high - low < 1.0
-        assert views[0].count_heard(time.monotonic(), 60.0) == 2
+        assert views[0].count_responsive(time.monotonic(), 60.0) == 2
         all_of[2].leave()
         await asyncio.sleep(PERIOD)
         await all_of[2].close()
--- a/tests/lanes/fabric.py
+++ b/tests/lanes/fabric.py
@@ -128,7 +128,7 @@
     def is_settled(self, now: float) -> bool:
         return True
 
-    def count_heard(self, now: float, within: float) -> int:
+    def count_responsive(self, now: float, within: float) -> int:
         self._receive_due(now)
         return sum(
             now - h.confirmed_at <= within for owner, h in self._stored.items() if owner != self.local_name
