--- a/cypresspulley/rehearsal/harness_history.py
+++ b/cypresspulley/rehearsal/harness_history.py
@@ -42,7 +42,7 @@
     def fault(self, kind: str, targets: Iterable[str], on: bool) -> None:
         self.put(Kind.FAULT, kind_of=kind, targets=sorted(targets), on=on)
 
-    def end_day(self) -> None:
+    def end_run(self) -> None:
         """Mark the end of the run. Nothing that happens during the shutdown is written."""
         self.put(Kind.END, reason="over")
         self._ended = True
--- a/cypresspulley/rehearsal/play.py
+++ b/cypresspulley/rehearsal/play.py
@@ -100,7 +100,7 @@
 Progress = Callable[[float, "ScenarioRunner"], None]
 
 
-def describe_day(scenario: Scenario, plan: Plan) -> log.Day:
+def describe_run(scenario: Scenario, plan: Plan) -> log.Day:
     """Return the record of the facts that the judge needs."""
     halls, fleet = scenario.fleet.halls, scenario.fleet
     return log.Day(
@@ -175,7 +175,7 @@
         self.context.on_arrival = self._on_arrival
         self.net = LoopbackNetwork(scenario, base)
         self._overlapping = OverlappingFaults()
-        self.day = describe_day(scenario, plan)
+        self.day = describe_run(scenario, plan)
         self.halls = scenario.fleet.halls
         k = scenario.keeper
         self.keeper = CounterServer(self.context, k.parts, k.calls_per_second, k.waiting_ms / 1000, k.call_ms / 1000,
@@ -257,7 +257,7 @@
         if self.fleet_harness is not None:
             await self.fleet_harness.open()
 
-    def begin_day(self) -> None:
+    def begin_run(self) -> None:
         """Start the clock of the run once all limiters are ready, with [together] at a whole Unix second.
 
         Raise ``HarnessError`` if the limiters were not ready in time.
@@ -786,7 +786,7 @@
             await self.books.close()
 
 
-async def _run_day(runner: ScenarioRunner, progress: Progress | None) -> None:
+async def _run_scenario(runner: ScenarioRunner, progress: Progress | None) -> None:
     """Play everything from the first limiter's start to the last one's exit."""
     runner.clients.prepare(runner.plan.arrivals)
     runner.start_stand_ins()
@@ -797,7 +797,7 @@
     await runner.open_fleet_harness()
     early = [name for name in runner.limiters if name not in runner.returning]
     await asyncio.gather(*(runner.start_limiter(name) for name in early))
-    runner.begin_day()
+    runner.begin_run()
     runner.keeper.is_serving = True
     runner.schedule_faults()
     abuse = runner.start_abuse()
@@ -817,7 +817,7 @@
             0.05
         )  # limiters that are being restarted return first, so that their exit is judged too
     if runner.fleet_harness is not None:
-        runner.fleet_harness.end_day()
+        runner.fleet_harness.end_run()
     for limiter in runner.limiters.values():
         if limiter.running:
             runner.context.record(log.LimiterState(runner.context.now(), limiter.name, "stopping"))
@@ -890,7 +890,7 @@
     runner = ScenarioRunner(scenario, plan, limiter, kept.append, base, environment=environment)
     try:
         with reduced_gc():
-            await play_day(runner, progress)
+            await play_scenario(runner, progress)
     except OSError as error:
         raise HarnessError(f"{error.strerror or error}: the rehearsal could not go on") from None
     finally:
@@ -938,12 +938,12 @@
         gc.unfreeze()
 
 
-async def play_day(runner: ScenarioRunner, progress: Progress | None) -> None:
+async def play_scenario(runner: ScenarioRunner, progress: Progress | None) -> None:
     """Play a run to its end while measuring this process's own lateness.
 
     Raise ``HarnessError`` if the run cannot go on.
     """
-    day = asyncio.ensure_future(_run_day(runner, progress))
+    day = asyncio.ensure_future(_run_scenario(runner, progress))
     heartbeat = asyncio.ensure_future(runner.watch_lateness())
     failed = asyncio.ensure_future(runner.failed.wait())
     shown = asyncio.ensure_future(_show_progress(runner, progress)) if progress else None
--- a/cypresspulley/rehearsal/together.py
+++ b/cypresspulley/rehearsal/together.py
@@ -116,7 +116,7 @@
                 log.Keeping(self._context.now(), tuple(self._closings.caching_accounts), closing.keep)
             )
 
-    def end_day(self) -> None:
+    def end_run(self) -> None:
         """Write the facts of the run to the harness's history and end it."""
         closing, lanes = self._scenario.closing, self._scenario.lanes
         self.harness.put(
@@ -126,7 +126,7 @@
             lanes=[list(lane.plans) for lane in lanes.lanes] if lanes is not None else [],
             clock_bound=closing.clock_bound_ms / 1000 if closing is not None else 0.0,
         )  # fmt: skip
-        self.harness.end_day()
+        self.harness.end_run()
 
     # Faults.
 
--- a/cypresspulley/rehearsal/virtual/play.py
+++ b/cypresspulley/rehearsal/virtual/play.py
@@ -34,7 +34,7 @@
 from cypresspulley.rehearsal.checks import check_histories
 from cypresspulley.rehearsal.limiters import HarnessError, KillCallback, LimiterProcess
 from cypresspulley.rehearsal.plan import Plan, draw_plan, random_for
-from cypresspulley.rehearsal.play import LoopbackNetwork, ScenarioRunner, operators_path, play_day
+from cypresspulley.rehearsal.play import LoopbackNetwork, ScenarioRunner, operators_path, play_scenario
 from cypresspulley.rehearsal.scenario import Scenario, limiter_names
 from cypresspulley.rehearsal.together import KEY, FleetEnvironment
 from cypresspulley.rehearsal.virtual.loop import VirtualLoop, run_virtual
@@ -299,7 +299,7 @@
             observer.now = runner.context.now
         with _errors_void_run(runner):
             try:
-                await play_day(runner, progress)
+                await play_scenario(runner, progress)
             finally:
                 await runner.close()
 
--- a/tests/rehearsal/test_together.py
+++ b/tests/rehearsal/test_together.py
@@ -532,7 +532,7 @@
     harness.record(log.Left(0, "i2", "impatient"))
     harness.record(log.LimiterState(0, "n0", "ready"))
     harness.record(log.Happened(0, 1.0, "server-hang", "s1"))
-    harness.end_day()
+    harness.end_run()
     harness.record(log.LimiterState(0, "n0", "stopping"))
     kinds = [(event["kind"], {k: event[k] for k in FACTS[Kind(event["kind"])]}) for event in history.events]
     assert kinds[1] == ("fault", {"kind_of": "limiter-kill", "targets": ["n0"], "on": True})
