--- a/cypresspulley/closing/calendar_store.py
+++ b/cypresspulley/closing/calendar_store.py
@@ -32,7 +32,7 @@
 def encode_calendar(calendar: Calendar) -> bytes:
     """Encode a calendar as a document. Equal calendars give equal bytes.
 
-    Raise ``OperatorsError`` if the document would exceed ``MOST_DOCUMENT`` bytes.
+    Raise ``OperatorsError`` if the document would exceed ``MAX_DOCUMENT_BYTES`` bytes.
     """
     places = {name: _place_table(place) for name, place in sorted(calendar.places.items())}
     accounts = {name: b"" for name in places}
--- a/cypresspulley/fleet/exchange.py
+++ b/cypresspulley/fleet/exchange.py
@@ -58,8 +58,8 @@
         assert isinstance(request, wire.SyncRequest)
         address, mask = requester.address, self._view.differing_buckets(request.buckets)
         after = self._cursors.pop(requester.name, FIRST_KEY)
-        room = (
-            outbox.record_room(
+        space = (
+            outbox.record_space(
                 wire.encode_record(wire.SyncPiece(request.number, 2**64 - 1, FIRST_KEY, END_KEY, False))
             )
             - PIECE_KEY_BYTES
@@ -73,7 +73,7 @@
             )
             if record is None:
                 continue
-            if used + wire.encoded_size(record) > room:
+            if used + wire.encoded_size(record) > space:
                 sent += 1
                 is_last = sent == MAX_RESPONSE_DATAGRAMS
                 piece = wire.SyncPiece(request.number, mask, after, up_to, is_last)
--- a/cypresspulley/fleet/outbox.py
+++ b/cypresspulley/fleet/outbox.py
@@ -53,11 +53,11 @@
         """Send a message with gossip; the records of the members ``extra`` are always included."""
         message_bytes = wire.encode_record(message)
         member_records = [self._view.encode_member(name) for name in extra]
-        room = self.record_room(message_bytes) - sum(wire.encoded_size(record) for record in member_records)
-        gossip, row_records = self._view.gossip_queue.take_records(self.now, self._view, room)
+        space = self.record_space(message_bytes) - sum(wire.encoded_size(record) for record in member_records)
+        gossip, row_records = self._view.gossip_queue.take_records(self.now, self._view, space)
         self.send(address, message_bytes, member_records + gossip, row_records)
 
-    def record_room(self, message_bytes: Raw) -> int:
+    def record_space(self, message_bytes: Raw) -> int:
         """Return the bytes left for records after a message."""
         return (
             wire.MAX_DATAGRAM_BYTES
@@ -85,17 +85,17 @@
     ) -> None:
         """Send records in as many datagrams as needed, at most ``MAX_RESPONSE_DATAGRAMS``; none without records."""
         message_bytes = wire.encode_record(message)
-        full_room = self.record_room(message_bytes)
+        full_space = self.record_space(message_bytes)
         parts: tuple[list[Raw], list[Raw]] = ([], [])
-        room, sent = full_room, 0
+        space, sent = full_space, 0
         for kind, records in enumerate((member_records, row_records)):
             for record in records:
-                if wire.encoded_size(record) > room:
+                if wire.encoded_size(record) > space:
                     self.send(address, message_bytes, *parts)
-                    parts, room, sent = ([], []), full_room, sent + 1
+                    parts, space, sent = ([], []), full_space, sent + 1
                     if sent == MAX_RESPONSE_DATAGRAMS:
                         return
                 parts[kind].append(record)
-                room -= wire.encoded_size(record)
+                space -= wire.encoded_size(record)
         if parts[0] or parts[1]:
             self.send(address, message_bytes, *parts)
--- a/cypresspulley/fleet/view.py
+++ b/cypresspulley/fleet/view.py
@@ -378,8 +378,8 @@
         for key in [key for key in self._level_of if key[0] == name]:
             self.drop(key)
 
-    def take_records(self, now: float, view: View, room: int) -> tuple[list[Raw], list[Raw]]:
-        """Return member and row records of at most ``room`` bytes for one datagram; each counts as sent once."""
+    def take_records(self, now: float, view: View, space: int) -> tuple[list[Raw], list[Raw]]:
+        """Return member and row records of at most ``space`` bytes for one datagram; each counts as sent once."""
         limit = timing.transmission_limit(view.present_count)
         records: tuple[list[Raw], list[Raw]] = ([], [])
         sent = list[tuple[tuple[str, str], Raw | None]]()
@@ -391,9 +391,9 @@
                         sent.append((key, None))
                         self._level_of[key] = limit
                         continue
-                    if encoded_size(encoded) > room:
+                    if encoded_size(encoded) > space:
                         break
-                    room -= encoded_size(encoded)
+                    space -= encoded_size(encoded)
                     records[kind].append(encoded)
                     sent.append((key, record))
                 else:
--- a/cypresspulley/histories/check_fleet.py
+++ b/cypresspulley/histories/check_fleet.py
@@ -56,7 +56,7 @@
     for observer in observers:
         _check_suspected_first(tally, observer)
         _check_false_deaths(tally, times, observer, first_detections)
-        _check_way_back(tally, times, observer)
+        _check_regressions(tally, times, observer)
         _check_leavers(tally, times, observer)
         _check_old_rows(tally, observer)
     for life in times.lives:
@@ -140,7 +140,7 @@
             )
 
 
-def _check_way_back(tally: Tally, times: Timeline, observer: _ObservedMembers) -> None:
+def _check_regressions(tally: Tally, times: Timeline, observer: _ObservedMembers) -> None:
     for member, events in observer.by_member.items():
         ended_lives: dict[int, MemberSeen] = {}  # by life: the last event here that showed it as left or dead
         for before, seen in pairwise(events):
--- a/cypresspulley/lanes/meter.py
+++ b/cypresspulley/lanes/meter.py
@@ -18,7 +18,7 @@
     3.0  # standard deviations by which recent requests may differ from the mean of the earlier ones
 )
 # Causes of a refusal for lack of capacity; the others concern the account alone.
-NO_ROOM = ("gate", "no server")
+CAPACITY_REFUSAL_CAUSES = ("gate", "no server")
 MAX_OPEN = 65_536  # requests that await their first action; a limiter has sockets for a few thousand
 
 
@@ -108,7 +108,7 @@
         if not within_quota or event.repeat:
             return
         totals = self._current.lanes[lane]
-        if why in NO_ROOM:
+        if why in CAPACITY_REFUSAL_CAUSES:
             totals.refused += (
                 event.units if self._began_at - (self._first_at or self._began_at) >= WARMUP_SECONDS else 0.0
             )
--- a/cypresspulley/net/node.py
+++ b/cypresspulley/net/node.py
@@ -99,7 +99,7 @@
         self._discovery_contact_at: float | None = None  # when discovery last sent anything
         self._action_handlers: dict[type, Callable[[Any], None]] = {
             api.Send: self._send, api.Refuse: self._refuse, api.Fail: self._fail, api.Cancel: self._cancel,
-            api.Count: self._count, api.Broadcast: self._tell, api.Probe: self._probe, api.Ban: self._ban,
+            api.Count: self._count, api.Broadcast: self._broadcast, api.Probe: self._probe, api.Ban: self._ban,
             api.SetTimer: self._set_timer, api.Log: self._log,
         }  # fmt: skip
 
@@ -346,7 +346,7 @@
                 lambda status, total: self.feed(api.Counted(name, status, total)),
             )
 
-    def _tell(self, action: api.Broadcast) -> None:
+    def _broadcast(self, action: api.Broadcast) -> None:
         if self.broadcast is not None:
             self.broadcast(action.text)
 
--- a/cypresspulley/policy/gateway.py
+++ b/cypresspulley/policy/gateway.py
@@ -128,12 +128,12 @@
         """Send a request whose quota verdict is known, or refuse it."""
         plan = request.account.plan
         earns = plan.over_worth > plan.over_cost and 0 < self.gate.load < 0.6 * REFERENCE_LOAD
-        room = verdict.within_quota and self.quotas.check_open_limit(now, request, verdict)
-        if room is None:
+        has_capacity = verdict.within_quota and self.quotas.check_open_limit(now, request, verdict)
+        if has_capacity is None:
             return None
-        if not room and verdict.within_quota:
+        if not has_capacity and verdict.within_quota:
             verdict = self.quotas.revert_charge(now, request, verdict)
-        if not (room or earns):
+        if not (has_capacity or earns):
             return self._refuse_or_fail(now, request, verdict.refuse_reason)
         # The ceiling is checked again: requests that waited for the counter must not draw on it together.
         if not self.quotas.ceiling_share_holds(request) or not self._send_attempt(now, request):
--- a/cypresspulley/policy/load_balancer.py
+++ b/cypresspulley/policy/load_balancer.py
@@ -400,10 +400,10 @@
                 first.zone, first.cell if request.cls.scope is api.Scope.CELL else None
             )
         elif not is_small and self._cold_servers:
-            cold = self._servers_with_room(
+            cold = self._servers_with_capacity(
                 now, request, self._sample_servers(list(self._cold_servers)), silent, residence, least, share
             )
-        found = self._servers_with_room(
+        found = self._servers_with_capacity(
             now, request, group if is_small else self._sample_servers(group), silent, residence, least, share
         )
         # Cold servers with budget come first: if they were left to chance among all servers, a gateway with little
@@ -417,16 +417,16 @@
         if not warm and len(group) > len(found) and not is_small:
             warm = [
                 s
-                for s in self._servers_with_room(now, request, group, silent, residence, least, share)
+                for s in self._servers_with_capacity(now, request, group, silent, residence, least, share)
                 if s.cold_since is None
             ]
         return self._least_loaded(now, warm, request, work_rate)
 
-    def _servers_with_room(
+    def _servers_with_capacity(
         self, now: float, request: Request, group: list[Server], silent: list[Server], residence: float, least: float,
         share: float,
     ) -> list[Server]:  # fmt: skip
-        """Return the servers of a group that have room for the request's work.
+        """Return the servers of a group that have capacity for the request's work.
 
         A server may have as much work outstanding as it finishes in ``residence`` seconds, or ``least`` if that is
         more; a request may use a ``share`` of it.
--- a/cypresspulley/policy/quota.py
+++ b/cypresspulley/policy/quota.py
@@ -375,11 +375,11 @@
             and in_time
             and self.counter_calls.available(now) >= 1
         )
-        has_room = (can_call or account.open_attempts < -(-limit // account.gateways)) and (
+        has_capacity = (can_call or account.open_attempts < -(-limit // account.gateways)) and (
             slots is None or now >= slots.full_until
         )
-        if verdict is None or not has_room or slots is None or request.body_pending:
-            return has_room
+        if verdict is None or not has_capacity or slots is None or request.body_pending:
+            return has_capacity
         request.holds_slot = True
         slots.add_open(self.wall_time.at(now), 1)
         if can_call:
@@ -411,12 +411,12 @@
         if self._open_requests.get(request.id) is not request:
             self.revert_charge(now, request, verdict)  # the client disconnected while the call was in flight
             return
-        has_room = (
+        has_capacity = (
             event.total <= limit + 1e-6
             if event.status is Status.OK
             else account.open_attempts < -(-limit // account.gateways)
         )
-        if limit > 0 and not has_room:  # new settings may have removed the limit meanwhile
+        if limit > 0 and not has_capacity:  # new settings may have removed the limit meanwhile
             self.release_slot(now, request)
             slots.full_until = now + request.work / limit
         self._launch(now, request, verdict)
--- a/cypresspulley/rehearsal/datagram_faults.py
+++ b/cypresspulley/rehearsal/datagram_faults.py
@@ -57,14 +57,14 @@
     return frozenset((a, b) for a in names for b in names if a != b and (a in targets or b in targets))
 
 
-def _degraded_links(fault: PlannedFault, ways: frozenset[Route] | None) -> DatagramFault | None:
+def _degraded_links(fault: PlannedFault, routes: frozenset[Route] | None) -> DatagramFault | None:
     """Return the effect of a fault that degrades links without cutting them, or None for other faults."""
     share, late = fault.spec.size, fault.spec.add_ms / 1000
     return {
-        "datagram-loss": DatagramFault(ways, loss_share=share),
-        "datagram-delay": DatagramFault(ways, delay_share=1.0, delay_seconds=late),
-        "datagram-double": DatagramFault(ways, duplicate_share=share),
-        "datagram-reorder": DatagramFault(ways, delay_share=share, delay_seconds=late),
+        "datagram-loss": DatagramFault(routes, loss_share=share),
+        "datagram-delay": DatagramFault(routes, delay_share=1.0, delay_seconds=late),
+        "datagram-double": DatagramFault(routes, duplicate_share=share),
+        "datagram-reorder": DatagramFault(routes, delay_share=share, delay_seconds=late),
     }.get(fault.kind)
 
 
--- a/cypresspulley/rehearsal/play.py
+++ b/cypresspulley/rehearsal/play.py
@@ -824,8 +824,8 @@
             limiter.signal(signal.SIGTERM)
     await asyncio.gather(*(limiter.wait_or_kill() for limiter in runner.limiters.values()))
     if runner.books is not None:
-        told = sum(runner.books.plan_writer.usage_ledger.totals.values())
-        runner.context.record(log.Exported(runner.context.now(), told))
+        reported_units = sum(runner.books.plan_writer.usage_ledger.totals.values())
+        runner.context.record(log.Exported(runner.context.now(), reported_units))
     for limiter in runner.limiters.values():
         runner.context.record(
             log.Usage(
@@ -943,20 +943,20 @@
 
     Raise ``HarnessError`` if the run cannot go on.
     """
-    day = asyncio.ensure_future(_run_scenario(runner, progress))
+    run = asyncio.ensure_future(_run_scenario(runner, progress))
     heartbeat = asyncio.ensure_future(runner.watch_lateness())
     failed = asyncio.ensure_future(runner.failed.wait())
     shown = asyncio.ensure_future(_show_progress(runner, progress)) if progress else None
     try:
-        await asyncio.wait((day, failed), return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait((run, failed), return_when=asyncio.FIRST_COMPLETED)
         runner.raise_failure()
-        await day
+        await run
         heartbeat.cancel()  # lateness no longer affects the result
         if runner.fleet_harness is not None:
             runner.fleet_harness.check()
         runner.context.record(log.End(runner.context.now(), runner.context.unix_ms(0) / 1000))
     finally:
-        tasks = [task for task in (day, heartbeat, failed, shown) if task is not None]
+        tasks = [task for task in (run, heartbeat, failed, shown) if task is not None]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
--- a/cypresspulley/rehearsal/rules.py
+++ b/cypresspulley/rehearsal/rules.py
@@ -98,8 +98,8 @@
         # If the connection closes on its first request and nothing was forwarded, the request failed but is not lost.
         # A request that crosses the close of a reused connection was not read, and its client sends it once more.
         sent_on = any(sent.t <= a.arrived.t <= broke.t for a in client_try.attempts)
-        owed = is_last and not sent.fresh and not _closed_in_transit(client_try, sent, broke)
-        if broke.begun or sent_on or owed:
+        answer_expected = is_last and not sent.fresh and not _closed_in_transit(client_try, sent, broke)
+        if broke.begun or sent_on or answer_expected:
             part = "after a part of the answer" if broke.begun else "with no answer"
             yield Violation(broke.t, sent.limiter, client_try.id, f"its connection was ended {part}")
     elif timeline.paused_within(sent.limiter, sent.t - SOCKET_SLACK_SECONDS, until):
--- a/cypresspulley/rehearsal/service.py
+++ b/cypresspulley/rehearsal/service.py
@@ -112,8 +112,8 @@
         sent = client_try.sent[0]
         plan, key = timeline.plans[sent.plan], (sent.plan, sent.account)
         open_until[key] = [end for end in open_until[key] if end > t]
-        has_room = not plan.open_limit or len(open_until[key]) < plan.open_limit
-        inside[client_try.id] = has_room and buckets.setdefault(key, _QuotaBucket(plan)).try_take(
+        has_capacity = not plan.open_limit or len(open_until[key]) < plan.open_limit
+        inside[client_try.id] = has_capacity and buckets.setdefault(key, _QuotaBucket(plan)).try_take(
             t, sent.units
         )
         open_until[key] += [a.open_until for a in client_try.attempts]
--- a/cypresspulley/rehearsal/virtual/network.py
+++ b/cypresspulley/rehearsal/virtual/network.py
@@ -217,10 +217,10 @@
         """Send from the write buffer as far as the socket buffer has space."""
         while self._write_buffer and self.outgoing.size < SOCKET_BUFFER_BYTES:
             data = self._write_buffer.popleft()
-            room = SOCKET_BUFFER_BYTES - self.outgoing.size
-            if len(data) > room:
-                self._write_buffer.appendleft(data[room:])
-                data = data[:room]
+            space = SOCKET_BUFFER_BYTES - self.outgoing.size
+            if len(data) > space:
+                self._write_buffer.appendleft(data[space:])
+                data = data[:space]
             self._write_buffer_size -= len(data)
             self.outgoing.send(data)
         if not self._write_buffer and not self._is_eof_queued and (self._eof_sent or self._closing):
