--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -391,7 +391,7 @@
         self._task: asyncio.Task[None] | None = None
 
     async def apply(self, config: Config) -> None:
-        """Listen and send as a configuration says; raises ``ConfigError`` if its address cannot be bound."""
+        """Listen and send as a configuration says; raise ``ConfigError`` if its address cannot be bound."""
         addresses = config.peers if config.settings.may_message_peers else None
         if addresses is None or addresses.listen != self._listen:
             self._stop_listening()
--- a/cypresspulley/config.py
+++ b/cypresspulley/config.py
@@ -50,7 +50,7 @@
 
 
 def parse_config(raw: Any) -> Config:
-    """Return the configuration from its JSON object; raises ``ConfigError`` naming the invalid value."""
+    """Return the configuration from its JSON object; raise ``ConfigError`` naming the invalid value."""
     if not isinstance(raw, dict) or not isinstance(raw.get("settings"), dict):
         raise ConfigError("the configuration is not an object with settings")
     try:
@@ -109,7 +109,7 @@
 
 
 def load_config(path: str | None) -> Config:
-    """Read the file; raises ``ConfigError`` if it cannot be read or is invalid.
+    """Read the file; raise ``ConfigError`` if it cannot be read or is invalid.
 
     LB_OPERATOR gives the address of the operators' interface if the file has none.
     """
@@ -126,5 +126,5 @@
 
 
 def load_config_from_env() -> Config:
-    """Return the configuration from the file that LB_CONFIG names; raises ``ConfigError``."""
+    """Return the configuration from the file that LB_CONFIG names; raise ``ConfigError``."""
     return load_config(os.environ.get("LB_CONFIG"))
--- a/cypresspulley/explore/examine.py
+++ b/cypresspulley/explore/examine.py
@@ -157,7 +157,7 @@
 
 
 def _is_probe_timeout(handle: VirtualHandle) -> bool:
-    """Whether the handle is the timeout of a probe, which may be pending at exit since no request waits for it."""
+    """Return whether the handle is the timeout of a probe, which may be pending at exit as no request waits for it."""
     done = getattr(handle.args[0], "on_done", None) if handle.args else None
     return callback_name(handle) == "Upstream._expired" and getattr(done, "__name__", "") == "_probed"
 
--- a/cypresspulley/fleet/detector.py
+++ b/cypresspulley/fleet/detector.py
@@ -129,7 +129,7 @@
         return float("inf") if self.has_left else self._timers.next_due
 
     def handle(self, now: float, wall: float, event: Event) -> list[Action]:
-        """Handle an event at ``now`` (monotonic seconds) and ``wall`` (Unix seconds); returns the actions to take."""
+        """Handle an event at ``now`` (monotonic seconds) and ``wall`` (Unix seconds); return the actions to take."""
         if self.has_left:
             return []
         self._outbox.now, self._outbox.wall = now, wall
@@ -153,7 +153,7 @@
         return self._outbox.drain()
 
     def is_settled(self) -> bool:
-        """Whether the last digest reported by every other present member equals the local one."""
+        """Return whether the last digest reported by every other present member equals the local one."""
         return self.view.local_member.state is not MemberState.JOINING and self.peers.all_agree()
 
     @property
@@ -348,7 +348,7 @@
     # Claims
 
     def _is_redundant(self, record: wire.MemberRecord, accuser: str) -> bool:
-        """Whether a claim certainly changes nothing: true of most claims, and cheaper to check than to apply."""
+        """Return whether a claim certainly changes nothing: true of most claims, and cheaper to check than to apply."""
         current = self.view.get(record.name)
         if current is None:
             return False
--- a/cypresspulley/fleet/documents.py
+++ b/cypresspulley/fleet/documents.py
@@ -67,7 +67,7 @@
         return list(self._requested)
 
     def may_retry(self) -> bool:
-        """Whether another member may be asked in this period, after one that lacks the document."""
+        """Return whether another member may be asked in this period, after one that lacks the document."""
         self._retries += 1
         return self._retries <= RETRIES_PER_PERIOD
 
--- a/cypresspulley/fleet/exchange.py
+++ b/cypresspulley/fleet/exchange.py
@@ -43,7 +43,7 @@
         return f"<Exchange, comparison {self._pending} running>"
 
     def may_start(self, joining: bool) -> bool:
-        """Whether a comparison may start: one a period, fewer while gossip still spreads a change."""
+        """Return whether a comparison may start: one a period, fewer while gossip still spreads a change."""
         now = self._outbox.now
         spreading = now - self._view.members_changed_at < SPREADING_PERIODS * self._period and not joining
         return now - self._started_at >= (SPREADING_INTERVAL_PERIODS if spreading else 1) * self._period
@@ -93,7 +93,7 @@
         )
 
     def accept_piece(self, piece: wire.SyncPiece) -> bool:
-        """Whether the piece belongs to the running comparison, which the last piece ends."""
+        """Return whether the piece belongs to the running comparison, which the last piece ends."""
         if piece.number != self._pending:
             return False
         if piece.last:
@@ -101,7 +101,7 @@
         return True
 
     def has_more(self, last: wire.SyncPiece) -> bool:
-        """Whether records remain behind the last piece of a response that got further than the one before.
+        """Return whether records remain behind the last piece of a response that got further than the one before.
 
         A responder that starts from the first key each time would otherwise be asked forever.
         """
--- a/cypresspulley/fleet/peers.py
+++ b/cypresspulley/fleet/peers.py
@@ -57,7 +57,7 @@
         return f"<Peers: {len(self._by_name)} heard from, {'' if self.reported_settled else 'not '}settled>"
 
     def is_new(self, envelope: Envelope) -> bool:
-        """Whether a datagram is not a replay. One of a former life passes: merging its claims changes nothing."""
+        """Return whether a datagram is no replay. One of a former life passes: merging its claims changes nothing."""
         sender = envelope.sender
         peer = self._by_name.get(sender.name)
         if peer is None or peer.window.life < sender.life:
@@ -76,7 +76,7 @@
             peer.top, peer.digest = envelope.sequence, envelope.members_digest
 
     def may_correct(self, now: float, sender: MemberRecord, period: float) -> bool:
-        """Whether to send the peer a newer record of itself: at most once a period."""
+        """Return whether to send the peer a newer record of itself: at most once a period."""
         peer = self._by_name.get(sender.name)
         if peer is None or now - peer.corrected >= period:
             if peer is not None:
@@ -92,7 +92,7 @@
         return [name for name in self._by_name if self._view.get(name) is None]
 
     def all_agree(self) -> bool:
-        """Whether the last digest reported by every other present member equals the local one."""
+        """Return whether the last digest reported by every other present member equals the local one."""
         digest, by_name = self._view.digest, self._by_name
         peers = (by_name.get(name) for name in self._view.other_names())
         return all(peer is not None and peer.digest == digest for peer in peers)
--- a/cypresspulley/fleet/records.py
+++ b/cypresspulley/fleet/records.py
@@ -106,7 +106,7 @@
         ...
 
     def is_settled(self, now: float) -> bool:
-        """Whether the local digest equals the last digest reported by every present member."""
+        """Return whether the local digest equals the last digest reported by every present member."""
         ...
 
     def count_responsive(self, now: float, within: float) -> int:
--- a/cypresspulley/fleet/suspicion.py
+++ b/cypresspulley/fleet/suspicion.py
@@ -23,7 +23,7 @@
         return self.since + periods * period
 
     def ignores_accuser(self, accuser: str) -> bool:
-        """Whether an accusation by this member changes nothing: it is known, or there are enough accusers."""
+        """Return whether an accusation by this member changes nothing: it is known, or there are enough accusers."""
         return accuser in self.accusers or len(self.accusers) > timing.SUSPICION_CONFIRMATIONS
 
 
--- a/cypresspulley/fleet/view.py
+++ b/cypresspulley/fleet/view.py
@@ -300,7 +300,7 @@
         return encode_record(RowRecord(name, subsystem, row.life, row.version, age, row.body))
 
     def has_newer_row(self, name: str, subsystem: str, row_record: RowRecord | None) -> bool:
-        """Whether the stored row is larger than a received one; None stands for no received row."""
+        """Return whether the stored row is larger than a received one; None stands for no received row."""
         row = self._valid_rows(name).get(subsystem)
         if row is None:
             return False
--- a/cypresspulley/histories/check_closing.py
+++ b/cypresspulley/histories/check_closing.py
@@ -222,7 +222,7 @@
 
 
 def _was_sure(times: Timeline, life: Life, begin: float) -> bool:
-    """Whether it ran unpaused from ``begin`` until it had been without doubt for ``NOTICE_SECONDS``."""
+    """Return whether it ran unpaused from ``begin`` until it had been without doubt for ``NOTICE_SECONDS``."""
     moments = [(event.mono, event.doubt) for event in events_of(life.history, Doubt)]
     ends = [*(mono for mono, _ in moments[1:]), life.end]
     for (since, doubt), until in zip(moments, ends, strict=False):
--- a/cypresspulley/histories/check_fleet.py
+++ b/cypresspulley/histories/check_fleet.py
@@ -166,7 +166,7 @@
 
 
 def _life_was_over(times: Timeline, seen: MemberSeen, gone: MemberSeen) -> bool:
-    """Whether the life was really over: its process had ended by then, or had itself announced that it left.
+    """Return whether the life was really over: its process had ended by then, or had itself announced that it left.
 
     A false death may be refuted, and so may a departure that was recorded too early.
     """
--- a/cypresspulley/histories/check_lanes.py
+++ b/cypresspulley/histories/check_lanes.py
@@ -236,7 +236,8 @@
 
 
 def _lower_traffic_passes(excerpt: Sequence[ExcerptLine], lower: Sequence[str], first: str) -> bool:
-    """Whether a lower lane surely passed above its floor over the fleet, or anything beyond quota, in these periods.
+    """Return whether a lower lane surely passed more than its floor over the fleet, or anything beyond quota, in these
+    periods.
 
     The sums count each retry, and a request that passes the lanes may be refused after them and be retried. So a lane
     counts as above its floor only if it passes at least the same share of its requests as the first lane.
--- a/cypresspulley/histories/timeline.py
+++ b/cypresspulley/histories/timeline.py
@@ -94,14 +94,14 @@
         return next((life for life in self._by_name.get(name, ()) if life.history.life == number), None)
 
     def was_paused(self, name: str, begin: float, end: float) -> bool:
-        """Whether the process of this name was paused at any time from ``begin`` to ``end``."""
+        """Return whether the process of this name was paused at any time from ``begin`` to ``end``."""
         return any(
             span.kind in PAUSE_KINDS and name in span.targets and span.overlaps(begin, end)
             for span in self.faults
         )
 
     def was_partitioned(self, one: str, other: str, begin: float, end: float) -> bool:
-        """Whether a partition separated the two at any time from ``begin`` to ``end``."""
+        """Return whether a partition separated the two at any time from ``begin`` to ``end``."""
         return any(
             span.kind in PARTITION_KINDS
             and (one in span.targets) != (other in span.targets)
@@ -110,11 +110,11 @@
         )
 
     def had_partition(self, begin: float, end: float) -> bool:
-        """Whether any partition was active at any time from ``begin`` to ``end``."""
+        """Return whether any partition was active at any time from ``begin`` to ``end``."""
         return any(span.kind in PARTITION_KINDS and span.overlaps(begin, end) for span in self.faults)
 
     def could_answer(self, observer: str, member: str, number: int, begin: float, end: float) -> bool:
-        """Whether this life of the member could answer the observer during all of ``begin`` to ``end``."""
+        """Return whether this life of the member could answer the observer during all of ``begin`` to ``end``."""
         life = self.life(member, number)
         if life is None or not life.covers(begin, end):
             return False
--- a/cypresspulley/net/arrival.py
+++ b/cypresspulley/net/arrival.py
@@ -60,7 +60,7 @@
         self._last_run_at = self._last_heartbeat_at = now
 
     def _overdue(self, now: float) -> bool:
-        """Whether the heartbeat is late at ``now``."""
+        """Return whether the heartbeat is late at ``now``."""
         return now - self._last_heartbeat_at > self._heartbeat_interval + TIMER_TOLERANCE
 
     def data_age(self, transport: asyncio.BaseTransport, data: bytes) -> float:
--- a/cypresspulley/net/frontend.py
+++ b/cypresspulley/net/frontend.py
@@ -666,7 +666,7 @@
             asyncio.get_running_loop().call_soon(self.hand_off)
 
     def _closes_after(self, request: ClientRequest) -> bool:
-        """Whether the connection closes after the response to ``request``."""
+        """Return whether the connection closes after the response to ``request``."""
         if request.upload is not None and not request.upload.complete:
             # Nobody needs the rest of the body. It is read and discarded for a while, because closing over unread
             # bytes would send a reset, which may destroy the response.
--- a/cypresspulley/operators.py
+++ b/cypresspulley/operators.py
@@ -54,7 +54,7 @@
 
 
 def load_operators(path: str) -> Operators:
-    """Read the file; raises ``OperatorsError`` if it cannot be used."""
+    """Read the file; raise ``OperatorsError`` if it cannot be used."""
     import tomllib  # imported here because most processes start without the file
 
     try:
--- a/cypresspulley/rehearsal/standins/bagserver.py
+++ b/cypresspulley/rehearsal/standins/bagserver.py
@@ -228,7 +228,7 @@
     # Connections.
 
     def opened(self, connection: _Connection) -> bool:
-        """Register a connection; returns False if it exceeds the limit on connections."""
+        """Register a connection; return False if it exceeds the limit on connections."""
         self._connections[connection] = None
         return len(self._connections) <= self._max_connections
 
--- a/cypresspulley/rehearsal/standins/engine.py
+++ b/cypresspulley/rehearsal/standins/engine.py
@@ -94,7 +94,7 @@
             writer.transport.abort()
 
     async def _answer(self, session: _Session, words: list[str], writer: asyncio.StreamWriter) -> bool:
-        """Answer one command; returns False if the connection must be closed."""
+        """Answer one command; return False if the connection must be closed."""
         is_script = words[0].upper() in ("EVAL", "EVALSHA")
         self.calls += is_script
         if is_script and self.drop and self.drops_left > 0:
--- a/cypresspulley/rehearsal/standins/graphql.py
+++ b/cypresspulley/rehearsal/standins/graphql.py
@@ -66,7 +66,7 @@
         self.priced, self.points = priced, 0.0
 
     def resolve(self, source: Any, info: GraphQLResolveInfo[Any], **arguments: Any) -> Any:
-        """Resolve any field: returns its value and adds its cost."""
+        """Resolve any field: return its value and add its cost."""
         parent, name = str(info.parent_type), info.field_name
         value = self._value(source, parent, name, arguments)
         price = self.priced.field_price(parent, name)
@@ -129,7 +129,7 @@
 def run(
     query: str, variables: Mapping[str, Any] | None, operation: str | None
 ) -> tuple[dict[str, Any], float]:
-    """Execute a query; returns the response (``data``, ``errors``) and its true cost in points."""
+    """Execute a query; return the response (``data``, ``errors``) and its true cost in points."""
     priced = priced_schema()
     resolvers = Resolvers(priced)
     done = graphql_sync(
--- a/cypresspulley/rehearsal/standins/processor.py
+++ b/cypresspulley/rehearsal/standins/processor.py
@@ -83,7 +83,7 @@
         return min(self.capacity(now) / machine.cores, self.capacity(now) * efficiency / n)
 
     def advance(self, now: float) -> list[Job]:
-        """Advance all running jobs to ``now``; returns those that are done, oldest first."""
+        """Advance all running jobs to ``now``; return those that are done, oldest first."""
         speed, elapsed, self._advanced_to = self._job_speed(self._advanced_to), now - self._advanced_to, now
         for job in self.running:
             job.left -= speed * elapsed
@@ -92,7 +92,7 @@
         return done
 
     def admit(self) -> list[Job]:
-        """Fill free slots from the queue; returns the jobs that start now."""
+        """Fill free slots from the queue; return the jobs that start now."""
         begun = list[Job]()
         while self.queue and len(self.running) < self.machine.slots:
             job = self.queue.popleft()
@@ -102,7 +102,7 @@
         return begun
 
     def add(self, job: Job) -> bool:
-        """Queue a job; returns False if the queue is full."""
+        """Queue a job; return False if the queue is full."""
         free = len(self.running) < self.machine.slots
         if not free and len(self.queue) >= self.machine.waiting:
             return False
@@ -117,12 +117,12 @@
             self.running.remove(job)
 
     def seconds_until_done(self, now: float) -> float | None:
-        """Seconds until the next job is done at the current speed; None if none is running."""
+        """Return the seconds until the next job is done at the current speed; None if none is running."""
         speed = self._job_speed(now)
         return max(0.0, min(job.left for job in self.running) / speed) if speed > 0 else None
 
     def record_load(self, now: float, work: float) -> bool:
-        """Record the work of an arrival, accepted or not; returns True if a cold server crashes from it."""
+        """Record the work of an arrival, accepted or not; return True if a cold server crashes from it."""
         if self.started is None or self.capacity(now) >= self.machine.cores:
             return False
         machine, window = self.machine, self._cold_arrivals
--- a/cypresspulley/rehearsal/standins/run_context.py
+++ b/cypresspulley/rehearsal/standins/run_context.py
@@ -58,7 +58,7 @@
         self._start = self.clock() + after
 
     def now(self) -> float:
-        """Seconds since the start of the run; negative before it."""
+        """Return the seconds since the start of the run; negative before it."""
         return self.clock() - self._start
 
     def unix_ms(self, t: float | None = None) -> int:
--- a/cypresspulley/rehearsal/virtual/network.py
+++ b/cypresspulley/rehearsal/virtual/network.py
@@ -239,7 +239,7 @@
             self._call_protocol(self._protocol.resume_writing)
 
     def _defer_if_stopped(self, callback: Callable[..., None], *args: Any) -> bool:
-        """Defer a callback until its process is resumed; returns False if the process is not stopped."""
+        """Defer a callback until its process is resumed; return False if the process is not stopped."""
         if self.owner is None or not self.owner.is_stopped:
             return False
         self.owner.deferred.append(self._network.handle(callback, *args))
