--- a/cypresspulley/__main__.py
+++ b/cypresspulley/__main__.py
@@ -124,7 +124,7 @@
     configuration from ``read_config``. ``wrap_gateway`` may put an observer of every event and action between the
     decisions and the node. ``on_service_created`` receives the service that answers the operators' calls.
     ``wall_clock`` may step: only the fleet services read it, and they write ``history`` if one is given.
-    ``sighup_handler`` may have received SIGHUP already. Raises ``ConfigError`` if the configuration cannot be run.
+    ``sighup_handler`` may have received SIGHUP already. Raise ``ConfigError`` if the configuration cannot be run.
     """
     loop, stop, sighup_handler = (
         asyncio.get_running_loop(),
@@ -239,7 +239,7 @@
     if fleet_services is not None:
         fleet_services.leave()
     if not service.leave():
-        # Clients have not heard of the shutdown yet: connections that they still open are accepted and served.
+        # Clients have not been notified of the shutdown yet: connections that they still open are accepted and served.
         await asyncio.sleep(ACCEPT_AFTER_SIGTERM_SECONDS)
     await frontend.close(answer_timeout(timing.longest_deadline))
     node.fail_open_requests()
@@ -270,7 +270,7 @@
 ) -> tuple[DecisionModule, PlanBookClient]:
     """Return the decisions wrapped with a plan book, and the client of its writer.
 
-    The module is imported only if the operators configured plans. Raises ``ConfigError``.
+    The module is imported only if the operators configured plans. Raise ``ConfigError``.
     """
     try:
         from cypresspulley.plans.limiter import PlanBookClient
@@ -278,7 +278,7 @@
         raise ConfigError(f"plans needs its extra: pip install 'cypresspulley[plans]' ({error})") from None
     try:
         address, token = split_address(table[0]), os.environ.get("FAWNSEAM_PLANS_TOKEN", "")
-        # Usage is reported under this name, so two limiters with the same name could not be told apart.
+        # Usage is reported under this name, so two limiters with the same name could not be distinguished.
         name = str(config.raw.get("name") or os.environ.get("LB_NAME") or "limiter")
         plans = PlanBookClient(address, token, table[1], name, clock)
     except ValueError as error:
@@ -292,7 +292,7 @@
 ) -> FleetServices:  # fmt: skip
     """Return the services that limiters provide together as a fleet.
 
-    The module is imported only if the operators' file has a fleet. Raises ``ConfigError``.
+    The module is imported only if the operators' file has a fleet. Raise ``ConfigError``.
     """
     try:
         from cypresspulley.together import FleetServices
@@ -362,7 +362,7 @@
 ) -> PathHandler | None:
     """Return the handler of GraphQL requests, or None if the operators did not configure it.
 
-    The modules are imported only if it is configured. Raises ``ConfigError``.
+    The modules are imported only if it is configured. Raise ``ConfigError``.
     """
     if operators.graphql is None:
         return None
@@ -391,7 +391,7 @@
         self._task: asyncio.Task[None] | None = None
 
     async def apply(self, config: Config) -> None:
-        """Listen and send as a configuration says; raises ``ConfigError`` if its address cannot be bound."""
+        """Listen and send as a configuration says; raise ``ConfigError`` if its address cannot be bound."""
         addresses = config.peers if config.settings.may_message_peers else None
         if addresses is None or addresses.listen != self._listen:
             self._stop_listening()
@@ -446,7 +446,7 @@
 ) -> tuple[Node, LogFile | None]:  # fmt: skip
     """Return the node, and the access log if the operators configured one.
 
-    The access log's module is imported only in that case. Raises ``ConfigError`` if its file cannot be opened.
+    The access log's module is imported only in that case. Raise ``ConfigError`` if its file cannot be opened.
     """
     if operators.access_log is None:
         node_class = Node if fleet_services is None else fleet_services.node(Node)
--- a/cypresspulley/fleet/suspicion.py
+++ b/cypresspulley/fleet/suspicion.py
@@ -23,7 +23,7 @@
         return self.since + periods * period
 
     def ignores_accuser(self, accuser: str) -> bool:
-        """Whether an accusation by this member changes nothing: it is known, or there are enough accusers."""
+        """Return whether an accusation by this member changes nothing: it is known, or there are enough accusers."""
         return accuser in self.accusers or len(self.accusers) > timing.SUSPICION_CONFIRMATIONS
 
 
@@ -48,7 +48,7 @@
     ) -> tuple[bool, float | None]:
         """Add an accuser that suspects the member or reports its death.
 
-        Returns whether the accusation is new, and the new deadline if it is earlier than before.
+        Return whether the accusation is new, and the new deadline if it is earlier than before.
         """
         suspicion = self._by_name.setdefault(name, Suspicion(now))
         before = suspicion.deadline(members, self._period) if suspicion.accusers else float("inf")
--- a/cypresspulley/fleet/view.py
+++ b/cypresspulley/fleet/view.py
@@ -165,7 +165,7 @@
     # Rows
 
     def publish(self, now: float, subsystem: str, body: bytes) -> None:
-        """Publish a row of this member. Raises ``ValueError`` if it is too long or of one subsystem too many."""
+        """Publish a row of this member. Raise ``ValueError`` if it is too long or of one subsystem too many."""
         if len(body) > MAX_ROW_BYTES:
             raise ValueError(f"row of {subsystem}: expected at most {MAX_ROW_BYTES} bytes, got {len(body)}")
         own_rows = self._rows.setdefault(self.local_name, {})
@@ -300,7 +300,7 @@
         return encode_record(RowRecord(name, subsystem, row.life, row.version, age, row.body))
 
     def has_newer_row(self, name: str, subsystem: str, row_record: RowRecord | None) -> bool:
-        """Whether the stored row is larger than a received one; None stands for no received row."""
+        """Return whether the stored row is larger than a received one; None stands for no received row."""
         row = self._valid_rows(name).get(subsystem)
         if row is None:
             return False
@@ -378,8 +378,8 @@
         for key in [key for key in self._level_of if key[0] == name]:
             self.drop(key)
 
-    def take_records(self, now: float, view: View, room: int) -> tuple[list[Raw], list[Raw]]:
-        """Return member and row records of at most ``room`` bytes for one datagram; each counts as sent once."""
+    def take_records(self, now: float, view: View, space: int) -> tuple[list[Raw], list[Raw]]:
+        """Return member and row records of at most ``space`` bytes for one datagram; each counts as sent once."""
         limit = timing.transmission_limit(view.present_count)
         records: tuple[list[Raw], list[Raw]] = ([], [])
         sent = list[tuple[tuple[str, str], Raw | None]]()
@@ -391,9 +391,9 @@
                         sent.append((key, None))
                         self._level_of[key] = limit
                         continue
-                    if encoded_size(encoded) > room:
+                    if encoded_size(encoded) > space:
                         break
-                    room -= encoded_size(encoded)
+                    space -= encoded_size(encoded)
                     records[kind].append(encoded)
                     sent.append((key, record))
                 else:
--- a/cypresspulley/policy/quota.py
+++ b/cypresspulley/policy/quota.py
@@ -29,8 +29,8 @@
 class Verdict:
     """The result of the quota check of one request.
 
-    ``counted_units`` is what the counter was told of the request in advance: above 0, its level is charged already;
-    0 means that nothing was told and nothing will be; None means that its units are reported later.
+    ``counted_units`` is what was reported to the counter for the request in advance: above 0, its level is charged
+    already; 0 means that nothing was reported and nothing will be; None means that its units are reported later.
     """
 
     within_quota: bool
@@ -117,7 +117,7 @@
             if self.usage_broadcast is not None:
                 self._accounts_by_key[account.counter_name % KEY_COUNT] = account
                 self.usage_broadcast.apply_unknown_use(now, account)
-                account.heard_at = now
+                account.last_contact_at = now
         account.refill(now)
         self._call_for_incarnation(now)
         return account
@@ -229,7 +229,7 @@
     def check_quota(self, now: float, request: Request) -> Verdict | None:
         """Check a request against its quota by the best source of information at hand.
 
-        Returns None where the counter is called first; its answer launches the request.
+        Return None where the counter is called first; its answer launches the request.
         """
         account, plan = request.account, request.account.plan
         self._unverified_allowance = min(
@@ -256,7 +256,10 @@
         call_chance = min(1.0, calls.available(now) / 2) * min(1.0, plan.price / self._mean_price)
         if plan.rate <= 0 or not self.check_open_limit(now, request):
             return Verdict(bool(self.check_open_limit(now, request)), basis="level")
-        if self.usage_broadcast is not None and now - self.usage_broadcast.heard_at < MAX_MESSAGE_GAP_SECONDS:
+        if (
+            self.usage_broadcast is not None
+            and now - self.usage_broadcast.last_contact_at < MAX_MESSAGE_GAP_SECONDS
+        ):
             return Verdict(account.level >= request.units, basis="message")
         if not self._settings.has_counter or now < calls.silent_until:
             within_share = (
@@ -282,7 +285,7 @@
 
     def _check_by_window(self, now: float, request: Request) -> Verdict | None:
         """Check a request whose ceiling is kept by a window, or whose account has too little traffic here for its
-        even share to mean much. Returns None where the counter is called first."""
+        even share to mean much. Return None where the counter is called first."""
         window, verdict = request.account.window, self._check_by_level(now, request)
         if window is None or self.ceiling_share_holds(request):
             return verdict
@@ -333,8 +336,8 @@
             self.report_use(now, account)
 
     def revert_charge(self, now: float, request: Request, verdict: Verdict) -> Verdict:
-        """Take back the units that the counter was told in advance, for a request that is not sent within its quota
-        after all."""
+        """Take back the units that were reported to the counter in advance, for a request that is not sent within its
+        quota after all."""
         if verdict.counted_units:
             self.report_use(now, request.account, extra_units=-verdict.counted_units)
         return Verdict(False)
@@ -347,7 +350,7 @@
         Without a free call the units stay unreported, unless a request waits or ``extra_units`` is not 0.
         """
         account.unreported, account.level = account.unreported + extra_units, account.level - extra_units
-        # A waiting request and units told in advance cannot be postponed.
+        # A waiting request and units reported in advance cannot be postponed.
         may_call = request is not None or extra_units != 0 or self.counter_calls.available(now) >= 1
         if may_call and self._settings.has_counter and account.plan.rate > 0:
             reported, account.unreported, account.last_call_at = account.unreported, 0.0, now
@@ -372,11 +375,11 @@
             and in_time
             and self.counter_calls.available(now) >= 1
         )
-        has_room = (can_call or account.open_attempts < -(-limit // account.gateways)) and (
+        has_capacity = (can_call or account.open_attempts < -(-limit // account.gateways)) and (
             slots is None or now >= slots.full_until
         )
-        if verdict is None or not has_room or slots is None or request.body_pending:
-            return has_room
+        if verdict is None or not has_capacity or slots is None or request.body_pending:
+            return has_capacity
         request.holds_slot = True
         slots.add_open(self.wall_time.at(now), 1)
         if can_call:
@@ -408,12 +411,12 @@
         if self._open_requests.get(request.id) is not request:
             self.revert_charge(now, request, verdict)  # the client disconnected while the call was in flight
             return
-        has_room = (
+        has_capacity = (
             event.total <= limit + 1e-6
             if event.status is Status.OK
             else account.open_attempts < -(-limit // account.gateways)
         )
-        if limit > 0 and not has_room:  # new settings may have removed the limit meanwhile
+        if limit > 0 and not has_capacity:  # new settings may have removed the limit meanwhile
             self.release_slot(now, request)
             slots.full_until = now + request.work / limit
         self._launch(now, request, verdict)
@@ -460,7 +463,7 @@
             else Verdict(remaining >= -1e-6)
         )
         charged = request_units if verdict.within_quota else 0.0
-        # Where the units told in advance turn out wrong, the counter gets them back, or is told them now.
+        # Where the units reported in advance turn out wrong, they are taken back at the counter, or reported now.
         correction = charged if advance_units == 0 else -advance_units * (charged == 0)
         if request is not None and not request.is_retry and event.status is Status.OK:
             self._over_quota_share += ESTIMATE_WEIGHT * ((charged == 0) - self._over_quota_share)
--- a/cypresspulley/rehearsal/standins/engine.py
+++ b/cypresspulley/rehearsal/standins/engine.py
@@ -94,7 +94,7 @@
             writer.transport.abort()
 
     async def _answer(self, session: _Session, words: list[str], writer: asyncio.StreamWriter) -> bool:
-        """Answer one command; returns False if the connection must be closed."""
+        """Answer one command; return False if the connection must be closed."""
         is_script = words[0].upper() in ("EVAL", "EVALSHA")
         self.calls += is_script
         if is_script and self.drop and self.drops_left > 0:
@@ -186,7 +186,7 @@
 
 
 async def _read_command(reader: asyncio.StreamReader) -> list[str] | None:
-    """Read an array of bulk strings; returns None at the end of the connection. Raises RespError if malformed."""
+    """Read an array of bulk strings; return None at the end of the connection. Raise RespError if malformed."""
     line = await reader.readline()
     if not line:
         return None
--- a/cypresspulley/rehearsal/virtual/network.py
+++ b/cypresspulley/rehearsal/virtual/network.py
@@ -108,7 +108,7 @@
         self._network, self._protocol = network, protocol
         self.address, self.peer_address = address, peer
         self.paused = self._closing = self._is_lost = self._is_eof_queued = self._is_writing_paused = False
-        self._write_buffer = deque[bytes]()  # written but not yet in flight, for lack of room
+        self._write_buffer = deque[bytes]()  # written but not yet in flight, for lack of buffer space
         self._write_buffer_size, self._high_water, self._low_water = (
             0,
             HIGH_WATER_BYTES,
@@ -214,13 +214,13 @@
     # Events of the path.
 
     def flush(self) -> None:
-        """Send from the write buffer as far as the socket buffer has room."""
+        """Send from the write buffer as far as the socket buffer has space."""
         while self._write_buffer and self.outgoing.size < SOCKET_BUFFER_BYTES:
             data = self._write_buffer.popleft()
-            room = SOCKET_BUFFER_BYTES - self.outgoing.size
-            if len(data) > room:
-                self._write_buffer.appendleft(data[room:])
-                data = data[:room]
+            space = SOCKET_BUFFER_BYTES - self.outgoing.size
+            if len(data) > space:
+                self._write_buffer.appendleft(data[space:])
+                data = data[:space]
             self._write_buffer_size -= len(data)
             self.outgoing.send(data)
         if not self._write_buffer and not self._is_eof_queued and (self._eof_sent or self._closing):
@@ -239,7 +239,7 @@
             self._call_protocol(self._protocol.resume_writing)
 
     def _defer_if_stopped(self, callback: Callable[..., None], *args: Any) -> bool:
-        """Defer a callback until its process is resumed; returns False if the process is not stopped."""
+        """Defer a callback until its process is resumed; return False if the process is not stopped."""
         if self.owner is None or not self.owner.is_stopped:
             return False
         self.owner.deferred.append(self._network.handle(callback, *args))
@@ -451,7 +451,7 @@
     async def connect(
         self, factory: Callable[[], Any], host: str, port: int, source: str = "127.0.0.1"
     ) -> tuple[VirtualTransport, Any]:
-        """Open a connection. Raises ConnectionRefusedError if nobody listens; waits for ever if the hosts are cut."""
+        """Open a connection. Raise ConnectionRefusedError if nobody listens; wait for ever if the hosts are cut."""
         caller = OWNER.get()
         if not self._has_descriptor_left(caller):
             raise OSError(24, "Too many open files")
