--- a/benchmarks/cpu_per_request.py
+++ b/benchmarks/cpu_per_request.py
@@ -1,11 +1,11 @@
-"""CPU that a request costs a limiter, beside a bare uvloop byte pipe on the same traffic in the same run.
+"""Measures a limiter's CPU time per request, next to a bare uvloop byte pipe on the same traffic in the same run.
 
     python -m benchmarks.cpu_per_request [--requests 6000] [--rounds 3] [--log] [--together] [--beside CHECKOUT]
 
-Both stand between the same clients and the same servers; they take turns, so that a slow moment of the
-machine meets both; ``--beside`` adds the limiter of another checkout, to see what a change costs; ``--together``
-one with a fleet of its own, lanes and closing on, for accounts that keep nothing. CPU is the process's user and
-system time, read before and after each turn.
+Both run between the same clients and the same servers, and are measured in alternating turns so that slow phases of
+the machine affect both. ``--beside`` adds the limiter of another checkout, to show the cost of a change;
+``--together`` adds one with a fleet, lanes and closing enabled, for accounts that keep nothing. CPU is the
+process's user and system time, read before and after each turn.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
 SERVERS = 4
 HOST = "127.0.0.1"
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 64\r\n\r\n" + b"x" * 64
-IDS = count(1)
+REQUEST_IDS = count(1)
 
 
 class Server(asyncio.Protocol):
-    """Answers each request at once; it costs the measured processes nothing."""
+    """Responds to each request immediately; runs outside the measured processes."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
@@ -45,11 +45,13 @@
         self._transport.write(ANSWER * data.count(b"\r\n\r\n"))
 
 
-class Pipe(asyncio.Protocol):
-    """One end of the baseline: what comes here goes out at the other end."""
+class PipeProtocol(asyncio.Protocol):
+    """One end of the baseline proxy; forwards received bytes to the other end."""
 
-    def __init__(self, other: Pipe | None = None) -> None:
-        self._other, self._transport, self._early = other, cast(asyncio.Transport, None), b""
+    def __init__(self, other: PipeProtocol | None = None) -> None:
+        self._other = other
+        self._transport = cast(asyncio.Transport, None)
+        self._buffered = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
@@ -59,23 +61,23 @@
     async def _dial(self) -> None:
         host, port = os.environ["PIPE_TO"].split(":")
         loop = asyncio.get_running_loop()
-        _, self._other = await loop.create_connection(lambda: Pipe(self), host, int(port))
-        self._other._transport.write(self._early)
+        _, self._other = await loop.create_connection(lambda: PipeProtocol(self), host, int(port))
+        self._other._transport.write(self._buffered)
 
     def data_received(self, data: bytes) -> None:
         if self._other is None or self._other._transport is None:
-            self._early += data
+            self._buffered += data
         else:
             self._other._transport.write(data)
 
 
-async def pipe(port: int) -> None:
-    server = await asyncio.get_running_loop().create_server(Pipe, HOST, port)
+async def serve_pipe(port: int) -> None:
+    server = await asyncio.get_running_loop().create_server(PipeProtocol, HOST, port)
     await server.serve_forever()
 
 
-def request() -> bytes:
-    id = next(IDS)
+def build_request() -> bytes:
+    id = next(REQUEST_IDS)
     return (
         f"GET /bag-lookup?account={id % 500:016x} HTTP/1.1\r\nHost: bags.internal\r\n"
         f"X-Request-ID: {id:016x}\r\nX-Priority-Class: bag-lookup\r\nX-Plan: free\r\nX-Timeout-Ms: 2000\r\n"
@@ -83,14 +85,14 @@
     ).encode()
 
 
-async def turn(port: int, requests: int) -> int:
-    """Send so many requests over a few connections, one at a time on each; how many were served."""
+async def send_requests(port: int, requests: int) -> int:
+    """Send requests over ``CONNECTIONS`` connections, one at a time on each, and return the number served."""
 
     async def one(share: int) -> int:
         reader, writer = await asyncio.open_connection(HOST, port)
         served = 0
         for _ in range(share):
-            writer.write(request())
+            writer.write(build_request())
             head = await reader.readuntil(b"\r\n\r\n")
             served += b" 200 " in head
             length = int(head.lower().partition(b"content-length: ")[2].partition(b"\r")[0])
@@ -120,8 +122,8 @@
     return path
 
 
-async def up(port: int, child: subprocess.Popen[bytes] | None = None) -> None:
-    """Wait until it listens; ``SystemExit`` where ``child`` ended before."""
+async def wait_until_listening(port: int, child: subprocess.Popen[bytes] | None = None) -> None:
+    """Wait until the port accepts connections; raises ``SystemExit`` if ``child`` exits before."""
     while child is None or child.poll() is None:
         try:
             (await asyncio.open_connection(HOST, port))[1].close()
@@ -132,7 +134,7 @@
 
 
 def together_table(folder: Path) -> str:
-    """All that limiters do together, in a fleet of one whose accounts ask for nothing to be kept."""
+    """Return settings that enable fleet, lanes and closing, in a fleet of one whose accounts keep nothing."""
     calendar = folder / "calendars.toml"
     calendar.write_text(
         'version = 1\nin_force = 2026-01-01T00:00:00Z\n[places.here]\nzone = "Asia/Kolkata"\n'
@@ -153,7 +155,7 @@
 
 
 async def measure(requests: int, rounds: int, extra: list[str], beside: str | None) -> dict[str, list[float]]:
-    """Microseconds of CPU a request, by who stood between, one figure a round."""
+    """Return the CPU microseconds per request of each proxy, one value per round."""
     loop = asyncio.get_running_loop()
     started = [await loop.create_server(Server, HOST, 0) for _ in range(SERVERS)]
     servers = [server.sockets[0].getsockname()[1] for server in started]
@@ -183,24 +185,25 @@
             )
             for who, command in commands.items()
         }
-        found: dict[str, list[float]] = {who: [] for who in children}
+        cpu_us: dict[str, list[float]] = {who: [] for who in children}
         try:
             for who, child in children.items():
-                await up(ports[who], child)
-                await turn(ports[who], requests)  # warm: the gate is fresh and the arrivals come all at once
+                await wait_until_listening(ports[who], child)
+                # Warm-up: the gate is new and all requests arrive at once.
+                await send_requests(ports[who], requests)
             for _ in range(rounds):
                 for who, child in children.items():
                     before = sum(psutil.Process(child.pid).cpu_times()[:2])
-                    served = await turn(ports[who], requests)
+                    served = await send_requests(ports[who], requests)
                     spent = sum(psutil.Process(child.pid).cpu_times()[:2]) - before
                     if served < 0.99 * requests:
                         print(f"{who}: only {served} of {requests} were served", file=sys.stderr)
-                    found[who].append(spent / max(1, served) * 1e6)
+                    cpu_us[who].append(spent / max(1, served) * 1e6)
         finally:
             for child in children.values():
                 child.terminate()
                 child.wait()
-    return found
+    return cpu_us
 
 
 def main() -> None:
@@ -215,17 +218,17 @@
     parser.add_argument("--pipe", type=int, help=argparse.SUPPRESS)
     options = parser.parse_args()
     if options.pipe:
-        return uvloop.run(pipe(options.pipe))
+        return uvloop.run(serve_pipe(options.pipe))
     extra = [who for who, on in (("logged", options.log), ("together", options.together)) if on]
-    found = uvloop.run(measure(options.requests, options.rounds, extra, options.beside))
-    limiter, bare = (statistics.median(found[who]) for who in ("limiter", "pipe"))
-    for who, figures in found.items():
+    cpu_us = uvloop.run(measure(options.requests, options.rounds, extra, options.beside))
+    limiter, bare = (statistics.median(cpu_us[who]) for who in ("limiter", "pipe"))
+    for who, figures in cpu_us.items():
         print(f"{who:8} {' '.join(f'{x:7.1f}' for x in figures)}  us of CPU a request")
     for who in extra:
-        more = statistics.median(found[who])
+        more = statistics.median(cpu_us[who])
         print(f"{who}: {more - limiter:+.0f} us, {more / limiter:.2f} times the limiter without")
     if options.beside:
-        print(f"this one is {limiter / statistics.median(found['beside']):.2f} times the one beside it")
+        print(f"this one is {limiter / statistics.median(cpu_us['beside']):.2f} times the one beside it")
     print(f"ratio    {limiter / bare:.1f} (limiter {limiter:.0f} us, byte pipe {bare:.0f} us)")
     return None
 
--- a/cypresspulley/capture/replay.py
+++ b/cypresspulley/capture/replay.py
@@ -1,4 +1,4 @@
-"""A plan's arrivals sent to limiters that run already; open loop: the timing stays whatever answers do."""
+"""Sends a plan's arrivals to running limiters, open loop: responses do not affect the timing of requests."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.plan import Plan
 from cypresspulley.rehearsal.scenario import Scenario
-from cypresspulley.rehearsal.standins.clients import ClientFleet, Front
-from cypresspulley.rehearsal.standins.stage import Stage
+from cypresspulley.rehearsal.standins.clients import ClientFleet, FrontBalancer
+from cypresspulley.rehearsal.standins.run_context import RunContext
 
-LEAD = 0.3  # seconds until the first request
-AFTER = 10.0  # seconds after the last for answers that are still out
+START_DELAY_S = 0.3  # before the first request
+ANSWER_TIMEOUT_S = 10.0  # wait for outstanding responses after the last request
 
 
 @dataclass(slots=True)
-class Report:
-    """What was sent and what came back; ``late`` and ``latency`` in milliseconds."""
+class ReplayReport:
+    """Counts the requests sent and the responses received; ``late`` and ``latency`` are in milliseconds."""
 
     sent: int = 0
     unreached: int = 0
@@ -37,39 +37,42 @@
 
 
 def percentile(values: list[float], percent: float) -> float:
-    """The value that so many percent do not exceed; 0 of nothing."""
+    """Return the given percentile of the values, or 0 if there are none."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(len(ordered) * percent / 100))] if ordered else 0.0
 
 
-async def against(scenario: Scenario, plan: Plan, targets: tuple[str, ...]) -> Report:
-    """Send all arrivals; ``targets`` are ``host:port``, as many as there are limiters."""
+async def replay_against(scenario: Scenario, plan: Plan, targets: tuple[str, ...]) -> ReplayReport:
+    """Send all arrivals to the limiters at ``targets``, given as ``host:port``.
+
+    Raises ``CaptureError`` for an invalid address.
+    """
     try:
         addresses = {target: split_address(target) for target in targets}
     except ValueError as error:
         raise CaptureError(f"--against: {error}; expected HOST:PORT") from None
-    report, started = Report(), dict[str, float]()
+    report, sent_at = ReplayReport(), dict[str, float]()
 
-    def sink(record: log.Record) -> None:
+    def record_event(record: log.Record) -> None:
         if isinstance(record, log.Sent):
             report.sent += 1
-            started[record.id] = record.t
+            sent_at[record.id] = record.t
         elif isinstance(record, log.Unreached):
             report.unreached += 1
         elif isinstance(record, log.Answered):
             report.statuses[record.status] += 1
-            report.latency.append((record.t - started.pop(record.id, record.t)) * 1000)
+            report.latency.append((record.t - sent_at.pop(record.id, record.t)) * 1000)
 
-    stage = Stage(sink, lambda _id, _cls: 0.0)
-    front = Front(list(addresses))
+    context = RunContext(record_event, lambda _id, _cls: 0.0)
+    front = FrontBalancer(list(addresses))
     for target in addresses:
-        front.up(target)
+        front.mark_up(target)
     classes = {c.name: c for c in scenario.classes}
     fleet = ClientFleet(
-        stage, front, lambda name: addresses[name], scenario.clients, classes, plan.seed, scenario.seconds
+        context, front, lambda name: addresses[name], scenario.clients, classes, plan.seed, scenario.seconds
     )
-    stage.begin(LEAD)
+    context.begin(START_DELAY_S)
     await fleet.play(plan.arrivals)
-    await fleet.finish(AFTER)
-    report.late = [late * 1000 for late in fleet.late]
+    await fleet.finish(ANSWER_TIMEOUT_S)
+    report.late = [late * 1000 for late in fleet.lateness]
     return report
--- a/cypresspulley/capture/summary.py
+++ b/cypresspulley/capture/summary.py
@@ -1,4 +1,4 @@
-"""What a capture holds, in figures; free of I/O."""
+"""Computes the statistics of a capture. Does no I/O."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 from dataclasses import dataclass
 from typing import Any
 
-from cypresspulley.capture.load import Loaded
-from cypresspulley.capture.model import Entry, shown
+from cypresspulley.capture.load import LoadedCaptures
+from cypresspulley.capture.model import Entry, printable
 from cypresspulley.capture.skew import Clock
 
-TOP = 20  # accounts that are listed
+MAX_LISTED = 20  # accounts, and reasons for unmapped requests
 
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """The figures of a merged capture. Rates are requests a second, times Unix seconds."""
+    """The statistics of a merged capture. Rates are attempts per second, times are in Unix seconds."""
 
     requests: int
     tries: int
@@ -28,7 +28,7 @@
     by_status: dict[str, int]
     accounts: int
     top: list[tuple[str, int]]
-    rate: list[tuple[int, int]]  # seconds from the start, tries in that second
+    rate: list[tuple[int, int]]  # seconds from the start, attempts in that second
     clocks: list[Clock]
     broken: dict[str, int]
     places: list[tuple[str, str]]
@@ -36,7 +36,7 @@
     ignored: int
 
     def as_json(self) -> dict[str, Any]:
-        """The object that ``--json`` writes."""
+        """Return the object that ``--json`` writes."""
         seconds = max(1e-9, self.last - self.first)
         return {
             "requests": self.requests, "tries": self.tries, "retries": self.retries, "first": self.first,
@@ -44,7 +44,7 @@
             "by_class": self.by_class, "by_plan": self.by_plan, "by_status": self.by_status,
             "accounts": self.accounts, "top_accounts": dict(self.top), "rate": self.rate,
             "clocks": [
-                {"source": shown(c.source), "offset_s": round(c.offset, 6), "drift_ppm": round(c.drift * 1e6, 2),
+                {"source": printable(c.source), "offset_s": round(c.offset, 6), "drift_ppm": round(c.drift * 1e6, 2),
                  "error_s": round(c.error, 6) if math.isfinite(c.error) else None} for c in self.clocks
             ],
             "unread": self.broken, "unread_places": [list(p) for p in self.places],
@@ -52,8 +52,8 @@
         }  # fmt: skip
 
 
-def summarise(entries: list[Entry], loaded: Loaded, clocks: list[Clock]) -> Summary:
-    """Figures of merged entries whose retries are marked."""
+def summarise(entries: list[Entry], loaded: LoadedCaptures, clocks: list[Clock]) -> Summary:
+    """Compute the statistics of merged entries whose retries are marked."""
     rate = defaultdict[int, int](int)
     first = entries[0].t if entries else 0.0
     for entry in entries:
@@ -63,11 +63,11 @@
     return Summary(
         requests=len(entries) - retries, tries=len(entries), retries=retries, first=first,
         last=entries[-1].t if entries else 0.0,
-        by_class=dict(sorted(Counter(shown(e.cls) for e in entries).items())),
-        by_plan=dict(sorted(Counter(shown(e.plan) for e in entries).items())),
+        by_class=dict(sorted(Counter(printable(e.cls) for e in entries).items())),
+        by_plan=dict(sorted(Counter(printable(e.plan) for e in entries).items())),
         by_status={str(k): n for k, n in sorted(Counter(e.status for e in entries).items())},
-        accounts=len(accounts), top=[(shown(a), n) for a, n in accounts.most_common(TOP)],
-        rate=sorted(rate.items()), clocks=clocks, broken={shown(k): n for k, n in loaded.broken.items()},
-        places=[(shown(p.place), shown(p.why)) for p in loaded.places],
-        unmapped=dict(loaded.unmapped.most_common(TOP)), ignored=loaded.ignored,
+        accounts=len(accounts), top=[(printable(a), n) for a, n in accounts.most_common(MAX_LISTED)],
+        rate=sorted(rate.items()), clocks=clocks, broken={printable(k): n for k, n in loaded.unreadable_counts.items()},
+        places=[(printable(p.location), printable(p.reason)) for p in loaded.unreadable],
+        unmapped=dict(loaded.unmapped.most_common(MAX_LISTED)), ignored=loaded.ignored,
     )  # fmt: skip
--- a/cypresspulley/explore/picture.py
+++ b/cypresspulley/explore/plot.py
@@ -1,4 +1,4 @@
-"""Coverage to look at: transitions against faults, the darker the more often they met; white was never met."""
+"""Plots coverage as a heat map of transitions against fault kinds; white cells are pairs that never occurred."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from matplotlib.figure import Figure
 
 from cypresspulley.explore.coverage import NO_FAULT, Coverage, Pair
-from cypresspulley.explore.lifecycle import MET
+from cypresspulley.explore.lifecycle import TRANSITIONS
 
 
 def draw(coverages: list[Coverage], path: Path) -> None:
-    """Write the picture as PNG; OSError where it cannot be written."""
+    """Write the plot of all coverages together as a PNG file. Raise ``OSError`` if it cannot be written."""
     met = Counter[Pair]()
     for coverage in coverages:
         met.update(coverage.met)
     kinds = (NO_FAULT, *coverages[0].kinds)
-    counts = np.array([[met[name, kind] for kind in kinds] for name in MET], dtype=float)
+    counts = np.array([[met[name, kind] for kind in kinds] for name in TRANSITIONS], dtype=float)
     figure = Figure(figsize=(11, 10), layout="constrained")
     axes = figure.add_subplot()
-    shown = np.ma.masked_equal(counts, 0)
-    image = axes.imshow(shown, norm=LogNorm(1, max(2.0, counts.max())), cmap="Blues", aspect="auto")
+    masked_counts = np.ma.masked_equal(counts, 0)
+    image = axes.imshow(masked_counts, norm=LogNorm(1, max(2.0, counts.max())), cmap="Blues", aspect="auto")
     axes.set_xticks(range(len(kinds)), kinds, rotation=60, ha="right")
-    axes.set_yticks(range(len(MET)), [name.strip() for name in MET])
+    axes.set_yticks(range(len(TRANSITIONS)), [name.strip() for name in TRANSITIONS])
     plays = sum(coverage.plays for coverage in coverages)
     axes.set_title(f"Transitions met under each fault, {plays} plays (white: never)")
     figure.colorbar(image, label="times")
--- a/cypresspulley/fleet/exchange.py
+++ b/cypresspulley/fleet/exchange.py
@@ -22,7 +22,7 @@
 from cypresspulley.fleet.view import View, bucket_of
 from cypresspulley.fleet.wire import Envelope, Key
 
-PIECE_KEY_BYTES = 200  # room reserved for the two keys of a piece
+PIECE_KEY_BYTES = 200  # bytes reserved for the two keys of a piece
 SPREADING_PERIODS = 2  # time after a membership change in which gossip still spreads it
 SPREADING_INTERVAL_PERIODS = 4  # interval of comparisons during that time
 FIRST_KEY: Key = (0, "", "")
@@ -43,7 +43,7 @@
         return f"<Exchange, comparison {self._pending} running>"
 
     def may_start(self, joining: bool) -> bool:
-        """Whether a comparison may start: one a period, fewer while gossip still spreads a change."""
+        """Return whether a comparison may start: one a period, fewer while gossip still spreads a change."""
         now = self._outbox.now
         spreading = now - self._view.members_changed_at < SPREADING_PERIODS * self._period and not joining
         return now - self._started_at >= (SPREADING_INTERVAL_PERIODS if spreading else 1) * self._period
@@ -58,8 +58,8 @@
         assert isinstance(request, wire.SyncRequest)
         address, mask = requester.address, self._view.differing_buckets(request.buckets)
         after = self._cursors.pop(requester.name, FIRST_KEY)
-        room = (
-            outbox.record_room(
+        space = (
+            outbox.record_space(
                 wire.encode_record(wire.SyncPiece(request.number, 2**64 - 1, FIRST_KEY, END_KEY, False))
             )
             - PIECE_KEY_BYTES
@@ -73,7 +73,7 @@
             )
             if record is None:
                 continue
-            if used + wire.encoded_size(record) > room:
+            if used + wire.encoded_size(record) > space:
                 sent += 1
                 is_last = sent == MAX_RESPONSE_DATAGRAMS
                 piece = wire.SyncPiece(request.number, mask, after, up_to, is_last)
@@ -93,7 +93,7 @@
         )
 
     def accept_piece(self, piece: wire.SyncPiece) -> bool:
-        """Whether the piece belongs to the running comparison, which the last piece ends."""
+        """Return whether the piece belongs to the running comparison, which the last piece ends."""
         if piece.number != self._pending:
             return False
         if piece.last:
@@ -101,7 +101,7 @@
         return True
 
     def has_more(self, last: wire.SyncPiece) -> bool:
-        """Whether records remain behind the last piece of a response that got further than the one before.
+        """Return whether records remain behind the last piece of a response that got further than the one before.
 
         A responder that starts from the first key each time would otherwise be asked forever.
         """
--- a/cypresspulley/fleet/records.py
+++ b/cypresspulley/fleet/records.py
@@ -102,14 +102,14 @@
         ...
 
     def publish(self, subsystem: str, body: bytes) -> None:
-        """Replace this member's row of the subsystem. Raises ``ValueError`` over ``MAX_ROW_BYTES``."""
+        """Replace this member's row of the subsystem. Raise ``ValueError`` over ``MAX_ROW_BYTES``."""
         ...
 
     def is_settled(self, now: float) -> bool:
-        """Whether the local digest equals the last digest reported by every present member."""
+        """Return whether the local digest equals the last digest reported by every present member."""
         ...
 
-    def count_heard(self, now: float, within: float) -> int:
+    def count_responsive(self, now: float, within: float) -> int:
         """Return how many other present members have sent a datagram within the last ``within`` seconds."""
         ...
 
@@ -124,7 +124,7 @@
     def store_document(self, body: bytes) -> str:
         """Store a document for others and return its digest, 32 hex digits.
 
-        Raises ``ValueError`` over ``MAX_DOCUMENT_BYTES``.
+        Raise ``ValueError`` over ``MAX_DOCUMENT_BYTES``.
         """
         ...
 
--- a/cypresspulley/fleet/wire.py
+++ b/cypresspulley/fleet/wire.py
@@ -23,7 +23,7 @@
 from cypresspulley.fleet.records import MAX_ROW_BYTES, NAME_PATTERN, Member, MemberState
 
 FORMAT_VERSION = 1
-MAX_DATAGRAM_BYTES = 1200  # below the minimum IPv6 MTU (1280), with room for headers
+MAX_DATAGRAM_BYTES = 1200  # below the minimum IPv6 MTU (1280), which leaves space for headers
 DIGEST_BYTES = 16
 HEADER_BYTES = 1 + DIGEST_BYTES
 BUCKET_COUNT = 64  # of member names, by which anti-entropy compares two views
@@ -243,7 +243,7 @@
     def decode(self, data: bytes) -> Envelope:
         """Verify and decode a datagram.
 
-        Raises ``InvalidDatagram`` with the cause ``long``, ``cut``, ``form``, ``digest``, ``garbled`` or ``foreign``.
+        Raise ``InvalidDatagram`` with the cause ``long``, ``cut``, ``form``, ``digest``, ``garbled`` or ``foreign``.
         """
         if len(data) > MAX_DATAGRAM_BYTES:
             raise InvalidDatagram("long")
--- a/cypresspulley/graphql/scan.py
+++ b/cypresspulley/graphql/scan.py
@@ -1,8 +1,8 @@
-"""Bounds on a query's text before any parser sees it; free of I/O.
+"""Checks a document against bounds before it is parsed. Does no I/O.
 
-The parser costs some 7 us a token and the validator several times that, so what may reach them is bounded here,
-by a scan in C (``re``) that stops at the first bound. Tokens are those of the GraphQL specification (section 2.1);
-an ignored comma or comment counts nothing, a string counts one.
+The parser takes about 7 us per token and the validator several times that, so documents are limited before they reach
+them, by a scan in C (``re``) that stops at the first bound exceeded. Tokens are those of the GraphQL specification
+(section 2.1): ignored commas and comments do not count, and a string counts as one.
 """
 
 from __future__ import annotations
@@ -10,10 +10,10 @@
 import re
 from dataclasses import dataclass
 
-from cypresspulley.graphql.errors import Code, GraphQLRefusedError
+from cypresspulley.graphql.errors import ErrorCode, GraphQLRefusedError
 
-MAX_TEXT = 64 * 1024  # bytes: a body's bound
-TOKEN = re.compile(
+MAX_TEXT_CHARACTERS = 64 * 1024  # as many as the bytes that a body may have
+TOKEN_PATTERN = re.compile(
     r"(?P<skip>[\s,\ufeff]+|\#[^\r\n]*)|(?P<open>[{(\[])|(?P<close>[})\]])|(?P<at>@)|(?P<colon>:)"
     r'|(?P<word>"""(?:[^"\\]|\\.|"(?!""))*"""|"(?:[^"\\\r\n]|\\.)*"|\.\.\.|[_A-Za-z][_0-9A-Za-z]*'
     r"|-?[0-9][0-9.eE+-]*|[!$&=|])",
@@ -23,8 +23,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What a document may have at most. Each is a count; ``steps`` bounds the walk that prices it, which a few
-    fragments that spread each other can make exponential."""
+    """The maximum counts for a document, and of operations for a ``batch``.
+
+    ``steps`` bounds the traversal that prices a request, which a few fragments that spread each other can make
+    exponential.
+    """
 
     tokens: int = 250
     depth: int = 12
@@ -35,24 +38,27 @@
     steps: int = 4000
 
 
-def scan(text: str, bounds: Bounds) -> int:
-    """The number of tokens; ``GraphQLRefusedError`` past a bound or at what is no token.
+def count_tokens(text: str, bounds: Bounds) -> int:
+    """Return the number of tokens. Raise GraphQLRefusedError if a bound is exceeded or a token is invalid.
 
-    Nesting is counted over all kinds of brackets, so that the parser's recursion is bounded before it starts
-    (twice the selections' depth, and room for lists in arguments).
+    Nesting is counted over all kinds of brackets, so that the parser's recursion is bounded. The limit is twice the
+    depth of selections, plus a margin for lists in arguments.
     """
-    if len(text) > MAX_TEXT:
-        raise GraphQLRefusedError(Code.TOO_COMPLEX, f"{len(text)} characters; at most {MAX_TEXT}")
-    tokens = depth = directives = at = 0
-    deepest = 2 * bounds.depth + 8
-    while at < len(text):
-        found = TOKEN.match(text, at)
-        if found is None:
+    if len(text) > MAX_TEXT_CHARACTERS:
+        raise GraphQLRefusedError(
+            ErrorCode.TOO_COMPLEX, f"{len(text)} characters; at most {MAX_TEXT_CHARACTERS}"
+        )
+    tokens = depth = directives = position = 0
+    max_brackets = 2 * bounds.depth + 8
+    while position < len(text):
+        match = TOKEN_PATTERN.match(text, position)
+        if match is None:
             raise GraphQLRefusedError(
-                Code.PARSE_FAILED, f"no token at character {at}: {text[at : at + 12]!r}"
+                ErrorCode.PARSE_FAILED,
+                f"no token at character {position}: {text[position : position + 12]!r}",
             )
-        at = found.end()
-        kind = found.lastgroup
+        position = match.end()
+        kind = match.lastgroup
         if kind == "skip":
             continue
         tokens += 1
@@ -62,12 +68,12 @@
             depth -= 1
         elif kind == "at":
             directives += 1
-        _within("tokens", tokens, bounds.tokens)
-        _within("levels of brackets", depth, deepest)
-        _within("directives", directives, bounds.directives)
+        _check_bound("tokens", tokens, bounds.tokens)
+        _check_bound("levels of brackets", depth, max_brackets)
+        _check_bound("directives", directives, bounds.directives)
     return tokens
 
 
-def _within(what: str, count: int, most: int) -> None:
-    if count > most:
-        raise GraphQLRefusedError(Code.TOO_COMPLEX, f"more than {most} {what}")
+def _check_bound(counted: str, count: int, limit: int) -> None:
+    if count > limit:
+        raise GraphQLRefusedError(ErrorCode.TOO_COMPLEX, f"more than {limit} {counted}")
--- a/cypresspulley/histories/read.py
+++ b/cypresspulley/histories/read.py
@@ -1,7 +1,7 @@
-"""Reads histories back: files of JSON lines, or lists of events from plays in virtual time.
+"""Reads histories from files of JSON lines or from event lists of plays in virtual time.
 
-Allowed is one thing alone: a last line without its end, as a SIGKILL leaves it; it is dropped. Anything else that is
-wrong ends the reading with a ``HistoryError`` that names file, line and what was expected. Everything is bounded.
+The only defect tolerated is a last line without a line end, which a SIGKILL can leave; that line is dropped. Any other
+defect raises a ``HistoryError`` that names the file, the line and what was expected. All sizes are bounded.
 """
 
 from __future__ import annotations
@@ -13,36 +13,39 @@
 
 import msgspec
 
-from cypresspulley.histories.forms import FORMS, Event, Start
+from cypresspulley.histories.forms import EVENT_TYPES, Event, Start
 
-HARNESS = "harness"  # the name in its ``start``
-MOST_FILES = 4096
-MOST_BYTES = 128 * 1024 * 1024  # of one file: twice what a writer writes
-MOST_LINE = 64 * 1024  # bytes, its end included; the harness's truths have a line a play
-MOST_TRUTH = 4 * 1024 * 1024
-MOST_EVENTS = 2_000_000  # of all histories together
-PATTERN = "*.jsonl"
+HARNESS = "harness"  # the name in the ``start`` event of the harness
+MAX_FILES = 4096
+MAX_FILE_BYTES = 128 * 1024 * 1024  # twice the limit of the writer
+MAX_LINE_BYTES = 64 * 1024  # line end included
+MAX_TRUTH_LINE_BYTES = 4 * 1024 * 1024  # the harness writes the truth of a whole play in one line
+MAX_TOTAL_EVENTS = 2_000_000  # in all histories together
+FILE_PATTERN = "*.jsonl"
 
-_FORM = Union[tuple(FORMS.values())]  # type: ignore[valid-type]  # noqa: UP007  # a union of what the table lists
-_decoder: msgspec.json.Decoder[Any] = msgspec.json.Decoder(_FORM)
+_EVENT_UNION = Union[tuple(EVENT_TYPES.values())]  # type: ignore[valid-type]  # noqa: UP007  # built from the table
+_decoder: msgspec.json.Decoder[Any] = msgspec.json.Decoder(_EVENT_UNION)
 
 
 class HistoryError(ValueError):
-    """A history that cannot be read; the text names file, line and what was expected."""
+    """Raised for a history that cannot be read. The message names the file, the line and what was expected."""
 
 
 @dataclass(frozen=True, slots=True)
 class History:
-    """What one process wrote in one life, in order. ``cut`` is whether a last line was lost."""
+    """The events that one process wrote in one life, in order.
+
+    ``truncated`` is whether an incomplete last line was dropped.
+    """
 
     source: str
     events: tuple[Event, ...]
-    cut: bool = False
+    truncated: bool = False
 
     @property
     def start(self) -> Start:
         first = self.events[0]
-        assert isinstance(first, Start)  # the reader made sure
+        assert isinstance(first, Start)  # ensured by the reader
         return first
 
     @property
@@ -54,59 +57,68 @@
         return self.start.life
 
     def __repr__(self) -> str:
-        return f"<History of {self.name} life {self.life}, {len(self.events)} events{', cut' if self.cut else ''}>"
+        return (
+            f"<History of {self.name} life {self.life}, "
+            f"{len(self.events)} events{', cut' if self.truncated else ''}>"
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class Histories:
-    """One history for each process and life, sorted by name and life, and the harness's own, if there is one."""
+    """One history per process and life, sorted by name and life, and the harness's own if there is one."""
 
     lives: tuple[History, ...]
     harness: History | None
 
 
 def read_folder(folder: Path) -> Histories:
-    """All histories of a folder (``*.jsonl``). ``HistoryError`` also where it has none, ``OSError`` as it comes."""
-    files = sorted(folder.glob(PATTERN))
+    """Read all histories (``*.jsonl``) of a folder.
+
+    Raise ``HistoryError`` if one is invalid or the folder has none, and ``OSError`` if a file cannot be read.
+    """
+    files = sorted(folder.glob(FILE_PATTERN))
     if not files:
-        raise HistoryError(f"{folder}: expected at least one history {PATTERN}")
+        raise HistoryError(f"{folder}: expected at least one history {FILE_PATTERN}")
     return read_files(files)
 
 
 def read_files(files: Sequence[Path]) -> Histories:
-    """Histories of these files, in any order. A file whose writer was killed before its first line is passed over."""
-    if len(files) > MOST_FILES:
-        raise HistoryError(f"{len(files)} histories: expected at most {MOST_FILES}")
-    room, found = MOST_EVENTS, []
+    """Read the histories of these files, in any order.
+
+    A file whose writer was killed before its first line is skipped.
+    """
+    if len(files) > MAX_FILES:
+        raise HistoryError(f"{len(files)} histories: expected at most {MAX_FILES}")
+    max_events, histories = MAX_TOTAL_EVENTS, []
     for file in files:
         size = file.stat().st_size
-        if size > MOST_BYTES:
-            raise HistoryError(f"{file}: {size} bytes: expected at most {MOST_BYTES}")
+        if size > MAX_FILE_BYTES:
+            raise HistoryError(f"{file}: {size} bytes: expected at most {MAX_FILE_BYTES}")
         with file.open("rb") as stream:
-            history = read_lines(_lines(str(file), stream), str(file), room)
-        room -= len(history.events)
+            history = read_lines(_bounded_lines(str(file), stream), str(file), max_events)
+        max_events -= len(history.events)
         if history.events:
-            found.append(history)
-    return gathered(found)
+            histories.append(history)
+    return merge_histories(histories)
 
 
 def from_memory(lives: Iterable[Sequence[dict[str, Any]]]) -> Histories:
-    """Histories from lists of events, as ``MemoryHistory.lives`` has them; empty ones are passed over."""
-    found = []
+    """Build histories from event lists as in ``MemoryHistory.lives``. Empty lists are skipped."""
+    histories = []
     for number, events in enumerate(lives):
         source = f"memory {number}"
-        checked = _checked(
-            source, (_converted(source, at, event) for at, event in enumerate(events)), MOST_EVENTS
+        checked = _validate_events(
+            source, (_convert_event(source, at, event) for at, event in enumerate(events)), MAX_TOTAL_EVENTS
         )
         if checked:
-            found.append(History(source, checked))
-    return gathered(found)
+            histories.append(History(source, checked))
+    return merge_histories(histories)
 
 
-def gathered(found: Iterable[History]) -> Histories:
-    """Put histories together; ``HistoryError`` where two are of one process and life."""
+def merge_histories(histories: Iterable[History]) -> Histories:
+    """Combine histories. Raise ``HistoryError`` if two are of the same process and life."""
     by_life: dict[tuple[str, int], History] = {}
-    for history in found:
+    for history in histories:
         key = history.name, history.life
         if key in by_life:
             raise HistoryError(
@@ -121,38 +133,38 @@
     return Histories(lives, harness[0] if harness else None)
 
 
-def read_lines(lines: Iterable[bytes], source: str, room: int = MOST_EVENTS) -> History:
-    """One history from its lines, each with its end; the last may lack it (killed while it was written)."""
-    cut = False
+def read_lines(lines: Iterable[bytes], source: str, max_events: int = MAX_TOTAL_EVENTS) -> History:
+    """Read one history from its lines, which include their line ends; the last may lack it after a SIGKILL."""
+    truncated = False
 
-    def whole() -> Iterator[Event]:
-        nonlocal cut
+    def complete_events() -> Iterator[Event]:
+        nonlocal truncated
         for number, line in enumerate(lines, 1):
-            if cut:
+            if truncated:
                 raise HistoryError(
                     f"{source}: line {number - 1}: expected an end of line, since others follow"
                 )
             if not line.endswith(b"\n"):
-                cut = True
+                truncated = True
                 continue
-            yield _decoded(source, number, line)
+            yield _decode_event(source, number, line)
 
-    events = _checked(source, whole(), room)
-    return History(source, events, cut)
+    events = _validate_events(source, complete_events(), max_events)
+    return History(source, events, truncated)
 
 
-def _lines(source: str, stream: Any) -> Iterator[bytes]:
-    """Lines of a file, none longer than may be."""
+def _bounded_lines(source: str, stream: Any) -> Iterator[bytes]:
+    """Yield the lines of a file. Raise ``HistoryError`` for a line over the size limit."""
     number = 0
-    while line := stream.readline(MOST_TRUTH + 1):
+    while line := stream.readline(MAX_TRUTH_LINE_BYTES + 1):
         number += 1
-        most = MOST_TRUTH if b'"kind":"truth"' in line[:200] else MOST_LINE
-        if len(line) > most:
-            raise HistoryError(f"{source}: line {number}: over {most} bytes: expected at most that many")
+        max_bytes = MAX_TRUTH_LINE_BYTES if b'"kind":"truth"' in line[:200] else MAX_LINE_BYTES
+        if len(line) > max_bytes:
+            raise HistoryError(f"{source}: line {number}: over {max_bytes} bytes: expected at most that many")
         yield line
 
 
-def _decoded(source: str, number: int, line: bytes) -> Event:
+def _decode_event(source: str, number: int, line: bytes) -> Event:
     try:
         event: Event = _decoder.decode(line)
     except (msgspec.DecodeError, RecursionError) as error:  # a ValidationError is a DecodeError
@@ -160,31 +172,37 @@
     return event
 
 
-def _converted(source: str, at: int, event: dict[str, Any]) -> Event:
+def _convert_event(source: str, at: int, event: dict[str, Any]) -> Event:
     try:
-        converted: Event = msgspec.convert(event, _FORM)
+        converted: Event = msgspec.convert(event, _EVENT_UNION)
     except msgspec.ValidationError as error:
         raise HistoryError(f"{source}: event {at + 1}: {error}") from None
     return converted
 
 
-def _checked(source: str, events: Iterable[Event], room: int) -> tuple[Event, ...]:
-    """Events of one life: the first a start and no other, ``seq`` without a gap, ``mono`` never back."""
-    kept: list[Event] = []
+def _validate_events(source: str, events: Iterable[Event], max_events: int) -> tuple[Event, ...]:
+    """Validate the events of one life and return them.
+
+    The first event, and no other, must be a start; ``seq`` must have no gap and ``mono`` must not decrease.
+    """
+    validated: list[Event] = []
     for event in events:
-        line = len(kept) + 1
-        if line > room:
+        line = len(validated) + 1
+        if line > max_events:
+            raise HistoryError(
+                f"{source}: line {line}: expected at most {MAX_TOTAL_EVENTS} events in all histories"
+            )
+        if event.seq != len(validated):
             raise HistoryError(
-                f"{source}: line {line}: expected at most {MOST_EVENTS} events in all histories"
+                f"{source}: line {line}: seq {event.seq}: expected {len(validated)}, without a gap"
             )
-        if event.seq != len(kept):
-            raise HistoryError(f"{source}: line {line}: seq {event.seq}: expected {len(kept)}, without a gap")
-        if isinstance(event, Start) != (not kept):
-            expected = "no second start" if kept else "start as the first event"
+        if isinstance(event, Start) != (not validated):
+            expected = "no second start" if validated else "start as the first event"
             raise HistoryError(f"{source}: line {line}: expected {expected}")
-        if kept and event.mono < kept[-1].mono:
+        if validated and event.mono < validated[-1].mono:
             raise HistoryError(
-                f"{source}: line {line}: mono {event.mono}: expected at least {kept[-1].mono}, as the line before has"
+                f"{source}: line {line}: mono {event.mono}: "
+                f"expected at least {validated[-1].mono}, as the line before has"
             )
-        kept.append(event)
-    return tuple(kept)
+        validated.append(event)
+    return tuple(validated)
--- a/cypresspulley/takeover/snapshot.py
+++ b/cypresspulley/takeover/snapshot.py
@@ -40,7 +40,7 @@
     "level": "level", "floor": "share_level", "ceiling": "ceiling_level",
     "drawn": "ceiling_drawn", "total": "last_total", "others": "others_rate",
     "pending": "unreported", "guessed": "extrapolated_use",
-    "mine": "own_recent_use", "heard": "heard_at", "debt": "debt",
+    "mine": "own_recent_use", "heard": "last_contact_at", "debt": "debt",
 }  # fmt: skip
 # Attributes of an account, used only with getattr and setattr: the stores that are split between the processes.
 SPLIT_STORES = ("level", "share_level", "ceiling_level")
@@ -117,7 +117,7 @@
 def restore_snapshot(gateway: Gateway, now: float, state: dict[str, Any]) -> None:
     """Restore a predecessor's state in a new gateway, less the share that the predecessor keeps.
 
-    Raises SnapshotError if the state is unusable; the gateway must then be discarded.
+    Raise SnapshotError if the state is unusable; the gateway must then be discarded.
     """
     try:
         _restore(gateway, now, state)
@@ -282,7 +282,7 @@
 
 
 def decode_snapshot(text: str, checksum: str) -> dict[str, Any]:
-    """Return the state in a snapshot. Raises SnapshotError if text, checksum or version do not match."""
+    """Return the state in a snapshot. Raise SnapshotError if text, checksum or version do not match."""
     if hashlib.sha256(text.encode()).hexdigest() != checksum:
         raise SnapshotError("snapshot: checksum mismatch")
     try:
--- a/tests/closing/world.py
+++ b/tests/closing/world.py
@@ -38,7 +38,7 @@
     def __init__(self, now: Callable[[], float] = float) -> None:
         self.events, self.times, self._now = list[tuple[Kind, dict[str, Any]]](), list[float](), now
 
-    def opened_at(self, life: int) -> None: ...
+    def open_life(self, life: int) -> None: ...
 
     def put(self, kind: Kind, **facts: Any) -> None:
         assert set(facts) == set(FACTS[kind]), kind
@@ -98,7 +98,7 @@
     def is_settled(self, now: float) -> bool:
         return True
 
-    def count_heard(self, now: float, within: float) -> int:
+    def count_responsive(self, now: float, within: float) -> int:
         return sum(now - k.heard_at <= within for name, k in self.known.items() if name != self.local_name)
 
     def clock_error(self, now: float) -> tuple[float, float] | None:
--- a/tests/rehearsal/test_graphql.py
+++ b/tests/rehearsal/test_graphql.py
@@ -1,4 +1,4 @@
-"""GraphQL days in virtual time, judged; limiters that are wrong about them convicted of just their rule."""
+"""GraphQL scenarios in virtual time. A limiter that handles them wrongly must break exactly one rule."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 import pytest
 
-from cypresspulley.explore.schedule import small_day
-from cypresspulley.graphql import front
+from cypresspulley.explore.schedule import scale_down
+from cypresspulley.graphql import handler
 from cypresspulley.graphql.document import Effect
 from cypresspulley.graphql.price import Price
 from cypresspulley.rehearsal.judge import Verdict, judge
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("name", ["graphql-floor", "graphql-handover-mix", "graphql-abuse"])
 def test_the_shipped_days_keep_the_rules(name: str) -> None:
-    found = judge(play_virtual(small_day(load_scenario(name), 6.0, 25.0), 2))
+    found = judge(play_virtual(scale_down(load_scenario(name), 6.0, 25.0), 2))
     assert not found.void and not broken(found), found
 
 
@@ -49,19 +49,19 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     assert broken(verdict()) == []
-    real = front._classes
+    real = handler._classes_by_effect
 
     def blind(*given: Any) -> dict[Effect, str]:
         return real(*given) | {Effect.MUTATION: "bag-lookup"}
 
-    monkeypatch.setattr(front, "_classes", blind)
+    monkeypatch.setattr(handler, "_classes_by_effect", blind)
     assert broken(verdict()) == ["no effect twice"]
 
 
 def test_a_limiter_that_charges_a_fraction_is_convicted_by_true_costs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Whatever units the limiter thinks of, the judge counts what the queries truly cost."""
+    """The judge counts the true costs of the queries, whatever units the limiter charges."""
     plans = [{"name": "business", "share": 1, "rate": 1.0, "burst": 6, "ceiling": 1.5}]
     load = {"inside": 6, "spread": [2, 2], "heavy": 1.0}
     surge = [{"kind": "account-surge", "at": 0.1, "lasts": 4.8, "size": 8, "count": 1}]
@@ -69,13 +69,13 @@
     changes: dict[str, Any] = {"plan": plans, "load": load, "fault": surge + lies}
     assert broken(verdict(**changes)) == []
 
-    go_on = front.GraphQLFront._priced
+    submit = handler.GraphQLHandler._submit
 
     def priced(self: Any, reading: Any, found: Any) -> None:
         price = Price(found.price.bound / 20, found.price.expected / 20)
-        go_on(self, reading, replace(found, price=price))
+        submit(self, reading, replace(found, price=price))
 
-    monkeypatch.setattr(front.GraphQLFront, "_priced", priced)
+    monkeypatch.setattr(handler.GraphQLHandler, "_submit", priced)
     assert broken(verdict(**changes)) == ["ceilings kept"]
 
 
--- a/tests/rehearsal/test_operated.py
+++ b/tests/rehearsal/test_operated.py
@@ -1,4 +1,4 @@
-"""A short day on sockets in which operators upgrade limiters, take a server out and empty a limiter."""
+"""Short runs in which operators upgrade limiters, ban a server and drain a limiter."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from cypresspulley.rehearsal import records as log
 from cypresspulley.rehearsal.judge import judge
-from cypresspulley.rehearsal.limiters import KitError
+from cypresspulley.rehearsal.limiters import HarnessError
 from cypresspulley.rehearsal.play import play
 from cypresspulley.rehearsal.virtual.play import play_virtual
 from tests.rehearsal.small import small
@@ -21,11 +21,11 @@
     {"kind": "limiter-drain", "at": 4.0, "targets": ["limiter-1"], "lasts": 0.5},
 ]
 pytestmark = pytest.mark.timed
-PLAYS = 3  # a run in which the kit was late is void and no verdict
+MAX_PLAYS = 3  # a run is void and repeated if the harness itself was late
 
 
 def test_upgrades_and_servers_out_by_hand_keep_all_rules(tmp_path: Path) -> None:
-    for number in range(PLAYS):
+    for number in range(MAX_PLAYS):
         records = uvloop.run(play(small(fault=FAULTS), 5, logs=tmp_path / str(number)))
         verdict = judge(records)
         if not verdict.void:
@@ -39,7 +39,7 @@
 
 
 def test_an_upgrade_wants_two_processes() -> None:
-    with pytest.raises(KitError, match="sockets only"):
+    with pytest.raises(HarnessError, match="sockets only"):
         play_virtual(small(fault=FAULTS[1:2]), 5)
 
 
--- a/tests/test_accesslog.py
+++ b/tests/test_accesslog.py
@@ -1,4 +1,4 @@
-"""The limiter's own access log: what it says, that it never holds the loop, that it can be rotated; off, nothing."""
+"""Tests of the access log: contents, rotation, that it never blocks the event loop, and that it is off by default."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 import pytest
 
 from cypresspulley.accesslog import LogFile
-from cypresspulley.capture.load import load
+from cypresspulley.capture.load import load_captures
 from cypresspulley.capture.mapping import Mapping
 from cypresspulley.operators import OperatorsError, load_operators
-from cypresspulley.rehearsal.standins.keeper import Keeper
+from cypresspulley.rehearsal.standins.counter_server import CounterServer
 from cypresspulley.rehearsal.standins.network import Link
 from tests.loopback import Origin, ask, listening, read_message, run
 from tests.test_program import WIRE_SETTINGS, config, stand_in_stage, started
@@ -47,8 +47,8 @@
 def test_each_request_is_a_line_that_the_readers_take(tmp_path: Path) -> None:
     async def main() -> None:
         origin, link = Origin(), Link("n0")
-        keeper = Keeper(stand_in_stage(), 1, 1000.0, 0.1, 0.0)
-        keeper.begun = True
+        keeper = CounterServer(stand_in_stage(), 1, 1000.0, 0.1, 0.0)
+        keeper.is_serving = True
         async with listening(origin.talk) as dial:
             raw = config(dial) | {"counter": keeper.listen(link, "127.0.0.1").address}
             tight = [{"name": "basic", "quota_rate": 0.1, "store_size": 2.0}]
@@ -73,7 +73,7 @@
         refused = told[statuses.index("429")]
         assert refused["outcome"] == "refused" and refused["why"] == "quota" and refused["attempts"] == 0
         lookups = Mapping.model_validate({"class": {"from": ["field:class"]}})
-        loaded = load((str(tmp_path / "access.jsonl"),), lookups, strict=True)
+        loaded = load_captures((str(tmp_path / "access.jsonl"),), lookups, strict=True)
         assert [str(e.status) for e in loaded.entries] == statuses
         assert all(e.marked and e.account == "00000000b4d65521" and e.plan == "basic" for e in loaded.entries)
         assert any(count.total > 0 for count in loaded.sources[0].counts)
@@ -102,14 +102,14 @@
 
 
 def test_a_slow_disk_drops_lines_and_holds_nobody(tmp_path: Path) -> None:
-    """A pipe that nobody reads takes 64 KiB, then blocks its writer as a dying disk would."""
+    """A pipe without a reader accepts 64 KiB and then blocks its writer, like a failing disk."""
     pipe = tmp_path / "pipe"
     os.mkfifo(pipe)
     reader = os.open(pipe, os.O_RDONLY | os.O_NONBLOCK)
-    file = LogFile(str(pipe), most=100_000)
+    file = LogFile(str(pipe), max_waiting_bytes=100_000)
     began, number = time.monotonic(), 0
     while not file.dropped and time.monotonic() - began < 5:
-        # The pipe, the batch that the writer holds and `most`: however they are cut, 1 MB is more than all three.
+        # The pipe, the batch that the writer holds and `max_waiting_bytes` together hold less than 1 MB.
         assert number < 100_000
         file.put(b'{"n":%d}' % number)
         number += 1
@@ -119,7 +119,7 @@
     drain = threading.Thread(target=lambda: got.extend(iter(lambda: os.read(reader, 1 << 16), b"")))
     drain.start()
     file.flush()
-    wait_for(lambda: file._waiting == 0)
+    wait_for(lambda: file._waiting_bytes == 0)
     dropped = file.dropped
     file.put(b'{"n":"last"}')
     file.close()
@@ -132,7 +132,7 @@
 
 
 class FillingDisk(io.RawIOBase):
-    """Takes bytes up to some room, the last of them in part, and then none (ENOSPC) until there is room again."""
+    """Accepts ``room`` bytes, the last write in part, then raises ENOSPC until there is room again."""
 
     def __init__(self, room: int) -> None:
         self.room, self.taken = room, bytearray()
@@ -148,7 +148,7 @@
 
 @pytest.mark.parametrize("room", [0, 1, 8, 9, 10, 20])
 def test_a_line_that_a_full_disk_took_in_part_spoils_none_behind_it(tmp_path: Path, room: int) -> None:
-    """Whoever reads the log finds each line whole but the one that broke off, and knows how many are missing."""
+    """A reader finds every line complete except the one that broke off, and how many lines are missing."""
     file, disk = LogFile(str(tmp_path / "log")), FillingDisk(room)
     file._file = disk  # type: ignore[assignment]
     for number in range(3):
@@ -159,10 +159,10 @@
     file.put(b'{"n":"last"}')
     file.close()
     lines = bytes(disk.taken).splitlines()
-    whole = [json.loads(line) for line in lines if line.endswith(b"}")]
-    assert whole[-2:] == [{"kind": "dropped", "lines": 3 - room // 8}, {"n": "last"}]
-    assert whole[:-2] == [{"n": number} for number in range(room // 8)]
-    assert len(lines) == len(whole) + (room % 8 > 0)
+    complete = [json.loads(line) for line in lines if line.endswith(b"}")]
+    assert complete[-2:] == [{"kind": "dropped", "lines": 3 - room // 8}, {"n": "last"}]
+    assert complete[:-2] == [{"n": number} for number in range(room // 8)]
+    assert len(lines) == len(complete) + (room % 8 > 0)
 
 
 def test_a_disk_that_takes_nothing_is_counted() -> None:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The whole program as a process: configuration, readiness, SIGTERM, SIGKILL."""
+"""Tests of the whole program as a process: configuration, readiness, SIGTERM, SIGKILL, takeover."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 import pytest
 
-from cypresspulley.__main__ import LogLimit
-from cypresspulley.config import config_from
+from cypresspulley.__main__ import LogRateLimiter
+from cypresspulley.config import parse_config
+from cypresspulley.rehearsal.standins.counter_server import CounterServer
 from cypresspulley.rehearsal.standins.discovery import Agent, Host
-from cypresspulley.rehearsal.standins.keeper import Keeper
 from cypresspulley.rehearsal.standins.network import Link
-from cypresspulley.rehearsal.standins.stage import Stage
+from cypresspulley.rehearsal.standins.run_context import RunContext
 from tests.loopback import Origin, ask, listening, read_message, run
 
 WIRE_SETTINGS: dict[str, Any] = {
@@ -34,9 +34,9 @@
 }  # fmt: skip
 
 
-def stand_in_stage() -> Stage:
-    """A stage that keeps nothing, for stand-ins outside a rehearsal."""
-    return Stage(lambda _record: None, lambda _id, _cls: 0.0)
+def stand_in_stage() -> RunContext:
+    """Return a stage that records nothing, for stand-ins outside a rehearsal."""
+    return RunContext(lambda _record: None, lambda _id, _cls: 0.0)
 
 
 def free_port() -> int:
@@ -56,7 +56,7 @@
 
 
 class Program:
-    """A started limiter."""
+    """A running limiter process."""
 
     def __init__(self, process: asyncio.subprocess.Process, listen: str) -> None:
         self.process, self._listen = process, listen
@@ -66,7 +66,7 @@
         return await asyncio.open_connection(host, int(port))
 
     async def health(self) -> str:
-        """The first line of the answer to GET /healthz."""
+        """Return the status line of the response to GET /healthz."""
         reader, writer = await self.connect()
         writer.write(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
         first, _, _ = await read_message(reader)
@@ -132,8 +132,8 @@
 
 def test_sighup_moves_to_the_new_addresses_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
     async def main() -> None:
-        origin, path, stage, link = Origin(), tmp_path / "config.json", stand_in_stage(), Link("n0")
-        agent, keeper = Agent(stage, "n0"), Keeper(stage, 1, 1000.0, 0.1, 0.001)
+        origin, path, context, link = Origin(), tmp_path / "config.json", stand_in_stage(), Link("n0")
+        agent, keeper = Agent(context, "n0"), CounterServer(context, 1, 1000.0, 0.1, 0.001)
         there, count = agent.listen("127.0.0.1"), keeper.listen(link, "127.0.0.1").address
         async with listening(origin.talk) as dial:
             agent.publish(Host("s1", dial, "a", 0, "ready"))
@@ -146,9 +146,9 @@
                     assert " 200 " in await program.health()
                 path.write_text(json.dumps(raw | {"discovery": there, "counter": count}))
                 program.process.send_signal(signal.SIGHUP)
-                while not (agent.watchers and link.ends):
+                while not (agent.watchers and link.connections):
                     await asyncio.sleep(0.01)
-                while not origin.seen:  # the new list names the server's true address
+                while not origin.seen:  # the new list has the server's actual address
                     reader, writer = await program.connect()
                     writer.write(ask())
                     await read_message(reader)
@@ -238,21 +238,21 @@
 
 
 def test_the_configuration_is_read() -> None:
-    read = config_from(config("127.0.0.1:7070") | {"counter": "127.0.0.1:6400"})
+    read = parse_config(config("127.0.0.1:7070") | {"counter": "127.0.0.1:6400"})
     assert read.counter == ("127.0.0.1", 6400) and read.seed == 0x8C1F30D27A5BE964
     assert read.known is not None and read.known.version == 41 and read.known.servers.complete
     assert read.timing.dial_timeout == 1.0 and read.settings.max_attempts == 2
 
 
 def test_a_flood_of_log_lines_is_cut() -> None:
-    limit = LogLimit(3)
+    limit = LogRateLimiter(3)
     record = logging.LogRecord("x", 20, "", 0, "text", (), None)
     passed = sum(limit.filter(record) for _ in range(1000))
-    assert 3 <= passed <= 9  # three a second, however slow this machine is
+    assert 3 <= passed <= 9  # three per second; a slow machine may span several seconds
 
 
-async def door(address: str, method: str, path: str) -> int:
-    """The status of a call at the operators' door; 0 where nobody listens."""
+async def call_operators(address: str, method: str, path: str) -> int:
+    """Return the status of a call to the operators' interface; 0 if the connection is refused."""
     host, port = address.split(":")
     try:
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -268,7 +268,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    doors = [f"127.0.0.1:{free_port()}" for _ in range(2)]
+    operator_addresses = [f"127.0.0.1:{free_port()}" for _ in range(2)]
 
     async def load(program: Program, stop: asyncio.Event) -> int:
         served = 0
@@ -287,13 +287,13 @@
         origin, stop = Origin(), asyncio.Event()
         async with listening(origin.talk) as dial:
             raw = config(dial)
-            old_raw, new_raw = (raw | {"operator": each} for each in doors)
+            old_raw, new_raw = (raw | {"operator": each} for each in operator_addresses)
             async with started(old_raw, tmp_path) as old:
-                assert await door(doors[0], "GET", "/v1/readyz") == 200
-                assert await door(doors[0], "PUT", "/v1/servers/s9/suspend") == 404
+                assert await call_operators(operator_addresses[0], "GET", "/v1/readyz") == 200
+                assert await call_operators(operator_addresses[0], "PUT", "/v1/servers/s9/suspend") == 404
                 clients = [asyncio.create_task(load(old, stop)) for _ in range(6)]
                 async with started(new_raw, tmp_path) as new:
-                    while await door(doors[1], "GET", "/v1/readyz") != 200:
+                    while await call_operators(operator_addresses[1], "GET", "/v1/readyz") != 200:
                         await asyncio.sleep(0.01)
                     old.process.send_signal(signal.SIGTERM)
                     assert await old.process.wait() == 0
@@ -302,7 +302,7 @@
                         await asyncio.sleep(0.01)
                     stop.set()
                     assert all(await asyncio.gather(*clients))
-                    assert await door(doors[1], "PUT", "/v1/servers/s1/suspend") == 200
+                    assert await call_operators(operator_addresses[1], "PUT", "/v1/servers/s1/suspend") == 200
                     new.process.send_signal(signal.SIGTERM)
                     assert await new.process.wait() == 0
 
--- a/tests/test_watch_clock.py
+++ b/tests/test_watch_clock.py
@@ -184,7 +184,7 @@
             await asyncio.sleep(6.0 + 0.37 * at)
             loop.stop_owner(owner)
             await asyncio.sleep(held)
-            loop.wake_owner(owner)
+            loop.resume_owner(owner)
         await asyncio.sleep(5.0)
         assert len(agent.asked) == 1
         task.cancel()
@@ -204,7 +204,7 @@
         await asyncio.sleep(2 * HEARTBEAT + after)
         loop.stop_owner(owner)
         await asyncio.sleep(held)
-        loop.wake_owner(owner)
+        loop.resume_owner(owner)
         await asyncio.wait_for(known.wait(), 60)
         assert loop.time() - agent.silent_at < max(DELIVERY_LIMIT, held + HEARTBEAT + 0.5)
         task.cancel()
@@ -238,7 +238,7 @@
         await asyncio.sleep(0.1)
         assert received == [42, 44, 45, 46] and received_at[1] < 8.1
         assert all(line.endswith("since=42") for line in asked[1:]), "version 43 may have been missed"
-        mine = [end for end in loop.network.open if end.peer_address == ADDRESS and not end._closing]
+        mine = [end for end in loop.network.open_ends if end.peer_address == ADDRESS and not end._closing]
         assert len(mine) == 1, "only the newest watch is open"
         task.cancel()
 
