--- a/benchmarks/readers.py
+++ b/benchmarks/readers.py
@@ -1,9 +1,9 @@
-"""Throughput of each reader beside plain parsing of the same file, and memory over a large one.
+"""Compares the throughput of each reader with plain parsing of the same file, and measures memory on a large file.
 
     python -m benchmarks.readers [--megabytes 20] [--large 1000]
 
-Plain: ``json.loads`` of each line or of the whole HAR, ``str.split`` of each line of the other logs. ``--large`` makes
-a log of so many megabytes on the spot and prints how much memory reading it added.
+Plain parsing is ``json.loads`` of each line or of the whole HAR, and ``str.split`` of each line of the other logs.
+``--large`` generates a log of the given size in MB and prints the growth of memory while it is read.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def make(folder: Path, kind: str, megabytes: float) -> Path:
-    """A file of one kind and size."""
+    """Write a file of the given format and size."""
     path = folder / f"{kind}.capture"
     wanted = int(megabytes * 1e6)
     if kind == "har":
@@ -59,7 +59,7 @@
     parser.add_argument("--large", type=float, default=0.0)
     options = parser.parse_args()
     with tempfile.TemporaryDirectory() as name:
-        if options.large:  # first: what plain parsing takes would hide what a reader adds
+        if options.large:  # first, because the peak memory of plain parsing would hide the growth
             for kind in ("json", "har"):
                 path = make(Path(name), kind, options.large if kind == "json" else options.large * 0.3)
                 before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1e3
--- a/cypresspulley/capture/skew.py
+++ b/cypresspulley/capture/skew.py
@@ -243,8 +243,8 @@
         )
         if low.status == 2 or high.status == 2:
             raise CaptureError(
-                f"{name}: its clock cannot be reconciled with the others': the events they share contradict each other; "
-                "expected clocks that differ by an offset and a drift (was a clock set in the middle?)"
+                f"{name}: its clock cannot be reconciled with the others': the events they share contradict "
+                "each other; expected clocks that differ by an offset and a drift (was a clock set in the middle?)"
             )
         if low.status != 0 or high.status != 0:
             raise CaptureError(f"{name}: its clock could not be estimated: {low.message}")
